--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -53,11 +53,24 @@
 
 impl Bench {
     fn new(machines: usize, placers: usize) -> Bench {
-        let settings = Settings { placers, probes: false, report: Vec::new(), ..Settings::example() };
+        let settings = Settings {
+            placers,
+            probes: false,
+            report: Vec::new(),
+            ..Settings::example()
+        };
         let placer = Placer::new(settings, 7);
-        let mut bench = Bench { placer, now: SECOND, actions: Vec::new(), tick: None };
+        let mut bench = Bench {
+            placer,
+            now: SECOND,
+            actions: Vec::new(),
+            tick: None,
+        };
         let entries = (0..machines).map(|n| entry(n, 0)).collect();
-        bench.give(&Event::Members { kind: ListKind::Full, entries });
+        bench.give(&Event::Members {
+            kind: ListKind::Full,
+            entries,
+        });
         let ticks = bench.actions.iter().rev().find_map(|action| match action {
             Action::SetTimer { token, after } => Some((bench.now + after, *token)),
             _ => None,
@@ -83,16 +96,32 @@
         let id = task.id.clone();
         self.give(&Event::Request(task));
         if let Some(host) = self.sent_to() {
-            let first = Event::First { id: id.clone(), attempt: 0, host: host.clone(), elapsed: MS };
+            let first = Event::First {
+                id: id.clone(),
+                attempt: 0,
+                host: host.clone(),
+                elapsed: MS,
+            };
             self.give(&first);
             let (outcome, detail) = (Outcome::Ok, Detail::None);
             let (attempt, done, elapsed, report) = (0, true, MS, Vec::new());
-            self.give(&Event::Outcome { id, attempt, host, outcome, detail, done, elapsed, report });
+            self.give(&Event::Outcome {
+                id,
+                attempt,
+                host,
+                outcome,
+                detail,
+                done,
+                elapsed,
+                report,
+            });
         }
     }
 
     fn pass_tick(&mut self) {
-        let Some((due, token)) = self.tick else { return };
+        let Some((due, token)) = self.tick else {
+            return;
+        };
         self.now = self.now.max(due);
         self.give(&Event::Timer(token));
         self.tick = self.actions.iter().find_map(|action| match action {
@@ -121,7 +150,10 @@
         let event = each(EVENTS, |n| {
             bench.now += MS;
             let entries = vec![entry(n * 31 % machines, n)];
-            bench.give(&Event::Members { kind: ListKind::Delta, entries });
+            bench.give(&Event::Members {
+                kind: ListKind::Delta,
+                entries,
+            });
         });
         let task = each(TASKS, |n| {
             bench.now += MS;
--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -30,15 +30,25 @@
         let mut held: Vec<TcpStream> = Vec::new();
         held.extend(listener.incoming().flatten());
     });
-    println!("{:>6} {:>10} {:>13} {:>9} {:>10}", "hosts", "memory", "a connection", "a task", "an event");
+    println!(
+        "{:>6} {:>10} {:>13} {:>9} {:>10}",
+        "hosts", "memory", "a connection", "a task", "an event"
+    );
     for count in [10, 100, 400, 1_000] {
         let books: Arc<Mutex<Books>> = Arc::default();
-        let habits = Habits { start: Duration::from_millis(1), life: Duration::from_secs(2), room: 100_000 };
-        let live = |n: usize| LiveHost::start(&format!("h{n}"), "north", habits.clone(), books.clone());
+        let habits = Habits {
+            start: Duration::from_millis(1),
+            life: Duration::from_secs(2),
+            room: 100_000,
+        };
+        let live =
+            |n: usize| LiveHost::start(&format!("h{n}"), "north", habits.clone(), books.clone());
         let hosts: Vec<LiveHost> = (0..ROOMY).map(live).collect();
         let feed = LiveFeed::start();
         let entries = hosts.iter().map(|host| host.entry("up"));
-        let entries = entries.chain((ROOMY..count).map(|n| full(n, &address, -40))).collect();
+        let entries = entries
+            .chain((ROOMY..count).map(|n| full(n, &address, -40)))
+            .collect();
         let mut config = deployment("n0", 0, 1, &feed.address(), entries);
         config["limits"] = json!({ "cores": 1.0, "memory_mb": 192, "sockets": 8_192 });
         let program = Launch::new(&config).descriptors(8_192).start();
@@ -50,7 +60,15 @@
         });
         let task = program.cpu_each(TIMES, || {
             for id in 1..=u64::from(TIMES) {
-                client.set_up(id, &Ask { class: "quick", wait_ms: 6_000, service: id, at: None });
+                client.set_up(
+                    id,
+                    &Ask {
+                        class: "quick",
+                        wait_ms: 6_000,
+                        service: id,
+                        at: None,
+                    },
+                );
                 loop {
                     let message = client.read();
                     match (message.kind, message.id == id) {
@@ -66,11 +84,19 @@
                 client.heard(message.id);
             }
             let books = books.lock().expect("books");
-            books.starts.last().is_none_or(|last| last.at.elapsed() > Duration::from_secs(4)).then_some(())
+            books
+                .starts
+                .last()
+                .is_none_or(|last| last.at.elapsed() > Duration::from_secs(4))
+                .then_some(())
         });
         let event = program.cpu_each(EVENTS, || {
             for n in 0..EVENTS {
-                feed.tell(vec![full(ROOMY + n as usize % (count - ROOMY), &address, -40 - (n % 7) as i32)]);
+                feed.tell(vec![full(
+                    ROOMY + n as usize % (count - ROOMY),
+                    &address,
+                    -40 - (n % 7) as i32,
+                )]);
                 std::thread::sleep(Duration::from_millis(4));
             }
             std::thread::sleep(Duration::from_millis(300));
--- a/benches/health_polls.rs
+++ b/benches/health_polls.rs
@@ -30,14 +30,20 @@
 }
 
 fn http_poll(stream: &mut TcpStream) -> Option<()> {
-    stream.write_all(b"GET /readyz HTTP/1.1\r\nHost: t\r\n\r\n").ok()?;
+    stream
+        .write_all(b"GET /readyz HTTP/1.1\r\nHost: t\r\n\r\n")
+        .ok()?;
     let mut answer = [0; 512];
     let n = stream.read(&mut answer).ok()?;
     answer.get(..n)?.starts_with(b"HTTP/1.1 200").then_some(())
 }
 
 /// Polls at the rate until stopped; answers how many were answered.
-fn poll(load: Load, stop: &Arc<AtomicBool>, done: &Arc<AtomicU64>) -> Vec<std::thread::JoinHandle<()>> {
+fn poll(
+    load: Load,
+    stop: &Arc<AtomicBool>,
+    done: &Arc<AtomicU64>,
+) -> Vec<std::thread::JoinHandle<()>> {
     if matches!(load, Load::None) {
         return Vec::new();
     }
@@ -76,7 +82,10 @@
 
 /// Places 50 tasks a second for a while under a load of polls.
 fn measure(program: &Program, load: Load, span: Duration, first_id: &mut u64) -> Figures {
-    let (stop, done) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicU64::new(0)));
+    let (stop, done) = (
+        Arc::new(AtomicBool::new(false)),
+        Arc::new(AtomicU64::new(0)),
+    );
     let pollers = poll(load, &stop, &done);
     std::thread::sleep(Duration::from_millis(500));
     let (cpu, begun, mut waits) = (program.cpu(), Instant::now(), Vec::new());
@@ -86,7 +95,15 @@
         let due = begun + Duration::from_millis(20 * waits.len() as u64);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         *first_id += 1;
-        client.set_up(*first_id, &Ask { class: "quick", wait_ms: 6_000, service: *first_id, at: None });
+        client.set_up(
+            *first_id,
+            &Ask {
+                class: "quick",
+                wait_ms: 6_000,
+                service: *first_id,
+                at: None,
+            },
+        );
         loop {
             let message = client.read();
             match (message.kind, message.id == *first_id) {
@@ -97,23 +114,47 @@
         }
         waits.push(due.elapsed());
     }
-    let (passed, used) = (begun.elapsed().as_secs_f64(), (program.cpu() - cpu).as_secs_f64());
+    let (passed, used) = (
+        begun.elapsed().as_secs_f64(),
+        (program.cpu() - cpu).as_secs_f64(),
+    );
     let polls = done.load(Ordering::Relaxed) as f64 / passed;
     stop.store(true, Ordering::Relaxed);
-    pollers.into_iter().for_each(|poller| poller.join().expect("a poller"));
+    pollers
+        .into_iter()
+        .for_each(|poller| poller.join().expect("a poller"));
     waits.sort();
-    Figures { cpu: used / passed, median: waits[waits.len() / 2], p99: waits[waits.len() * 99 / 100], polls }
+    Figures {
+        cpu: used / passed,
+        median: waits[waits.len() / 2],
+        p99: waits[waits.len() * 99 / 100],
+        polls,
+    }
 }
 
 fn main() {
-    let seconds = std::env::args().filter_map(|arg| arg.parse().ok()).next().unwrap_or(10);
+    let seconds = std::env::args()
+        .filter_map(|arg| arg.parse().ok())
+        .next()
+        .unwrap_or(10);
     let span = Duration::from_secs(seconds);
     let books: Arc<Mutex<Books>> = Arc::default();
-    let habits = Habits { start: Duration::from_millis(5), life: Duration::from_secs(1), room: 10_000 };
-    let hosts: Vec<LiveHost> =
-        (0..4).map(|n| LiveHost::start(&format!("h{n}"), "north", habits.clone(), books.clone())).collect();
+    let habits = Habits {
+        start: Duration::from_millis(5),
+        life: Duration::from_secs(1),
+        room: 10_000,
+    };
+    let hosts: Vec<LiveHost> = (0..4)
+        .map(|n| LiveHost::start(&format!("h{n}"), "north", habits.clone(), books.clone()))
+        .collect();
     let feed = LiveFeed::start();
-    let config = deployment("n0", 0, 1, &feed.address(), hosts.iter().map(|host| host.entry("up")).collect());
+    let config = deployment(
+        "n0",
+        0,
+        1,
+        &feed.address(),
+        hosts.iter().map(|host| host.entry("up")).collect(),
+    );
     let (agent, http) = (free_address(), free_address());
     let operator = format!("[health]\nagent = [\"{agent}\"]\nhttp = [\"{http}\"]\n");
     let program = Launch::new(&config).operator(&operator).start();
--- a/crates/load/src/arrivals.rs
+++ b/crates/load/src/arrivals.rs
@@ -64,9 +64,10 @@
             // Mean 1 and the given coefficient of variation.
             let order = 1.0 / (cv * cv);
             match Gamma::new(order, 1.0 / order) {
-                Ok(gaps) => {
-                    laid(shape, std::iter::repeat_with(|| gaps.sample(&mut *rng)).take(MOST_ARRIVALS))
-                }
+                Ok(gaps) => laid(
+                    shape,
+                    std::iter::repeat_with(|| gaps.sample(&mut *rng)).take(MOST_ARRIVALS),
+                ),
                 Err(_) => Vec::new(),
             }
         }
@@ -99,7 +100,12 @@
     let mut found = Vec::new();
     // Phase by phase: the bound on the rate is then tight where it is low.
     for phase in &shape.phases {
-        let alone = Shape { phases: vec![crate::shape::Phase { start: 0, ..phase.clone() }] };
+        let alone = Shape {
+            phases: vec![crate::shape::Phase {
+                start: 0,
+                ..phase.clone()
+            }],
+        };
         let most = alone.most();
         if most <= 0.0 {
             continue;
@@ -132,7 +138,11 @@
         let (mut low, mut high) = (from, length);
         while low < high {
             let middle = low + (high - low) / 2;
-            if shape.expected(middle) < point { low = middle + 1 } else { high = middle }
+            if shape.expected(middle) < point {
+                low = middle + 1
+            } else {
+                high = middle
+            }
         }
         from = low;
         found.push(low);
@@ -148,21 +158,43 @@
     let mut found = Vec::new();
     for due in times(plan.arrivals.process, shape, &mut clock) {
         let class = draw(&mut marks, plan.classes.iter().map(|class| class.share));
-        let Some(chosen) = plan.classes.get(class) else { continue };
-        let tenant = draw(&mut marks, plan.tenants.iter().map(|tenant: &Tenant| tenant.arrivals()));
+        let Some(chosen) = plan.classes.get(class) else {
+            continue;
+        };
+        let tenant = draw(
+            &mut marks,
+            plan.tenants.iter().map(|tenant: &Tenant| tenant.arrivals()),
+        );
         let services = chosen.services.max(1) as usize;
-        let service = draw(&mut marks, (0..services).map(|rank| zipf(rank, plan.arrivals.service_skew)));
-        let room =
-            draw(&mut marks, (0..plan.rooms.len().max(1)).map(|rank| zipf(rank, plan.arrivals.room_skew)));
-        let size = chosen.sizes.get(service % chosen.sizes.len().max(1)).copied().unwrap_or([1.0, 1.0]);
-        let batch = plan
-            .arrivals
-            .batch
-            .map_or(1, |Batch { least, most }| marks.random_range(least..=most.max(least)));
+        let service = draw(
+            &mut marks,
+            (0..services).map(|rank| zipf(rank, plan.arrivals.service_skew)),
+        );
+        let room = draw(
+            &mut marks,
+            (0..plan.rooms.len().max(1)).map(|rank| zipf(rank, plan.arrivals.room_skew)),
+        );
+        let size = chosen
+            .sizes
+            .get(service % chosen.sizes.len().max(1))
+            .copied()
+            .unwrap_or([1.0, 1.0]);
+        let batch = plan.arrivals.batch.map_or(1, |Batch { least, most }| {
+            marks.random_range(least..=most.max(least))
+        });
         for _ in 0..batch {
             let life = life(chosen, &mut marks);
             let service = service as u32;
-            found.push(Arrival { due, class, tenant, service, room, cores: size[0], memory: size[1], life });
+            found.push(Arrival {
+                due,
+                class,
+                tenant,
+                service,
+                room,
+                cores: size[0],
+                memory: size[1],
+                life,
+            });
         }
     }
     found
@@ -172,8 +204,8 @@
     let mean = class.life.as_micros() as f64;
     // Lognormal with this mean.
     let spread = class.life_sigma;
-    let drawn =
-        LogNormal::new(mean.max(1.0).ln() - spread * spread / 2.0, spread).map_or(mean, |d| d.sample(rng));
+    let drawn = LogNormal::new(mean.max(1.0).ln() - spread * spread / 2.0, spread)
+        .map_or(mean, |d| d.sample(rng));
     drawn.clamp(1e3, 1e12) as Micros
 }
 
@@ -216,11 +248,17 @@
             let plan = plan(process);
             let shape = parse(&plan.arrivals.shape).expect("a shape");
             let all = arrivals(&plan, &shape);
-            assert!(all.windows(2).all(|pair| pair[0].due <= pair[1].due), "{process}");
+            assert!(
+                all.windows(2).all(|pair| pair[0].due <= pair[1].due),
+                "{process}"
+            );
             for phase in &shape.phases {
                 let end = phase.start + phase.length;
                 let expected = shape.expected(end) - shape.expected(phase.start);
-                let found = all.iter().filter(|a| (phase.start..end).contains(&a.due)).count() as f64;
+                let found = all
+                    .iter()
+                    .filter(|a| (phase.start..end).contains(&a.due))
+                    .count() as f64;
                 // Five times the deviation that the least even of these processes has.
                 let slack = 5.0 * 4.0 * expected.sqrt() + 1.0;
                 assert!(
@@ -238,9 +276,13 @@
             let plan = plan(process);
             let shape = parse("50/s for 200s").expect("a shape");
             let all = arrivals(&plan, &shape);
-            let gaps: Vec<f64> = all.windows(2).map(|pair| (pair[1].due - pair[0].due) as f64).collect();
+            let gaps: Vec<f64> = all
+                .windows(2)
+                .map(|pair| (pair[1].due - pair[0].due) as f64)
+                .collect();
             let mean = gaps.iter().sum::<f64>() / gaps.len() as f64;
-            let variance = gaps.iter().map(|gap| (gap - mean).powi(2)).sum::<f64>() / gaps.len() as f64;
+            let variance =
+                gaps.iter().map(|gap| (gap - mean).powi(2)).sum::<f64>() / gaps.len() as f64;
             variance.sqrt() / mean
         };
         for (process, expected) in [
@@ -263,15 +305,31 @@
         let shape = parse("20/s for 100s").expect("a shape");
         let all = arrivals(&plan, &shape);
         let mut groups = std::collections::BTreeMap::<Micros, Vec<&Arrival>>::new();
-        all.iter().for_each(|a| groups.entry(a.due).or_default().push(a));
+        all.iter()
+            .for_each(|a| groups.entry(a.due).or_default().push(a));
         assert!(groups.values().all(|group| (2..=8).contains(&group.len())));
         assert!(
-            groups.values().filter(|g| g.len() <= 4).all(|g| g.iter().all(|a| a.service == g[0].service))
+            groups
+                .values()
+                .filter(|g| g.len() <= 4)
+                .all(|g| g.iter().all(|a| a.service == g[0].service))
         );
         let of = |room| all.iter().filter(|a| a.room == room).count();
-        assert!(of(0) > 3 * of(1) && of(1) > of(2), "{} {} {}", of(0), of(1), of(2));
-        let first = all.iter().filter(|a| a.class == 0 && a.service == 0).count();
-        let tenth = all.iter().filter(|a| a.class == 0 && a.service == 9).count();
+        assert!(
+            of(0) > 3 * of(1) && of(1) > of(2),
+            "{} {} {}",
+            of(0),
+            of(1),
+            of(2)
+        );
+        let first = all
+            .iter()
+            .filter(|a| a.class == 0 && a.service == 0)
+            .count();
+        let tenth = all
+            .iter()
+            .filter(|a| a.class == 0 && a.service == 9)
+            .count();
         assert!(first > 4 * tenth, "{first} {tenth}");
     }
 }
--- a/crates/load/src/clients.rs
+++ b/crates/load/src/clients.rs
@@ -43,7 +43,12 @@
 
 impl Policy {
     /// All of them.
-    pub const ALL: [Policy; 4] = [Policy::Fixed, Policy::Exponential, Policy::Jitter, Policy::Budget];
+    pub const ALL: [Policy; 4] = [
+        Policy::Fixed,
+        Policy::Exponential,
+        Policy::Jitter,
+        Policy::Budget,
+    ];
 
     /// Its name in plans.
     pub fn as_str(self) -> &'static str {
@@ -283,7 +288,10 @@
 
     /// Tasks that settle.
     pub fn settling(&self) -> Vec<u64> {
-        let settling = self.tasks.iter().filter(|(_, task)| matches!(task.state, State::Settling { .. }));
+        let settling = self
+            .tasks
+            .iter()
+            .filter(|(_, task)| matches!(task.state, State::Settling { .. }));
         settling.map(|(key, _)| *key).collect()
     }
 
@@ -313,8 +321,17 @@
                 let key = wanted.key;
                 let honours = self.rng.random::<f64>() < self.settings.honour;
                 let state = State::Backoff { until: now };
-                self.tasks
-                    .insert(key, Task { wanted, state, failures: 0, attempts: 0, honours, ids: Vec::new() });
+                self.tasks.insert(
+                    key,
+                    Task {
+                        wanted,
+                        state,
+                        failures: 0,
+                        attempts: 0,
+                        honours,
+                        ids: Vec::new(),
+                    },
+                );
                 self.ask(now, key, &mut effects);
             }
             Event::Word(id, word) => self.word(now, id, word, &mut effects),
@@ -324,17 +341,22 @@
                 self.nothing_came(now, id, true, None, &mut effects);
             }
             Event::Restarted(placer) => {
-                let theirs = self.tasks.iter().filter_map(|(key, task)| match task.state {
-                    State::Standing { id, placer: p } if p == Some(placer) => Some((*key, id)),
-                    _ => None,
-                });
+                let theirs = self
+                    .tasks
+                    .iter()
+                    .filter_map(|(key, task)| match task.state {
+                        State::Standing { id, placer: p } if p == Some(placer) => Some((*key, id)),
+                        _ => None,
+                    });
                 for (key, id) in theirs.collect::<Vec<_>>() {
                     self.counts.presented += 1;
                     effects.push(Effect::Present { key, id });
                 }
             }
             Event::Found { key, id } => {
-                let Some(task) = self.tasks.get_mut(&key) else { return effects };
+                let Some(task) = self.tasks.get_mut(&key) else {
+                    return effects;
+                };
                 if matches!(task.state, State::Settling { .. }) {
                     task.state = State::Standing { id, placer: None };
                     let over = task.wanted.over;
@@ -357,7 +379,9 @@
             }
             return;
         };
-        let Some(task) = self.tasks.get_mut(&key) else { return };
+        let Some(task) = self.tasks.get_mut(&key) else {
+            return;
+        };
         let open = matches!(task.state, State::Asked { id: open, .. } if open == id);
         let stands = matches!(task.state, State::Standing { id: s, .. } if s == id);
         match word {
@@ -396,8 +420,12 @@
         away: Option<Micros>,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(&key) = self.by_id.get(&id) else { return };
-        let Some(task) = self.tasks.get_mut(&key) else { return };
+        let Some(&key) = self.by_id.get(&id) else {
+            return;
+        };
+        let Some(task) = self.tasks.get_mut(&key) else {
+            return;
+        };
         if !matches!(task.state, State::Asked { id: open, .. } if open == id) {
             return;
         }
@@ -411,7 +439,9 @@
         }
         let honours = task.honours;
         let failures = task.failures;
-        let wait = self.wait(failures).max(away.filter(|_| honours).unwrap_or(0));
+        let wait = self
+            .wait(failures)
+            .max(away.filter(|_| honours).unwrap_or(0));
         if self.settings.policy == Policy::Budget {
             if self.tokens < 1.0 {
                 self.counts.unbudgeted += 1;
@@ -439,19 +469,23 @@
     /// The wait before the next repeat, after so many failures in a row.
     fn wait(&mut self, failures: u32) -> Micros {
         let (base, most) = (self.settings.base, self.settings.most);
-        let doubled = base.saturating_mul(1 << failures.saturating_sub(1).min(20)).min(most);
+        let doubled = base
+            .saturating_mul(1 << failures.saturating_sub(1).min(20))
+            .min(most);
         match self.settings.policy {
             Policy::Fixed => base,
             Policy::Exponential => doubled,
             // Never at once: a wait of nothing is no wait.
-            Policy::Jitter | Policy::Budget => {
-                self.rng.random_range(base / 4..=doubled.saturating_mul(2).min(most).max(base))
-            }
+            Policy::Jitter | Policy::Budget => self
+                .rng
+                .random_range(base / 4..=doubled.saturating_mul(2).min(most).max(base)),
         }
     }
 
     fn ask(&mut self, now: Micros, key: u64, effects: &mut Vec<Effect>) {
-        let Some(task) = self.tasks.get_mut(&key) else { return };
+        let Some(task) = self.tasks.get_mut(&key) else {
+            return;
+        };
         let wait = task.wanted.limit;
         if now >= task.wanted.over {
             return self.done(key, Fate::OverWaiting, effects);
@@ -460,7 +494,10 @@
         task.attempts += 1;
         let id = self.next_id;
         self.next_id += 1;
-        task.state = State::Asked { id, until: now + wait };
+        task.state = State::Asked {
+            id,
+            until: now + wait,
+        };
         task.ids.push(id);
         self.by_id.insert(id, key);
         self.alarms.insert((now + wait, key));
@@ -470,11 +507,18 @@
             self.counts.first += 1;
             self.tokens = (self.tokens + self.settings.budget).min(MOST_TOKENS);
         }
-        effects.push(Effect::Ask { key, id, wait, again });
+        effects.push(Effect::Ask {
+            key,
+            id,
+            wait,
+            again,
+        });
     }
 
     fn alarm(&mut self, now: Micros, key: u64, effects: &mut Vec<Effect>) {
-        let Some(task) = self.tasks.get(&key) else { return };
+        let Some(task) = self.tasks.get(&key) else {
+            return;
+        };
         match task.state {
             State::Asked { id, until } if until <= now => {
                 effects.push(Effect::GiveUp(id));
--- a/crates/load/src/clients/tests.rs
+++ b/crates/load/src/clients/tests.rs
@@ -23,7 +23,13 @@
 }
 
 fn wanted(key: u64, once: bool) -> Wanted {
-    Wanted { key, due: 0, over: 60 * SECOND, limit: 6 * SECOND, once }
+    Wanted {
+        key,
+        due: 0,
+        over: 60 * SECOND,
+        limit: 6 * SECOND,
+        once,
+    }
 }
 
 fn asked(effects: &[Effect]) -> Option<u64> {
@@ -48,11 +54,23 @@
 fn a_task_is_asked_for_placed_and_done_when_its_end_is_told() {
     let mut clients = clients(Policy::Fixed);
     let effects = clients.handle(0, Event::Due(wanted(1, false)));
-    assert_eq!(effects, [Effect::Ask { key: 1, id: 100, wait: 6 * SECOND, again: false }]);
+    assert_eq!(
+        effects,
+        [Effect::Ask {
+            key: 1,
+            id: 100,
+            wait: 6 * SECOND,
+            again: false
+        }]
+    );
     assert_eq!(clients.handle(MS, Event::Word(100, Word::Placed)), []);
     let effects = clients.handle(SECOND, Event::Word(100, Word::Ended));
     assert_eq!(effects, [Effect::Heard(100), Effect::Done(1, Fate::Ran)]);
-    assert_eq!(clients.handle(SECOND, Event::Word(100, Word::Ended)), [Effect::Heard(100)], "told again");
+    assert_eq!(
+        clients.handle(SECOND, Event::Word(100, Word::Ended)),
+        [Effect::Heard(100)],
+        "told again"
+    );
     assert_eq!(clients.open(), 0);
 }
 
@@ -61,8 +79,13 @@
     let waits = |policy| {
         let mut clients = clients(policy);
         let mut now = 0;
-        let mut id =
-            asked(&clients.handle(now, Event::Due(Wanted { over: 1_000 * SECOND, ..wanted(1, false) })));
+        let mut id = asked(&clients.handle(
+            now,
+            Event::Due(Wanted {
+                over: 1_000 * SECOND,
+                ..wanted(1, false)
+            }),
+        ));
         let mut waits = Vec::new();
         while let Some(open) = id.filter(|_| waits.len() < 6) {
             let refused = now;
@@ -74,7 +97,10 @@
         waits
     };
     assert_eq!(waits(Policy::Fixed), [1_000; 6]);
-    assert_eq!(waits(Policy::Exponential), [1_000, 2_000, 4_000, 8_000, 8_000, 8_000]);
+    assert_eq!(
+        waits(Policy::Exponential),
+        [1_000, 2_000, 4_000, 8_000, 8_000, 8_000]
+    );
     let jitter = waits(Policy::Jitter);
     assert!(
         jitter.iter().all(|w| (250..=8_010).contains(w)) && jitter.windows(2).any(|w| w[0] != w[1]),
@@ -85,7 +111,14 @@
 #[test]
 fn a_refusals_wait_is_honoured_by_those_who_honour() {
     for (honour, least) in [(1.0, 5_000), (0.0, 1_000)] {
-        let mut clients = Clients::new(Settings { honour, ..settings(Policy::Fixed) }, 1, 100);
+        let mut clients = Clients::new(
+            Settings {
+                honour,
+                ..settings(Policy::Fixed)
+            },
+            1,
+            100,
+        );
         clients.handle(0, Event::Due(wanted(1, false)));
         clients.handle(0, Event::Word(100, Word::Refused(Some(5 * SECOND))));
         let mut now = 0;
@@ -105,7 +138,11 @@
             effects = clients.handle(now, Event::Word(id, Word::Refused(None)));
         }
         now += 10 * MS;
-        for id in clients.tick(now).iter().filter_map(|e| asked(std::slice::from_ref(e))) {
+        for id in clients
+            .tick(now)
+            .iter()
+            .filter_map(|e| asked(std::slice::from_ref(e)))
+        {
             clients.handle(now, Event::Word(id, Word::Refused(None)));
         }
     }
@@ -113,7 +150,10 @@
         clients.handle(now, Event::Word(id, Word::Refused(None)));
     }
     let counts = clients.counts();
-    assert!(counts.again as f64 <= MOST_TOKENS / 4.0 + 0.1 * counts.first as f64 + 1.0, "{counts:?}");
+    assert!(
+        counts.again as f64 <= MOST_TOKENS / 4.0 + 0.1 * counts.first as f64 + 1.0,
+        "{counts:?}"
+    );
     assert!(counts.unbudgeted > 0 && clients.open() == 0, "{counts:?}");
 }
 
@@ -140,7 +180,11 @@
     let effects = clients.handle(SECOND, Event::Found { key: 1, id: 100 });
     assert_eq!(effects, [Effect::Present { key: 1, id: 100 }]);
     let mut now = SECOND;
-    assert_eq!(next_ask(&mut clients, &mut now, 10 * SECOND), None, "not asked for again");
+    assert_eq!(
+        next_ask(&mut clients, &mut now, 10 * SECOND),
+        None,
+        "not asked for again"
+    );
     // One that stands is not found again.
     assert_eq!(clients.handle(now, Event::Found { key: 1, id: 100 }), []);
 }
@@ -153,10 +197,17 @@
         clients.handle(0, Event::Word(100, Word::Placed));
         clients.sent_to(100, 2);
         assert_eq!(clients.handle(MS, Event::Restarted(1)), []);
-        assert_eq!(clients.handle(MS, Event::Restarted(2)), [Effect::Present { key: 1, id: 100 }]);
+        assert_eq!(
+            clients.handle(MS, Event::Restarted(2)),
+            [Effect::Present { key: 1, id: 100 }]
+        );
         clients.handle(SECOND, Event::Word(100, word));
         let mut now = SECOND;
-        assert_eq!(next_ask(&mut clients, &mut now, 2 * SECOND), Some(101), "{word:?}");
+        assert_eq!(
+            next_ask(&mut clients, &mut now, 2 * SECOND),
+            Some(101),
+            "{word:?}"
+        );
         assert!(now - SECOND <= 510 * MS);
     }
 }
@@ -164,17 +215,38 @@
 #[test]
 fn a_client_gives_up_after_its_limit_and_a_task_after_its_time() {
     let mut clients = clients(Policy::Fixed);
-    clients.handle(0, Event::Due(Wanted { over: 10 * SECOND, ..wanted(1, false) }));
+    clients.handle(
+        0,
+        Event::Due(Wanted {
+            over: 10 * SECOND,
+            ..wanted(1, false)
+        }),
+    );
     let effects = clients.tick(6 * SECOND);
     assert_eq!(effects, [Effect::GiveUp(100)]);
     assert!(asked(&clients.tick(7 * SECOND)).is_some());
-    clients.handle(7 * SECOND, Event::Word(101, Word::Refused(Some(5 * SECOND))));
-    assert_eq!(clients.tick(12 * SECOND), [Effect::Done(1, Fate::OverWaiting)]);
+    clients.handle(
+        7 * SECOND,
+        Event::Word(101, Word::Refused(Some(5 * SECOND))),
+    );
+    assert_eq!(
+        clients.tick(12 * SECOND),
+        [Effect::Done(1, Fate::OverWaiting)]
+    );
     // One that stands past its time is waited for a little.
-    clients.handle(0, Event::Due(Wanted { over: 10 * SECOND, ..wanted(2, false) }));
+    clients.handle(
+        0,
+        Event::Due(Wanted {
+            over: 10 * SECOND,
+            ..wanted(2, false)
+        }),
+    );
     clients.handle(0, Event::Word(102, Word::Placed));
     assert_eq!(clients.tick(18 * SECOND), []);
-    assert_eq!(clients.tick(19 * SECOND), [Effect::Done(2, Fate::OverStanding)]);
+    assert_eq!(
+        clients.tick(19 * SECOND),
+        [Effect::Done(2, Fate::OverStanding)]
+    );
 }
 
 proptest! {
--- a/crates/load/src/director.rs
+++ b/crates/load/src/director.rs
@@ -40,7 +40,8 @@
         let length = micros(fault.length);
         for (place, target) in fault.targets().into_iter().enumerate() {
             for time in 0..fault.times {
-                let late = place as Micros * micros(fault.stagger) + 2 * Micros::from(time) * length;
+                let late =
+                    place as Micros * micros(fault.stagger) + 2 * Micros::from(time) * length;
                 let start = micros(fault.at) + late;
                 for (begins, ends) in both(fault.kind, target, number, plan) {
                     acts.push((start, begins));
@@ -77,7 +78,14 @@
         FaultKind::RackDie => {
             let rack = plan.hosts.rack.max(1);
             let hosts = (n * rack..(n + 1) * rack).filter(|host| *host < plan.hosts.count);
-            hosts.map(|host| (Act::Site(Order::Die(host)), Some(Act::Site(Order::Rise(host))))).collect()
+            hosts
+                .map(|host| {
+                    (
+                        Act::Site(Order::Die(host)),
+                        Some(Act::Site(Order::Rise(host))),
+                    )
+                })
+                .collect()
         }
         FaultKind::HostSilent => host(HostFault::Silent),
         FaultKind::HostRefuse => host(HostFault::Refuse),
@@ -86,7 +94,10 @@
         FaultKind::HostSpoilt => host(HostFault::Spoilt),
         FaultKind::HostSlow => host(HostFault::Slow),
         FaultKind::HostDrain => {
-            vec![(Act::Site(Order::Drain(n, true)), Some(Act::Site(Order::Drain(n, false))))]
+            vec![(
+                Act::Site(Order::Drain(n, true)),
+                Some(Act::Site(Order::Drain(n, false))),
+            )]
         }
         FaultKind::FeedCut => feed(FeedFault::Cut),
         FaultKind::FeedSilent => feed(FeedFault::Silent),
@@ -98,7 +109,9 @@
         | FaultKind::LinkStall
         | FaultKind::LinkSlow
         | FaultKind::LinkReset
-        | FaultKind::LinkBlackHole => vec![(Act::Link(number, true), Some(Act::Link(number, false)))],
+        | FaultKind::LinkBlackHole => {
+            vec![(Act::Link(number, true), Some(Act::Link(number, false)))]
+        }
     }
 }
 
@@ -141,7 +154,9 @@
                     Act::Resume(n) => keeper.resume(n),
                     Act::Terminate(n) => keeper.terminate(n),
                     Act::Launch(n) => waiting.push(n),
-                    Act::Link(n, begins) => network.iter().for_each(|network| network.strike(n, begins)),
+                    Act::Link(n, begins) => {
+                        network.iter().for_each(|network| network.strike(n, begins))
+                    }
                     Act::MoveFeed(n) => {
                         let before = site.feed(n);
                         site.order(Order::MoveFeed(n));
@@ -156,7 +171,8 @@
                 }
             }
             let next = acts.peek().map_or(LOOK, |(at, _)| {
-                Duration::from_micros(u64::try_from(begun + at - notes.now()).unwrap_or(0)).min(LOOK)
+                Duration::from_micros(u64::try_from(begun + at - notes.now()).unwrap_or(0))
+                    .min(LOOK)
             });
             std::thread::sleep(next);
         }
@@ -177,7 +193,10 @@
                     [[fault]]\nat = \"2s\"\nkind = \"placer-kill\"\n\
                     [[fault]]\nat = \"2s\"\nlength = \"9s\"\nkind = \"feed-moved\"\n";
         let plan = Plan::parse(text).expect("a plan");
-        let acts: Vec<(Micros, Act)> = line(&plan).into_iter().map(|(at, act)| (at / 1_000, act)).collect();
+        let acts: Vec<(Micros, Act)> = line(&plan)
+            .into_iter()
+            .map(|(at, act)| (at / 1_000, act))
+            .collect();
         let expected = [
             (1_000, Act::Pause(1)),
             (2_000, Act::Kill(0)),
--- a/crates/load/src/front.rs
+++ b/crates/load/src/front.rs
@@ -47,7 +47,8 @@
 
     /// Takes a result; true where the placer is taken in with it.
     pub fn tested(&mut self, placer: usize, tested: Tested) -> bool {
-        let (Some(up), Some(failures)) = (self.up.get_mut(placer), self.failures.get_mut(placer)) else {
+        let (Some(up), Some(failures)) = (self.up.get_mut(placer), self.failures.get_mut(placer))
+        else {
             return false;
         };
         let before = *up;
@@ -68,7 +69,9 @@
 
     /// Takes what an agent has told.
     pub fn advised(&mut self, placer: usize, advice: Advice) {
-        self.balancers.iter_mut().for_each(|balancer| balancer.advised(placer, advice));
+        self.balancers
+            .iter_mut()
+            .for_each(|balancer| balancer.advised(placer, advice));
     }
 
     /// Whether any placer is in.
@@ -118,7 +121,11 @@
             "no other is there"
         );
         front.tested(1, Tested::Passed);
-        assert_eq!((front.pick(0), front.pick(1)), (Some(0), Some(1)), "each its own room");
+        assert_eq!(
+            (front.pick(0), front.pick(1)),
+            (Some(0), Some(1)),
+            "each its own room"
+        );
         for (failures, picked) in [(1, Some(1)), (2, Some(1)), (3, Some(0))] {
             front.tested(1, Tested::Failed);
             assert_eq!(front.pick(1), picked, "after {failures}");
@@ -132,10 +139,22 @@
     fn agents_weights_and_drains_are_followed() {
         let mut front = Front::new(2, 1);
         (0..2).for_each(|n| assert!(front.tested(n, Tested::Passed)));
-        front.advised(0, Advice { weight: Some(25), ..Advice::default() });
+        front.advised(
+            0,
+            Advice {
+                weight: Some(25),
+                ..Advice::default()
+            },
+        );
         let picks: Vec<usize> = (0..10).filter_map(|_| front.pick(0)).collect();
         assert_eq!(picks.iter().filter(|n| **n == 0).count(), 2);
-        front.advised(1, Advice { admin: Some(Admin::Drain), ..Advice::default() });
+        front.advised(
+            1,
+            Advice {
+                admin: Some(Admin::Drain),
+                ..Advice::default()
+            },
+        );
         assert_eq!(front.pick(0), Some(0));
     }
 }
--- a/crates/load/src/harm.rs
+++ b/crates/load/src/harm.rs
@@ -60,7 +60,10 @@
 
     /// A figure over the whole run.
     pub fn sum(&self, of: fn(&Second) -> u32) -> u64 {
-        self.seconds.iter().map(|second| u64::from(of(second))).sum()
+        self.seconds
+            .iter()
+            .map(|second| u64::from(of(second)))
+            .sum()
     }
 
     /// The most of a figure within a second.
@@ -72,7 +75,11 @@
     pub fn unevenness(&self, of: fn(&Second) -> u32) -> f64 {
         let values: Vec<u32> = self.seconds.iter().map(of).filter(|v| *v > 0).collect();
         let mean = values.iter().sum::<u32>() as f64 / values.len().max(1) as f64;
-        if mean > 0.0 { f64::from(values.iter().copied().max().unwrap_or(0)) / mean } else { 0.0 }
+        if mean > 0.0 {
+            f64::from(values.iter().copied().max().unwrap_or(0)) / mean
+        } else {
+            0.0
+        }
     }
 
     /// As text for a terminal.
@@ -111,12 +118,28 @@
             "calls"
         );
         for (n, second) in self.seconds.iter().enumerate() {
-            let Second { offers, refused, in_vain, returns, calls, starts, line_ms, held_ms, repeated } =
-                second;
+            let Second {
+                offers,
+                refused,
+                in_vain,
+                returns,
+                calls,
+                starts,
+                line_ms,
+                held_ms,
+                repeated,
+            } = second;
             let mean = |sum: &u32| f64::from(*sum) / f64::from((*starts).max(1));
             let of = due.get(n).copied().unwrap_or_default();
-            text.push_str(&format!("{n:>6}{:>8}{:>8}{:>8}{:>8.0}", of.due, of.started, of.in_aim, of.p50_ms));
-            text.push_str(&format!("{offers:>8}{repeated:>8}{:>8.0}{:>8.0}", mean(held_ms), mean(line_ms)));
+            text.push_str(&format!(
+                "{n:>6}{:>8}{:>8}{:>8}{:>8.0}",
+                of.due, of.started, of.in_aim, of.p50_ms
+            ));
+            text.push_str(&format!(
+                "{offers:>8}{repeated:>8}{:>8.0}{:>8.0}",
+                mean(held_ms),
+                mean(line_ms)
+            ));
             text.push_str(&format!("{refused:>8}{in_vain:>8}{returns:>8}{calls:>8}  "));
             for line in &self.at {
                 text.push_str(&format!("{:>5}", line.get(n).copied().unwrap_or(0)));
@@ -148,9 +171,13 @@
         let mut troubled: BTreeMap<(usize, usize), u32> = BTreeMap::new();
         for (at, note) in notes.iter().filter(|(at, _)| *at >= begun) {
             let second = ((at - begun) / SECOND) as usize;
-            let Some(sums) = harm.seconds.get_mut(second) else { continue };
+            let Some(sums) = harm.seconds.get_mut(second) else {
+                continue;
+            };
             match note {
-                Note::Sent { id, key, at: None, .. } => {
+                Note::Sent {
+                    id, key, at: None, ..
+                } => {
                     let again = !tasks.insert(*key);
                     sums.returns += u32::from(again);
                     set_up.insert(*id, (*at, again));
@@ -160,7 +187,9 @@
                     open.insert((*id, *host), *at);
                     sums.repeated += u32::from(set_up.get(id).is_some_and(|(_, again)| *again));
                     let Some(place) = place(*host) else { continue };
-                    if let Some(count) = harm.at.get_mut(place).and_then(|line| line.get_mut(second)) {
+                    if let Some(count) =
+                        harm.at.get_mut(place).and_then(|line| line.get_mut(second))
+                    {
                         *count += 1;
                     }
                     if in_trouble(plan, place, at - begun) {
@@ -169,7 +198,9 @@
                     }
                 }
                 Note::Said(id, host, Said::Up(_)) => {
-                    let Some(offered) = open.remove(&(*id, *host)) else { continue };
+                    let Some(offered) = open.remove(&(*id, *host)) else {
+                        continue;
+                    };
                     let sent = set_up.get(id).map_or(offered, |(sent, _)| *sent);
                     let of = ((offered - begun) / SECOND) as usize;
                     if let Some(sums) = harm.seconds.get_mut(of) {
@@ -182,7 +213,9 @@
                 Note::Said(id, host, Said::Down(_) | Said::Unsent(_)) => {
                     sums.refused += u32::from(open.remove(&(*id, *host)).is_some());
                 }
-                Note::Stopped(id, host) | Note::Closed(id, host) | Note::Said(id, host, Said::Cut) => {
+                Note::Stopped(id, host)
+                | Note::Closed(id, host)
+                | Note::Said(id, host, Said::Cut) => {
                     sums.in_vain += u32::from(open.remove(&(*id, *host)).is_some());
                 }
                 Note::Called(host) => {
@@ -209,8 +242,10 @@
     plan.faults.iter().any(|fault| {
         let from = Micros::try_from(fault.at.as_micros()).unwrap_or(Micros::MAX);
         let until = from.saturating_add(Micros::try_from(fault.length.as_micros()).unwrap_or(0));
-        let kind =
-            matches!(fault.kind, HostSilent | HostRefuse | HostResetBefore | HostResetAfter | HostSpoilt);
+        let kind = matches!(
+            fault.kind,
+            HostSilent | HostRefuse | HostResetBefore | HostResetAfter | HostSpoilt
+        );
         kind && fault.targets().contains(&place) && (from..until).contains(&at)
     })
 }
@@ -235,7 +270,11 @@
             description: 0,
             at: None,
         };
-        let offered = |id, host| Note::Offered { id, host, description: 0 };
+        let offered = |id, host| Note::Offered {
+            id,
+            host,
+            description: 0,
+        };
         let begun = 5 * SECOND;
         let notes: Vec<(Micros, Note)> = [
             (-100, sent(9, 9)),
@@ -259,8 +298,22 @@
         let harm = Harm::of(&plan, &notes, begun, begun + 3 * SECOND, Some);
         let zero = Second::default();
         let expected = [
-            Second { offers: 2, refused: 1, calls: 1, starts: 1, line_ms: 10, held_ms: 30, ..zero },
-            Second { offers: 2, in_vain: 2, returns: 1, repeated: 1, ..zero },
+            Second {
+                offers: 2,
+                refused: 1,
+                calls: 1,
+                starts: 1,
+                line_ms: 10,
+                held_ms: 30,
+                ..zero
+            },
+            Second {
+                offers: 2,
+                in_vain: 2,
+                returns: 1,
+                repeated: 1,
+                ..zero
+            },
             zero,
             zero,
         ];
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -210,28 +210,55 @@
             let shape = read_plan(&file)?.shape();
             say(shape_text(&shape).trim_end());
             if let Some(file) = svg {
-                write(&file, shape_svg(&shape).map_err(|e| e.to_string())?.as_bytes())?;
+                write(
+                    &file,
+                    shape_svg(&shape).map_err(|e| e.to_string())?.as_bytes(),
+                )?;
             }
             Ok(0)
         }
         Command::Run(args) => run_one(&args),
-        Command::Compare { a, b, seeds, common } => {
+        Command::Compare {
+            a,
+            b,
+            seeds,
+            common,
+        } => {
             let (a, b) = (read_plan(&a)?, read_plan(&b)?);
-            let names =
-                if a.name == b.name { ["A".into(), "B".into()] } else { [a.name.clone(), b.name.clone()] };
-            let sides = [over_seeds(&a, seeds, &common)?, over_seeds(&b, seeds, &common)?];
+            let names = if a.name == b.name {
+                ["A".into(), "B".into()]
+            } else {
+                [a.name.clone(), b.name.clone()]
+            };
+            let sides = [
+                over_seeds(&a, seeds, &common)?,
+                over_seeds(&b, seeds, &common)?,
+            ];
             say(&side_by_side(&names, &sides.map(|runs| spreads(&runs))));
             Ok(0)
         }
-        Command::Policies { plan, seeds, common } => policies(&read_plan(&plan)?, seeds, &common),
-        Command::Knee { plan, repeats, precision, most, common } => {
-            knee(&read_plan(&plan)?, Search::new(repeats, precision, most), &common)
-        }
+        Command::Policies {
+            plan,
+            seeds,
+            common,
+        } => policies(&read_plan(&plan)?, seeds, &common),
+        Command::Knee {
+            plan,
+            repeats,
+            precision,
+            most,
+            common,
+        } => knee(
+            &read_plan(&plan)?,
+            Search::new(repeats, precision, most),
+            &common,
+        ),
         Command::Trace(args) => trace(&args),
         Command::Pace { seconds } => pace(seconds),
-        Command::Guard { program, descriptors } => {
-            Err(standin::keeper::guard(&program, descriptors).to_string())
-        }
+        Command::Guard {
+            program,
+            descriptors,
+        } => Err(standin::keeper::guard(&program, descriptors).to_string()),
     }
 }
 
@@ -263,7 +290,8 @@
         TimeUnit::S => Unit::Seconds,
     };
     let columns = Columns::parse(&reading.columns)?;
-    let trace = read_trace(file, plan, &columns, unit, reading.skip_bad).map_err(|e| e.to_string())?;
+    let trace =
+        read_trace(file, plan, &columns, unit, reading.skip_bad).map_err(|e| e.to_string())?;
     if trace.skipped > 0 {
         let _ = writeln!(std::io::stderr(), "{} rows were left out", trace.skipped);
     }
@@ -309,7 +337,10 @@
             .as_str());
     } else {
         say(&summary.text(&outcome));
-        say(&format!("report: {}", args.common.folder.join("report.html").display()));
+        say(&format!(
+            "report: {}",
+            args.common.folder.join("report.html").display()
+        ));
     }
     if !outcome.findings.is_empty() {
         say(&findings(&outcome, 3));
@@ -321,18 +352,30 @@
 fn keep(outcome: &Outcome, summary: &Summary, folder: &Path) -> Done<()> {
     let page = html(outcome, summary).map_err(|e| e.to_string())?;
     write(&folder.join("report.html"), page.as_bytes())?;
-    write(&folder.join("audit.txt"), findings(outcome, usize::MAX).as_bytes())?;
-    write(&folder.join("harm.txt"), outcome.harm.table(&summary.seconds).as_bytes())?;
+    write(
+        &folder.join("audit.txt"),
+        findings(outcome, usize::MAX).as_bytes(),
+    )?;
+    write(
+        &folder.join("harm.txt"),
+        outcome.harm.table(&summary.seconds).as_bytes(),
+    )?;
     write_tasks(&folder.join("tasks.parquet"), outcome).map_err(|e| e.to_string())?;
     let log = folder.join("latency.hlog");
-    let mut out = BufWriter::new(File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?);
-    interval_log(outcome, &mut out).and_then(|()| out.flush()).map_err(|e| format!("{}: {e}", log.display()))
+    let mut out =
+        BufWriter::new(File::create(&log).map_err(|e| format!("{}: {e}", log.display()))?);
+    interval_log(outcome, &mut out)
+        .and_then(|()| out.flush())
+        .map_err(|e| format!("{}: {e}", log.display()))
 }
 
 fn over_seeds(plan: &Plan, seeds: u64, common: &Common) -> Done<Vec<Vec<(String, f64)>>> {
     let mut runs = Vec::new();
     for n in 0..seeds.max(1) {
-        let plan = Plan { seed: plan.seed + n, ..plan.clone() };
+        let plan = Plan {
+            seed: plan.seed + n,
+            ..plan.clone()
+        };
         let outcome = run(&plan, &options(common, true)).map_err(|e| e.to_string())?;
         let summary = summarize(&outcome);
         let _ = writeln!(
@@ -360,26 +403,56 @@
         most(a).total_cmp(&most(b))
     });
     let from = peak.map_or(0, |p| (p.start + p.length) / 1_000_000) as usize;
-    let bad =
-        summary.seconds.iter().enumerate().skip(from).filter(|(_, s)| s.due > 0 && s.in_aim * 10 < s.due * 9);
+    let bad = summary
+        .seconds
+        .iter()
+        .enumerate()
+        .skip(from)
+        .filter(|(_, s)| s.due > 0 && s.in_aim * 10 < s.due * 9);
     let recovered = bad.map(|(n, _)| n + 1).max().map_or(0, |n| n - from);
     vec![
-        ("attempts beyond the first, a task".into(), counts.again as f64 / first),
-        ("attempts that brought nothing, a task".into(), counts.wasted as f64 / first),
-        ("seconds until all is well after the peak".into(), recovered as f64),
+        (
+            "attempts beyond the first, a task".into(),
+            counts.again as f64 / first,
+        ),
+        (
+            "attempts that brought nothing, a task".into(),
+            counts.wasted as f64 / first,
+        ),
+        (
+            "seconds until all is well after the peak".into(),
+            recovered as f64,
+        ),
         ("offers, a task".into(), outcome.harm.offers_a_task()),
-        ("refused offers".into(), outcome.harm.sum(|s| s.refused) as f64),
-        ("offers in vain".into(), outcome.harm.sum(|s| s.in_vain) as f64),
-        ("most returns in a second".into(), f64::from(outcome.harm.most(|s| s.returns))),
+        (
+            "refused offers".into(),
+            outcome.harm.sum(|s| s.refused) as f64,
+        ),
+        (
+            "offers in vain".into(),
+            outcome.harm.sum(|s| s.in_vain) as f64,
+        ),
+        (
+            "most returns in a second".into(),
+            f64::from(outcome.harm.most(|s| s.returns)),
+        ),
     ]
 }
 
 fn side_by_side(names: &[String; 2], sides: &[Vec<Spread>; 2]) -> String {
     let mut text = format!("{:<44}{:>22}{:>22}  \n", "", names[0], names[1]);
     for a in &sides[0] {
-        let Some(b) = sides[1].iter().find(|b| b.name == a.name) else { continue };
+        let Some(b) = sides[1].iter().find(|b| b.name == a.name) else {
+            continue;
+        };
         let cell = |s: &Spread| format!("{:.2} ± {:.2}", s.mean(), s.deviation());
-        text.push_str(&format!("{:<44}{:>22}{:>22}  {}\n", a.name, cell(a), cell(b), compare(a, b).as_str()));
+        text.push_str(&format!(
+            "{:<44}{:>22}{:>22}  {}\n",
+            a.name,
+            cell(a),
+            cell(b),
+            compare(a, b).as_str()
+        ));
     }
     text
 }
@@ -393,14 +466,16 @@
         columns.push((policy, spreads(&over_seeds(&plan, seeds, common)?)));
     }
     let mut text = format!("{:<44}", "");
-    columns.iter().for_each(|(policy, _)| text.push_str(&format!("{:>20}", policy.as_str())));
+    columns
+        .iter()
+        .for_each(|(policy, _)| text.push_str(&format!("{:>20}", policy.as_str())));
     text.push('\n');
     for (n, spread) in columns[0].1.iter().enumerate() {
         text.push_str(&format!("{:<44}", spread.name));
         for (_, spreads) in &columns {
-            let cell = spreads
-                .get(n)
-                .map_or_else(String::new, |s| format!("{:.2} ± {:.2}", s.mean(), s.deviation()));
+            let cell = spreads.get(n).map_or_else(String::new, |s| {
+                format!("{:.2} ± {:.2}", s.mean(), s.deviation())
+            });
             text.push_str(&format!("{cell:>20}"));
         }
         text.push('\n');
@@ -414,11 +489,14 @@
     while let Some(factor) = search.next() {
         let mut held = 0;
         for n in 0..search.repeats() {
-            let plan = Plan { seed: plan.seed + u64::from(n), ..plan.clone() };
+            let plan = Plan {
+                seed: plan.seed + u64::from(n),
+                ..plan.clone()
+            };
             let scaled = shape.scaled(factor);
             let due = arrivals(&plan, &scaled);
-            let outcome =
-                run_arrivals(&plan, scaled, due, &options(common, false)).map_err(|e| e.to_string())?;
+            let outcome = run_arrivals(&plan, scaled, due, &options(common, false))
+                .map_err(|e| e.to_string())?;
             let summary = summarize(&outcome);
             if !summary.in_time {
                 return Err(format!(
@@ -432,7 +510,10 @@
         }
         search.tried(factor, held, search.repeats());
         let rate = shape.most() * factor;
-        say(&format!("{factor:>7.2} times, up to {rate:>8.1}/s: held in {held} of {}", search.repeats()));
+        say(&format!(
+            "{factor:>7.2} times, up to {rate:>8.1}/s: held in {held} of {}",
+            search.repeats()
+        ));
     }
     let (low, high) = search.between();
     let rate = |factor: f64| shape.most() * factor;
@@ -443,7 +524,10 @@
             rate(high),
             100.0 * search.agreement()
         )),
-        None => say(&format!("the aim holds up to {:.1}/s, the most that was asked", rate(low))),
+        None => say(&format!(
+            "the aim holds up to {:.1}/s, the most that was asked",
+            rate(low)
+        )),
     }
     Ok(0)
 }
@@ -456,14 +540,21 @@
     let mut trace = read_as(&args.reading, &args.from, &plan)?;
     let micros = |span: Duration| Micros::try_from(span.as_micros()).unwrap_or(Micros::MAX);
     if args.cut_from.is_some() || args.cut_to.is_some() {
-        trace = trace.cut(args.cut_from.map_or(0, micros), args.cut_to.map_or(Micros::MAX, micros));
+        trace = trace.cut(
+            args.cut_from.map_or(0, micros),
+            args.cut_to.map_or(Micros::MAX, micros),
+        );
     }
     if !(args.time > 0.0 && args.time.is_finite() && args.rate >= 0.0 && args.rate.is_finite()) {
         return Err("--time: expected more than 0; --rate: 0 or more".into());
     }
     let trace = trace.scale_time(args.time).scale_rate(args.rate);
     write_trace(&args.to, &plan, &trace.arrivals).map_err(|e| e.to_string())?;
-    say(&format!("{} arrivals written to {}", trace.arrivals.len(), args.to.display()));
+    say(&format!(
+        "{} arrivals written to {}",
+        trace.arrivals.len(),
+        args.to.display()
+    ));
     Ok(0)
 }
 
@@ -486,7 +577,9 @@
         best = Some(rate);
     }
     match best {
-        Some(rate) => say(&format!("one core makes {rate} a second with p99 under 1 ms")),
+        Some(rate) => say(&format!(
+            "one core makes {rate} a second with p99 under 1 ms"
+        )),
         None => say("not even the lowest rate is in time"),
     }
     Ok(0)
--- a/crates/load/src/network.rs
+++ b/crates/load/src/network.rs
@@ -44,11 +44,17 @@
     /// The kind that a plan means; earlier plans call clients `owners`.
     fn named(word: &str) -> Option<Kind> {
         let word = if word == "owners" { "clients" } else { word };
-        Kind::ALL.iter().find(|(name, _)| *name == word).map(|(_, kind)| *kind)
+        Kind::ALL
+            .iter()
+            .find(|(name, _)| *name == word)
+            .map(|(_, kind)| *kind)
     }
 
     fn as_str(self) -> &'static str {
-        Kind::ALL.iter().find(|(_, kind)| *kind == self).map_or("", |(name, _)| name)
+        Kind::ALL
+            .iter()
+            .find(|(_, kind)| *kind == self)
+            .map_or("", |(name, _)| name)
     }
 }
 
@@ -77,12 +83,18 @@
                     Err(_) => Which::Range(word.to_string().try_into()?),
                 }),
                 (Some(_), Some(_)) => {
-                    return Err(format!("expected one number or range in \"{}\"", part.trim()));
+                    return Err(format!(
+                        "expected one number or range in \"{}\"",
+                        part.trim()
+                    ));
                 }
             };
             Ok((kind, which))
         });
-        Ok(Parties { named: named.collect::<Result<_, String>>()?, text })
+        Ok(Parties {
+            named: named.collect::<Result<_, String>>()?,
+            text,
+        })
     }
 }
 
@@ -117,9 +129,14 @@
                 Kind::Racks => hosts.div_ceil(rack),
                 Kind::Rooms => rooms,
             };
-            let all = which.as_ref().map_or_else(|| (0..count).collect(), Which::all);
+            let all = which
+                .as_ref()
+                .map_or_else(|| (0..count).collect(), Which::all);
             if let Some(beyond) = all.iter().find(|n| **n >= count) {
-                return Err(format!("there are {count} {}, counted from 0, found {beyond}", kind.as_str()));
+                return Err(format!(
+                    "there are {count} {}, counted from 0, found {beyond}",
+                    kind.as_str()
+                ));
             }
             for n in all {
                 match kind {
@@ -127,7 +144,9 @@
                     Kind::Placers => drop(ends.insert(End::Placer(n))),
                     Kind::Hosts => drop(ends.insert(End::Host(n))),
                     Kind::Feeds => drop(ends.insert(End::Feed(n))),
-                    Kind::Racks => ends.extend((n * rack..hosts.min((n + 1) * rack)).map(End::Host)),
+                    Kind::Racks => {
+                        ends.extend((n * rack..hosts.min((n + 1) * rack)).map(End::Host))
+                    }
                     Kind::Rooms => {
                         ends.extend((n..hosts).step_by(rooms).map(End::Host));
                         ends.extend((n..placers).step_by(rooms).map(End::Placer));
@@ -208,16 +227,28 @@
     pub fn open(plan: &Plan, site: &Site, notes: Notes) -> io::Result<Option<Network>> {
         let mut faults = BTreeMap::new();
         for (n, struck_by) in plan.faults.iter().enumerate() {
-            let Some(does) = fault(struck_by) else { continue };
+            let Some(does) = fault(struck_by) else {
+                continue;
+            };
             let links = struck(plan, struck_by).map_err(io::Error::other)?;
-            let between = [struck_by.from.ends(plan), struck_by.to.ends(plan)].map(Result::unwrap_or_default);
-            faults.insert(n, Strike { does, between, links });
+            let between =
+                [struck_by.from.ends(plan), struck_by.to.ends(plan)].map(Result::unwrap_or_default);
+            faults.insert(
+                n,
+                Strike {
+                    does,
+                    between,
+                    links,
+                },
+            );
         }
         if faults.is_empty() {
             return Ok(None);
         }
-        let relayed: BTreeSet<Link> =
-            faults.values().flat_map(|strike| strike.links.iter().copied()).collect();
+        let relayed: BTreeSet<Link> = faults
+            .values()
+            .flat_map(|strike| strike.links.iter().copied())
+            .collect();
         let links = Links::start()?;
         let (mut hosts, mut feeds) = (BTreeMap::new(), BTreeMap::new());
         for (placer, peer) in &relayed {
@@ -227,35 +258,60 @@
                 Peer::Host(place) => {
                     let address = site.address(*placer, *place);
                     let address = address.ok_or_else(|| io::Error::other("no such host"))?;
-                    hosts.insert((*placer, *place), links.relay(from, End::Host(*place), address)?);
+                    hosts.insert(
+                        (*placer, *place),
+                        links.relay(from, End::Host(*place), address)?,
+                    );
                 }
                 Peer::Feed => {
-                    let address = site.feed(*placer).ok_or_else(|| io::Error::other("no such feed"))?;
+                    let address = site
+                        .feed(*placer)
+                        .ok_or_else(|| io::Error::other("no such feed"))?;
                     feeds.insert(*placer, links.relay(from, End::Feed(*placer), address)?);
                 }
             }
         }
         site.route(hosts, feeds);
-        Ok(Some(Network { links, relayed, faults, notes }))
+        Ok(Some(Network {
+            links,
+            relayed,
+            faults,
+            notes,
+        }))
     }
 
     /// Where clients call a placer: its relay, if that link has one.
     pub fn clients_call(&self, placer: usize, keeper: &Keeper) -> io::Result<Option<SocketAddr>> {
-        let Some(listen) = keeper.listen(placer) else { return Ok(None) };
+        let Some(listen) = keeper.listen(placer) else {
+            return Ok(None);
+        };
         if !self.relayed.contains(&(placer, Peer::Clients)) {
             return Ok(Some(listen));
         }
-        self.links.relay(End::Clients, End::Placer(placer), listen).map(Some)
+        self.links
+            .relay(End::Clients, End::Placer(placer), listen)
+            .map(Some)
     }
 
     /// A fault of the plan begins or ends.
     pub fn strike(&self, n: usize, begins: bool) {
-        let Some(Strike { does, between: [one, other], links }) = self.faults.get(&n) else { return };
+        let Some(Strike {
+            does,
+            between: [one, other],
+            links,
+        }) = self.faults.get(&n)
+        else {
+            return;
+        };
         let does = if begins { *does } else { link::Fault::None };
         // What is held back counts from before it is, until after it no longer is.
         let note = || {
             for (placer, peer) in links {
-                self.notes.add(Note::Link { placer: *placer, peer: *peer, whole: !begins });
+                self.notes.add(Note::Link {
+                    placer: *placer,
+                    peer: *peer,
+                    whole: !begins,
+                });
             }
         };
         if begins {
@@ -273,8 +329,9 @@
     use super::*;
 
     fn plan(faults: &str) -> Result<Plan, String> {
-        let text =
-            format!("rooms = [\"a\", \"b\"]\n[placers]\ncount = 3\n[hosts]\ncount = 5\nrack = 2\n{faults}");
+        let text = format!(
+            "rooms = [\"a\", \"b\"]\n[placers]\ncount = 3\n[hosts]\ncount = 5\nrack = 2\n{faults}"
+        );
         Plan::parse(&text).map_err(|e| e.to_string())
     }
 
@@ -286,19 +343,39 @@
 
     #[test]
     fn parties_name_the_links_between_them_whoever_calls() {
-        let hosts =
-            |placer, places: &[usize]| places.iter().map(|p| (placer, Peer::Host(*p))).collect::<Vec<_>>();
+        let hosts = |placer, places: &[usize]| {
+            places
+                .iter()
+                .map(|p| (placer, Peer::Host(*p)))
+                .collect::<Vec<_>>()
+        };
         for (from, to, links) in [
             ("placers 1", "hosts 0..2", hosts(1, &[0, 1])),
             ("hosts 0..2", "placers 1", hosts(1, &[0, 1])),
             ("racks 2", "placers 0", hosts(0, &[4])),
-            ("clients", "placers 0..2", vec![(0, Peer::Clients), (1, Peer::Clients)]),
+            (
+                "clients",
+                "placers 0..2",
+                vec![(0, Peer::Clients), (1, Peer::Clients)],
+            ),
             // As plans called clients before.
-            ("owners", "placers 0..2", vec![(0, Peer::Clients), (1, Peer::Clients)]),
+            (
+                "owners",
+                "placers 0..2",
+                vec![(0, Peer::Clients), (1, Peer::Clients)],
+            ),
             ("placers", "feeds 2", vec![(2, Peer::Feed)]),
             // A room is its hosts and its placers: it is parted from the other.
-            ("rooms 0", "rooms 1", [hosts(0, &[1, 3]), hosts(1, &[0, 2, 4]), hosts(2, &[1, 3])].concat()),
-            ("clients, feeds", "placers 2", vec![(2, Peer::Clients), (2, Peer::Feed)]),
+            (
+                "rooms 0",
+                "rooms 1",
+                [hosts(0, &[1, 3]), hosts(1, &[0, 2, 4]), hosts(2, &[1, 3])].concat(),
+            ),
+            (
+                "clients, feeds",
+                "placers 2",
+                vec![(2, Peer::Clients), (2, Peer::Feed)],
+            ),
         ] {
             let plan = plan(&link("link-cut", from, to)).expect(from);
             let found = struck(&plan, &plan.faults[0]).expect(from);
@@ -309,18 +386,49 @@
     #[test]
     fn what_can_not_be_meant_is_named() {
         for (faults, says) in [
-            (link("link-cut", "placer 0", "hosts"), "expected one of clients, placers"),
-            (link("link-cut", "placers 0 1", "hosts"), "expected one number or range"),
-            (link("link-cut", "placers 3..2", "hosts"), "expected a range"),
-            (link("link-cut", "placers 3", "hosts"), "from: there are 3 placers, counted from 0, found 3"),
-            (link("link-cut", "placers", "racks 3"), "to: there are 3 racks"),
-            (link("link-cut", "clients", "hosts"), "nobody of \"clients\" calls anybody of \"hosts\""),
-            (link("link-slow", "clients", "placers"), "by: expected how late"),
-            (link("placer-stop", "clients", "placers"), "from, to, by: only faults of links"),
-            ("[[fault]]\nat = \"1s\"\nkind = \"link-cut\"\n".into(), "from, to: expected parties"),
-            (link("link-cut", "clients", "placers") + "which = 1\n", "which: links are named by from and to"),
             (
-                link("link-cut", "placers", "feeds") + "[[fault]]\nat = \"1s\"\nkind = \"feed-moved\"\n",
+                link("link-cut", "placer 0", "hosts"),
+                "expected one of clients, placers",
+            ),
+            (
+                link("link-cut", "placers 0 1", "hosts"),
+                "expected one number or range",
+            ),
+            (
+                link("link-cut", "placers 3..2", "hosts"),
+                "expected a range",
+            ),
+            (
+                link("link-cut", "placers 3", "hosts"),
+                "from: there are 3 placers, counted from 0, found 3",
+            ),
+            (
+                link("link-cut", "placers", "racks 3"),
+                "to: there are 3 racks",
+            ),
+            (
+                link("link-cut", "clients", "hosts"),
+                "nobody of \"clients\" calls anybody of \"hosts\"",
+            ),
+            (
+                link("link-slow", "clients", "placers"),
+                "by: expected how late",
+            ),
+            (
+                link("placer-stop", "clients", "placers"),
+                "from, to, by: only faults of links",
+            ),
+            (
+                "[[fault]]\nat = \"1s\"\nkind = \"link-cut\"\n".into(),
+                "from, to: expected parties",
+            ),
+            (
+                link("link-cut", "clients", "placers") + "which = 1\n",
+                "which: links are named by from and to",
+            ),
+            (
+                link("link-cut", "placers", "feeds")
+                    + "[[fault]]\nat = \"1s\"\nkind = \"feed-moved\"\n",
                 "a feed behind a link does not move",
             ),
         ] {
--- a/crates/load/src/plan.rs
+++ b/crates/load/src/plan.rs
@@ -19,7 +19,9 @@
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
         let text = String::deserialize(from)?;
         humantime::parse_duration(&text).map_err(|e| {
-            serde::de::Error::custom(format!("expected a duration such as \"250ms\", found \"{text}\": {e}"))
+            serde::de::Error::custom(format!(
+                "expected a duration such as \"250ms\", found \"{text}\": {e}"
+            ))
         })
     }
 
@@ -78,7 +80,11 @@
                 ("escritorio-sc", 0.25),
                 ("escritorio-ms", 0.14),
             ]
-            .map(|(name, share)| Tenant { name: name.into(), share, flood: 1.0 })
+            .map(|(name, share)| Tenant {
+                name: name.into(),
+                share,
+                flood: 1.0,
+            })
             .to_vec(),
             arrivals: Arrivals::default(),
             clients: Clients::default(),
@@ -104,7 +110,12 @@
 
 impl Default for Placers {
     fn default() -> Placers {
-        Placers { count: 3, memory_mb: 192, sockets: 1_024, operator: None }
+        Placers {
+            count: 3,
+            memory_mb: 192,
+            sockets: 1_024,
+            operator: None,
+        }
     }
 }
 
@@ -278,7 +289,11 @@
 
 impl Default for Tenant {
     fn default() -> Tenant {
-        Tenant { name: "tenant".into(), share: 1.0, flood: 1.0 }
+        Tenant {
+            name: "tenant".into(),
+            share: 1.0,
+            flood: 1.0,
+        }
     }
 }
 
@@ -339,8 +354,15 @@
 
 impl Default for Arrivals {
     fn default() -> Arrivals {
-        let shape = "calm: 8/s for 10s, polls-close: rise to 40/s over 5s, peak: hold 10s".to_string();
-        Arrivals { shape, process: Process::Poisson, batch: None, service_skew: 0.6, room_skew: 0.0 }
+        let shape =
+            "calm: 8/s for 10s, polls-close: rise to 40/s over 5s, peak: hold 10s".to_string();
+        Arrivals {
+            shape,
+            process: Process::Poisson,
+            batch: None,
+            service_skew: 0.6,
+            room_skew: 0.0,
+        }
     }
 }
 
@@ -447,7 +469,10 @@
 
 /// One, several, or a range.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(untagged, expecting = "expected a number, a list of numbers, or a range such as \"3..12\"")]
+#[serde(
+    untagged,
+    expecting = "expected a number, a list of numbers, or a range such as \"3..12\""
+)]
 pub enum Which {
     /// One.
     One(usize),
@@ -483,11 +508,15 @@
     type Error = String;
 
     fn try_from(text: String) -> Result<Range, String> {
-        let ends = text.split_once("..").and_then(|(from, to)| Some((from.parse().ok()?, to.parse().ok()?)));
+        let ends = text
+            .split_once("..")
+            .and_then(|(from, to)| Some((from.parse().ok()?, to.parse().ok()?)));
         match ends {
             // A bound, so that no plan asks for a list that does not fit memory.
             Some((from, to)) if from < to && to <= 4_096 => Ok(Range(from, to)),
-            _ => Err(format!("expected a range such as \"3..12\", found \"{text}\"")),
+            _ => Err(format!(
+                "expected a range such as \"3..12\", found \"{text}\""
+            )),
         }
     }
 }
@@ -565,7 +594,11 @@
 
 impl Default for Aims {
     fn default() -> Aims {
-        Aims { class: "pagina".into(), share: 0.99, own_lateness: Duration::from_millis(20) }
+        Aims {
+            class: "pagina".into(),
+            share: 0.99,
+            own_lateness: Duration::from_millis(20),
+        }
     }
 }
 
@@ -584,8 +617,8 @@
 impl Plan {
     /// Reads a file.
     pub fn load(path: &Path) -> Result<Plan, PlanError> {
-        let text =
-            std::fs::read_to_string(path).map_err(|e| PlanError(format!("{}: {e}", path.display())))?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|e| PlanError(format!("{}: {e}", path.display())))?;
         Plan::parse(&text).map_err(|e| PlanError(format!("{}: {e}", path.display())))
     }
 
@@ -593,7 +626,11 @@
     pub fn parse(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = toml::from_str(text).map_err(|e| PlanError(e.to_string()))?;
         let problems = plan.problems();
-        if problems.is_empty() { Ok(plan) } else { Err(PlanError(problems.join("\n"))) }
+        if problems.is_empty() {
+            Ok(plan)
+        } else {
+            Err(PlanError(problems.join("\n")))
+        }
     }
 
     /// The shape of arrivals; a plan that was parsed has one.
@@ -614,16 +651,25 @@
         }
         let share = |value: f64| (0.0..=1.0).contains(&value);
         let positive = |value: f64| value.is_finite() && value > 0.0;
-        want(!self.rooms.is_empty(), "rooms: expected at least one".into());
+        want(
+            !self.rooms.is_empty(),
+            "rooms: expected at least one".into(),
+        );
         want(
             (1..=64).contains(&self.placers.count),
-            format!("placers.count: expected 1 to 64, found {}", self.placers.count),
+            format!(
+                "placers.count: expected 1 to 64, found {}",
+                self.placers.count
+            ),
         );
         want(
             (1..=512).contains(&self.hosts.count),
             format!("hosts.count: expected 1 to 512, found {}", self.hosts.count),
         );
-        want(self.hosts.rack > 0, "hosts.rack: expected at least 1".into());
+        want(
+            self.hosts.rack > 0,
+            "hosts.rack: expected at least 1".into(),
+        );
         want(
             positive(self.hosts.cores) && positive(self.hosts.memory),
             "hosts.cores, hosts.memory: expected more than 0".into(),
@@ -636,34 +682,65 @@
             positive(self.hosts.cold_from) && self.hosts.cold_from <= 1.0,
             "hosts.cold-from: expected more than 0, at most 1".into(),
         );
-        want(self.hosts.cold_start >= 1.0, "hosts.cold-start: expected at least 1".into());
-        want(self.feed.late_from <= self.feed.late_to, "feed.late-to: shorter than feed.late-from".into());
-        want(!self.classes.is_empty(), "class: expected at least one".into());
+        want(
+            self.hosts.cold_start >= 1.0,
+            "hosts.cold-start: expected at least 1".into(),
+        );
+        want(
+            self.feed.late_from <= self.feed.late_to,
+            "feed.late-to: shorter than feed.late-from".into(),
+        );
+        want(
+            !self.classes.is_empty(),
+            "class: expected at least one".into(),
+        );
         for (n, class) in self.classes.iter().enumerate() {
             want(
                 !class.sizes.is_empty() && class.sizes.iter().flatten().all(|v| positive(*v)),
                 format!("class {n}: sizes: expected pairs of cores and memory over 0"),
             );
-            want(class.aim <= class.limit, format!("class {n}: aim is longer than limit"));
+            want(
+                class.aim <= class.limit,
+                format!("class {n}: aim is longer than limit"),
+            );
             want(
                 class.share.is_finite() && class.share >= 0.0,
                 format!("class {n}: share: expected 0 or more"),
             );
-            want((0.0..=3.0).contains(&class.life_sigma), format!("class {n}: life-sigma: expected 0 to 3"));
-            want(class.priority <= 3, format!("class {n}: priority: expected 0 to 3"));
-            let fits = class.sizes.iter().all(|[c, m]| *c <= self.hosts.cores && *m <= self.hosts.memory);
+            want(
+                (0.0..=3.0).contains(&class.life_sigma),
+                format!("class {n}: life-sigma: expected 0 to 3"),
+            );
+            want(
+                class.priority <= 3,
+                format!("class {n}: priority: expected 0 to 3"),
+            );
+            let fits = class
+                .sizes
+                .iter()
+                .all(|[c, m]| *c <= self.hosts.cores && *m <= self.hosts.memory);
             want(fits, format!("class {n}: sizes: one fits no host"));
             want(
-                self.classes.iter().filter(|other| other.name == class.name).count() == 1,
+                self.classes
+                    .iter()
+                    .filter(|other| other.name == class.name)
+                    .count()
+                    == 1,
                 format!("class {n}: {} is there twice", class.name),
             );
         }
-        want(self.classes.iter().map(|c| c.share).sum::<f64>() > 0.0, "class: the shares are all 0".into());
+        want(
+            self.classes.iter().map(|c| c.share).sum::<f64>() > 0.0,
+            "class: the shares are all 0".into(),
+        );
         want(
             self.classes.iter().any(|c| c.name == self.aims.class),
             format!("aims.class: no class {}", self.aims.class),
         );
-        want(!self.tenants.is_empty(), "tenant: expected at least one".into());
+        want(
+            !self.tenants.is_empty(),
+            "tenant: expected at least one".into(),
+        );
         want(
             self.tenants.iter().all(|t| positive(t.arrivals())),
             "tenant: share and flood: expected more than 0".into(),
@@ -696,7 +773,10 @@
             share(self.clients.honour) && share(self.aims.share),
             "clients.honour, aims.share: expected 0 to 1".into(),
         );
-        want((1..=256).contains(&self.clients.connections), "clients.connections: expected 1 to 256".into());
+        want(
+            (1..=256).contains(&self.clients.connections),
+            "clients.connections: expected 1 to 256".into(),
+        );
         want(
             self.clients.base <= self.clients.most && !self.clients.base.is_zero(),
             "clients.base: expected more than 0s and at most clients.most".into(),
@@ -706,26 +786,33 @@
             "clients.budget: expected 0 or more".into(),
         );
         if self.clients.spread == Spread::Agent {
-            let opens = self.placers.operator.as_ref().is_some_and(|text| text.contains("{agent}"));
+            let opens = self
+                .placers
+                .operator
+                .as_ref()
+                .is_some_and(|text| text.contains("{agent}"));
             want(
                 opens,
-                "clients.spread: agent: [placers] operator must open an agent check at {agent}".into(),
+                "clients.spread: agent: [placers] operator must open an agent check at {agent}"
+                    .into(),
             );
         }
         let mut struck = BTreeSet::new();
         for (n, fault) in self.faults.iter().enumerate() {
             use FaultKind::*;
             let most = match fault.kind {
-                PlacerKill | PlacerStop | PlacerRestart | FeedCut | FeedSilent | FeedDoubled | FeedMoved => {
-                    self.placers.count
-                }
+                PlacerKill | PlacerStop | PlacerRestart | FeedCut | FeedSilent | FeedDoubled
+                | FeedMoved => self.placers.count,
                 RackDie => self.hosts.count.div_ceil(self.hosts.rack.max(1)),
                 _ => self.hosts.count,
             };
             match network::fault(fault) {
                 Some(_) => {
                     let named = !fault.from.is_empty() && !fault.to.is_empty();
-                    want(named, format!("fault {n}: from, to: expected parties, such as \"placers 0..3\""));
+                    want(
+                        named,
+                        format!("fault {n}: from, to: expected parties, such as \"placers 0..3\""),
+                    );
                     want(
                         fault.which == Which::default(),
                         format!("fault {n}: which: links are named by from and to"),
@@ -743,27 +830,45 @@
                         Ok(links) => {
                             let moved = self.faults.iter().any(|f| f.kind == FeedMoved);
                             let feeds = links.iter().any(|(_, peer)| *peer == Peer::Feed);
-                            want(!(moved && feeds), format!("fault {n}: a feed behind a link does not move"));
+                            want(
+                                !(moved && feeds),
+                                format!("fault {n}: a feed behind a link does not move"),
+                            );
                             struck.extend(links);
                         }
                         Err(what) if named => want(false, format!("fault {n}: {what}")),
                         Err(_) => {}
                     }
-                    want((1..=1_000).contains(&fault.times), format!("fault {n}: times: expected 1 to 1000"));
+                    want(
+                        (1..=1_000).contains(&fault.times),
+                        format!("fault {n}: times: expected 1 to 1000"),
+                    );
                     continue;
                 }
                 None => {
                     let plain = fault.from.is_empty() && fault.to.is_empty() && fault.by.is_zero();
-                    want(plain, format!("fault {n}: from, to, by: only faults of links have them"));
+                    want(
+                        plain,
+                        format!("fault {n}: from, to, by: only faults of links have them"),
+                    );
                 }
             }
             let beyond = fault.targets().into_iter().find(|target| *target >= most);
             want(
                 beyond.is_none(),
-                format!("fault {n}: which: there are {most}, counted from 0, found {}", beyond.unwrap_or(0)),
+                format!(
+                    "fault {n}: which: there are {most}, counted from 0, found {}",
+                    beyond.unwrap_or(0)
+                ),
+            );
+            want(
+                !fault.targets().is_empty(),
+                format!("fault {n}: which: expected at least one"),
+            );
+            want(
+                (1..=1_000).contains(&fault.times),
+                format!("fault {n}: times: expected 1 to 1000"),
             );
-            want(!fault.targets().is_empty(), format!("fault {n}: which: expected at least one"));
-            want((1..=1_000).contains(&fault.times), format!("fault {n}: times: expected 1 to 1000"));
             want(
                 fault.times == 1 || !fault.length.is_zero(),
                 format!("fault {n}: times: what has no length comes once"),
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -27,25 +27,45 @@
         let root = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         root.fill(&WHITE)?;
         let points = || {
-            lines
-                .iter()
-                .flat_map(|(_, _, points)| points.iter().filter(|(x, y)| x.is_finite() && y.is_finite()))
+            lines.iter().flat_map(|(_, _, points)| {
+                points
+                    .iter()
+                    .filter(|(x, y)| x.is_finite() && y.is_finite())
+            })
         };
         let ends = |of: fn(&(f64, f64)) -> f64| {
-            points().map(of).fold((f64::MAX, f64::MIN), |(a, b), v| (a.min(v), b.max(v)))
+            points()
+                .map(of)
+                .fold((f64::MAX, f64::MIN), |(a, b), v| (a.min(v), b.max(v)))
         };
         let ((left, right), (_, top)) = (ends(|p| p.0), ends(|p| p.1));
-        let (left, right) = if left < right { (left, right) } else { (0.0, 1.0) };
+        let (left, right) = if left < right {
+            (left, right)
+        } else {
+            (0.0, 1.0)
+        };
         let top = if top > 0.0 { top * 1.05 } else { 1.0 };
         let mut builder = ChartBuilder::on(&root);
-        builder.caption(title, ("sans-serif", 16)).margin(8).x_label_area_size(34).y_label_area_size(56);
+        builder
+            .caption(title, ("sans-serif", 16))
+            .margin(8)
+            .x_label_area_size(34)
+            .y_label_area_size(56);
         macro_rules! draw {
             ($chart:expr, $bottom:expr) => {{
                 let mut chart = $chart;
-                chart.configure_mesh().x_desc(across).y_desc(up).light_line_style(WHITE).draw()?;
+                chart
+                    .configure_mesh()
+                    .x_desc(across)
+                    .y_desc(up)
+                    .light_line_style(WHITE)
+                    .draw()?;
                 for (from, to) in spans {
                     let span = [(from.max(left), $bottom), (to.min(right), top)];
-                    chart.draw_series(std::iter::once(Rectangle::new(span, BLACK.mix(0.08).filled())))?;
+                    chart.draw_series(std::iter::once(Rectangle::new(
+                        span,
+                        BLACK.mix(0.08).filled(),
+                    )))?;
                 }
                 for (name, colour, points) in lines {
                     let points = points
@@ -53,9 +73,12 @@
                         .copied()
                         .filter(|(x, y)| x.is_finite() && y.is_finite())
                         .map(|(x, y)| (x, y.max($bottom)));
-                    let drawn = chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
+                    let drawn =
+                        chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
                     let colour = *colour;
-                    drawn.label(*name).legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
+                    drawn
+                        .label(*name)
+                        .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], colour));
                 }
                 chart
                     .configure_series_labels()
@@ -65,9 +88,15 @@
             }};
         }
         if log_y {
-            let bottom =
-                points().map(|p| p.1).filter(|y| *y > 0.0).fold(f64::MAX, f64::min).clamp(1e-3, top / 2.0);
-            draw!(builder.build_cartesian_2d(left..right, (bottom..top).log_scale())?, bottom);
+            let bottom = points()
+                .map(|p| p.1)
+                .filter(|y| *y > 0.0)
+                .fold(f64::MAX, f64::min)
+                .clamp(1e-3, top / 2.0);
+            draw!(
+                builder.build_cartesian_2d(left..right, (bottom..top).log_scale())?,
+                bottom
+            );
         } else {
             draw!(builder.build_cartesian_2d(left..right, 0.0..top)?, 0.0);
         }
@@ -83,7 +112,14 @@
         let at = length * n / 600;
         (at as f64 / SECOND, shape.rate(at.min(length - 1)))
     });
-    lines("arrivals", "seconds", "a second", &[("rate", BLUE, points.collect())], &[], false)
+    lines(
+        "arrivals",
+        "seconds",
+        "a second",
+        &[("rate", BLUE, points.collect())],
+        &[],
+        false,
+    )
 }
 
 /// A shape for a terminal: bars over time.
@@ -93,7 +129,11 @@
     let (length, most) = (shape.length().max(1), shape.most().max(1e-9));
     let mut text = String::new();
     for row in (0..ROWS).rev() {
-        let label = if row == ROWS - 1 { format!("{most:>7.1}/s ") } else { " ".repeat(10) };
+        let label = if row == ROWS - 1 {
+            format!("{most:>7.1}/s ")
+        } else {
+            " ".repeat(10)
+        };
         text.push_str(&label);
         for column in 0..COLUMNS {
             // The highest rate within the column, so that a short burst shows.
@@ -132,20 +172,33 @@
 }
 
 fn escape(text: &str) -> String {
-    text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
+    text.replace('&', "&amp;")
+        .replace('<', "&lt;")
+        .replace('>', "&gt;")
 }
 
 /// The whole page.
 pub fn html(outcome: &Outcome, summary: &Summary) -> Plot<String> {
     let seconds = &summary.seconds;
     let over = |of: &dyn Fn(&crate::results::Second) -> f64| -> Vec<(f64, f64)> {
-        seconds.iter().enumerate().map(|(n, second)| (n as f64, of(second))).collect()
+        seconds
+            .iter()
+            .enumerate()
+            .map(|(n, second)| (n as f64, of(second)))
+            .collect()
     };
     let faults: Vec<(f64, f64)> = outcome
         .plan
         .faults
         .iter()
-        .map(|f| (f.at.as_secs_f64(), (f.at + f.length).as_secs_f64().max(f.at.as_secs_f64() + 0.2)))
+        .map(|f| {
+            (
+                f.at.as_secs_f64(),
+                (f.at + f.length)
+                    .as_secs_f64()
+                    .max(f.at.as_secs_f64() + 0.2),
+            )
+        })
         .collect();
     let mut plots = vec![lines(
         "offered and started, by when it was due",
@@ -154,7 +207,11 @@
         &[
             ("due", BLUE, over(&|s| f64::from(s.due))),
             ("started", GREEN, over(&|s| f64::from(s.started))),
-            ("in aim", RGBColor(120, 180, 60), over(&|s| f64::from(s.in_aim))),
+            (
+                "in aim",
+                RGBColor(120, 180, 60),
+                over(&|s| f64::from(s.in_aim)),
+            ),
             ("repeats", RED, over(&|s| f64::from(s.again))),
         ],
         &faults,
@@ -165,16 +222,24 @@
             "latency from due to start",
             "seconds",
             "ms",
-            &[("p50", BLUE, over(&|s| s.p50_ms)), ("p99", RED, over(&|s| s.p99_ms))],
+            &[
+                ("p50", BLUE, over(&|s| s.p50_ms)),
+                ("p99", RED, over(&|s| s.p99_ms)),
+            ],
             &faults,
             true,
         )?);
         let spectrum = |name: &str| -> Vec<(f64, f64)> {
-            let Some(group) = summary.group(name) else { return Vec::new() };
+            let Some(group) = summary.group(name) else {
+                return Vec::new();
+            };
             let nines = (0..=40).map(|n| f64::from(n) / 10.0);
             nines
                 .filter_map(|nine| {
-                    Some((nine, group.percentile(1.0 - 10f64.powf(-nine))?.as_secs_f64() * 1e3))
+                    Some((
+                        nine,
+                        group.percentile(1.0 - 10f64.powf(-nine))?.as_secs_f64() * 1e3,
+                    ))
                 })
                 .collect()
         };
@@ -185,8 +250,10 @@
             .zip([BLUE, RED, GREEN, MAGENTA].into_iter().cycle())
             .map(|(class, colour)| (format!("class {}", class.name), colour))
             .collect();
-        let spectra: Vec<Line<'_>> =
-            classes.iter().map(|(name, colour)| (name.as_str(), *colour, spectrum(name))).collect();
+        let spectra: Vec<Line<'_>> = classes
+            .iter()
+            .map(|(name, colour)| (name.as_str(), *colour, spectrum(name)))
+            .collect();
         plots.push(lines(
             "percentile spectrum (1: 90 %, 2: 99 %, 3: 99.9 %)",
             "nines",
@@ -202,7 +269,10 @@
             let looks = outcome.looks.iter().filter(|look| look.at >= outcome.begun);
             looks
                 .map(|look| {
-                    (at(look.at), 100.0 * of(&look.load.iter().flatten().copied().collect::<Vec<_>>()))
+                    (
+                        at(look.at),
+                        100.0 * of(&look.load.iter().flatten().copied().collect::<Vec<_>>()),
+                    )
                 })
                 .collect()
         };
@@ -211,9 +281,21 @@
             "seconds",
             "%",
             &[
-                ("highest", RED, load(&|all| all.iter().copied().fold(0.0, f64::max))),
-                ("mean", BLUE, load(&|all| all.iter().sum::<f64>() / all.len().max(1) as f64)),
-                ("lowest", GREEN, load(&|all| all.iter().copied().fold(1.0, f64::min))),
+                (
+                    "highest",
+                    RED,
+                    load(&|all| all.iter().copied().fold(0.0, f64::max)),
+                ),
+                (
+                    "mean",
+                    BLUE,
+                    load(&|all| all.iter().sum::<f64>() / all.len().max(1) as f64),
+                ),
+                (
+                    "lowest",
+                    GREEN,
+                    load(&|all| all.iter().copied().fold(1.0, f64::min)),
+                ),
             ],
             &faults,
             false,
@@ -222,7 +304,10 @@
     let harm = &outcome.harm.seconds;
     if !harm.is_empty() {
         let over = |of: fn(&crate::harm::Second) -> u32| -> Vec<(f64, f64)> {
-            harm.iter().enumerate().map(|(n, second)| (n as f64, f64::from(of(second)))).collect()
+            harm.iter()
+                .enumerate()
+                .map(|(n, second)| (n as f64, f64::from(of(second))))
+                .collect()
         };
         plots.push(lines(
             "what all placers together did to the hosts",
@@ -261,7 +346,11 @@
         page.push_str("</pre>");
     }
     if !outcome.findings.is_empty() {
-        let _ = write!(page, "<h2>Broken rules</h2><pre>{}</pre>", escape(&findings(outcome, 5)));
+        let _ = write!(
+            page,
+            "<h2>Broken rules</h2><pre>{}</pre>",
+            escape(&findings(outcome, 5))
+        );
     }
     let plan = toml::to_string(&outcome.plan)?;
     let _ = write!(page, "<h2>The plan</h2><pre>{}</pre></html>", escape(&plan));
@@ -292,18 +381,28 @@
             late
         };
         let page = html(&late, &summarize(&late)).expect("a page");
-        assert_eq!(page.matches("<svg").count(), 1, "no percentiles of a late generator");
+        assert_eq!(
+            page.matches("<svg").count(),
+            1,
+            "no percentiles of a late generator"
+        );
     }
 
     #[test]
     fn a_shape_is_drawn_for_the_terminal_and_as_svg() {
-        let shape =
-            crate::shape::parse("10/s for 10s, peak: burst 100 in 100ms, silence 10s").expect("a shape");
+        let shape = crate::shape::parse("10/s for 10s, peak: burst 100 in 100ms, silence 10s")
+            .expect("a shape");
         let text = shape_text(&shape);
         assert_eq!(text.lines().count(), 8 + 1 + 3, "{text}");
         let top = text.lines().next().expect("a line");
-        assert!(top.contains("1000.0/s") && top.contains('█'), "the burst shows: {top}");
+        assert!(
+            top.contains("1000.0/s") && top.contains('█'),
+            "the burst shows: {top}"
+        );
         assert!(shape_svg(&shape).expect("a plot").contains("<svg"));
-        assert!(shape_svg(&Shape::default()).is_ok(), "nothing is a plot too");
+        assert!(
+            shape_svg(&Shape::default()).is_ok(),
+            "nothing is a plot too"
+        );
     }
 }
--- a/crates/load/src/results.rs
+++ b/crates/load/src/results.rs
@@ -44,7 +44,11 @@
 
 /// How a task of a run came out.
 pub fn result(outcome: &Outcome, task: &Task) -> Result {
-    let aim = outcome.plan.classes.get(task.arrival.class).map_or(0, |class| class.aim.as_micros() as Micros);
+    let aim = outcome
+        .plan
+        .classes
+        .get(task.arrival.class)
+        .map_or(0, |class| class.aim.as_micros() as Micros);
     match task.started {
         Some(after) if after <= aim => Result::InAim,
         Some(_) => Result::Late,
@@ -69,21 +73,32 @@
 
 impl Group {
     fn new(name: String) -> Group {
-        Group { name, due: 0, started: 0, in_aim: 0, latency: histogram() }
+        Group {
+            name,
+            due: 0,
+            started: 0,
+            in_aim: 0,
+            latency: histogram(),
+        }
     }
 
     fn add(&mut self, task: &Task, result: Result) {
         self.due += 1;
         if let Some(after) = task.started {
             self.started += 1;
-            self.latency.saturating_record(u64::try_from(after).unwrap_or(0).max(1));
+            self.latency
+                .saturating_record(u64::try_from(after).unwrap_or(0).max(1));
         }
         self.in_aim += u64::from(result == Result::InAim);
     }
 
     /// The share that started within the aim.
     pub fn share(&self) -> f64 {
-        if self.due == 0 { 1.0 } else { self.in_aim as f64 / self.due as f64 }
+        if self.due == 0 {
+            1.0
+        } else {
+            self.in_aim as f64 / self.due as f64
+        }
     }
 
     /// The latency that so many of all tasks stayed within; none where too few ever started. A task that never
@@ -94,7 +109,9 @@
             return None;
         }
         let within = rank / self.started as f64;
-        Some(Duration::from_micros(self.latency.value_at_quantile(within.min(1.0))))
+        Some(Duration::from_micros(
+            self.latency.value_at_quantile(within.min(1.0)),
+        ))
     }
 }
 
@@ -136,13 +153,24 @@
 pub fn summarize(outcome: &Outcome) -> Summary {
     let plan = &outcome.plan;
     let mut groups: BTreeMap<(u8, String), Group> = BTreeMap::new();
-    let mut seconds = vec![(Second::default(), histogram()); (outcome.shape.length() / SECOND) as usize + 1];
+    let mut seconds =
+        vec![(Second::default(), histogram()); (outcome.shape.length() / SECOND) as usize + 1];
     let mut fates: BTreeMap<&'static str, u64> = BTreeMap::new();
     for task in &outcome.tasks {
         let result = result(outcome, task);
-        let class = plan.classes.get(task.arrival.class).map_or("", |c| c.name.as_str());
-        let tenant = plan.tenants.get(task.arrival.tenant).map_or("", |t| t.name.as_str());
-        let phase = outcome.shape.phases.get(task.phase).map_or("", |p| p.name.as_str());
+        let class = plan
+            .classes
+            .get(task.arrival.class)
+            .map_or("", |c| c.name.as_str());
+        let tenant = plan
+            .tenants
+            .get(task.arrival.tenant)
+            .map_or("", |t| t.name.as_str());
+        let phase = outcome
+            .shape
+            .phases
+            .get(task.phase)
+            .map_or("", |p| p.name.as_str());
         let names = [
             (0, "all".to_string()),
             (1, format!("class {class}")),
@@ -151,7 +179,9 @@
             (4, format!("result {}", result.as_str())),
         ];
         for (order, name) in names {
-            let group = groups.entry((order, name.clone())).or_insert_with(|| Group::new(name));
+            let group = groups
+                .entry((order, name.clone()))
+                .or_insert_with(|| Group::new(name));
             group.add(task, result);
         }
         if let Some((second, latency)) = seconds.get_mut((task.arrival.due / SECOND) as usize) {
@@ -163,7 +193,9 @@
                 latency.saturating_record(u64::try_from(after).unwrap_or(0).max(1));
             }
         }
-        *fates.entry(task.fate.map_or("open", Fate::as_str)).or_default() += 1;
+        *fates
+            .entry(task.fate.map_or("open", Fate::as_str))
+            .or_default() += 1;
     }
     let mut broken: BTreeMap<&'static str, usize> = BTreeMap::new();
     for finding in &outcome.findings {
@@ -175,9 +207,18 @@
         ..second
     });
     let groups: Vec<Group> = groups.into_values().collect();
-    let judged = groups.iter().find(|g| g.name == format!("class {}", plan.aims.class));
+    let judged = groups
+        .iter()
+        .find(|g| g.name == format!("class {}", plan.aims.class));
     let aim = judged.map(|group| group.share() >= plan.aims.share);
-    Summary { seconds: seconds.collect(), fates, broken, aim, in_time: outcome.in_time(), groups }
+    Summary {
+        seconds: seconds.collect(),
+        fates,
+        broken,
+        aim,
+        in_time: outcome.in_time(),
+        groups,
+    }
 }
 
 impl Summary {
@@ -227,11 +268,21 @@
             );
         }
         let peak = outcome.memory_kb.iter().max().copied().unwrap_or(0);
-        text.push_str(&format!("placers: at most {:.1} MB of memory\n", peak as f64 / 1024.0));
+        text.push_str(&format!(
+            "placers: at most {:.1} MB of memory\n",
+            peak as f64 / 1024.0
+        ));
         if self.broken.is_empty() {
-            text.push_str(&format!("audit: no rule is broken, by {} notes\n", outcome.notes));
+            text.push_str(&format!(
+                "audit: no rule is broken, by {} notes\n",
+                outcome.notes
+            ));
         } else {
-            let list: Vec<String> = self.broken.iter().map(|(rule, n)| format!("{rule} {n}")).collect();
+            let list: Vec<String> = self
+                .broken
+                .iter()
+                .map(|(rule, n)| format!("{rule} {n}"))
+                .collect();
             text.push_str(&format!("audit: BROKEN: {}\n", list.join(", ")));
         }
         if let Some(holds) = self.aim {
@@ -274,8 +325,10 @@
     for second in 0..seconds {
         for (n, class) in outcome.plan.classes.iter().enumerate() {
             let mut histogram = histogram();
-            let theirs =
-                outcome.tasks.iter().filter(|t| t.arrival.class == n && t.arrival.due / SECOND == second);
+            let theirs = outcome
+                .tasks
+                .iter()
+                .filter(|t| t.arrival.class == n && t.arrival.due / SECOND == second);
             for after in theirs.filter_map(|t| t.started) {
                 histogram.saturating_record(u64::try_from(after).unwrap_or(0).max(1));
             }
@@ -299,7 +352,11 @@
             text.push_str(&format!("{finding}\n"));
         }
         if found.len() > most {
-            text.push_str(&format!("{} and {} more\n", rule.as_str(), found.len() - most));
+            text.push_str(&format!(
+                "{} and {} more\n",
+                rule.as_str(),
+                found.len() - most
+            ));
         }
     }
     text
@@ -314,19 +371,23 @@
 
     /// A run that was never made: each task started after so long.
     pub fn made_up(shape: &str, seed: u64, after: impl Fn(usize) -> Option<Micros>) -> Outcome {
-        let plan = Plan::parse(&format!("seed = {seed}\n[arrivals]\nshape = \"{shape}\"\n")).expect("a plan");
+        let plan = Plan::parse(&format!("seed = {seed}\n[arrivals]\nshape = \"{shape}\"\n"))
+            .expect("a plan");
         let shape = plan.shape();
-        let tasks = arrivals(&plan, &shape).into_iter().enumerate().map(|(n, arrival)| Task {
-            key: n as u64,
-            phase: 0,
-            started: after(n),
-            answered: after(n),
-            attempts: 1 + n as u32 % 2,
-            refused: n as u32 % 2,
-            placer: Some(n % 3),
-            fate: after(n).map(|_| Fate::Ran),
-            arrival,
-        });
+        let tasks = arrivals(&plan, &shape)
+            .into_iter()
+            .enumerate()
+            .map(|(n, arrival)| Task {
+                key: n as u64,
+                phase: 0,
+                started: after(n),
+                answered: after(n),
+                attempts: 1 + n as u32 % 2,
+                refused: n as u32 % 2,
+                placer: Some(n % 3),
+                fate: after(n).map(|_| Fate::Ran),
+                arrival,
+            });
         Outcome {
             tasks: tasks.collect(),
             plan,
@@ -348,11 +409,17 @@
 
     #[test]
     fn percentiles_are_of_all_tasks_and_a_task_that_never_started_is_later_than_any() {
-        let outcome = made_up("100/s for 10s", 1, |n| (n % 100 != 0).then_some((n as Micros % 100) * 1_000));
+        let outcome = made_up("100/s for 10s", 1, |n| {
+            (n % 100 != 0).then_some((n as Micros % 100) * 1_000)
+        });
         let summary = summarize(&outcome);
         let all = summary.group("all").expect("a group");
         assert!(all.due > 800 && all.started < all.due);
-        assert_eq!(all.percentile(0.995), None, "one in a hundred never started");
+        assert_eq!(
+            all.percentile(0.995),
+            None,
+            "one in a hundred never started"
+        );
         let median = all.percentile(0.5).expect("a latency").as_secs_f64();
         assert!((median - 0.050).abs() < 0.003, "{median}");
         assert!(summary.text(&outcome).contains("never"));
@@ -367,7 +434,10 @@
         let summary = summarize(&outcome);
         assert_eq!((summary.in_time, summary.exit_code(&outcome)), (false, 4));
         let text = summary.text(&outcome);
-        assert!(!text.contains("1.0 ms") && text.contains("not told"), "{text}");
+        assert!(
+            !text.contains("1.0 ms") && text.contains("not told"),
+            "{text}"
+        );
     }
 
     #[test]
@@ -382,9 +452,12 @@
             if let Ok(LogEntry::Interval(interval)) = entry {
                 use base64::Engine;
                 let encoded = interval.encoded_histogram();
-                let raw = base64::engine::general_purpose::STANDARD.decode(encoded).expect("base64");
-                let histogram: Histogram<u64> =
-                    deserializer.deserialize(&mut raw.as_slice()).expect("a histogram");
+                let raw = base64::engine::general_purpose::STANDARD
+                    .decode(encoded)
+                    .expect("base64");
+                let histogram: Histogram<u64> = deserializer
+                    .deserialize(&mut raw.as_slice())
+                    .expect("a histogram");
                 count += histogram.len();
             }
         }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -178,11 +178,14 @@
         seed: plan.seed,
     };
     let what = format!("placers ({})", options.placer.display());
-    let keeper = Keeper::start(start, plan.placers.count, &site, notes.clone()).map_err(error(&what))?;
+    let keeper =
+        Keeper::start(start, plan.placers.count, &site, notes.clone()).map_err(error(&what))?;
     let mut placers: Vec<(SocketAddr, SocketAddr)> = Vec::new();
     for n in 0..keeper.count() {
         let called = match &network {
-            Some(network) => network.clients_call(n, &keeper).map_err(error("the links"))?,
+            Some(network) => network
+                .clients_call(n, &keeper)
+                .map_err(error("the links"))?,
             None => keeper.listen(n),
         };
         placers.extend(called.zip(keeper.agent(n)));
@@ -222,14 +225,25 @@
         }
         let begun = notes.now() + 100 * MILLI;
         world.begun.set(begun);
-        let directing =
-            director::direct(acts.clone(), begun, keeper, site.clone(), network, notes.clone(), stop.clone());
+        let directing = director::direct(
+            acts.clone(),
+            begun,
+            keeper,
+            site.clone(),
+            network,
+            notes.clone(),
+            stop.clone(),
+        );
         let ticking = world.clone();
-        executor.spawn(async move { ticking.tick_on().await }).detach();
+        executor
+            .spawn(async move { ticking.tick_on().await })
+            .detach();
         if options.progress {
             let showing = world.clone();
             let total = due.len();
-            executor.spawn(async move { showing.show_on(begun, lasts, total).await }).detach();
+            executor
+                .spawn(async move { showing.show_on(begun, lasts, total).await })
+                .detach();
         }
         let whole = async {
             world.pace(begun, &due, &shape).await;
@@ -247,26 +261,36 @@
         let ended = notes.now();
         world.stop.set(true);
         stop.store(true, Ordering::Relaxed);
-        let keeper = directing.join().map_err(|_| RunError("the director ended".into()))?;
+        let keeper = directing
+            .join()
+            .map_err(|_| RunError("the director ended".into()))?;
         Ok((begun, ended, keeper, interrupted))
     }))?;
     if options.progress {
         eprintln!();
     }
     let memory_kb = (0..keeper.count()).map(|n| keeper.peak_kb(n)).collect();
-    let descriptors = (0..keeper.count()).map(|n| keeper.peak_descriptors(n)).collect();
+    let descriptors = (0..keeper.count())
+        .map(|n| keeper.peak_descriptors(n))
+        .collect();
     let (looks, rooms, places) = (site.looks(), site.rooms(), site.places());
     drop(site);
     let all = notes.all();
     // What came after clients had stopped is nobody's to hear; how placers ended counts all the same.
-    let kept: Vec<(Micros, Note)> =
-        all.into_iter().filter(|(at, note)| *at <= ended || matches!(note, Note::Placer(..))).collect();
+    let kept: Vec<(Micros, Note)> = all
+        .into_iter()
+        .filter(|(at, note)| *at <= ended || matches!(note, Note::Placer(..)))
+        .collect();
     let inner = world.inner.borrow();
     // A generator that was late itself has seen all answers late.
     let own = Micros::try_from(inner.lateness.max()).unwrap_or(0);
     let bound = |most: u32| (most > 0).then_some(most);
     let rules = Rules {
-        classes: plan.classes.iter().map(|c| (c.once, bound(c.most_in_room))).collect(),
+        classes: plan
+            .classes
+            .iter()
+            .map(|c| (c.once, bound(c.most_in_room)))
+            .collect(),
         rooms,
         places: places.clone(),
         slack: Rules::default().slack + own,
@@ -298,7 +322,10 @@
 /// How late the generator is at a rate, alone on a core: its clients speak to a listener that reads everything
 /// and answers nothing, on another thread.
 pub fn pace_alone(rate: f64, span: Duration) -> Result<Histogram<u64>, RunError> {
-    let text = format!("[placers]\ncount = 1\n[arrivals]\nshape = \"{rate}/s for {}ms\"\n", span.as_millis());
+    let text = format!(
+        "[placers]\ncount = 1\n[arrivals]\nshape = \"{rate}/s for {}ms\"\n",
+        span.as_millis()
+    );
     let plan = Plan::parse(&text).map_err(|e| RunError(e.to_string()))?;
     let shape = plan.shape();
     let due = arrivals(&plan, &shape);
@@ -322,7 +349,9 @@
     });
     world.inner.borrow_mut().front.tested(0, Tested::Passed);
     let ticking = world.clone();
-    executor.spawn(async move { ticking.tick_on().await }).detach();
+    executor
+        .spawn(async move { ticking.tick_on().await })
+        .detach();
     let begun = notes.now() + 100 * MILLI;
     world.begun.set(begun);
     future::block_on(executor.run(world.pace(begun, &due, &shape)));
--- a/crates/load/src/run/connections.rs
+++ b/crates/load/src/run/connections.rs
@@ -56,14 +56,24 @@
     /// Writes to the placer that a set-up went to, on the connection where it is open.
     pub(super) fn say_where_sent(&self, id: u64, words: &[u8]) {
         let mut inner = self.inner.borrow_mut();
-        if let Some(conn) = inner.conns.values_mut().find(|conn| conn.open.contains_key(&id)) {
+        if let Some(conn) = inner
+            .conns
+            .values_mut()
+            .find(|conn| conn.open.contains_key(&id))
+        {
             conn.open.remove(&id);
             conn.push(words);
         }
     }
 
     /// Queues bytes on a connection to a placer: the least busy one, or another where there may be more. Says which.
-    pub(super) fn send(self: &Rc<Self>, now: Micros, placer: usize, id: Option<u64>, words: &[u8]) -> u64 {
+    pub(super) fn send(
+        self: &Rc<Self>,
+        now: Micros,
+        placer: usize,
+        id: Option<u64>,
+        words: &[u8],
+    ) -> u64 {
         let chosen = {
             let inner = self.inner.borrow();
             let mut theirs: Vec<(usize, u64)> = inner
@@ -74,7 +84,10 @@
                 .collect();
             theirs.sort_unstable();
             let full = theirs.len() >= self.plan.clients.connections;
-            theirs.first().filter(|(busy, _)| full || *busy == 0).map(|(_, n)| *n)
+            theirs
+                .first()
+                .filter(|(busy, _)| full || *busy == 0)
+                .map(|(_, n)| *n)
         };
         let n = chosen.unwrap_or_else(|| self.connect(now, placer));
         let mut inner = self.inner.borrow_mut();
@@ -111,12 +124,16 @@
             n
         };
         let world = self.clone();
-        self.executor.spawn(async move { world.serve(n, placer, woken).await }).detach();
+        self.executor
+            .spawn(async move { world.serve(n, placer, woken).await })
+            .detach();
         n
     }
 
     async fn serve(self: Rc<Self>, n: u64, placer: usize, woken: Receiver<()>) {
-        let Some((address, _)) = self.placers.get(placer).copied() else { return };
+        let Some((address, _)) = self.placers.get(placer).copied() else {
+            return;
+        };
         let connecting = async { Async::<TcpStream>::connect(address).await.ok() };
         let limit = async {
             Timer::after(CONNECT).await;
@@ -125,7 +142,10 @@
         let mut polite = false;
         if let Some(stream) = connecting.or(limit).await {
             let _ = stream.get_ref().set_nodelay(true);
-            polite = self.read(n, placer, &stream).or(self.write(n, &stream, woken)).await;
+            polite = self
+                .read(n, placer, &stream)
+                .or(self.write(n, &stream, woken))
+                .await;
             let _ = stream.get_ref().shutdown(Shutdown::Both);
         }
         self.ended(n, placer, polite);
@@ -141,7 +161,8 @@
                 Err(_) => return false,
             }
             let mut read = 0;
-            while let Some((message, length)) = Message::read(inbox.get(read..).unwrap_or_default()) {
+            while let Some((message, length)) = Message::read(inbox.get(read..).unwrap_or_default())
+            {
                 read += length;
                 self.word(n, placer, &message);
             }
@@ -151,14 +172,24 @@
 
     /// Writes what is queued, and notes the set-ups that are written whole. Ends where nothing has happened
     /// for a while.
-    async fn write(self: &Rc<Self>, n: u64, stream: &Async<TcpStream>, woken: Receiver<()>) -> bool {
+    async fn write(
+        self: &Rc<Self>,
+        n: u64,
+        stream: &Async<TcpStream>,
+        woken: Receiver<()>,
+    ) -> bool {
         let idle = self.plan.clients.idle;
         loop {
             let chunk: Vec<u8> = {
                 let inner = self.inner.borrow();
-                let Some(conn) = inner.conns.get(&n) else { return true };
+                let Some(conn) = inner.conns.get(&n) else {
+                    return true;
+                };
                 let (front, _) = conn.queue.as_slices();
-                front.get(..front.len().min(16 * 1024)).unwrap_or_default().to_vec()
+                front
+                    .get(..front.len().min(16 * 1024))
+                    .unwrap_or_default()
+                    .to_vec()
             };
             if chunk.is_empty() {
                 let wake = async { woken.recv().await.is_ok() };
@@ -176,14 +207,20 @@
                 continue;
             }
             let mut out = stream;
-            let Ok(count) = out.write(&chunk).await else { return false };
+            let Ok(count) = out.write(&chunk).await else {
+                return false;
+            };
             let now = self.notes.now();
             let mut inner = self.inner.borrow_mut();
             let mut written = Vec::new();
             if let Some(conn) = inner.conns.get_mut(&n) {
                 conn.queue.drain(..count.min(conn.queue.len()));
                 conn.taken += count as u64;
-                while let Some((id, _)) = conn.writing.front().copied().filter(|(_, end)| *end <= conn.taken)
+                while let Some((id, _)) = conn
+                    .writing
+                    .front()
+                    .copied()
+                    .filter(|(_, end)| *end <= conn.taken)
                 {
                     conn.writing.pop_front();
                     conn.open.insert(id, now);
@@ -201,7 +238,9 @@
     /// A connection has ended. What was written whole may have been taken; what was not has not.
     fn ended(self: &Rc<Self>, n: u64, placer: usize, polite: bool) {
         let now = self.notes.now();
-        let Some(conn) = self.inner.borrow_mut().conns.remove(&n) else { return };
+        let Some(conn) = self.inner.borrow_mut().conns.remove(&n) else {
+            return;
+        };
         if self.stop.get() {
             return;
         }
@@ -212,10 +251,14 @@
             let crossed = polite && now - written <= CROSSED;
             let again = {
                 let mut inner = self.inner.borrow_mut();
-                inner.sent.get_mut(&id).filter(|sent| crossed && !sent.again).map(|sent| {
-                    sent.again = true;
-                    sent.bytes.clone()
-                })
+                inner
+                    .sent
+                    .get_mut(&id)
+                    .filter(|sent| crossed && !sent.again)
+                    .map(|sent| {
+                        sent.again = true;
+                        sent.bytes.clone()
+                    })
             };
             match again {
                 Some(words) => drop(self.send(now, placer, Some(id), &words)),
--- a/crates/load/src/run/deployment.rs
+++ b/crates/load/src/run/deployment.rs
@@ -51,7 +51,11 @@
         .map(|t| json!({ "name": t.name.as_str(), "portion": (t.share / shares), "allowance_per_s": (2.0 * rate * t.share / shares) }))
         .collect();
     let mean = |of: fn(&[f64; 2]) -> f64| {
-        let sizes: Vec<f64> = plan.classes.iter().flat_map(|c| c.sizes.iter().map(of)).collect();
+        let sizes: Vec<f64> = plan
+            .classes
+            .iter()
+            .flat_map(|c| c.sizes.iter().map(of))
+            .collect();
         sizes.iter().sum::<f64>() / sizes.len().max(1) as f64
     };
     json!({
--- a/crates/load/src/run/generator.rs
+++ b/crates/load/src/run/generator.rs
@@ -73,7 +73,11 @@
             rejoin: (50 * MILLI, SECOND),
         };
         Inner {
-            clients: Clients::new(settings, plan.seed, (plan.seed.wrapping_mul(0x9e37_79b9) << 24) | 1),
+            clients: Clients::new(
+                settings,
+                plan.seed,
+                (plan.seed.wrapping_mul(0x9e37_79b9) << 24) | 1,
+            ),
             front: Front::new(plan.placers.count, plan.rooms.len()),
             conns: BTreeMap::new(),
             next_conn: 0,
@@ -110,7 +114,10 @@
             }
             let now = self.notes.now();
             let late = u64::try_from(now - at).unwrap_or(0);
-            let phase = shape.phases.partition_point(|phase| phase.start <= arrival.due).saturating_sub(1);
+            let phase = shape
+                .phases
+                .partition_point(|phase| phase.start <= arrival.due)
+                .saturating_sub(1);
             let key = 0xabc0_0000 + n as u64;
             {
                 let mut inner = self.inner.borrow_mut();
@@ -153,7 +160,12 @@
     fn act(self: &Rc<Self>, now: Micros, effects: Vec<Effect>, to: Option<usize>) {
         for effect in effects {
             match effect {
-                Effect::Ask { key, id, wait, again } => self.ask(now, key, id, wait, again),
+                Effect::Ask {
+                    key,
+                    id,
+                    wait,
+                    again,
+                } => self.ask(now, key, id, wait, again),
                 Effect::GiveUp(id) => {
                     self.notes.add(Note::GaveUp(id));
                     self.say_where_sent(id, &bytes(12, id, &[(171, &[16])]));
@@ -174,7 +186,14 @@
 
     /// A set-up: its bytes, and the note of it.
     fn set_up(&self, task: &Task, attempt: Attempt) -> Sent {
-        let Attempt { id, wait, placer, again, at, now } = attempt;
+        let Attempt {
+            id,
+            wait,
+            placer,
+            again,
+            at,
+            now,
+        } = attempt;
         let life = self.life_left(task, now);
         let class = self.plan.classes.get(task.arrival.class);
         let tenant = self.plan.tenants.get(task.arrival.tenant);
@@ -188,8 +207,10 @@
             left: 0,
         };
         let description = describe(&offer, task.key);
-        let mut figures =
-            format!("cores:{};memory:{};service:{:016x}", offer.cores, offer.memory, offer.service);
+        let mut figures = format!(
+            "cores:{};memory:{};service:{:016x}",
+            offer.cores, offer.memory, offer.service
+        );
         if let Some(name) = at.and_then(|host| self.notes.host_name(host)) {
             figures.push_str(&format!(";at:{name}"));
         }
@@ -202,7 +223,11 @@
         if again {
             parameters.push((138, b"1"));
         }
-        parameters.extend([(141, key.as_bytes()), (144, figures.as_bytes()), (174, description.as_bytes())]);
+        parameters.extend([
+            (141, key.as_bytes()),
+            (144, figures.as_bytes()),
+            (174, description.as_bytes()),
+        ]);
         let note = Note::Sent {
             id,
             key: task.key,
@@ -213,7 +238,12 @@
             description: fingerprint(&description),
             at,
         };
-        Sent { key: task.key, bytes: bytes(1, id, &parameters), note, again: false }
+        Sent {
+            key: task.key,
+            bytes: bytes(1, id, &parameters),
+            note,
+            again: false,
+        }
     }
 
     fn ask(self: &Rc<Self>, now: Micros, key: u64, id: u64, wait: Micros, again: bool) {
@@ -227,10 +257,24 @@
             // Nobody is in: a client tries one all the same.
             let fallback = inner.turn % self.placers.len().max(1);
             inner.turn += 1;
-            inner.tasks.get(&key).cloned().map(|task| (task, placer.unwrap_or(fallback)))
+            inner
+                .tasks
+                .get(&key)
+                .cloned()
+                .map(|task| (task, placer.unwrap_or(fallback)))
         };
         let Some((task, placer)) = picked else { return };
-        let sent = self.set_up(&task, Attempt { id, wait, placer, again, at: None, now });
+        let sent = self.set_up(
+            &task,
+            Attempt {
+                id,
+                wait,
+                placer,
+                again,
+                at: None,
+                now,
+            },
+        );
         self.inner.borrow_mut().sent.insert(id, sent.clone());
         self.send(now, placer, Some(id), &sent.bytes);
     }
@@ -254,7 +298,17 @@
         };
         let Some((task, placer)) = picked else { return };
         let at = Some(running.host);
-        let sent = self.set_up(&task, Attempt { id, wait: 0, placer, again: false, at, now });
+        let sent = self.set_up(
+            &task,
+            Attempt {
+                id,
+                wait: 0,
+                placer,
+                again: false,
+                at,
+                now,
+            },
+        );
         self.notes.add(sent.note.clone());
         self.inner.borrow_mut().clients.sent_to(id, placer);
         let on = self.send(now, placer, None, &sent.bytes);
@@ -267,7 +321,10 @@
     pub(super) fn word(self: &Rc<Self>, n: u64, placer: usize, message: &Message) {
         let now = self.notes.now();
         let id = message.id;
-        let cause = message.get(171).and_then(|cause| cause.first().copied()).unwrap_or(0);
+        let cause = message
+            .get(171)
+            .and_then(|cause| cause.first().copied())
+            .unwrap_or(0);
         let (told, open) = {
             let mut inner = self.inner.borrow_mut();
             let open = inner.clients.is_open(id);
@@ -306,7 +363,10 @@
             (told, open)
         };
         self.notes.add_at(now, Note::Told(id, told));
-        let away = message.text(147).and_then(|ms| ms.parse::<i64>().ok()).map(|ms| ms * MILLI);
+        let away = message
+            .text(147)
+            .and_then(|ms| ms.parse::<i64>().ok())
+            .map(|ms| ms * MILLI);
         let word = match (told, open) {
             (Told::Placed(_), _) => Word::Placed,
             (Told::Moved, _) => Word::Moved,
@@ -339,11 +399,24 @@
                 let settling = self.inner.borrow().clients.settling();
                 for key in settling {
                     if let Some(running) = self.notes.running(key) {
-                        self.tell(now, Event::Found { key, id: running.id }, None);
+                        self.tell(
+                            now,
+                            Event::Found {
+                                key,
+                                id: running.id,
+                            },
+                            None,
+                        );
                     }
                 }
             }
-            let next = self.inner.borrow().clients.next().unwrap_or(now + SECOND).min(now + 20 * MILLI);
+            let next = self
+                .inner
+                .borrow()
+                .clients
+                .next()
+                .unwrap_or(now + SECOND)
+                .min(now + 20 * MILLI);
             Timer::at(self.notes.instant(next.max(now + MILLI))).await;
         }
     }
@@ -353,7 +426,11 @@
         loop {
             Timer::after(Duration::from_millis(500)).await;
             let inner = self.inner.borrow();
-            let placed = inner.tasks.values().filter(|task| task.started.is_some()).count();
+            let placed = inner
+                .tasks
+                .values()
+                .filter(|task| task.started.is_some())
+                .count();
             let (due, open) = (inner.tasks.len(), inner.clients.open());
             let at = (self.notes.now() - begun).max(0) / SECOND;
             let late = inner.lateness.value_at_quantile(0.99) as f64 / 1_000.0;
--- a/crates/load/src/run/probes.rs
+++ b/crates/load/src/run/probes.rs
@@ -21,16 +21,22 @@
     pub(super) fn test_all(self: Rc<Self>) {
         for n in 0..self.placers.len() {
             let testing = self.clone();
-            self.executor.spawn(async move { testing.test_on(n).await }).detach();
+            self.executor
+                .spawn(async move { testing.test_on(n).await })
+                .detach();
             if self.plan.clients.spread == Spread::Agent {
                 let asking = self.clone();
-                self.executor.spawn(async move { asking.ask_agent_on(n).await }).detach();
+                self.executor
+                    .spawn(async move { asking.ask_agent_on(n).await })
+                    .detach();
             }
         }
     }
 
     async fn test_on(self: Rc<Self>, n: usize) {
-        let Some((address, _)) = self.placers.get(n).copied() else { return };
+        let Some((address, _)) = self.placers.get(n).copied() else {
+            return;
+        };
         // A test on a connection that was made anew, after one before it broke, means a new process.
         let mut stream: Option<Async<TcpStream>> = None;
         let (mut was_in, mut renewed) = (false, false);
@@ -40,10 +46,16 @@
                     stream = Async::<TcpStream>::connect(address).await.ok();
                     renewed = true;
                 }
-                let Some(open) = &stream else { return Tested::Failed };
+                let Some(open) = &stream else {
+                    return Tested::Failed;
+                };
                 let mut open = open;
                 let mut inbox = Vec::new();
-                if open.write_all(&bytes(52, 0xfe, &[(171, &[0])])).await.is_err() {
+                if open
+                    .write_all(&bytes(52, 0xfe, &[(171, &[0])]))
+                    .await
+                    .is_err()
+                {
                     stream = None;
                     return Tested::Failed;
                 }
@@ -88,12 +100,19 @@
                 }
                 (was_in, renewed) = (true, false);
             }
-            Timer::after(if was_in { TEST_EVERY } else { Duration::from_millis(20) }).await;
+            Timer::after(if was_in {
+                TEST_EVERY
+            } else {
+                Duration::from_millis(20)
+            })
+            .await;
         }
     }
 
     async fn ask_agent_on(self: Rc<Self>, n: usize) {
-        let Some((_, agent)) = self.placers.get(n).copied() else { return };
+        let Some((_, agent)) = self.placers.get(n).copied() else {
+            return;
+        };
         loop {
             let asked = async {
                 let mut stream = Async::<TcpStream>::connect(agent).await.ok()?;
--- a/crates/load/src/search.rs
+++ b/crates/load/src/search.rs
@@ -59,24 +59,41 @@
     let error = |s: &Spread| s.deviation().powi(2) / s.values.len() as f64;
     let error = (error(a) + error(b)).sqrt();
     let difference = (a.mean() - b.mean()).abs();
-    let differs = if error > 0.0 { difference > 3.0 * error } else { difference > 0.0 };
-    if differs { Verdict::Differs } else { Verdict::Noise }
+    let differs = if error > 0.0 {
+        difference > 3.0 * error
+    } else {
+        difference > 0.0
+    };
+    if differs {
+        Verdict::Differs
+    } else {
+        Verdict::Noise
+    }
 }
 
 /// The figures of a run that are compared.
 pub fn figures(summary: &Summary) -> Vec<(String, f64)> {
     let mut found = Vec::new();
-    for group in summary.groups.iter().filter(|g| g.name == "all" || g.name.starts_with("class ")) {
+    for group in summary
+        .groups
+        .iter()
+        .filter(|g| g.name == "all" || g.name.starts_with("class "))
+    {
         found.push((format!("{}: in aim, %", group.name), 100.0 * group.share()));
         if summary.in_time {
             for (name, part) in [("p50", 0.5), ("p99", 0.99)] {
                 // A percentile that is never reached is as bad as the longest latency that is kept.
-                let value = group.percentile(part).map_or(3.6e6, |latency| latency.as_secs_f64() * 1e3);
+                let value = group
+                    .percentile(part)
+                    .map_or(3.6e6, |latency| latency.as_secs_f64() * 1e3);
                 found.push((format!("{}: {name}, ms", group.name), value));
             }
         }
     }
-    found.push(("broken rules".into(), summary.broken.values().sum::<usize>() as f64));
+    found.push((
+        "broken rules".into(),
+        summary.broken.values().sum::<usize>() as f64,
+    ));
     found
 }
 
@@ -87,9 +104,18 @@
         .map(|run| run.iter().map(|(name, _)| name.clone()).collect::<Vec<_>>())
         .unwrap_or_default();
     let of = |name: &String| {
-        runs.iter().filter_map(|run| run.iter().find(|(n, _)| n == name)).map(|(_, v)| *v).collect()
+        runs.iter()
+            .filter_map(|run| run.iter().find(|(n, _)| n == name))
+            .map(|(_, v)| *v)
+            .collect()
     };
-    names.iter().map(|name| Spread { name: name.clone(), values: of(name) }).collect()
+    names
+        .iter()
+        .map(|name| Spread {
+            name: name.clone(),
+            values: of(name),
+        })
+        .collect()
 }
 
 /// One try of a search.
@@ -119,7 +145,14 @@
     /// Begins at the plan's own rate; each factor is run `repeats` times, and the goal holds where most of
     /// these runs say so.
     pub fn new(repeats: u32, precision: f64, most: f64) -> Search {
-        Search { low: 0.0, high: None, tries: Vec::new(), repeats: repeats.max(1), precision, most }
+        Search {
+            low: 0.0,
+            high: None,
+            tries: Vec::new(),
+            repeats: repeats.max(1),
+            precision,
+            most,
+        }
     }
 
     /// The next factor to run; none where the knee is known well enough.
@@ -163,9 +196,14 @@
     /// How sure it is: the share of runs that agree with the verdict on their factor, over the tries on both
     /// sides of the knee.
     pub fn agreement(&self) -> f64 {
-        let (agree, all) =
-            self.tries.iter().fold((0, 0), |(agree, all), t| (agree + t.held.max(t.of - t.held), all + t.of));
-        if all == 0 { 0.0 } else { f64::from(agree) / f64::from(all) }
+        let (agree, all) = self.tries.iter().fold((0, 0), |(agree, all), t| {
+            (agree + t.held.max(t.of - t.held), all + t.of)
+        });
+        if all == 0 {
+            0.0
+        } else {
+            f64::from(agree) / f64::from(all)
+        }
     }
 }
 
@@ -174,7 +212,10 @@
     use super::*;
 
     fn spread(values: &[f64]) -> Spread {
-        Spread { name: "x".into(), values: values.to_vec() }
+        Spread {
+            name: "x".into(),
+            values: values.to_vec(),
+        }
     }
 
     #[test]
@@ -199,7 +240,11 @@
             let held = (0..3)
                 .filter(|_| {
                     turn += 1;
-                    let sway = if turn.is_multiple_of(2) { noise } else { -noise };
+                    let sway = if turn.is_multiple_of(2) {
+                        noise
+                    } else {
+                        -noise
+                    };
                     factor <= knee * (1.0 + sway)
                 })
                 .count() as u32;
@@ -224,7 +269,11 @@
         let noisy = search(3.3, 0.04, 100.0);
         let (low, high) = noisy.between();
         assert!(low > 2.9 && high.expect("a knee") < 3.8, "{low} {high:?}");
-        assert_eq!(search(1e9, 0.0, 8.0).between(), (8.0, None), "it held as far as was asked");
+        assert_eq!(
+            search(1e9, 0.0, 8.0).between(),
+            (8.0, None),
+            "it held as far as was asked"
+        );
         let (low, high) = search(0.0, 0.0, 8.0).between();
         assert!(low == 0.0 && high.expect("never held") < 0.002);
     }
--- a/crates/load/src/shape.rs
+++ b/crates/load/src/shape.rs
@@ -91,7 +91,9 @@
 impl Shape {
     /// How long it lasts.
     pub fn length(&self) -> Micros {
-        self.phases.last().map_or(0, |phase| phase.start + phase.length)
+        self.phases
+            .last()
+            .map_or(0, |phase| phase.start + phase.length)
     }
 
     /// The phase at a time.
@@ -103,7 +105,8 @@
 
     /// Arrivals a second at a time.
     pub fn rate(&self, at: Micros) -> f64 {
-        self.phase(at).map_or(0.0, |phase| phase.rate(at - phase.start))
+        self.phase(at)
+            .map_or(0.0, |phase| phase.rate(at - phase.start))
     }
 
     /// The highest rate of all.
@@ -136,8 +139,13 @@
             Course::Line(from, to) => Course::Line(from * factor, to * factor),
             Course::Wave(low, high, period) => Course::Wave(low * factor, high * factor, period),
         };
-        let phases = self.phases.iter().map(|phase| Phase { course: course(phase.course), ..phase.clone() });
-        Shape { phases: phases.collect() }
+        let phases = self.phases.iter().map(|phase| Phase {
+            course: course(phase.course),
+            ..phase.clone()
+        });
+        Shape {
+            phases: phases.collect(),
+        }
     }
 }
 
@@ -154,7 +162,10 @@
         let offset = self.offset.min(self.text.len());
         let before = self.text.get(..offset).unwrap_or_default();
         let line = before.matches('\n').count();
-        let column = before.rsplit('\n').next().map_or(0, |last| last.chars().count());
+        let column = before
+            .rsplit('\n')
+            .next()
+            .map_or(0, |last| last.chars().count());
         let shown = self.text.lines().nth(line).unwrap_or_default();
         write!(
             f,
@@ -198,9 +209,12 @@
 
 fn number(input: &mut &str) -> Res<f64> {
     // Words such as `inf` are no numbers here.
-    preceded(multispace0, float.verify(|n: &f64| n.is_finite() && *n >= 0.0))
-        .context(expected("a number"))
-        .parse_next(input)
+    preceded(
+        multispace0,
+        float.verify(|n: &f64| n.is_finite() && *n >= 0.0),
+    )
+    .context(expected("a number"))
+    .parse_next(input)
 }
 
 fn rate(input: &mut &str) -> Res<f64> {
@@ -213,7 +227,12 @@
 }
 
 fn span(input: &mut &str) -> Res<Micros> {
-    let unit = alt(("ms".value(1e3), "s".value(1e6), "m".value(60e6), "h".value(3600e6)));
+    let unit = alt((
+        "ms".value(1e3),
+        "s".value(1e6),
+        "m".value(60e6),
+        "h".value(3600e6),
+    ));
     let part = (number, unit).map(|(count, unit): (f64, f64)| count * unit);
     repeat(1.., part)
         .fold(|| 0.0, |sum, part: f64| sum + part)
@@ -244,7 +263,8 @@
         wave.map(|(low, high, every, length)| Verb::Wave(low, high, every, length)),
         burst.map(|(count, length)| Verb::Burst(count, length)),
         preceded(word("silence"), cut_err(span)).map(Verb::Silence),
-        (rate, cut_err(preceded(word("for"), span))).map(|(rate, length)| Verb::Level(rate, length)),
+        (rate, cut_err(preceded(word("for"), span)))
+            .map(|(rate, length)| Verb::Level(rate, length)),
     ))
     .context(expected("a rate, rise, fall, hold, wave, burst or silence"))
     .parse_next(input)
@@ -294,10 +314,19 @@
 
 /// Reads a shape.
 pub fn parse(text: &str) -> Result<Shape, ShapeError> {
-    let error = |offset: usize, what: String| ShapeError { text: text.to_string(), offset, what };
+    let error = |offset: usize, what: String| ShapeError {
+        text: text.to_string(),
+        offset,
+        what,
+    };
     let mut whole = terminated(items, (opt((multispace0, ",")), multispace0));
     let items = whole.parse(text).map_err(|e| {
-        let found = text.get(e.offset()..).unwrap_or_default().split_whitespace().next().unwrap_or("the end");
+        let found = text
+            .get(e.offset()..)
+            .unwrap_or_default()
+            .split_whitespace()
+            .next()
+            .unwrap_or("the end");
         let wanted: Vec<String> = e
             .inner()
             .context()
@@ -306,7 +335,10 @@
                 _ => None,
             })
             .collect();
-        let wanted = wanted.first().cloned().unwrap_or_else(|| "a comma or the end".to_string());
+        let wanted = wanted
+            .first()
+            .cloned()
+            .unwrap_or_else(|| "a comma or the end".to_string());
         error(e.offset(), format!("expected {wanted}, found {found}"))
     })?;
     let mut shape = Shape::default();
@@ -315,7 +347,12 @@
     Ok(shape)
 }
 
-fn lay(items: &[Item], outer: Option<&str>, shape: &mut Shape, last: &mut f64) -> Result<(), String> {
+fn lay(
+    items: &[Item],
+    outer: Option<&str>,
+    shape: &mut Shape,
+    last: &mut f64,
+) -> Result<(), String> {
     for item in items {
         match item {
             Item::Repeat(name, count, items) => {
@@ -326,18 +363,29 @@
             Item::Phase(name, verb) => {
                 let (course, length, kind) = match *verb {
                     Verb::Level(rate, length) => (Course::Level(rate), length, "level"),
-                    Verb::To(rate, length) => {
-                        (Course::Line(*last, rate), length, if rate >= *last { "rise" } else { "fall" })
-                    }
+                    Verb::To(rate, length) => (
+                        Course::Line(*last, rate),
+                        length,
+                        if rate >= *last { "rise" } else { "fall" },
+                    ),
                     Verb::Hold(length) => (Course::Level(*last), length, "hold"),
-                    Verb::Wave(low, high, every, length) => (Course::Wave(low, high, every), length, "wave"),
-                    Verb::Burst(count, length) => {
-                        (Course::Level(count * SECOND / length as f64), length, "burst")
+                    Verb::Wave(low, high, every, length) => {
+                        (Course::Wave(low, high, every), length, "wave")
                     }
+                    Verb::Burst(count, length) => (
+                        Course::Level(count * SECOND / length as f64),
+                        length,
+                        "burst",
+                    ),
                     Verb::Silence(length) => (Course::Level(0.0), length, "silence"),
                 };
                 let start = shape.length();
-                let phase = Phase { name: String::new(), start, length, course };
+                let phase = Phase {
+                    name: String::new(),
+                    start,
+                    length,
+                    course,
+                };
                 if !matches!(verb, Verb::Burst(..)) {
                     *last = phase.rate(length);
                 }
@@ -347,7 +395,9 @@
                 let name = name.as_deref().or(outer).unwrap_or(kind).to_string();
                 shape.phases.push(Phase { name, ..phase });
                 if shape.phases.len() > MOST_PHASES || shape.length() > MOST_LENGTH {
-                    return Err(format!("more than {MOST_PHASES} phases or 7 days, with all repeats"));
+                    return Err(format!(
+                        "more than {MOST_PHASES} phases or 7 days, with all repeats"
+                    ));
                 }
             }
         }
@@ -386,15 +436,24 @@
         }
         let expected = 240.0 + 120.0 + 800.0 + 1_800.0 + 200.0;
         assert!((shape.expected(shape.length()) - expected).abs() < 1e-6);
-        assert_eq!(shape.phase(36_000_000).map(|p| p.name.as_str()), Some("hold"));
+        assert_eq!(
+            shape.phase(36_000_000).map(|p| p.name.as_str()),
+            Some("hold")
+        );
     }
 
     #[test]
     fn names_repeats_and_units() {
-        let shape = parse("calm: 60/m for 1m30s, polls: 3x(burst 20 in 1s, hold 4s), fall to 0/s over 2s")
-            .expect("a shape");
+        let shape =
+            parse("calm: 60/m for 1m30s, polls: 3x(burst 20 in 1s, hold 4s), fall to 0/s over 2s")
+                .expect("a shape");
         let names: Vec<&str> = shape.phases.iter().map(|p| p.name.as_str()).collect();
-        assert_eq!(names, ["calm", "polls", "polls", "polls", "polls", "polls", "polls", "fall"]);
+        assert_eq!(
+            names,
+            [
+                "calm", "polls", "polls", "polls", "polls", "polls", "polls", "fall"
+            ]
+        );
         assert_eq!(
             (shape.rate(0), shape.rate(92_000_000)),
             (1.0, 1.0),
@@ -407,7 +466,11 @@
     #[test]
     fn errors_show_the_place_and_what_was_expected() {
         for (text, column, says) in [
-            ("8/s for 30s, rise 40/s over 5s", 19, "expected `to`, found 40/s"),
+            (
+                "8/s for 30s, rise 40/s over 5s",
+                19,
+                "expected `to`, found 40/s",
+            ),
             ("8/s for", 8, "expected a number, found the end"),
             ("8/x for 30s", 3, "expected s, m or h"),
             ("8/s for 30", 11, "expected"),
@@ -426,10 +489,18 @@
             assert_eq!(error.offset + 1, column, "{text}: {shown}");
             assert!(shown.ends_with('^'), "{shown}");
         }
-        assert!(parse("8/s for 30s,\n").is_ok(), "a comma at the end does no harm");
+        assert!(
+            parse("8/s for 30s,\n").is_ok(),
+            "a comma at the end does no harm"
+        );
         assert!(parse("1000x(1000x(1/s for 1s))").is_err(), "bounded");
         assert!(parse("2000000/s for 1s").is_err());
-        let lines = parse("8/s for 1s,\n  rise up").expect_err("no shape").to_string();
-        assert!(lines.contains("line 2, column 8") && lines.contains("\n    rise up\n"), "{lines}");
+        let lines = parse("8/s for 1s,\n  rise up")
+            .expect_err("no shape")
+            .to_string();
+        assert!(
+            lines.contains("line 2, column 8") && lines.contains("\n    rise up\n"),
+            "{lines}"
+        );
     }
 }
--- a/crates/load/src/table.rs
+++ b/crates/load/src/table.rs
@@ -55,7 +55,12 @@
 impl std::error::Error for TableError {}
 
 fn whole(file: &Path, what: impl fmt::Display) -> TableError {
-    TableError { file: file.display().to_string(), row: 0, column: String::new(), what: what.to_string() }
+    TableError {
+        file: file.display().to_string(),
+        row: 0,
+        column: String::new(),
+        what: what.to_string(),
+    }
 }
 
 /// Forms of tables, by the ending of a file's name.
@@ -71,7 +76,10 @@
         Some("csv") => Ok(Form::Csv),
         Some("jsonl" | "ndjson") => Ok(Form::Lines),
         Some("parquet") => Ok(Form::Parquet),
-        _ => Err(whole(file, "expected a name that ends in .csv, .jsonl or .parquet")),
+        _ => Err(whole(
+            file,
+            "expected a name that ends in .csv, .jsonl or .parquet",
+        )),
     }
 }
 
@@ -80,11 +88,18 @@
 pub struct Columns(BTreeMap<String, String>);
 
 /// What a trace's rows hold. The first is needed; the others have defaults.
-pub const FIELDS: [&str; 8] = ["due", "class", "tenant", "service", "room", "cores", "memory", "life"];
+pub const FIELDS: [&str; 8] = [
+    "due", "class", "tenant", "service", "room", "cores", "memory", "life",
+];
 
 impl Default for Columns {
     fn default() -> Columns {
-        Columns(FIELDS.iter().map(|name| (name.to_string(), name.to_string())).collect())
+        Columns(
+            FIELDS
+                .iter()
+                .map(|name| (name.to_string(), name.to_string()))
+                .collect(),
+        )
     }
 }
 
@@ -93,8 +108,9 @@
     pub fn parse(text: &str) -> Result<Columns, String> {
         let mut columns = Columns::default();
         for pair in text.split(',').filter(|pair| !pair.trim().is_empty()) {
-            let (field, column) =
-                pair.split_once('=').ok_or_else(|| format!("expected field=column, found {pair}"))?;
+            let (field, column) = pair
+                .split_once('=')
+                .ok_or_else(|| format!("expected field=column, found {pair}"))?;
             let known = columns.0.get_mut(field.trim());
             *known.ok_or_else(|| format!("no field {field}; there are {}", FIELDS.join(", ")))? =
                 column.trim().to_string();
@@ -173,7 +189,10 @@
     let first = arrivals.first().map_or(0, |arrival| arrival.due);
     arrivals.iter_mut().for_each(|arrival| arrival.due -= first);
     if arrivals.is_empty() {
-        return Err(whole(file, format!("no row could be read, {skipped} were left out")));
+        return Err(whole(
+            file,
+            format!("no row could be read, {skipped} were left out"),
+        ));
     }
     Ok(Trace { arrivals, skipped })
 }
@@ -184,12 +203,25 @@
 ) -> Result<(), TableError> {
     ends_whole(file)?;
     let mut reader = csv::Reader::from_path(file).map_err(|e| whole(file, e))?;
-    let header: Vec<String> =
-        reader.headers().map_err(|e| whole(file, e))?.iter().map(str::to_string).collect();
+    let header: Vec<String> = reader
+        .headers()
+        .map_err(|e| whole(file, e))?
+        .iter()
+        .map(str::to_string)
+        .collect();
     for (n, record) in reader.records().enumerate() {
         let row = record
-            .map(|record| header.iter().cloned().zip(record.iter().map(str::to_string)).collect())
-            .map_err(|e| TableError { row: n + 1, ..whole(file, e) });
+            .map(|record| {
+                header
+                    .iter()
+                    .cloned()
+                    .zip(record.iter().map(str::to_string))
+                    .collect()
+            })
+            .map_err(|e| TableError {
+                row: n + 1,
+                ..whole(file, e)
+            });
         take(n + 1, row)?;
     }
     Ok(())
@@ -206,14 +238,24 @@
         if line.iter().all(u8::is_ascii_whitespace) {
             continue;
         }
-        let bad = |what: String| TableError { row: n + 1, ..whole(file, what) };
-        let value =
-            simd_json::to_owned_value(&mut line).map_err(|e| bad(format!("expected a JSON object: {e}")));
+        let bad = |what: String| TableError {
+            row: n + 1,
+            ..whole(file, what)
+        };
+        let value = simd_json::to_owned_value(&mut line)
+            .map_err(|e| bad(format!("expected a JSON object: {e}")));
         let row = value.and_then(|value| {
-            let object = value.as_object().ok_or_else(|| bad("expected a JSON object".into()))?;
+            let object = value
+                .as_object()
+                .ok_or_else(|| bad("expected a JSON object".into()))?;
             Ok(object
                 .iter()
-                .map(|(k, v)| (k.to_string(), v.as_str().map_or_else(|| v.encode(), str::to_string)))
+                .map(|(k, v)| {
+                    (
+                        k.to_string(),
+                        v.as_str().map_or_else(|| v.encode(), str::to_string),
+                    )
+                })
                 .collect())
         });
         take(n + 1, row)?;
@@ -229,7 +271,11 @@
     if open.seek(SeekFrom::End(-1)).is_err() || open.read_exact(&mut last).is_err() {
         return Err(whole(file, "it is empty"));
     }
-    if last == [b'\n'] { Ok(()) } else { Err(whole(file, "it is cut: the last line has no end")) }
+    if last == [b'\n'] {
+        Ok(())
+    } else {
+        Err(whole(file, "it is cut: the last line has no end"))
+    }
 }
 
 fn rows_of_parquet(
@@ -248,7 +294,12 @@
             let cell = |(field, column): (&Arc<Field>, &ArrayRef)| {
                 Some((field.name().clone(), cell(column, place)?))
             };
-            let row = schema.fields().iter().zip(batch.columns()).filter_map(cell).collect();
+            let row = schema
+                .fields()
+                .iter()
+                .zip(batch.columns())
+                .filter_map(cell)
+                .collect();
             take(n, Ok(row))?;
         }
     }
@@ -257,7 +308,9 @@
 
 /// A cell as text; none where it is empty or of a type that no trace uses.
 fn cell(column: &ArrayRef, place: usize) -> Option<String> {
-    use arrow_array::types::{Float32Type, Float64Type, Int32Type, Int64Type, UInt32Type, UInt64Type};
+    use arrow_array::types::{
+        Float32Type, Float64Type, Int32Type, Int64Type, UInt32Type, UInt64Type,
+    };
     if column.is_null(place) {
         return None;
     }
@@ -268,8 +321,18 @@
         DataType::Int64 => Some(column.as_primitive::<Int64Type>().value(place).to_string()),
         DataType::UInt32 => Some(column.as_primitive::<UInt32Type>().value(place).to_string()),
         DataType::UInt64 => Some(column.as_primitive::<UInt64Type>().value(place).to_string()),
-        DataType::Float32 => Some(column.as_primitive::<Float32Type>().value(place).to_string()),
-        DataType::Float64 => Some(column.as_primitive::<Float64Type>().value(place).to_string()),
+        DataType::Float32 => Some(
+            column
+                .as_primitive::<Float32Type>()
+                .value(place)
+                .to_string(),
+        ),
+        DataType::Float64 => Some(
+            column
+                .as_primitive::<Float64Type>()
+                .value(place)
+                .to_string(),
+        ),
         _ => None,
     }
 }
@@ -288,36 +351,61 @@
         column: columns.of(field).to_string(),
         what,
     };
-    let text =
-        |field: &str| row.get(columns.of(field)).map(|text| text.trim()).filter(|text| !text.is_empty());
+    let text = |field: &str| {
+        row.get(columns.of(field))
+            .map(|text| text.trim())
+            .filter(|text| !text.is_empty())
+    };
     let number = |field: &str| match text(field) {
         None => Ok(None),
         Some(text) => {
-            let read = text.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
-            read.map(Some).ok_or_else(|| bad(field, format!("expected a number from 0 on, found {text:?}")))
+            let read = text
+                .parse::<f64>()
+                .ok()
+                .filter(|v| v.is_finite() && *v >= 0.0);
+            read.map(Some).ok_or_else(|| {
+                bad(
+                    field,
+                    format!("expected a number from 0 on, found {text:?}"),
+                )
+            })
         }
     };
     let place = |field: &str, names: Vec<&str>| match text(field) {
         None => Ok(0),
-        Some(text) => names
-            .iter()
-            .position(|name| *name == text)
-            .ok_or_else(|| bad(field, format!("expected one of {}, found {text:?}", names.join(", ")))),
+        Some(text) => names.iter().position(|name| *name == text).ok_or_else(|| {
+            bad(
+                field,
+                format!("expected one of {}, found {text:?}", names.join(", ")),
+            )
+        }),
     };
     let due = number("due")?.ok_or_else(|| bad("due", "expected a time, found nothing".into()))?;
-    let class = place("class", plan.classes.iter().map(|c| c.name.as_str()).collect())?;
+    let class = place(
+        "class",
+        plan.classes.iter().map(|c| c.name.as_str()).collect(),
+    )?;
     let default = plan.classes.get(class);
-    let size = default.and_then(|c| c.sizes.first()).copied().unwrap_or([1.0, 1.0]);
+    let size = default
+        .and_then(|c| c.sizes.first())
+        .copied()
+        .unwrap_or([1.0, 1.0]);
     let life = number("life")?.map(|life| unit.micros(life));
     Ok(Arrival {
         due: unit.micros(due).min(1e15) as Micros,
         class,
-        tenant: place("tenant", plan.tenants.iter().map(|t| t.name.as_str()).collect())?,
+        tenant: place(
+            "tenant",
+            plan.tenants.iter().map(|t| t.name.as_str()).collect(),
+        )?,
         service: number("service")?.unwrap_or(0.0) as u32,
         room: place("room", plan.rooms.iter().map(String::as_str).collect())?,
         cores: number("cores")?.unwrap_or(size[0]),
         memory: number("memory")?.unwrap_or(size[1]),
-        life: life.or(default.map(|c| c.life.as_micros() as f64)).unwrap_or(1e6).min(1e15) as Micros,
+        life: life
+            .or(default.map(|c| c.life.as_micros() as f64))
+            .unwrap_or(1e6)
+            .min(1e15) as Micros,
     })
 }
 
@@ -325,15 +413,28 @@
     /// What was due between two times, moved to begin at 0.
     pub fn cut(&self, from: Micros, to: Micros) -> Trace {
         let within = self.arrivals.iter().filter(|a| (from..to).contains(&a.due));
-        let arrivals = within.map(|a| Arrival { due: a.due - from, ..a.clone() }).collect();
-        Trace { arrivals, skipped: self.skipped }
+        let arrivals = within
+            .map(|a| Arrival {
+                due: a.due - from,
+                ..a.clone()
+            })
+            .collect();
+        Trace {
+            arrivals,
+            skipped: self.skipped,
+        }
     }
 
     /// The same in `time` times the time: gaps shrink or grow together.
     pub fn scale_time(&self, time: f64) -> Trace {
-        let arrivals =
-            self.arrivals.iter().map(|a| Arrival { due: (a.due as f64 * time) as Micros, ..a.clone() });
-        Trace { arrivals: arrivals.collect(), skipped: self.skipped }
+        let arrivals = self.arrivals.iter().map(|a| Arrival {
+            due: (a.due as f64 * time) as Micros,
+            ..a.clone()
+        });
+        Trace {
+            arrivals: arrivals.collect(),
+            skipped: self.skipped,
+        }
     }
 
     /// `rate` times as many at the same times: each arrival is taken so often, a part of them once more or
@@ -348,21 +449,34 @@
                 owed -= 1.0;
             }
         }
-        Trace { arrivals, skipped: self.skipped }
+        Trace {
+            arrivals,
+            skipped: self.skipped,
+        }
     }
 }
 
 fn schema(fields: &[(&str, DataType)]) -> Arc<Schema> {
     Arc::new(Schema::new(
-        fields.iter().map(|(name, kind)| Field::new(*name, kind.clone(), true)).collect::<Vec<_>>(),
+        fields
+            .iter()
+            .map(|(name, kind)| Field::new(*name, kind.clone(), true))
+            .collect::<Vec<_>>(),
     ))
 }
 
-fn write_parquet(file: &Path, schema: Arc<Schema>, columns: Vec<ArrayRef>) -> Result<(), TableError> {
+fn write_parquet(
+    file: &Path,
+    schema: Arc<Schema>,
+    columns: Vec<ArrayRef>,
+) -> Result<(), TableError> {
     let batch = RecordBatch::try_new(schema.clone(), columns).map_err(|e| whole(file, e))?;
     let open = File::create(file).map_err(|e| whole(file, e))?;
-    let properties = WriterProperties::builder().set_compression(Compression::SNAPPY).build();
-    let mut writer = ArrowWriter::try_new(open, schema, Some(properties)).map_err(|e| whole(file, e))?;
+    let properties = WriterProperties::builder()
+        .set_compression(Compression::SNAPPY)
+        .build();
+    let mut writer =
+        ArrowWriter::try_new(open, schema, Some(properties)).map_err(|e| whole(file, e))?;
     writer.write(&batch).map_err(|e| whole(file, e))?;
     writer.close().map(drop).map_err(|e| whole(file, e))
 }
@@ -425,10 +539,25 @@
                 numbers(arrivals.iter().map(|a| Some(a.due))),
                 texts(arrivals.iter().map(class)),
                 texts(arrivals.iter().map(tenant)),
-                Arc::new(arrivals.iter().map(|a| Some(a.service)).collect::<UInt32Array>()),
+                Arc::new(
+                    arrivals
+                        .iter()
+                        .map(|a| Some(a.service))
+                        .collect::<UInt32Array>(),
+                ),
                 texts(arrivals.iter().map(room)),
-                Arc::new(arrivals.iter().map(|a| Some(a.cores)).collect::<Float64Array>()),
-                Arc::new(arrivals.iter().map(|a| Some(a.memory)).collect::<Float64Array>()),
+                Arc::new(
+                    arrivals
+                        .iter()
+                        .map(|a| Some(a.cores))
+                        .collect::<Float64Array>(),
+                ),
+                Arc::new(
+                    arrivals
+                        .iter()
+                        .map(|a| Some(a.memory))
+                        .collect::<Float64Array>(),
+                ),
                 numbers(arrivals.iter().map(|a| Some(a.life))),
             ];
             write_parquet(file, schema, columns)
@@ -463,21 +592,70 @@
     let columns: Vec<ArrayRef> = vec![
         Arc::new(tasks.iter().map(|t| Some(t.key)).collect::<UInt64Array>()),
         numbers(tasks.iter().map(|t| Some(t.arrival.due))),
-        texts(tasks.iter().map(|t| plan.classes.get(t.arrival.class).map(|c| c.name.as_str()))),
-        texts(tasks.iter().map(|t| plan.tenants.get(t.arrival.tenant).map(|x| x.name.as_str()))),
-        Arc::new(tasks.iter().map(|t| Some(t.arrival.service)).collect::<UInt32Array>()),
-        texts(tasks.iter().map(|t| plan.rooms.get(t.arrival.room).map(String::as_str))),
-        texts(tasks.iter().map(|t| outcome.shape.phases.get(t.phase).map(|p| p.name.as_str()))),
-        Arc::new(tasks.iter().map(|t| Some(t.arrival.cores)).collect::<Float64Array>()),
-        Arc::new(tasks.iter().map(|t| Some(t.arrival.memory)).collect::<Float64Array>()),
+        texts(
+            tasks
+                .iter()
+                .map(|t| plan.classes.get(t.arrival.class).map(|c| c.name.as_str())),
+        ),
+        texts(
+            tasks
+                .iter()
+                .map(|t| plan.tenants.get(t.arrival.tenant).map(|x| x.name.as_str())),
+        ),
+        Arc::new(
+            tasks
+                .iter()
+                .map(|t| Some(t.arrival.service))
+                .collect::<UInt32Array>(),
+        ),
+        texts(
+            tasks
+                .iter()
+                .map(|t| plan.rooms.get(t.arrival.room).map(String::as_str)),
+        ),
+        texts(
+            tasks
+                .iter()
+                .map(|t| outcome.shape.phases.get(t.phase).map(|p| p.name.as_str())),
+        ),
+        Arc::new(
+            tasks
+                .iter()
+                .map(|t| Some(t.arrival.cores))
+                .collect::<Float64Array>(),
+        ),
+        Arc::new(
+            tasks
+                .iter()
+                .map(|t| Some(t.arrival.memory))
+                .collect::<Float64Array>(),
+        ),
         numbers(tasks.iter().map(|t| Some(t.arrival.life))),
         numbers(tasks.iter().map(|t| t.started)),
         numbers(tasks.iter().map(|t| t.answered)),
-        Arc::new(tasks.iter().map(|t| Some(t.attempts)).collect::<UInt32Array>()),
-        Arc::new(tasks.iter().map(|t| Some(t.refused)).collect::<UInt32Array>()),
-        numbers(tasks.iter().map(|t| t.placer.and_then(|p| i64::try_from(p).ok()))),
+        Arc::new(
+            tasks
+                .iter()
+                .map(|t| Some(t.attempts))
+                .collect::<UInt32Array>(),
+        ),
+        Arc::new(
+            tasks
+                .iter()
+                .map(|t| Some(t.refused))
+                .collect::<UInt32Array>(),
+        ),
+        numbers(
+            tasks
+                .iter()
+                .map(|t| t.placer.and_then(|p| i64::try_from(p).ok())),
+        ),
         texts(tasks.iter().map(|t| Some(result(outcome, t).as_str()))),
-        texts(tasks.iter().map(|t| t.fate.map(crate::clients::Fate::as_str))),
+        texts(
+            tasks
+                .iter()
+                .map(|t| t.fate.map(crate::clients::Fate::as_str)),
+        ),
     ];
     write_parquet(file, schema, columns)
 }
--- a/crates/load/src/table/tests.rs
+++ b/crates/load/src/table/tests.rs
@@ -20,10 +20,21 @@
         let file = folder.path().join(format!("t.{ending}"));
         write_trace(&file, &plan, &all).expect("written");
         let trace = read(&file, false).expect("read");
-        assert_eq!((trace.arrivals.len(), trace.skipped), (all.len(), 0), "{ending}");
+        assert_eq!(
+            (trace.arrivals.len(), trace.skipped),
+            (all.len(), 0),
+            "{ending}"
+        );
         let first = all[0].due;
         for (was, is) in all.iter().zip(&trace.arrivals) {
-            assert_eq!(Arrival { due: was.due - first, ..was.clone() }, *is, "{ending}");
+            assert_eq!(
+                Arrival {
+                    due: was.due - first,
+                    ..was.clone()
+                },
+                *is,
+                "{ending}"
+            );
         }
     }
 }
@@ -38,9 +49,24 @@
             "due",
             "expected a number from 0 on, found \"soon\"",
         ),
-        ("due,class\n1,pagina\n2,cars\n", 2, "class", "expected one of pagina, totalizador, found \"cars\""),
-        ("due,class\n1,pagina\n,pagina\n", 2, "due", "expected a time, found nothing"),
-        ("due,room\n1,sala-a\n2,sala-a,extra\n", 2, "", "found record with 3 fields"),
+        (
+            "due,class\n1,pagina\n2,cars\n",
+            2,
+            "class",
+            "expected one of pagina, totalizador, found \"cars\"",
+        ),
+        (
+            "due,class\n1,pagina\n,pagina\n",
+            2,
+            "due",
+            "expected a time, found nothing",
+        ),
+        (
+            "due,room\n1,sala-a\n2,sala-a,extra\n",
+            2,
+            "",
+            "found record with 3 fields",
+        ),
     ];
     for (n, (text, row, column, says)) in cases.into_iter().enumerate() {
         let file = folder.path().join(format!("{n}.csv"));
@@ -71,22 +97,40 @@
         std::fs::write(&file, b"").expect("written");
         assert!(read(&file, true).is_err(), "{ending}");
     }
-    assert!(read(&folder.path().join("x.txt"), false).expect_err("no form").to_string().contains(".parquet"));
+    assert!(
+        read(&folder.path().join("x.txt"), false)
+            .expect_err("no form")
+            .to_string()
+            .contains(".parquet")
+    );
 }
 
 #[test]
 fn columns_are_mapped_and_traces_are_cut_and_scaled() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("t.csv");
-    std::fs::write(&file, "ts,kind\n10,pagina\n10.5,totalizador\n12,pagina\n14,pagina\n").expect("written");
+    std::fs::write(
+        &file,
+        "ts,kind\n10,pagina\n10.5,totalizador\n12,pagina\n14,pagina\n",
+    )
+    .expect("written");
     let columns = Columns::parse("due=ts, class=kind").expect("columns");
     let trace = read_trace(&file, &plan(), &columns, Unit::Seconds, false).expect("read");
-    let dues = |trace: &Trace| trace.arrivals.iter().map(|a| a.due / 1_000).collect::<Vec<_>>();
+    let dues = |trace: &Trace| {
+        trace
+            .arrivals
+            .iter()
+            .map(|a| a.due / 1_000)
+            .collect::<Vec<_>>()
+    };
     assert_eq!(dues(&trace), [0, 500, 2_000, 4_000]);
     assert_eq!(trace.arrivals[1].class, 1);
     assert_eq!(dues(&trace.cut(500_000, 4_000_000)), [0, 1_500]);
     assert_eq!(dues(&trace.scale_time(0.5)), [0, 250, 1_000, 2_000]);
-    assert_eq!(dues(&trace.scale_rate(2.0)), [0, 0, 500, 500, 2_000, 2_000, 4_000, 4_000]);
+    assert_eq!(
+        dues(&trace.scale_rate(2.0)),
+        [0, 0, 500, 500, 2_000, 2_000, 4_000, 4_000]
+    );
     assert_eq!(dues(&trace.scale_rate(0.5)), [500, 4_000]);
     assert!(Columns::parse("when=ts").is_err() && Columns::parse("due").is_err());
 }
@@ -95,15 +139,22 @@
 fn every_task_of_a_run_is_in_its_table() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("tasks.parquet");
-    let outcome = made_up("20/s for 5s", 3, |n| (n % 7 != 0).then_some(n as Micros * 10));
+    let outcome = made_up("20/s for 5s", 3, |n| {
+        (n % 7 != 0).then_some(n as Micros * 10)
+    });
     write_tasks(&file, &outcome).expect("written");
     let open = File::open(&file).expect("a file");
-    let reader = ParquetRecordBatchReaderBuilder::try_new(open).and_then(|b| b.build()).expect("Parquet");
+    let reader = ParquetRecordBatchReaderBuilder::try_new(open)
+        .and_then(|b| b.build())
+        .expect("Parquet");
     let (mut rows, mut empty) = (0, 0);
     for batch in reader {
         let batch = batch.expect("a batch");
         rows += batch.num_rows();
-        empty += batch.column_by_name("started").expect("a column").null_count();
+        empty += batch
+            .column_by_name("started")
+            .expect("a column")
+            .null_count();
     }
     let never = outcome.tasks.iter().filter(|t| t.started.is_none()).count();
     assert_eq!((rows, empty), (outcome.tasks.len(), never));
--- a/crates/load/tests/rehearsal.rs
+++ b/crates/load/tests/rehearsal.rs
@@ -26,18 +26,28 @@
             .args(["build", "--locked", "--bin", "anisehead", "--manifest-path"])
             .arg(format!("{root}/Cargo.toml"))
             .status();
-        assert!(built.is_ok_and(|status| status.success()), "the placer builds");
+        assert!(
+            built.is_ok_and(|status| status.success()),
+            "the placer builds"
+        );
     });
     binary
 }
 
 fn rehearse(plan: &str) -> (Outcome, tempfile::TempDir) {
     static ALONE: Mutex<()> = Mutex::new(());
-    let _alone = ALONE.lock().unwrap_or_else(std::sync::PoisonError::into_inner);
+    let _alone = ALONE
+        .lock()
+        .unwrap_or_else(std::sync::PoisonError::into_inner);
     let folder = tempfile::tempdir().expect("a folder");
     let plan = Plan::parse(plan).expect("a plan");
     let guard = Some(PathBuf::from(env!("CARGO_BIN_EXE_anisehead-load")));
-    let options = Options { placer: placer(), guard, folder: folder.path().to_path_buf(), progress: false };
+    let options = Options {
+        placer: placer(),
+        guard,
+        folder: folder.path().to_path_buf(),
+        progress: false,
+    };
     (run(&plan, &options).expect("a run"), folder)
 }
 
@@ -69,8 +79,9 @@
 
 #[test]
 fn eight_a_second_rising_to_forty_is_answered_and_counted_as_an_independent_count_has_it() {
-    let plan =
-        format!("seed = 5\n[arrivals]\nshape = \"8/s for 3s, rise to 40/s over 2s, hold 3s\"\n{CLASSES}");
+    let plan = format!(
+        "seed = 5\n[arrivals]\nshape = \"8/s for 3s, rise to 40/s over 2s, hold 3s\"\n{CLASSES}"
+    );
     let (outcome, _folder) = rehearse(&plan);
     clean(&outcome);
     let summary = summarize(&outcome);
@@ -85,9 +96,14 @@
     let all = summary.group("all").expect("a group");
     for part in [0.5, 0.9, 0.99, 1.0] {
         let rank = (part * raw.len() as f64).ceil() as usize;
-        let (counted, told) =
-            (raw[rank - 1] as f64, all.percentile(part).expect("a latency").as_micros() as f64);
-        assert!((told - counted).abs() <= counted * 0.002 + 1.0, "{part}: counted {counted}, told {told}");
+        let (counted, told) = (
+            raw[rank - 1] as f64,
+            all.percentile(part).expect("a latency").as_micros() as f64,
+        );
+        assert!(
+            (told - counted).abs() <= counted * 0.002 + 1.0,
+            "{part}: counted {counted}, told {told}"
+        );
     }
 }
 
@@ -122,16 +138,26 @@
     let (outcome, _folder) = rehearse(plan);
     clean(&outcome);
     let within = |from: Micros, to: Micros| {
-        outcome.tasks.iter().filter(move |t| (from * MILLI..to * MILLI).contains(&t.arrival.due))
+        outcome
+            .tasks
+            .iter()
+            .filter(move |t| (from * MILLI..to * MILLI).contains(&t.arrival.due))
     };
     // All that were due in the stall are there. The director acts up to its look late.
     let stalled: Vec<Micros> = within(1_600, 2_450).filter_map(|t| t.started).collect();
-    assert_eq!((within(1_500, 2_500).count(), stalled.len()), (40, within(1_600, 2_450).count()));
+    assert_eq!(
+        (within(1_500, 2_500).count(), stalled.len()),
+        (40, within(1_600, 2_450).count())
+    );
     for task in within(1_600, 2_450) {
         // It could not start before the placer went on.
         let least = 2_500 * MILLI - task.arrival.due - 20 * MILLI;
         let started = task.started.expect("a start");
-        assert!(started >= least && started < least + 1_200 * MILLI, "due {}: {started}", task.arrival.due);
+        assert!(
+            started >= least && started < least + 1_200 * MILLI,
+            "due {}: {started}",
+            task.arrival.due
+        );
     }
     // What a closed loop sees: one request at a time, the next when the one before is answered.
     let mut closed = Vec::new();
@@ -150,7 +176,12 @@
         over(&closed),
         closed.len()
     );
-    assert!(over(&open) >= 18 && over(&closed) <= 3, "{} {}", over(&open), over(&closed));
+    assert!(
+        over(&open) >= 18 && over(&closed) <= 3,
+        "{} {}",
+        over(&open),
+        over(&closed)
+    );
 }
 
 #[test]
@@ -180,8 +211,15 @@
     let summary = summarize(&outcome);
     eprintln!("{}", summary.text(&outcome));
     let all = summary.group("all").expect("a group");
-    assert!(all.due > 130 && all.started * 100 >= all.due * 90, "{}", summary.text(&outcome));
-    assert!(outcome.counts.presented > 0, "standing tasks were presented to placers that came back");
+    assert!(
+        all.due > 130 && all.started * 100 >= all.due * 90,
+        "{}",
+        summary.text(&outcome)
+    );
+    assert!(
+        outcome.counts.presented > 0,
+        "standing tasks were presented to placers that came back"
+    );
 }
 
 #[test]
@@ -191,11 +229,17 @@
     let (outcome, folder) = rehearse(&plan);
     clean(&outcome);
     for n in 0..3 {
-        let log = std::fs::read_to_string(folder.path().join(format!("placer-{n}.log"))).expect("a log");
+        let log =
+            std::fs::read_to_string(folder.path().join(format!("placer-{n}.log"))).expect("a log");
         assert!(log.contains("serves") && log.contains("closing"), "{log}");
     }
-    let left = std::process::Command::new("pgrep").args(["-f", &folder.path().to_string_lossy()]).output();
-    assert!(left.is_ok_and(|out| out.stdout.is_empty()), "every process that was started has ended");
+    let left = std::process::Command::new("pgrep")
+        .args(["-f", &folder.path().to_string_lossy()])
+        .output();
+    assert!(
+        left.is_ok_and(|out| out.stdout.is_empty()),
+        "every process that was started has ended"
+    );
 }
 
 #[test]
@@ -215,7 +259,11 @@
     )
     .expect("a line");
     let path = PathBuf::from(format!("/proc/{}/comm", line.trim()));
-    standin::until("it runs", || std::fs::read_to_string(&path).ok().filter(|name| name.trim() == "yes"));
+    standin::until("it runs", || {
+        std::fs::read_to_string(&path)
+            .ok()
+            .filter(|name| name.trim() == "yes")
+    });
     keeper.kill().expect("a child");
     keeper.wait().expect("a child");
     standin::until("it has ended", || (!path.exists()).then_some(()));
@@ -240,10 +288,20 @@
     stream.set_nodelay(true).expect("a socket option");
     let mut sent = HashMap::new();
     for id in 1..=50 {
-        let offer = Offer { id, service: 1, cores: 1.0, memory: 1.0, priority: 0, life: 1, left: 0 };
+        let offer = Offer {
+            id,
+            service: 1,
+            cores: 1.0,
+            memory: 1.0,
+            priority: 0,
+            life: 1,
+            left: 0,
+        };
         let description = describe(&offer, id);
         sent.insert(id, Instant::now());
-        stream.write_all(&bytes(1, id, &[(174, description.as_bytes())])).expect("it reads");
+        stream
+            .write_all(&bytes(1, id, &[(174, description.as_bytes())]))
+            .expect("it reads");
         let mut inbox = Vec::new();
         let message = loop {
             if let Some((message, _)) = Message::read(&inbox) {
@@ -253,11 +311,17 @@
             let n = stream.read(&mut chunk).expect("an answer");
             inbox.extend_from_slice(&chunk[..n]);
         };
-        assert_eq!((message.kind, message.id, message.text(174)), (9, id, Some("stands")));
+        assert_eq!(
+            (message.kind, message.id, message.text(174)),
+            (9, id, Some("stands"))
+        );
     }
     for (id, (came, went)) in seen.lock().expect("a lock").iter() {
         let took = *went - *came;
-        assert!(took >= Duration::from_millis(30) && sent[id] <= *came, "{took:?}");
+        assert!(
+            took >= Duration::from_millis(30) && sent[id] <= *came,
+            "{took:?}"
+        );
     }
 }
 
@@ -272,7 +336,9 @@
             inbox.drain(..length);
             let came = Instant::now();
             std::thread::sleep(Duration::from_millis(30));
-            seen.lock().expect("a lock").insert(message.id, (came, Instant::now()));
+            seen.lock()
+                .expect("a lock")
+                .insert(message.id, (came, Instant::now()));
             let _ = stream.write_all(&bytes(9, message.id, &[(174, b"stands")]));
         }
     }
@@ -306,7 +372,10 @@
     let (outcome, folder) = rehearse(&plan);
     clean(&outcome);
     let log = std::fs::read_to_string(folder.path().join("placer-1.log")).expect("a log");
-    assert!(log.contains("phase=\"drained\"") && log.matches("serves").count() == 2, "{log}");
+    assert!(
+        log.contains("phase=\"drained\"") && log.matches("serves").count() == 2,
+        "{log}"
+    );
     // A drain breaks nothing, so nobody had to come again for it.
     assert!(
         outcome.tasks.iter().all(|task| task.started.is_some()),
@@ -337,13 +406,28 @@
     .replace("name = \"pagina\"", "name = \"pagina\"\nmost-in-room = 9");
     let (outcome, folder) = rehearse(&plan);
     clean(&outcome);
-    let started = outcome.tasks.iter().filter(|task| task.started.is_some()).count();
-    assert!(started * 100 >= outcome.tasks.len() * 98, "{}", summarize(&outcome).text(&outcome));
-    assert!(outcome.descriptors[0] > 128 && outcome.descriptors[0] <= 256, "{:?}", outcome.descriptors);
+    let started = outcome
+        .tasks
+        .iter()
+        .filter(|task| task.started.is_some())
+        .count();
+    assert!(
+        started * 100 >= outcome.tasks.len() * 98,
+        "{}",
+        summarize(&outcome).text(&outcome)
+    );
+    assert!(
+        outcome.descriptors[0] > 128 && outcome.descriptors[0] <= 256,
+        "{:?}",
+        outcome.descriptors
+    );
     let log = std::fs::read_to_string(folder.path().join("placer-0.log")).expect("a log");
     let closed = log.matches("peer=\"host\"").count();
     assert!(closed > 100, "the pool is full: {closed}");
-    assert!(!log.contains("no-descriptor") && !log.contains("accept failed"), "{log}");
+    assert!(
+        !log.contains("no-descriptor") && !log.contains("accept failed"),
+        "{log}"
+    );
 }
 
 /// Everything of `[overload]`, for a plan.
@@ -400,31 +484,76 @@
     let (as_one, folder) = rehearse(&format!("{}{TROUBLES}", crowd(AS_ONE)));
     clean(&before);
     clean(&as_one);
-    let after = |outcome: &Outcome| summarize(outcome).group("phase after").map_or(0.0, |g| g.share());
-    let told = |outcome: &Outcome| format!("{}{}", summarize(outcome).text(outcome), outcome.harm.text());
-    assert!(after(&as_one) > after(&before) + 0.1, "{}{}", told(&before), told(&as_one));
+    let after = |outcome: &Outcome| {
+        summarize(outcome)
+            .group("phase after")
+            .map_or(0.0, |g| g.share())
+    };
+    let told = |outcome: &Outcome| {
+        format!(
+            "{}{}",
+            summarize(outcome).text(outcome),
+            outcome.harm.text()
+        )
+    };
+    assert!(
+        after(&as_one) > after(&before) + 0.1,
+        "{}{}",
+        told(&before),
+        told(&as_one)
+    );
     assert!(as_one.harm.offers_a_task() < 1.2, "{}", told(&as_one));
-    assert!(as_one.harm.offers_a_task() < before.harm.offers_a_task(), "{}", told(&before));
-    assert!(2 * as_one.harm.trials < before.harm.trials, "{}{}", told(&before), told(&as_one));
+    assert!(
+        as_one.harm.offers_a_task() < before.harm.offers_a_task(),
+        "{}",
+        told(&before)
+    );
+    assert!(
+        2 * as_one.harm.trials < before.harm.trials,
+        "{}{}",
+        told(&before),
+        told(&as_one)
+    );
     let logs: String = (0..6)
-        .map(|n| std::fs::read_to_string(folder.path().join(format!("placer-{n}.log"))).unwrap_or_default())
+        .map(|n| {
+            std::fs::read_to_string(folder.path().join(format!("placer-{n}.log")))
+                .unwrap_or_default()
+        })
         .collect();
-    assert!(logs.contains("overload-step") && logs.contains("shed="), "what is decided is told");
+    assert!(
+        logs.contains("overload-step") && logs.contains("shed="),
+        "what is decided is told"
+    );
 }
 
 /// A plan of the repository, with the parts of its operator's file on or off.
 fn plan_file(name: &str, as_one: bool) -> String {
     let path = format!("{}/../../plans/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(path).expect("a plan");
-    if as_one { text } else { text.replace("enabled = true", "enabled = false") }
+    if as_one {
+        text
+    } else {
+        text.replace("enabled = true", "enabled = false")
+    }
 }
 
 /// The part of the tasks due in a phase that started in aim, of those that `which` picks by their placer.
 fn in_aim(outcome: &Outcome, phase: &str, which: impl Fn(Option<usize>) -> bool) -> f64 {
-    let number = outcome.shape.phases.iter().position(|p| p.name == phase).expect("a phase");
-    let of = outcome.tasks.iter().filter(|task| task.phase == number && which(task.placer));
+    let number = outcome
+        .shape
+        .phases
+        .iter()
+        .position(|p| p.name == phase)
+        .expect("a phase");
+    let of = outcome
+        .tasks
+        .iter()
+        .filter(|task| task.phase == number && which(task.placer));
     let (count, good) = of.fold((0, 0), |(count, good), task| {
-        (count + 1, good + usize::from(task.started.is_some_and(|late| late <= 1_000 * MILLI)))
+        (
+            count + 1,
+            good + usize::from(task.started.is_some_and(|late| late <= 1_000 * MILLI)),
+        )
     });
     assert!(count > 50, "{phase}: {count} tasks");
     good as f64 / count as f64
@@ -434,15 +563,30 @@
 fn one_placer_with_bad_links_to_half_of_the_hosts_is_not_taken_for_the_fleet() {
     let (outcome, folder) = rehearse(&plan_file("one-bad-placer", true));
     clean(&outcome);
-    let told = || format!("{}{}", summarize(&outcome).text(&outcome), outcome.harm.text());
-    assert!(in_aim(&outcome, "bad", |placer| placer != Some(0)) > 0.95, "{}", told());
+    let told = || {
+        format!(
+            "{}{}",
+            summarize(&outcome).text(&outcome),
+            outcome.harm.text()
+        )
+    };
+    assert!(
+        in_aim(&outcome, "bad", |placer| placer != Some(0)) > 0.95,
+        "{}",
+        told()
+    );
     assert!(in_aim(&outcome, "after", |_| true) > 0.95, "{}", told());
     for n in 0..6 {
-        let log = std::fs::read_to_string(folder.path().join(format!("placer-{n}.log"))).expect("a log");
+        let log =
+            std::fs::read_to_string(folder.path().join(format!("placer-{n}.log"))).expect("a log");
         assert!(!log.contains("overload-step"), "placer {n} sheds: {log}");
     }
     // The links were bad: what was offered there came to nothing in time.
-    assert!(outcome.counts.again > 0 || outcome.harm.sum(|s| s.in_vain) > 0, "{}", told());
+    assert!(
+        outcome.counts.again > 0 || outcome.harm.sum(|s| s.in_vain) > 0,
+        "{}",
+        told()
+    );
 }
 
 #[test]
@@ -451,13 +595,34 @@
     let (as_one, _folder) = rehearse(&plan_file("rack-cut", true));
     clean(&before);
     clean(&as_one);
-    let told = |outcome: &Outcome| format!("{}{}", summarize(outcome).text(outcome), outcome.harm.text());
+    let told = |outcome: &Outcome| {
+        format!(
+            "{}{}",
+            summarize(outcome).text(outcome),
+            outcome.harm.text()
+        )
+    };
     let after = |outcome: &Outcome| in_aim(outcome, "after", |_| true);
     assert!(after(&as_one) > 0.95, "{}", told(&as_one));
-    assert!(after(&as_one) > after(&before) + 0.1, "{}{}", told(&before), told(&as_one));
+    assert!(
+        after(&as_one) > after(&before) + 0.1,
+        "{}{}",
+        told(&before),
+        told(&as_one)
+    );
     // Nothing came to the rack while it was cut off, and less came in vain when it was back.
-    let cut = |outcome: &Outcome| outcome.harm.at[..2].iter().map(|line| line[4] + line[5]).sum::<u32>();
+    let cut = |outcome: &Outcome| {
+        outcome.harm.at[..2]
+            .iter()
+            .map(|line| line[4] + line[5])
+            .sum::<u32>()
+    };
     assert_eq!((cut(&before), cut(&as_one)), (0, 0), "{}", told(&as_one));
     let vain = |outcome: &Outcome| outcome.harm.sum(|s| s.in_vain);
-    assert!(vain(&as_one) < vain(&before), "{}{}", told(&before), told(&as_one));
+    assert!(
+        vain(&as_one) < vain(&before),
+        "{}{}",
+        told(&before),
+        told(&as_one)
+    );
 }
--- a/crates/scale/src/audit/tests.rs
+++ b/crates/scale/src/audit/tests.rs
@@ -9,9 +9,18 @@
 const TASK: TaskIndex = TaskIndex(0);
 
 /// The totals of one task of which the client has heard this, and its worker noted that.
-fn totals(once: bool, client: &[Word], note: impl FnOnce(&mut TaskBook), kills: &[Kill]) -> FleetTotals {
+fn totals(
+    once: bool,
+    client: &[Word],
+    note: impl FnOnce(&mut TaskBook),
+    kills: &[Kill],
+) -> FleetTotals {
     let (once_share, urgent_share) = (f64::from(u8::from(once)), 0.0);
-    let settings = Settings { once_share, urgent_share, ..Settings::default() };
+    let settings = Settings {
+        once_share,
+        urgent_share,
+        ..Settings::default()
+    };
     let mut arrivals = Arrivals::new(&settings);
     let mut tasks = TaskTable::new(&[], &arrivals);
     let arrival = arrivals.next().expect("an arrival");
@@ -41,7 +50,12 @@
     let found = totals(true, &[Word::Answer], stands, &[]);
     assert_eq!((found.due, found.started, found.rules_broken()), (1, 1, 0));
     let ended = |book: &mut TaskBook| (book.starts, book.ended) = (1, 1);
-    let found = totals(true, &[Word::Answer, Word::Release(cause::NORMAL)], ended, &[]);
+    let found = totals(
+        true,
+        &[Word::Answer, Word::Release(cause::NORMAL)],
+        ended,
+        &[],
+    );
     assert_eq!((found.ended, found.rules_broken()), (1, 0));
     let vanished = |book: &mut TaskBook| (book.starts, book.vanished) = (1, 1);
     let found = totals(true, &[Word::Answer, Word::Release(41)], vanished, &[]);
@@ -63,11 +77,20 @@
 fn an_end_that_a_killed_placer_had_just_confirmed_is_lost_with_it_and_no_other() {
     let now = Instant::now();
     let ended = |book: &mut TaskBook| (book.starts, book.ended, book.heard) = (1, 1, Some(now));
-    let kill = |placer, after| Kill { placer, at: now + Duration::from_secs(after) };
+    let kill = |placer, after| Kill {
+        placer,
+        at: now + Duration::from_secs(after),
+    };
     let found = totals(false, &[Word::Answer], ended, &[kill(PLACER, 1)]);
     assert_eq!((found.lost, found.lost_with_placer), (0, 1));
-    assert_eq!(totals(false, &[Word::Answer], ended, &[kill(PLACER, 9)]).lost, 1);
-    assert_eq!(totals(false, &[Word::Answer], ended, &[kill(PlacerId(1), 1)]).lost, 1);
+    assert_eq!(
+        totals(false, &[Word::Answer], ended, &[kill(PLACER, 9)]).lost,
+        1
+    );
+    assert_eq!(
+        totals(false, &[Word::Answer], ended, &[kill(PlacerId(1), 1)]).lost,
+        1
+    );
 }
 
 #[test]
@@ -76,13 +99,23 @@
     let found = totals(true, &[Word::Answer], twice, &[]);
     assert_eq!((found.started_twice, found.started_again), (1, 0));
     let found = totals(false, &[Word::Answer], twice, &[]);
-    assert_eq!((found.started_twice, found.started_again, found.rules_broken()), (0, 1, 0));
+    assert_eq!(
+        (
+            found.started_twice,
+            found.started_again,
+            found.rules_broken()
+        ),
+        (0, 1, 0)
+    );
 }
 
 #[test]
 fn an_end_that_did_not_happen_and_a_start_that_did_not_are_found() {
     let held = |book: &mut TaskBook| (book.starts, book.held) = (1, 1);
-    assert_eq!(totals(false, &[Word::Answer, Word::Release(41)], held, &[]).ended_wrongly, 1);
+    assert_eq!(
+        totals(false, &[Word::Answer, Word::Release(41)], held, &[]).ended_wrongly,
+        1
+    );
     let made_up = |book: &mut TaskBook| (book.starts, book.vanished) = (1, 1);
     let words = [Word::Answer, Word::Release(cause::NORMAL)];
     assert_eq!(totals(false, &words, made_up, &[]).ended_wrongly, 1);
--- a/crates/scale/src/budget.rs
+++ b/crates/scale/src/budget.rs
@@ -110,7 +110,10 @@
     /// What a run of these settings needs. The settings know how many zones listen for each placer, so that this
     /// process's descriptors are theirs.
     pub fn of_settings(settings: &Settings) -> Need {
-        Need { descriptors_here: settings.descriptors_needed(), ..Need::of(&RunSize::of(settings)) }
+        Need {
+            descriptors_here: settings.descriptors_needed(),
+            ..Need::of(&RunSize::of(settings))
+        }
     }
 
     /// What a run of this size needs. Each placer is taken to hold all connections to workers that it may.
@@ -129,7 +132,9 @@
 /// Connections of one placer to workers.
 fn worker_connections(size: &RunSize) -> u64 {
     let allowed = size.placer_sockets - size.placer_sockets / CLIENTS_SHARE_DIVISOR;
-    size.workers.saturating_mul(CONNECTIONS_PER_WORKER).min(allowed)
+    size.workers
+        .saturating_mul(CONNECTIONS_PER_WORKER)
+        .min(allowed)
 }
 
 fn memory_kb(size: &RunSize, connections: u64) -> u64 {
@@ -157,7 +162,9 @@
 }
 
 fn sum(terms: &[u64]) -> u64 {
-    terms.iter().fold(0, |total, term| total.saturating_add(*term))
+    terms
+        .iter()
+        .fold(0, |total, term| total.saturating_add(*term))
 }
 
 /// What the machine has.
@@ -174,7 +181,10 @@
     pub fn read() -> io::Result<Machine> {
         let memory = Meminfo::current().map_err(io_error)?;
         let descriptors = getrlimit(Resource::Nofile).current;
-        Ok(Machine { memory_kb: memory.mem_total / BYTES_PER_KB, descriptors })
+        Ok(Machine {
+            memory_kb: memory.mem_total / BYTES_PER_KB,
+            descriptors,
+        })
     }
 }
 
@@ -246,13 +256,20 @@
         processes_excess(need),
     ];
     let excesses: Vec<Excess> = found.into_iter().flatten().collect();
-    if excesses.is_empty() { Ok(()) } else { Err(BudgetError { excesses }) }
+    if excesses.is_empty() {
+        Ok(())
+    } else {
+        Err(BudgetError { excesses })
+    }
 }
 
 fn memory_excess(need: &Need, machine: &Machine) -> Option<Excess> {
     let allowed_kb = machine.memory_kb / MEMORY_DIVISOR;
     let needed_kb = need.memory_kb;
-    (needed_kb > allowed_kb).then_some(Excess::Memory { needed_kb, allowed_kb })
+    (needed_kb > allowed_kb).then_some(Excess::Memory {
+        needed_kb,
+        allowed_kb,
+    })
 }
 
 fn descriptors_here_excess(need: &Need, machine: &Machine) -> Option<Excess> {
