--- a/crates/scale/src/budget/tests.rs
+++ b/crates/scale/src/budget/tests.rs
@@ -4,44 +4,128 @@
 const GIB_IN_KB: u64 = 1024 * 1024;
 
 /// A machine of 24 GiB on which processes may hold 20,000 descriptors.
-const MACHINE: Machine = Machine { memory_kb: 24 * GIB_IN_KB, descriptors: Some(20_000) };
+const MACHINE: Machine = Machine {
+    memory_kb: 24 * GIB_IN_KB,
+    descriptors: Some(20_000),
+};
 
-const SMALL: Need =
-    Need { memory_kb: GIB_IN_KB, descriptors_here: 1000, descriptors_placer: 500, processes: 5 };
+const SMALL: Need = Need {
+    memory_kb: GIB_IN_KB,
+    descriptors_here: 1000,
+    descriptors_placer: 500,
+    processes: 5,
+};
 
-const NOTHING: RunSize =
-    RunSize { workers: 0, placers: 0, standing: 0, connections: 0, placer_sockets: 1024 };
+const NOTHING: RunSize = RunSize {
+    workers: 0,
+    placers: 0,
+    standing: 0,
+    connections: 0,
+    placer_sockets: 1024,
+};
 
 #[test]
 fn what_is_within_the_limits_passes_and_what_is_beyond_is_named() {
-    let memory = |needed_kb| Excess::Memory { needed_kb, allowed_kb: 12 * GIB_IN_KB };
-    let here = |needed| Excess::DescriptorsHere { needed, allowed: 20_000 };
-    let placer = |needed| Excess::DescriptorsPlacer { needed, allowed: 20_000 };
+    let memory = |needed_kb| Excess::Memory {
+        needed_kb,
+        allowed_kb: 12 * GIB_IN_KB,
+    };
+    let here = |needed| Excess::DescriptorsHere {
+        needed,
+        allowed: 20_000,
+    };
+    let placer = |needed| Excess::DescriptorsPlacer {
+        needed,
+        allowed: 20_000,
+    };
     let table: [(Need, Vec<Excess>); 10] = [
         (SMALL, vec![]),
-        (Need { memory_kb: 12 * GIB_IN_KB, ..SMALL }, vec![]),
-        (Need { memory_kb: 12 * GIB_IN_KB + 1, ..SMALL }, vec![memory(12 * GIB_IN_KB + 1)]),
-        (Need { descriptors_here: 20_000, ..SMALL }, vec![]),
-        (Need { descriptors_here: 20_001, ..SMALL }, vec![here(20_001)]),
-        (Need { descriptors_placer: 20_000, ..SMALL }, vec![]),
-        (Need { descriptors_placer: 20_001, ..SMALL }, vec![placer(20_001)]),
-        (Need { processes: MOST_PROCESSES, ..SMALL }, vec![]),
-        (Need { processes: 301, ..SMALL }, vec![Excess::Processes { needed: 301 }]),
         (
-            Need { memory_kb: u64::MAX, processes: 400, ..SMALL },
+            Need {
+                memory_kb: 12 * GIB_IN_KB,
+                ..SMALL
+            },
+            vec![],
+        ),
+        (
+            Need {
+                memory_kb: 12 * GIB_IN_KB + 1,
+                ..SMALL
+            },
+            vec![memory(12 * GIB_IN_KB + 1)],
+        ),
+        (
+            Need {
+                descriptors_here: 20_000,
+                ..SMALL
+            },
+            vec![],
+        ),
+        (
+            Need {
+                descriptors_here: 20_001,
+                ..SMALL
+            },
+            vec![here(20_001)],
+        ),
+        (
+            Need {
+                descriptors_placer: 20_000,
+                ..SMALL
+            },
+            vec![],
+        ),
+        (
+            Need {
+                descriptors_placer: 20_001,
+                ..SMALL
+            },
+            vec![placer(20_001)],
+        ),
+        (
+            Need {
+                processes: MOST_PROCESSES,
+                ..SMALL
+            },
+            vec![],
+        ),
+        (
+            Need {
+                processes: 301,
+                ..SMALL
+            },
+            vec![Excess::Processes { needed: 301 }],
+        ),
+        (
+            Need {
+                memory_kb: u64::MAX,
+                processes: 400,
+                ..SMALL
+            },
             vec![memory(u64::MAX), Excess::Processes { needed: 400 }],
         ),
     ];
     for (need, excesses) in table {
-        let expected = if excesses.is_empty() { Ok(()) } else { Err(BudgetError { excesses }) };
+        let expected = if excesses.is_empty() {
+            Ok(())
+        } else {
+            Err(BudgetError { excesses })
+        };
         assert_eq!(check(&need, &MACHINE), expected, "{need:?}");
     }
 }
 
 #[test]
 fn a_machine_without_a_limit_on_descriptors_refuses_none() {
-    let machine = Machine { descriptors: None, ..MACHINE };
-    let need = Need { descriptors_here: u64::MAX, descriptors_placer: u64::MAX, ..SMALL };
+    let machine = Machine {
+        descriptors: None,
+        ..MACHINE
+    };
+    let need = Need {
+        descriptors_here: u64::MAX,
+        descriptors_placer: u64::MAX,
+        ..SMALL
+    };
     assert_eq!(check(&need, &machine), Ok(()));
 }
 
@@ -58,40 +142,81 @@
 needs 20001 descriptors in this process, its limit (ulimit -n) is 20000: fewer workers, placers or connections, or a higher limit
 needs 20002 descriptors in each placer, its limit (ulimit -n) is 20000: fewer workers or connections, or a higher limit
 needs 301 processes, a run may have 300: fewer placers";
-    assert_eq!(check(&need, &MACHINE).expect_err("too much").to_string(), expected);
+    assert_eq!(
+        check(&need, &MACHINE).expect_err("too much").to_string(),
+        expected
+    );
 }
 
 #[test]
 fn every_number_of_a_run_adds_to_what_it_needs() {
-    let base = RunSize { workers: 10, placers: 2, standing: 100, connections: 4, placer_sockets: 1024 };
+    let base = RunSize {
+        workers: 10,
+        placers: 2,
+        standing: 100,
+        connections: 4,
+        placer_sockets: 1024,
+    };
     let need = Need::of(&base);
-    let more_workers = Need::of(&RunSize { workers: 11, ..base });
-    assert_eq!(more_workers.descriptors_here, need.descriptors_here + 3 * base.placers);
+    let more_workers = Need::of(&RunSize {
+        workers: 11,
+        ..base
+    });
+    assert_eq!(
+        more_workers.descriptors_here,
+        need.descriptors_here + 3 * base.placers
+    );
     assert_eq!(more_workers.descriptors_placer, need.descriptors_placer + 3);
     assert!(more_workers.memory_kb > need.memory_kb);
     let more_placers = Need::of(&RunSize { placers: 3, ..base });
     assert!(more_placers.descriptors_here >= need.descriptors_here + 3 * base.workers);
     assert_eq!(more_placers.processes, need.processes + 1);
     assert!(more_placers.memory_kb > need.memory_kb);
-    let more_standing = Need::of(&RunSize { standing: 101, ..base });
+    let more_standing = Need::of(&RunSize {
+        standing: 101,
+        ..base
+    });
     assert!(more_standing.memory_kb > need.memory_kb);
-    let more_connections = Need::of(&RunSize { connections: 5, ..base });
+    let more_connections = Need::of(&RunSize {
+        connections: 5,
+        ..base
+    });
     assert_eq!(more_connections.descriptors_here, need.descriptors_here + 1);
-    assert_eq!(more_connections.descriptors_placer, need.descriptors_placer + 1);
+    assert_eq!(
+        more_connections.descriptors_placer,
+        need.descriptors_placer + 1
+    );
 }
 
 #[test]
 fn a_placer_holds_no_more_connections_than_its_configuration_lets_it() {
-    let few = Need::of(&RunSize { workers: 1024, placers: 4, ..NOTHING });
-    let many = Need::of(&RunSize { workers: 7300, placers: 4, ..NOTHING });
+    let few = Need::of(&RunSize {
+        workers: 1024,
+        placers: 4,
+        ..NOTHING
+    });
+    let many = Need::of(&RunSize {
+        workers: 7300,
+        placers: 4,
+        ..NOTHING
+    });
     assert_eq!(many.descriptors_placer, few.descriptors_placer);
     assert_eq!(many.descriptors_here, few.descriptors_here);
 }
 
 #[test]
 fn workers_get_the_connections_that_are_not_promised_to_clients() {
-    let idle = Need::of(&RunSize { placers: 2, placer_sockets: 900, ..NOTHING });
-    let full = Need::of(&RunSize { placers: 2, workers: 7300, placer_sockets: 900, ..NOTHING });
+    let idle = Need::of(&RunSize {
+        placers: 2,
+        placer_sockets: 900,
+        ..NOTHING
+    });
+    let full = Need::of(&RunSize {
+        placers: 2,
+        workers: 7300,
+        placer_sockets: 900,
+        ..NOTHING
+    });
     assert_eq!(full.descriptors_placer, idle.descriptors_placer + 600);
     assert_eq!(full.descriptors_here, idle.descriptors_here + 2 * 600);
 }
@@ -104,8 +229,13 @@
 #[test]
 fn numbers_beyond_all_bounds_are_refused_and_do_not_overflow() {
     let most = u64::MAX;
-    let size =
-        RunSize { workers: most, placers: most, standing: most, connections: most, placer_sockets: most };
+    let size = RunSize {
+        workers: most,
+        placers: most,
+        standing: most,
+        connections: most,
+        placer_sockets: most,
+    };
     let refused = check(&Need::of(&size), &MACHINE).expect_err("too much");
     assert_eq!(refused.excesses.len(), 4);
 }
@@ -121,16 +251,38 @@
 fn settings_with_more_placers_than_descriptors_are_refused_and_the_default_is_not() {
     let need = Need::of_settings(&Settings::default());
     assert_eq!(check(&need, &MACHINE), Ok(()));
-    let settings = Settings { placers: 40, ..Settings::default() };
+    let settings = Settings {
+        placers: 40,
+        ..Settings::default()
+    };
     let needed = settings.descriptors_needed();
-    let here = Excess::DescriptorsHere { needed, allowed: 20_000 };
+    let here = Excess::DescriptorsHere {
+        needed,
+        allowed: 20_000,
+    };
     let refused = check(&Need::of_settings(&settings), &MACHINE).expect_err("too many");
-    assert_eq!(refused, BudgetError { excesses: vec![here] });
+    assert_eq!(
+        refused,
+        BudgetError {
+            excesses: vec![here]
+        }
+    );
 }
 
 #[test]
 fn the_size_of_a_run_is_that_of_its_settings() {
-    let settings = Settings { workers: 70, placers: 5, standing: 90, ..Settings::default() };
-    let size = RunSize { workers: 70, placers: 5, standing: 90, connections: 20, placer_sockets: 1_024 };
+    let settings = Settings {
+        workers: 70,
+        placers: 5,
+        standing: 90,
+        ..Settings::default()
+    };
+    let size = RunSize {
+        workers: 70,
+        placers: 5,
+        standing: 90,
+        connections: 20,
+        placer_sockets: 1_024,
+    };
     assert_eq!(RunSize::of(&settings), size);
 }
--- a/crates/scale/src/cli.rs
+++ b/crates/scale/src/cli.rs
@@ -74,7 +74,10 @@
     #[error(transparent)]
     Sweep(SweepError<SweepRunError>),
     #[error("write the result to {path}: {source}")]
-    Write { path: PathBuf, source: std::io::Error },
+    Write {
+        path: PathBuf,
+        source: std::io::Error,
+    },
     #[error("take over signals: {0}")]
     Signals(std::io::Error),
 }
@@ -92,7 +95,10 @@
             Failure::Run(error) if error.is_refusal() => REFUSED,
             Failure::Point(error) if error.source.is_refusal() => REFUSED,
             Failure::Sweep(SweepError::Plan(_)) => REFUSED,
-            Failure::Sweep(SweepError::Run { source: SweepRunError::RuleBroken { .. }, .. }) => RULE_BROKEN,
+            Failure::Sweep(SweepError::Run {
+                source: SweepRunError::RuleBroken { .. },
+                ..
+            }) => RULE_BROKEN,
             _ => FAILED,
         }
     }
@@ -101,12 +107,16 @@
     fn print(&self) {
         let (prefix, excesses) = match self {
             Failure::Run(RunError::Budget(error)) => (String::new(), &error.excesses),
-            Failure::Point(PointError { axis, value, source: RunError::Budget(error) }) => {
-                (format!("{axis} {value}: "), &error.excesses)
-            }
+            Failure::Point(PointError {
+                axis,
+                value,
+                source: RunError::Budget(error),
+            }) => (format!("{axis} {value}: "), &error.excesses),
             _ => return eprintln!("anisehead-scale: {self}"),
         };
-        excesses.iter().for_each(|excess| eprintln!("anisehead-scale: {prefix}{excess}"));
+        excesses
+            .iter()
+            .for_each(|excess| eprintln!("anisehead-scale: {prefix}{excess}"));
     }
 }
 
@@ -129,13 +139,19 @@
 
 /// A command line that can't be meant gets one line; help and version are printed whole.
 fn refuse(error: &clap::Error) -> ExitCode {
-    if matches!(error.kind(), ErrorKind::DisplayHelp | ErrorKind::DisplayVersion) {
+    if matches!(
+        error.kind(),
+        ErrorKind::DisplayHelp | ErrorKind::DisplayVersion
+    ) {
         // There is nobody to tell where even this can't be printed.
         let _ = error.print();
         return ExitCode::SUCCESS;
     }
     let text = error.to_string();
-    eprintln!("anisehead-scale: {}", text.lines().next().unwrap_or("bad command line"));
+    eprintln!(
+        "anisehead-scale: {}",
+        text.lines().next().unwrap_or("bad command line")
+    );
     ExitCode::from(REFUSED)
 }
 
@@ -175,7 +191,10 @@
     let Some(path) = path else { return Ok(()) };
     let json = serde_json::to_string_pretty(result).map_err(std::io::Error::from);
     let written = json.and_then(|json| fs::write(path, json + "\n"));
-    written.map_err(|source| Failure::Write { path: path.to_path_buf(), source })
+    written.map_err(|source| Failure::Write {
+        path: path.to_path_buf(),
+        source,
+    })
 }
 
 /// The exit code of a result.
@@ -191,6 +210,10 @@
 
 /// The placer's program: the one that is named, or the one in the folder of this program.
 fn program_or_beside(named: Option<&PathBuf>) -> PathBuf {
-    let beside = || std::env::current_exe().unwrap_or_default().with_file_name(PROGRAM);
+    let beside = || {
+        std::env::current_exe()
+            .unwrap_or_default()
+            .with_file_name(PROGRAM)
+    };
     named.cloned().unwrap_or_else(beside)
 }
--- a/crates/scale/src/cli/sweep.rs
+++ b/crates/scale/src/cli/sweep.rs
@@ -29,7 +29,12 @@
     #[arg(long = "axis", value_name = "AXIS", value_parser = axis)]
     axes: Vec<Axis>,
     /// The values that the axis takes, at least four; needs exactly one --axis
-    #[arg(long, value_name = "A,B,C,D", value_delimiter = ',', allow_hyphen_values = true)]
+    #[arg(
+        long,
+        value_name = "A,B,C,D",
+        value_delimiter = ',',
+        allow_hyphen_values = true
+    )]
     values: Vec<f64>,
     /// Runs of each value
     #[arg(long, default_value_t = 3)]
@@ -51,7 +56,8 @@
 /// An axis by its name.
 fn axis(name: &str) -> Result<Axis, String> {
     let names: Vec<String> = Axis::iter().map(|axis| axis.to_string()).collect();
-    name.parse().map_err(|_| format!("expected one of {}", names.join(", ")))
+    name.parse()
+        .map_err(|_| format!("expected one of {}", names.join(", ")))
 }
 
 impl SweepArgs {
@@ -70,16 +76,37 @@
     /// What is swept from this base point.
     fn sweep_plan(&self, settings: &Settings) -> Result<SweepPlan, SettingsError> {
         let axes = match (self.values.as_slice(), self.axes.as_slice()) {
-            ([], []) => Axis::iter().map(|axis| default_axis(settings, axis)).collect(),
-            ([], named) => named.iter().map(|axis| default_axis(settings, *axis)).collect(),
-            (values, [axis]) => vec![AxisPlan { axis: *axis, values: values.to_vec() }],
+            ([], []) => Axis::iter()
+                .map(|axis| default_axis(settings, axis))
+                .collect(),
+            ([], named) => named
+                .iter()
+                .map(|axis| default_axis(settings, *axis))
+                .collect(),
+            (values, [axis]) => vec![AxisPlan {
+                axis: *axis,
+                values: values.to_vec(),
+            }],
             (_, named) => {
                 let found = format!("{} of them", named.len());
-                return Err(SettingsError::new("--values", "exactly one --axis beside it", found));
+                return Err(SettingsError::new(
+                    "--values",
+                    "exactly one --axis beside it",
+                    found,
+                ));
             }
         };
-        let name = self.plan.as_deref().unwrap_or(Path::new(DEFAULT_PLAN_NAME)).display().to_string();
-        Ok(SweepPlan { base: base_of(settings, &name), axes, repeats: self.repeats })
+        let name = self
+            .plan
+            .as_deref()
+            .unwrap_or(Path::new(DEFAULT_PLAN_NAME))
+            .display()
+            .to_string();
+        Ok(SweepPlan {
+            base: base_of(settings, &name),
+            axes,
+            repeats: self.repeats,
+        })
     }
 }
 
@@ -109,16 +136,31 @@
 
 type Swept = Result<SweepReport, SweepError<SweepRunError>>;
 
-fn sweep_with_terminal(plan: &SweepPlan, settings: Settings, program: PathBuf) -> Result<Swept, Failure> {
+fn sweep_with_terminal(
+    plan: &SweepPlan,
+    settings: Settings,
+    program: PathBuf,
+) -> Result<Swept, Failure> {
     let terminal = Terminal::new().map_err(Failure::Signals)?;
     let mut watcher = terminal.clone();
-    let mut runner = ScaleRunner { settings, program, sampler: &mut ProcSampler, watcher: &mut watcher };
-    let swept = sweep(plan, &mut runner, &mut |progress| terminal.sweep_progress(progress));
+    let mut runner = ScaleRunner {
+        settings,
+        program,
+        sampler: &mut ProcSampler,
+        watcher: &mut watcher,
+    };
+    let swept = sweep(plan, &mut runner, &mut |progress| {
+        terminal.sweep_progress(progress)
+    });
     terminal.clear();
     Ok(swept)
 }
 
 /// The exit code of a report: figures are of no use where an axis has too few usable runs for any fit.
 fn verdict(report: &SweepReport) -> u8 {
-    if report.axes.iter().all(|axis| axis.is_fitted()) { 0 } else { NOT_USABLE }
+    if report.axes.iter().all(|axis| axis.is_fitted()) {
+        0
+    } else {
+        NOT_USABLE
+    }
 }
--- a/crates/scale/src/cli/terminal.rs
+++ b/crates/scale/src/cli/terminal.rs
@@ -27,7 +27,11 @@
         for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
             signal_hook::flag::register(signal, stop.clone())?;
         }
-        Ok(Terminal { stop, shows: std::io::stderr().is_terminal(), label: Rc::default() })
+        Ok(Terminal {
+            stop,
+            shows: std::io::stderr().is_terminal(),
+            label: Rc::default(),
+        })
     }
 
     /// Takes the line of progress away.
@@ -39,9 +43,24 @@
 
     /// Shows how far a sweep is.
     pub fn sweep_progress(&self, progress: &sweep::Progress) {
-        let sweep::Progress { axis, value, repeat, done, total, step } = progress;
-        let again = if matches!(step, sweep::Step::Again { .. }) { " again" } else { "" };
-        let label = format!("[{}/{total}] {axis} {value}, repeat {}{again}: ", done + 1, repeat + 1);
+        let sweep::Progress {
+            axis,
+            value,
+            repeat,
+            done,
+            total,
+            step,
+        } = progress;
+        let again = if matches!(step, sweep::Step::Again { .. }) {
+            " again"
+        } else {
+            ""
+        };
+        let label = format!(
+            "[{}/{total}] {axis} {value}, repeat {}{again}: ",
+            done + 1,
+            repeat + 1
+        );
         self.show(&label);
         self.label.replace(label);
     }
@@ -57,7 +76,15 @@
 
 impl Watcher for Terminal {
     fn progress(&mut self, progress: &Progress) {
-        let Progress { step, seconds, started, refused, waiting, held, connections } = progress;
+        let Progress {
+            step,
+            seconds,
+            started,
+            refused,
+            waiting,
+            held,
+            connections,
+        } = progress;
         let label = self.label.borrow();
         self.show(&format!(
             "{label}{step} {seconds} s: {started} started, {refused} refused, {waiting} wait, \
--- a/crates/scale/src/clients.rs
+++ b/crates/scale/src/clients.rs
@@ -103,16 +103,27 @@
     ) -> io::Result<Clients> {
         let poll = Poll::new()?;
         let (orders, taken) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
-        let state =
-            Arc::new(Mutex::new(ClientState { ready: vec![None; counters.len()], ..ClientState::default() }));
+        let state = Arc::new(Mutex::new(ClientState {
+            ready: vec![None; counters.len()],
+            ..ClientState::default()
+        }));
         let arrivals = Arrivals::new(settings);
         let tasks = TaskTable::new(standing, &arrivals);
         let doomed: Arc<[AtomicBool]> = counters.iter().map(|_| AtomicBool::new(false)).collect();
-        let shared =
-            thread::Shared { counters, orders: taken, state: Arc::clone(&state), doomed: doomed.clone() };
+        let shared = thread::Shared {
+            counters,
+            orders: taken,
+            state: Arc::clone(&state),
+            doomed: doomed.clone(),
+        };
         let running = thread::ClientThread::new(poll, settings, tasks, arrivals, shared)?;
         let thread = PeerThread::spawn("clients", move || running.run())?;
-        Ok(Clients { orders, state, doomed, thread })
+        Ok(Clients {
+            orders,
+            state,
+            doomed,
+            thread,
+        })
     }
 
     /// Tells them something.
@@ -129,7 +140,10 @@
 
     /// How they are.
     pub fn state(&self) -> ClientState {
-        self.state.lock().unwrap_or_else(PoisonError::into_inner).clone()
+        self.state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone()
     }
 
     /// The error on which their thread has ended, if it has.
--- a/crates/scale/src/clients/arrivals.rs
+++ b/crates/scale/src/clients/arrivals.rs
@@ -68,7 +68,12 @@
     fn shape(&mut self, class: Class) -> TaskShape {
         let part: f64 = Exp1.sample(&mut self.draws);
         let life = self.life.mul_f64(part).max(SHORTEST_LIFE);
-        TaskShape { cores: self.cores, memory: self.memory, life, once: class.once() }
+        TaskShape {
+            cores: self.cores,
+            memory: self.memory,
+            life,
+            once: class.once(),
+        }
     }
 
     fn class(&mut self) -> Class {
@@ -83,7 +88,10 @@
     }
 
     fn tenant_and_service(&mut self) -> (u32, u32) {
-        (self.draws.random_range(0..self.tenants), self.draws.random_range(0..self.services))
+        (
+            self.draws.random_range(0..self.tenants),
+            self.draws.random_range(0..self.services),
+        )
     }
 }
 
@@ -95,11 +103,20 @@
             return None;
         }
         let gap: f64 = Exp1.sample(&mut self.draws);
-        self.at = self.at.checked_add(Duration::try_from_secs_f64(gap / self.rate).ok()?)?;
+        self.at = self
+            .at
+            .checked_add(Duration::try_from_secs_f64(gap / self.rate).ok()?)?;
         let class = self.class();
         let (tenant, service) = self.tenant_and_service();
         let shape = self.shape(class);
-        Some(Arrival { due: self.at, class, tenant, service, shape, lot: self.draws.random() })
+        Some(Arrival {
+            due: self.at,
+            class,
+            tenant,
+            service,
+            shape,
+            lot: self.draws.random(),
+        })
     }
 }
 
@@ -107,7 +124,10 @@
 /// round. What is left of an exponential life is exponential, too.
 pub fn standing_tasks(settings: &Settings) -> Vec<StandingTask> {
     let seed = settings.seed ^ STANDING_STREAM;
-    let mut arrivals = Arrivals { draws: ChaCha8Rng::seed_from_u64(seed), ..Arrivals::new(settings) };
+    let mut arrivals = Arrivals {
+        draws: ChaCha8Rng::seed_from_u64(seed),
+        ..Arrivals::new(settings)
+    };
     let (workers, placers) = (settings.workers.max(1), u32::from(settings.placers.max(1)));
     let task = |index: u32| {
         let placer = (index / workers + index) % placers;
--- a/crates/scale/src/clients/arrivals/tests.rs
+++ b/crates/scale/src/clients/arrivals/tests.rs
@@ -4,12 +4,22 @@
 use std::collections::BTreeMap;
 
 fn settings() -> Settings {
-    Settings { rate: 200.0, urgent_share: 0.3, once_share: 0.1, tenants: 67, ..Settings::default() }
+    Settings {
+        rate: 200.0,
+        urgent_share: 0.3,
+        once_share: 0.1,
+        tenants: 67,
+        ..Settings::default()
+    }
 }
 
 #[test]
 fn the_same_settings_give_the_same_arrivals_and_another_seed_others() {
-    let of = |seed| -> Vec<Arrival> { Arrivals::new(&Settings { seed, ..settings() }).take(500).collect() };
+    let of = |seed| -> Vec<Arrival> {
+        Arrivals::new(&Settings { seed, ..settings() })
+            .take(500)
+            .collect()
+    };
     assert_eq!(of(1), of(1));
     assert_ne!(of(1), of(2));
 }
@@ -24,8 +34,14 @@
     assert!((share(Class::Once) - 0.1).abs() < 0.009);
     assert!(all.iter().all(|a| a.shape.once == (a.class == Class::Once)));
     let mean = |values: Vec<f64>| values.iter().sum::<f64>() / values.len() as f64;
-    let gaps: Vec<f64> = all.windows(2).map(|pair| (pair[1].due - pair[0].due).as_secs_f64()).collect();
-    let (gap, life) = (mean(gaps.clone()), mean(all.iter().map(|a| a.shape.life.as_secs_f64()).collect()));
+    let gaps: Vec<f64> = all
+        .windows(2)
+        .map(|pair| (pair[1].due - pair[0].due).as_secs_f64())
+        .collect();
+    let (gap, life) = (
+        mean(gaps.clone()),
+        mean(all.iter().map(|a| a.shape.life.as_secs_f64()).collect()),
+    );
     assert!((gap * 200.0 - 1.0).abs() < 0.03, "{gap}");
     assert!((life / 20.0 - 1.0).abs() < 0.03, "{life}");
     // A Poisson process: the gaps' deviation is their mean.
@@ -36,12 +52,24 @@
 
 #[test]
 fn without_a_rate_nothing_arrives() {
-    assert_eq!(Arrivals::new(&Settings { rate: 0.0, ..settings() }).next(), None);
+    assert_eq!(
+        Arrivals::new(&Settings {
+            rate: 0.0,
+            ..settings()
+        })
+        .next(),
+        None
+    );
 }
 
 #[test]
 fn what_stands_at_the_start_is_spread_over_workers_and_placers() {
-    let settings = Settings { workers: 300, placers: 3, standing: 4_000, ..settings() };
+    let settings = Settings {
+        workers: 300,
+        placers: 3,
+        standing: 4_000,
+        ..settings()
+    };
     let all = standing_tasks(&settings);
     assert_eq!(all.len(), 4_000);
     let (mut by_worker, mut by_placer) = (BTreeMap::new(), BTreeMap::new());
@@ -51,5 +79,10 @@
     }
     assert_eq!(by_worker.len(), 300);
     assert!(by_worker.values().all(|count| (13..=14).contains(count)));
-    assert!(by_placer.values().all(|count| (1_300..=1_370).contains(count)), "{by_placer:?}");
+    assert!(
+        by_placer
+            .values()
+            .all(|count| (1_300..=1_370).contains(count)),
+        "{by_placer:?}"
+    );
 }
--- a/crates/scale/src/clients/link.rs
+++ b/crates/scale/src/clients/link.rs
@@ -85,7 +85,10 @@
             next: 0,
             counters,
         };
-        Links { links: counters.into_iter().map(link).collect(), table: Slab::new() }
+        Links {
+            links: counters.into_iter().map(link).collect(),
+            table: Slab::new(),
+        }
     }
 
     /// One placer.
@@ -102,7 +105,11 @@
     pub fn draw(&self, lot: u32) -> Option<PlacerId> {
         let count = self.links.iter().filter(|link| link.in_service()).count();
         let chosen = (lot as usize).checked_rem(count)?;
-        let in_service = self.links.iter().enumerate().filter(|(_, link)| link.in_service());
+        let in_service = self
+            .links
+            .iter()
+            .enumerate()
+            .filter(|(_, link)| link.in_service());
         let (place, _) = in_service.into_iter().nth(chosen)?;
         u16::try_from(place).ok().map(PlacerId)
     }
@@ -119,7 +126,9 @@
 
     /// The connection for tests, made if there is none.
     pub fn test(&mut self, placer: PlacerId, registry: &Registry) -> io::Result<Option<usize>> {
-        let Some(link) = self.get(placer) else { return Ok(None) };
+        let Some(link) = self.get(placer) else {
+            return Ok(None);
+        };
         if link.test.is_some() {
             return Ok(link.test);
         }
@@ -131,32 +140,56 @@
     }
 
     /// The next connection for tasks, made if there is none in its place.
-    pub fn next_for_tasks(&mut self, placer: PlacerId, registry: &Registry) -> io::Result<Option<usize>> {
-        let Some(link) = self.get_mut(placer) else { return Ok(None) };
+    pub fn next_for_tasks(
+        &mut self,
+        placer: PlacerId,
+        registry: &Registry,
+    ) -> io::Result<Option<usize>> {
+        let Some(link) = self.get_mut(placer) else {
+            return Ok(None);
+        };
         let slot = link.next % link.kept.len().max(1);
         link.next = slot + 1;
         if let Some(Some(place)) = link.kept.get(slot) {
             return Ok(Some(*place));
         }
         let made = self.open(placer, Purpose::Tasks(slot), registry)?;
-        if let Some(kept) = self.get_mut(placer).and_then(|link| link.kept.get_mut(slot)) {
+        if let Some(kept) = self
+            .get_mut(placer)
+            .and_then(|link| link.kept.get_mut(slot))
+        {
             *kept = made;
         }
         Ok(made)
     }
 
-    fn open(&mut self, placer: PlacerId, purpose: Purpose, registry: &Registry) -> io::Result<Option<usize>> {
-        let Some(link) = self.links.get(placer.index()) else { return Ok(None) };
-        let Some(address) = link.address else { return Ok(None) };
+    fn open(
+        &mut self,
+        placer: PlacerId,
+        purpose: Purpose,
+        registry: &Registry,
+    ) -> io::Result<Option<usize>> {
+        let Some(link) = self.links.get(placer.index()) else {
+            return Ok(None);
+        };
+        let Some(address) = link.address else {
+            return Ok(None);
+        };
         let kind = match purpose {
             Purpose::Test => TrafficKind::Test,
             Purpose::Tasks(_) => TrafficKind::Client,
         };
         let token = Token(FIRST_CONNECTION + self.table.vacant_key());
         let stream = TcpStream::connect(address)?;
-        let connection = Connection::new(stream, token, registry, link.counters.clone(), Some(kind))?;
+        let connection =
+            Connection::new(stream, token, registry, link.counters.clone(), Some(kind))?;
         let open = Vec::new();
-        Ok(Some(self.table.insert(ClientConnection { connection, placer, purpose, open })))
+        Ok(Some(self.table.insert(ClientConnection {
+            connection,
+            placer,
+            purpose,
+            open,
+        })))
     }
 
     /// A connection is over.
@@ -177,6 +210,10 @@
 
     /// The places of all connections to a placer.
     pub fn places(&self, placer: PlacerId) -> Vec<usize> {
-        self.table.iter().filter(|(_, found)| found.placer == placer).map(|(place, _)| place).collect()
+        self.table
+            .iter()
+            .filter(|(_, found)| found.placer == placer)
+            .map(|(place, _)| place)
+            .collect()
     }
 }
--- a/crates/scale/src/clients/tasks.rs
+++ b/crates/scale/src/clients/tasks.rs
@@ -104,7 +104,9 @@
                 state: TaskState::Stands(task.worker),
             }
         };
-        TaskTable { tasks: standing.iter().map(record).collect() }
+        TaskTable {
+            tasks: standing.iter().map(record).collect(),
+        }
     }
 
     /// Adds a task that is due; none if there are more than can be named.
@@ -138,7 +140,9 @@
     /// A task, if this is the id of its latest attempt.
     fn latest(&mut self, id: SetupId) -> Option<&mut TaskRecord> {
         let (task, attempt) = id.parts()?;
-        self.tasks.get_mut(task.index()).filter(|record| record.attempt == attempt)
+        self.tasks
+            .get_mut(task.index())
+            .filter(|record| record.attempt == attempt)
     }
 
     /// Its set-up goes to a placer.
@@ -151,7 +155,9 @@
 
     /// An answer has come.
     pub fn answered(&mut self, id: SetupId, worker: WorkerId) -> AnswerEffect {
-        let Some(record) = self.latest(id) else { return AnswerEffect::Stale };
+        let Some(record) = self.latest(id) else {
+            return AnswerEffect::Stale;
+        };
         match record.state {
             TaskState::Waiting { .. } => {
                 record.state = TaskState::Stands(worker);
@@ -168,11 +174,17 @@
 
     /// A release has come.
     pub fn released(&mut self, id: SetupId, cause: u8) -> ReleaseEffect {
-        let Some(record) = self.latest(id) else { return ReleaseEffect::Known };
+        let Some(record) = self.latest(id) else {
+            return ReleaseEffect::Known;
+        };
         match record.state {
             TaskState::Waiting { .. } => {
                 let refused = matches!(cause, cause::FULL | cause::REFUSED | cause::MOOT);
-                record.state = if refused { TaskState::Refused } else { TaskState::Failed };
+                record.state = if refused {
+                    TaskState::Refused
+                } else {
+                    TaskState::Failed
+                };
                 ReleaseEffect::Final
             }
             TaskState::Stands(_) => {
@@ -185,7 +197,9 @@
 
     /// A task moves: whether its client comes again.
     pub fn moved(&mut self, id: SetupId) -> Option<TaskIndex> {
-        let record = self.latest(id).filter(|record| matches!(record.state, TaskState::Stands(_)))?;
+        let record = self
+            .latest(id)
+            .filter(|record| matches!(record.state, TaskState::Stands(_)))?;
         record.attempt = record.attempt.checked_add(1)?;
         record.moves = record.moves.saturating_add(1);
         record.state = TaskState::NoPlacer;
@@ -194,7 +208,9 @@
 
     /// Its set-up is over without an answer: whether it still waited for one.
     pub fn ends_unanswered(&mut self, id: SetupId, how: TaskState) -> bool {
-        let waiting = self.latest(id).filter(|record| matches!(record.state, TaskState::Waiting { .. }));
+        let waiting = self
+            .latest(id)
+            .filter(|record| matches!(record.state, TaskState::Waiting { .. }));
         waiting.is_some_and(|record| {
             record.state = how;
             true
@@ -204,18 +220,29 @@
     /// When the set-up that waits under this id was sent.
     pub fn waits_since(&self, id: SetupId) -> Option<Instant> {
         let (task, attempt) = id.parts()?;
-        match self.get(task).filter(|record| record.attempt == attempt)?.state {
+        match self
+            .get(task)
+            .filter(|record| record.attempt == attempt)?
+            .state
+        {
             TaskState::Waiting { sent } => Some(sent),
             _ => None,
         }
     }
 
     /// The tasks that stand and belong to a placer, with their ids and their workers.
-    pub fn standing_at(&self, placer: PlacerId) -> impl Iterator<Item = (SetupId, &TaskRecord, WorkerId)> {
-        self.iter().filter(move |(_, record)| record.placer == placer).filter_map(|(task, record)| {
-            let TaskState::Stands(worker) = record.state else { return None };
-            Some((SetupId::new(task, record.attempt), record, worker))
-        })
+    pub fn standing_at(
+        &self,
+        placer: PlacerId,
+    ) -> impl Iterator<Item = (SetupId, &TaskRecord, WorkerId)> {
+        self.iter()
+            .filter(move |(_, record)| record.placer == placer)
+            .filter_map(|(task, record)| {
+                let TaskState::Stands(worker) = record.state else {
+                    return None;
+                };
+                Some((SetupId::new(task, record.attempt), record, worker))
+            })
     }
 }
 
--- a/crates/scale/src/clients/tasks/tests.rs
+++ b/crates/scale/src/clients/tasks/tests.rs
@@ -31,7 +31,11 @@
     assert_eq!(table.standing_at(PLACER).count(), 1);
     assert_eq!(table.standing_at(PlacerId(0)).count(), 0);
     assert_eq!(table.released(id, cause::NORMAL), ReleaseEffect::Ended);
-    assert_eq!(table.released(id, cause::NORMAL), ReleaseEffect::Known, "told again");
+    assert_eq!(
+        table.released(id, cause::NORMAL),
+        ReleaseEffect::Known,
+        "told again"
+    );
     assert_eq!(state(&table), TaskState::Over(cause::NORMAL));
     assert_eq!(table.answered(id, WORKER), AnswerEffect::Second);
 }
@@ -47,7 +51,11 @@
         let (mut table, id) = waiting();
         assert_eq!(table.released(id, cause), ReleaseEffect::Final);
         assert_eq!(state(&table), expected);
-        assert_eq!(table.answered(id, WORKER), AnswerEffect::Second, "a refusal is an answer");
+        assert_eq!(
+            table.answered(id, WORKER),
+            AnswerEffect::Second,
+            "a refusal is an answer"
+        );
     }
 }
 
@@ -78,10 +86,22 @@
 #[test]
 fn what_stands_at_the_start_is_told_to_its_placer() {
     let settings = Settings::default();
-    let shape = TaskShape { cores: 1.0, memory: 2.0, life: Duration::from_secs(3), once: false };
-    let standing = StandingTask { task: TaskIndex(0), worker: WORKER, placer: PLACER, shape };
+    let shape = TaskShape {
+        cores: 1.0,
+        memory: 2.0,
+        life: Duration::from_secs(3),
+        once: false,
+    };
+    let standing = StandingTask {
+        task: TaskIndex(0),
+        worker: WORKER,
+        placer: PLACER,
+        shape,
+    };
     let table = TaskTable::new(&[standing], &Arrivals::new(&settings));
-    let told: Vec<(SetupId, WorkerId)> =
-        table.standing_at(PLACER).map(|(id, _, worker)| (id, worker)).collect();
+    let told: Vec<(SetupId, WorkerId)> = table
+        .standing_at(PLACER)
+        .map(|(id, _, worker)| (id, worker))
+        .collect();
     assert_eq!(told, [(SetupId::new(TaskIndex(0), 0), WORKER)]);
 }
--- a/crates/scale/src/clients/thread.rs
+++ b/crates/scale/src/clients/thread.rs
@@ -84,9 +84,14 @@
         shared: Shared,
     ) -> io::Result<ClientThread> {
         let kept = usize::from(settings.client_connections);
-        let state = ClientState { ready: vec![None; shared.counters.len()], ..ClientState::default() };
-        let timings =
-            Timings { to_start: [Times::new()?, Times::new()?, Times::new()?], lateness: Times::new()? };
+        let state = ClientState {
+            ready: vec![None; shared.counters.len()],
+            ..ClientState::default()
+        };
+        let timings = Timings {
+            to_start: [Times::new()?, Times::new()?, Times::new()?],
+            lateness: Times::new()?,
+        };
         Ok(ClientThread {
             poll,
             links: Links::new(shared.counters.clone(), kept),
@@ -123,13 +128,32 @@
             self.obey()?;
             self.tell();
         }
-        let ClientThread { tasks, timings, second_answers, bad_messages, .. } = self;
-        Ok(ClientBooks { tasks, timings, second_answers, bad_messages })
+        let ClientThread {
+            tasks,
+            timings,
+            second_answers,
+            bad_messages,
+            ..
+        } = self;
+        Ok(ClientBooks {
+            tasks,
+            timings,
+            second_answers,
+            bad_messages,
+        })
     }
 
     fn tell(&mut self) {
-        self.state.queued = self.links.connections().map(|found| found.connection.queued()).sum();
-        self.shared.state.lock().unwrap_or_else(PoisonError::into_inner).clone_from(&self.state);
+        self.state.queued = self
+            .links
+            .connections()
+            .map(|found| found.connection.queued())
+            .sum();
+        self.shared
+            .state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .clone_from(&self.state);
     }
 
     // ---- Orders ----
@@ -138,10 +162,13 @@
         for order in self.shared.orders.take() {
             match order {
                 ClientOrder::Started(placer, address) => {
-                    let Some(link) = self.links.get_mut(placer) else { continue };
+                    let Some(link) = self.links.get_mut(placer) else {
+                        continue;
+                    };
                     link.address = Some(address);
                     link.start += 1;
-                    self.timers.add(Instant::now(), Due::Test(placer, link.start));
+                    self.timers
+                        .add(Instant::now(), Due::Test(placer, link.start));
                 }
                 ClientOrder::Killed(placer) => self.killed(placer)?,
                 ClientOrder::Begin(window) => {
@@ -184,7 +211,9 @@
     }
 
     fn add_arrival(&mut self, window: ArrivalWindow) {
-        let Some(arrival) = self.arrivals.next() else { return };
+        let Some(arrival) = self.arrivals.next() else {
+            return;
+        };
         let due = window.start + arrival.due;
         if due < window.end {
             self.timers.add(due, Due::Arrival(arrival));
@@ -193,10 +222,14 @@
 
     /// A task is due.
     fn arrive(&mut self, due: Instant, arrival: &Arrival) -> io::Result<()> {
-        let Some(window) = self.window else { return Ok(()) };
+        let Some(window) = self.window else {
+            return Ok(());
+        };
         self.add_arrival(window);
         let measured = due >= window.measured_from;
-        let Some(task) = self.tasks.add(arrival, due, measured) else { return Ok(()) };
+        let Some(task) = self.tasks.add(arrival, due, measured) else {
+            return Ok(());
+        };
         if let Some(placer) = self.links.draw(arrival.lot) {
             self.set_up(task, placer)?;
         }
@@ -209,10 +242,15 @@
 
     fn set_up(&mut self, task: TaskIndex, placer: PlacerId) -> io::Result<()> {
         let now = Instant::now();
-        let Some(id) = self.tasks.sent(task, placer, now) else { return Ok(()) };
-        let Some(record) = self.tasks.get(task) else { return Ok(()) };
+        let Some(id) = self.tasks.sent(task, placer, now) else {
+            return Ok(());
+        };
+        let Some(record) = self.tasks.get(task) else {
+            return Ok(());
+        };
         let wait = Duration::from_millis(record.class.wait_ms());
-        self.timers.add(now + wait + ANSWER_GRACE, Due::Overdue(id, now));
+        self.timers
+            .add(now + wait + ANSWER_GRACE, Due::Overdue(id, now));
         self.state.waiting += 1;
         self.send_set_up(OpenSetup { id, again: false }, placer)
     }
@@ -220,7 +258,9 @@
     /// Sends the set-up of a task that waits.
     fn send_set_up(&mut self, set_up: OpenSetup, placer: PlacerId) -> io::Result<()> {
         let id = set_up.id;
-        let Some(record) = id.parts().and_then(|(task, _)| self.tasks.get(task)) else { return Ok(()) };
+        let Some(record) = id.parts().and_then(|(task, _)| self.tasks.get(task)) else {
+            return Ok(());
+        };
         let mut bytes = Vec::new();
         write_set_up(&mut bytes, id, record, None, &self.tenant_names);
         let place = self.links.next_for_tasks(placer, self.poll.registry())?;
@@ -250,12 +290,15 @@
 
     /// Calls and tests a placer, again and again for as long as it has not been started anew.
     fn test(&mut self, placer: PlacerId, start: u64) -> io::Result<()> {
-        let Some(link) = self.links.get(placer) else { return Ok(()) };
+        let Some(link) = self.links.get(placer) else {
+            return Ok(());
+        };
         if link.start != start || link.address.is_none() {
             return Ok(());
         }
         let period = if link.ready { TEST_PERIOD } else { CALL_PERIOD };
-        self.timers.add(Instant::now() + period, Due::Test(placer, start));
+        self.timers
+            .add(Instant::now() + period, Due::Test(placer, start));
         let known = self.links.places(placer);
         let place = self.links.test(placer, self.poll.registry())?;
         let made = place.is_some_and(|place| !known.contains(&place));
@@ -270,7 +313,9 @@
 
     /// A test has passed: the first since its start makes a placer ready, and it is told what stands.
     fn passed(&mut self, placer: PlacerId) -> io::Result<()> {
-        let Some(link) = self.links.get_mut(placer) else { return Ok(()) };
+        let Some(link) = self.links.get_mut(placer) else {
+            return Ok(());
+        };
         if std::mem::replace(&mut link.ready, true) {
             return Ok(());
         }
@@ -299,7 +344,9 @@
 
     fn send(&mut self, place: Option<usize>, bytes: &[u8], messages: u64) -> io::Result<()> {
         let Some(place) = place else { return Ok(()) };
-        let Some(found) = self.links.connection(place) else { return Ok(()) };
+        let Some(found) = self.links.connection(place) else {
+            return Ok(());
+        };
         if found.connection.send(bytes, messages) == Liveness::Ended {
             self.close(place)?;
         }
@@ -308,7 +355,9 @@
 
     /// Something has happened on a connection.
     fn serve(&mut self, place: usize) -> io::Result<()> {
-        let Some(found) = self.links.connection(place) else { return Ok(()) };
+        let Some(found) = self.links.connection(place) else {
+            return Ok(());
+        };
         let placer = found.placer;
         let flushed = found.connection.flush();
         let filled = found.connection.fill();
@@ -333,13 +382,23 @@
 
     /// A connection is over: a set-up that crossed its end goes out again, the others are lost with it.
     fn close(&mut self, place: usize) -> io::Result<()> {
-        let Some(closed) = self.links.close(place) else { return Ok(()) };
+        let Some(closed) = self.links.close(place) else {
+            return Ok(());
+        };
         let placer = closed.placer;
-        let there = self.links.get(placer).is_some_and(|link| link.address.is_some());
-        let doomed =
-            self.shared.doomed.get(placer.index()).is_some_and(|doomed| doomed.load(Ordering::SeqCst));
+        let there = self
+            .links
+            .get(placer)
+            .is_some_and(|link| link.address.is_some());
+        let doomed = self
+            .shared
+            .doomed
+            .get(placer.index())
+            .is_some_and(|doomed| doomed.load(Ordering::SeqCst));
         for OpenSetup { id, again } in closed.open {
-            let Some(sent) = self.tasks.waits_since(id) else { continue };
+            let Some(sent) = self.tasks.waits_since(id) else {
+                continue;
+            };
             if !there || doomed {
                 self.ends_unanswered(id, TaskState::Cut);
             } else if !again && sent.elapsed() <= CROSSED {
@@ -384,7 +443,13 @@
                 self.state.started += 1;
                 let record = id.parts().and_then(|(task, _)| self.tasks.get(task));
                 // The time of a task that has moved was taken when it first stood.
-                if let Some(TaskRecord { due: Some(due), class, measured: true, moves: 0, .. }) = record
+                if let Some(TaskRecord {
+                    due: Some(due),
+                    class,
+                    measured: true,
+                    moves: 0,
+                    ..
+                }) = record
                     && let Some(times) = self.timings.to_start.get_mut(place_of(*class))
                 {
                     times.add(due.elapsed());
@@ -424,7 +489,10 @@
 
 /// The place of a class among all.
 fn place_of(class: Class) -> usize {
-    Class::ALL.iter().position(|other| *other == class).unwrap_or(0)
+    Class::ALL
+        .iter()
+        .position(|other| *other == class)
+        .unwrap_or(0)
 }
 
 fn write_set_up(
@@ -434,7 +502,9 @@
     at: Option<WorkerId>,
     tenant_names: &[String],
 ) {
-    let tenant = tenant_names.get(record.tenant as usize).map_or("", String::as_str);
+    let tenant = tenant_names
+        .get(record.tenant as usize)
+        .map_or("", String::as_str);
     let key = id.parts().map_or(0, |(task, _)| task.key());
     let set_up = SetUp {
         id,
@@ -455,7 +525,8 @@
 fn take_messages(connection: &mut Connection) -> Result<Vec<(SetupId, PlacerMessage)>, WireError> {
     let mut found = Vec::new();
     let mut taken = 0;
-    while let Some((id, message, length)) = binary::read(connection.inbox().get(taken..).unwrap_or_default())?
+    while let Some((id, message, length)) =
+        binary::read(connection.inbox().get(taken..).unwrap_or_default())?
     {
         found.push((id, message));
         taken += length;
--- a/crates/scale/src/deployment.rs
+++ b/crates/scale/src/deployment.rs
@@ -84,7 +84,8 @@
 /// The configuration file of a placer.
 pub fn configuration(settings: &Settings, place: &Place<'_>) -> String {
     // Another seed with each start, and alike in each run of the same settings.
-    let seed = settings.seed ^ (u64::from(place.placer.0) << 32) ^ (u64::from(place.restarts) << 48);
+    let seed =
+        settings.seed ^ (u64::from(place.placer.0) << 32) ^ (u64::from(place.restarts) << 48);
     let head = json!({
         "name": place.placer.to_string(), "listen": place.listen, "feed": place.feed,
         "seed": format!("{seed:016x}"),
@@ -106,8 +107,9 @@
     let share = 1.0 / tenants.len().max(1) as f64;
     // Twice the whole rate: no tenant is held back in a run that keeps to its settings.
     let allowance = 2.0 * settings.rate.max(1.0);
-    let tenants =
-        tenants.iter().map(|name| json!({ "name": name, "portion": share, "allowance_per_s": allowance }));
+    let tenants = tenants
+        .iter()
+        .map(|name| json!({ "name": name, "portion": share, "allowance_per_s": allowance }));
     let classes = Class::ALL.map(Class::as_setting);
     json!({
         "me": placer.0, "n_instances": settings.stated_placers(), "locality": own_zone, "zones": zones,
--- a/crates/scale/src/feeds.rs
+++ b/crates/scale/src/feeds.rs
@@ -70,7 +70,11 @@
         }
         let mut running = thread::FeedThread::new(poll, settings, listeners, counters, taken)?;
         let thread = PeerThread::spawn("feeds", move || running.run())?;
-        Ok(Feeds { orders, thread, addresses })
+        Ok(Feeds {
+            orders,
+            thread,
+            addresses,
+        })
     }
 
     /// Where orders are sent.
@@ -87,7 +91,9 @@
     pub fn known(&self, placer: PlacerId) -> io::Result<String> {
         let (reply, replied) = mpsc::channel();
         self.orders.send(FeedOrder::Start(placer, reply));
-        replied.recv_timeout(REPLY_LIMIT).map_err(|_| io::Error::other("no reply of the feeds"))
+        replied
+            .recv_timeout(REPLY_LIMIT)
+            .map_err(|_| io::Error::other("no reply of the feeds"))
     }
 
     /// The error on which their thread has ended, if it has.
--- a/crates/scale/src/feeds/journal.rs
+++ b/crates/scale/src/feeds/journal.rs
@@ -17,13 +17,28 @@
 
 impl ListedWorkers {
     /// Workers that are up and hold nothing.
-    pub fn new(workers: u32, zone_names: Vec<String>, free_cores: f64, free_memory: f64) -> ListedWorkers {
-        let listed = ListedWorker { up: true, born_ms: 0, free_cores, free_memory };
-        ListedWorkers { workers: vec![listed; workers as usize], zone_names }
+    pub fn new(
+        workers: u32,
+        zone_names: Vec<String>,
+        free_cores: f64,
+        free_memory: f64,
+    ) -> ListedWorkers {
+        let listed = ListedWorker {
+            up: true,
+            born_ms: 0,
+            free_cores,
+            free_memory,
+        };
+        ListedWorkers {
+            workers: vec![listed; workers as usize],
+            zone_names,
+        }
     }
 
     fn zones(&self) -> u32 {
-        u32::try_from(self.zone_names.len()).unwrap_or(u32::MAX).max(1)
+        u32::try_from(self.zone_names.len())
+            .unwrap_or(u32::MAX)
+            .max(1)
     }
 
     /// All workers.
@@ -52,7 +67,9 @@
     }
 
     fn is_up(&self, worker: WorkerId) -> bool {
-        self.workers.get(worker.index()).is_some_and(|listed| listed.up)
+        self.workers
+            .get(worker.index())
+            .is_some_and(|listed| listed.up)
     }
 
     fn entry(&self, worker: WorkerId, ports: &[u16]) -> Option<Entry<'_>> {
@@ -102,8 +119,16 @@
         self.clear();
         let mut event = Vec::new();
         let up = workers.ids().filter(|worker| workers.is_up(*worker));
-        feed::event(&mut event, 1, true, up.filter_map(|worker| workers.entry(worker, &self.ports)));
-        format!(r#"{{"n":1,"events":[{}]}}"#, String::from_utf8_lossy(&event))
+        feed::event(
+            &mut event,
+            1,
+            true,
+            up.filter_map(|worker| workers.entry(worker, &self.ports)),
+        );
+        format!(
+            r#"{{"n":1,"events":[{}]}}"#,
+            String::from_utf8_lossy(&event)
+        )
     }
 
     fn clear(&mut self) {
@@ -144,7 +169,9 @@
             FeedRule::Gathered => MOST_ENTRIES,
         };
         let stale = std::mem::take(&mut self.stale);
-        stale.chunks(in_one).for_each(|part| self.event(workers, part, false, lines));
+        stale
+            .chunks(in_one)
+            .for_each(|part| self.event(workers, part, false, lines));
         self.clear();
     }
 
@@ -156,7 +183,10 @@
     /// Tells the whole list.
     pub fn tell_whole(&mut self, workers: &ListedWorkers, lines: &mut Lines) {
         self.clear();
-        let up: Vec<WorkerId> = workers.ids().filter(|worker| workers.is_up(*worker)).collect();
+        let up: Vec<WorkerId> = workers
+            .ids()
+            .filter(|worker| workers.is_up(*worker))
+            .collect();
         self.event(workers, &up, true, lines);
     }
 
@@ -168,9 +198,17 @@
         lines.counts.number_lines += 1;
     }
 
-    fn event(&mut self, workers: &ListedWorkers, told: &[WorkerId], whole: bool, lines: &mut Lines) {
+    fn event(
+        &mut self,
+        workers: &ListedWorkers,
+        told: &[WorkerId],
+        whole: bool,
+        lines: &mut Lines,
+    ) {
         self.last += 1;
-        let entries = told.iter().filter_map(|worker| workers.entry(*worker, &self.ports));
+        let entries = told
+            .iter()
+            .filter_map(|worker| workers.entry(*worker, &self.ports));
         feed::event(&mut lines.bytes, self.last, whole, entries);
         lines.bytes.push(b'\n');
         lines.messages += 1;
--- a/crates/scale/src/feeds/journal/tests.rs
+++ b/crates/scale/src/feeds/journal/tests.rs
@@ -18,9 +18,19 @@
     let text = std::str::from_utf8(&lines.bytes).expect("text");
     let event = |line: &str| {
         let value: serde_json::Value = serde_json::from_str(line).expect("JSON");
-        let hosts = value["members"]["hosts"].as_array().cloned().unwrap_or_default();
-        let names = hosts.iter().map(|host| format!("{} {}", host["host"], host["health"])).collect();
-        (value["n"].as_u64().expect("a number"), value["members"]["whole"].as_bool(), names)
+        let hosts = value["members"]["hosts"]
+            .as_array()
+            .cloned()
+            .unwrap_or_default();
+        let names = hosts
+            .iter()
+            .map(|host| format!("{} {}", host["host"], host["health"]))
+            .collect();
+        (
+            value["n"].as_u64().expect("a number"),
+            value["members"]["whole"].as_bool(),
+            names,
+        )
     };
     text.lines().map(event).collect()
 }
@@ -33,16 +43,34 @@
     journal.set_ports(vec![20_000, 20_001]);
     let known: serde_json::Value = serde_json::from_str(&journal.start(&workers)).expect("JSON");
     assert_eq!(known["n"], 1);
-    let hosts = known["events"][0]["members"]["hosts"].as_array().expect("a list").clone();
-    let dials: Vec<&str> = hosts.iter().filter_map(|host| host["dial"].as_str()).collect();
-    assert_eq!(dials, ["127.16.0.0:20000", "127.16.0.1:20001", "127.16.0.2:20000", "127.16.0.4:20000"]);
+    let hosts = known["events"][0]["members"]["hosts"]
+        .as_array()
+        .expect("a list")
+        .clone();
+    let dials: Vec<&str> = hosts
+        .iter()
+        .filter_map(|host| host["dial"].as_str())
+        .collect();
+    assert_eq!(
+        dials,
+        [
+            "127.16.0.0:20000",
+            "127.16.0.1:20001",
+            "127.16.0.2:20000",
+            "127.16.0.4:20000"
+        ]
+    );
 }
 
 #[test]
 fn numbers_follow_each_other_under_both_rules_and_a_change_is_told_once() {
     let mut workers = workers();
     let mut journal = journal(&workers);
-    workers.set_room(Room { worker: WorkerId(1), free_cores: 1.0, free_memory: 2.0 });
+    workers.set_room(Room {
+        worker: WorkerId(1),
+        free_cores: 1.0,
+        free_memory: 2.0,
+    });
     for worker in [1, 4, 1] {
         journal.mark(WorkerId(worker));
     }
@@ -57,7 +85,12 @@
     let numbers: Vec<u64> = found.iter().map(|(n, _, _)| *n).collect();
     assert_eq!(numbers, [2, 3, 3, 4]);
     assert_eq!(found[3].2.len(), 2);
-    let counts = FeedCounts { change_events: 3, number_lines: 1, entries_up: 4, ..FeedCounts::default() };
+    let counts = FeedCounts {
+        change_events: 3,
+        number_lines: 1,
+        entries_up: 4,
+        ..FeedCounts::default()
+    };
     assert_eq!((lines.counts, lines.messages), (counts, 4));
 }
 
@@ -88,7 +121,13 @@
     journal.tell(FeedRule::Gathered, &workers, &mut lines);
     journal.tell_whole(&workers, &mut lines);
     let found = told(&lines);
-    assert_eq!(found[0].2, ["\"w00001\" \"removed\"", "\"w00003\" \"removed\""]);
+    assert_eq!(
+        found[0].2,
+        ["\"w00001\" \"removed\"", "\"w00003\" \"removed\""]
+    );
     assert_eq!((found[1].1, found[1].2.len()), (Some(true), 3));
-    assert_eq!((lines.counts.entries_removed, lines.counts.whole_events), (2, 1));
+    assert_eq!(
+        (lines.counts.entries_removed, lines.counts.whole_events),
+        (2, 1)
+    );
 }
--- a/crates/scale/src/feeds/thread.rs
+++ b/crates/scale/src/feeds/thread.rs
@@ -59,11 +59,17 @@
 impl PlacerFeed {
     /// Whether it can be told something now.
     fn takes_more(&self) -> bool {
-        self.subscribed && self.connection.as_ref().is_some_and(|found| found.queued() < MOST_QUEUED)
+        self.subscribed
+            && self
+                .connection
+                .as_ref()
+                .is_some_and(|found| found.queued() < MOST_QUEUED)
     }
 
     fn send(&mut self, lines: &Lines) {
-        let Some(connection) = &mut self.connection else { return };
+        let Some(connection) = &mut self.connection else {
+            return;
+        };
         self.counters.add_feed(lines.counts);
         if connection.send(&lines.bytes, lines.messages) == Liveness::Ended {
             self.end();
@@ -104,21 +110,39 @@
         let mut feeds = Vec::new();
         for (place, (mut listener, counters)) in listeners.into_iter().zip(counters).enumerate() {
             let token = Token(FIRST_LISTENER + place);
-            poll.registry().register(&mut listener, token, Interest::READABLE)?;
+            poll.registry()
+                .register(&mut listener, token, Interest::READABLE)?;
             let journal = Journal::default();
-            feeds.push(PlacerFeed { listener, connection: None, subscribed: false, journal, counters });
+            feeds.push(PlacerFeed {
+                listener,
+                connection: None,
+                subscribed: false,
+                journal,
+                counters,
+            });
         }
-        let Settings { workers, worker_cores, worker_memory, .. } = *settings;
+        let Settings {
+            workers,
+            worker_cores,
+            worker_memory,
+            ..
+        } = *settings;
         Ok(FeedThread {
             poll,
             orders,
-            workers: ListedWorkers::new(workers, settings.zone_names(), worker_cores, worker_memory),
+            workers: ListedWorkers::new(
+                workers,
+                settings.zone_names(),
+                worker_cores,
+                worker_memory,
+            ),
             feeds,
             timers: TimerQueue::default(),
             rule: settings.feed,
             period: settings.feed_period,
             whole_every: settings.whole_list_every,
-            extra_gap: (settings.events > 0.0).then(|| Duration::from_secs_f64(1.0 / settings.events)),
+            extra_gap: (settings.events > 0.0)
+                .then(|| Duration::from_secs_f64(1.0 / settings.events)),
             draws: ChaCha8Rng::seed_from_u64(settings.seed ^ EVENTS_STREAM),
             stopped: false,
         })
@@ -137,7 +161,9 @@
             for event in &events {
                 match event.token() {
                     MAILBOX => {}
-                    Token(token) if token >= FIRST_CONNECTION => self.serve(token - FIRST_CONNECTION),
+                    Token(token) if token >= FIRST_CONNECTION => {
+                        self.serve(token - FIRST_CONNECTION)
+                    }
                     Token(token) => self.accept(token - FIRST_LISTENER)?,
                 }
             }
@@ -189,7 +215,9 @@
     }
 
     fn mark(&mut self, worker: WorkerId) {
-        self.feeds.iter_mut().for_each(|feed| feed.journal.mark(worker));
+        self.feeds
+            .iter_mut()
+            .for_each(|feed| feed.journal.mark(worker));
     }
 
     fn set_room(&mut self, room: Room) {
@@ -214,11 +242,15 @@
                     let (counters, kind) = (feed.counters.clone(), Some(TrafficKind::Feed));
                     // A placer that calls again has given the connection before up.
                     feed.end();
-                    feed.connection = Some(Connection::new(stream, token, registry, counters, kind)?);
+                    feed.connection =
+                        Some(Connection::new(stream, token, registry, counters, kind)?);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error)
-                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) => {}
                 Err(error) => return Err(error),
             }
         }
@@ -226,8 +258,12 @@
     }
 
     fn serve(&mut self, place: usize) {
-        let Some(feed) = self.feeds.get_mut(place) else { return };
-        let Some(connection) = &mut feed.connection else { return };
+        let Some(feed) = self.feeds.get_mut(place) else {
+            return;
+        };
+        let Some(connection) = &mut feed.connection else {
+            return;
+        };
         let flushed = connection.flush();
         let filled = connection.fill();
         let inbox = connection.inbox();
@@ -238,7 +274,9 @@
             return feed.end();
         }
         let Some(end) = end else { return };
-        let Some(number) = number else { return feed.end() };
+        let Some(number) = number else {
+            return feed.end();
+        };
         connection.consume(end + 1);
         connection.count_read(1);
         feed.subscribed = true;
@@ -286,7 +324,11 @@
 
     fn tell_changes(&mut self) {
         let rule = self.rule;
-        for feed in self.feeds.iter_mut().filter(|feed| feed.journal.is_behind() && feed.takes_more()) {
+        for feed in self
+            .feeds
+            .iter_mut()
+            .filter(|feed| feed.journal.is_behind() && feed.takes_more())
+        {
             let mut lines = Lines::default();
             feed.journal.tell(rule, &self.workers, &mut lines);
             feed.send(&lines);
--- a/crates/scale/src/fit.rs
+++ b/crates/scale/src/fit.rs
@@ -13,8 +13,8 @@
 
 use least_squares::Line;
 pub use shape::{
-    Exponents, FARTHEST_FROM_CURVE, FLAT_NOISE, FLAT_SPREAD, NOISE_ERRORS, STRAIGHT_EXPONENTS, Shape,
-    WIDEST_EXPONENTS,
+    Exponents, FARTHEST_FROM_CURVE, FLAT_NOISE, FLAT_SPREAD, NOISE_ERRORS, STRAIGHT_EXPONENTS,
+    Shape, WIDEST_EXPONENTS,
 };
 
 /// Distinct sizes without which nothing is fitted. A curve has three coefficients (scale, exponent,
@@ -113,11 +113,17 @@
     let comparable = projected.is_finite() && measured.is_finite();
     let ratio = Some(measured / projected).filter(|ratio| comparable && ratio.is_finite());
     let within = (measured - projected).abs() <= PROJECTION_TOLERANCE * projected.abs();
-    Apart { ratio, over_20_percent: !(comparable && within) }
+    Apart {
+        ratio,
+        over_20_percent: !(comparable && within),
+    }
 }
 
 fn check_numbers(points: &[(f64, f64)]) -> Result<(), FitError> {
-    if points.iter().any(|(size, figure)| !size.is_finite() || !figure.is_finite()) {
+    if points
+        .iter()
+        .any(|(size, figure)| !size.is_finite() || !figure.is_finite())
+    {
         return Err(FitError::NotFinite);
     }
     if points.iter().any(|(size, _)| *size < 0.0) {
@@ -138,7 +144,10 @@
 }
 
 fn largest_residual(points: &[(f64, f64)], line: &Line) -> f64 {
-    points.iter().map(|(size, figure)| (figure - line.at(*size)).abs()).fold(0.0, f64::max)
+    points
+        .iter()
+        .map(|(size, figure)| (figure - line.at(*size)).abs())
+        .fold(0.0, f64::max)
 }
 
 fn part_of_mean(amount: f64, points: &[(f64, f64)]) -> Option<f64> {
--- a/crates/scale/src/fit/least_squares.rs
+++ b/crates/scale/src/fit/least_squares.rs
@@ -18,10 +18,18 @@
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
         let mean_y = points.iter().map(|(_, y)| y).sum::<f64>() / count;
         let abscissa_squares: f64 = points.iter().map(|(x, _)| (x - mean_x).powi(2)).sum();
-        let products: f64 = points.iter().map(|(x, y)| (x - mean_x) * (y - mean_y)).sum();
+        let products: f64 = points
+            .iter()
+            .map(|(x, y)| (x - mean_x) * (y - mean_y))
+            .sum();
         let slope = products / abscissa_squares;
         let intercept = mean_y - slope * mean_x;
-        let mut line = Line { slope, intercept, residual_squares: 0.0, abscissa_squares };
+        let mut line = Line {
+            slope,
+            intercept,
+            residual_squares: 0.0,
+            abscissa_squares,
+        };
         line.residual_squares = points.iter().map(|(x, y)| (y - line.at(*x)).powi(2)).sum();
         line
     }
--- a/crates/scale/src/fit/shape.rs
+++ b/crates/scale/src/fit/shape.rs
@@ -95,7 +95,10 @@
 
 impl Judgement {
     fn without_exponents(shape: Shape) -> Judgement {
-        Judgement { shape, exponents: None }
+        Judgement {
+            shape,
+            exponents: None,
+        }
     }
 }
 
@@ -109,9 +112,15 @@
 
 impl Curve {
     fn through(points: &[(f64, f64)], exponent: f64, largest_size: f64) -> Curve {
-        let raised: Vec<(f64, f64)> =
-            points.iter().map(|(size, figure)| ((size / largest_size).powf(exponent), *figure)).collect();
-        Curve { exponent, largest_size, line: Line::through(&raised) }
+        let raised: Vec<(f64, f64)> = points
+            .iter()
+            .map(|(size, figure)| ((size / largest_size).powf(exponent), *figure))
+            .collect();
+        Curve {
+            exponent,
+            largest_size,
+            line: Line::through(&raised),
+        }
     }
 
     fn raised(&self, size: f64) -> f64 {
@@ -142,7 +151,10 @@
         return Judgement::without_exponents(Shape::Unclear);
     }
     let exponents = agreeing_exponents(&curves, best, points);
-    Judgement { shape: shape_of(&exponents), exponents: Some(exponents) }
+    Judgement {
+        shape: shape_of(&exponents),
+        exponents: Some(exponents),
+    }
 }
 
 fn means_by_size(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
@@ -169,7 +181,9 @@
 }
 
 fn best(curves: &[Curve]) -> Option<&Curve> {
-    curves.iter().min_by(|a, b| a.line.residual_squares.total_cmp(&b.line.residual_squares))
+    curves
+        .iter()
+        .min_by(|a, b| a.line.residual_squares.total_cmp(&b.line.residual_squares))
 }
 
 /// Flat or unclear, if the curve's rise over the sizes may be noise.
@@ -181,7 +195,11 @@
         return None;
     }
     let hides_little = noise <= FLAT_NOISE * mean.abs();
-    Some(if hides_little { Shape::Flat } else { Shape::Unclear })
+    Some(if hides_little {
+        Shape::Flat
+    } else {
+        Shape::Unclear
+    })
 }
 
 fn degrees_of_freedom(points: &[(f64, f64)]) -> f64 {
@@ -190,20 +208,34 @@
 
 /// The largest distance of a size's mean from the curve.
 fn farthest(curve: &Curve, means: &[(f64, f64)]) -> f64 {
-    means.iter().map(|(size, figure)| (figure - curve.at(*size)).abs()).fold(0.0, f64::max)
+    means
+        .iter()
+        .map(|(size, figure)| (figure - curve.at(*size)).abs())
+        .fold(0.0, f64::max)
 }
 
 /// The exponents whose residuals are not significantly worse than those of the best.
 fn agreeing_exponents(curves: &[Curve], best: &Curve, points: &[(f64, f64)]) -> Exponents {
-    let largest_figure = points.iter().map(|(_, figure)| figure.abs()).fold(0.0, f64::max);
+    let largest_figure = points
+        .iter()
+        .map(|(_, figure)| figure.abs())
+        .fold(0.0, f64::max);
     let rounding = points.len() as f64 * (ROUNDING * largest_figure).powi(2);
     let factor = 1.0 + AGREEING_F / degrees_of_freedom(points);
     let limit = best.line.residual_squares * factor + rounding;
-    let agreeing = || curves.iter().filter(|curve| curve.line.residual_squares <= limit);
+    let agreeing = || {
+        curves
+            .iter()
+            .filter(|curve| curve.line.residual_squares <= limit)
+    };
     Exponents {
-        low: agreeing().map(|curve| curve.exponent).fold(best.exponent, f64::min),
+        low: agreeing()
+            .map(|curve| curve.exponent)
+            .fold(best.exponent, f64::min),
         best: best.exponent,
-        high: agreeing().map(|curve| curve.exponent).fold(best.exponent, f64::max),
+        high: agreeing()
+            .map(|curve| curve.exponent)
+            .fold(best.exponent, f64::max),
     }
 }
 
@@ -218,5 +250,9 @@
         return Shape::Unclear;
     }
     let one_agrees = exponents.low <= 1.0 && exponents.high >= 1.0;
-    if one_agrees || STRAIGHT_EXPONENTS.contains(&exponents.best) { Shape::Straight } else { Shape::Unclear }
+    if one_agrees || STRAIGHT_EXPONENTS.contains(&exponents.best) {
+        Shape::Straight
+    } else {
+        Shape::Unclear
+    }
 }
--- a/crates/scale/src/fit/tests.rs
+++ b/crates/scale/src/fit/tests.rs
@@ -1,7 +1,8 @@
 use proptest::prelude::*;
 
 use super::{
-    FLAT_SPREAD, Fit, FitError, LEAST_SIZES, PROJECTION_TOLERANCE, STRAIGHT_EXPONENTS, Shape, compare,
+    FLAT_SPREAD, Fit, FitError, LEAST_SIZES, PROJECTION_TOLERANCE, STRAIGHT_EXPONENTS, Shape,
+    compare,
 };
 
 /// Sizes of a sweep over workers.
@@ -11,7 +12,10 @@
 fn points(sizes: &[f64], noise: &[f64], figure: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
     let repeated = (0..3).flat_map(|_| sizes.iter().copied());
     let factors = noise.iter().copied().chain(std::iter::repeat(0.0));
-    repeated.zip(factors).map(|(size, noise)| (size, figure(size) * (1.0 + noise))).collect()
+    repeated
+        .zip(factors)
+        .map(|(size, noise)| (size, figure(size) * (1.0 + noise)))
+        .collect()
 }
 
 fn shape(points: &[(f64, f64)]) -> Shape {
@@ -159,7 +163,10 @@
 fn numbers_that_cannot_be_fitted_are_refused() {
     let with = |odd| [(1.0, 1.0), (2.0, 2.0), (3.0, 3.0), odd];
     assert_eq!(Fit::line(&with((4.0, f64::NAN))), Err(FitError::NotFinite));
-    assert_eq!(Fit::line(&with((f64::INFINITY, 4.0))), Err(FitError::NotFinite));
+    assert_eq!(
+        Fit::line(&with((f64::INFINITY, 4.0))),
+        Err(FitError::NotFinite)
+    );
     assert_eq!(Fit::line(&with((-4.0, 4.0))), Err(FitError::NegativeSize));
     assert_eq!(Fit::line(&with((1e200, 4.0))), Err(FitError::TooLarge));
 }
@@ -183,13 +190,17 @@
 
 #[test]
 fn noise_that_could_hide_a_rise_is_unclear() {
-    let noise = [0.5, -0.4, 0.6, -0.5, 0.3, -0.6, -0.5, 0.5, -0.3, 0.6, -0.6, 0.4];
+    let noise = [
+        0.5, -0.4, 0.6, -0.5, 0.3, -0.6, -0.5, 0.5, -0.3, 0.6, -0.6, 0.4,
+    ];
     assert_eq!(shape(&points(&WORKERS, &noise, |_| 100.0)), Shape::Unclear);
 }
 
 #[test]
 fn moderate_noise_without_a_rise_is_flat() {
-    let noise = [0.05, -0.04, 0.06, -0.05, 0.03, -0.06, 0.05, -0.05, -0.03, 0.06, 0.06, -0.04];
+    let noise = [
+        0.05, -0.04, 0.06, -0.05, 0.03, -0.06, 0.05, -0.05, -0.03, 0.06, 0.06, -0.04,
+    ];
     assert_eq!(shape(&points(&WORKERS, &noise, |_| 100.0)), Shape::Flat);
 }
 
@@ -202,14 +213,20 @@
 #[test]
 fn n_log_n_is_faster_over_small_sizes() {
     let sizes = [1.0, 2.0, 4.0, 8.0, 16.0];
-    assert_eq!(shape(&points(&sizes, &[], |size| size * size.ln())), Shape::Faster);
+    assert_eq!(
+        shape(&points(&sizes, &[], |size| size * size.ln())),
+        Shape::Faster
+    );
 }
 
 /// The reason of the bounds of [`STRAIGHT_EXPONENTS`].
 #[test]
 fn a_curve_at_the_bounds_of_straight_is_a_fifth_off_at_twice_the_largest_size() {
     let sizes: Vec<f64> = (0..=100).map(f64::from).collect();
-    for (exponent, expected) in [(STRAIGHT_EXPONENTS.start(), -0.2), (STRAIGHT_EXPONENTS.end(), 0.2)] {
+    for (exponent, expected) in [
+        (STRAIGHT_EXPONENTS.start(), -0.2),
+        (STRAIGHT_EXPONENTS.end(), 0.2),
+    ] {
         let fit = Fit::line(&points(&sizes, &[], |size| size.powf(*exponent))).expect("a fit");
         let off = 200_f64.powf(*exponent) / fit.projection(200.0) - 1.0;
         assert!((off - expected).abs() < 0.01, "exponent {exponent}: {off}");
--- a/crates/scale/src/identity.rs
+++ b/crates/scale/src/identity.rs
@@ -25,14 +25,18 @@
 
     /// The worker that was called at an address, if there are so many workers.
     pub fn at(address: IpAddr, workers: u32) -> Option<WorkerId> {
-        let IpAddr::V4(address) = address else { return None };
+        let IpAddr::V4(address) = address else {
+            return None;
+        };
         let index = address.to_bits().checked_sub(FIRST_ADDRESS)?;
         (index < workers).then_some(WorkerId(index))
     }
 
     /// The worker of this name.
     pub fn named(name: &str) -> Option<WorkerId> {
-        name.strip_prefix('w').and_then(|digits| digits.parse().ok()).map(WorkerId)
+        name.strip_prefix('w')
+            .and_then(|digits| digits.parse().ok())
+            .map(WorkerId)
     }
 
     /// Its place among the workers.
@@ -90,7 +94,9 @@
 
     /// The task of this key.
     pub fn of_key(key: u64) -> Option<TaskIndex> {
-        key.checked_sub(FIRST_KEY).and_then(|index| u32::try_from(index).ok()).map(TaskIndex)
+        key.checked_sub(FIRST_KEY)
+            .and_then(|index| u32::try_from(index).ok())
+            .map(TaskIndex)
     }
 }
 
@@ -113,7 +119,10 @@
 
     /// The id that these 16 hex digits name.
     pub fn parse(text: &str) -> Option<SetupId> {
-        (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok()).flatten().map(SetupId)
+        (text.len() == 16)
+            .then(|| u64::from_str_radix(text, 16).ok())
+            .flatten()
+            .map(SetupId)
     }
 }
 
--- a/crates/scale/src/identity/tests.rs
+++ b/crates/scale/src/identity/tests.rs
@@ -6,12 +6,21 @@
 fn a_worker_is_found_by_its_address_and_its_name() {
     for index in [0, 1, 255, 256, 7_299, MOST_WORKERS - 1] {
         let worker = WorkerId(index);
-        assert_eq!(WorkerId::at(IpAddr::V4(worker.address()), MOST_WORKERS), Some(worker));
+        assert_eq!(
+            WorkerId::at(IpAddr::V4(worker.address()), MOST_WORKERS),
+            Some(worker)
+        );
         assert_eq!(WorkerId::named(&worker.to_string()), Some(worker));
         assert_eq!(worker.address().octets()[0], 127);
     }
-    assert_eq!(WorkerId::at("127.0.0.1".parse().expect("an address"), 10), None);
-    assert_eq!(WorkerId::at("127.16.0.10".parse().expect("an address"), 10), None);
+    assert_eq!(
+        WorkerId::at("127.0.0.1".parse().expect("an address"), 10),
+        None
+    );
+    assert_eq!(
+        WorkerId::at("127.16.0.10".parse().expect("an address"), 10),
+        None
+    );
     assert_eq!(WorkerId::at("::1".parse().expect("an address"), 10), None);
 }
 
--- a/crates/scale/src/listener.rs
+++ b/crates/scale/src/listener.rs
@@ -76,7 +76,9 @@
 
     /// A handle of the socket for an event loop.
     pub fn handle(&self) -> io::Result<mio::net::TcpListener> {
-        Ok(mio::net::TcpListener::from_std(self.socket.try_clone()?.into()))
+        Ok(mio::net::TcpListener::from_std(
+            self.socket.try_clone()?.into(),
+        ))
     }
 
     /// Refuses calls from now on.
@@ -109,7 +111,8 @@
 
 /// An address at which a program may listen.
 pub fn free_address() -> io::Result<SocketAddr> {
-    let (_, port) = on_free_port(|port| bind(&socket()?, SocketAddr::from((Ipv4Addr::LOCALHOST, port))))?;
+    let (_, port) =
+        on_free_port(|port| bind(&socket()?, SocketAddr::from((Ipv4Addr::LOCALHOST, port))))?;
     Ok(SocketAddr::from((Ipv4Addr::LOCALHOST, port)))
 }
 
--- a/crates/scale/src/listener/tests.rs
+++ b/crates/scale/src/listener/tests.rs
@@ -30,7 +30,10 @@
     let refused = call(WorkerId(1), listener.port()).expect_err("nobody is there");
     assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
     let address = SocketAddr::from((Ipv4Addr::LOCALHOST, listener.port()));
-    assert!(bind(&socket().expect("a socket"), address).is_err(), "the port is held");
+    assert!(
+        bind(&socket().expect("a socket"), address).is_err(),
+        "the port is held"
+    );
     listener.listen().expect("it is back");
     call(WorkerId(1), listener.port()).expect("a connection");
 }
--- a/crates/scale/src/mailbox.rs
+++ b/crates/scale/src/mailbox.rs
@@ -44,6 +44,9 @@
 
 /// A mailbox that wakes the poll of this registry with a token.
 pub fn mailbox<T>(registry: &Registry, token: Token) -> io::Result<(Sender<T>, Receiver<T>)> {
-    let shared = Arc::new(Shared { queue: Mutex::default(), waker: Waker::new(registry, token)? });
+    let shared = Arc::new(Shared {
+        queue: Mutex::default(),
+        waker: Waker::new(registry, token)?,
+    });
     Ok((Sender(shared.clone()), Receiver(shared)))
 }
--- a/crates/scale/src/peer_thread.rs
+++ b/crates/scale/src/peer_thread.rs
@@ -19,12 +19,21 @@
     /// The error on which it has ended, if it has.
     pub fn failure(&mut self) -> Option<io::Error> {
         let finished = self.0.as_ref().is_some_and(JoinHandle::is_finished);
-        finished.then(|| self.join().err().unwrap_or_else(|| io::Error::other("it ended too early")))
+        finished.then(|| {
+            self.join()
+                .err()
+                .unwrap_or_else(|| io::Error::other("it ended too early"))
+        })
     }
 
     /// Waits for its end; its value.
     pub fn join(&mut self) -> io::Result<T> {
-        let handle = self.0.take().ok_or_else(|| io::Error::other("it has ended before"))?;
-        handle.join().unwrap_or_else(|_| Err(io::Error::other("it panicked")))
+        let handle = self
+            .0
+            .take()
+            .ok_or_else(|| io::Error::other("it has ended before"))?;
+        handle
+            .join()
+            .unwrap_or_else(|_| Err(io::Error::other("it panicked")))
     }
 }
--- a/crates/scale/src/placer_process.rs
+++ b/crates/scale/src/placer_process.rs
@@ -41,7 +41,11 @@
 impl PlacerProcess {
     /// Starts it on a configuration.
     pub fn start(launch: Launch, configuration: &str) -> Result<PlacerProcess, RunError> {
-        let mut process = PlacerProcess { launch, child: None, started: Instant::now() };
+        let mut process = PlacerProcess {
+            launch,
+            child: None,
+            started: Instant::now(),
+        };
         process.start_again(configuration)?;
         Ok(process)
     }
@@ -49,27 +53,47 @@
     /// Starts it in its place, on another configuration.
     pub fn start_again(&mut self, configuration: &str) -> Result<(), RunError> {
         self.kill();
-        let config = self.launch.folder.join(format!("{}.json", self.launch.placer));
+        let config = self
+            .launch
+            .folder
+            .join(format!("{}.json", self.launch.placer));
         fs::write(&config, configuration).map_err(RunError::system("write a configuration"))?;
-        let log = File::options().create(true).append(true).open(self.log_path());
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.log_path());
         let log = log.map_err(RunError::system("open a log"))?;
         self.started = Instant::now();
         let child = self.spawn(&config, log);
         let program = || self.launch.program.clone();
-        let child = child.map_err(|source| RunError::Program { program: program(), source })?;
-        let limit = Rlimit { current: Some(self.launch.sockets), maximum: Some(self.launch.sockets) };
+        let child = child.map_err(|source| RunError::Program {
+            program: program(),
+            source,
+        })?;
+        let limit = Rlimit {
+            current: Some(self.launch.sockets),
+            maximum: Some(self.launch.sockets),
+        };
         let limited = prlimit(Some(Pid::from_child(&child)), Resource::Nofile, limit);
         // From here on it is ended with this value, also where it could not be limited.
         self.child = Some(child);
-        limited.map_err(io::Error::from).map_err(RunError::system("limit a placer's descriptors"))?;
+        limited
+            .map_err(io::Error::from)
+            .map_err(RunError::system("limit a placer's descriptors"))?;
         Ok(())
     }
 
     fn spawn(&self, config: &Path, log: File) -> io::Result<Child> {
         let mut command = Command::new(&self.launch.program);
-        command.env(CONFIG_VARIABLE, config).env_remove("LB_ADMIN").env_remove("LB_ACCEPT_FD");
+        command
+            .env(CONFIG_VARIABLE, config)
+            .env_remove("LB_ADMIN")
+            .env_remove("LB_ACCEPT_FD");
         command.env_remove("ANISEHEAD_OPERATOR");
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log);
         command.spawn()
     }
 
@@ -99,8 +123,13 @@
 
     /// An error if it has ended by itself.
     pub fn check(&mut self) -> Result<(), RunError> {
-        let Some(child) = &mut self.child else { return Ok(()) };
-        match child.try_wait().map_err(RunError::system("look after a placer"))? {
+        let Some(child) = &mut self.child else {
+            return Ok(());
+        };
+        match child
+            .try_wait()
+            .map_err(RunError::system("look after a placer"))?
+        {
             None => Ok(()),
             Some(status) => Err(RunError::PlacerEnded {
                 placer: self.launch.placer,
@@ -115,11 +144,16 @@
         let log = fs::read(self.log_path()).unwrap_or_default();
         let text = String::from_utf8_lossy(&log);
         let lines: Vec<&str> = text.lines().collect();
-        lines.get(lines.len().saturating_sub(SHOWN_LINES)..).unwrap_or_default().join("\n")
+        lines
+            .get(lines.len().saturating_sub(SHOWN_LINES)..)
+            .unwrap_or_default()
+            .join("\n")
     }
 
     fn log_path(&self) -> PathBuf {
-        self.launch.folder.join(format!("{}.log", self.launch.placer))
+        self.launch
+            .folder
+            .join(format!("{}.log", self.launch.placer))
     }
 }
 
--- a/crates/scale/src/results.rs
+++ b/crates/scale/src/results.rs
@@ -104,7 +104,11 @@
 impl FleetTotals {
     /// Tasks with which a placer has broken a rule.
     pub fn rules_broken(&self) -> u64 {
-        self.lost + self.started_twice + self.answered_twice + self.never_started + self.ended_wrongly
+        self.lost
+            + self.started_twice
+            + self.answered_twice
+            + self.never_started
+            + self.ended_wrongly
     }
 }
 
@@ -258,7 +262,13 @@
 impl FlowRate {
     /// A flow over so many seconds.
     pub fn of(flow: crate::traffic::Flow, seconds: f64) -> FlowRate {
-        let per_second = |count: u64| if seconds > 0.0 { count as f64 / seconds } else { 0.0 };
+        let per_second = |count: u64| {
+            if seconds > 0.0 {
+                count as f64 / seconds
+            } else {
+                0.0
+            }
+        };
         FlowRate {
             to_bytes_per_s: per_second(flow.to_placer.bytes),
             to_messages_per_s: per_second(flow.to_placer.messages),
@@ -296,7 +306,13 @@
 impl FeedRates {
     /// What a feed told over so many seconds.
     pub fn of(counts: FeedCounts, seconds: f64) -> FeedRates {
-        let per_second = |count: u64| if seconds > 0.0 { count as f64 / seconds } else { 0.0 };
+        let per_second = |count: u64| {
+            if seconds > 0.0 {
+                count as f64 / seconds
+            } else {
+                0.0
+            }
+        };
         FeedRates {
             events_per_s: per_second(counts.change_events + counts.whole_events),
             entries_per_s: per_second(counts.entries_up + counts.entries_removed),
--- a/crates/scale/src/results/table.rs
+++ b/crates/scale/src/results/table.rs
@@ -51,7 +51,11 @@
     writeln!(
         out,
         "rules: {} lost, {} started twice, {} answered twice, {} ended wrongly, {} never started",
-        fleet.lost, fleet.started_twice, fleet.answered_twice, fleet.ended_wrongly, fleet.never_started
+        fleet.lost,
+        fleet.started_twice,
+        fleet.answered_twice,
+        fleet.ended_wrongly,
+        fleet.never_started
     )?;
     writeln!(
         out,
@@ -63,8 +67,14 @@
         "{:<12} {:>8} {:>9} {:>9} {:>9} {:>9}",
         "to start", "count", "p50 ms", "p90", "p99", "max"
     )?;
-    let late = [("lateness", &fleet.lateness), ("of workers", &fleet.worker_lateness)];
-    let classes = fleet.start_times.iter().map(|times| (times.class.as_str(), &times.times));
+    let late = [
+        ("lateness", &fleet.lateness),
+        ("of workers", &fleet.worker_lateness),
+    ];
+    let classes = fleet
+        .start_times
+        .iter()
+        .map(|times| (times.class.as_str(), &times.times));
     for (name, times) in classes.chain(late) {
         writeln!(
             out,
@@ -93,7 +103,11 @@
     )?;
     for placer in placers {
         let totals = &placer.totals;
-        let ready: Vec<String> = placer.ready_ms.iter().map(|ms| format!("{ms:.0}")).collect();
+        let ready: Vec<String> = placer
+            .ready_ms
+            .iter()
+            .map(|ms| format!("{ms:.0}"))
+            .collect();
         writeln!(
             out,
             "{:<6} {:>6.1} {:>8} {:>8} {:>6} {:>10.0} {:>9.0} {:>10.0} {:>9.0} {:>9.1} {:>9.1}  {}",
--- a/crates/scale/src/run.rs
+++ b/crates/scale/src/run.rs
@@ -103,7 +103,11 @@
     watcher: &mut dyn Watcher,
 ) -> Result<RunResult, RunError> {
     admit(settings)?;
-    let mut run = Run { stage: Stage::start(settings, program)?, watcher, kills: Vec::new() };
+    let mut run = Run {
+        stage: Stage::start(settings, program)?,
+        watcher,
+        kills: Vec::new(),
+    };
     run.make_ready()?;
     let window = run.begin(settings);
     let mut meter = Meter::new(run.stage.counters(), window.measured_from);
@@ -172,9 +176,13 @@
         if let Some(late) = self.stage.not_ready() {
             return Err(late.into_error(READY_LIMIT));
         }
-        self.wait("standing tasks told", TELLING_LIMIT, |stage| stage.states().0.queued == 0)?;
+        self.wait("standing tasks told", TELLING_LIMIT, |stage| {
+            stage.states().0.queued == 0
+        })?;
         let settled = Instant::now() + SETTLING;
-        self.wait("placers settle", 2 * SETTLING, |_| Instant::now() >= settled)?;
+        self.wait("placers settle", 2 * SETTLING, |_| {
+            Instant::now() >= settled
+        })?;
         Ok(())
     }
 
@@ -182,7 +190,11 @@
     fn begin(&mut self, settings: &Settings) -> ArrivalWindow {
         let start = Instant::now();
         let measured_from = start + settings.warm_up;
-        let window = ArrivalWindow { start, measured_from, end: measured_from + settings.duration };
+        let window = ArrivalWindow {
+            start,
+            measured_from,
+            end: measured_from + settings.duration,
+        };
         self.stage.workers().order(WorkerOrder::Begin);
         self.stage.clients().order(ClientOrder::Begin(window));
         window
@@ -211,7 +223,11 @@
             }
             if now >= next {
                 meter.row(&self.stage, sampler);
-                let step = if now >= window.measured_from { "measured" } else { "warm-up" };
+                let step = if now >= window.measured_from {
+                    "measured"
+                } else {
+                    "warm-up"
+                };
                 self.report(step, window.start);
                 if next >= window.end {
                     return Ok(());
@@ -229,7 +245,10 @@
         let quiet = Instant::now() + QUIET;
         self.wait("drain", DRAIN_LIMIT, |stage| {
             let (clients, workers) = stage.states();
-            Instant::now() >= quiet && clients.waiting == 0 && workers.unheard == 0 && stage.all_ready()
+            Instant::now() >= quiet
+                && clients.waiting == 0
+                && workers.unheard == 0
+                && stage.all_ready()
         })?;
         Ok(())
     }
@@ -238,11 +257,20 @@
 /// The end of the row that begins here: none reaches over the start of the measured time.
 fn row_end(start: Instant, window: &ArrivalWindow) -> Instant {
     let end = start + SECOND;
-    if start < window.measured_from { end.min(window.measured_from) } else { end.min(window.end) }
+    if start < window.measured_from {
+        end.min(window.measured_from)
+    } else {
+        end.min(window.end)
+    }
 }
 
 /// Ends everything, and puts the result together.
-fn finish(settings: &Settings, stage: Stage, meter: Meter, kills: &[Kill]) -> Result<RunResult, RunError> {
+fn finish(
+    settings: &Settings,
+    stage: Stage,
+    meter: Meter,
+    kills: &[Kill],
+) -> Result<RunResult, RunError> {
     let ended = stage.stop()?;
     let fleet = fleet_totals(settings, &ended.clients, &ended.workers, kills)?;
     let (memory, processes) = (meter.memory(), 1 + usize::from(settings.placers));
@@ -279,7 +307,10 @@
         class: class.name().to_string(),
         times: Percentiles::of(times),
     };
-    totals.start_times = classes.map(times).filter(|class| class.times.count > 0).collect();
+    totals.start_times = classes
+        .map(times)
+        .filter(|class| class.times.count > 0)
+        .collect();
     totals.starts_per_s = totals.all_start_times.count as f64 / settings.duration.as_secs_f64();
     Ok(totals)
 }
@@ -295,7 +326,10 @@
 fn late_reason(settings: &Settings, fleet: &FleetTotals) -> Option<String> {
     let limit_ms = settings.lateness_limit.as_secs_f64() * 1e3;
     let limit = humantime::format_duration(settings.lateness_limit);
-    let peers = [("clients", fleet.lateness.p99_ms), ("workers", fleet.worker_lateness.p99_ms)];
+    let peers = [
+        ("clients", fleet.lateness.p99_ms),
+        ("workers", fleet.worker_lateness.p99_ms),
+    ];
     let late = peers.into_iter().find(|(_, p99_ms)| *p99_ms > limit_ms);
     late.map(|(who, p99_ms)| {
         format!("the hollow {who} themselves were late: p99 {p99_ms:.1} ms, over {limit}")
--- a/crates/scale/src/run/machine.rs
+++ b/crates/scale/src/run/machine.rs
@@ -18,21 +18,35 @@
 impl MachineTime {
     /// Up to now; nothing where the system does not tell.
     pub fn now() -> MachineTime {
-        fs::read_to_string("/proc/stat").ok().and_then(|text| MachineTime::read(&text)).unwrap_or_default()
+        fs::read_to_string("/proc/stat")
+            .ok()
+            .and_then(|text| MachineTime::read(&text))
+            .unwrap_or_default()
     }
 
     fn read(text: &str) -> Option<MachineTime> {
         let line = text.lines().next()?.strip_prefix("cpu ")?;
-        let fields: Vec<u64> =
-            line.split_whitespace().take(COUNTED).map(str::parse).collect::<Result<_, _>>().ok()?;
-        Some(MachineTime { idle: fields.get(IDLE)? + fields.get(WAITING)?, all: fields.iter().sum() })
+        let fields: Vec<u64> = line
+            .split_whitespace()
+            .take(COUNTED)
+            .map(str::parse)
+            .collect::<Result<_, _>>()
+            .ok()?;
+        Some(MachineTime {
+            idle: fields.get(IDLE)? + fields.get(WAITING)?,
+            all: fields.iter().sum(),
+        })
     }
 
     /// The part of the processors that was busy since then.
     pub fn busy_since(self, before: MachineTime) -> f64 {
         let all = self.all.saturating_sub(before.all);
         let idle = self.idle.saturating_sub(before.idle);
-        if all == 0 { 0.0 } else { 1.0 - idle as f64 / all as f64 }
+        if all == 0 {
+            0.0
+        } else {
+            1.0 - idle as f64 / all as f64
+        }
     }
 }
 
--- a/crates/scale/src/run/meter.rs
+++ b/crates/scale/src/run/meter.rs
@@ -61,8 +61,11 @@
     pub fn begin(&mut self, stage: &Stage, sampler: &mut dyn Sampler) {
         self.last = Instant::now();
         self.begin_measured();
-        for ((seen, counters), process) in
-            self.placers.iter_mut().zip(&self.counters).zip(stage.process_ids())
+        for ((seen, counters), process) in self
+            .placers
+            .iter_mut()
+            .zip(&self.counters)
+            .zip(stage.process_ids())
         {
             (seen.process, seen.sample) = sampled(process, sampler);
             (seen.traffic, seen.feed) = (counters.traffic(), counters.feed());
@@ -79,11 +82,18 @@
             _ => {}
         }
         let mut all_kb = 0;
-        for ((seen, counters), process) in
-            self.placers.iter_mut().zip(&self.counters).zip(stage.process_ids())
+        for ((seen, counters), process) in self
+            .placers
+            .iter_mut()
+            .zip(&self.counters)
+            .zip(stage.process_ids())
         {
             let row = seen.row(counters, process, sampler, length);
-            let row = PlacerSecond { second: self.second, measured, ..row };
+            let row = PlacerSecond {
+                second: self.second,
+                measured,
+                ..row
+            };
             all_kb += row.pss_kb;
             if measured {
                 seen.cpu += length.mul_f64(row.cpu_share);
@@ -108,7 +118,8 @@
 
     /// The part of the machine's processors that was busy while the rows counted.
     pub fn machine_busy(&self) -> f64 {
-        self.machine.map_or(0.0, |(start, end)| end.busy_since(start))
+        self.machine
+            .map_or(0.0, |(start, end)| end.busy_since(start))
     }
 
     /// Memory at its most.
@@ -120,12 +131,14 @@
     pub fn finish(self, ready: Vec<Vec<f64>>) -> Vec<PlacerResult> {
         let all = self.placers.into_iter().zip(self.counters).zip(ready);
         let result =
-            |(place, ((seen, counters), ready_ms)): (u16, ((Seen, Arc<PlacerCounters>), _))| PlacerResult {
-                name: PlacerId(place).to_string(),
-                ready_ms,
-                totals: totals(&seen),
-                all_traffic: counters.traffic(),
-                seconds: seen.rows,
+            |(place, ((seen, counters), ready_ms)): (u16, ((Seen, Arc<PlacerCounters>), _))| {
+                PlacerResult {
+                    name: PlacerId(place).to_string(),
+                    ready_ms,
+                    totals: totals(&seen),
+                    all_traffic: counters.traffic(),
+                    seconds: seen.rows,
+                }
             };
         (0..).zip(all).map(result).collect()
     }
@@ -141,7 +154,10 @@
 fn sampled(process: Option<u32>, sampler: &mut dyn Sampler) -> (Option<u32>, ProcessSample) {
     // A process that ends just now has none.
     let sample = process.and_then(|id| sampler.sample(id).ok());
-    (process.filter(|_| sample.is_some()), sample.unwrap_or_default())
+    (
+        process.filter(|_| sample.is_some()),
+        sample.unwrap_or_default(),
+    )
 }
 
 impl Seen {
@@ -154,7 +170,11 @@
     ) -> PlacerSecond {
         let (process, sample) = sampled(process, sampler);
         // Of a process that is new all its time is of this row; what one that is gone had used is not known.
-        let before = if process == self.process { self.sample.cpu } else { Duration::ZERO };
+        let before = if process == self.process {
+            self.sample.cpu
+        } else {
+            Duration::ZERO
+        };
         let cpu = sample.cpu.saturating_sub(before);
         let (traffic, feed) = (counters.traffic(), counters.feed());
         let row = PlacerSecond {
@@ -183,9 +203,14 @@
         traffic += row.traffic;
         feed += row.feed;
     }
-    let most = |figure: fn(&PlacerSecond) -> u64| rows.iter().map(|row| figure(row)).max().unwrap_or(0);
+    let most =
+        |figure: fn(&PlacerSecond) -> u64| rows.iter().map(|row| figure(row)).max().unwrap_or(0);
     PlacerTotals {
-        cpu_share: if seconds > 0.0 { seen.cpu.as_secs_f64() / seconds } else { 0.0 },
+        cpu_share: if seconds > 0.0 {
+            seen.cpu.as_secs_f64() / seconds
+        } else {
+            0.0
+        },
         rss_peak_kb: most(|row| row.rss_kb),
         pss_peak_kb: most(|row| row.pss_kb),
         peak_kb: most(|row| row.peak_kb),
--- a/crates/scale/src/run/schedule.rs
+++ b/crates/scale/src/run/schedule.rs
@@ -31,8 +31,11 @@
 impl Schedule {
     /// The faults of these settings, counted from the start of the measured time.
     pub fn new(settings: &Settings, start: Instant) -> Schedule {
-        let mut left: Vec<(Duration, Action)> =
-            settings.faults.iter().flat_map(|fault| actions(settings, fault)).collect();
+        let mut left: Vec<(Duration, Action)> = settings
+            .faults
+            .iter()
+            .flat_map(|fault| actions(settings, fault))
+            .collect();
         // Stable: of what is due at one time the first stays first.
         left.sort_by_key(|(at, _)| *at);
         left.reverse();
@@ -51,15 +54,26 @@
 
 fn actions(settings: &Settings, fault: &Fault) -> Vec<(Duration, Action)> {
     match fault {
-        Fault::Zone { at, zone, told_after, back_after } => {
-            let Some(zone) = settings.zone(zone) else { return Vec::new() };
+        Fault::Zone {
+            at,
+            zone,
+            told_after,
+            back_after,
+        } => {
+            let Some(zone) = settings.zone(zone) else {
+                return Vec::new();
+            };
             vec![
                 (*at, Action::ZoneVanishes(zone)),
                 (*at + *told_after, Action::ZoneIsTold(zone)),
                 (*at + *back_after, Action::ZoneReturns(zone)),
             ]
         }
-        Fault::Placer { at, placer, back_after } => vec![
+        Fault::Placer {
+            at,
+            placer,
+            back_after,
+        } => vec![
             (*at, Action::PlacerIsKilled(PlacerId(*placer))),
             (*at + *back_after, Action::PlacerReturns(PlacerId(*placer))),
         ],
--- a/crates/scale/src/run/schedule/tests.rs
+++ b/crates/scale/src/run/schedule/tests.rs
@@ -7,9 +7,21 @@
     let second = Duration::from_secs;
     let settings = Settings {
         faults: vec![
-            Fault::Zone { at: second(2), zone: "z1".into(), told_after: second(2), back_after: second(6) },
-            Fault::Placer { at: second(1), placer: 2, back_after: second(4) },
-            Fault::Garbage { at: second(4), workers: 3 },
+            Fault::Zone {
+                at: second(2),
+                zone: "z1".into(),
+                told_after: second(2),
+                back_after: second(6),
+            },
+            Fault::Placer {
+                at: second(1),
+                placer: 2,
+                back_after: second(4),
+            },
+            Fault::Garbage {
+                at: second(4),
+                workers: 3,
+            },
         ],
         ..Settings::default()
     };
--- a/crates/scale/src/run/stage.rs
+++ b/crates/scale/src/run/stage.rs
@@ -27,7 +27,11 @@
 impl NotReady {
     /// As the error that ends a run.
     pub fn into_error(self, limit: Duration) -> RunError {
-        RunError::NotReady { placer: self.placer, limit, log: self.log }
+        RunError::NotReady {
+            placer: self.placer,
+            limit,
+            log: self.log,
+        }
     }
 }
 
@@ -53,12 +57,17 @@
     fn open(settings: &Settings) -> Result<Folder, RunError> {
         match &settings.keep_files {
             Some(path) => {
-                std::fs::create_dir_all(path).map_err(RunError::system("make the folder of keep-files"))?;
+                std::fs::create_dir_all(path)
+                    .map_err(RunError::system("make the folder of keep-files"))?;
                 Ok(Folder::Kept(path.clone()))
             }
             None => {
-                let folder = tempfile::Builder::new().prefix("anisehead-scale-").tempdir();
-                folder.map(Folder::Temporary).map_err(RunError::system("make a folder"))
+                let folder = tempfile::Builder::new()
+                    .prefix("anisehead-scale-")
+                    .tempdir();
+                folder
+                    .map(Folder::Temporary)
+                    .map_err(RunError::system("make a folder"))
             }
         }
     }
@@ -94,16 +103,31 @@
     /// Starts the hollow peers, then the placers.
     pub fn start(settings: &Settings, program: &Path) -> Result<Stage, RunError> {
         let folder = Folder::open(settings)?;
-        let counters: Vec<Arc<PlacerCounters>> = (0..settings.placers).map(|_| Arc::default()).collect();
+        let counters: Vec<Arc<PlacerCounters>> =
+            (0..settings.placers).map(|_| Arc::default()).collect();
         let peers = |peers| move |source| RunError::Peers { peers, source };
         let standing = standing_tasks(settings);
         let feeds = Feeds::start(settings, counters.clone()).map_err(peers("feeds"))?;
-        let workers = Workers::start(&WorkerSetup::of(settings), &standing, &counters, &feeds.orders());
+        let workers = Workers::start(
+            &WorkerSetup::of(settings),
+            &standing,
+            &counters,
+            &feeds.orders(),
+        );
         let workers = workers.map_err(peers("workers"))?;
-        let clients = Clients::start(settings, &standing, counters.clone()).map_err(peers("clients"))?;
+        let clients =
+            Clients::start(settings, &standing, counters.clone()).map_err(peers("clients"))?;
         let settings = settings.clone();
         let members = Vec::new();
-        let mut stage = Stage { members, clients, workers, feeds, counters, settings, folder };
+        let mut stage = Stage {
+            members,
+            clients,
+            workers,
+            feeds,
+            counters,
+            settings,
+            folder,
+        };
         for placer in (0..stage.settings.placers).map(PlacerId) {
             stage.start_placer(placer, program)?;
         }
@@ -111,7 +135,10 @@
     }
 
     fn start_placer(&mut self, placer: PlacerId, program: &Path) -> Result<(), RunError> {
-        self.feeds.orders().send(FeedOrder::Ports(placer, self.workers.ports(placer).to_vec()));
+        self.feeds.orders().send(FeedOrder::Ports(
+            placer,
+            self.workers.ports(placer).to_vec(),
+        ));
         let launch = Launch {
             placer,
             program: program.to_path_buf(),
@@ -122,7 +149,12 @@
         let address = launch.address;
         let text = self.configuration(placer, 0, address)?;
         let process = PlacerProcess::start(launch, &text)?;
-        self.members.push(Member { process, restarts: 0, starts: true, ready_ms: Vec::new() });
+        self.members.push(Member {
+            process,
+            restarts: 0,
+            starts: true,
+            ready_ms: Vec::new(),
+        });
         self.clients.order(ClientOrder::Started(placer, address));
         Ok(())
     }
@@ -134,13 +166,31 @@
         restarts: u32,
         listen: std::net::SocketAddr,
     ) -> Result<String, RunError> {
-        let no_feed = || RunError::Peers { peers: "feeds", source: io::Error::other("no such feed") };
+        let no_feed = || RunError::Peers {
+            peers: "feeds",
+            source: io::Error::other("no such feed"),
+        };
         let feed = self.feeds.address(placer).ok_or_else(no_feed)?;
         let known = self.feeds.known(placer);
-        let known = known.map_err(|source| RunError::Peers { peers: "feeds", source })?;
-        let text = configuration(&self.settings, &Place { placer, restarts, listen, feed, known: &known });
+        let known = known.map_err(|source| RunError::Peers {
+            peers: "feeds",
+            source,
+        })?;
+        let text = configuration(
+            &self.settings,
+            &Place {
+                placer,
+                restarts,
+                listen,
+                feed,
+                known: &known,
+            },
+        );
         if let Some(counters) = self.counters.get(placer.index()) {
-            let volume = Volume { bytes: text.len() as u64, messages: 1 };
+            let volume = Volume {
+                bytes: text.len() as u64,
+                messages: 1,
+            };
             counters.add(TrafficKind::Configuration, Direction::ToPlacer, volume);
             counters.add_raw(Direction::ToPlacer, volume.bytes);
         }
@@ -184,7 +234,9 @@
                 return Err(RunError::Peers { peers, source });
             }
         }
-        self.members.iter_mut().try_for_each(|member| member.process.check())
+        self.members
+            .iter_mut()
+            .try_for_each(|member| member.process.check())
     }
 
     // ---- Ready ----
@@ -205,7 +257,8 @@
     pub fn all_ready(&self) -> bool {
         let ready = self.clients.state().ready;
         let all = self.members.iter().zip(ready);
-        all.into_iter().all(|(member, ready)| member.process.id().is_none() || ready.is_some())
+        all.into_iter()
+            .all(|(member, ready)| member.process.id().is_none() || ready.is_some())
     }
 
     /// A placer that starts and has not passed a test yet.
@@ -216,9 +269,14 @@
     /// A placer that has not passed a test for so long since its start.
     pub fn overdue(&self, limit: Duration) -> Option<NotReady> {
         let late = self.members.iter().find(|member| {
-            member.starts && member.process.id().is_some() && member.process.started.elapsed() > limit
+            member.starts
+                && member.process.id().is_some()
+                && member.process.started.elapsed() > limit
         });
-        late.map(|member| NotReady { placer: member.process.placer(), log: member.process.log_end() })
+        late.map(|member| NotReady {
+            placer: member.process.placer(),
+            log: member.process.log_end(),
+        })
     }
 
     // ---- Faults ----
@@ -230,11 +288,16 @@
             Action::ZoneIsTold(zone) => self.feeds.orders().send(FeedOrder::Remove(zone)),
             Action::ZoneReturns(zone) => {
                 self.workers.order(WorkerOrder::Return(zone));
-                self.feeds.orders().send(FeedOrder::Return(zone, unix_millis()));
+                self.feeds
+                    .orders()
+                    .send(FeedOrder::Return(zone, unix_millis()));
             }
             Action::PlacerIsKilled(placer) => {
                 self.clients.doom(placer, true);
-                kills.push(Kill { placer, at: Instant::now() });
+                kills.push(Kill {
+                    placer,
+                    at: Instant::now(),
+                });
                 if let Some(member) = self.members.get_mut(placer.index()) {
                     member.process.kill();
                 }
@@ -247,7 +310,9 @@
     }
 
     fn start_again(&mut self, placer: PlacerId) -> Result<(), RunError> {
-        let Some(member) = self.members.get_mut(placer.index()) else { return Ok(()) };
+        let Some(member) = self.members.get_mut(placer.index()) else {
+            return Ok(());
+        };
         member.restarts += 1;
         member.starts = true;
         let (restarts, address) = (member.restarts, member.process.address());
@@ -264,19 +329,34 @@
 
     /// Ends everything.
     pub fn stop(self) -> Result<Ended, RunError> {
-        let Stage { members, clients, workers, feeds, .. } = self;
+        let Stage {
+            members,
+            clients,
+            workers,
+            feeds,
+            ..
+        } = self;
         let peers = |peers| move |source| RunError::Peers { peers, source };
         // Peers end first: what the end of a placer would make them say is not owed any more.
         let clients = clients.stop().map_err(peers("clients"))?;
         let workers = workers.stop().map_err(peers("workers"))?;
         feeds.stop().map_err(peers("feeds"))?;
-        let ready = members.into_iter().map(|member| member.ready_ms.clone()).collect();
-        Ok(Ended { clients, workers, ready })
+        let ready = members
+            .into_iter()
+            .map(|member| member.ready_ms.clone())
+            .collect();
+        Ok(Ended {
+            clients,
+            workers,
+            ready,
+        })
     }
 }
 
 /// The system's time in Unix milliseconds.
 fn unix_millis() -> u64 {
-    let since = SystemTime::now().duration_since(SystemTime::UNIX_EPOCH).unwrap_or_default();
+    let since = SystemTime::now()
+        .duration_since(SystemTime::UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
 }
--- a/crates/scale/src/sample.rs
+++ b/crates/scale/src/sample.rs
@@ -44,7 +44,13 @@
         let pss_kb = kilobytes(&memory, PSS)?;
         let peak_kb = peak_kb(&process)?.max(rss_kb);
         let descriptors = process.fd_count().map_err(io_error)?;
-        Ok(ProcessSample { cpu, rss_kb, pss_kb, peak_kb, descriptors })
+        Ok(ProcessSample {
+            cpu,
+            rss_kb,
+            pss_kb,
+            peak_kb,
+            descriptors,
+        })
     }
 }
 
@@ -58,7 +64,9 @@
 fn memory_map_totals(process: &Process) -> io::Result<MMapExtension> {
     let rollup = process.smaps_rollup().map_err(io_error)?;
     let total = rollup.memory_map_rollup.into_iter().next();
-    total.map(|map| map.extension).ok_or_else(|| missing("smaps_rollup"))
+    total
+        .map(|map| map.extension)
+        .ok_or_else(|| missing("smaps_rollup"))
 }
 
 fn kilobytes(totals: &MMapExtension, field: &str) -> io::Result<u64> {
@@ -74,7 +82,10 @@
 }
 
 fn missing(what: &str) -> io::Error {
-    io::Error::new(io::ErrorKind::NotFound, format!("the kernel states no {what} for the process"))
+    io::Error::new(
+        io::ErrorKind::NotFound,
+        format!("the kernel states no {what} for the process"),
+    )
 }
 
 /// An error of the `procfs` crate as one of the system.
--- a/crates/scale/src/sample/tests.rs
+++ b/crates/scale/src/sample/tests.rs
@@ -22,7 +22,9 @@
             .expect("a shell starts");
         let mut line = String::new();
         let output = child.stdout.as_mut().expect("its output is piped");
-        BufReader::new(output).read_line(&mut line).expect("its output can be read");
+        BufReader::new(output)
+            .read_line(&mut line)
+            .expect("its output can be read");
         Shell(child)
     }
 
@@ -63,9 +65,17 @@
     let steps = (0..50).map(|_| {
         let before = ProcSampler.sample(pid).expect("a sample").cpu;
         spin(Duration::from_micros(200));
-        ProcSampler.sample(pid).expect("a sample").cpu.saturating_sub(before)
+        ProcSampler
+            .sample(pid)
+            .expect("a sample")
+            .cpu
+            .saturating_sub(before)
     });
-    assert!(steps.into_iter().any(|step| step > Duration::ZERO && step < TICK));
+    assert!(
+        steps
+            .into_iter()
+            .any(|step| step > Duration::ZERO && step < TICK)
+    );
 }
 
 #[test]
@@ -92,7 +102,9 @@
 
 #[test]
 fn open_files_are_counted() {
-    let open: Vec<File> = (0..40).map(|_| File::open("/dev/null").expect("opens")).collect();
+    let open: Vec<File> = (0..40)
+        .map(|_| File::open("/dev/null").expect("opens"))
+        .collect();
     let sample = ProcSampler.sample(std::process::id()).expect("a sample");
     assert!(sample.descriptors >= open.len());
 }
--- a/crates/scale/src/settings.rs
+++ b/crates/scale/src/settings.rs
@@ -178,7 +178,9 @@
     /// Reads them out of TOML, without the checks.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         toml::from_str(text).map_err(|error| {
-            let line = error.span().map(|span| text.get(..span.start).unwrap_or_default().lines().count());
+            let line = error
+                .span()
+                .map(|span| text.get(..span.start).unwrap_or_default().lines().count());
             let name = line.map_or_else(|| "file".to_string(), |line| key_at(text, line));
             SettingsError::new(&name, "a setting that can be read", error.message())
         })
@@ -187,7 +189,11 @@
     /// Reads them out of a file, without the checks.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|error| {
-            SettingsError::new("file", "a TOML file", format_args!("{}: {error}", path.display()))
+            SettingsError::new(
+                "file",
+                "a TOML file",
+                format_args!("{}: {error}", path.display()),
+            )
         })?;
         Settings::parse(&text)
     }
@@ -209,7 +215,9 @@
 
     /// The names of the tenants.
     pub fn tenant_names(&self) -> Vec<String> {
-        (0..self.tenants).map(|tenant| format!("t{tenant}")).collect()
+        (0..self.tenants)
+            .map(|tenant| format!("t{tenant}"))
+            .collect()
     }
 
     /// Placers that the deployment's settings state.
@@ -235,7 +243,11 @@
 fn key_at(text: &str, line: usize) -> String {
     let found = text.lines().nth(line.saturating_sub(1)).unwrap_or_default();
     let key = found.split('=').next().unwrap_or_default().trim();
-    if key.is_empty() { format!("file, line {line}") } else { key.to_string() }
+    if key.is_empty() {
+        format!("file, line {line}")
+    } else {
+        key.to_string()
+    }
 }
 
 #[cfg(test)]
--- a/crates/scale/src/settings/check.rs
+++ b/crates/scale/src/settings/check.rs
@@ -45,7 +45,11 @@
         within("busy-limit", self.busy_limit, 0.0..=1.0)?;
         within("events", self.events, 0.0..=100_000.0)?;
         within("placer-memory-mb", self.placer_memory_mb, 8..=65_536)?;
-        within("placer-sockets", self.placer_sockets, FEWEST_SOCKETS..=1_048_576)?;
+        within(
+            "placer-sockets",
+            self.placer_sockets,
+            FEWEST_SOCKETS..=1_048_576,
+        )?;
         within("client-connections", self.client_connections, 1..=256)?;
         within("worker-cores", self.worker_cores, 0.1..=100_000.0)?;
         within("worker-memory", self.worker_memory, 0.1..=100_000.0)?;
@@ -58,20 +62,39 @@
         span_within("duration", self.duration, Duration::from_secs(1)..=DAY)?;
         span_within("warm-up", self.warm_up, Duration::ZERO..=DAY)?;
         span_within("life", self.life, milli..=DAY)?;
-        span_within("start-time", self.start_time, Duration::ZERO..=Duration::from_secs(60))?;
-        span_within("lateness-limit", self.lateness_limit, milli..=Duration::from_secs(60))?;
+        span_within(
+            "start-time",
+            self.start_time,
+            Duration::ZERO..=Duration::from_secs(60),
+        )?;
+        span_within(
+            "lateness-limit",
+            self.lateness_limit,
+            milli..=Duration::from_secs(60),
+        )?;
         if self.feed == FeedRule::Gathered {
-            span_within("feed-period", self.feed_period, milli..=Duration::from_secs(60))?;
+            span_within(
+                "feed-period",
+                self.feed_period,
+                milli..=Duration::from_secs(60),
+            )?;
         }
         if !self.whole_list_every.is_zero() {
-            span_within("whole-list-every", self.whole_list_every, Duration::from_millis(100)..=DAY)?;
+            span_within(
+                "whole-list-every",
+                self.whole_list_every,
+                Duration::from_millis(100)..=DAY,
+            )?;
         }
         Ok(())
     }
 
     fn check_together(&self) -> Checked {
         if self.urgent_share + self.once_share > 1.0 {
-            let expected = format!("at most 1 together with urgent-share = {}", self.urgent_share);
+            let expected = format!(
+                "at most 1 together with urgent-share = {}",
+                self.urgent_share
+            );
             return Err(SettingsError::new("once-share", expected, self.once_share));
         }
         if self.placers == 0 && self.rate > 0.0 {
@@ -87,8 +110,11 @@
         }
         let hold = u64::from(self.workers) * u64::from(self.room());
         if u64::from(self.standing) > hold {
-            let expected =
-                format!("at most the {hold} that {} workers of {} tasks hold", self.workers, self.room());
+            let expected = format!(
+                "at most the {hold} that {} workers of {} tasks hold",
+                self.workers,
+                self.room()
+            );
             return Err(SettingsError::new("standing", expected, self.standing));
         }
         Ok(())
@@ -98,7 +124,8 @@
     pub fn descriptors_needed(&self) -> u64 {
         let placers = u64::from(self.placers);
         // A placer's own share for clients is a third of its descriptors; the rest may be calls to workers.
-        let calls = (self.placer_sockets - self.placer_sockets / 3).min(3 * u64::from(self.workers));
+        let calls =
+            (self.placer_sockets - self.placer_sockets / 3).min(3 * u64::from(self.workers));
         let kept = u64::from(self.client_connections) + EACH_PLACER;
         // A listener takes two: its socket, and the handle of the event loop.
         let listeners = 2 * u64::from(self.zones) + 2;
@@ -107,7 +134,12 @@
 
     fn check_fault(&self, name: &str, fault: &Fault) -> Checked {
         match fault {
-            Fault::Zone { zone, told_after, back_after, .. } => {
+            Fault::Zone {
+                zone,
+                told_after,
+                back_after,
+                ..
+            } => {
                 if self.zone(zone).is_none() {
                     let names = self.zone_names().join(", ");
                     return Err(SettingsError::new(
@@ -116,7 +148,11 @@
                         zone,
                     ));
                 }
-                span_within(&format!("{name}: told-after"), *told_after, Duration::ZERO..=*back_after)?;
+                span_within(
+                    &format!("{name}: told-after"),
+                    *told_after,
+                    Duration::ZERO..=*back_after,
+                )?;
             }
             Fault::Placer { placer, .. } => {
                 let last = self.placers.saturating_sub(1);
@@ -126,9 +162,16 @@
                 within(&format!("{name}: workers"), *workers, 1..=self.workers)?;
             }
         }
-        span_within(&format!("{name}: at"), fault.at(), Duration::ZERO..=self.duration)?;
+        span_within(
+            &format!("{name}: at"),
+            fault.at(),
+            Duration::ZERO..=self.duration,
+        )?;
         if fault.end() > self.duration {
-            let expected = format!("at and back-after within duration = {}", span(self.duration));
+            let expected = format!(
+                "at and back-after within duration = {}",
+                span(self.duration)
+            );
             return Err(SettingsError::new(name, expected, span(fault.end())));
         }
         Ok(())
--- a/crates/scale/src/settings/fault.rs
+++ b/crates/scale/src/settings/fault.rs
@@ -5,7 +5,12 @@
 
 /// One failure. Times count from the start of the measured time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-#[serde(tag = "kind", rename_all = "kebab-case", rename_all_fields = "kebab-case", deny_unknown_fields)]
+#[serde(
+    tag = "kind",
+    rename_all = "kebab-case",
+    rename_all_fields = "kebab-case",
+    deny_unknown_fields
+)]
 pub enum Fault {
     /// All workers of a zone vanish at once, and come back cold.
     Zone {
--- a/crates/scale/src/settings/flags.rs
+++ b/crates/scale/src/settings/flags.rs
@@ -92,17 +92,21 @@
             ("feed", &self.feed),
             ("connect", &self.connect),
         ];
-        flags.into_iter().filter_map(|(name, value)| Some((name, value.as_deref()?)))
+        flags
+            .into_iter()
+            .filter_map(|(name, value)| Some((name, value.as_deref()?)))
     }
 }
 
 impl Settings {
     /// Sets each setting that is named by a text such as `workers=2000`.
     pub fn set_pairs(&mut self, pairs: &[String]) -> Result<(), SettingsError> {
-        pairs.iter().try_for_each(|pair| match pair.split_once('=') {
-            Some((name, value)) => set(self, name.trim(), value.trim()),
-            None => Err(SettingsError::new("--set", "NAME=VALUE", pair)),
-        })
+        pairs
+            .iter()
+            .try_for_each(|pair| match pair.split_once('=') {
+                Some((name, value)) => set(self, name.trim(), value.trim()),
+                None => Err(SettingsError::new("--set", "NAME=VALUE", pair)),
+            })
     }
 }
 
@@ -143,12 +147,22 @@
         }
         "feed" => word::<FeedRule>(&mut settings.feed, name, "each-change or gathered", text),
         "connect" => word::<Connect>(&mut settings.connect, name, "on-demand or all", text),
-        _ => Err(SettingsError::new(name, "the name of a setting", format_args!("{name}={text}"))),
+        _ => Err(SettingsError::new(
+            name,
+            "the name of a setting",
+            format_args!("{name}={text}"),
+        )),
     }
 }
 
-fn number<T: std::str::FromStr>(place: &mut T, name: &str, text: &str) -> Result<(), SettingsError> {
-    *place = text.parse().map_err(|_| SettingsError::new(name, "a number in its range", text))?;
+fn number<T: std::str::FromStr>(
+    place: &mut T,
+    name: &str,
+    text: &str,
+) -> Result<(), SettingsError> {
+    *place = text
+        .parse()
+        .map_err(|_| SettingsError::new(name, "a number in its range", text))?;
     Ok(())
 }
 
@@ -165,7 +179,9 @@
     text: &str,
 ) -> Result<(), SettingsError> {
     let value = toml::Value::String(text.to_string());
-    *place = value.try_into().map_err(|_| SettingsError::new(name, expected, text))?;
+    *place = value
+        .try_into()
+        .map_err(|_| SettingsError::new(name, expected, text))?;
     Ok(())
 }
 
@@ -175,7 +191,7 @@
         fault: Fault,
     }
     let parsed: Result<One, toml::de::Error> = toml::from_str(&format!("fault = {table}"));
-    parsed
-        .map(|one| one.fault)
-        .map_err(|error| SettingsError::new("fault", "a table such as one of [[fault]]", error.message()))
+    parsed.map(|one| one.fault).map_err(|error| {
+        SettingsError::new("fault", "a table such as one of [[fault]]", error.message())
+    })
 }
--- a/crates/scale/src/settings/tests.rs
+++ b/crates/scale/src/settings/tests.rs
@@ -32,32 +32,80 @@
 fn what_can_not_be_meant_is_named_with_what_was_expected_and_found_in_one_line() {
     let zone = |rest: &str| format!("[[fault]]\nkind = \"zone\"\n{rest}\n");
     for (text, says) in [
-        ("workers = 0", "setting workers: expected 1 to 16384, found 0"),
-        ("workers = 20000", "setting workers: expected 1 to 16384, found 20000"),
+        (
+            "workers = 0",
+            "setting workers: expected 1 to 16384, found 0",
+        ),
+        (
+            "workers = 20000",
+            "setting workers: expected 1 to 16384, found 20000",
+        ),
         ("zones = 400", "setting zones: expected 1 to 256, found 400"),
-        ("zones = 2\nregions = 3", "setting regions: expected 1 to 2, found 3"),
-        ("placers = 0", "setting placers: expected at least 1, as rate = 20, found 0"),
-        ("placers = 0\nrate = 0.0", "setting placers: expected at least 1, found 0"),
-        ("instances = 2", "setting instances: expected 0, or at least placers = 3, found 2"),
+        (
+            "zones = 2\nregions = 3",
+            "setting regions: expected 1 to 2, found 3",
+        ),
+        (
+            "placers = 0",
+            "setting placers: expected at least 1, as rate = 20, found 0",
+        ),
+        (
+            "placers = 0\nrate = 0.0",
+            "setting placers: expected at least 1, found 0",
+        ),
+        (
+            "instances = 2",
+            "setting instances: expected 0, or at least placers = 3, found 2",
+        ),
         (
             "standing = 100000",
             "setting standing: expected at most the 9600 that 300 workers of 32 tasks hold",
         ),
-        ("rate = -1.0", "setting rate: expected 0 to 100000, found -1"),
-        ("rate = nan", "setting rate: expected 0 to 100000, found NaN"),
-        ("urgent-share = 0.7\nonce-share = 0.5", "setting once-share: expected at most 1 together with"),
-        ("duration = \"0s\"", "setting duration: expected 1s to 1day, found 0s"),
-        ("duration = \"soon\"", "setting duration: expected a setting that can be read, found"),
+        (
+            "rate = -1.0",
+            "setting rate: expected 0 to 100000, found -1",
+        ),
+        (
+            "rate = nan",
+            "setting rate: expected 0 to 100000, found NaN",
+        ),
+        (
+            "urgent-share = 0.7\nonce-share = 0.5",
+            "setting once-share: expected at most 1 together with",
+        ),
+        (
+            "duration = \"0s\"",
+            "setting duration: expected 1s to 1day, found 0s",
+        ),
+        (
+            "duration = \"soon\"",
+            "setting duration: expected a setting that can be read, found",
+        ),
         (
             "feed = \"never\"",
             "setting feed: expected a setting that can be read, found unknown variant `never`",
         ),
-        ("feed-period = \"0s\"", "setting feed-period: expected 1ms to 1m, found 0s"),
-        ("sead = 1", "setting sead: expected a setting that can be read, found unknown field `sead`"),
-        ("workers = \"many\"", "setting workers: expected a setting that can be read"),
+        (
+            "feed-period = \"0s\"",
+            "setting feed-period: expected 1ms to 1m, found 0s",
+        ),
+        (
+            "sead = 1",
+            "setting sead: expected a setting that can be read, found unknown field `sead`",
+        ),
+        (
+            "workers = \"many\"",
+            "setting workers: expected a setting that can be read",
+        ),
         ("workers = 5\nworkers = 6", "setting workers: expected"),
-        ("task-cores = 40.0", "setting task-cores: expected 0.001 to 32, found 40"),
-        ("placer-sockets = 20", "setting placer-sockets: expected 64 to 1048576, found 20"),
+        (
+            "task-cores = 40.0",
+            "setting task-cores: expected 0.001 to 32, found 40",
+        ),
+        (
+            "placer-sockets = 20",
+            "setting placer-sockets: expected 64 to 1048576, found 20",
+        ),
         (
             &zone("at = \"1s\"\nzone = \"z9\"\nback-after = \"5s\""),
             "setting fault 0: zone: expected one of z0, z1, z2, z3, z4, z5, z6, found z9",
@@ -82,8 +130,14 @@
             "[[fault]]\nkind = \"garbage\"\nat = \"1s\"\nworkers = 0",
             "setting fault 0: workers: expected 1 to 300, found 0",
         ),
-        ("[[fault]]\nkind = \"flood\"\nat = \"1s\"", "unknown variant `flood`"),
-        ("[[fault]]\nkind = \"garbage\"\nat = \"1s\"\nworkers = 1\nzone = \"z1\"", "unknown field `zone`"),
+        (
+            "[[fault]]\nkind = \"flood\"\nat = \"1s\"",
+            "unknown variant `flood`",
+        ),
+        (
+            "[[fault]]\nkind = \"garbage\"\nat = \"1s\"\nworkers = 1\nzone = \"z1\"",
+            "unknown field `zone`",
+        ),
     ] {
         let line = refused(text);
         assert!(line.contains(says), "{text}: {line}");
@@ -100,21 +154,43 @@
         ..SettingsArgs::default()
     };
     let settings = args.settings().expect("settings");
-    assert_eq!((settings.workers, settings.life.as_secs(), settings.feed), (900, 90, FeedRule::EachChange));
+    assert_eq!(
+        (settings.workers, settings.life.as_secs(), settings.feed),
+        (900, 90, FeedRule::EachChange)
+    );
     assert_eq!(settings.faults.len(), 1);
     let bad = |set: &str| {
-        let args = SettingsArgs { set: vec![set.to_string()], ..SettingsArgs::default() };
+        let args = SettingsArgs {
+            set: vec![set.to_string()],
+            ..SettingsArgs::default()
+        };
         args.settings().expect_err(set).to_string()
     };
-    assert_eq!(bad("workers=many"), "setting workers: expected a number in its range, found many");
-    assert_eq!(bad("life=long"), "setting life: expected a time such as 30s, found long");
-    assert_eq!(bad("sead=1"), "setting sead: expected the name of a setting, found sead=1");
-    assert_eq!(bad("workers"), "setting --set: expected NAME=VALUE, found workers");
+    assert_eq!(
+        bad("workers=many"),
+        "setting workers: expected a number in its range, found many"
+    );
+    assert_eq!(
+        bad("life=long"),
+        "setting life: expected a time such as 30s, found long"
+    );
+    assert_eq!(
+        bad("sead=1"),
+        "setting sead: expected the name of a setting, found sead=1"
+    );
+    assert_eq!(
+        bad("workers"),
+        "setting --set: expected NAME=VALUE, found workers"
+    );
 }
 
 #[test]
 fn zones_are_named_by_their_regions_where_there_are_several() {
-    let settings = Settings { zones: 4, regions: 2, ..Settings::default() };
+    let settings = Settings {
+        zones: 4,
+        regions: 2,
+        ..Settings::default()
+    };
     assert_eq!(settings.zone_names(), ["r0-z0", "r1-z1", "r0-z2", "r1-z3"]);
     assert_eq!(settings.zone("r0-z2"), Some(ZoneId(2)));
     assert_eq!(settings.zone("z2"), None);
--- a/crates/scale/src/socket.rs
+++ b/crates/scale/src/socket.rs
@@ -55,8 +55,16 @@
     ) -> io::Result<Connection> {
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
         let (inbox, outbox, uncounted) = (Vec::new(), Vec::new(), Uncounted::default());
-        let connection =
-            Connection { stream, inbox, outbox, written: 0, counters, kind, uncounted, ended: false };
+        let connection = Connection {
+            stream,
+            inbox,
+            outbox,
+            written: 0,
+            counters,
+            kind,
+            uncounted,
+            ended: false,
+        };
         if let Some(kind) = kind {
             connection.use_for(kind);
         }
@@ -84,7 +92,10 @@
         }
         self.kind = Some(kind);
         self.use_for(kind);
-        let Uncounted { to_placer, from_placer } = std::mem::take(&mut self.uncounted);
+        let Uncounted {
+            to_placer,
+            from_placer,
+        } = std::mem::take(&mut self.uncounted);
         self.counters.add(kind, Direction::ToPlacer, to_placer);
         self.counters.add(kind, Direction::FromPlacer, from_placer);
     }
@@ -116,7 +127,8 @@
                 Ok(0) => self.ended = true,
                 Ok(count) => {
                     self.count_bytes(Direction::FromPlacer, count);
-                    self.inbox.extend_from_slice(chunk.get(..count).unwrap_or_default());
+                    self.inbox
+                        .extend_from_slice(chunk.get(..count).unwrap_or_default());
                 }
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) if would_block(&error) => break,
@@ -155,7 +167,10 @@
     /// Writes what the system takes of what is queued.
     pub fn flush(&mut self) -> Liveness {
         while !self.ended && self.written < self.outbox.len() {
-            match self.stream.write(self.outbox.get(self.written..).unwrap_or_default()) {
+            match self
+                .stream
+                .write(self.outbox.get(self.written..).unwrap_or_default())
+            {
                 Ok(count) => {
                     self.written += count;
                     self.count_bytes(Direction::ToPlacer, count);
@@ -185,7 +200,11 @@
     }
 
     fn liveness(&self) -> Liveness {
-        if self.ended { Liveness::Ended } else { Liveness::Open }
+        if self.ended {
+            Liveness::Ended
+        } else {
+            Liveness::Open
+        }
     }
 }
 
@@ -198,5 +217,8 @@
 /// Whether an operation is to be tried again when the system says so. A connection that is still being
 /// made can't be written to yet.
 fn would_block(error: &io::Error) -> bool {
-    matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::NotConnected)
+    matches!(
+        error.kind(),
+        ErrorKind::WouldBlock | ErrorKind::NotConnected
+    )
 }
--- a/crates/scale/src/sweep.rs
+++ b/crates/scale/src/sweep.rs
@@ -46,7 +46,9 @@
     /// Why the run is left out, if it is. Figures that are not finite make it unusable too.
     fn fault(&self) -> Option<String> {
         let odd = || self.figures.iter().find(|(_, figure)| !figure.is_finite());
-        self.unusable.clone().or_else(|| odd().map(|(metric, figure)| format!("{metric} is {figure}")))
+        self.unusable
+            .clone()
+            .or_else(|| odd().map(|(metric, figure)| format!("{metric} is {figure}")))
     }
 }
 
@@ -134,13 +136,30 @@
     plan.check()?;
     let total = plan.runs();
     let mut done = 0;
-    let mut report =
-        SweepReport { base: plan.base.clone(), repeats: plan.repeats, partial: false, axes: Vec::new() };
+    let mut report = SweepReport {
+        base: plan.base.clone(),
+        repeats: plan.repeats,
+        partial: false,
+        axes: Vec::new(),
+    };
     for axis in &plan.axes {
         let mut outcomes = Vec::new();
         for run in order(axis, plan.repeats) {
-            let PlannedRun { axis: varied, value, repeat } = run;
-            let mut tell = |step| progress(&Progress { axis: varied, value, repeat, done, total, step });
+            let PlannedRun {
+                axis: varied,
+                value,
+                repeat,
+            } = run;
+            let mut tell = |step| {
+                progress(&Progress {
+                    axis: varied,
+                    value,
+                    repeat,
+                    done,
+                    total,
+                    step,
+                })
+            };
             match attempt(run, runner, &mut tell) {
                 Ok(outcome) => outcomes.push(outcome),
                 Err(source) => {
@@ -170,7 +189,11 @@
         if repeat % 2 == 1 {
             values.reverse();
         }
-        let planned = move |value| PlannedRun { axis: axis.axis, value, repeat };
+        let planned = move |value| PlannedRun {
+            axis: axis.axis,
+            value,
+            repeat,
+        };
         values.into_iter().map(planned)
     };
     (0..repeats).flat_map(round).collect()
@@ -182,19 +205,31 @@
     runner: &mut R,
     tell: &mut dyn FnMut(Step),
 ) -> Result<Outcome, R::Error> {
-    let PlannedRun { axis, value, repeat } = run;
+    let PlannedRun {
+        axis,
+        value,
+        repeat,
+    } = run;
     let mut reasons = Vec::new();
     tell(Step::Starts);
     loop {
         let measured = runner.run(axis, value, repeat)?;
         let Some(reason) = measured.fault() else {
             tell(Step::Measured);
-            return Ok(Outcome { run, figures: Some(measured.figures), reasons });
+            return Ok(Outcome {
+                run,
+                figures: Some(measured.figures),
+                reasons,
+            });
         };
         reasons.push(reason.clone());
         if reasons.len() == ATTEMPTS {
             tell(Step::LeftOut { reason });
-            return Ok(Outcome { run, figures: None, reasons });
+            return Ok(Outcome {
+                run,
+                figures: None,
+                reasons,
+            });
         }
         tell(Step::Again { reason });
     }
--- a/crates/scale/src/sweep/plan.rs
+++ b/crates/scale/src/sweep/plan.rs
@@ -36,7 +36,10 @@
 impl AxisPlan {
     /// The axis with its default values.
     pub fn with_default_values(axis: Axis) -> AxisPlan {
-        AxisPlan { axis, values: axis.default_values().to_vec() }
+        AxisPlan {
+            axis,
+            values: axis.default_values().to_vec(),
+        }
     }
 
     /// The axis with its default values, all made smaller by one factor if the largest is over a limit.
@@ -46,8 +49,14 @@
         if largest <= limit {
             return plan;
         }
-        let smaller = plan.values.iter().map(|value| (value * limit / largest).floor());
-        AxisPlan { axis, values: smaller.collect() }
+        let smaller = plan
+            .values
+            .iter()
+            .map(|value| (value * limit / largest).floor());
+        AxisPlan {
+            axis,
+            values: smaller.collect(),
+        }
     }
 }
 
@@ -110,13 +119,18 @@
     /// Whether it can be swept; names the first thing that keeps it from that.
     pub fn check(&self) -> Result<(), PlanError> {
         if self.repeats < LEAST_REPEATS {
-            return Err(PlanError::TooFewRepeats { found: self.repeats });
+            return Err(PlanError::TooFewRepeats {
+                found: self.repeats,
+            });
         }
         if self.axes.is_empty() {
             return Err(PlanError::NoAxis);
         }
         for (index, axis) in self.axes.iter().enumerate() {
-            if self.axes[..index].iter().any(|earlier| earlier.axis == axis.axis) {
+            if self.axes[..index]
+                .iter()
+                .any(|earlier| earlier.axis == axis.axis)
+            {
                 return Err(PlanError::AxisTwice { axis: axis.axis });
             }
             axis.check()?;
@@ -134,7 +148,10 @@
 impl AxisPlan {
     fn check(&self) -> Result<(), PlanError> {
         let axis = self.axis;
-        let bad = self.values.iter().find(|value| !value.is_finite() || **value < 0.0);
+        let bad = self
+            .values
+            .iter()
+            .find(|value| !value.is_finite() || **value < 0.0);
         if let Some(&value) = bad {
             return Err(PlanError::BadValue { axis, value });
         }
@@ -142,9 +159,17 @@
         sorted.sort_by(f64::total_cmp);
         let distinct = sorted.chunk_by(|a, b| a == b).count();
         if distinct < LEAST_SIZES {
-            return Err(PlanError::TooFewValues { axis, found: distinct });
+            return Err(PlanError::TooFewValues {
+                axis,
+                found: distinct,
+            });
         }
         let twice = sorted.windows(2).find(|pair| pair[0] == pair[1]);
-        twice.map_or(Ok(()), |pair| Err(PlanError::ValueTwice { axis, value: pair[0] }))
+        twice.map_or(Ok(()), |pair| {
+            Err(PlanError::ValueTwice {
+                axis,
+                value: pair[0],
+            })
+        })
     }
 }
--- a/crates/scale/src/sweep/report.rs
+++ b/crates/scale/src/sweep/report.rs
@@ -94,17 +94,26 @@
 impl AxisReport {
     /// Whether at least one figure has a fit.
     pub fn is_fitted(&self) -> bool {
-        self.metrics.values().any(|report| matches!(report.verdict, Verdict::Fitted(_)))
+        self.metrics
+            .values()
+            .any(|report| matches!(report.verdict, Verdict::Fitted(_)))
     }
 
     /// Gathers and fits the outcomes of an axis's runs.
     pub(super) fn of(plan: &AxisPlan, outcomes: &[Outcome]) -> AxisReport {
-        let metrics: BTreeSet<Metric> =
-            outcomes.iter().flat_map(|outcome| &outcome.figures).flat_map(BTreeMap::keys).copied().collect();
+        let metrics: BTreeSet<Metric> = outcomes
+            .iter()
+            .flat_map(|outcome| &outcome.figures)
+            .flat_map(BTreeMap::keys)
+            .copied()
+            .collect();
         AxisReport {
             axis: plan.axis,
             values: plan.values.clone(),
-            metrics: metrics.into_iter().map(|metric| (metric, MetricReport::of(metric, outcomes))).collect(),
+            metrics: metrics
+                .into_iter()
+                .map(|metric| (metric, MetricReport::of(metric, outcomes)))
+                .collect(),
             unusable: outcomes.iter().filter_map(UnusableRun::of).collect(),
         }
     }
@@ -112,11 +121,19 @@
 
 impl MetricReport {
     fn of(metric: Metric, outcomes: &[Outcome]) -> MetricReport {
-        let points: Vec<Point> = outcomes.iter().filter_map(|outcome| Point::of(metric, outcome)).collect();
-        let pairs: Vec<(f64, f64)> = points.iter().map(|point| (point.value, point.measured)).collect();
+        let points: Vec<Point> = outcomes
+            .iter()
+            .filter_map(|outcome| Point::of(metric, outcome))
+            .collect();
+        let pairs: Vec<(f64, f64)> = points
+            .iter()
+            .map(|point| (point.value, point.measured))
+            .collect();
         let verdict = match Fit::line(&pairs) {
             Ok(fit) => Verdict::Fitted(fit),
-            Err(error) => Verdict::NotFitted { reason: error.to_string() },
+            Err(error) => Verdict::NotFitted {
+                reason: error.to_string(),
+            },
         };
         MetricReport { points, verdict }
     }
@@ -135,7 +152,11 @@
 impl Point {
     fn of(metric: Metric, outcome: &Outcome) -> Option<Point> {
         let measured = *outcome.figures.as_ref()?.get(&metric)?;
-        Some(Point { value: outcome.run.value, repeat: outcome.run.repeat, measured })
+        Some(Point {
+            value: outcome.run.value,
+            repeat: outcome.run.repeat,
+            measured,
+        })
     }
 }
 
--- a/crates/scale/src/sweep/table.rs
+++ b/crates/scale/src/sweep/table.rs
@@ -36,7 +36,12 @@
 
 impl fmt::Display for AxisReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        writeln!(f, "{}: medians over {}, then the line through all repeats", self.axis, self.axis.unit())?;
+        writeln!(
+            f,
+            "{}: medians over {}, then the line through all repeats",
+            self.axis,
+            self.axis.unit()
+        )?;
         write!(f, "{}", table(self).trim_fmt())?;
         for run in &self.unusable {
             write!(f, "\n{run}")?;
@@ -47,9 +52,18 @@
 
 impl fmt::Display for UnusableRun {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let fate = if self.replaced { "made again" } else { "left out" };
+        let fate = if self.replaced {
+            "made again"
+        } else {
+            "left out"
+        };
         let repeat = self.repeat + 1;
-        write!(f, "unusable at {}, repeat {repeat}: {}: {fate}", self.value, self.reasons.join("; "))
+        write!(
+            f,
+            "unusable at {}, repeat {repeat}: {}: {fate}",
+            self.value,
+            self.reasons.join("; ")
+        )
     }
 }
 
@@ -75,7 +89,9 @@
 
 fn row(metric: Metric, report: &MetricReport, values: &[f64]) -> Vec<String> {
     let labels = [metric.to_string(), metric.unit().to_string()];
-    let medians = values.iter().map(|value| report.median(*value).map_or(NONE.to_string(), number));
+    let medians = values
+        .iter()
+        .map(|value| report.median(*value).map_or(NONE.to_string(), number));
     let verdict = match &report.verdict {
         Verdict::Fitted(fit) => fitted(fit),
         Verdict::NotFitted { reason } => [NONE, NONE, NONE, NONE, reason].map(String::from),
@@ -84,9 +100,19 @@
 }
 
 fn fitted(fit: &Fit) -> [String; 5] {
-    let off = fit.largest_residual_part.map_or(number(fit.largest_residual), percent);
-    let exponent = fit.exponents.map_or(NONE.to_string(), |exponents| format!("{:.2}", exponents.best));
-    [number(fit.slope), number(fit.intercept), off, exponent, fit.shape.to_string()]
+    let off = fit
+        .largest_residual_part
+        .map_or(number(fit.largest_residual), percent);
+    let exponent = fit.exponents.map_or(NONE.to_string(), |exponents| {
+        format!("{:.2}", exponents.best)
+    });
+    [
+        number(fit.slope),
+        number(fit.intercept),
+        off,
+        exponent,
+        fit.shape.to_string(),
+    ]
 }
 
 fn percent(part: f64) -> String {
--- a/crates/scale/src/sweep/tests.rs
+++ b/crates/scale/src/sweep/tests.rs
@@ -3,8 +3,8 @@
 use strum::IntoEnumIterator;
 
 use super::{
-    Axis, AxisPlan, Base, Measured, Metric, MetricReport, PlanError, Progress, Runner, Step, SweepError,
-    SweepPlan, SweepReport, Verdict, sweep,
+    Axis, AxisPlan, Base, Measured, Metric, MetricReport, PlanError, Progress, Runner, Step,
+    SweepError, SweepPlan, SweepReport, Verdict, sweep,
 };
 use crate::fit::{Fit, LEAST_SIZES, Shape};
 
@@ -16,7 +16,10 @@
 
 impl<F: FnMut(Axis, f64, u32) -> Measured> FakeRunner<F> {
     fn new(answer: F) -> FakeRunner<F> {
-        FakeRunner { asked: Vec::new(), answer }
+        FakeRunner {
+            asked: Vec::new(),
+            answer,
+        }
     }
 }
 
@@ -30,11 +33,17 @@
 }
 
 fn usable(figures: &[(Metric, f64)]) -> Measured {
-    Measured { figures: figures.iter().copied().collect(), unusable: None }
+    Measured {
+        figures: figures.iter().copied().collect(),
+        unusable: None,
+    }
 }
 
 fn unusable(reason: &str) -> Measured {
-    Measured { unusable: Some(reason.to_string()), ..usable(&[(Metric::CpuShare, 1e9)]) }
+    Measured {
+        unusable: Some(reason.to_string()),
+        ..usable(&[(Metric::CpuShare, 1e9)])
+    }
 }
 
 fn cpu_of_size(_: Axis, value: f64, _: u32) -> Measured {
@@ -43,12 +52,25 @@
 
 fn base() -> Base {
     let description = "one placer".to_string();
-    Base { description, workers: 400.0, standing: 100.0, rate: 10.0, events: 1.0 }
+    Base {
+        description,
+        workers: 400.0,
+        standing: 100.0,
+        rate: 10.0,
+        events: 1.0,
+    }
 }
 
 fn plan(values: &[f64], repeats: u32) -> SweepPlan {
-    let axes = vec![AxisPlan { axis: Axis::Workers, values: values.to_vec() }];
-    SweepPlan { base: base(), axes, repeats }
+    let axes = vec![AxisPlan {
+        axis: Axis::Workers,
+        values: values.to_vec(),
+    }];
+    SweepPlan {
+        base: base(),
+        axes,
+        repeats,
+    }
 }
 
 fn swept(plan: &SweepPlan, answer: impl FnMut(Axis, f64, u32) -> Measured) -> SweepReport {
@@ -76,10 +98,20 @@
 fn repeats_go_round_by_round_and_every_other_round_backward() {
     let mut runner = FakeRunner::new(cpu_of_size);
     sweep(&plan(&[1.0, 2.0, 3.0, 4.0], 3), &mut runner, &mut |_| ()).expect("a report");
-    let order: Vec<(f64, u32)> = runner.asked.iter().map(|(_, value, repeat)| (*value, *repeat)).collect();
-    let rounds = [[1.0, 2.0, 3.0, 4.0], [4.0, 3.0, 2.0, 1.0], [1.0, 2.0, 3.0, 4.0]];
-    let expected: Vec<(f64, u32)> =
-        (0..).zip(rounds).flat_map(|(repeat, values)| values.map(|value| (value, repeat))).collect();
+    let order: Vec<(f64, u32)> = runner
+        .asked
+        .iter()
+        .map(|(_, value, repeat)| (*value, *repeat))
+        .collect();
+    let rounds = [
+        [1.0, 2.0, 3.0, 4.0],
+        [4.0, 3.0, 2.0, 1.0],
+        [1.0, 2.0, 3.0, 4.0],
+    ];
+    let expected: Vec<(f64, u32)> = (0..)
+        .zip(rounds)
+        .flat_map(|(repeat, values)| values.map(|value| (value, repeat)))
+        .collect();
     assert_eq!(order, expected);
 }
 
@@ -96,12 +128,27 @@
 
 #[test]
 fn axes_are_swept_one_after_the_other() {
-    let axis = |axis| AxisPlan { axis, values: vec![1.0, 2.0, 3.0, 4.0] };
-    let plan = SweepPlan { base: base(), axes: vec![axis(Axis::Rate), axis(Axis::Standing)], repeats: 3 };
+    let axis = |axis| AxisPlan {
+        axis,
+        values: vec![1.0, 2.0, 3.0, 4.0],
+    };
+    let plan = SweepPlan {
+        base: base(),
+        axes: vec![axis(Axis::Rate), axis(Axis::Standing)],
+        repeats: 3,
+    };
     let mut runner = FakeRunner::new(cpu_of_size);
     let report = sweep(&plan, &mut runner, &mut |_| ()).expect("a report");
-    assert!(runner.asked[..12].iter().all(|(axis, ..)| *axis == Axis::Rate));
-    assert!(runner.asked[12..].iter().all(|(axis, ..)| *axis == Axis::Standing));
+    assert!(
+        runner.asked[..12]
+            .iter()
+            .all(|(axis, ..)| *axis == Axis::Rate)
+    );
+    assert!(
+        runner.asked[12..]
+            .iter()
+            .all(|(axis, ..)| *axis == Axis::Standing)
+    );
     assert_eq!(runner.asked.len(), plan.runs());
     let axes: Vec<Axis> = report.axes.iter().map(|axis| axis.axis).collect();
     assert_eq!(axes, [Axis::Rate, Axis::Standing]);
@@ -111,16 +158,43 @@
 fn plans_that_cannot_be_swept_are_refused_before_any_run() {
     let four = [1.0, 2.0, 3.0, 4.0];
     let axis = Axis::Workers;
-    assert_eq!(refused(&plan(&four, 2)), PlanError::TooFewRepeats { found: 2 });
-    assert_eq!(refused(&plan(&four[..3], 3)), PlanError::TooFewValues { axis, found: 3 });
-    assert_eq!(refused(&plan(&[1.0, 2.0, 3.0, 3.0], 3)), PlanError::TooFewValues { axis, found: 3 });
+    assert_eq!(
+        refused(&plan(&four, 2)),
+        PlanError::TooFewRepeats { found: 2 }
+    );
+    assert_eq!(
+        refused(&plan(&four[..3], 3)),
+        PlanError::TooFewValues { axis, found: 3 }
+    );
+    assert_eq!(
+        refused(&plan(&[1.0, 2.0, 3.0, 3.0], 3)),
+        PlanError::TooFewValues { axis, found: 3 }
+    );
     let twice = [1.0, 2.0, 3.0, 4.0, 3.0];
-    assert_eq!(refused(&plan(&twice, 3)), PlanError::ValueTwice { axis, value: 3.0 });
+    assert_eq!(
+        refused(&plan(&twice, 3)),
+        PlanError::ValueTwice { axis, value: 3.0 }
+    );
     let negative = [-1.0, 2.0, 3.0, 4.0];
-    assert_eq!(refused(&plan(&negative, 3)), PlanError::BadValue { axis, value: -1.0 });
+    assert_eq!(
+        refused(&plan(&negative, 3)),
+        PlanError::BadValue { axis, value: -1.0 }
+    );
     let infinite = [1.0, 2.0, 3.0, f64::INFINITY];
-    assert_eq!(refused(&plan(&infinite, 3)), PlanError::BadValue { axis, value: f64::INFINITY });
-    assert_eq!(refused(&SweepPlan { axes: vec![], ..plan(&four, 3) }), PlanError::NoAxis);
+    assert_eq!(
+        refused(&plan(&infinite, 3)),
+        PlanError::BadValue {
+            axis,
+            value: f64::INFINITY
+        }
+    );
+    assert_eq!(
+        refused(&SweepPlan {
+            axes: vec![],
+            ..plan(&four, 3)
+        }),
+        PlanError::NoAxis
+    );
     let mut doubled = plan(&four, 3);
     doubled.axes.push(doubled.axes[0].clone());
     assert_eq!(refused(&doubled), PlanError::AxisTwice { axis });
@@ -129,7 +203,10 @@
 #[test]
 fn a_refusal_is_one_line() {
     let error = refused(&plan(&[1.0, 2.0, 3.0], 3));
-    assert_eq!(error.to_string(), "workers: 3 distinct values, and a fit needs at least 4");
+    assert_eq!(
+        error.to_string(),
+        "workers: 3 distinct values, and a fit needs at least 4"
+    );
 }
 
 #[test]
@@ -138,7 +215,11 @@
     let once = |axis, value, repeat| {
         let fails = value == 3.0 && repeat == 1 && !failed;
         failed |= fails;
-        if fails { unusable("load was late") } else { cpu_of_size(axis, value, repeat) }
+        if fails {
+            unusable("load was late")
+        } else {
+            cpu_of_size(axis, value, repeat)
+        }
     };
     let report = swept(&plan(&[1.0, 2.0, 3.0, 4.0], 3), once);
     let axis = &report.axes[0];
@@ -166,13 +247,20 @@
     let cpu = &axis.metrics[&Metric::CpuShare];
     assert_eq!(attempts, 2);
     assert_eq!(cpu.points.len(), 11);
-    assert!(cpu.points.iter().all(|point| (point.value, point.repeat) != (3.0, 1)));
+    assert!(
+        cpu.points
+            .iter()
+            .all(|point| (point.value, point.repeat) != (3.0, 1))
+    );
     assert_eq!(fit(cpu).largest_residual, 0.0);
     let run = &axis.unusable[0];
     assert_eq!((run.value, run.repeat, run.replaced), (3.0, 1, false));
     assert_eq!(run.reasons, ["attempt 1", "attempt 2"]);
     let text = report.to_string();
-    assert!(text.contains("unusable at 3, repeat 2: attempt 1; attempt 2: left out"), "{text}");
+    assert!(
+        text.contains("unusable at 3, repeat 2: attempt 1; attempt 2: left out"),
+        "{text}"
+    );
 }
 
 #[test]
@@ -184,14 +272,21 @@
         cpu_of_size(axis, value, repeat)
     };
     let report = swept(&plan(&[1.0, 2.0, 3.0, 4.0], 3), odd);
-    assert_eq!(report.axes[0].unusable[0].reasons, ["ready-ms is NaN", "ready-ms is NaN"]);
+    assert_eq!(
+        report.axes[0].unusable[0].reasons,
+        ["ready-ms is NaN", "ready-ms is NaN"]
+    );
     assert!(!report.axes[0].metrics.contains_key(&Metric::ReadyMs));
 }
 
 #[test]
 fn a_value_without_usable_runs_leaves_too_few_to_fit_and_says_so() {
     let never = |axis, value, repeat| {
-        if value == 4.0 { unusable("a placer died") } else { cpu_of_size(axis, value, repeat) }
+        if value == 4.0 {
+            unusable("a placer died")
+        } else {
+            cpu_of_size(axis, value, repeat)
+        }
     };
     let report = swept(&plan(&[1.0, 2.0, 3.0, 4.0], 3), never);
     let cpu = &report.axes[0].metrics[&Metric::CpuShare];
@@ -242,9 +337,15 @@
         usable(&[(Metric::ReadyMs, figure)])
     };
     let three = swept(&plan(&[1.0, 2.0, 3.0, 4.0], 3), noisy);
-    assert_eq!(three.axes[0].metrics[&Metric::ReadyMs].median(1.0), Some(2.0));
+    assert_eq!(
+        three.axes[0].metrics[&Metric::ReadyMs].median(1.0),
+        Some(2.0)
+    );
     let four = swept(&plan(&[1.0, 2.0, 3.0, 4.0], 4), noisy);
-    assert_eq!(four.axes[0].metrics[&Metric::ReadyMs].median(1.0), Some(2.5));
+    assert_eq!(
+        four.axes[0].metrics[&Metric::ReadyMs].median(1.0),
+        Some(2.5)
+    );
 }
 
 #[test]
@@ -255,8 +356,9 @@
         }
         let noise = f64::from(repeat) * 0.1;
         let every = Metric::iter().zip(1_u8..);
-        let figures: Vec<(Metric, f64)> =
-            every.map(|(metric, factor)| (metric, (value + noise) / f64::from(factor))).collect();
+        let figures: Vec<(Metric, f64)> = every
+            .map(|(metric, factor)| (metric, (value + noise) / f64::from(factor)))
+            .collect();
         usable(&figures)
     };
     let report = swept(&plan(&[1.0, 2.0, 3.0, 4.0, 5.5], 3), figures);
@@ -268,8 +370,13 @@
 #[test]
 fn json_keeps_figures_that_were_not_fitted() {
     let mut report = swept(&plan(&[1.0, 2.0, 3.0, 4.0], 3), cpu_of_size);
-    let cpu = report.axes[0].metrics.get_mut(&Metric::CpuShare).expect("a figure");
-    cpu.verdict = Verdict::NotFitted { reason: "too few".to_string() };
+    let cpu = report.axes[0]
+        .metrics
+        .get_mut(&Metric::CpuShare)
+        .expect("a figure");
+    cpu.verdict = Verdict::NotFitted {
+        reason: "too few".to_string(),
+    };
     let json = report.to_json().expect("JSON");
     assert_eq!(SweepReport::from_json(&json).expect("a report"), report);
 }
@@ -280,14 +387,29 @@
     let once = |axis, value, repeat| {
         let fails = !failed;
         failed = true;
-        if fails { unusable("late") } else { cpu_of_size(axis, value, repeat) }
+        if fails {
+            unusable("late")
+        } else {
+            cpu_of_size(axis, value, repeat)
+        }
     };
     let mut told: Vec<Progress> = Vec::new();
     let plan = plan(&[1.0, 2.0, 3.0, 4.0], 3);
-    sweep(&plan, &mut FakeRunner::new(once), &mut |progress| told.push(progress.clone())).expect("a report");
+    sweep(&plan, &mut FakeRunner::new(once), &mut |progress| {
+        told.push(progress.clone())
+    })
+    .expect("a report");
     let reason = "late".to_string();
     let first: Vec<&Step> = told[..4].iter().map(|progress| &progress.step).collect();
-    assert_eq!(first, [&Step::Starts, &Step::Again { reason }, &Step::Measured, &Step::Starts]);
+    assert_eq!(
+        first,
+        [
+            &Step::Starts,
+            &Step::Again { reason },
+            &Step::Measured,
+            &Step::Starts
+        ]
+    );
     assert_eq!(told.len(), 25);
     assert!(told.iter().all(|progress| progress.total == 12));
     let done: Vec<usize> = told[..4].iter().map(|progress| progress.done).collect();
@@ -302,35 +424,61 @@
 
     fn run(&mut self, axis: Axis, value: f64, repeat: u32) -> Result<Measured, String> {
         self.0 += 1;
-        if self.0 == 3 { Err("no placer".to_string()) } else { Ok(cpu_of_size(axis, value, repeat)) }
+        if self.0 == 3 {
+            Err("no placer".to_string())
+        } else {
+            Ok(cpu_of_size(axis, value, repeat))
+        }
     }
 }
 
 #[test]
 fn a_run_that_cannot_be_made_ends_the_sweep_and_is_named() {
-    let error = sweep(&plan(&[1.0, 2.0, 3.0, 4.0], 3), &mut Breaking(0), &mut |_| ()).expect_err("an error");
+    let error = sweep(
+        &plan(&[1.0, 2.0, 3.0, 4.0], 3),
+        &mut Breaking(0),
+        &mut |_| (),
+    )
+    .expect_err("an error");
     assert_eq!(error.to_string(), "workers 3, repeat 1: no placer");
-    let SweepError::Run { before, .. } = error else { panic!("no run: {error}") };
+    let SweepError::Run { before, .. } = error else {
+        panic!("no run: {error}")
+    };
     assert!(before.partial);
-    let measured = before.axes[0].metrics[&Metric::CpuShare].points.iter().map(|point| point.value);
+    let measured = before.axes[0].metrics[&Metric::CpuShare]
+        .points
+        .iter()
+        .map(|point| point.value);
     assert_eq!(measured.collect::<Vec<f64>>(), [1.0, 2.0]);
     assert!(!before.axes[0].is_fitted());
-    assert!(before.to_string().contains("\npartial: a run has failed"), "{before}");
+    assert!(
+        before.to_string().contains("\npartial: a run has failed"),
+        "{before}"
+    );
 }
 
 #[test]
 fn the_table_has_a_row_for_each_figure() {
-    let figures = |_, value: f64, _| usable(&[(Metric::CpuShare, value), (Metric::ReadyMs, 12_345.6)]);
+    let figures =
+        |_, value: f64, _| usable(&[(Metric::CpuShare, value), (Metric::ReadyMs, 12_345.6)]);
     let text = swept(&plan(&[1.0, 2.0, 3.0, 4.0], 3), figures).to_string();
     let row = |name: &str| {
-        let line = text.lines().find(|line| line.trim_start().starts_with(name));
+        let line = text
+            .lines()
+            .find(|line| line.trim_start().starts_with(name));
         line.unwrap_or_else(|| panic!("no {name} in:\n{text}"))
             .split_whitespace()
             .collect::<Vec<_>>()
             .join(" ")
     };
-    assert_eq!(row("cpu-share"), "cpu-share % of a core 1.000 2.000 3.000 4.000 1.000 0 0.0 % 1.00 straight");
-    assert!(row("ready-ms").starts_with("ready-ms ms 12346 12346 12346 12346 0 12346"), "{text}");
+    assert_eq!(
+        row("cpu-share"),
+        "cpu-share % of a core 1.000 2.000 3.000 4.000 1.000 0 0.0 % 1.00 straight"
+    );
+    assert!(
+        row("ready-ms").starts_with("ready-ms ms 12346 12346 12346 12346 0 12346"),
+        "{text}"
+    );
     assert!(row("ready-ms").ends_with("- flat"), "{text}");
     assert!(text.starts_with(
         "base: one placer (400 workers, 100 standing, 10 starts/s, 1 list events/s), 3 repeats"
--- a/crates/scale/src/sweep_runner.rs
+++ b/crates/scale/src/sweep_runner.rs
@@ -91,7 +91,10 @@
     }
     let no_reason = || "no reason is stated".to_string();
     let unusable = (!result.usable).then(|| result.reason.clone().unwrap_or_else(no_reason));
-    Ok(Measured { figures: figures(result), unusable })
+    Ok(Measured {
+        figures: figures(result),
+        unusable,
+    })
 }
 
 /// The settings of a run: those of the base point, with one number replaced.
@@ -110,7 +113,8 @@
     let in_range = value.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&value);
     // Within its range, the cast gives the very number.
     let number = in_range.then_some(value as u32);
-    number.ok_or_else(|| SettingsError::new(&axis.to_string(), "a whole number in its range", value))
+    number
+        .ok_or_else(|| SettingsError::new(&axis.to_string(), "a whole number in its range", value))
 }
 
 /// The base point of these settings.
@@ -138,10 +142,19 @@
 
 /// Refuses a plan of which a run can't be meant, or needs more than the machine has for it.
 pub fn admit_all(plan: &SweepPlan, base: &Settings) -> Result<(), PointError> {
-    let points = plan.axes.iter().flat_map(|axis| axis.values.iter().map(|value| (axis.axis, *value)));
+    let points = plan
+        .axes
+        .iter()
+        .flat_map(|axis| axis.values.iter().map(|value| (axis.axis, *value)));
     for (axis, value) in points {
-        let admitted = settings_at(base, axis, value).map_err(RunError::from).and_then(|at| admit(&at));
-        admitted.map_err(|source| PointError { axis, value, source })?;
+        let admitted = settings_at(base, axis, value)
+            .map_err(RunError::from)
+            .and_then(|at| admit(&at));
+        admitted.map_err(|source| PointError {
+            axis,
+            value,
+            source,
+        })?;
     }
     Ok(())
 }
--- a/crates/scale/src/sweep_runner/figures.rs
+++ b/crates/scale/src/sweep_runner/figures.rs
@@ -26,11 +26,21 @@
 
 /// How each figure of a placer is read from its result.
 const PLACER_FIGURES: [(Metric, PlacerFigure); 11] = [
-    (Metric::CpuShare, |placer| Some(PERCENT * placer.totals.cpu_share)),
-    (Metric::PeakRssKb, |placer| Some(placer.totals.peak_kb as f64)),
-    (Metric::PssKb, |placer| Some(placer.totals.pss_peak_kb as f64)),
-    (Metric::ControlInBytes, |placer| Some(placer.totals.control.feed.to_bytes_per_s)),
-    (Metric::ControlOutBytes, |placer| Some(placer.totals.control.feed.from_bytes_per_s)),
+    (Metric::CpuShare, |placer| {
+        Some(PERCENT * placer.totals.cpu_share)
+    }),
+    (Metric::PeakRssKb, |placer| {
+        Some(placer.totals.peak_kb as f64)
+    }),
+    (Metric::PssKb, |placer| {
+        Some(placer.totals.pss_peak_kb as f64)
+    }),
+    (Metric::ControlInBytes, |placer| {
+        Some(placer.totals.control.feed.to_bytes_per_s)
+    }),
+    (Metric::ControlOutBytes, |placer| {
+        Some(placer.totals.control.feed.from_bytes_per_s)
+    }),
     (Metric::ControlMessages, |placer| {
         let feed = placer.totals.control.feed;
         Some(feed.to_messages_per_s + feed.from_messages_per_s)
@@ -39,9 +49,15 @@
         let service = placer.totals.service.total;
         Some(service.to_bytes_per_s + service.from_bytes_per_s)
     }),
-    (Metric::FeedEvents, |placer| Some(placer.totals.feed.events_per_s)),
-    (Metric::FeedEntries, |placer| Some(placer.totals.feed.entries_per_s)),
-    (Metric::Descriptors, |placer| Some(placer.totals.descriptors_peak as f64)),
+    (Metric::FeedEvents, |placer| {
+        Some(placer.totals.feed.events_per_s)
+    }),
+    (Metric::FeedEntries, |placer| {
+        Some(placer.totals.feed.entries_per_s)
+    }),
+    (Metric::Descriptors, |placer| {
+        Some(placer.totals.descriptors_peak as f64)
+    }),
     (Metric::ReadyMs, |placer| placer.ready_ms.first().copied()),
 ];
 
@@ -50,9 +66,16 @@
     let mut found = Vec::new();
     let all = result.fleet.all_start_times;
     if all.count > 0 {
-        found.extend([(Metric::StartP50Ms, all.p50_ms), (Metric::StartP99Ms, all.p99_ms)]);
+        found.extend([
+            (Metric::StartP50Ms, all.p50_ms),
+            (Metric::StartP99Ms, all.p99_ms),
+        ]);
     }
-    let urgent = result.fleet.start_times.iter().find(|class| class.class == Class::Urgent.name());
+    let urgent = result
+        .fleet
+        .start_times
+        .iter()
+        .find(|class| class.class == Class::Urgent.name());
     found.extend(urgent.map(|class| (Metric::UrgentP99Ms, class.times.p99_ms)));
     found
 }
--- a/crates/scale/src/sweep_runner/tests.rs
+++ b/crates/scale/src/sweep_runner/tests.rs
@@ -1,16 +1,27 @@
 //! What a sweep makes of settings and of results, without a run.
 
 use super::*;
-use crate::results::{ClassTimes, FleetTotals, MemoryTotals, Percentiles, PlacerResult, PlacerTotals};
+use crate::results::{
+    ClassTimes, FleetTotals, MemoryTotals, Percentiles, PlacerResult, PlacerTotals,
+};
 use crate::sweep::Metric;
 use std::collections::BTreeSet;
 use strum::IntoEnumIterator;
 
 fn placer(cpu_share: f64, events_per_s: f64, ready_ms: Vec<f64>) -> PlacerResult {
-    let mut totals = PlacerTotals { cpu_share, ..PlacerTotals::default() };
+    let mut totals = PlacerTotals {
+        cpu_share,
+        ..PlacerTotals::default()
+    };
     totals.feed.events_per_s = events_per_s;
     let name = "p0".to_string();
-    PlacerResult { name, ready_ms, totals, seconds: Vec::new(), all_traffic: Default::default() }
+    PlacerResult {
+        name,
+        ready_ms,
+        totals,
+        seconds: Vec::new(),
+        all_traffic: Default::default(),
+    }
 }
 
 fn result(placers: Vec<PlacerResult>, fleet: FleetTotals) -> RunResult {
@@ -29,9 +40,21 @@
 
 /// A fleet in which tasks have started.
 fn fleet() -> FleetTotals {
-    let times = |count, p50_ms, p99_ms| Percentiles { count, p50_ms, p99_ms, ..Percentiles::default() };
-    let urgent = ClassTimes { class: "urgent".to_string(), times: times(4, 1.0, 5.0) };
-    FleetTotals { all_start_times: times(10, 2.0, 9.0), start_times: vec![urgent], ..FleetTotals::default() }
+    let times = |count, p50_ms, p99_ms| Percentiles {
+        count,
+        p50_ms,
+        p99_ms,
+        ..Percentiles::default()
+    };
+    let urgent = ClassTimes {
+        class: "urgent".to_string(),
+        times: times(4, 1.0, 5.0),
+    };
+    FleetTotals {
+        all_start_times: times(10, 2.0, 9.0),
+        start_times: vec![urgent],
+        ..FleetTotals::default()
+    }
 }
 
 #[test]
@@ -40,10 +63,22 @@
     for axis in Axis::iter() {
         let at = settings_at(&base, axis, 120.0).expect("settings");
         let expected = match axis {
-            Axis::Workers => Settings { workers: 120, ..base.clone() },
-            Axis::Standing => Settings { standing: 120, ..base.clone() },
-            Axis::Rate => Settings { rate: 120.0, ..base.clone() },
-            Axis::Events => Settings { events: 120.0, ..base.clone() },
+            Axis::Workers => Settings {
+                workers: 120,
+                ..base.clone()
+            },
+            Axis::Standing => Settings {
+                standing: 120,
+                ..base.clone()
+            },
+            Axis::Rate => Settings {
+                rate: 120.0,
+                ..base.clone()
+            },
+            Axis::Events => Settings {
+                events: 120.0,
+                ..base.clone()
+            },
         };
         assert_eq!(at, expected, "{axis}");
     }
@@ -53,18 +88,30 @@
 fn a_value_that_is_no_count_is_refused_where_a_count_is_needed() {
     let base = Settings::default();
     for value in [20.5, -1.0, 1e12, f64::NAN, f64::INFINITY] {
-        let error = settings_at(&base, Axis::Workers, value).expect_err("no count").to_string();
-        assert_eq!(error, format!("setting workers: expected a whole number in its range, found {value}"));
+        let error = settings_at(&base, Axis::Workers, value)
+            .expect_err("no count")
+            .to_string();
+        assert_eq!(
+            error,
+            format!("setting workers: expected a whole number in its range, found {value}")
+        );
     }
-    assert_eq!(settings_at(&base, Axis::Rate, 20.5).expect("settings").rate, 20.5);
+    assert_eq!(
+        settings_at(&base, Axis::Rate, 20.5).expect("settings").rate,
+        20.5
+    );
 }
 
 #[test]
 fn figures_are_means_over_placers_and_start_times_are_the_fleets() {
-    let placers = vec![placer(0.1, 10.0, vec![30.0, 900.0]), placer(0.3, 30.0, vec![50.0])];
+    let placers = vec![
+        placer(0.1, 10.0, vec![30.0, 900.0]),
+        placer(0.3, 30.0, vec![50.0]),
+    ];
     let figures = figures(&result(placers, fleet()));
     let figure = |metric| *figures.get(&metric).expect("a figure");
-    let close = |metric, expected: f64| assert!((figure(metric) - expected).abs() < 1e-9, "{metric}");
+    let close =
+        |metric, expected: f64| assert!((figure(metric) - expected).abs() < 1e-9, "{metric}");
     close(Metric::CpuShare, 20.0);
     close(Metric::FeedEvents, 20.0);
     // The first start of each; a placer that is started again is so by a fault.
@@ -74,14 +121,21 @@
     close(Metric::UrgentP99Ms, 5.0);
     // 0.4 s of processor time in each second, for 40 events.
     close(Metric::CpuPerEventMicros, 10_000.0);
-    let missing: Vec<Metric> = Metric::iter().filter(|metric| !figures.contains_key(metric)).collect();
+    let missing: Vec<Metric> = Metric::iter()
+        .filter(|metric| !figures.contains_key(metric))
+        .collect();
     assert_eq!(missing, [Metric::ControlCpu]);
 }
 
 #[test]
 fn a_figure_that_a_run_does_not_have_is_missing_and_not_0() {
-    let figures = figures(&result(vec![placer(0.1, 0.0, Vec::new())], FleetTotals::default()));
-    let missing: BTreeSet<Metric> = Metric::iter().filter(|metric| !figures.contains_key(metric)).collect();
+    let figures = figures(&result(
+        vec![placer(0.1, 0.0, Vec::new())],
+        FleetTotals::default(),
+    ));
+    let missing: BTreeSet<Metric> = Metric::iter()
+        .filter(|metric| !figures.contains_key(metric))
+        .collect();
     let expected = BTreeSet::from([
         Metric::ControlCpu,
         Metric::ReadyMs,
@@ -95,12 +149,33 @@
 
 #[test]
 fn a_run_of_no_use_says_why_and_one_that_breaks_a_rule_is_an_error() {
-    let late = RunResult { usable: false, reason: Some("late".into()), ..result(Vec::new(), fleet()) };
-    assert_eq!(measured(&late).expect("measured").unusable.as_deref(), Some("late"));
-    assert_eq!(measured(&result(Vec::new(), fleet())).expect("measured").unusable, None);
-    let lost = FleetTotals { lost: 1, started_twice: 2, ..fleet() };
-    let error = measured(&result(Vec::new(), lost)).expect_err("a broken rule").to_string();
-    assert!(error.starts_with("a rule is broken: 1 lost, 2 started twice, 0 answered twice"), "{error}");
+    let late = RunResult {
+        usable: false,
+        reason: Some("late".into()),
+        ..result(Vec::new(), fleet())
+    };
+    assert_eq!(
+        measured(&late).expect("measured").unusable.as_deref(),
+        Some("late")
+    );
+    assert_eq!(
+        measured(&result(Vec::new(), fleet()))
+            .expect("measured")
+            .unusable,
+        None
+    );
+    let lost = FleetTotals {
+        lost: 1,
+        started_twice: 2,
+        ..fleet()
+    };
+    let error = measured(&result(Vec::new(), lost))
+        .expect_err("a broken rule")
+        .to_string();
+    assert!(
+        error.starts_with("a rule is broken: 1 lost, 2 started twice, 0 answered twice"),
+        "{error}"
+    );
 }
 
 #[test]
@@ -109,17 +184,34 @@
     let standing = default_axis(&base, Axis::Standing);
     // Up to six tenths of what 300 workers of 32 tasks hold.
     assert_eq!(standing.values, [0.0, 480.0, 1_920.0, 3_840.0, 5_760.0]);
-    let large = Settings { workers: 7_300, ..base };
-    assert_eq!(default_axis(&large, Axis::Standing).values, Axis::Standing.default_values());
+    let large = Settings {
+        workers: 7_300,
+        ..base
+    };
+    assert_eq!(
+        default_axis(&large, Axis::Standing).values,
+        Axis::Standing.default_values()
+    );
 }
 
 #[test]
 fn a_point_that_can_not_be_meant_is_named_before_any_run() {
-    let base = Settings { standing: 9_000, ..Settings::default() };
-    let axes = vec![AxisPlan { axis: Axis::Workers, values: vec![300.0, 400.0, 100.0, 500.0] }];
-    let plan = SweepPlan { base: base_of(&base, "a base"), axes, repeats: 3 };
-    let error = admit_all(&plan, &base).expect_err("too few workers").to_string();
-    let expected =
-        "workers 100: setting standing: expected at most the 3200 that 100 workers of 32 tasks hold";
+    let base = Settings {
+        standing: 9_000,
+        ..Settings::default()
+    };
+    let axes = vec![AxisPlan {
+        axis: Axis::Workers,
+        values: vec![300.0, 400.0, 100.0, 500.0],
+    }];
+    let plan = SweepPlan {
+        base: base_of(&base, "a base"),
+        axes,
+        repeats: 3,
+    };
+    let error = admit_all(&plan, &base)
+        .expect_err("too few workers")
+        .to_string();
+    let expected = "workers 100: setting standing: expected at most the 3200 that 100 workers of 32 tasks hold";
     assert!(error.starts_with(expected), "{error}");
 }
--- a/crates/scale/src/timers.rs
+++ b/crates/scale/src/timers.rs
@@ -41,14 +41,21 @@
 
 impl<T> Default for TimerQueue<T> {
     fn default() -> TimerQueue<T> {
-        TimerQueue { heap: BinaryHeap::new(), next: 0 }
+        TimerQueue {
+            heap: BinaryHeap::new(),
+            next: 0,
+        }
     }
 }
 
 impl<T> TimerQueue<T> {
     /// Adds a timer.
     pub fn add(&mut self, at: Instant, what: T) {
-        self.heap.push(Timer { at, number: self.next, what });
+        self.heap.push(Timer {
+            at,
+            number: self.next,
+            what,
+        });
         self.next += 1;
     }
 
@@ -62,7 +69,9 @@
 
     /// How long until the next timer, at most so long.
     pub fn wait(&self, now: Instant, most: Duration) -> Duration {
-        self.heap.peek().map_or(most, |timer| timer.at.saturating_duration_since(now).min(most))
+        self.heap.peek().map_or(most, |timer| {
+            timer.at.saturating_duration_since(now).min(most)
+        })
     }
 }
 
--- a/crates/scale/src/timers/tests.rs
+++ b/crates/scale/src/timers/tests.rs
@@ -10,7 +10,10 @@
     for (millis, name) in [(30, "c"), (10, "a"), (20, "b1"), (20, "b2")] {
         timers.add(at(millis), name);
     }
-    assert_eq!(timers.wait(start, Duration::from_secs(1)), Duration::from_millis(10));
+    assert_eq!(
+        timers.wait(start, Duration::from_secs(1)),
+        Duration::from_millis(10)
+    );
     assert_eq!(timers.pop_due(at(9)), None);
     let mut found = Vec::new();
     while let Some((due, name)) = timers.pop_due(at(25)) {
@@ -19,5 +22,8 @@
     }
     assert_eq!(found, ["a", "b1", "b2"]);
     assert_eq!(timers.wait(at(40), Duration::from_secs(1)), Duration::ZERO);
-    assert_eq!(timers.wait(start, Duration::from_millis(5)), Duration::from_millis(5));
+    assert_eq!(
+        timers.wait(start, Duration::from_millis(5)),
+        Duration::from_millis(5)
+    );
 }
--- a/crates/scale/src/timing.rs
+++ b/crates/scale/src/timing.rs
@@ -16,12 +16,15 @@
 impl Times {
     /// None yet.
     pub fn new() -> io::Result<Times> {
-        Histogram::new_with_bounds(1, LONGEST, DIGITS).map(Times).map_err(io::Error::other)
+        Histogram::new_with_bounds(1, LONGEST, DIGITS)
+            .map(Times)
+            .map_err(io::Error::other)
     }
 
     /// Adds a time; one beyond the longest counts as the longest.
     pub fn add(&mut self, time: Duration) {
-        self.0.saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
+        self.0
+            .saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
     }
 
     /// Adds all of others.
--- a/crates/scale/src/traffic.rs
+++ b/crates/scale/src/traffic.rs
@@ -242,7 +242,10 @@
     }
 
     fn read(&self) -> Volume {
-        Volume { bytes: self.bytes.load(Relaxed), messages: self.messages.load(Relaxed) }
+        Volume {
+            bytes: self.bytes.load(Relaxed),
+            messages: self.messages.load(Relaxed),
+        }
     }
 }
 
@@ -317,7 +320,8 @@
         self.whole_events.fetch_add(counts.whole_events, Relaxed);
         self.number_lines.fetch_add(counts.number_lines, Relaxed);
         self.entries_up.fetch_add(counts.entries_up, Relaxed);
-        self.entries_removed.fetch_add(counts.entries_removed, Relaxed);
+        self.entries_removed
+            .fetch_add(counts.entries_removed, Relaxed);
     }
 
     /// What was counted so far.
@@ -330,7 +334,10 @@
                 idle_worker: read(TrafficKind::IdleWorker),
                 configuration: read(TrafficKind::Configuration),
             },
-            service: ServiceTraffic { worker: read(TrafficKind::Worker), client: read(TrafficKind::Client) },
+            service: ServiceTraffic {
+                worker: read(TrafficKind::Worker),
+                client: read(TrafficKind::Client),
+            },
             raw_to_placer: self.raw_to_placer.load(Relaxed),
             raw_from_placer: self.raw_from_placer.load(Relaxed),
         }
--- a/crates/scale/src/traffic/tests.rs
+++ b/crates/scale/src/traffic/tests.rs
@@ -17,13 +17,32 @@
     for (n, kind) in ALL.into_iter().enumerate() {
         let bytes = 10_u64.pow(n as u32);
         counters.add(kind, Direction::ToPlacer, Volume { bytes, messages: 1 });
-        counters.add(kind, Direction::FromPlacer, Volume { bytes: 2 * bytes, messages: 2 });
+        counters.add(
+            kind,
+            Direction::FromPlacer,
+            Volume {
+                bytes: 2 * bytes,
+                messages: 2,
+            },
+        );
         counters.add_connection(kind);
     }
     let traffic = counters.traffic();
     let total = traffic.total();
-    assert_eq!(total.to_placer, Volume { bytes: 111_111, messages: 6 });
-    assert_eq!(total.from_placer, Volume { bytes: 222_222, messages: 12 });
+    assert_eq!(
+        total.to_placer,
+        Volume {
+            bytes: 111_111,
+            messages: 6
+        }
+    );
+    assert_eq!(
+        total.from_placer,
+        Volume {
+            bytes: 222_222,
+            messages: 12
+        }
+    );
     assert_eq!(total.connections, 6);
     assert_eq!(traffic.control.total().to_placer.bytes, 1_111);
     assert_eq!(traffic.service.total().to_placer.bytes, 110_000);
@@ -32,13 +51,45 @@
 #[test]
 fn a_difference_is_what_was_counted_between() {
     let counters = PlacerCounters::default();
-    counters.add(TrafficKind::Feed, Direction::ToPlacer, Volume { bytes: 5, messages: 1 });
-    counters.add_feed(FeedCounts { change_events: 1, entries_up: 4, ..FeedCounts::default() });
+    counters.add(
+        TrafficKind::Feed,
+        Direction::ToPlacer,
+        Volume {
+            bytes: 5,
+            messages: 1,
+        },
+    );
+    counters.add_feed(FeedCounts {
+        change_events: 1,
+        entries_up: 4,
+        ..FeedCounts::default()
+    });
     let (traffic, feed) = (counters.traffic(), counters.feed());
-    counters.add(TrafficKind::Feed, Direction::ToPlacer, Volume { bytes: 7, messages: 2 });
-    counters.add_feed(FeedCounts { change_events: 2, entries_removed: 3, ..FeedCounts::default() });
+    counters.add(
+        TrafficKind::Feed,
+        Direction::ToPlacer,
+        Volume {
+            bytes: 7,
+            messages: 2,
+        },
+    );
+    counters.add_feed(FeedCounts {
+        change_events: 2,
+        entries_removed: 3,
+        ..FeedCounts::default()
+    });
     let between = counters.traffic() - traffic;
-    assert_eq!(between.control.feed.to_placer, Volume { bytes: 7, messages: 2 });
-    let told = FeedCounts { change_events: 2, entries_removed: 3, ..FeedCounts::default() };
+    assert_eq!(
+        between.control.feed.to_placer,
+        Volume {
+            bytes: 7,
+            messages: 2
+        }
+    );
+    let told = FeedCounts {
+        change_events: 2,
+        entries_removed: 3,
+        ..FeedCounts::default()
+    };
     assert_eq!(counters.feed() - feed, told);
 }
--- a/crates/scale/src/wire/binary.rs
+++ b/crates/scale/src/wire/binary.rs
@@ -76,7 +76,12 @@
 
 /// Writes a set-up.
 pub fn set_up(out: &mut Vec<u8>, set_up: &SetUp<'_>) {
-    let SetUp { cores, memory, service, .. } = set_up;
+    let SetUp {
+        cores,
+        memory,
+        service,
+        ..
+    } = set_up;
     let mut figures = format!("cores:{cores};memory:{memory};service:{service:016x}");
     if let Some(worker) = set_up.at {
         figures.push_str(&format!(";at:{worker}"));
@@ -110,7 +115,11 @@
 }
 
 fn message(out: &mut Vec<u8>, kind: u8, id: u64, parameters: &[(u8, &[u8])]) {
-    let length = FEWEST_BYTES + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
+    let length = FEWEST_BYTES
+        + parameters
+            .iter()
+            .map(|(_, value)| 3 + value.len())
+            .sum::<usize>();
     out.extend(short(length));
     out.push(kind);
     out.extend(id.to_be_bytes());
@@ -128,7 +137,9 @@
 
 /// Reads the first message of these bytes, its task and its length; none if more must come.
 pub fn read(bytes: &[u8]) -> Result<Option<(SetupId, PlacerMessage, usize)>, WireError> {
-    let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
+    let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else {
+        return Ok(None);
+    };
     let length = usize::from(u16::from_be_bytes(*length));
     if length + LENGTH_BYTES > MOST_MESSAGE_BYTES {
         return Err(WireError::TooLong);
@@ -136,7 +147,9 @@
     if length < FEWEST_BYTES {
         return Err(WireError::BadLength);
     }
-    let Some(body) = rest.get(..length) else { return Ok(None) };
+    let Some(body) = rest.get(..length) else {
+        return Ok(None);
+    };
     let (kind, body) = body.split_first().ok_or(WireError::BadLength)?;
     let (id, parameters) = body.split_first_chunk::<8>().ok_or(WireError::BadLength)?;
     let id = SetupId(u64::from_be_bytes(*id));
@@ -145,7 +158,9 @@
         kind::RELEASE => PlacerMessage::Release(one_byte(parameters)?),
         kind::MOVE => PlacerMessage::Move,
         kind::HEARD => PlacerMessage::Heard,
-        kind::TESTED => PlacerMessage::Tested { passed: one_byte(parameters)? == 1 },
+        kind::TESTED => PlacerMessage::Tested {
+            passed: one_byte(parameters)? == 1,
+        },
         _ => return Err(WireError::BadField("type")),
     };
     Ok(Some((id, message, LENGTH_BYTES + length)))
@@ -167,7 +182,9 @@
 fn find(mut rest: &[u8], wanted: u8) -> Result<Option<&[u8]>, WireError> {
     let mut found = None;
     while let Some((code, after)) = rest.split_first() {
-        let (length, after) = after.split_first_chunk::<LENGTH_BYTES>().ok_or(WireError::BadLength)?;
+        let (length, after) = after
+            .split_first_chunk::<LENGTH_BYTES>()
+            .ok_or(WireError::BadLength)?;
         let length = usize::from(u16::from_be_bytes(*length));
         let (value, after) = after.split_at_checked(length).ok_or(WireError::BadLength)?;
         if *code == wanted && found.is_none() {
--- a/crates/scale/src/wire/description.rs
+++ b/crates/scale/src/wire/description.rs
@@ -19,13 +19,26 @@
 impl TaskShape {
     /// As a description.
     pub fn write(&self) -> String {
-        let TaskShape { cores, memory, life, once } = self;
-        format!("cores={cores} memory={memory} life-us={} once={once}", life.as_micros())
+        let TaskShape {
+            cores,
+            memory,
+            life,
+            once,
+        } = self;
+        format!(
+            "cores={cores} memory={memory} life-us={} once={once}",
+            life.as_micros()
+        )
     }
 
     /// Out of a description.
     pub fn read(text: &str) -> Option<TaskShape> {
-        let figure = |value: &str| value.parse::<f64>().ok().filter(|v| v.is_finite() && *v >= 0.0);
+        let figure = |value: &str| {
+            value
+                .parse::<f64>()
+                .ok()
+                .filter(|v| v.is_finite() && *v >= 0.0)
+        };
         Some(TaskShape {
             cores: figure(field(text, "cores")?)?,
             memory: figure(field(text, "memory")?)?,
@@ -47,5 +60,8 @@
 
 fn field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
     let pairs = text.split(' ').filter_map(|pair| pair.split_once('='));
-    pairs.into_iter().find(|(found, _)| *found == name).map(|(_, value)| value)
+    pairs
+        .into_iter()
+        .find(|(found, _)| *found == name)
+        .map(|(_, value)| value)
 }
--- a/crates/scale/src/wire/feed.rs
+++ b/crates/scale/src/wire/feed.rs
@@ -35,8 +35,16 @@
 }
 
 /// Writes one event: its number, whether it holds the whole list, and its entries. No line feed.
-pub fn event<'a>(out: &mut Vec<u8>, number: u64, whole: bool, entries: impl Iterator<Item = Entry<'a>>) {
-    let _ = write!(out, r#"{{"n":{number},"members":{{"seq":{number},"whole":{whole},"hosts":["#);
+pub fn event<'a>(
+    out: &mut Vec<u8>,
+    number: u64,
+    whole: bool,
+    entries: impl Iterator<Item = Entry<'a>>,
+) {
+    let _ = write!(
+        out,
+        r#"{{"n":{number},"members":{{"seq":{number},"whole":{whole},"hosts":["#
+    );
     for (n, entry) in entries.enumerate() {
         if n > 0 {
             out.push(b',');
@@ -52,13 +60,32 @@
 }
 
 fn write_entry(out: &mut Vec<u8>, entry: &Entry<'_>) {
-    let Entry { worker, port, zone, listed } = entry;
-    let ListedWorker { up, born_ms, free_cores, free_memory } = listed;
+    let Entry {
+        worker,
+        port,
+        zone,
+        listed,
+    } = entry;
+    let ListedWorker {
+        up,
+        born_ms,
+        free_cores,
+        free_memory,
+    } = listed;
     let (address, block) = (worker.address(), worker.0 / WORKERS_IN_A_BLOCK);
     let health = if *up { "up" } else { "removed" };
-    let _ = write!(out, r#"{{"host":"{worker}","dial":"{address}:{port}","site":"{zone}","#);
-    let _ = write!(out, r#""class":"{WORKER_KIND}","block":{block},"health":"{health}","#);
-    let _ = write!(out, r#""share":1,"born_ms":{born_ms},"unasked":[{free_cores},{free_memory}]}}"#);
+    let _ = write!(
+        out,
+        r#"{{"host":"{worker}","dial":"{address}:{port}","site":"{zone}","#
+    );
+    let _ = write!(
+        out,
+        r#""class":"{WORKER_KIND}","block":{block},"health":"{health}","#
+    );
+    let _ = write!(
+        out,
+        r#""share":1,"born_ms":{born_ms},"unasked":[{free_cores},{free_memory}]}}"#
+    );
 }
 
 /// The number in a placer's `SUB N`.
--- a/crates/scale/src/wire/lines.rs
+++ b/crates/scale/src/wire/lines.rs
@@ -83,7 +83,11 @@
     let id = SetupId::parse(&raw.id).ok_or(WireError::BadField("ref"))?;
     Ok(match &*raw.t {
         "new" => {
-            let key = raw.f.key.as_deref().and_then(|key| u64::from_str_radix(key, 16).ok());
+            let key = raw
+                .f
+                .key
+                .as_deref()
+                .and_then(|key| u64::from_str_radix(key, 16).ok());
             PlacerLine::Offer(Offer {
                 id,
                 key: key.ok_or(WireError::BadField("key"))?,
@@ -108,23 +112,35 @@
 
 /// Writes that a task stands. The description needs no escapes in JSON.
 pub fn up(out: &mut Vec<u8>, id: SetupId, description: &str) {
-    line(out, format_args!(r#"{{"t":"up","ref":"{id}","f":{{}},"d":"{description}"}}"#));
+    line(
+        out,
+        format_args!(r#"{{"t":"up","ref":"{id}","f":{{}},"d":"{description}"}}"#),
+    );
 }
 
 /// Writes that a worker is full.
 pub fn full(out: &mut Vec<u8>, id: SetupId, why: NoRoom) {
     let (note, cause) = (why.note(), super::cause::FULL);
-    line(out, format_args!(r#"{{"t":"down","ref":"{id}","f":{{"note":"{note}"}},"c":{cause}}}"#));
+    line(
+        out,
+        format_args!(r#"{{"t":"down","ref":"{id}","f":{{"note":"{note}"}},"c":{cause}}}"#),
+    );
 }
 
 /// Writes the end of a task, or an error.
 pub fn down(out: &mut Vec<u8>, id: SetupId, cause: u8) {
-    line(out, format_args!(r#"{{"t":"down","ref":"{id}","f":{{}},"c":{cause}}}"#));
+    line(
+        out,
+        format_args!(r#"{{"t":"down","ref":"{id}","f":{{}},"c":{cause}}}"#),
+    );
 }
 
 /// Writes that a test has passed.
 pub fn test_passed(out: &mut Vec<u8>, id: SetupId) {
-    line(out, format_args!(r#"{{"t":"hb_ok","ref":"{id}","f":{{}},"c":1}}"#));
+    line(
+        out,
+        format_args!(r#"{{"t":"hb_ok","ref":"{id}","f":{{}},"c":1}}"#),
+    );
 }
 
 fn line(out: &mut Vec<u8>, text: std::fmt::Arguments<'_>) {
--- a/crates/scale/src/wire/tests.rs
+++ b/crates/scale/src/wire/tests.rs
@@ -28,26 +28,46 @@
         description: "cores=1",
     };
     binary::set_up(&mut out, &set_up);
-    assert_eq!(usize::from(u16::from_be_bytes([out[0], out[1]])), out.len() - 2);
+    assert_eq!(
+        usize::from(u16::from_be_bytes([out[0], out[1]])),
+        out.len() - 2
+    );
     assert_eq!(out[2], 1);
     assert_eq!(out[3..11], id().0.to_be_bytes());
     let text = String::from_utf8_lossy(&out).into_owned();
-    assert!(text.contains("cores:1;memory:2;service:00000000000000b4;at:w00012"), "{text}");
+    assert!(
+        text.contains("cores:1;memory:2;service:00000000000000b4;at:w00012"),
+        "{text}"
+    );
     assert!(text.contains("a000000000000007"), "{text}");
 }
 
 #[test]
 fn answers_ends_and_results_of_tests_are_read_and_half_of_one_waits() {
-    let answer = [&[0, 18, 9][..], &id().0.to_be_bytes(), &[174, 0, 6], b"stands"].concat();
-    let (found, message, length) = binary::read(&answer).expect("a message").expect("a whole one");
+    let answer = [
+        &[0, 18, 9][..],
+        &id().0.to_be_bytes(),
+        &[174, 0, 6],
+        b"stands",
+    ]
+    .concat();
+    let (found, message, length) = binary::read(&answer)
+        .expect("a message")
+        .expect("a whole one");
     assert_eq!((found, length), (id(), answer.len()));
     assert_eq!(message, PlacerMessage::Answer("stands".to_string()));
     assert_eq!(binary::read(&answer[..12]), Ok(None));
     let released = [&[0, 13, 12][..], &id().0.to_be_bytes(), &[171, 0, 1, 34]].concat();
-    assert_eq!(binary::read(&released), Ok(Some((id(), PlacerMessage::Release(34), 15))));
+    assert_eq!(
+        binary::read(&released),
+        Ok(Some((id(), PlacerMessage::Release(34), 15)))
+    );
     let tested = [&[0, 13, 53][..], &[0xff; 8], &[171, 0, 1, 1]].concat();
     let passed = PlacerMessage::Tested { passed: true };
-    assert_eq!(binary::read(&tested), Ok(Some((SetupId(u64::MAX), passed, 15))));
+    assert_eq!(
+        binary::read(&tested),
+        Ok(Some((SetupId(u64::MAX), passed, 15)))
+    );
 }
 
 #[test]
@@ -58,11 +78,19 @@
     assert_eq!(binary::read(&cut), Err(WireError::BadLength));
     let unknown = [&[0, 9, 77][..], &[1; 8]].concat();
     assert_eq!(binary::read(&unknown), Err(WireError::BadField("type")));
-    for line in [&b"\0\xff"[..], b"[]", b"{}", b"{\"t\":\"new\"}", b"{\"t\":1,\"ref\":\"0000000000000001\"}"]
-    {
+    for line in [
+        &b"\0\xff"[..],
+        b"[]",
+        b"{}",
+        b"{\"t\":\"new\"}",
+        b"{\"t\":1,\"ref\":\"0000000000000001\"}",
+    ] {
         assert_eq!(lines::read(line), Err(WireError::BadJson), "{line:?}");
     }
-    assert_eq!(lines::read(br#"{"t":"ack","ref":"1"}"#), Err(WireError::BadField("ref")));
+    assert_eq!(
+        lines::read(br#"{"t":"ack","ref":"1"}"#),
+        Err(WireError::BadField("ref"))
+    );
     let long = vec![b'a'; MOST_MESSAGE_BYTES];
     assert_eq!(lines::line_end(&long), Err(WireError::TooLong));
     assert_eq!(lines::line_end(b"abc"), Ok(None));
@@ -72,7 +100,11 @@
 #[test]
 fn lines_of_placers_are_read_and_lines_of_workers_are_json() {
     let offer = br#"{"t":"new","ref":"0000000000000008","f":{"class":"standard","key":"a000000000000007","left":"1500"},"d":"a\r\nb"}"#;
-    let read = Offer { id: id(), key: TaskIndex(7).key(), description: "a\r\nb".to_string() };
+    let read = Offer {
+        id: id(),
+        key: TaskIndex(7).key(),
+        description: "a\r\nb".to_string(),
+    };
     assert_eq!(lines::read(offer), Ok(PlacerLine::Offer(read)));
     let release = br#"{"t":"down","ref":"0000000000000008","f":{},"c":16}"#;
     assert_eq!(lines::read(release), Ok(PlacerLine::Release { id: id() }));
@@ -84,29 +116,61 @@
     lines::down(&mut out, id(), cause::NORMAL);
     lines::test_passed(&mut out, id());
     let text = String::from_utf8(out).expect("text");
-    let values: Vec<serde_json::Value> =
-        text.lines().map(|line| serde_json::from_str(line).expect("JSON")).collect();
+    let values: Vec<serde_json::Value> = text
+        .lines()
+        .map(|line| serde_json::from_str(line).expect("JSON"))
+        .collect();
     assert_eq!(values[0]["d"], "worker=w00009");
-    assert_eq!((&values[1]["c"], &values[1]["f"]["note"]), (&34.into(), &"nm".into()));
+    assert_eq!(
+        (&values[1]["c"], &values[1]["f"]["note"]),
+        (&34.into(), &"nm".into())
+    );
     assert_eq!(values[2]["c"], 16);
     assert_eq!(values[3]["t"], "hb_ok");
 }
 
 #[test]
 fn a_task_and_an_answer_survive_the_way_as_descriptions() {
-    let shape = TaskShape { cores: 1.5, memory: 2.0, life: Duration::from_micros(12_345_678), once: true };
+    let shape = TaskShape {
+        cores: 1.5,
+        memory: 2.0,
+        life: Duration::from_micros(12_345_678),
+        once: true,
+    };
     assert_eq!(TaskShape::read(&shape.write()), Some(shape));
-    assert_eq!(TaskShape::read("cores=1 memory=-2 life-us=1 once=false"), None);
+    assert_eq!(
+        TaskShape::read("cores=1 memory=-2 life-us=1 once=false"),
+        None
+    );
     assert_eq!(TaskShape::read(""), None);
-    assert_eq!(description::read_answer(&description::write_answer(WorkerId(3))), Some(WorkerId(3)));
+    assert_eq!(
+        description::read_answer(&description::write_answer(WorkerId(3))),
+        Some(WorkerId(3))
+    );
     assert_eq!(description::read_answer("anything"), None);
 }
 
 #[test]
 fn events_of_the_feed_are_json_with_what_the_protocol_names() {
-    let listed = ListedWorker { up: true, born_ms: 5, free_cores: 15.5, free_memory: 30.0 };
-    let entry = Entry { worker: WorkerId(300), port: 20_001, zone: "z6", listed };
-    let gone = Entry { listed: ListedWorker { up: false, ..listed }, ..entry };
+    let listed = ListedWorker {
+        up: true,
+        born_ms: 5,
+        free_cores: 15.5,
+        free_memory: 30.0,
+    };
+    let entry = Entry {
+        worker: WorkerId(300),
+        port: 20_001,
+        zone: "z6",
+        listed,
+    };
+    let gone = Entry {
+        listed: ListedWorker {
+            up: false,
+            ..listed
+        },
+        ..entry
+    };
     let mut out = Vec::new();
     feed::event(&mut out, 41, false, [entry, gone].into_iter());
     let value: serde_json::Value = serde_json::from_slice(&out).expect("JSON");
@@ -114,7 +178,10 @@
     let hosts = &value["members"]["hosts"];
     assert_eq!(hosts[0]["dial"], "127.16.1.44:20001");
     assert_eq!(hosts[0]["unasked"], serde_json::json!([15.5, 30]));
-    assert_eq!((&hosts[0]["health"], &hosts[1]["health"]), (&"up".into(), &"removed".into()));
+    assert_eq!(
+        (&hosts[0]["health"], &hosts[1]["health"]),
+        (&"up".into(), &"removed".into())
+    );
     assert_eq!(hosts[0]["block"], 9);
     assert_eq!(feed::subscription(b"SUB 12"), Some(12));
     assert_eq!(feed::subscription(b"SUB x"), None);
