--- a/crates/scale/src/workers.rs
+++ b/crates/scale/src/workers.rs
@@ -129,22 +129,33 @@
         feeds: &Sender<FeedOrder>,
     ) -> io::Result<Workers> {
         let listeners = open_listeners(counters.len(), setup.zones)?;
-        let ports =
-            listeners.iter().map(|zones| zones.iter().map(LoopbackListener::port).collect()).collect();
+        let ports = listeners
+            .iter()
+            .map(|zones| zones.iter().map(LoopbackListener::port).collect())
+            .collect();
         let count = MOST_THREADS.min(setup.zones as usize).max(1);
         let mut dealt: Vec<Vec<ZoneListener>> = (0..count).map(|_| Vec::new()).collect();
         for (placer, zones) in (0_u16..).map(PlacerId).zip(listeners) {
             for (zone, socket) in (0_u32..).map(ZoneId).zip(zones) {
                 if let Some(group) = dealt.get_mut(group_of(zone, count)) {
-                    group.push(ZoneListener { placer, zone, socket });
+                    group.push(ZoneListener {
+                        placer,
+                        zone,
+                        socket,
+                    });
                 }
             }
         }
         let mut groups = Vec::new();
         for (number, listeners) in dealt.into_iter().enumerate() {
-            let here = |task: &&StandingTask| group_of(task.worker.zone(setup.zones), count) == number;
+            let here =
+                |task: &&StandingTask| group_of(task.worker.zone(setup.zones), count) == number;
             let standing: Vec<StandingTask> = standing.iter().filter(here).copied().collect();
-            let shared = GroupParts { counters: counters.to_vec(), feeds: feeds.clone(), listeners };
+            let shared = GroupParts {
+                counters: counters.to_vec(),
+                feeds: feeds.clone(),
+                listeners,
+            };
             groups.push(Group::start(number, setup, &standing, shared)?);
         }
         Ok(Workers { groups, ports })
@@ -158,11 +169,17 @@
     /// Tells them something: of a zone to those who have it, garbage to the first, the rest to all.
     pub fn order(&self, order: WorkerOrder) {
         let only = match order {
-            WorkerOrder::Vanish(zone) | WorkerOrder::Return(zone) => Some(group_of(zone, self.groups.len())),
+            WorkerOrder::Vanish(zone) | WorkerOrder::Return(zone) => {
+                Some(group_of(zone, self.groups.len()))
+            }
             WorkerOrder::Garbage(_) => Some(0),
             WorkerOrder::Begin | WorkerOrder::Freeze | WorkerOrder::Stop => None,
         };
-        let told = self.groups.iter().enumerate().filter(|(n, _)| only.is_none_or(|only| only == *n));
+        let told = self
+            .groups
+            .iter()
+            .enumerate()
+            .filter(|(n, _)| only.is_none_or(|only| only == *n));
         told.for_each(|(_, group)| group.orders.send(order));
     }
 
@@ -180,13 +197,18 @@
 
     /// The error on which a thread of theirs has ended, if one has.
     pub fn failure(&mut self) -> Option<io::Error> {
-        self.groups.iter_mut().find_map(|group| group.thread.failure())
+        self.groups
+            .iter_mut()
+            .find_map(|group| group.thread.failure())
     }
 
     /// Ends them; what they noted.
     pub fn stop(mut self) -> io::Result<WorkerReport> {
         self.order(WorkerOrder::Stop);
-        let mut all = WorkerReport { books: WorkerBooks::default(), lateness: Times::new()? };
+        let mut all = WorkerReport {
+            books: WorkerBooks::default(),
+            lateness: Times::new()?,
+        };
         for group in &mut self.groups {
             let report = group.thread.join()?;
             all.books.add(&report.books);
@@ -200,7 +222,9 @@
     fn drop(&mut self) {
         self.order(WorkerOrder::Stop);
         // They have ended already where the run came to its end.
-        self.groups.iter_mut().for_each(|group| drop(group.thread.join()));
+        self.groups
+            .iter_mut()
+            .for_each(|group| drop(group.thread.join()));
     }
 }
 
@@ -218,17 +242,30 @@
         standing: &[StandingTask],
         parts: GroupParts,
     ) -> io::Result<Group> {
-        let GroupParts { counters, feeds, listeners } = parts;
+        let GroupParts {
+            counters,
+            feeds,
+            listeners,
+        } = parts;
         let poll = Poll::new()?;
         let (orders, taken) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
         let state = Arc::default();
         let mut fleet = fleet::Fleet::new(setup.clone(), standing);
         // Before any placer starts: its configuration shows what stands.
         feeds.send(FeedOrder::Rooms(fleet.take_changed_rooms()));
-        let shared = thread::Shared { counters, feeds, orders: taken, state: Arc::clone(&state) };
+        let shared = thread::Shared {
+            counters,
+            feeds,
+            orders: taken,
+            state: Arc::clone(&state),
+        };
         let running = thread::WorkerThread::new(poll, fleet, listeners, shared)?;
         let thread = PeerThread::spawn(&format!("workers-{number}"), move || running.run())?;
-        Ok(Group { orders, state, thread })
+        Ok(Group {
+            orders,
+            state,
+            thread,
+        })
     }
 }
 
--- a/crates/scale/src/workers/connections.rs
+++ b/crates/scale/src/workers/connections.rs
@@ -43,12 +43,27 @@
     }
 
     /// Adds a connection.
-    pub fn add(&mut self, connection: Connection, worker: WorkerId, placer: PlacerId) -> ConnectionId {
+    pub fn add(
+        &mut self,
+        connection: Connection,
+        worker: WorkerId,
+        placer: PlacerId,
+    ) -> ConnectionId {
         let serial = self.next;
         self.next += 1;
         let (open, garbage) = (Vec::new(), false);
-        let place = self.table.insert(WorkerConnection { connection, worker, placer, open, garbage, serial });
-        self.by_pair.entry((worker, placer)).or_default().push(place);
+        let place = self.table.insert(WorkerConnection {
+            connection,
+            worker,
+            placer,
+            open,
+            garbage,
+            serial,
+        });
+        self.by_pair
+            .entry((worker, placer))
+            .or_default()
+            .push(place);
         ConnectionId { place, serial }
     }
 
@@ -72,7 +87,10 @@
 
     /// The identity of the connection at a place.
     pub fn id(&self, place: usize) -> Option<ConnectionId> {
-        self.table.get(place).map(|connection| ConnectionId { place, serial: connection.serial })
+        self.table.get(place).map(|connection| ConnectionId {
+            place,
+            serial: connection.serial,
+        })
     }
 
     /// Where a worker reaches a placer: on this connection, else on the latest that is open.
@@ -87,12 +105,18 @@
         {
             return Some(id.place);
         }
-        self.by_pair.get(&(worker, placer)).and_then(|places| places.last().copied())
+        self.by_pair
+            .get(&(worker, placer))
+            .and_then(|places| places.last().copied())
     }
 
     /// The places of all connections for which this holds.
     pub fn places(&self, wanted: impl Fn(&WorkerConnection) -> bool) -> Vec<usize> {
-        self.table.iter().filter(|(_, found)| wanted(found)).map(|(place, _)| place).collect()
+        self.table
+            .iter()
+            .filter(|(_, found)| wanted(found))
+            .map(|(place, _)| place)
+            .collect()
     }
 
     /// How many there are.
--- a/crates/scale/src/workers/fleet.rs
+++ b/crates/scale/src/workers/fleet.rs
@@ -97,8 +97,12 @@
 impl Fleet {
     /// Workers that hold these tasks.
     pub fn new(setup: WorkerSetup, standing: &[StandingTask]) -> Fleet {
-        let worker =
-            Worker { free_cores: setup.cores, free_memory: setup.memory, gone: false, returned: false };
+        let worker = Worker {
+            free_cores: setup.cores,
+            free_memory: setup.memory,
+            gone: false,
+            returned: false,
+        };
         let mut fleet = Fleet {
             workers: vec![worker; setup.workers as usize],
             setup,
@@ -110,8 +114,19 @@
             frozen: false,
             books: WorkerBooks::default(),
         };
-        for StandingTask { task, worker, placer, shape } in standing {
-            let held = Held { task: *task, placer: *placer, shape: *shape, stage: Stage::Standing };
+        for StandingTask {
+            task,
+            worker,
+            placer,
+            shape,
+        } in standing
+        {
+            let held = Held {
+                task: *task,
+                placer: *placer,
+                shape: *shape,
+                stage: Stage::Standing,
+            };
             fleet.hold((*worker, SetupId::new(*task, 0)), held);
             fleet.books.note(*task, |book| book.starts += 1);
         }
@@ -135,22 +150,35 @@
 
     /// Whether a worker is not there.
     pub fn gone(&self, worker: WorkerId) -> bool {
-        self.workers.get(worker.index()).is_none_or(|worker| worker.gone)
+        self.workers
+            .get(worker.index())
+            .is_none_or(|worker| worker.gone)
     }
 
     /// The rooms that have changed since the last look.
     pub fn take_changed_rooms(&mut self) -> Vec<Room> {
         let changed = std::mem::take(&mut self.changed).into_iter();
         let rooms = changed.filter_map(|worker| {
-            let Worker { free_cores, free_memory, .. } = *self.workers.get(worker.index())?;
-            Some(Room { worker, free_cores, free_memory })
+            let Worker {
+                free_cores,
+                free_memory,
+                ..
+            } = *self.workers.get(worker.index())?;
+            Some(Room {
+                worker,
+                free_cores,
+                free_memory,
+            })
         });
         rooms.collect()
     }
 
     /// The tasks that stand, and how long each still does.
     pub fn lives(&self) -> impl Iterator<Item = (HeldId, Duration)> {
-        let standing = self.held.iter().filter(|(_, held)| held.stage == Stage::Standing);
+        let standing = self
+            .held
+            .iter()
+            .filter(|(_, held)| held.stage == Stage::Standing);
         standing.map(|(id, held)| (*id, held.shape.life))
     }
 
@@ -163,7 +191,8 @@
 
     /// A task gives its room back.
     fn let_go(&mut self, worker: WorkerId, held: &Held) {
-        self.books.note(held.task, |book| book.held = book.held.saturating_sub(1));
+        self.books
+            .note(held.task, |book| book.held = book.held.saturating_sub(1));
         self.in_hand = self.in_hand.saturating_sub(1);
         self.use_room(worker, held.shape, -1.0);
     }
@@ -178,7 +207,12 @@
 
     /// A placer offers a task.
     pub fn offer(&mut self, id: WorkerId, placer: PlacerId, offer: &Offer) -> OfferReply {
-        let Some(worker) = self.workers.get(id.index()).copied().filter(|worker| !worker.gone) else {
+        let Some(worker) = self
+            .workers
+            .get(id.index())
+            .copied()
+            .filter(|worker| !worker.gone)
+        else {
             return OfferReply::Silent;
         };
         let task = TaskIndex::of_key(offer.key).filter(|task| task.0 < MOST_TASKS);
@@ -196,20 +230,39 @@
             (worker.free_memory + ROUNDING < shape.memory).then_some(NoRoom::Memory)
         };
         if let Some(why) = why {
-            self.books.note(task, |book| book.refusals = book.refusals.saturating_add(1));
+            self.books
+                .note(task, |book| book.refusals = book.refusals.saturating_add(1));
             return OfferReply::Full(why);
         }
-        self.hold((id, offer.id), Held { task, placer, shape, stage: Stage::Starting });
-        OfferReply::Starts { after: self.setup.start_time }
+        self.hold(
+            (id, offer.id),
+            Held {
+                task,
+                placer,
+                shape,
+                stage: Stage::Starting,
+            },
+        );
+        OfferReply::Starts {
+            after: self.setup.start_time,
+        }
     }
 
     /// The answer of a task is due: how long it stands from now on, if it still starts.
     pub fn answer(&mut self, id: HeldId) -> Option<Duration> {
-        let held = self.held.get_mut(&id).filter(|held| held.stage == Stage::Starting)?;
+        let held = self
+            .held
+            .get_mut(&id)
+            .filter(|held| held.stage == Stage::Starting)?;
         held.stage = Stage::Standing;
         let (task, life) = (held.task, held.shape.life);
-        self.books.note(task, |book| book.starts = book.starts.saturating_add(1));
-        if self.workers.get(id.0.index()).is_some_and(|worker| worker.returned) {
+        self.books
+            .note(task, |book| book.starts = book.starts.saturating_add(1));
+        if self
+            .workers
+            .get(id.0.index())
+            .is_some_and(|worker| worker.returned)
+        {
             self.books.starts_after_return += 1;
         }
         Some(life)
@@ -220,8 +273,13 @@
         if self.frozen {
             return None;
         }
-        let held = self.held.get(&id).copied().filter(|held| held.stage == Stage::Standing)?;
-        self.books.note(held.task, |book| book.ended = book.ended.saturating_add(1));
+        let held = self
+            .held
+            .get(&id)
+            .copied()
+            .filter(|held| held.stage == Stage::Standing)?;
+        self.books
+            .note(held.task, |book| book.ended = book.ended.saturating_add(1));
         self.finish(id, &held, cause::NORMAL);
         Some(held.placer)
     }
@@ -229,21 +287,33 @@
     /// A task that stood is over; its placer is to hear of it.
     fn finish(&mut self, id: HeldId, held: &Held, cause: u8) {
         self.let_go(id.0, held);
-        self.held.insert(id, Held { stage: Stage::Over(cause), ..*held });
-        self.unheard.entry((id.0, held.placer)).or_default().push(id.1);
+        self.held.insert(
+            id,
+            Held {
+                stage: Stage::Over(cause),
+                ..*held
+            },
+        );
+        self.unheard
+            .entry((id.0, held.placer))
+            .or_default()
+            .push(id.1);
         self.unheard_count += 1;
     }
 
     /// A placer gives an offer up, or ends a task.
     pub fn release(&mut self, id: HeldId) -> ReleaseReply {
-        let Some(held) = self.held.get(&id).copied() else { return ReleaseReply::Nothing };
+        let Some(held) = self.held.get(&id).copied() else {
+            return ReleaseReply::Nothing;
+        };
         match held.stage {
             Stage::Starting => {
                 self.forget_offer(id);
                 ReleaseReply::Nothing
             }
             Stage::Standing => {
-                self.books.note(held.task, |book| book.cut = book.cut.saturating_add(1));
+                self.books
+                    .note(held.task, |book| book.cut = book.cut.saturating_add(1));
                 self.finish(id, &held, cause::CANCELLED);
                 ReleaseReply::Ended(cause::CANCELLED)
             }
@@ -253,7 +323,12 @@
 
     /// An offer that was not answered yet is given up, or its connection has ended.
     pub fn forget_offer(&mut self, id: HeldId) {
-        if let Some(held) = self.held.get(&id).copied().filter(|held| held.stage == Stage::Starting) {
+        if let Some(held) = self
+            .held
+            .get(&id)
+            .copied()
+            .filter(|held| held.stage == Stage::Starting)
+        {
             self.held.remove(&id);
             self.let_go(id.0, &held);
         }
@@ -261,14 +336,18 @@
 
     /// A placer confirms the end of a task.
     pub fn heard(&mut self, id: HeldId, now: Instant) {
-        let Some(held) = self.held.get(&id).copied() else { return };
+        let Some(held) = self.held.get(&id).copied() else {
+            return;
+        };
         if !matches!(held.stage, Stage::Over(_)) {
             return;
         }
         self.held.remove(&id);
         self.books.note(held.task, |book| book.heard = Some(now));
         let key = (id.0, held.placer);
-        let Some(ids) = self.unheard.get_mut(&key) else { return };
+        let Some(ids) = self.unheard.get_mut(&key) else {
+            return;
+        };
         let before = ids.len();
         ids.retain(|other| *other != id.1);
         self.unheard_count = self.unheard_count.saturating_sub(before - ids.len());
@@ -294,9 +373,13 @@
         let lost = |id: &HeldId| id.0.zone(zones) == zone;
         let ids: Vec<HeldId> = self.held.keys().copied().filter(lost).collect();
         for id in ids {
-            let Some(held) = self.held.remove(&id) else { continue };
+            let Some(held) = self.held.remove(&id) else {
+                continue;
+            };
             if !matches!(held.stage, Stage::Over(_)) {
-                self.books.note(held.task, |book| book.vanished = book.vanished.saturating_add(1));
+                self.books.note(held.task, |book| {
+                    book.vanished = book.vanished.saturating_add(1)
+                });
                 self.let_go(id.0, &held);
             }
         }
@@ -314,16 +397,27 @@
     pub fn bring_back(&mut self, zone: ZoneId) {
         let (free_cores, free_memory) = (self.setup.cores, self.setup.memory);
         self.in_zone(zone, |worker| {
-            *worker = Worker { free_cores, free_memory, gone: false, returned: true };
+            *worker = Worker {
+                free_cores,
+                free_memory,
+                gone: false,
+                returned: true,
+            };
         });
         let zones = self.setup.zones;
-        let back = (0..self.setup.workers).map(WorkerId).filter(|worker| worker.zone(zones) == zone);
+        let back = (0..self.setup.workers)
+            .map(WorkerId)
+            .filter(|worker| worker.zone(zones) == zone);
         self.changed.extend(back);
     }
 
     fn in_zone(&mut self, zone: ZoneId, change: impl Fn(&mut Worker)) {
         let step = self.setup.zones.max(1) as usize;
-        self.workers.iter_mut().skip(zone.0 as usize).step_by(step).for_each(change);
+        self.workers
+            .iter_mut()
+            .skip(zone.0 as usize)
+            .step_by(step)
+            .for_each(change);
     }
 
     /// No task ends by itself from now on.
--- a/crates/scale/src/workers/fleet/tests.rs
+++ b/crates/scale/src/workers/fleet/tests.rs
@@ -7,16 +7,34 @@
 
 fn fleet() -> Fleet {
     let start_time = Duration::from_millis(200);
-    Fleet::new(WorkerSetup { workers: 4, zones: 2, cores: 2.0, memory: 8.0, start_time }, &[])
+    Fleet::new(
+        WorkerSetup {
+            workers: 4,
+            zones: 2,
+            cores: 2.0,
+            memory: 8.0,
+            start_time,
+        },
+        &[],
+    )
 }
 
 fn shape(cores: f64, memory: f64) -> TaskShape {
-    TaskShape { cores, memory, life: Duration::from_secs(7), once: false }
+    TaskShape {
+        cores,
+        memory,
+        life: Duration::from_secs(7),
+        once: false,
+    }
 }
 
 fn offer(index: u32, shape: TaskShape) -> Offer {
     let task = TaskIndex(index);
-    Offer { id: SetupId::new(task, 0), key: task.key(), description: shape.write() }
+    Offer {
+        id: SetupId::new(task, 0),
+        key: task.key(),
+        description: shape.write(),
+    }
 }
 
 fn id(index: u32) -> HeldId {
@@ -26,7 +44,12 @@
 /// Offers a task and has it stand.
 fn stands(fleet: &mut Fleet, index: u32) {
     let reply = fleet.offer(WORKER, PLACER, &offer(index, shape(1.0, 2.0)));
-    assert_eq!(reply, OfferReply::Starts { after: Duration::from_millis(200) });
+    assert_eq!(
+        reply,
+        OfferReply::Starts {
+            after: Duration::from_millis(200)
+        }
+    );
     assert_eq!(fleet.answer(id(index)), Some(Duration::from_secs(7)));
 }
 
@@ -34,12 +57,23 @@
 fn a_task_starts_stands_ends_and_its_end_is_kept_until_it_is_heard() {
     let mut fleet = fleet();
     stands(&mut fleet, 0);
-    let room = Room { worker: WORKER, free_cores: 1.0, free_memory: 6.0 };
+    let room = Room {
+        worker: WORKER,
+        free_cores: 1.0,
+        free_memory: 6.0,
+    };
     assert_eq!(fleet.take_changed_rooms(), [room]);
     assert_eq!(fleet.end(id(0)), Some(PLACER));
     assert_eq!(fleet.end(id(0)), None, "it ends once");
     assert_eq!(fleet.unheard(WORKER, PLACER), [(id(0).1, cause::NORMAL)]);
-    assert_eq!(fleet.take_changed_rooms(), [Room { free_cores: 2.0, free_memory: 8.0, ..room }]);
+    assert_eq!(
+        fleet.take_changed_rooms(),
+        [Room {
+            free_cores: 2.0,
+            free_memory: 8.0,
+            ..room
+        }]
+    );
     fleet.heard(id(0), Instant::now());
     assert_eq!((fleet.unheard_count(), fleet.in_hand()), (0, 0));
     let book = fleet.books.task(TaskIndex(0));
@@ -51,14 +85,28 @@
 fn a_full_worker_says_what_it_lacks_and_an_offer_that_is_given_up_frees_its_room() {
     let mut fleet = fleet();
     stands(&mut fleet, 0);
-    let starts = OfferReply::Starts { after: Duration::from_millis(200) };
-    assert_eq!(fleet.offer(WORKER, PLACER, &offer(1, shape(1.0, 6.0))), starts);
+    let starts = OfferReply::Starts {
+        after: Duration::from_millis(200),
+    };
+    assert_eq!(
+        fleet.offer(WORKER, PLACER, &offer(1, shape(1.0, 6.0))),
+        starts
+    );
     let full = |why| OfferReply::Full(why);
-    assert_eq!(fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))), full(NoRoom::Cores));
-    assert_eq!(fleet.offer(WORKER, PLACER, &offer(2, shape(0.0, 1.0))), full(NoRoom::Memory));
+    assert_eq!(
+        fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))),
+        full(NoRoom::Cores)
+    );
+    assert_eq!(
+        fleet.offer(WORKER, PLACER, &offer(2, shape(0.0, 1.0))),
+        full(NoRoom::Memory)
+    );
     assert_eq!(fleet.release(id(1)), ReleaseReply::Nothing);
     assert_eq!(fleet.answer(id(1)), None, "it was given up");
-    assert_eq!(fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))), starts);
+    assert_eq!(
+        fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))),
+        starts
+    );
     assert_eq!(fleet.books.task(TaskIndex(2)).refusals, 2);
 }
 
@@ -84,12 +132,19 @@
     assert_eq!((fleet.in_hand(), fleet.unheard_count()), (0, 0));
     assert!(fleet.gone(WORKER) && !fleet.gone(WorkerId(0)));
     assert_eq!(fleet.take_changed_rooms(), [], "nobody sees it");
-    assert_eq!(fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))), OfferReply::Silent);
+    assert_eq!(
+        fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))),
+        OfferReply::Silent
+    );
     assert_eq!(fleet.end(id(0)), None);
     fleet.bring_back(zone);
     let rooms = fleet.take_changed_rooms();
     assert_eq!(rooms.len(), 2);
-    assert!(rooms.iter().all(|room| room.free_cores == 2.0 && room.free_memory == 8.0));
+    assert!(
+        rooms
+            .iter()
+            .all(|room| room.free_cores == 2.0 && room.free_memory == 8.0)
+    );
     assert_eq!(fleet.books.starts_after_return, 0);
     stands(&mut fleet, 3);
     assert_eq!(fleet.books.starts_after_return, 1);
@@ -100,14 +155,32 @@
 #[test]
 fn offers_that_no_client_has_made_are_counted_and_start_nothing() {
     let mut fleet = fleet();
-    let unknown = Offer { key: 7, ..offer(0, shape(1.0, 1.0)) };
-    let garbled = Offer { description: "cores=NaN".to_string(), ..offer(0, shape(1.0, 1.0)) };
-    assert_eq!(fleet.offer(WORKER, PLACER, &unknown), OfferReply::Unreadable);
-    assert_eq!(fleet.offer(WORKER, PLACER, &garbled), OfferReply::Unreadable);
+    let unknown = Offer {
+        key: 7,
+        ..offer(0, shape(1.0, 1.0))
+    };
+    let garbled = Offer {
+        description: "cores=NaN".to_string(),
+        ..offer(0, shape(1.0, 1.0))
+    };
+    assert_eq!(
+        fleet.offer(WORKER, PLACER, &unknown),
+        OfferReply::Unreadable
+    );
+    assert_eq!(
+        fleet.offer(WORKER, PLACER, &garbled),
+        OfferReply::Unreadable
+    );
     stands(&mut fleet, 0);
-    assert_eq!(fleet.offer(WORKER, PLACER, &offer(0, shape(1.0, 1.0))), OfferReply::Silent);
+    assert_eq!(
+        fleet.offer(WORKER, PLACER, &offer(0, shape(1.0, 1.0))),
+        OfferReply::Silent
+    );
     assert_eq!(fleet.books.bad_offers, 3);
-    assert_eq!(fleet.offer(WorkerId(99), PLACER, &offer(1, shape(1.0, 1.0))), OfferReply::Silent);
+    assert_eq!(
+        fleet.offer(WorkerId(99), PLACER, &offer(1, shape(1.0, 1.0))),
+        OfferReply::Silent
+    );
 }
 
 #[test]
--- a/crates/scale/src/workers/thread.rs
+++ b/crates/scale/src/workers/thread.rs
@@ -85,11 +85,22 @@
         listeners: Vec<ZoneListener>,
         shared: Shared,
     ) -> io::Result<WorkerThread> {
-        let listeners = listeners.into_iter().map(|zone| Listener { zone, handle: None }).collect();
+        let listeners = listeners
+            .into_iter()
+            .map(|zone| Listener { zone, handle: None })
+            .collect();
         let (connections, timers) = (Connections::default(), TimerQueue::default());
         let (lateness, stopped) = (Times::new()?, false);
-        let mut thread =
-            WorkerThread { poll, fleet, listeners, connections, timers, shared, lateness, stopped };
+        let mut thread = WorkerThread {
+            poll,
+            fleet,
+            listeners,
+            connections,
+            timers,
+            shared,
+            lateness,
+            stopped,
+        };
         for place in 0..thread.listeners.len() {
             thread.take_calls(place)?;
         }
@@ -108,7 +119,9 @@
             for event in &events {
                 match event.token() {
                     MAILBOX => {}
-                    Token(token) if token >= FIRST_CONNECTION => self.serve(token - FIRST_CONNECTION),
+                    Token(token) if token >= FIRST_CONNECTION => {
+                        self.serve(token - FIRST_CONNECTION)
+                    }
                     Token(token) => self.accept(token - FIRST_LISTENER)?,
                 }
             }
@@ -117,7 +130,10 @@
             self.tell();
         }
         self.fleet.books.unheard = self.fleet.unheard_count() as u64;
-        Ok(WorkerReport { books: self.fleet.books, lateness: self.lateness })
+        Ok(WorkerReport {
+            books: self.fleet.books,
+            lateness: self.lateness,
+        })
     }
 
     /// Tells the feeds what has changed, and the run what is in hand.
@@ -131,7 +147,11 @@
             unheard: self.fleet.unheard_count(),
             connections: self.connections.len(),
         };
-        *self.shared.state.lock().unwrap_or_else(PoisonError::into_inner) = state;
+        *self
+            .shared
+            .state
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = state;
     }
 
     // ---- Orders ----
@@ -159,14 +179,21 @@
 
     fn vanish(&mut self, zone: ZoneId) -> io::Result<()> {
         let zones = self.fleet.setup().zones;
-        for listener in self.listeners.iter_mut().filter(|listener| listener.zone.zone == zone) {
+        for listener in self
+            .listeners
+            .iter_mut()
+            .filter(|listener| listener.zone.zone == zone)
+        {
             if let Some(mut handle) = listener.handle.take() {
                 self.poll.registry().deregister(&mut handle)?;
             }
             listener.zone.socket.refuse()?;
         }
         self.fleet.vanish(zone);
-        for place in self.connections.places(|found| found.worker.zone(zones) == zone) {
+        for place in self
+            .connections
+            .places(|found| found.worker.zone(zones) == zone)
+        {
             if let Some(lost) = self.connections.remove(place) {
                 lost.connection.reset();
             }
@@ -177,7 +204,11 @@
     fn bring_back(&mut self, zone: ZoneId) -> io::Result<()> {
         self.fleet.bring_back(zone);
         for place in 0..self.listeners.len() {
-            if self.listeners.get(place).is_some_and(|listener| listener.zone.zone == zone) {
+            if self
+                .listeners
+                .get(place)
+                .is_some_and(|listener| listener.zone.zone == zone)
+            {
                 self.take_calls(place)?;
             }
         }
@@ -186,14 +217,19 @@
 
     fn send_garbage(&mut self, workers: u32) {
         let all = self.connections.places(|found| !found.garbage);
-        let named = |place: usize, connections: &mut Connections| Some(connections.get_mut(place)?.worker);
-        let mut chosen: BTreeSet<WorkerId> =
-            all.iter().filter_map(|place| named(*place, &mut self.connections)).collect();
+        let named =
+            |place: usize, connections: &mut Connections| Some(connections.get_mut(place)?.worker);
+        let mut chosen: BTreeSet<WorkerId> = all
+            .iter()
+            .filter_map(|place| named(*place, &mut self.connections))
+            .collect();
         while chosen.len() > workers as usize {
             chosen.pop_last();
         }
         for place in all {
-            let Some(found) = self.connections.get_mut(place) else { continue };
+            let Some(found) = self.connections.get_mut(place) else {
+                continue;
+            };
             if chosen.contains(&found.worker) {
                 found.garbage = true;
                 self.fleet.books.garbage_sent += 1;
@@ -206,28 +242,40 @@
 
     /// A listener takes calls from now on.
     fn take_calls(&mut self, place: usize) -> io::Result<()> {
-        let Some(listener) = self.listeners.get_mut(place) else { return Ok(()) };
+        let Some(listener) = self.listeners.get_mut(place) else {
+            return Ok(());
+        };
         listener.zone.socket.listen()?;
         let mut handle = listener.zone.socket.handle()?;
         let token = Token(FIRST_LISTENER + place);
-        self.poll.registry().register(&mut handle, token, Interest::READABLE)?;
+        self.poll
+            .registry()
+            .register(&mut handle, token, Interest::READABLE)?;
         listener.handle = Some(handle);
         Ok(())
     }
 
     fn accept(&mut self, place: usize) -> io::Result<()> {
         for _ in 0..ACCEPTS {
-            let Some(listener) = self.listeners.get(place) else { return Ok(()) };
-            let Some(handle) = &listener.handle else { return Ok(()) };
+            let Some(listener) = self.listeners.get(place) else {
+                return Ok(());
+            };
+            let Some(handle) = &listener.handle else {
+                return Ok(());
+            };
             let (placer, zone) = (listener.zone.placer, listener.zone.zone);
             match handle.accept() {
                 Ok((stream, _)) => self.welcome(stream, placer, zone)?,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error)
-                    if matches!(error.kind(), ErrorKind::Interrupted | ErrorKind::ConnectionAborted) => {}
+                    if matches!(
+                        error.kind(),
+                        ErrorKind::Interrupted | ErrorKind::ConnectionAborted
+                    ) => {}
                 Err(_) => {
                     // No descriptor is left. What waits makes no further event, so that it is looked at again.
-                    self.timers.add(Instant::now() + ACCEPT_PAUSE, Due::Accept(place));
+                    self.timers
+                        .add(Instant::now() + ACCEPT_PAUSE, Due::Accept(place));
                     return Ok(());
                 }
             }
@@ -240,10 +288,13 @@
     /// Takes a call that is for a worker of this zone; any other is dropped.
     fn welcome(&mut self, stream: TcpStream, placer: PlacerId, zone: ZoneId) -> io::Result<()> {
         let setup = self.fleet.setup();
-        let Ok(address) = stream.local_addr() else { return Ok(()) };
-        let called =
-            WorkerId::at(address.ip(), setup.workers).filter(|worker| worker.zone(setup.zones) == zone);
-        let (Some(worker), Some(counters)) = (called, self.shared.counters.get(placer.index())) else {
+        let Ok(address) = stream.local_addr() else {
+            return Ok(());
+        };
+        let called = WorkerId::at(address.ip(), setup.workers)
+            .filter(|worker| worker.zone(setup.zones) == zone);
+        let (Some(worker), Some(counters)) = (called, self.shared.counters.get(placer.index()))
+        else {
             return Ok(());
         };
         if !is_loopback(address.ip()) || self.fleet.gone(worker) {
@@ -251,7 +302,8 @@
         }
         let place = self.connections.next_place();
         let token = Token(FIRST_CONNECTION + place);
-        let connection = Connection::new(stream, token, self.poll.registry(), counters.clone(), None)?;
+        let connection =
+            Connection::new(stream, token, self.poll.registry(), counters.clone(), None)?;
         self.connections.add(connection, worker, placer);
         self.repeat_ends(place, worker, placer);
         Ok(())
@@ -261,7 +313,8 @@
     fn repeat_ends(&mut self, place: usize, worker: WorkerId, placer: PlacerId) {
         let ends = self.fleet.unheard(worker, placer);
         let mut bytes = Vec::new();
-        ends.iter().for_each(|(id, cause)| lines::down(&mut bytes, *id, *cause));
+        ends.iter()
+            .for_each(|(id, cause)| lines::down(&mut bytes, *id, *cause));
         if !ends.is_empty() {
             self.send(place, &bytes, ends.len() as u64);
         }
@@ -269,7 +322,9 @@
 
     /// Sends messages that carry tasks on a connection.
     fn send(&mut self, place: usize, bytes: &[u8], messages: u64) {
-        let Some(found) = self.connections.get_mut(place) else { return };
+        let Some(found) = self.connections.get_mut(place) else {
+            return;
+        };
         found.connection.becomes(TrafficKind::Worker);
         if found.connection.send(bytes, messages) == Liveness::Ended {
             self.close(place);
@@ -277,26 +332,33 @@
     }
 
     fn close(&mut self, place: usize) {
-        let Some(closed) = self.connections.remove(place) else { return };
+        let Some(closed) = self.connections.remove(place) else {
+            return;
+        };
         if closed.garbage {
             self.fleet.books.garbage_dropped += 1;
         }
         // A closed connection gives up the offers on it.
-        closed.open.iter().for_each(|id| self.fleet.forget_offer((closed.worker, *id)));
+        closed
+            .open
+            .iter()
+            .for_each(|id| self.fleet.forget_offer((closed.worker, *id)));
     }
 
     /// Something has happened on a connection.
     fn serve(&mut self, place: usize) {
-        let Some(found) = self.connections.get_mut(place) else { return };
+        let Some(found) = self.connections.get_mut(place) else {
+            return;
+        };
         let flushed = found.connection.flush();
         let filled = found.connection.fill();
         let read = take_lines(&mut found.connection);
         let (worker, placer) = (found.worker, found.placer);
         let mut replies = Replies::default();
         match read {
-            Ok(lines) => {
-                lines.into_iter().for_each(|line| self.take_line(place, worker, placer, line, &mut replies))
-            }
+            Ok(lines) => lines
+                .into_iter()
+                .for_each(|line| self.take_line(place, worker, placer, line, &mut replies)),
             Err(_) => {
                 self.fleet.books.bad_messages += 1;
                 return self.close(place);
@@ -351,7 +413,9 @@
                 }
             }
             OfferReply::Full(why) => replies.add(|bytes| lines::full(bytes, offer.id, why)),
-            OfferReply::Unreadable => replies.add(|bytes| lines::down(bytes, offer.id, cause::FAILED)),
+            OfferReply::Unreadable => {
+                replies.add(|bytes| lines::down(bytes, offer.id, cause::FAILED))
+            }
             OfferReply::Silent => {}
         }
     }
@@ -378,7 +442,9 @@
     }
 
     fn answer(&mut self, at: Instant, id: HeldId, on: Option<ConnectionId>) {
-        let Some(life) = self.fleet.answer(id) else { return };
+        let Some(life) = self.fleet.answer(id) else {
+            return;
+        };
         self.lateness.add(at.elapsed());
         self.timers.add(at + life, Due::Step(Step::End, id, on));
         // Its connection is there: the offer would be forgotten without it.
@@ -390,7 +456,9 @@
     }
 
     fn end(&mut self, id: HeldId, on: Option<ConnectionId>) {
-        let Some(placer) = self.fleet.end(id) else { return };
+        let Some(placer) = self.fleet.end(id) else {
+            return;
+        };
         if let Some(place) = self.connections.reach(id.0, placer, on) {
             let mut bytes = Vec::new();
             lines::down(&mut bytes, id.1, cause::NORMAL);
@@ -418,7 +486,10 @@
     let mut found = Vec::new();
     let mut taken = 0;
     while let Some(end) = lines::line_end(connection.inbox().get(taken..).unwrap_or_default())? {
-        let line = connection.inbox().get(taken..taken + end).unwrap_or_default();
+        let line = connection
+            .inbox()
+            .get(taken..taken + end)
+            .unwrap_or_default();
         found.push(lines::read(line)?);
         taken += end + 1;
     }
--- a/crates/scale/tests/command_line.rs
+++ b/crates/scale/tests/command_line.rs
@@ -13,7 +13,9 @@
 }
 
 fn plan(name: &str) -> PathBuf {
-    Path::new(env!("CARGO_MANIFEST_DIR")).join("plans").join(name)
+    Path::new(env!("CARGO_MANIFEST_DIR"))
+        .join("plans")
+        .join(name)
 }
 
 fn output(args: &[&str]) -> Output {
@@ -25,15 +27,42 @@
     let small = plan("small.toml");
     let small = small.to_str().expect("a path");
     for (args, says) in [
-        (&["check", "--workers", "0"][..], "setting workers: expected 1 to 16384, found 0"),
-        (&["run", "--workers", "0"], "setting workers: expected 1 to 16384, found 0"),
-        (&["check", small, "--zones", "1"], "setting fault 1: zone: expected one of z0, found z1"),
-        (&["check", small, "--placers", "0"], "setting placers: expected at least 1, as rate = 60, found 0"),
-        (&["check", small, "--duration", "3s"], "setting fault 1: expected at and back-after within"),
-        (&["check", "--set", "sead=1"], "setting sead: expected the name of a setting, found sead=1"),
-        (&["check", "--fault", "{ kind = \"flood\" }"], "setting fault: expected a table"),
-        (&["check", "/nowhere/plan.toml"], "setting file: expected a TOML file, found /nowhere/plan.toml"),
-        (&["check", "--wrokers", "3"], "unexpected argument '--wrokers' found"),
+        (
+            &["check", "--workers", "0"][..],
+            "setting workers: expected 1 to 16384, found 0",
+        ),
+        (
+            &["run", "--workers", "0"],
+            "setting workers: expected 1 to 16384, found 0",
+        ),
+        (
+            &["check", small, "--zones", "1"],
+            "setting fault 1: zone: expected one of z0, found z1",
+        ),
+        (
+            &["check", small, "--placers", "0"],
+            "setting placers: expected at least 1, as rate = 60, found 0",
+        ),
+        (
+            &["check", small, "--duration", "3s"],
+            "setting fault 1: expected at and back-after within",
+        ),
+        (
+            &["check", "--set", "sead=1"],
+            "setting sead: expected the name of a setting, found sead=1",
+        ),
+        (
+            &["check", "--fault", "{ kind = \"flood\" }"],
+            "setting fault: expected a table",
+        ),
+        (
+            &["check", "/nowhere/plan.toml"],
+            "setting file: expected a TOML file, found /nowhere/plan.toml",
+        ),
+        (
+            &["check", "--wrokers", "3"],
+            "unexpected argument '--wrokers' found",
+        ),
         (&["walk"], "unrecognized subcommand 'walk'"),
     ] {
         let out = output(args);
@@ -51,18 +80,39 @@
     let small = small.to_str().expect("a path");
     let of_workers = |rest: &[&'static str]| [&["sweep", "--axis", "workers"][..], rest].concat();
     for (args, says) in [
-        (of_workers(&["--values", "20,40,60"]), "workers: 3 distinct values, and a fit needs at least 4"),
-        (of_workers(&["--values", "20,40,60,80,80"]), "workers: the value 80 stands twice"),
-        (of_workers(&["--values", "-20,40,60,80"]), "workers: the value -20 is below 0"),
+        (
+            of_workers(&["--values", "20,40,60"]),
+            "workers: 3 distinct values, and a fit needs at least 4",
+        ),
+        (
+            of_workers(&["--values", "20,40,60,80,80"]),
+            "workers: the value 80 stands twice",
+        ),
+        (
+            of_workers(&["--values", "-20,40,60,80"]),
+            "workers: the value -20 is below 0",
+        ),
         (
             of_workers(&["--values", "80.5,200,400,600"]),
             "workers 80.5: setting workers: expected a whole number in its range, found 80.5",
         ),
-        (of_workers(&["--values", "20,40,60,many"]), "invalid value 'many' for '--values"),
-        (of_workers(&["--repeats", "2"]), "2 repeats, and a sweep needs at least 3"),
+        (
+            of_workers(&["--values", "20,40,60,many"]),
+            "invalid value 'many' for '--values",
+        ),
+        (
+            of_workers(&["--repeats", "2"]),
+            "2 repeats, and a sweep needs at least 3",
+        ),
         (of_workers(&["--axis", "workers"]), "workers: named twice"),
-        (of_workers(&["--seconds", "0"]), "setting duration: expected 1s to 1day, found 0s"),
-        (of_workers(&["--set", "sead=1"]), "setting sead: expected the name of a setting, found sead=1"),
+        (
+            of_workers(&["--seconds", "0"]),
+            "setting duration: expected 1s to 1day, found 0s",
+        ),
+        (
+            of_workers(&["--set", "sead=1"]),
+            "setting sead: expected the name of a setting, found sead=1",
+        ),
         (
             of_workers(&["--set", "standing=4000"]),
             "workers 100: setting standing: expected at most the 3200 that 100 workers of 32 tasks hold",
@@ -71,9 +121,18 @@
             vec!["sweep", "--axis", "colour"],
             "invalid value 'colour' for '--axis <AXIS>': expected one of workers, standing, rate, events",
         ),
-        (vec!["sweep", "--values", "1,2,3,4"], "setting --values: expected exactly one --axis beside it"),
-        (vec!["sweep", small, "--axis", "rate", "--seconds", "3"], "setting fault 1: expected at and back"),
-        (vec!["sweep", "/nowhere/plan.toml"], "setting file: expected a TOML file"),
+        (
+            vec!["sweep", "--values", "1,2,3,4"],
+            "setting --values: expected exactly one --axis beside it",
+        ),
+        (
+            vec!["sweep", small, "--axis", "rate", "--seconds", "3"],
+            "setting fault 1: expected at and back",
+        ),
+        (
+            vec!["sweep", "/nowhere/plan.toml"],
+            "setting file: expected a TOML file",
+        ),
     ] {
         let out = output(&args);
         let line = String::from_utf8(out.stderr).expect("text");
@@ -85,19 +144,39 @@
 }
 
 /// A run that needs more memory and descriptors than any machine gives to one.
-const HUGE: [&str; 6] = ["--set", "workers=16384", "--set", "placers=299", "--set", "placer-sockets=1048576"];
+const HUGE: [&str; 6] = [
+    "--set",
+    "workers=16384",
+    "--set",
+    "placers=299",
+    "--set",
+    "placer-sockets=1048576",
+];
 
 #[test]
 fn a_run_that_needs_too_much_ends_with_code_2_and_a_line_for_each_excess() {
     let of_rate = ["sweep", "--axis", "rate"];
-    for (command, prefix) in [(&["run"][..], ""), (&["check"], ""), (&of_rate, "rate 20: ")] {
+    for (command, prefix) in [
+        (&["run"][..], ""),
+        (&["check"], ""),
+        (&of_rate, "rate 20: "),
+    ] {
         let out = output(&[command, &HUGE].concat());
         let lines = String::from_utf8(out.stderr).expect("text");
         assert_eq!(out.status.code(), Some(2), "{command:?}: {lines}");
         let needs = format!("anisehead-scale: {prefix}needs ");
-        assert!(lines.lines().all(|line| line.starts_with(&needs)), "{command:?}: {lines}");
-        assert!(lines.contains(" GiB of memory, half of the machine is "), "{command:?}: {lines}");
-        assert!(lines.contains(" descriptors in this process, its limit "), "{command:?}: {lines}");
+        assert!(
+            lines.lines().all(|line| line.starts_with(&needs)),
+            "{command:?}: {lines}"
+        );
+        assert!(
+            lines.contains(" GiB of memory, half of the machine is "),
+            "{command:?}: {lines}"
+        );
+        assert!(
+            lines.contains(" descriptors in this process, its limit "),
+            "{command:?}: {lines}"
+        );
         assert!(out.stdout.is_empty(), "{command:?}");
     }
 }
@@ -106,40 +185,79 @@
 fn a_run_that_fails_ends_the_sweep_with_its_cause_and_what_was_measured_is_written_as_partial() {
     let folder = tempfile::tempdir().expect("a folder");
     let json = folder.path().join("sweep.json");
-    let values = ["sweep", "--axis", "workers", "--values", "20,40,60,80", "--set", "standing=10"];
+    let values = [
+        "sweep",
+        "--axis",
+        "workers",
+        "--values",
+        "20,40,60,80",
+        "--set",
+        "standing=10",
+    ];
     let mut command = tool();
-    command.args(values).args(["--seconds", "1", "--program", "/bin/false", "--json"]).arg(&json);
+    command
+        .args(values)
+        .args(["--seconds", "1", "--program", "/bin/false", "--json"])
+        .arg(&json);
     let out = command.output().expect("it runs");
     let line = String::from_utf8(out.stderr).expect("text");
     assert_eq!(out.status.code(), Some(1), "{line}");
-    assert!(line.starts_with("anisehead-scale: workers 20, repeat 1: placer "), "{line}");
+    assert!(
+        line.starts_with("anisehead-scale: workers 20, repeat 1: placer "),
+        "{line}"
+    );
     assert!(line.contains("ended by itself"), "{line}");
     let text = std::fs::read_to_string(json).expect("a report");
     let report = SweepReport::from_json(&text).expect("a report");
-    assert!(report.partial && report.axes.iter().all(|axis| axis.metrics.is_empty()), "{text}");
+    assert!(
+        report.partial && report.axes.iter().all(|axis| axis.metrics.is_empty()),
+        "{text}"
+    );
 }
 
 #[test]
 fn a_plan_is_found_by_a_path_that_is_relative() {
     let mut command = tool();
-    command.args(["check", "plans/minute.toml"]).current_dir(env!("CARGO_MANIFEST_DIR"));
+    command
+        .args(["check", "plans/minute.toml"])
+        .current_dir(env!("CARGO_MANIFEST_DIR"));
     let out = command.output().expect("it runs");
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
 }
 
 #[test]
 fn the_plans_that_come_with_the_package_hold() {
     for name in ["small.toml", "minute.toml", "sweep.toml", "target.toml"] {
-        let out = tool().arg("check").arg(plan(name)).output().expect("it runs");
+        let out = tool()
+            .arg("check")
+            .arg(plan(name))
+            .output()
+            .expect("it runs");
         let text = String::from_utf8(out.stdout).expect("text");
-        assert!(out.status.success(), "{name}: {}", String::from_utf8_lossy(&out.stderr));
+        assert!(
+            out.status.success(),
+            "{name}: {}",
+            String::from_utf8_lossy(&out.stderr)
+        );
         assert!(text.contains("# room of a worker: "), "{text}");
     }
 }
 
 #[test]
 fn a_program_that_can_not_be_started_is_named_and_nothing_is_left() {
-    let out = output(&["run", "--program", "/nowhere/placer", "--duration", "1s", "--warm-up", "0s"]);
+    let out = output(&[
+        "run",
+        "--program",
+        "/nowhere/placer",
+        "--duration",
+        "1s",
+        "--warm-up",
+        "0s",
+    ]);
     let line = String::from_utf8(out.stderr).expect("text");
     assert_eq!(out.status.code(), Some(1), "{line}");
     assert!(line.contains("placer program /nowhere/placer"), "{line}");
@@ -147,7 +265,15 @@
 
 #[test]
 fn a_placer_that_ends_by_itself_ends_the_run_with_its_log() {
-    let out = output(&["run", "--program", "/bin/false", "--duration", "1s", "--warm-up", "0s"]);
+    let out = output(&[
+        "run",
+        "--program",
+        "/bin/false",
+        "--duration",
+        "1s",
+        "--warm-up",
+        "0s",
+    ]);
     let line = String::from_utf8(out.stderr).expect("text");
     assert_eq!(out.status.code(), Some(1), "{line}");
     assert!(line.contains("ended by itself"), "{line}");
@@ -176,10 +302,17 @@
 
 /// The processes that this one has started.
 fn children(id: u32) -> Vec<u32> {
-    let tasks = std::fs::read_dir(format!("/proc/{id}/task")).into_iter().flatten().flatten();
+    let tasks = std::fs::read_dir(format!("/proc/{id}/task"))
+        .into_iter()
+        .flatten()
+        .flatten();
     let lists = tasks.filter_map(|task| std::fs::read_to_string(task.path().join("children")).ok());
     lists
-        .flat_map(|list| list.split_whitespace().filter_map(|id| id.parse().ok()).collect::<Vec<_>>())
+        .flat_map(|list| {
+            list.split_whitespace()
+                .filter_map(|id| id.parse().ok())
+                .collect::<Vec<_>>()
+        })
         .collect()
 }
 
@@ -189,8 +322,14 @@
     let beside = PathBuf::from(env!("CARGO_BIN_EXE_anisehead-scale")).with_file_name("anisehead");
     let program = program.unwrap_or(beside);
     let mut command = tool();
-    command.args(["run", "--duration", "1h", "--program"]).arg(program);
-    let child = command.stdout(Stdio::null()).stderr(Stdio::null()).spawn().expect("it runs");
+    command
+        .args(["run", "--duration", "1h", "--program"])
+        .arg(program);
+    let child = command
+        .stdout(Stdio::null())
+        .stderr(Stdio::null())
+        .spawn()
+        .expect("it runs");
     let mut running = Running(child);
     let placers = until("three placers", || {
         let found = children(running.0.id());
@@ -201,6 +340,9 @@
     let status = until("its end", || running.0.try_wait().expect("a child"));
     assert_eq!(status.code(), Some(1));
     for placer in placers {
-        assert!(!Path::new(&format!("/proc/{placer}")).exists(), "placer {placer} lives");
+        assert!(
+            !Path::new(&format!("/proc/{placer}")).exists(),
+            "placer {placer} lives"
+        );
     }
 }
--- a/crates/scale/tests/small_run.rs
+++ b/crates/scale/tests/small_run.rs
@@ -17,7 +17,10 @@
         return PathBuf::from(named);
     }
     let test = std::env::current_exe().expect("a path of the test");
-    let folder = test.parent().and_then(Path::parent).expect("a target folder");
+    let folder = test
+        .parent()
+        .and_then(Path::parent)
+        .expect("a target folder");
     folder.join("anisehead")
 }
 
@@ -57,7 +60,11 @@
     assert!(fleet.starts_after_return > 0, "{fleet:?}");
 
     // The killed placer is ready again; the others were started once.
-    let starts: Vec<usize> = result.placers.iter().map(|placer| placer.ready_ms.len()).collect();
+    let starts: Vec<usize> = result
+        .placers
+        .iter()
+        .map(|placer| placer.ready_ms.len())
+        .collect();
     assert_eq!(starts, [1, 1, 2]);
 
     // A connection on which garbage came was closed by its placer.
@@ -72,15 +79,41 @@
 fn adds_up(placer: &PlacerResult, seconds: usize) {
     let traffic = &placer.all_traffic;
     let total = traffic.total();
-    assert_eq!(total.to_placer.bytes, traffic.raw_to_placer, "{}", placer.name);
-    assert_eq!(total.from_placer.bytes, traffic.raw_from_placer, "{}", placer.name);
+    assert_eq!(
+        total.to_placer.bytes, traffic.raw_to_placer,
+        "{}",
+        placer.name
+    );
+    assert_eq!(
+        total.from_placer.bytes, traffic.raw_from_placer,
+        "{}",
+        placer.name
+    );
     let (control, service) = (traffic.control.total(), traffic.service.total());
-    assert!(control.to_placer.bytes > 0 && service.to_placer.bytes > 0, "{}", placer.name);
-    assert!(traffic.control.test.from_placer.messages > 0 && traffic.control.feed.to_placer.messages > 0);
-    assert_eq!(placer.seconds.iter().filter(|row| row.measured).count(), seconds);
-    let rows: u64 = placer.seconds.iter().map(|row| row.traffic.total().to_placer.bytes).sum();
+    assert!(
+        control.to_placer.bytes > 0 && service.to_placer.bytes > 0,
+        "{}",
+        placer.name
+    );
+    assert!(
+        traffic.control.test.from_placer.messages > 0
+            && traffic.control.feed.to_placer.messages > 0
+    );
+    assert_eq!(
+        placer.seconds.iter().filter(|row| row.measured).count(),
+        seconds
+    );
+    let rows: u64 = placer
+        .seconds
+        .iter()
+        .map(|row| row.traffic.total().to_placer.bytes)
+        .sum();
     assert!(rows <= total.to_placer.bytes, "{}", placer.name);
-    assert!(placer.totals.cpu_share > 0.0 && placer.totals.rss_peak_kb > 0, "{}", placer.name);
+    assert!(
+        placer.totals.cpu_share > 0.0 && placer.totals.rss_peak_kb > 0,
+        "{}",
+        placer.name
+    );
     assert!(placer.totals.feed.entries_per_s > 0.0);
 }
 
@@ -113,17 +146,28 @@
     };
     let result = run_of(&settings);
     assert_eq!(result.fleet.rules_broken(), 0, "{:?}", result.fleet);
-    assert_eq!(result.fleet.started + result.fleet.refused, result.fleet.due);
+    assert_eq!(
+        result.fleet.started + result.fleet.refused,
+        result.fleet.due
+    );
     for placer in &result.placers {
         adds_up(placer, 2);
         let mut told = FeedCounts::default();
         placer.seconds.iter().for_each(|row| told += row.feed);
         assert!(told.whole_events > 0 && told.number_lines > 0, "{told:?}");
         // Each event of a change holds one entry, each whole list all workers.
-        assert_eq!(told.entries_up, told.change_events + 40 * told.whole_events, "{told:?}");
+        assert_eq!(
+            told.entries_up,
+            told.change_events + 40 * told.whole_events,
+            "{told:?}"
+        );
         assert_eq!(told.entries_removed, 0);
         let called = placer.all_traffic.control.idle_worker.connections;
-        assert!(called + placer.all_traffic.service.worker.connections >= 40, "{:?}", placer.all_traffic);
+        assert!(
+            called + placer.all_traffic.service.worker.connections >= 40,
+            "{:?}",
+            placer.all_traffic
+        );
     }
 }
 
@@ -131,13 +175,23 @@
 fn a_run_of_a_sweep_has_every_figure_that_a_run_can_have() {
     let (mut sampler, mut watcher) = (ProcSampler, Unwatched);
     let (sampler, watcher) = (&mut sampler, &mut watcher);
-    let mut runner = ScaleRunner { settings: short(), program: program(), sampler, watcher };
+    let mut runner = ScaleRunner {
+        settings: short(),
+        program: program(),
+        sampler,
+        watcher,
+    };
     let measured = runner.run(Axis::Events, 50.0, 0).expect("a run");
     assert_eq!(measured.unusable, None);
     let found: Vec<Metric> = measured.figures.keys().copied().collect();
-    let expected: Vec<Metric> = Metric::iter().filter(|metric| *metric != Metric::ControlCpu).collect();
+    let expected: Vec<Metric> = Metric::iter()
+        .filter(|metric| *metric != Metric::ControlCpu)
+        .collect();
     assert_eq!(found, expected);
-    assert!(measured.figures.values().all(|figure| figure.is_finite()), "{measured:?}");
+    assert!(
+        measured.figures.values().all(|figure| figure.is_finite()),
+        "{measured:?}"
+    );
 }
 
 #[test]
--- a/crates/standin/src/audit.rs
+++ b/crates/standin/src/audit.rs
@@ -273,7 +273,10 @@
 
 impl Lives {
     fn number(&self, at: Micros) -> usize {
-        self.events.iter().filter(|(t, life)| *t <= at && *life == Life::Started).count()
+        self.events
+            .iter()
+            .filter(|(t, life)| *t <= at && *life == Life::Started)
+            .count()
     }
 
     /// Whether it could not be expected to act within a span, or some time before.
@@ -304,7 +307,11 @@
     for (n, (at, note)) in notes.iter().enumerate() {
         match note {
             Note::Placer(placer, life) => {
-                lives.entry(*placer).or_insert(Lives { events: Vec::new() }).events.push((*at, *life));
+                lives
+                    .entry(*placer)
+                    .or_insert(Lives { events: Vec::new() })
+                    .events
+                    .push((*at, *life));
             }
             Note::Sent { id, .. }
             | Note::Told(id, _)
@@ -314,7 +321,11 @@
             | Note::Said(id, ..)
             | Note::Stopped(id, _)
             | Note::Closed(id, _) => by_id.entry(*id).or_default().push(n),
-            Note::Link { placer, peer, whole } => {
+            Note::Link {
+                placer,
+                peer,
+                whole,
+            } => {
                 let spans = links.entry((*placer, *peer)).or_default();
                 match spans.last_mut().filter(|(_, to)| to.is_none()) {
                     Some(open) if *whole => open.1 = Some(*at),
@@ -325,7 +336,15 @@
             Note::Died(_) | Note::Fell(_) | Note::Called(_) | Note::Listed(..) => {}
         }
     }
-    let mut check = Check { rules, end, notes: &notes, lives, links, by_id, found: Vec::new() };
+    let mut check = Check {
+        rules,
+        end,
+        notes: &notes,
+        lives,
+        links,
+        by_id,
+        found: Vec::new(),
+    };
     check.crashes();
     check.hosts_pushed_over();
     let mut ids: Vec<u64> = check.by_id.keys().copied().collect();
@@ -364,14 +383,23 @@
 
     fn of(&self, id: u64) -> Vec<&'a (Micros, Note)> {
         let notes = self.notes;
-        self.by_id.get(&id).into_iter().flatten().filter_map(|n| notes.get(*n)).collect()
+        self.by_id
+            .get(&id)
+            .into_iter()
+            .flatten()
+            .filter_map(|n| notes.get(*n))
+            .collect()
     }
 
     /// Whether a link was not whole at a time in a span: what was said on it then may come only after it.
     fn held(&self, placer: usize, peer: Peer, from: Micros, to: Micros) -> bool {
         let spans = self.links.get(&(placer, peer)).into_iter().flatten();
-        let mut spans =
-            spans.map(|(begun, ended)| (*begun, ended.map_or(Micros::MAX, |at| at + self.rules.slack)));
+        let mut spans = spans.map(|(begun, ended)| {
+            (
+                *begun,
+                ended.map_or(Micros::MAX, |at| at + self.rules.slack),
+            )
+        });
         spans.any(|(begun, ended)| begun <= to && ended >= from)
     }
 
@@ -384,7 +412,13 @@
     /// The set-up of an id: when, to whom, its class and service.
     fn sent(&self, id: u64) -> Option<(Micros, usize, usize, u64)> {
         self.of(id).iter().find_map(|(at, note)| match note {
-            Note::Sent { placer, class, service, at: None, .. } => Some((*at, *placer, *class, *service)),
+            Note::Sent {
+                placer,
+                class,
+                service,
+                at: None,
+                ..
+            } => Some((*at, *placer, *class, *service)),
             _ => None,
         })
     }
@@ -412,8 +446,12 @@
     }
 
     fn hosts_pushed_over(&mut self) {
-        let fell: Vec<(Micros, Note)> =
-            self.notes.iter().filter(|(_, note)| matches!(note, Note::Fell(_))).cloned().collect();
+        let fell: Vec<(Micros, Note)> = self
+            .notes
+            .iter()
+            .filter(|(_, note)| matches!(note, Note::Fell(_)))
+            .cloned()
+            .collect();
         for note in fell {
             self.report(Rule::PushedOver, 0, vec![note]);
         }
@@ -423,12 +461,18 @@
     fn answers(&mut self, id: u64) {
         let notes = self.of(id);
         let sent = notes.iter().find_map(|(at, note)| match note {
-            Note::Sent { placer, wait, description, at: None, .. } => {
-                Some((*at, *placer, *wait, *description))
-            }
+            Note::Sent {
+                placer,
+                wait,
+                description,
+                at: None,
+                ..
+            } => Some((*at, *placer, *wait, *description)),
             _ => None,
         });
-        let Some((at, placer, wait, description)) = sent else { return };
+        let Some((at, placer, wait, description)) = sent else {
+            return;
+        };
         let mut first: Option<(Micros, Told)> = None;
         let mut second = None;
         let mut excused = None;
@@ -449,10 +493,15 @@
             self.report(Rule::SecondAnswer, id, shown());
         }
         let due = at + wait + self.rules.answer_grace + self.rules.slack;
-        let hindered = self.lives.get(&placer).is_some_and(|lives| lives.hindered(at, due))
+        let hindered = self
+            .lives
+            .get(&placer)
+            .is_some_and(|lives| lives.hindered(at, due))
             || self.held(placer, Peer::Clients, at, due);
         match first {
-            Some((when, _)) if when > due && !hindered => self.report(Rule::LateAnswer, id, shown()),
+            Some((when, _)) if when > due && !hindered => {
+                self.report(Rule::LateAnswer, id, shown())
+            }
             // Its client gives up when its time is over, and not before it: then an answer was owed.
             None if !hindered && self.end > due => {
                 let early = excused.is_some_and(|when| when < at + wait - self.rules.slack);
@@ -464,7 +513,9 @@
         }
         for (_, note) in &notes {
             match note {
-                Note::Offered { description: came, .. } if *came != description => {
+                Note::Offered {
+                    description: came, ..
+                } if *came != description => {
                     self.report(Rule::Changed, id, shown());
                     break;
                 }
@@ -488,7 +539,9 @@
     /// Attempts of one set-up: never two at once, and none after one that may have run where its class
     /// must not start twice.
     fn attempts(&mut self, id: u64) {
-        let Some((_, placer, class, _)) = self.sent(id) else { return };
+        let Some((_, placer, class, _)) = self.sent(id) else {
+            return;
+        };
         let notes = self.of(id);
         let shown = || notes.iter().map(|n| (*n).clone()).collect::<Vec<_>>();
         // Each attempt: its host, when it came, and its end: when, and whether it proves that nothing ran.
@@ -515,7 +568,9 @@
         }
         let (mut two, mut again) = (false, false);
         for pair in attempts.windows(2) {
-            let [(host, out, end), (_, came, _)] = pair else { continue };
+            let [(host, out, end), (_, came, _)] = pair else {
+                continue;
+            };
             // That it was given up had to wait on its way.
             if self.held_to(placer, *host, *out, *came) {
                 continue;
@@ -552,33 +607,52 @@
                         _ => None,
                     });
                 }
-                Note::Sent { at: Some(host), .. } if up.is_none() => (up, stands) = (Some(*at), Some(*host)),
-                Note::Said(_, host, Said::Down(cause)) if stands == Some(*host) && !matches!(cause, 31) => {
+                Note::Sent { at: Some(host), .. } if up.is_none() => {
+                    (up, stands) = (Some(*at), Some(*host))
+                }
+                Note::Said(_, host, Said::Down(cause))
+                    if stands == Some(*host) && !matches!(cause, 31) =>
+                {
                     over = over.or(Some((*at, self.rules.end_told)))
                 }
-                Note::Said(_, host, Said::Unsent(cause)) if stands == Some(*host) && !matches!(cause, 31) => {
+                Note::Said(_, host, Said::Unsent(cause))
+                    if stands == Some(*host) && !matches!(cause, 31) =>
+                {
                     over = over.or(Some((*at, self.rules.end_found)))
                 }
                 _ => {}
             }
         }
-        let (Some(up), Some(host), Some((over, within))) = (up, stands, over) else { return };
+        let (Some(up), Some(host), Some((over, within))) = (up, stands, over) else {
+            return;
+        };
         let placer = notes.iter().rev().find_map(|(_, note)| match note {
             Note::Sent { placer, .. } => Some(*placer),
             _ => None,
         });
         let due = over.max(up) + within + self.rules.slack;
-        let held = placer
-            .is_some_and(|p| self.held(p, Peer::Clients, over, due) || self.held_to(p, host, over, due));
-        let hindered =
-            held || placer.and_then(|p| self.lives.get(&p)).is_some_and(|lives| lives.hindered(up, due));
+        let held = placer.is_some_and(|p| {
+            self.held(p, Peer::Clients, over, due) || self.held_to(p, host, over, due)
+        });
+        let hindered = held
+            || placer
+                .and_then(|p| self.lives.get(&p))
+                .is_some_and(|lives| lives.hindered(up, due));
         let told = notes.iter().any(|(at, note)| {
-            matches!(note, Note::Told(_, Told::Released(_) | Told::Moved)) && *at >= up && *at <= due
+            matches!(note, Note::Told(_, Told::Released(_) | Told::Moved))
+                && *at >= up
+                && *at <= due
         });
         // A client that ended it itself is owed nothing.
-        let given_up = notes.iter().any(|(_, note)| matches!(note, Note::GaveUp(_)));
+        let given_up = notes
+            .iter()
+            .any(|(_, note)| matches!(note, Note::GaveUp(_)));
         if !told && !hindered && !given_up && self.end > due {
-            self.report(Rule::EndUntold, id, notes.iter().map(|n| (*n).clone()).collect());
+            self.report(
+                Rule::EndUntold,
+                id,
+                notes.iter().map(|n| (*n).clone()).collect(),
+            );
         }
     }
 
@@ -594,13 +668,14 @@
         }
         let mut runs: BTreeMap<u64, Vec<(Micros, Micros, u64, usize)>> = BTreeMap::new();
         let mut open: HashMap<(u64, usize), Micros> = HashMap::new();
-        let mut close = |open: &mut HashMap<(u64, usize), Micros>, id: u64, host: usize, at: Micros| {
-            if let Some(from) = open.remove(&(id, host))
-                && let Some(key) = keys.get(&id)
-            {
-                runs.entry(*key).or_default().push((from, at, id, host));
-            }
-        };
+        let mut close =
+            |open: &mut HashMap<(u64, usize), Micros>, id: u64, host: usize, at: Micros| {
+                if let Some(from) = open.remove(&(id, host))
+                    && let Some(key) = keys.get(&id)
+                {
+                    runs.entry(*key).or_default().push((from, at, id, host));
+                }
+            };
         for (at, note) in self.notes {
             match note {
                 Note::Said(id, host, Said::Up(_)) => {
@@ -610,14 +685,20 @@
                     close(&mut open, *id, *host, *at)
                 }
                 Note::Died(host) => {
-                    let gone: Vec<u64> = open.keys().filter(|(_, h)| h == host).map(|(id, _)| *id).collect();
-                    gone.into_iter().for_each(|id| close(&mut open, id, *host, *at));
+                    let gone: Vec<u64> = open
+                        .keys()
+                        .filter(|(_, h)| h == host)
+                        .map(|(id, _)| *id)
+                        .collect();
+                    gone.into_iter()
+                        .for_each(|id| close(&mut open, id, *host, *at));
                 }
                 _ => {}
             }
         }
         let left: Vec<(u64, usize)> = open.keys().copied().collect();
-        left.into_iter().for_each(|(id, host)| close(&mut open, id, host, self.end));
+        left.into_iter()
+            .for_each(|(id, host)| close(&mut open, id, host, self.end));
         for spans in runs.into_values() {
             let mut spans = spans;
             spans.sort_unstable();
@@ -625,7 +706,11 @@
                 if let [(_, to, first, a), (from, _, second, b)] = pair
                     && from < to
                 {
-                    let shown = [*first, *second].into_iter().flat_map(|id| self.of(id)).cloned().collect();
+                    let shown = [*first, *second]
+                        .into_iter()
+                        .flat_map(|id| self.of(id))
+                        .cloned()
+                        .collect();
                     let _ = (a, b);
                     self.report(Rule::RanTwice, *second, shown);
                 }
@@ -647,7 +732,9 @@
                 }
                 Note::Placer(placer, Life::Started) => told.retain(|(p, _), _| p != placer),
                 Note::Offered { id, host, .. } => {
-                    let Some((_, placer, ..)) = self.sent(*id) else { continue };
+                    let Some((_, placer, ..)) = self.sent(*id) else {
+                        continue;
+                    };
                     if let Some(since) = told.get(&(placer, *host))
                         && at - since > self.rules.drain_grace + self.rules.slack
                         && !self.held_to(placer, *host, *since, *at)
@@ -660,7 +747,8 @@
                 _ => {}
             }
         }
-        late.into_iter().for_each(|(id, shown)| self.report(Rule::Drain, id, shown));
+        late.into_iter()
+            .for_each(|(id, shown)| self.report(Rule::Drain, id, shown));
     }
 
     /// Attempts and tasks of a service that a placer has in a room.
@@ -673,8 +761,18 @@
         let room = |host: usize| self.rules.rooms.get(host).copied().unwrap_or(0);
         for (at, note) in self.notes {
             match note {
-                Note::Sent { id, placer, class, service, at: Some(host), .. }
-                    if self.rules.classes.get(*class).is_some_and(|(_, most)| most.is_some()) =>
+                Note::Sent {
+                    id,
+                    placer,
+                    class,
+                    service,
+                    at: Some(host),
+                    ..
+                } if self
+                    .rules
+                    .classes
+                    .get(*class)
+                    .is_some_and(|(_, most)| most.is_some()) =>
                 {
                     let life = self.lives.get(placer).map_or(0, |lives| lives.number(*at));
                     let place = (*placer, life, *service, room(*host));
@@ -682,15 +780,26 @@
                     where_is.entry(*id).or_default().push(place);
                 }
                 Note::Offered { id, host, .. } => {
-                    let Some((_, placer, class, service)) = self.sent(*id) else { continue };
-                    let Some((_, Some(most))) = self.rules.classes.get(class) else { continue };
+                    let Some((_, placer, class, service)) = self.sent(*id) else {
+                        continue;
+                    };
+                    let Some((_, Some(most))) = self.rules.classes.get(class) else {
+                        continue;
+                    };
                     let life = self.lives.get(&placer).map_or(0, |lives| lives.number(*at));
                     let place = (placer, life, service, room(*host));
                     let there = held.entry(place).or_default();
-                    let before =
-                        there.iter().filter(|(other, since)| **other != *id && **since <= *at).count();
+                    let before = there
+                        .iter()
+                        .filter(|(other, since)| **other != *id && **since <= *at)
+                        .count();
                     if before >= *most as usize {
-                        over.push((*id, *at, note.clone(), there.keys().copied().collect::<Vec<_>>()));
+                        over.push((
+                            *id,
+                            *at,
+                            note.clone(),
+                            there.keys().copied().collect::<Vec<_>>(),
+                        ));
                     }
                     there.insert(*id, *at);
                     where_is.entry(*id).or_default().push(place);
@@ -712,7 +821,9 @@
             let mut shown: Vec<(Micros, Note)> = others
                 .iter()
                 .filter_map(|other| {
-                    self.of(*other).into_iter().find(|(_, n)| matches!(n, Note::Offered { .. }))
+                    self.of(*other)
+                        .into_iter()
+                        .find(|(_, n)| matches!(n, Note::Offered { .. }))
                 })
                 .cloned()
                 .collect();
--- a/crates/standin/src/audit/tests.rs
+++ b/crates/standin/src/audit/tests.rs
@@ -6,15 +6,32 @@
 const SECOND: Micros = 1_000 * MS;
 
 fn rules() -> Rules {
-    Rules { classes: vec![(false, Some(2)), (true, None)], rooms: vec![0, 0, 1], ..Rules::default() }
+    Rules {
+        classes: vec![(false, Some(2)), (true, None)],
+        rooms: vec![0, 0, 1],
+        ..Rules::default()
+    }
 }
 
 fn sent(id: u64, class: usize, key: u64) -> Note {
-    Note::Sent { id, key, class, service: 5, placer: 0, wait: 6 * SECOND, description: 11, at: None }
+    Note::Sent {
+        id,
+        key,
+        class,
+        service: 5,
+        placer: 0,
+        wait: 6 * SECOND,
+        description: 11,
+        at: None,
+    }
 }
 
 fn offered(id: u64, host: usize) -> Note {
-    Note::Offered { id, host, description: 11 }
+    Note::Offered {
+        id,
+        host,
+        description: 11,
+    }
 }
 
 /// A run of two tasks in which everything is as it should be.
@@ -50,7 +67,10 @@
 }
 
 fn broken(notes: &[(Micros, Note)]) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = check(notes, &rules(), 60 * SECOND).into_iter().map(|f| f.rule).collect();
+    let mut rules: Vec<Rule> = check(notes, &rules(), 60 * SECOND)
+        .into_iter()
+        .map(|f| f.rule)
+        .collect();
     rules.dedup();
     rules
 }
@@ -74,10 +94,16 @@
     let none = |_: &Note| false;
     let late = 40 * SECOND;
     let cases: Vec<(Rule, Vec<(Micros, Note)>)> = vec![
-        (Rule::NoAnswer, planted(|n| *n == Note::Told(9, Told::Released(42)), vec![])),
         (
             Rule::NoAnswer,
-            planted(|n| *n == Note::Told(9, Told::Released(42)), vec![(8 * SECOND, Note::GaveUp(9))]),
+            planted(|n| *n == Note::Told(9, Told::Released(42)), vec![]),
+        ),
+        (
+            Rule::NoAnswer,
+            planted(
+                |n| *n == Note::Told(9, Told::Released(42)),
+                vec![(8 * SECOND, Note::GaveUp(9))],
+            ),
         ),
         (
             Rule::LateAnswer,
@@ -86,17 +112,36 @@
                 vec![(1_800 * MS + 6_060 * MS, Note::Told(9, Told::Released(42)))],
             ),
         ),
-        (Rule::SecondAnswer, planted(none, vec![(3 * SECOND, Note::Told(9, Told::Released(42)))])),
-        (Rule::SecondAnswer, planted(none, vec![(3 * SECOND, Note::Told(ID, Told::Placed(22)))])),
+        (
+            Rule::SecondAnswer,
+            planted(none, vec![(3 * SECOND, Note::Told(9, Told::Released(42)))]),
+        ),
+        (
+            Rule::SecondAnswer,
+            planted(none, vec![(3 * SECOND, Note::Told(ID, Told::Placed(22)))]),
+        ),
         (
             Rule::Invented,
-            planted(none, vec![(late, sent(20, 0, 20)), (late + MS, Note::Told(20, Told::Placed(1)))]),
+            planted(
+                none,
+                vec![
+                    (late, sent(20, 0, 20)),
+                    (late + MS, Note::Told(20, Told::Placed(1))),
+                ],
+            ),
         ),
         (
             Rule::Changed,
             planted(
                 |n| *n == offered(8, 1),
-                vec![(1_200 * MS, Note::Offered { id: 8, host: 1, description: 12 })],
+                vec![(
+                    1_200 * MS,
+                    Note::Offered {
+                        id: 8,
+                        host: 1,
+                        description: 12,
+                    },
+                )],
             ),
         ),
         (
@@ -116,7 +161,10 @@
         ),
         (
             Rule::SentAgain,
-            planted(|n| *n == Note::Said(ID, 0, Said::Down(34)), vec![(300 * MS, Note::Closed(ID, 0))]),
+            planted(
+                |n| *n == Note::Said(ID, 0, Said::Down(34)),
+                vec![(300 * MS, Note::Closed(ID, 0))],
+            ),
         ),
         (
             Rule::RanTwice,
@@ -132,8 +180,17 @@
                 ],
             ),
         ),
-        (Rule::TwoAtOnce, planted(|n| *n == Note::Stopped(8, 2), vec![(1_300 * MS, Note::Stopped(8, 2))])),
-        (Rule::TwoAtOnce, planted(|n| *n == Note::Stopped(8, 2), vec![])),
+        (
+            Rule::TwoAtOnce,
+            planted(
+                |n| *n == Note::Stopped(8, 2),
+                vec![(1_300 * MS, Note::Stopped(8, 2))],
+            ),
+        ),
+        (
+            Rule::TwoAtOnce,
+            planted(|n| *n == Note::Stopped(8, 2), vec![]),
+        ),
         (
             Rule::Drain,
             planted(
@@ -164,7 +221,10 @@
             ),
         ),
         (Rule::PushedOver, planted(none, vec![(late, Note::Fell(1))])),
-        (Rule::EndUntold, planted(|n| *n == Note::Told(8, Told::Released(41)), vec![])),
+        (
+            Rule::EndUntold,
+            planted(|n| *n == Note::Told(8, Told::Released(41)), vec![]),
+        ),
         (
             Rule::EndUntold,
             planted(
@@ -175,36 +235,65 @@
         (
             Rule::EndUntold,
             planted(
-                |n| matches!(n, Note::Said(8, _, Said::Down(_)) | Note::Told(8, Told::Released(41))),
+                |n| {
+                    matches!(
+                        n,
+                        Note::Said(8, _, Said::Down(_)) | Note::Told(8, Told::Released(41))
+                    )
+                },
                 vec![
                     (4 * SECOND, Note::Said(8, 1, Said::Unsent(41))),
                     (13 * SECOND, Note::Told(8, Told::Released(41))),
                 ],
             ),
         ),
-        (Rule::Crash, planted(none, vec![(50 * SECOND, Note::Placer(0, Life::Ended(101)))])),
+        (
+            Rule::Crash,
+            planted(none, vec![(50 * SECOND, Note::Placer(0, Life::Ended(101)))]),
+        ),
     ];
     for (rule, notes) in &cases {
-        assert_eq!(broken(notes), [*rule], "{:#?}", check(notes, &rules(), 60 * SECOND));
+        assert_eq!(
+            broken(notes),
+            [*rule],
+            "{:#?}",
+            check(notes, &rules(), 60 * SECOND)
+        );
     }
     let planted: std::collections::BTreeSet<Rule> = cases.iter().map(|(rule, _)| *rule).collect();
-    assert_eq!(planted.len(), Rule::ALL.len(), "every rule has a planted violation");
+    assert_eq!(
+        planted.len(),
+        Rule::ALL.len(),
+        "every rule has a planted violation"
+    );
 }
 
 #[test]
 fn what_a_placer_can_not_be_blamed_for_is_no_finding() {
     let untold = |n: &Note| *n == Note::Told(9, Told::Released(42));
     for (why, notes) in [
-        ("killed", planted(untold, vec![(1_850 * MS, Note::Placer(0, Life::Killed))])),
+        (
+            "killed",
+            planted(untold, vec![(1_850 * MS, Note::Placer(0, Life::Killed))]),
+        ),
         (
             "stopped",
             planted(
                 untold,
-                vec![(1_850 * MS, Note::Placer(0, Life::Stopped)), (9 * SECOND, Note::Placer(0, Life::Went))],
+                vec![
+                    (1_850 * MS, Note::Placer(0, Life::Stopped)),
+                    (9 * SECOND, Note::Placer(0, Life::Went)),
+                ],
             ),
         ),
-        ("its connection broke", planted(untold, vec![(2 * SECOND, Note::Broken(9))])),
-        ("its client gave up early", planted(untold, vec![(2 * SECOND, Note::GaveUp(9))])),
+        (
+            "its connection broke",
+            planted(untold, vec![(2 * SECOND, Note::Broken(9))]),
+        ),
+        (
+            "its client gave up early",
+            planted(untold, vec![(2 * SECOND, Note::GaveUp(9))]),
+        ),
         (
             "told to end",
             planted(
@@ -225,7 +314,13 @@
                 ],
             ),
         ),
-        ("told again", planted(|_| false, vec![(3 * SECOND, Note::Told(8, Told::Released(41)))])),
+        (
+            "told again",
+            planted(
+                |_| false,
+                vec![(3 * SECOND, Note::Told(8, Told::Released(41)))],
+            ),
+        ),
     ] {
         assert_eq!(check(&notes, &rules(), 60 * SECOND), [], "{why}");
     }
@@ -244,7 +339,24 @@
 
 /// A link that is not whole from then to then.
 fn bad(placer: usize, peer: Peer, from: Micros, to: Micros) -> [(Micros, Note); 2] {
-    [(from, Note::Link { placer, peer, whole: false }), (to, Note::Link { placer, peer, whole: true })]
+    [
+        (
+            from,
+            Note::Link {
+                placer,
+                peer,
+                whole: false,
+            },
+        ),
+        (
+            to,
+            Note::Link {
+                placer,
+                peer,
+                whole: true,
+            },
+        ),
+    ]
 }
 
 #[test]
@@ -258,7 +370,12 @@
             2 * SECOND,
             Peer::Clients,
         ),
-        (Rule::TwoAtOnce, planted(|n| *n == Note::Stopped(8, 2), vec![]), 1_150 * MS, Peer::Host(4)),
+        (
+            Rule::TwoAtOnce,
+            planted(|n| *n == Note::Stopped(8, 2), vec![]),
+            1_150 * MS,
+            Peer::Host(4),
+        ),
         (
             Rule::EndUntold,
             planted(|n| *n == Note::Told(8, Told::Released(41)), vec![]),
@@ -273,20 +390,37 @@
         ),
         (
             Rule::Drain,
-            planted(|_| false, vec![(late(0), sent(60, 0, 9)), (late(1), offered(60, 0))]),
+            planted(
+                |_| false,
+                vec![(late(0), sent(60, 0, 9)), (late(1), offered(60, 0))],
+            ),
             5 * SECOND,
             Peer::Feed,
         ),
     ];
-    let rules = Rules { places: vec![2, 3, 4], ..rules() };
+    let rules = Rules {
+        places: vec![2, 3, 4],
+        ..rules()
+    };
     for (rule, notes, at, peer) in cases {
         let of = |more: [(Micros, Note); 2]| -> bool {
             let notes: Vec<_> = notes.iter().cloned().chain(more).collect();
-            check(&notes, &rules, 60 * SECOND).iter().any(|f| f.rule == rule)
+            check(&notes, &rules, 60 * SECOND)
+                .iter()
+                .any(|f| f.rule == rule)
         };
-        assert!(!of(bad(0, peer, at - 10 * MS, at + 10 * MS)), "{rule:?}: {peer:?} held it back");
-        assert!(of(bad(1, peer, at - 10 * MS, at + 10 * MS)), "{rule:?}: a link of another placer");
-        assert!(of(bad(0, Peer::Host(9), at - 10 * MS, at + 10 * MS)), "{rule:?}: another link");
+        assert!(
+            !of(bad(0, peer, at - 10 * MS, at + 10 * MS)),
+            "{rule:?}: {peer:?} held it back"
+        );
+        assert!(
+            of(bad(1, peer, at - 10 * MS, at + 10 * MS)),
+            "{rule:?}: a link of another placer"
+        );
+        assert!(
+            of(bad(0, Peer::Host(9), at - 10 * MS, at + 10 * MS)),
+            "{rule:?}: another link"
+        );
         assert!(of(bad(0, peer, 0, 10 * MS)), "{rule:?}: {peer:?} before");
     }
 }
--- a/crates/standin/src/balance.rs
+++ b/crates/standin/src/balance.rs
@@ -42,7 +42,10 @@
         return Err("not ASCII".into());
     }
     let mut advice = Advice::default();
-    for word in words.split([' ', '\t', ',']).filter(|word| !word.is_empty()) {
+    for word in words
+        .split([' ', '\t', ','])
+        .filter(|word| !word.is_empty())
+    {
         let lower = word.to_ascii_lowercase();
         let admin = match lower.as_str() {
             "ready" => Some(Admin::Ready),
@@ -55,11 +58,18 @@
             "down" | "fail" | "stopped" => Some(false),
             _ => None,
         };
-        let twice = match (admin, up, lower.strip_suffix('%'), lower.strip_prefix("maxconn:")) {
+        let twice = match (
+            admin,
+            up,
+            lower.strip_suffix('%'),
+            lower.strip_prefix("maxconn:"),
+        ) {
             (Some(admin), ..) => advice.admin.replace(admin).is_some(),
             (_, Some(up), ..) => advice.up.replace(up).is_some(),
             (_, _, Some(share), _) => {
-                let share = share.parse().map_err(|_| format!("no percentage: {word}"))?;
+                let share = share
+                    .parse()
+                    .map_err(|_| format!("no percentage: {word}"))?;
                 advice.weight.replace(share).is_some()
             }
             (_, _, _, Some(most)) => {
@@ -93,13 +103,23 @@
 
 impl Default for Server {
     fn default() -> Server {
-        Server { weight: 100, admin: Admin::Ready, up: true, row: 0, current: 0 }
+        Server {
+            weight: 100,
+            admin: Admin::Ready,
+            up: true,
+            row: 0,
+            current: 0,
+        }
     }
 }
 
 impl Server {
     fn effective(&self) -> i64 {
-        if self.up && self.admin == Admin::Ready { i64::from(self.weight) } else { 0 }
+        if self.up && self.admin == Admin::Ready {
+            i64::from(self.weight)
+        } else {
+            0
+        }
     }
 }
 
@@ -117,12 +137,18 @@
 impl Balancer {
     /// A balancer of so many servers, all up with their whole weight.
     pub fn new(servers: usize, rise: u32, fall: u32) -> Balancer {
-        Balancer { servers: vec![Server::default(); servers], rise, fall }
+        Balancer {
+            servers: vec![Server::default(); servers],
+            rise,
+            fall,
+        }
     }
 
     /// Takes what an agent has told.
     pub fn advised(&mut self, server: usize, advice: Advice) {
-        let Some(server) = self.servers.get_mut(server) else { return };
+        let Some(server) = self.servers.get_mut(server) else {
+            return;
+        };
         server.admin = advice.admin.unwrap_or(server.admin);
         server.weight = advice.weight.unwrap_or(server.weight);
         server.up = advice.up.unwrap_or(server.up);
@@ -131,7 +157,9 @@
     /// Takes the result of a check: true for a good one.
     pub fn checked(&mut self, server: usize, good: bool) {
         let (rise, fall) = (self.rise, self.fall);
-        let Some(server) = self.servers.get_mut(server) else { return };
+        let Some(server) = self.servers.get_mut(server) else {
+            return;
+        };
         if good == server.up {
             server.row = 0;
             return;
@@ -147,9 +175,17 @@
     pub fn pick(&mut self) -> Option<usize> {
         let total: i64 = self.servers.iter().map(Server::effective).sum();
         for server in &mut self.servers {
-            server.current = if server.effective() == 0 { 0 } else { server.current + server.effective() };
+            server.current = if server.effective() == 0 {
+                0
+            } else {
+                server.current + server.effective()
+            };
         }
-        let able = self.servers.iter_mut().enumerate().filter(|(_, server)| server.effective() > 0);
+        let able = self
+            .servers
+            .iter_mut()
+            .enumerate()
+            .filter(|(_, server)| server.effective() > 0);
         let (n, server) = able.max_by_key(|(n, server)| (server.current, std::cmp::Reverse(*n)))?;
         server.current -= total;
         Some(n)
@@ -173,11 +209,23 @@
     fn picks_follow_the_weights_smoothly() {
         let mut balancer = Balancer::new(3, 2, 3);
         for (server, weight) in [(0, 50), (1, 25), (2, 25)] {
-            balancer.advised(server, Advice { weight: Some(weight), ..Advice::default() });
+            balancer.advised(
+                server,
+                Advice {
+                    weight: Some(weight),
+                    ..Advice::default()
+                },
+            );
         }
         let picks: Vec<usize> = (0..8).filter_map(|_| balancer.pick()).collect();
         assert_eq!(picks, [0, 1, 2, 0, 0, 1, 2, 0]);
-        balancer.advised(0, Advice { admin: Some(Admin::Drain), ..Advice::default() });
+        balancer.advised(
+            0,
+            Advice {
+                admin: Some(Admin::Drain),
+                ..Advice::default()
+            },
+        );
         let picks: Vec<usize> = (0..4).filter_map(|_| balancer.pick()).collect();
         assert_eq!(picks.iter().filter(|n| **n == 0).count(), 0);
     }
@@ -206,11 +254,36 @@
         let good = [
             (
                 "up ready 75%\n",
-                Advice { weight: Some(75), admin: Some(Admin::Ready), up: Some(true), maxconn: None },
+                Advice {
+                    weight: Some(75),
+                    admin: Some(Admin::Ready),
+                    up: Some(true),
+                    maxconn: None,
+                },
+            ),
+            (
+                "DRAIN,10%\r\n",
+                Advice {
+                    weight: Some(10),
+                    admin: Some(Admin::Drain),
+                    ..Advice::default()
+                },
+            ),
+            (
+                "maint # patching, up soon\n",
+                Advice {
+                    admin: Some(Admin::Maint),
+                    ..Advice::default()
+                },
+            ),
+            (
+                "maxconn:30\tstopped\n",
+                Advice {
+                    up: Some(false),
+                    maxconn: Some(30),
+                    ..Advice::default()
+                },
             ),
-            ("DRAIN,10%\r\n", Advice { weight: Some(10), admin: Some(Admin::Drain), ..Advice::default() }),
-            ("maint # patching, up soon\n", Advice { admin: Some(Admin::Maint), ..Advice::default() }),
-            ("maxconn:30\tstopped\n", Advice { up: Some(false), maxconn: Some(30), ..Advice::default() }),
         ];
         for (line, advice) in good {
             assert_eq!(read_agent(line), Ok(advice), "{line:?}");
--- a/crates/standin/src/client.rs
+++ b/crates/standin/src/client.rs
@@ -29,21 +29,30 @@
         let (id, mut rest) = rest.split_first_chunk::<8>()?;
         let mut parameters = Vec::new();
         while let [code, a, b, after @ ..] = rest {
-            let (value, after) = after.split_at_checked(usize::from(u16::from_be_bytes([*a, *b])))?;
+            let (value, after) =
+                after.split_at_checked(usize::from(u16::from_be_bytes([*a, *b])))?;
             parameters.push((*code, value.to_vec()));
             rest = after;
         }
-        Some(Message { kind: *kind, id: u64::from_be_bytes(*id), parameters })
+        Some(Message {
+            kind: *kind,
+            id: u64::from_be_bytes(*id),
+            parameters,
+        })
     }
 
     /// A parameter.
     pub fn get(&self, code: u8) -> Option<&[u8]> {
-        self.parameters.iter().find(|(c, _)| *c == code).map(|(_, value)| value.as_slice())
+        self.parameters
+            .iter()
+            .find(|(c, _)| *c == code)
+            .map(|(_, value)| value.as_slice())
     }
 
     /// A parameter as text.
     pub fn text(&self, code: u8) -> Option<&str> {
-        self.get(code).map(|value| std::str::from_utf8(value).expect("text"))
+        self.get(code)
+            .map(|value| std::str::from_utf8(value).expect("text"))
     }
 
     /// The cause, which must be there.
@@ -71,9 +80,19 @@
 }
 
 /// A safe task.
-pub const QUICK: Ask<'_> = Ask { class: "quick", wait_ms: 6_000, service: 7, at: None };
+pub const QUICK: Ask<'_> = Ask {
+    class: "quick",
+    wait_ms: 6_000,
+    service: 7,
+    at: None,
+};
 /// A task that must not start twice.
-pub const ONCE: Ask<'_> = Ask { class: "once", wait_ms: 6_000, service: 9, at: None };
+pub const ONCE: Ask<'_> = Ask {
+    class: "once",
+    wait_ms: 6_000,
+    service: 9,
+    at: None,
+};
 
 /// A message as bytes.
 pub fn bytes(kind: u8, id: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
@@ -141,7 +160,8 @@
 
     /// The next message, or none where the connection ends.
     pub fn next_message(&mut self) -> Option<Message> {
-        self.try_message().unwrap_or_else(|e| panic!("nothing comes: {e}"))
+        self.try_message()
+            .unwrap_or_else(|e| panic!("nothing comes: {e}"))
     }
 
     /// The next message, none where the connection ends, an error where nothing comes in time.
@@ -149,7 +169,12 @@
         let mut length = [0; 2];
         match self.0.read_exact(&mut length) {
             Ok(()) => {}
-            Err(e) if matches!(e.kind(), ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset) => {
+            Err(e)
+                if matches!(
+                    e.kind(),
+                    ErrorKind::UnexpectedEof | ErrorKind::ConnectionReset
+                ) =>
+            {
                 return Ok(None);
             }
             Err(e) => return Err(e),
--- a/crates/standin/src/config.rs
+++ b/crates/standin/src/config.rs
@@ -10,7 +10,13 @@
 }
 
 /// The same for placer `me` of so many.
-pub fn deployment(name: &str, me: u64, placers: u64, feed: &str, hosts: Vec<OwnedValue>) -> OwnedValue {
+pub fn deployment(
+    name: &str,
+    me: u64,
+    placers: u64,
+    feed: &str,
+    hosts: Vec<OwnedValue>,
+) -> OwnedValue {
     let listen = free_address().to_string();
     let class = |name: &str, semantics: &str| {
         json!({
--- a/crates/standin/src/feed.rs
+++ b/crates/standin/src/feed.rs
@@ -15,12 +15,18 @@
 impl Feed {
     /// One that listens.
     pub fn new() -> Feed {
-        Feed { listener: listen(), stream: None }
+        Feed {
+            listener: listen(),
+            stream: None,
+        }
     }
 
     /// One that listens there.
     pub fn at(address: SocketAddr) -> Feed {
-        Feed { listener: TcpListener::bind(address).expect("a free port"), stream: None }
+        Feed {
+            listener: TcpListener::bind(address).expect("a free port"),
+            stream: None,
+        }
     }
 
     /// Where it listens.
@@ -36,9 +42,13 @@
     pub fn subscribed(&mut self) -> u64 {
         let stream = accept(&self.listener, LIMIT).expect("a subscription");
         let mut line = String::new();
-        BufReader::new(&stream).read_line(&mut line).expect("a line");
+        BufReader::new(&stream)
+            .read_line(&mut line)
+            .expect("a line");
         self.stream = Some(stream);
-        line.strip_prefix("SUB ").and_then(|n| n.trim_end().parse().ok()).expect("SUB N")
+        line.strip_prefix("SUB ")
+            .and_then(|n| n.trim_end().parse().ok())
+            .expect("SUB N")
     }
 
     /// From now on no connection to it comes up, and none is refused.
@@ -54,7 +64,11 @@
     /// Says a line.
     pub fn tell(&mut self, line: &OwnedValue) {
         let text = format!("{}\n", line.encode());
-        self.stream.as_mut().expect("a subscription").write_all(text.as_bytes()).expect("it reads");
+        self.stream
+            .as_mut()
+            .expect("a subscription")
+            .write_all(text.as_bytes())
+            .expect("it reads");
     }
 
     /// Event `n`: one host is in this state.
--- a/crates/standin/src/front.rs
+++ b/crates/standin/src/front.rs
@@ -43,27 +43,49 @@
 
 impl Front {
     /// Polls each of these placers, listed by where clients connect and where the agent check answers.
-    pub fn start(placers: &[(SocketAddr, SocketAddr)], interval: Duration, limit: Duration) -> Front {
+    pub fn start(
+        placers: &[(SocketAddr, SocketAddr)],
+        interval: Duration,
+        limit: Duration,
+    ) -> Front {
         let balancer = Arc::new(Mutex::new(Balancer::new(placers.len(), 2, 3)));
-        let (polls, stop) = (Arc::new(Mutex::new(Vec::new())), Arc::new(AtomicBool::new(false)));
+        let (polls, stop) = (
+            Arc::new(Mutex::new(Vec::new())),
+            Arc::new(AtomicBool::new(false)),
+        );
         for (n, (_, agent)) in placers.iter().enumerate() {
-            let (balancer, polls, stop, agent) = (balancer.clone(), polls.clone(), stop.clone(), *agent);
+            let (balancer, polls, stop, agent) =
+                (balancer.clone(), polls.clone(), stop.clone(), *agent);
             std::thread::spawn(move || {
                 while !stop.load(Ordering::Relaxed) {
                     let next = Instant::now() + interval;
                     let line = ask_agent(agent, &format!("front/p{n}\n"), limit);
                     // An answer that can't be read ends the test: it is the placer's fault.
-                    let advice = line.as_deref().map(|line| read_agent(line).expect("an agent's answer"));
+                    let advice = line
+                        .as_deref()
+                        .map(|line| read_agent(line).expect("an agent's answer"));
                     if let Some(advice) = advice {
                         balancer.lock().expect("a balancer").advised(n, advice);
                     }
-                    balancer.lock().expect("a balancer").checked(n, line.is_some());
-                    polls.lock().expect("polls").push(Poll { at: Instant::now(), server: n, line });
+                    balancer
+                        .lock()
+                        .expect("a balancer")
+                        .checked(n, line.is_some());
+                    polls.lock().expect("polls").push(Poll {
+                        at: Instant::now(),
+                        server: n,
+                        line,
+                    });
                     std::thread::sleep(next.saturating_duration_since(Instant::now()));
                 }
             });
         }
-        Front { balancer, polls, addresses: placers.iter().map(|(clients, _)| *clients).collect(), stop }
+        Front {
+            balancer,
+            polls,
+            addresses: placers.iter().map(|(clients, _)| *clients).collect(),
+            stop,
+        }
     }
 
     /// The server for the next client.
@@ -75,7 +97,11 @@
     pub fn weight(&self, server: usize) -> u32 {
         let balancer = self.balancer.lock().expect("a balancer");
         let server = &balancer.servers[server];
-        if server.up && server.admin == Admin::Ready { server.weight } else { 0 }
+        if server.up && server.admin == Admin::Ready {
+            server.weight
+        } else {
+            0
+        }
     }
 
     /// The administrative state that it holds of a server.
@@ -117,7 +143,8 @@
 impl Record {
     /// From the time that it was due until it was answered.
     pub fn wait(&self) -> Option<Duration> {
-        self.answer.map(|(at, _)| at.saturating_duration_since(self.due))
+        self.answer
+            .map(|(at, _)| at.saturating_duration_since(self.due))
     }
 
     /// Whether it was placed.
@@ -154,7 +181,12 @@
             }
             clients
         });
-        Clients { records, stop, running: Vec::new(), arrivals: Some(arrivals) }
+        Clients {
+            records,
+            stop,
+            running: Vec::new(),
+            arrivals: Some(arrivals),
+        }
     }
 
     /// What became of all tasks so far.
@@ -189,18 +221,42 @@
 /// One client: asks once, and stays until its task has ended, or its time is over by far. The end of a
 /// task may be told on any client's connection, so each reads for all.
 fn client(front: &Front, id: u64, due: Instant, records: &Mutex<Vec<Record>>) {
-    let class = if id.is_multiple_of(16) { "once" } else { "quick" };
+    let class = if id.is_multiple_of(16) {
+        "once"
+    } else {
+        "quick"
+    };
     let server = front.pick();
-    let fresh = Record { id, class: class.into(), due, server, answer: None, more_answers: 0, end: None };
+    let fresh = Record {
+        id,
+        class: class.into(),
+        due,
+        server,
+        answer: None,
+        more_answers: 0,
+        end: None,
+    };
     records.lock().expect("records").push(fresh);
-    let Some(mut client) = server.and_then(|n| Client::connect(front.addresses[n])) else { return };
-    client.set_up(id, &Ask { class, wait_ms: 6_000, service: id, at: None });
+    let Some(mut client) = server.and_then(|n| Client::connect(front.addresses[n])) else {
+        return;
+    };
+    client.set_up(
+        id,
+        &Ask {
+            class,
+            wait_ms: 6_000,
+            service: id,
+            at: None,
+        },
+    );
     let give_up = due + LIMIT;
     while Instant::now() < give_up {
         match client.message_within(Duration::from_millis(20)) {
             Ok(Some(message)) => {
                 let mut records = records.lock().expect("records");
-                let Some(record) = records.iter_mut().find(|r| r.id == message.id) else { continue };
+                let Some(record) = records.iter_mut().find(|r| r.id == message.id) else {
+                    continue;
+                };
                 let now = Instant::now();
                 match (message.kind, record.answer) {
                     (9, None) => record.answer = Some((now, 9)),
--- a/crates/standin/src/host.rs
+++ b/crates/standin/src/host.rs
@@ -22,13 +22,18 @@
 impl Host {
     /// A host that listens.
     pub fn new(name: &str, zone: &'static str) -> Host {
-        Host { name: name.to_string(), zone, listener: listen() }
+        Host {
+            name: name.to_string(),
+            zone,
+            listener: listen(),
+        }
     }
 
     /// The same, whose system takes little that it has not read.
     pub fn narrow(name: &str, zone: &'static str) -> Host {
         let host = Host::new(name, zone);
-        rustix::net::sockopt::set_socket_recv_buffer_size(&host.listener, 4_096).expect("a socket option");
+        rustix::net::sockopt::set_socket_recv_buffer_size(&host.listener, 4_096)
+            .expect("a socket option");
         host
     }
 
@@ -49,12 +54,16 @@
     /// The next connection to it.
     pub fn accept(&self) -> HostConn {
         let stream = accept(&self.listener, LIMIT).expect("a connection");
-        HostConn { reader: BufReader::new(stream) }
+        HostConn {
+            reader: BufReader::new(stream),
+        }
     }
 
     /// The next connection to it, or none within the limit.
     pub fn accept_within(&self, limit: Duration) -> Option<HostConn> {
-        accept(&self.listener, limit).map(|stream| HostConn { reader: BufReader::new(stream) })
+        accept(&self.listener, limit).map(|stream| HostConn {
+            reader: BufReader::new(stream),
+        })
     }
 }
 
@@ -67,7 +76,11 @@
         rustix::net::listen(listener, 0).expect("a listener");
         let address = listener.local_addr().expect("an address");
         // One more than the queue takes, by the system's own count.
-        OutOfReach((0..2).filter_map(|_| TcpStream::connect_timeout(&address, VANISHED).ok()).collect())
+        OutOfReach(
+            (0..2)
+                .filter_map(|_| TcpStream::connect_timeout(&address, VANISHED).ok())
+                .collect(),
+        )
     }
 }
 
@@ -80,7 +93,9 @@
     /// It is there again.
     pub fn come_back(&self, held: OutOfReach) {
         rustix::net::listen(&self.listener, 128).expect("a listener");
-        held.0.iter().for_each(|_| drop(accept(&self.listener, LIMIT)));
+        held.0
+            .iter()
+            .for_each(|_| drop(accept(&self.listener, LIMIT)));
     }
 }
 
@@ -92,7 +107,10 @@
 impl HostConn {
     /// The next message, or none within the limit.
     pub fn read_within(&mut self, limit: Duration) -> Option<OwnedValue> {
-        self.reader.get_ref().set_read_timeout(Some(limit)).expect("a socket option");
+        self.reader
+            .get_ref()
+            .set_read_timeout(Some(limit))
+            .expect("a socket option");
         let mut line = Vec::new();
         match self.reader.read_until(b'\n', &mut line) {
             Ok(n) if n > 0 => Some(simd_json::to_owned_value(&mut line).expect("JSON")),
@@ -102,7 +120,10 @@
 
     /// Waits for the program to end the connection, whatever it still says.
     pub fn ended(&mut self) -> bool {
-        self.reader.get_ref().set_read_timeout(Some(LIMIT)).expect("a socket option");
+        self.reader
+            .get_ref()
+            .set_read_timeout(Some(LIMIT))
+            .expect("a socket option");
         let mut line = Vec::new();
         loop {
             line.clear();
@@ -117,19 +138,27 @@
     /// Closes the connection now. Where it is only dropped, a process that another test just starts may hold a
     /// copy of it, until it runs its program.
     pub fn leave(self) {
-        self.reader.get_ref().shutdown(Shutdown::Write).expect("it is open");
+        self.reader
+            .get_ref()
+            .shutdown(Shutdown::Write)
+            .expect("it is open");
     }
 
     /// The next message of a type, which must come.
     pub fn expect(&mut self, kind: &str) -> OwnedValue {
-        let message = self.read_within(LIMIT).unwrap_or_else(|| panic!("no {kind} comes"));
+        let message = self
+            .read_within(LIMIT)
+            .unwrap_or_else(|| panic!("no {kind} comes"));
         assert_eq!(message.get_str("t"), Some(kind), "{message}");
         message
     }
 
     /// The id of the next offer.
     pub fn offer(&mut self) -> String {
-        self.expect("new").get_str("ref").expect("an id").to_string()
+        self.expect("new")
+            .get_str("ref")
+            .expect("an id")
+            .to_string()
     }
 
     /// Says a message.
--- a/crates/standin/src/keeper.rs
+++ b/crates/standin/src/keeper.rs
@@ -58,7 +58,11 @@
     /// Starts so many.
     pub fn start(start: Start, count: usize, site: &Site, notes: Notes) -> io::Result<Keeper> {
         std::fs::create_dir_all(&start.folder)?;
-        let mut keeper = Keeper { start, notes, placers: Vec::new() };
+        let mut keeper = Keeper {
+            start,
+            notes,
+            placers: Vec::new(),
+        };
         for n in 0..count {
             let [listen, agent, http] = [(); 3].map(|()| crate::free_address());
             let (child, starts, stopped, peak_kb, peak_descriptors) = (None, 0, false, 0, 0);
@@ -96,15 +100,31 @@
         self.start.folder.join(format!("placer-{n}.{ending}"))
     }
 
-    fn write_config(&self, n: usize, feed: SocketAddr, list: &[OwnedValue], starts: u64) -> io::Result<()> {
-        let Some(placer) = self.placers.get(n) else { return Ok(()) };
+    fn write_config(
+        &self,
+        n: usize,
+        feed: SocketAddr,
+        list: &[OwnedValue],
+        starts: u64,
+    ) -> io::Result<()> {
+        let Some(placer) = self.placers.get(n) else {
+            return Ok(());
+        };
         let mut settings = self.start.settings.clone();
-        let room = self.start.rooms.get(n % self.start.rooms.len().max(1)).cloned().unwrap_or_default();
+        let room = self
+            .start
+            .rooms
+            .get(n % self.start.rooms.len().max(1))
+            .cloned()
+            .unwrap_or_default();
         let _ = settings.insert("me", n);
         let _ = settings.insert("n_instances", self.placers.len().max(n + 1));
         let _ = settings.insert("locality", room);
-        let seed =
-            self.start.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(n as u64 * 1_000 + starts);
+        let seed = self
+            .start
+            .seed
+            .wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            .wrapping_add(n as u64 * 1_000 + starts);
         let config = json!({
             "name": format!("n{n}"), "listen": placer.listen.to_string(), "seed": format!("{seed:016x}"),
             "limits": self.start.limits.clone(), "feed": feed.to_string(),
@@ -116,7 +136,12 @@
 
     /// Starts a placer in its place, if none runs there.
     pub fn launch(&mut self, n: usize, site: &Site) -> io::Result<()> {
-        let Some(starts) = self.placers.get(n).filter(|p| p.child.is_none()).map(|p| p.starts) else {
+        let Some(starts) = self
+            .placers
+            .get(n)
+            .filter(|p| p.child.is_none())
+            .map(|p| p.starts)
+        else {
             return Ok(());
         };
         let (feed, list) = site.introduce(n);
@@ -126,14 +151,22 @@
                 let mut command = Command::new(guard);
                 command.arg("guard").arg(&self.start.binary);
                 // The system holds it to its descriptors, too.
-                if let Some(sockets) = self.start.limits.get("sockets").and_then(OwnedValue::as_u64) {
+                if let Some(sockets) = self
+                    .start
+                    .limits
+                    .get("sockets")
+                    .and_then(OwnedValue::as_u64)
+                {
                     command.args(["--descriptors", &sockets.to_string()]);
                 }
                 command
             }
             None => Command::new(&self.start.binary),
         };
-        command.env("LB_CONFIG", self.path(n, "json")).env_remove("ANISEHEAD_OPERATOR").stdin(Stdio::null());
+        command
+            .env("LB_CONFIG", self.path(n, "json"))
+            .env_remove("ANISEHEAD_OPERATOR")
+            .stdin(Stdio::null());
         if let (Some(text), Some(placer)) = (&self.start.operator, self.placers.get(n)) {
             let text = text
                 .replace("{n}", &n.to_string())
@@ -143,7 +176,10 @@
             std::fs::write(self.path(n, "toml"), text)?;
             command.env("ANISEHEAD_OPERATOR", self.path(n, "toml"));
         }
-        let log = File::options().create(true).append(true).open(self.path(n, "log"))?;
+        let log = File::options()
+            .create(true)
+            .append(true)
+            .open(self.path(n, "log"))?;
         let child = command.stdout(Stdio::null()).stderr(log).spawn()?;
         self.notes.add(Note::Placer(n, Life::Started));
         if let Some(placer) = self.placers.get_mut(n) {
@@ -159,7 +195,9 @@
 
     fn signal(&self, n: usize, signal: Signal) {
         let child = self.placers.get(n).and_then(|p| p.child.as_ref());
-        if let Some(pid) = child.and_then(|child| Pid::from_raw(i32::try_from(child.id()).unwrap_or(0))) {
+        if let Some(pid) =
+            child.and_then(|child| Pid::from_raw(i32::try_from(child.id()).unwrap_or(0)))
+        {
             let _ = kill_process(pid, signal);
         }
     }
@@ -177,14 +215,20 @@
     pub fn pause(&mut self, n: usize) {
         self.notes.add(Note::Placer(n, Life::Stopped));
         self.signal(n, Signal::STOP);
-        self.placers.get_mut(n).into_iter().for_each(|p| p.stopped = true);
+        self.placers
+            .get_mut(n)
+            .into_iter()
+            .for_each(|p| p.stopped = true);
     }
 
     /// It goes on.
     pub fn resume(&mut self, n: usize) {
         self.signal(n, Signal::CONT);
         self.notes.add(Note::Placer(n, Life::Went));
-        self.placers.get_mut(n).into_iter().for_each(|p| p.stopped = false);
+        self.placers
+            .get_mut(n)
+            .into_iter()
+            .for_each(|p| p.stopped = false);
     }
 
     /// Tells a placer to end.
@@ -197,7 +241,9 @@
 
     /// Has a placer read its configuration again, with the feed where it is now.
     pub fn reload(&mut self, n: usize, site: &Site) -> io::Result<()> {
-        let Some(feed) = site.feed(n) else { return Ok(()) };
+        let Some(feed) = site.feed(n) else {
+            return Ok(());
+        };
         let starts = self.placers.get(n).map_or(0, |p| p.starts);
         self.write_config(n, feed, &[], starts)?;
         self.signal(n, Signal::HUP);
@@ -207,11 +253,16 @@
     /// Notes the placers that have ended by themselves, and reads how much memory the others hold.
     pub fn look(&mut self) {
         for n in 0..self.placers.len() {
-            let Some(placer) = self.placers.get_mut(n) else { continue };
-            let Some(child) = &mut placer.child else { continue };
+            let Some(placer) = self.placers.get_mut(n) else {
+                continue;
+            };
+            let Some(child) = &mut placer.child else {
+                continue;
+            };
             if let Ok(Some(status)) = child.try_wait() {
                 placer.child = None;
-                self.notes.add(Note::Placer(n, Life::Ended(status.code().unwrap_or(-1))));
+                self.notes
+                    .add(Note::Placer(n, Life::Ended(status.code().unwrap_or(-1))));
                 continue;
             }
             placer.peak_kb = placer.peak_kb.max(resident_kb(child.id()));
@@ -232,7 +283,9 @@
     /// The memory that it holds now, in kB, and the time that it has spent on a core.
     pub fn usage(&self, n: usize) -> (u64, Duration) {
         let child = self.placers.get(n).and_then(|p| p.child.as_ref());
-        child.map_or((0, Duration::ZERO), |child| (resident_kb(child.id()), cpu(child.id())))
+        child.map_or((0, Duration::ZERO), |child| {
+            (resident_kb(child.id()), cpu(child.id()))
+        })
     }
 
     /// Ends all: with SIGTERM, and with SIGKILL those that have not ended by the limit.
@@ -266,7 +319,9 @@
 pub(crate) fn resident_kb(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
-    line.and_then(|l| l.split_whitespace().next()).and_then(|n| n.parse().ok()).unwrap_or(0)
+    line.and_then(|l| l.split_whitespace().next())
+        .and_then(|n| n.parse().ok())
+        .unwrap_or(0)
 }
 
 pub(crate) fn descriptors(pid: u32) -> usize {
@@ -276,7 +331,13 @@
 pub(crate) fn cpu(pid: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after = text.rsplit_once(')').map_or("", |(_, after)| after);
-    let ticks = |n: usize| after.split_whitespace().nth(n).and_then(|t| t.parse::<u64>().ok()).unwrap_or(0);
+    let ticks = |n: usize| {
+        after
+            .split_whitespace()
+            .nth(n)
+            .and_then(|t| t.parse::<u64>().ok())
+            .unwrap_or(0)
+    };
     Duration::from_millis(10 * (ticks(11) + ticks(12)))
 }
 
@@ -285,7 +346,10 @@
 pub fn guard(program: &Path, descriptors: Option<u64>) -> io::Error {
     use std::os::unix::process::CommandExt;
     if let Some(most) = descriptors {
-        let limit = Rlimit { current: Some(most), maximum: Some(most) };
+        let limit = Rlimit {
+            current: Some(most),
+            maximum: Some(most),
+        };
         if let Err(e) = rustix::process::setrlimit(Resource::Nofile, limit) {
             return e.into();
         }
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -51,7 +51,10 @@
 
 /// Milliseconds of the Unix clock.
 pub fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).expect("after 1970").as_millis() as u64
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .expect("after 1970")
+        .as_millis() as u64
 }
 
 pub(crate) fn listen() -> TcpListener {
@@ -65,7 +68,9 @@
     let [_, _, high, low] = std::process::id().to_be_bytes();
     let own = NEXT.fetch_add(1, Ordering::Relaxed) % 100;
     let ip = Ipv4Addr::new(127, 100 + own as u8, high, low);
-    TcpListener::bind((ip, 0)).and_then(|l| l.local_addr()).expect("a free port")
+    TcpListener::bind((ip, 0))
+        .and_then(|l| l.local_addr())
+        .expect("a free port")
 }
 
 /// Accepts within the limit.
@@ -76,7 +81,9 @@
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(false).expect("a socket option");
-                stream.set_read_timeout(Some(LIMIT)).expect("a socket option");
+                stream
+                    .set_read_timeout(Some(LIMIT))
+                    .expect("a socket option");
                 return Some(stream);
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock && Instant::now() < end => {
@@ -93,8 +100,13 @@
 /// A program with up hosts `h0`, `h1` and so on, each with its connection.
 pub fn start(hosts: usize) -> (Program, Feed, Vec<Host>, Vec<HostConn>) {
     let mut feed = Feed::new();
-    let hosts: Vec<Host> = (0..hosts).map(|n| Host::new(&format!("h{n}"), "north")).collect();
-    let program = Program::start(&config(&feed, hosts.iter().map(|h| h.entry("up", 0)).collect()));
+    let hosts: Vec<Host> = (0..hosts)
+        .map(|n| Host::new(&format!("h{n}"), "north"))
+        .collect();
+    let program = Program::start(&config(
+        &feed,
+        hosts.iter().map(|h| h.entry("up", 0)).collect(),
+    ));
     assert_eq!(feed.subscribed(), 1);
     feed.tell(&json!({ "n": 1 }));
     let conns = hosts.iter().map(Host::accept).collect();
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -81,11 +81,18 @@
 
     /// Whether new connections do not come up.
     fn swallows(self) -> bool {
-        matches!(self, Fault::Cut | Fault::CutTo | Fault::CutFrom | Fault::BlackHole)
+        matches!(
+            self,
+            Fault::Cut | Fault::CutTo | Fault::CutFrom | Fault::BlackHole
+        )
     }
 
     fn late(self) -> Option<Duration> {
-        if let Fault::Slow(late) = self { Some(late) } else { None }
+        if let Fault::Slow(late) = self {
+            Some(late)
+        } else {
+            None
+        }
     }
 }
 
@@ -120,17 +127,23 @@
     /// Starts without a relay.
     pub fn start() -> io::Result<Links> {
         let (orders, taken) = async_channel::unbounded();
-        let thread = std::thread::Builder::new().name("links".into()).spawn(move || {
-            let executor = Rc::new(LocalExecutor::new());
-            future::block_on(executor.run(obey(taken, executor.clone())));
-        })?;
-        Ok(Links { orders, thread: Some(thread) })
+        let thread = std::thread::Builder::new()
+            .name("links".into())
+            .spawn(move || {
+                let executor = Rc::new(LocalExecutor::new());
+                future::block_on(executor.run(obey(taken, executor.clone())));
+            })?;
+        Ok(Links {
+            orders,
+            thread: Some(thread),
+        })
     }
 
     fn ask<T>(&self, order: impl FnOnce(mpsc::Sender<T>) -> Order) -> io::Result<T> {
         let (say, said) = mpsc::channel();
         let _ = self.orders.try_send(order(say));
-        said.recv_timeout(Duration::from_secs(10)).map_err(|_| io::Error::other("the links' thread ended"))
+        said.recv_timeout(Duration::from_secs(10))
+            .map_err(|_| io::Error::other("the links' thread ended"))
     }
 
     /// A relay for the calls of one party to another: where to call instead.
@@ -144,7 +157,12 @@
     }
 
     /// Sets or ends a fault of all links between two sets, whoever calls; how many there are.
-    pub fn fault(&self, one: &BTreeSet<End>, other: &BTreeSet<End>, fault: Fault) -> io::Result<usize> {
+    pub fn fault(
+        &self,
+        one: &BTreeSet<End>,
+        other: &BTreeSet<End>,
+        fault: Fault,
+    ) -> io::Result<usize> {
         self.ask(|say| Order::Fault(one.clone(), other.clone(), fault, say))
     }
 
@@ -189,12 +207,16 @@
                 let _ = say.send(relay.map(|relay| {
                     let relay = Rc::new(relay);
                     relays.push(relay.clone());
-                    executor.spawn(relay.clone().accept(executor.clone())).detach();
+                    executor
+                        .spawn(relay.clone().accept(executor.clone()))
+                        .detach();
                     relay.address
                 }));
             }
             Order::Lead(from, to, target) => {
-                let theirs = relays.iter().filter(|relay| (relay.from, relay.to) == (from, to));
+                let theirs = relays
+                    .iter()
+                    .filter(|relay| (relay.from, relay.to) == (from, to));
                 theirs.for_each(|relay| relay.target.set(target));
             }
             Order::Fault(one, other, fault, say) => {
@@ -222,7 +244,12 @@
 }
 
 impl Relay {
-    fn open(from: End, to: End, target: SocketAddr, carried: Rc<Cell<Carried>>) -> io::Result<Relay> {
+    fn open(
+        from: End,
+        to: End,
+        target: SocketAddr,
+        carried: Rc<Cell<Carried>>,
+    ) -> io::Result<Relay> {
         let socket = Async::<TcpListener>::bind(([127, 0, 0, 1], 0))?;
         let address = socket.get_ref().local_addr()?;
         rustix::net::listen(&socket, QUEUE)?;
@@ -248,7 +275,9 @@
             let _ = rustix::net::listen(&self.socket, 0);
             let fill = || TcpStream::connect_timeout(&self.address, FILL).ok();
             let fillers: Vec<TcpStream> = (0..2).filter_map(|_| fill()).collect();
-            self.filled.borrow_mut().extend(fillers.iter().filter_map(|s| s.local_addr().ok()));
+            self.filled
+                .borrow_mut()
+                .extend(fillers.iter().filter_map(|s| s.local_addr().ok()));
             *self.fillers.borrow_mut() = fillers;
         } else if before.swallows() && !fault.swallows() {
             self.fillers.borrow_mut().clear();
@@ -270,8 +299,12 @@
             if self.socket.readable().await.is_err() || self.fault.get().swallows() {
                 continue;
             }
-            let Ok((stream, peer)) = self.socket.get_ref().accept() else { continue };
-            let Ok(stream) = Async::new(stream) else { continue };
+            let Ok((stream, peer)) = self.socket.get_ref().accept() else {
+                continue;
+            };
+            let Ok(stream) = Async::new(stream) else {
+                continue;
+            };
             if self.filled.borrow_mut().remove(&peer) {
                 continue;
             }
@@ -288,7 +321,9 @@
         if self.fault.get() == Fault::Reset {
             return reset(&caller);
         }
-        let Ok(called) = Async::<TcpStream>::connect(self.target.get()).await else { return reset(&caller) };
+        let Ok(called) = Async::<TcpStream>::connect(self.target.get()).await else {
+            return reset(&caller);
+        };
         let _ = called.get_ref().set_nodelay(true);
         let (stop, stopped) = async_channel::bounded(1);
         self.open.borrow_mut().retain(|stop| !stop.is_closed());
@@ -316,7 +351,9 @@
         let (mut reader, mut writer) = (from, to);
         let mut chunk = vec![0; 16 * 1024];
         loop {
-            let Ok(count) = reader.read(&mut chunk).await else { return false };
+            let Ok(count) = reader.read(&mut chunk).await else {
+                return false;
+            };
             let read = Instant::now();
             if let Some(late) = self.fault.get().late() {
                 Timer::at(read + late).await;
@@ -327,7 +364,11 @@
             if count == 0 {
                 return writer.get_ref().shutdown(std::net::Shutdown::Write).is_ok();
             }
-            if writer.write_all(chunk.get(..count).unwrap_or_default()).await.is_err() {
+            if writer
+                .write_all(chunk.get(..count).unwrap_or_default())
+                .await
+                .is_err()
+            {
                 // Whoever still writes to us hears of it.
                 let _ = from.get_ref().shutdown(std::net::Shutdown::Both);
                 return false;
@@ -338,8 +379,10 @@
 
     fn count(&self, connections: u64, bytes: u64) {
         let so_far = self.carried.get();
-        self.carried
-            .set(Carried { connections: so_far.connections + connections, bytes: so_far.bytes + bytes });
+        self.carried.set(Carried {
+            connections: so_far.connections + connections,
+            bytes: so_far.bytes + bytes,
+        });
     }
 }
 
@@ -383,7 +426,9 @@
     fn each_fault_does_what_its_link_does_and_heals() {
         let links = Links::start().expect("links");
         let (one, other) = (set(&[End::Placer(0)]), set(&[End::Host(3)]));
-        let address = links.relay(End::Placer(0), End::Host(3), echo()).expect("a relay");
+        let address = links
+            .relay(End::Placer(0), End::Host(3), echo())
+            .expect("a relay");
         let call = || TcpStream::connect_timeout(&address, NEVER);
         // By fault: what was said comes back on an open connection; new ones come up.
         for (fault, passes, comes_up) in [
@@ -394,7 +439,11 @@
             (Fault::BlackHole, true, false),
         ] {
             let mut open = TcpStream::connect(address).expect("it is there");
-            assert_eq!(said(&mut open, b"before", SOON).as_deref(), Some(&b"before"[..]), "{fault:?}");
+            assert_eq!(
+                said(&mut open, b"before", SOON).as_deref(),
+                Some(&b"before"[..]),
+                "{fault:?}"
+            );
             assert_eq!(links.fault(&one, &other, fault).expect("links"), 1);
             let back = said(&mut open, b"during", if passes { SOON } else { NEVER });
             assert_eq!(back.is_some(), passes, "{fault:?}");
@@ -408,7 +457,11 @@
                 assert_eq!(&back, b"during", "{fault:?}");
             }
             let mut new = TcpStream::connect_timeout(&address, SOON).expect("healed");
-            assert_eq!(said(&mut new, b"after", SOON).as_deref(), Some(&b"after"[..]), "{fault:?}");
+            assert_eq!(
+                said(&mut new, b"after", SOON).as_deref(),
+                Some(&b"after"[..]),
+                "{fault:?}"
+            );
         }
     }
 
@@ -416,35 +469,60 @@
     fn a_reset_ends_what_is_open_and_what_comes() {
         let links = Links::start().expect("links");
         let ends = (set(&[End::Clients]), set(&[End::Placer(1)]));
-        let address = links.relay(End::Clients, End::Placer(1), echo()).expect("a relay");
+        let address = links
+            .relay(End::Clients, End::Placer(1), echo())
+            .expect("a relay");
         let mut open = TcpStream::connect(address).expect("it is there");
         assert!(said(&mut open, b"before", SOON).is_some());
         // Named the other way round, it is the same link.
-        assert_eq!(links.fault(&ends.1, &ends.0, Fault::Reset).expect("links"), 1);
+        assert_eq!(
+            links.fault(&ends.1, &ends.0, Fault::Reset).expect("links"),
+            1
+        );
         open.set_read_timeout(Some(SOON)).expect("an option");
-        assert_eq!(open.read(&mut [0; 8]).expect_err("reset").kind(), ErrorKind::ConnectionReset);
+        assert_eq!(
+            open.read(&mut [0; 8]).expect_err("reset").kind(),
+            ErrorKind::ConnectionReset
+        );
         let mut new = TcpStream::connect(address).expect("the relay is there");
         new.set_read_timeout(Some(SOON)).expect("an option");
-        assert_eq!(new.read(&mut [0; 8]).expect_err("reset").kind(), ErrorKind::ConnectionReset);
+        assert_eq!(
+            new.read(&mut [0; 8]).expect_err("reset").kind(),
+            ErrorKind::ConnectionReset
+        );
     }
 
     #[test]
     fn slow_links_are_late_and_a_link_that_leads_elsewhere_is_followed_by_new_connections() {
         let links = Links::start().expect("links");
         let ends = (set(&[End::Placer(0)]), set(&[End::Feed(0)]));
-        let address = links.relay(End::Placer(0), End::Feed(0), echo()).expect("a relay");
+        let address = links
+            .relay(End::Placer(0), End::Feed(0), echo())
+            .expect("a relay");
         let mut open = TcpStream::connect(address).expect("it is there");
         assert!(said(&mut open, b"before", SOON).is_some());
         let late = Duration::from_millis(60);
-        links.fault(&ends.0, &ends.1, Fault::Slow(late)).expect("links");
+        links
+            .fault(&ends.0, &ends.1, Fault::Slow(late))
+            .expect("links");
         let begun = Instant::now();
         assert!(said(&mut open, b"slow", SOON).is_some());
-        assert!(begun.elapsed() >= 2 * late, "both ways: {:?}", begun.elapsed());
+        assert!(
+            begun.elapsed() >= 2 * late,
+            "both ways: {:?}",
+            begun.elapsed()
+        );
         links.fault(&ends.0, &ends.1, Fault::None).expect("links");
-        let nobody = TcpListener::bind("127.0.0.1:0").and_then(|l| l.local_addr()).expect("a port");
+        let nobody = TcpListener::bind("127.0.0.1:0")
+            .and_then(|l| l.local_addr())
+            .expect("a port");
         links.lead(End::Placer(0), End::Feed(0), nobody);
         let mut new = TcpStream::connect(address).expect("the relay is there");
-        assert_eq!(said(&mut new, b"lost", SOON), None, "nobody is where it leads");
+        assert_eq!(
+            said(&mut new, b"lost", SOON),
+            None,
+            "nobody is where it leads"
+        );
         assert!(said(&mut open, b"still", SOON).is_some());
         let carried = links.carried();
         assert_eq!((carried.connections, carried.bytes), (1, 2 * (6 + 4 + 5)));
--- a/crates/standin/src/live.rs
+++ b/crates/standin/src/live.rs
@@ -59,7 +59,11 @@
         for start in self.starts.iter().filter(|start| start.class == class) {
             *counts.entry(&start.key).or_default() += 1;
         }
-        counts.into_iter().filter(|(_, n)| *n > 1).map(|(key, _)| key.to_string()).collect()
+        counts
+            .into_iter()
+            .filter(|(_, n)| *n > 1)
+            .map(|(key, _)| key.to_string())
+            .collect()
     }
 }
 
@@ -72,7 +76,12 @@
 
 impl LiveHost {
     /// Starts one.
-    pub fn start(name: &str, zone: &'static str, habits: Habits, books: Arc<Mutex<Books>>) -> LiveHost {
+    pub fn start(
+        name: &str,
+        zone: &'static str,
+        habits: Habits,
+        books: Arc<Mutex<Books>>,
+    ) -> LiveHost {
         let host = Host::new(name, zone);
         let stop = Arc::new(AtomicBool::new(false));
         let room = Arc::new(AtomicU64::new(habits.room as u64));
@@ -81,7 +90,9 @@
         std::thread::spawn(move || {
             let seed = AtomicU64::new(1);
             while !stopped.load(Ordering::Relaxed) {
-                let Some(stream) = crate::accept(&listener, Duration::from_millis(200)) else { continue };
+                let Some(stream) = crate::accept(&listener, Duration::from_millis(200)) else {
+                    continue;
+                };
                 let (habits, books, left) = (habits.clone(), books.clone(), left.clone());
                 let salt = seed.fetch_add(1, Ordering::Relaxed);
                 std::thread::spawn(move || serve(stream, &habits, &books, &left, salt));
@@ -114,8 +125,14 @@
 
 /// What a host does at a time.
 enum Due {
-    Answer { id: String, key: String, class: String },
-    End { id: String },
+    Answer {
+        id: String,
+        key: String,
+        class: String,
+    },
+    End {
+        id: String,
+    },
 }
 
 /// One connection of a placer.
@@ -132,7 +149,9 @@
     loop {
         let wait = due
             .first_key_value()
-            .map_or(Duration::from_secs(60), |((at, _), _)| at.saturating_duration_since(Instant::now()));
+            .map_or(Duration::from_secs(60), |((at, _), _)| {
+                at.saturating_duration_since(Instant::now())
+            });
         let message = match receiver.recv_timeout(wait) {
             Ok(message) => Some(message),
             Err(RecvTimeoutError::Timeout) => None,
@@ -146,24 +165,35 @@
             let id = message.get_str("ref").unwrap_or_default().to_string();
             match message.get_str("t") {
                 Some("new") => {
-                    let field =
-                        |name| message.get("f").and_then(|f| f.get_str(name)).unwrap_or_default().to_string();
+                    let field = |name| {
+                        message
+                            .get("f")
+                            .and_then(|f| f.get_str(name))
+                            .unwrap_or_default()
+                            .to_string()
+                    };
                     let mut books = books.lock().expect("books");
                     books.offers += 1;
-                    let taken =
-                        room.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(1));
+                    let taken = room.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| {
+                        left.checked_sub(1)
+                    });
                     if taken.is_err() {
                         books.refused += 1;
                         say(json!({ "t": "down", "ref": id, "f": { "note": "nc" }, "c": 34 }));
                         continue;
                     }
-                    let answer = Due::Answer { id, key: field("key"), class: field("class") };
+                    let answer = Due::Answer {
+                        id,
+                        key: field("key"),
+                        class: field("class"),
+                    };
                     due.insert((Instant::now() + habits.start, count), answer);
                 }
                 Some("down") => {
                     // Given up before its start, or cut: either way it is over and its room is free.
-                    let waiting =
-                        due.iter().find(|(_, d)| matches!(d, Due::Answer { id: i, .. } if *i == id));
+                    let waiting = due
+                        .iter()
+                        .find(|(_, d)| matches!(d, Due::Answer { id: i, .. } if *i == id));
                     if let Some(at) = waiting.map(|(at, _)| *at) {
                         due.remove(&at);
                         room.fetch_add(1, Ordering::Relaxed);
@@ -178,15 +208,29 @@
                 _ => {}
             }
         }
-        while due.first_key_value().is_some_and(|((at, _), _)| *at <= Instant::now()) {
-            let Some(((now, _), next)) = due.pop_first() else { break };
+        while due
+            .first_key_value()
+            .is_some_and(|((at, _), _)| *at <= Instant::now())
+        {
+            let Some(((now, _), next)) = due.pop_first() else {
+                break;
+            };
             match next {
                 Due::Answer { id, key, class } => {
-                    let start = Start { key, class, id: id.clone(), at: Instant::now() };
+                    let start = Start {
+                        key,
+                        class,
+                        id: id.clone(),
+                        at: Instant::now(),
+                    };
                     books.lock().expect("books").starts.push(start);
-                    say(json!({ "t": "up", "ref": id.as_str(), "f": {}, "d": format!("stands {id}\r\n") }));
+                    say(
+                        json!({ "t": "up", "ref": id.as_str(), "f": {}, "d": format!("stands {id}\r\n") }),
+                    );
                     standing.insert(id.clone(), ());
-                    let spread = habits.life.mul_f64(0.5 + (count >> 40) as f64 / (1u64 << 24) as f64);
+                    let spread = habits
+                        .life
+                        .mul_f64(0.5 + (count >> 40) as f64 / (1u64 << 24) as f64);
                     due.insert((now + spread, count), Due::End { id });
                 }
                 Due::End { id } => {
@@ -198,14 +242,20 @@
         }
     }
     // What it still held is free again.
-    let held = standing.len() + due.values().filter(|d| matches!(d, Due::Answer { .. })).count();
+    let held = standing.len()
+        + due
+            .values()
+            .filter(|d| matches!(d, Due::Answer { .. }))
+            .count();
     room.fetch_add(held as u64, Ordering::Relaxed);
 }
 
 fn read(stream: TcpStream, to: &Sender<OwnedValue>) {
     for line in BufReader::new(stream).split(b'\n') {
         let Ok(mut line) = line else { return };
-        let Ok(message) = simd_json::to_owned_value(&mut line) else { return };
+        let Ok(message) = simd_json::to_owned_value(&mut line) else {
+            return;
+        };
         if to.send(message).is_err() {
             return;
         }
@@ -231,11 +281,19 @@
     pub fn start() -> LiveFeed {
         let feed = Feed::new();
         let (address, listener) = (feed.address(), feed.into_listener());
-        let (silent, stop) = (Arc::new(AtomicBool::new(false)), Arc::new(AtomicBool::new(false)));
+        let (silent, stop) = (
+            Arc::new(AtomicBool::new(false)),
+            Arc::new(AtomicBool::new(false)),
+        );
         let events = Arc::new(Mutex::new(Vec::new()));
         let (quiet, stopped, told) = (silent.clone(), stop.clone(), events.clone());
         std::thread::spawn(move || run(&listener, &quiet, &stopped, &told));
-        LiveFeed { address, silent, stop, events }
+        LiveFeed {
+            address,
+            silent,
+            stop,
+            events,
+        }
     }
 
     /// Where it listens.
@@ -269,14 +327,19 @@
     events: &Arc<Mutex<Vec<OwnedValue>>>,
 ) {
     while !stop.load(Ordering::Relaxed) {
-        let Some(stream) = crate::accept(listener, Duration::from_millis(200)) else { continue };
+        let Some(stream) = crate::accept(listener, Duration::from_millis(200)) else {
+            continue;
+        };
         let (silent, stop, events) = (silent.clone(), stop.clone(), events.clone());
         std::thread::spawn(move || {
             let mut line = String::new();
             if BufReader::new(&stream).read_line(&mut line).is_err() {
                 return;
             }
-            let from = line.strip_prefix("SUB ").and_then(|n| n.trim_end().parse::<u64>().ok()).unwrap_or(1);
+            let from = line
+                .strip_prefix("SUB ")
+                .and_then(|n| n.trim_end().parse::<u64>().ok())
+                .unwrap_or(1);
             let (mut told, mut spoke) = (from.saturating_sub(1) as usize, None::<Instant>);
             let mut out = stream;
             while !stop.load(Ordering::Relaxed) {
--- a/crates/standin/src/machine.rs
+++ b/crates/standin/src/machine.rs
@@ -161,7 +161,10 @@
     pub fn free(&self) -> [f64; 2] {
         let held = self.held();
         let sum = |of: fn(&Offer) -> f64| held.clone().map(of).sum::<f64>();
-        [self.spec.cores - sum(|o| o.cores), self.spec.memory - sum(|o| o.memory)]
+        [
+            self.spec.cores - sum(|o| o.cores),
+            self.spec.memory - sum(|o| o.memory),
+        ]
     }
 
     /// Ids of tasks that run.
@@ -176,12 +179,19 @@
 
     fn held(&self) -> impl Iterator<Item = &Offer> + Clone {
         let starting = self.starting.iter().map(|held| &held.offer);
-        self.accepted.iter().chain(starting).chain(self.running.values().map(|held| &held.offer))
+        self.accepted
+            .iter()
+            .chain(starting)
+            .chain(self.running.values().map(|held| &held.offer))
     }
 
     /// The part of its pace that it has.
     fn pace(&self, now: Micros) -> f64 {
-        let slow = if self.fault == Some(Fault::Slow) { 0.1 } else { 1.0 };
+        let slow = if self.fault == Some(Fault::Slow) {
+            0.1
+        } else {
+            1.0
+        };
         if !self.cold {
             return slow;
         }
@@ -239,8 +249,11 @@
 
     /// Sends away the lowest priorities, the youngest first, as a machine short of memory does.
     pub fn evict(&mut self, count: usize) -> Vec<(u64, Word)> {
-        let mut order: Vec<(u8, u64)> =
-            self.running.iter().map(|(id, held)| (held.offer.priority, *id)).collect();
+        let mut order: Vec<(u8, u64)> = self
+            .running
+            .iter()
+            .map(|(id, held)| (held.offer.priority, *id))
+            .collect();
         order.sort_by_key(|(priority, id)| (*priority, std::cmp::Reverse(*id)));
         let gone: Vec<u64> = order.into_iter().take(count).map(|(_, id)| id).collect();
         gone.into_iter()
@@ -255,8 +268,17 @@
         let starting = self.starting.iter().map(|held| held.until);
         let running = self.running.values().map(|held| held.until);
         let drains = self.drains.filter(|_| !self.running.is_empty());
-        let waiting = self.waiting.front().filter(|_| self.looking.is_none()).map(|held| held.until);
-        looking.chain(starting).chain(running).chain(drains).chain(waiting).min()
+        let waiting = self
+            .waiting
+            .front()
+            .filter(|_| self.looking.is_none())
+            .map(|held| held.until);
+        looking
+            .chain(starting)
+            .chain(running)
+            .chain(drains)
+            .chain(waiting)
+            .min()
     }
 
     /// Lets what is due by now happen, and answers what is said of it.
@@ -294,11 +316,17 @@
                 && let Some(offer) = self.accepted.pop_front()
             {
                 let there = self.kept.contains(&offer.service)
-                    || self.running.values().any(|held| held.offer.service == offer.service);
+                    || self
+                        .running
+                        .values()
+                        .any(|held| held.offer.service == offer.service);
                 let longer = if there { 1.0 } else { self.spec.cold_start };
                 let time = self.spec.start as f64 * longer / self.pace(now).max(0.01);
                 self.kept.retain(|service| *service != offer.service);
-                self.starting.push(Held { offer, until: now + time as Micros });
+                self.starting.push(Held {
+                    offer,
+                    until: now + time as Micros,
+                });
                 moved = true;
             }
             if let Some(at) = self.starting.iter().position(|held| held.until <= now) {
@@ -309,7 +337,11 @@
                 moved = true;
             }
             // Ends.
-            let over = self.running.iter().find(|(_, held)| held.until <= now).map(|(id, _)| *id);
+            let over = self
+                .running
+                .iter()
+                .find(|(_, held)| held.until <= now)
+                .map(|(id, _)| *id);
             if let Some(id) = over {
                 self.stop(id);
                 said.push((id, Word::Down(16, "")));
@@ -350,7 +382,9 @@
                 None
             }
         };
-        let Some(why) = short(self.free()) else { return self.accepted.push_back(offer) };
+        let Some(why) = short(self.free()) else {
+            return self.accepted.push_back(offer);
+        };
         if self.spec.preempts {
             // As few as make room, the lowest first; none where all of them together do not.
             let mut lower: Vec<(u8, u64)> = self
@@ -383,7 +417,11 @@
 
     /// Its last task is gone: the program is kept, as long as there is room for programs.
     fn keep(&mut self, service: u64) {
-        if self.running.values().any(|held| held.offer.service == service) {
+        if self
+            .running
+            .values()
+            .any(|held| held.offer.service == service)
+        {
             return;
         }
         self.kept.retain(|kept| *kept != service);
@@ -420,14 +458,27 @@
     }
 
     fn offer(id: u64) -> Offer {
-        Offer { id, service: 1, cores: 1.0, memory: 2.0, priority: 0, life: 5 * SECOND, left: 6 * SECOND }
+        Offer {
+            id,
+            service: 1,
+            cores: 1.0,
+            memory: 2.0,
+            priority: 0,
+            life: 5 * SECOND,
+            left: 6 * SECOND,
+        }
     }
 
     /// Ticks whenever something is due, and answers what was said when.
     fn run(machine: &mut Machine, until: Micros) -> Vec<(Micros, u64, Word)> {
         let mut said = Vec::new();
         while let Some(now) = machine.next().filter(|at| *at <= until) {
-            said.extend(machine.tick(now).into_iter().map(|(id, word)| (now / MS, id, word)));
+            said.extend(
+                machine
+                    .tick(now)
+                    .into_iter()
+                    .map(|(id, word)| (now / MS, id, word)),
+            );
         }
         said
     }
@@ -442,17 +493,40 @@
         }
         let said = run(&mut machine, SECOND);
         // The first start of a program takes eight times as long; two start at a time.
-        assert_eq!(said, [(330, 1, Word::Up), (340, 2, Word::Up), (370, 3, Word::Up)]);
+        assert_eq!(
+            said,
+            [(330, 1, Word::Up), (340, 2, Word::Up), (370, 3, Word::Up)]
+        );
     }
 
     #[test]
     fn it_accepts_within_cores_and_memory_and_says_what_is_short() {
-        let mut machine = Machine::new(Spec { preempts: false, ..spec() }, 0, false);
+        let mut machine = Machine::new(
+            Spec {
+                preempts: false,
+                ..spec()
+            },
+            0,
+            false,
+        );
         let offers = [
-            Offer { memory: 1.0, cores: 3.0, ..offer(1) },
-            Offer { cores: 2.0, ..offer(2) },
-            Offer { memory: 8.0, ..offer(3) },
-            Offer { memory: 7.0, ..offer(4) },
+            Offer {
+                memory: 1.0,
+                cores: 3.0,
+                ..offer(1)
+            },
+            Offer {
+                cores: 2.0,
+                ..offer(2)
+            },
+            Offer {
+                memory: 8.0,
+                ..offer(3)
+            },
+            Offer {
+                memory: 7.0,
+                ..offer(4)
+            },
         ];
         for (n, offer) in offers.into_iter().enumerate() {
             let now = n as Micros * 100 * MS;
@@ -461,13 +535,39 @@
             run(&mut machine, now + 99 * MS);
         }
         let said = run(&mut machine, SECOND);
-        assert!(said.iter().any(|(_, id, word)| (*id, *word) == (4, Word::Up)), "{said:?}");
+        assert!(
+            said.iter()
+                .any(|(_, id, word)| (*id, *word) == (4, Word::Up)),
+            "{said:?}"
+        );
         assert!(machine.free()[0] < 1e-9);
-        let mut machine = Machine::new(Spec { preempts: false, ..spec() }, 0, false);
-        machine.offer(0, Offer { cores: 5.0, ..offer(1) });
-        machine.offer(0, Offer { memory: 9.0, ..offer(2) });
+        let mut machine = Machine::new(
+            Spec {
+                preempts: false,
+                ..spec()
+            },
+            0,
+            false,
+        );
+        machine.offer(
+            0,
+            Offer {
+                cores: 5.0,
+                ..offer(1)
+            },
+        );
+        machine.offer(
+            0,
+            Offer {
+                memory: 9.0,
+                ..offer(2)
+            },
+        );
         machine.tick(0);
-        assert_eq!(run(&mut machine, SECOND), [(10, 1, Word::Down(34, "nc")), (20, 2, Word::Down(34, "nm"))]);
+        assert_eq!(
+            run(&mut machine, SECOND),
+            [(10, 1, Word::Down(34, "nc")), (20, 2, Word::Down(34, "nm"))]
+        );
     }
 
     #[test]
@@ -475,7 +575,14 @@
         let full = || {
             let mut machine = Machine::new(spec(), 0, false);
             for (n, priority) in [(1, 1), (2, 0), (3, 2), (4, 0)] {
-                machine.offer(0, Offer { priority, life: 100 * SECOND, ..offer(n) });
+                machine.offer(
+                    0,
+                    Offer {
+                        priority,
+                        life: 100 * SECOND,
+                        ..offer(n)
+                    },
+                );
                 machine.tick(0);
                 run(&mut machine, 20 * MS * n as Micros);
             }
@@ -483,25 +590,55 @@
             machine
         };
         let mut machine = full();
-        machine.offer(SECOND, Offer { priority: 1, cores: 2.0, ..offer(9) });
+        machine.offer(
+            SECOND,
+            Offer {
+                priority: 1,
+                cores: 2.0,
+                ..offer(9)
+            },
+        );
         machine.tick(SECOND);
         let said = run(&mut machine, 2 * SECOND);
-        let out: Vec<u64> =
-            said.iter().filter(|(_, _, w)| *w == Word::Down(41, "pre")).map(|(_, id, _)| *id).collect();
+        let out: Vec<u64> = said
+            .iter()
+            .filter(|(_, _, w)| *w == Word::Down(41, "pre"))
+            .map(|(_, id, _)| *id)
+            .collect();
         assert_eq!(out, [2, 4]);
-        assert!(said.iter().any(|(_, id, word)| (*id, *word) == (9, Word::Up)));
+        assert!(
+            said.iter()
+                .any(|(_, id, word)| (*id, *word) == (9, Word::Up))
+        );
         let mut machine = full();
-        machine.offer(SECOND, Offer { priority: 1, cores: 3.0, ..offer(9) });
+        machine.offer(
+            SECOND,
+            Offer {
+                priority: 1,
+                cores: 3.0,
+                ..offer(9)
+            },
+        );
         machine.tick(SECOND);
         let said = run(&mut machine, 2 * SECOND);
-        assert_eq!(said, [(1_010, 9, Word::Down(34, "nc"))], "nobody is pushed out in vain");
+        assert_eq!(
+            said,
+            [(1_010, 9, Word::Down(34, "nc"))],
+            "nobody is pushed out in vain"
+        );
     }
 
     #[test]
     fn a_draining_machine_sends_its_tasks_away_bit_by_bit() {
         let mut machine = Machine::new(spec(), 0, false);
         for id in 1..=3 {
-            machine.offer(0, Offer { life: 100 * SECOND, ..offer(id) });
+            machine.offer(
+                0,
+                Offer {
+                    life: 100 * SECOND,
+                    ..offer(id)
+                },
+            );
             machine.tick(0);
         }
         run(&mut machine, SECOND);
@@ -509,10 +646,25 @@
         machine.offer(SECOND, offer(9));
         machine.tick(SECOND);
         let said = run(&mut machine, 10 * SECOND);
-        let expected = [(1_010, 9, "nh"), (1_500, 1, "dr"), (2_000, 2, "dr"), (2_500, 3, "dr")];
+        let expected = [
+            (1_010, 9, "nh"),
+            (1_500, 1, "dr"),
+            (2_000, 2, "dr"),
+            (2_500, 3, "dr"),
+        ];
         let found: Vec<(Micros, u64, &str)> = said
             .iter()
-            .map(|(at, id, w)| (*at, *id, if let Word::Down(_, note) = w { *note } else { "" }))
+            .map(|(at, id, w)| {
+                (
+                    *at,
+                    *id,
+                    if let Word::Down(_, note) = w {
+                        *note
+                    } else {
+                        ""
+                    },
+                )
+            })
             .collect();
         assert_eq!(found, expected);
     }
@@ -526,10 +678,24 @@
         // 10 ms to look and 320 ms to start, at a quarter of its pace and a little more.
         assert!(said[0].0 > 1_200 && said[0].0 < 1_330, "{said:?}");
         // It bears 3 in a second whatever they are, and 4 times what it can start beyond that.
-        let mut machine = Machine::new(Spec { start: 500 * MS, ..spec() }, 0, true);
+        let mut machine = Machine::new(
+            Spec {
+                start: 500 * MS,
+                ..spec()
+            },
+            0,
+            true,
+        );
         assert!(!(0..4).any(|id| machine.offer(0, offer(id))));
         assert!(machine.offer(0, offer(9)) && machine.fallen());
-        let mut warm = Machine::new(Spec { start: 500 * MS, ..spec() }, 0, false);
+        let mut warm = Machine::new(
+            Spec {
+                start: 500 * MS,
+                ..spec()
+            },
+            0,
+            false,
+        );
         assert!(!(0..100).any(|id| warm.offer(0, offer(id))));
     }
 
@@ -537,7 +703,14 @@
     fn what_is_given_up_or_stopped_is_gone_and_eviction_takes_the_lowest() {
         let mut machine = Machine::new(spec(), 0, false);
         for id in 1..=3 {
-            machine.offer(0, Offer { priority: id as u8, life: 100 * SECOND, ..offer(id) });
+            machine.offer(
+                0,
+                Offer {
+                    priority: id as u8,
+                    life: 100 * SECOND,
+                    ..offer(id)
+                },
+            );
             machine.tick(0);
         }
         assert_eq!(
--- a/crates/standin/src/notes.rs
+++ b/crates/standin/src/notes.rs
@@ -31,7 +31,10 @@
 
 impl Default for Notes {
     fn default() -> Notes {
-        Notes { start: Instant::now(), book: Arc::default() }
+        Notes {
+            start: Instant::now(),
+            book: Arc::default(),
+        }
     }
 }
 
@@ -86,7 +89,11 @@
     /// It does no more.
     pub fn ran(&self, key: u64, host: usize) {
         let mut book = self.book();
-        if book.running.get(&key).is_some_and(|running| running.host == host) {
+        if book
+            .running
+            .get(&key)
+            .is_some_and(|running| running.host == host)
+        {
             book.running.remove(&key);
         }
     }
@@ -94,7 +101,9 @@
     /// A host's process died.
     pub fn died(&self, host: usize) {
         self.add(Note::Died(host));
-        self.book().running.retain(|_, running| running.host != host);
+        self.book()
+            .running
+            .retain(|_, running| running.host != host);
     }
 
     /// Where a task runs.
@@ -105,6 +114,7 @@
 
 /// A fingerprint of a text, the same in every process (FNV-1a, 64 bits).
 pub fn fingerprint(text: &str) -> u64 {
-    text.bytes()
-        .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
--- a/crates/standin/src/operator.rs
+++ b/crates/standin/src/operator.rs
@@ -14,14 +14,18 @@
     /// A connection, made as soon as it listens.
     pub fn connect(&self) -> TcpStream {
         let stream = until("it takes calls", || TcpStream::connect(self.0).ok());
-        stream.set_read_timeout(Some(LIMIT)).expect("a socket option");
+        stream
+            .set_read_timeout(Some(LIMIT))
+            .expect("a socket option");
         stream
     }
 
     /// The whole reply to a line.
     pub fn call(&self, line: &str) -> String {
         let mut stream = self.connect();
-        stream.write_all(format!("{line}\n").as_bytes()).expect("it reads");
+        stream
+            .write_all(format!("{line}\n").as_bytes())
+            .expect("it reads");
         let mut reply = String::new();
         stream.read_to_string(&mut reply).expect("a reply");
         reply
@@ -40,8 +44,13 @@
     pub fn figures(&self) -> OwnedValue {
         let mut stream = self.connect();
         stream.write_all(b"vars\n").expect("it reads");
-        let lines: Vec<String> = BufReader::new(stream).lines().map(|line| line.expect("text")).collect();
-        let [json, last] = lines.as_slice() else { panic!("not two lines: {lines:?}") };
+        let lines: Vec<String> = BufReader::new(stream)
+            .lines()
+            .map(|line| line.expect("text"))
+            .collect();
+        let [json, last] = lines.as_slice() else {
+            panic!("not two lines: {lines:?}")
+        };
         assert_eq!(last, "eof");
         to_owned_value(json.clone().into_bytes().as_mut()).expect("JSON")
     }
@@ -49,7 +58,11 @@
     /// A count of a class.
     pub fn count(&self, class: &str, what: &str) -> u64 {
         let figures = self.figures();
-        let counts = figures.get("requests").and_then(|requests| requests.get(class));
-        counts.and_then(|counts| counts.get_u64(what)).expect("a count")
+        let counts = figures
+            .get("requests")
+            .and_then(|requests| requests.get(class));
+        counts
+            .and_then(|counts| counts.get_u64(what))
+            .expect("a count")
     }
 }
--- a/crates/standin/src/program.rs
+++ b/crates/standin/src/program.rs
@@ -17,14 +17,21 @@
         return PathBuf::from(named);
     }
     let test = std::env::current_exe().expect("a path of the test");
-    let folder = test.parent().and_then(Path::parent).expect("a target folder");
+    let folder = test
+        .parent()
+        .and_then(Path::parent)
+        .expect("a target folder");
     folder.join("anisehead")
 }
 
 /// A path for a file of a test, used once.
 pub fn scratch(ending: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
-    let name = format!("anisehead-{}-{}.{ending}", std::process::id(), NEXT.fetch_add(1, Ordering::Relaxed));
+    let name = format!(
+        "anisehead-{}-{}.{ending}",
+        std::process::id(),
+        NEXT.fetch_add(1, Ordering::Relaxed)
+    );
     std::env::temp_dir().join(name)
 }
 
@@ -44,7 +51,9 @@
     /// On this configuration.
     pub fn new(config: &OwnedValue) -> Launch {
         let mut launch = Launch::text(&config.encode());
-        launch.address = config.get_str("listen").and_then(|listen| listen.parse().ok());
+        launch.address = config
+            .get_str("listen")
+            .and_then(|listen| listen.parse().ok());
         launch
     }
 
@@ -54,7 +63,16 @@
         std::fs::write(&path, config).expect("a temporary file");
         let files = vec![path.clone()];
         let (args, env, log, inherited) = (Vec::new(), Vec::new(), None, None);
-        Launch { config: path, address: None, files, descriptors: 1_024, args, env, log, inherited }
+        Launch {
+            config: path,
+            address: None,
+            files,
+            descriptors: 1_024,
+            args,
+            env,
+            log,
+            inherited,
+        }
     }
 
     /// With so many descriptors.
@@ -67,7 +85,10 @@
     pub fn operator(mut self, text: &str) -> Launch {
         let path = scratch("toml");
         std::fs::write(&path, text).expect("a temporary file");
-        self.env.push(("ANISEHEAD_OPERATOR".into(), path.to_string_lossy().into_owned()));
+        self.env.push((
+            "ANISEHEAD_OPERATOR".into(),
+            path.to_string_lossy().into_owned(),
+        ));
         self.files.push(path);
         self
     }
@@ -98,20 +119,34 @@
 
     fn command(&self) -> Command {
         let mut command = Command::new("sh");
-        let inherited = if self.inherited.is_some() { " 5<&0 </dev/null" } else { "" };
-        let run = format!("ulimit -n {}; exec \"$0\" \"$@\"{inherited}", self.descriptors);
+        let inherited = if self.inherited.is_some() {
+            " 5<&0 </dev/null"
+        } else {
+            ""
+        };
+        let run = format!(
+            "ulimit -n {}; exec \"$0\" \"$@\"{inherited}",
+            self.descriptors
+        );
         command.args(["-c", &run]);
         if let Some(listener) = &self.inherited {
             command.stdin(OwnedFd::from(listener.try_clone().expect("a descriptor")));
         }
-        command.arg(binary()).args(&self.args).env("LB_CONFIG", &self.config);
+        command
+            .arg(binary())
+            .args(&self.args)
+            .env("LB_CONFIG", &self.config);
         command.envs(self.env.iter().map(|(name, value)| (name, value)));
         command
     }
 
     /// Runs it to its end.
     pub fn output(self) -> Output {
-        let pipes = self.command().stdout(Stdio::piped()).stderr(Stdio::piped()).spawn();
+        let pipes = self
+            .command()
+            .stdout(Stdio::piped())
+            .stderr(Stdio::piped())
+            .spawn();
         let mut child = pipes.expect("the program starts");
         let end = Instant::now() + LIMIT;
         // One that does not end is a failure of its own, and must not hold the test up.
@@ -122,7 +157,9 @@
             std::thread::sleep(Duration::from_millis(5));
         }
         let output = child.wait_with_output().expect("its output");
-        self.files.iter().for_each(|file| drop(std::fs::remove_file(file)));
+        self.files
+            .iter()
+            .for_each(|file| drop(std::fs::remove_file(file)));
         output
     }
 
@@ -131,10 +168,20 @@
         let log = scratch("log");
         let file = File::create(&log).expect("a temporary file");
         let stderr = self.log.take().unwrap_or_else(|| Stdio::from(file));
-        let child = self.command().stderr(stderr).spawn().expect("the program starts");
+        let child = self
+            .command()
+            .stderr(stderr)
+            .spawn()
+            .expect("the program starts");
         let address = self.address.expect("an address to listen at");
         self.files.push(log.clone());
-        Program { child, config: self.config, files: self.files, log, address }
+        Program {
+            child,
+            config: self.config,
+            files: self.files,
+            log,
+            address,
+        }
     }
 }
 
@@ -203,7 +250,9 @@
 
     /// Sends a signal by its name, such as `-TERM`.
     pub fn signal(&self, name: &str) {
-        let sent = Command::new("kill").args([name, &self.child.id().to_string()]).status();
+        let sent = Command::new("kill")
+            .args([name, &self.child.id().to_string()])
+            .status();
         assert!(sent.expect("kill runs").success());
     }
 
@@ -211,10 +260,15 @@
     /// system may hand over late what was sent, and is waited for.
     pub fn stopped(&self, act: impl FnOnce()) {
         self.signal("-STOP");
-        let stat = || std::fs::read_to_string(format!("/proc/{}/stat", self.id())).expect("it lives");
-        until("it stops", || stat().rsplit(") ").next()?.starts_with('T').then_some(()));
+        let stat =
+            || std::fs::read_to_string(format!("/proc/{}/stat", self.id())).expect("it lives");
+        until("it stops", || {
+            stat().rsplit(") ").next()?.starts_with('T').then_some(())
+        });
         act();
-        until("what was sent has arrived", || arrived::all(self.id()).then_some(()));
+        until("what was sent has arrived", || {
+            arrived::all(self.id()).then_some(())
+        });
         self.signal("-CONT");
     }
 
@@ -256,21 +310,28 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        self.files.iter().for_each(|file| drop(std::fs::remove_file(file)));
+        self.files
+            .iter()
+            .for_each(|file| drop(std::fs::remove_file(file)));
     }
 }
 
 /// Runs it on a configuration that it must not accept: whether it failed, and what it said.
 pub fn refuses(config: &str) -> (bool, String) {
     let out = Launch::text(config).output();
-    (!out.status.success(), String::from_utf8(out.stderr).expect("text"))
+    (
+        !out.status.success(),
+        String::from_utf8(out.stderr).expect("text"),
+    )
 }
 
 impl Client {
     /// A connection, if something listens there.
     pub fn connect(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
-        stream.set_read_timeout(Some(LIMIT)).expect("a socket option");
+        stream
+            .set_read_timeout(Some(LIMIT))
+            .expect("a socket option");
         stream.set_nodelay(true).expect("a socket option");
         Some(Client(stream))
     }
--- a/crates/standin/src/site.rs
+++ b/crates/standin/src/site.rs
@@ -141,7 +141,9 @@
     /// An entry of the list as a placer is told it.
     fn routed(&self, placer: usize, entry: &OwnedValue) -> OwnedValue {
         let mut entry = entry.clone();
-        let place = entry.get_u64("place").and_then(|place| usize::try_from(place).ok());
+        let place = entry
+            .get_u64("place")
+            .and_then(|place| usize::try_from(place).ok());
         let _ = entry.remove("place");
         let route = place.and_then(|place| self.host_routes.get(&(placer, place)).copied());
         if let Some(dial) = route.or_else(|| self.address(placer, place?)) {
@@ -158,7 +160,10 @@
 
     /// Where a placer calls its feed.
     fn feed_of(&self, placer: usize) -> Option<SocketAddr> {
-        self.feed_routes.get(&placer).or(self.feeds.get(placer)).copied()
+        self.feed_routes
+            .get(&placer)
+            .or(self.feeds.get(placer))
+            .copied()
     }
 }
 
@@ -169,32 +174,40 @@
         let shared = std::sync::Arc::<std::sync::Mutex<Outside>>::default();
         let (ready, is_ready) = std::sync::mpsc::channel();
         let outside = shared.clone();
-        let thread = std::thread::Builder::new().name("site".into()).spawn(move || {
-            let executor = Rc::new(LocalExecutor::new());
-            future::block_on(executor.run(async {
-                let started = World::start(layout, notes, executor.clone(), outside);
-                let world = match started {
-                    Ok(world) => world,
-                    Err(e) => {
-                        let _ = ready.send(Err(e));
-                        return;
-                    }
-                };
-                let _ = ready.send(Ok(()));
-                while let Ok(message) = taken.recv().await {
-                    match message {
-                        Message::Order(Order::Stop) => return,
-                        Message::Order(order) => world.obey(order),
-                        Message::Anew(placer, done) => {
-                            world.with(|inner| inner.begin_feed_anew(placer));
-                            let _ = done.send(());
+        let thread = std::thread::Builder::new()
+            .name("site".into())
+            .spawn(move || {
+                let executor = Rc::new(LocalExecutor::new());
+                future::block_on(executor.run(async {
+                    let started = World::start(layout, notes, executor.clone(), outside);
+                    let world = match started {
+                        Ok(world) => world,
+                        Err(e) => {
+                            let _ = ready.send(Err(e));
+                            return;
+                        }
+                    };
+                    let _ = ready.send(Ok(()));
+                    while let Ok(message) = taken.recv().await {
+                        match message {
+                            Message::Order(Order::Stop) => return,
+                            Message::Order(order) => world.obey(order),
+                            Message::Anew(placer, done) => {
+                                world.with(|inner| inner.begin_feed_anew(placer));
+                                let _ = done.send(());
+                            }
                         }
                     }
-                }
-            }));
-        })?;
-        is_ready.recv().unwrap_or_else(|_| Err(std::io::Error::other("the site's thread ended")))?;
-        Ok(Site { orders, shared, thread: Some(thread) })
+                }));
+            })?;
+        is_ready
+            .recv()
+            .unwrap_or_else(|_| Err(std::io::Error::other("the site's thread ended")))?;
+        Ok(Site {
+            orders,
+            shared,
+            thread: Some(thread),
+        })
     }
 
     /// Gives an order.
@@ -203,7 +216,9 @@
     }
 
     fn outside(&self) -> std::sync::MutexGuard<'_, Outside> {
-        self.shared.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.shared
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     /// For a placer that starts now: where its feed is, and the list as it stands. Its feed begins anew.
@@ -212,8 +227,17 @@
         let _ = self.orders.try_send(Message::Anew(placer, done));
         let _ = is_done.recv_timeout(Duration::from_secs(5));
         let outside = self.outside();
-        let address = outside.feed_of(placer).unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 9)));
-        (address, outside.list.iter().map(|entry| outside.routed(placer, entry)).collect())
+        let address = outside
+            .feed_of(placer)
+            .unwrap_or_else(|| SocketAddr::from(([127, 0, 0, 1], 9)));
+        (
+            address,
+            outside
+                .list
+                .iter()
+                .map(|entry| outside.routed(placer, entry))
+                .collect(),
+        )
     }
 
     /// Where the feed of a placer is now.
@@ -227,7 +251,11 @@
     }
 
     /// From now on placers are told these addresses instead: of hosts, by placer and place, and of feeds.
-    pub fn route(&self, hosts: BTreeMap<(usize, usize), SocketAddr>, feeds: BTreeMap<usize, SocketAddr>) {
+    pub fn route(
+        &self,
+        hosts: BTreeMap<(usize, usize), SocketAddr>,
+        feeds: BTreeMap<usize, SocketAddr>,
+    ) {
         let mut outside = self.outside();
         (outside.host_routes, outside.feed_routes) = (hosts, feeds);
     }
@@ -324,7 +352,9 @@
 struct World(Rc<RefCell<Inner>>);
 
 fn unix_ms() -> u64 {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     u64::try_from(now.as_millis()).unwrap_or(0)
 }
 
@@ -360,11 +390,21 @@
         for n in 0..hosts {
             let any = vec![SocketAddr::from(([127, 0, 0, 1], 0)); if apart { placers } else { 1 }];
             let sockets = listeners(&any)?;
-            let addresses: Vec<SocketAddr> =
-                sockets.iter().map(|socket| socket.get_ref().local_addr()).collect::<Result<_, _>>()?;
+            let addresses: Vec<SocketAddr> = sockets
+                .iter()
+                .map(|socket| socket.get_ref().local_addr())
+                .collect::<Result<_, _>>()?;
             world.with(|inner| {
-                let (room, rack) = (n % inner.layout.rooms.len().max(1), n / inner.layout.rack.max(1));
-                inner.places.push(Place { room, rack, addresses: addresses.clone(), process: None });
+                let (room, rack) = (
+                    n % inner.layout.rooms.len().max(1),
+                    n / inner.layout.rack.max(1),
+                );
+                inner.places.push(Place {
+                    room,
+                    rack,
+                    addresses: addresses.clone(),
+                    process: None,
+                });
                 inner.outside().addresses.push(addresses);
             });
             world.rise(n, sockets, false);
@@ -375,7 +415,9 @@
         }
         world.publish();
         let looking = world.clone();
-        executor.spawn(async move { looking.look_on().await }).detach();
+        executor
+            .spawn(async move { looking.look_on().await })
+            .detach();
         Ok(world)
     }
 
@@ -392,7 +434,8 @@
             Order::Host(place, fault) => self.set_fault(place, fault),
             Order::Die(place) => self.die(place),
             Order::Rise(place) => {
-                let addresses = self.with(|inner| inner.places.get(place).map(|p| p.addresses.clone()));
+                let addresses =
+                    self.with(|inner| inner.places.get(place).map(|p| p.addresses.clone()));
                 // The address may be in the hands of the kernel for a moment.
                 if let Some(addresses) = addresses {
                     let world = self.clone();
@@ -420,8 +463,12 @@
                 self.tell_state(place);
             }
             Order::Evict(place, count) => {
-                let said = self
-                    .with(|inner| inner.process(place).map(|p| p.machine.evict(count)).unwrap_or_default());
+                let said = self.with(|inner| {
+                    inner
+                        .process(place)
+                        .map(|p| p.machine.evict(count))
+                        .unwrap_or_default()
+                });
                 self.say(place, said);
             }
             Order::Feed(placer, fault) => self.with(|inner| {
@@ -429,14 +476,17 @@
                 if let Some(feed) = inner.feeds.get_mut(placer) {
                     feed.fault = fault;
                     feed.since = now;
-                    feed.wake.retain(|wake| wake.try_send(()).is_ok() || !wake.is_closed());
+                    feed.wake
+                        .retain(|wake| wake.try_send(()).is_ok() || !wake.is_closed());
                 }
             }),
             Order::MoveFeed(placer) => {
                 if let Ok(socket) = listener(SocketAddr::from(([127, 0, 0, 1], 0))) {
                     let address = socket.get_ref().local_addr();
                     self.with(|inner| {
-                        if let (Ok(address), Some(old)) = (address, inner.outside().feeds.get_mut(placer)) {
+                        if let (Ok(address), Some(old)) =
+                            (address, inner.outside().feeds.get_mut(placer))
+                        {
                             *old = address;
                         }
                     });
@@ -492,7 +542,10 @@
                     // One order ends them all: the channel is closed after it.
                     while until.recv().await.is_ok() {}
                 };
-                accepting.host_accept(place, apart.then_some(placer), socket).or(stop).await;
+                accepting
+                    .host_accept(place, apart.then_some(placer), socket)
+                    .or(stop)
+                    .await;
             });
         }
         self.spawn(async move { ticking.host_tick(place, woken).await });
@@ -519,9 +572,14 @@
             self.with(|inner| inner.notes.add(Note::Called(number)));
             let world = self.clone();
             self.spawn(async move {
-                let reset = world.host_conn((place, number, conn), &stream, lines, stopped).await;
+                let reset = world
+                    .host_conn((place, number, conn), &stream, lines, stopped)
+                    .await;
                 if reset {
-                    let _ = rustix::net::sockopt::set_socket_linger(stream.get_ref(), Some(Duration::ZERO));
+                    let _ = rustix::net::sockopt::set_socket_linger(
+                        stream.get_ref(),
+                        Some(Duration::ZERO),
+                    );
                 }
                 drop(stream);
                 world.conn_ended(place, number, conn);
@@ -550,7 +608,8 @@
             let mut reader = BufReader::new(stream);
             let mut line = Vec::new();
             loop {
-                let fault = self.with(|inner| inner.process(place).map_or(HostFault::None, |p| p.fault));
+                let fault =
+                    self.with(|inner| inner.process(place).map_or(HostFault::None, |p| p.fault));
                 if fault == HostFault::ResetBefore {
                     // Wait for an offer to come, and do not read it.
                     if stream.readable().await.is_ok() {
@@ -562,7 +621,9 @@
                     Ok(n) if n > 0 && line.last() == Some(&b'\n') => {}
                     _ => return false,
                 }
-                let Ok(message) = simd_json::to_owned_value(&mut line) else { return true };
+                let Ok(message) = simd_json::to_owned_value(&mut line) else {
+                    return true;
+                };
                 if self.host_word(place, number, conn, &message) {
                     return true;
                 }
@@ -582,21 +643,35 @@
 
     /// A word of a placer; true where the connection is to be reset.
     fn host_word(&self, place: usize, number: usize, conn: u64, message: &OwnedValue) -> bool {
-        let id = message.get_str("ref").and_then(|id| u64::from_str_radix(id, 16).ok()).unwrap_or(0);
+        let id = message
+            .get_str("ref")
+            .and_then(|id| u64::from_str_radix(id, 16).ok())
+            .unwrap_or(0);
         let mut said = Vec::new();
         let reset = self.with(|inner| {
             let now = inner.notes.now();
             let notes = inner.notes.clone();
-            let Some(process) = inner.process(place).filter(|p| p.number == number) else { return true };
+            let Some(process) = inner.process(place).filter(|p| p.number == number) else {
+                return true;
+            };
             match message.get_str("t") {
                 Some("new") => {
                     let description = message.get_str("d").unwrap_or_default().to_string();
-                    let field = |name| message.get("f").and_then(|f| f.get_str(name)).unwrap_or_default();
+                    let field = |name| {
+                        message
+                            .get("f")
+                            .and_then(|f| f.get_str(name))
+                            .unwrap_or_default()
+                    };
                     let key = u64::from_str_radix(field("key"), 16).unwrap_or(0);
                     let left: Micros = field("left").parse::<i64>().unwrap_or(0) * 1_000;
                     notes.add_at(
                         now,
-                        Note::Offered { id, host: number, description: fingerprint(&description) },
+                        Note::Offered {
+                            id,
+                            host: number,
+                            description: fingerprint(&description),
+                        },
                     );
                     if process.fault == HostFault::ResetAfter {
                         notes.add_at(now, Note::Said(id, number, Said::Cut));
@@ -646,7 +721,9 @@
     fn conn_ended(&self, place: usize, number: usize, conn: u64) {
         self.with(|inner| {
             let notes = inner.notes.clone();
-            let Some(process) = inner.process(place).filter(|p| p.number == number) else { return };
+            let Some(process) = inner.process(place).filter(|p| p.number == number) else {
+                return;
+            };
             process.conns.remove(&conn);
             let running: BTreeSet<u64> = process.machine.running().collect();
             let open: Vec<u64> = process
@@ -668,7 +745,9 @@
     fn say(&self, place: usize, said: Vec<(u64, Word)>) {
         self.with(|inner| {
             let notes = inner.notes.clone();
-            let Some(process) = inner.process(place) else { return };
+            let Some(process) = inner.process(place) else {
+                return;
+            };
             for (id, word) in said {
                 if process.fault == HostFault::Silent {
                     process.held.push((id, word));
@@ -684,7 +763,9 @@
         loop {
             let next = self.with(|inner| {
                 let notes = inner.notes.clone();
-                inner.process(place).map(|p| p.machine.next().map(|at| notes.instant(at)))
+                inner
+                    .process(place)
+                    .map(|p| p.machine.next().map(|at| notes.instant(at)))
             });
             let wait = async {
                 match next.flatten() {
@@ -701,7 +782,10 @@
             }
             let said = self.with(|inner| {
                 let now = inner.notes.now();
-                inner.process(place).map(|p| p.machine.tick(now)).unwrap_or_default()
+                inner
+                    .process(place)
+                    .map(|p| p.machine.tick(now))
+                    .unwrap_or_default()
             });
             self.say(place, said);
         }
@@ -709,7 +793,9 @@
 
     fn set_fault(&self, place: usize, fault: HostFault) {
         let held = self.with(|inner| {
-            let Some(process) = inner.process(place) else { return Vec::new() };
+            let Some(process) = inner.process(place) else {
+                return Vec::new();
+            };
             process.fault = fault;
             process.machine.set_fault(match fault {
                 HostFault::Refuse => Some(Fault::Refuse),
@@ -717,7 +803,11 @@
                 _ => None,
             });
             let _ = process.wake.try_send(());
-            if fault == HostFault::Silent { Vec::new() } else { std::mem::take(&mut process.held) }
+            if fault == HostFault::Silent {
+                Vec::new()
+            } else {
+                std::mem::take(&mut process.held)
+            }
         });
         self.say(place, held);
     }
@@ -733,7 +823,11 @@
         for conn in process.conns.values() {
             let _ = conn.stop.try_send(true);
         }
-        self.tell(vec![(process.number, gone_entry(&process.name), Listed::Gone)]);
+        self.tell(vec![(
+            process.number,
+            gone_entry(&process.name),
+            Listed::Gone,
+        )]);
         self.publish();
     }
 
@@ -759,7 +853,10 @@
             let (late, generation) = self.with(|inner| {
                 let (from, to) = inner.layout.late;
                 let late = inner.rng.random_range(from..=to.max(from));
-                (late, inner.feeds.get(placer).map_or(0, |feed| feed.generation))
+                (
+                    late,
+                    inner.feeds.get(placer).map_or(0, |feed| feed.generation),
+                )
             });
             let (world, entries) = (self.clone(), entries.clone());
             self.spawn(async move {
@@ -788,8 +885,11 @@
 
     async fn feed_accept(&self, placer: usize, socket: Async<TcpListener>) {
         loop {
-            let Ok((stream, _)) = socket.accept().await else { return };
-            let fault = self.with(|inner| inner.feeds.get(placer).map_or(FeedFault::None, |f| f.fault));
+            let Ok((stream, _)) = socket.accept().await else {
+                return;
+            };
+            let fault =
+                self.with(|inner| inner.feeds.get(placer).map_or(FeedFault::None, |f| f.fault));
             let moved = self.with(|inner| {
                 let own = socket.get_ref().local_addr().ok();
                 inner.outside().feeds.get(placer).copied() != own
@@ -807,11 +907,18 @@
 
     async fn feed_conn(&self, placer: usize, stream: Async<TcpStream>) {
         let mut first = Vec::new();
-        if BufReader::new(&stream).read_until(b'\n', &mut first).await.is_err() {
+        if BufReader::new(&stream)
+            .read_until(b'\n', &mut first)
+            .await
+            .is_err()
+        {
             return;
         }
         let text = String::from_utf8_lossy(&first).into_owned();
-        let from = text.strip_prefix("SUB ").and_then(|n| n.trim_end().parse::<usize>().ok()).unwrap_or(1);
+        let from = text
+            .strip_prefix("SUB ")
+            .and_then(|n| n.trim_end().parse::<usize>().ok())
+            .unwrap_or(1);
         let (wake, woken) = async_channel::bounded(1);
         let generation = self.with(|inner| {
             inner.feeds.get_mut(placer).map(|feed| {
@@ -824,14 +931,21 @@
         let mut out = &stream;
         loop {
             let lines = self.with(|inner| {
-                let feed = inner.feeds.get(placer).filter(|feed| Some(feed.generation) == generation)?;
+                let feed = inner
+                    .feeds
+                    .get(placer)
+                    .filter(|feed| Some(feed.generation) == generation)?;
                 match feed.fault {
                     FeedFault::Cut => return None,
                     FeedFault::Silent => return Some(String::new()),
                     FeedFault::None | FeedFault::Doubled => {}
                 }
                 let mut lines = String::new();
-                let twice = if feed.fault == FeedFault::Doubled { 2 } else { 1 };
+                let twice = if feed.fault == FeedFault::Doubled {
+                    2
+                } else {
+                    1
+                };
                 for event in feed.events.iter().skip(told) {
                     for _ in 0..twice {
                         lines.push_str(&event.encode());
@@ -869,8 +983,9 @@
     /// Publishes the list for placers that start.
     fn publish(&self) {
         self.with(|inner| {
-            let entries: Vec<OwnedValue> =
-                (0..inner.places.len()).filter_map(|place| inner.entry(place)).collect();
+            let entries: Vec<OwnedValue> = (0..inner.places.len())
+                .filter_map(|place| inner.entry(place))
+                .collect();
             inner.outside().list = entries;
         });
     }
@@ -884,8 +999,11 @@
             self.with(|inner| {
                 let now = inner.notes.now();
                 if count % 500_000 == 0 {
-                    let load =
-                        inner.places.iter().map(|p| p.process.as_ref().map(|q| q.machine.load())).collect();
+                    let load = inner
+                        .places
+                        .iter()
+                        .map(|p| p.process.as_ref().map(|q| q.machine.load()))
+                        .collect();
                     inner.outside().looks.push(Look { at: now, load });
                 }
             });
@@ -920,13 +1038,19 @@
     }
 
     fn outside(&self) -> std::sync::MutexGuard<'_, Outside> {
-        self.outside.lock().unwrap_or_else(std::sync::PoisonError::into_inner)
+        self.outside
+            .lock()
+            .unwrap_or_else(std::sync::PoisonError::into_inner)
     }
 
     fn entry(&self, place: usize) -> Option<OwnedValue> {
         let p = self.places.get(place)?;
         let process = p.process.as_ref()?;
-        let health = if process.state == Listed::Draining { "draining" } else { "up" };
+        let health = if process.state == Listed::Draining {
+            "draining"
+        } else {
+            "up"
+        };
         let site = self.layout.rooms.get(p.room).map_or("", String::as_str);
         let [cores, memory] = process.machine.free();
         Some(json!({
@@ -942,24 +1066,45 @@
             feed.generation += 1;
             feed.wake.clear();
         }
-        let entries: Vec<OwnedValue> = (0..self.places.len()).filter_map(|place| self.entry(place)).collect();
+        let entries: Vec<OwnedValue> = (0..self.places.len())
+            .filter_map(|place| self.entry(place))
+            .collect();
         self.outside().list = entries;
     }
 
     /// An event is in a placer's feed: from then on it counts as told, at the latest 4 s after a fault began.
-    fn add_event(&mut self, placer: usize, generation: u64, entries: Vec<(usize, OwnedValue, Listed)>) {
+    fn add_event(
+        &mut self,
+        placer: usize,
+        generation: u64,
+        entries: Vec<(usize, OwnedValue, Listed)>,
+    ) {
         let now = self.notes.now();
-        let routed =
-            |outside: &Outside| entries.iter().map(|(_, entry, _)| outside.routed(placer, entry)).collect();
+        let routed = |outside: &Outside| {
+            entries
+                .iter()
+                .map(|(_, entry, _)| outside.routed(placer, entry))
+                .collect()
+        };
         let hosts: Vec<OwnedValue> = routed(&self.outside());
-        let Some(feed) = self.feeds.get_mut(placer).filter(|feed| feed.generation == generation) else {
+        let Some(feed) = self
+            .feeds
+            .get_mut(placer)
+            .filter(|feed| feed.generation == generation)
+        else {
             return;
         };
         let n = feed.events.len() as u64 + 2;
-        feed.events.push(json!({ "n": n, "members": { "seq": n, "whole": false, "hosts": hosts } }));
-        feed.wake.retain(|wake| wake.try_send(()).is_ok() || !wake.is_closed());
+        feed.events
+            .push(json!({ "n": n, "members": { "seq": n, "whole": false, "hosts": hosts } }));
+        feed.wake
+            .retain(|wake| wake.try_send(()).is_ok() || !wake.is_closed());
         let hindered = matches!(feed.fault, FeedFault::Cut | FeedFault::Silent);
-        let at = if hindered { now.max(feed.since + 4_000_000) } else { now };
+        let at = if hindered {
+            now.max(feed.since + 4_000_000)
+        } else {
+            now
+        };
         for (number, _, state) in entries {
             self.notes.add_at(at, Note::Listed(placer, number, state));
         }
@@ -986,7 +1131,9 @@
     }
 
     fn say(&mut self, notes: &Notes, id: u64, word: Word) {
-        let Some((conn, key, _)) = self.tasks.get(&id) else { return };
+        let Some((conn, key, _)) = self.tasks.get(&id) else {
+            return;
+        };
         let (conn, key, number) = (*conn, *key, self.number);
         match word {
             Word::Up => {
@@ -994,22 +1141,32 @@
                 notes.runs(key, Running { id, host: number });
                 if self.fault == HostFault::Spoilt {
                     notes.add(Note::Said(id, number, Said::Cut));
-                    return self
-                        .write_bytes(conn, format!("{{\"t\":\"up\",\"ref\":\"{}\n", hex(id)).as_bytes());
+                    return self.write_bytes(
+                        conn,
+                        format!("{{\"t\":\"up\",\"ref\":\"{}\n", hex(id)).as_bytes(),
+                    );
                 }
                 notes.add(Note::Said(id, number, Said::Up(fingerprint(&answer))));
                 // A start whose connection is gone is nobody's: it is found later.
                 if self.conns.contains_key(&conn) {
-                    self.write(conn, &json!({ "t": "up", "ref": hex(id), "f": {}, "d": answer }));
+                    self.write(
+                        conn,
+                        &json!({ "t": "up", "ref": hex(id), "f": {}, "d": answer }),
+                    );
                 }
             }
             Word::Down(cause, note) => {
                 notes.ran(key, number);
                 let placer = self.callers.get(&conn).copied();
                 let heard = self.conns.values().any(|conn| conn.placer == placer);
-                let word = if heard { Said::Down(cause) } else { Said::Unsent(cause) };
+                let word = if heard {
+                    Said::Down(cause)
+                } else {
+                    Said::Unsent(cause)
+                };
                 notes.add(Note::Said(id, number, word));
-                let line = json!({ "t": "down", "ref": hex(id), "f": { "note": note }, "c": cause });
+                let line =
+                    json!({ "t": "down", "ref": hex(id), "f": { "note": note }, "c": cause });
                 let refused = matches!(cause, 34 | 102);
                 if !refused {
                     let mut bytes = line.encode().into_bytes();
@@ -1040,7 +1197,11 @@
 }
 
 fn read_description(text: &str, id: u64, left: Micros) -> Offer {
-    let line = |name: &str| text.lines().find_map(|line| line.strip_prefix(name)).unwrap_or_default();
+    let line = |name: &str| {
+        text.lines()
+            .find_map(|line| line.strip_prefix(name))
+            .unwrap_or_default()
+    };
     let (cores, memory) = line("a=").split_once(' ').unwrap_or(("1", "1"));
     Offer {
         id,
--- a/src/bin/anisehead-benchlink/main.rs
+++ b/src/bin/anisehead-benchlink/main.rs
@@ -28,12 +28,25 @@
 
 impl Host {
     /// Handles one event line of a batch. `catalog` holds the entries that follow a CATALOG line.
-    fn event(&mut self, f: &Fields, now: Micros, at: Option<u64>, out: &mut Reply) -> Result<(), Problem> {
+    fn event(
+        &mut self,
+        f: &Fields,
+        now: Micros,
+        at: Option<u64>,
+        out: &mut Reply,
+    ) -> Result<(), Problem> {
         let at = at.ok_or_else(|| f.problem("placer", "no INSTANCE line before this event"))?;
         if f.name == "NEW_INSTANCE" {
             let seed = f.unsigned(0, "salt")?;
-            let (settings, names) = settings::read(&pairs(f)?).map_err(|e| f.problem(&e.field, &e.what))?;
-            self.instances.insert(at, Instance { placer: Placer::new(settings, seed), names });
+            let (settings, names) =
+                settings::read(&pairs(f)?).map_err(|e| f.problem(&e.field, &e.what))?;
+            self.instances.insert(
+                at,
+                Instance {
+                    placer: Placer::new(settings, seed),
+                    names,
+                },
+            );
             return Ok(());
         }
         if f.name == "STOP" {
@@ -43,8 +56,13 @@
                 None => Err(f.problem("placer", "unknown instance")),
             };
         }
-        let instance = self.instances.get_mut(&at).ok_or_else(|| f.problem("placer", "unknown instance"))?;
-        let Some(event) = wire::event(f, &instance.names, &self.catalogs)? else { return Ok(()) };
+        let instance = self
+            .instances
+            .get_mut(&at)
+            .ok_or_else(|| f.problem("placer", "unknown instance"))?;
+        let Some(event) = wire::event(f, &instance.names, &self.catalogs)? else {
+            return Ok(());
+        };
         instance.placer.handle(now, &event, &mut self.actions);
         out.from(at);
         for action in self.actions.drain(..) {
@@ -114,7 +132,9 @@
             ("EOB", Some(_)) => {
                 f.exactly(0)?;
                 reply.text.push_str("YIELD\n");
-                let sent = output.write_all(reply.text.as_bytes()).and_then(|()| output.flush());
+                let sent = output
+                    .write_all(reply.text.as_bytes())
+                    .and_then(|()| output.flush());
                 sent.map_err(|e| Problem::at(number, "output", &e.to_string()))?;
                 reply = Reply::default();
                 now = None;
