--- a/src/bin/anisehead-benchlink/wire.rs
+++ b/src/bin/anisehead-benchlink/wire.rs
@@ -15,7 +15,11 @@
 
 impl Problem {
     pub fn at(line: u64, field: &str, what: &str) -> Problem {
-        Problem { line, field: field.to_string(), what: what.to_string() }
+        Problem {
+            line,
+            field: field.to_string(),
+            what: what.to_string(),
+        }
     }
 }
 
@@ -35,7 +39,11 @@
 impl<'a> Fields<'a> {
     pub fn new(line: u64, text: &'a str) -> Fields<'a> {
         let mut parts = text.split('\t');
-        Fields { line, name: parts.next().unwrap_or(""), values: parts.collect() }
+        Fields {
+            line,
+            name: parts.next().unwrap_or(""),
+            values: parts.collect(),
+        }
     }
 
     pub fn problem(&self, field: &str, what: &str) -> Problem {
@@ -46,7 +54,10 @@
         if self.values.len() == count {
             return Ok(());
         }
-        Err(self.problem("message", &format!("{} values where {count} belong", self.values.len())))
+        Err(self.problem(
+            "message",
+            &format!("{} values where {count} belong", self.values.len()),
+        ))
     }
 
     pub fn text(&self, i: usize, field: &str) -> Result<&'a str, Problem> {
@@ -58,7 +69,8 @@
 
     pub fn unsigned(&self, i: usize, field: &str) -> Result<u64, Problem> {
         let text = self.text(i, field)?;
-        text.parse().map_err(|_| self.problem(field, &format!("not a whole number: {text}")))
+        text.parse()
+            .map_err(|_| self.problem(field, &format!("not a whole number: {text}")))
     }
 
     pub fn number(&self, i: usize, field: &str) -> Result<f64, Problem> {
@@ -67,7 +79,11 @@
     }
 
     fn number_or(&self, i: usize, field: &str, absent: f64) -> Result<f64, Problem> {
-        if self.text(i, field)? == "-" { Ok(absent) } else { self.number(i, field) }
+        if self.text(i, field)? == "-" {
+            Ok(absent)
+        } else {
+            self.number(i, field)
+        }
     }
 
     pub fn micros(&self, i: usize, field: &str) -> Result<Micros, Problem> {
@@ -87,7 +103,8 @@
         if text == "-" {
             return Ok(0);
         }
-        u64::from_str_radix(text, 16).map_err(|_| self.problem(field, &format!("not hex digits: {text}")))
+        u64::from_str_radix(text, 16)
+            .map_err(|_| self.problem(field, &format!("not hex digits: {text}")))
     }
 
     fn named(&self, i: usize, field: &str, names: &[String]) -> Result<usize, Problem> {
@@ -113,8 +130,12 @@
         if text == "-" {
             return Ok(Vec::new());
         }
-        let values = text.split(',').map(|v| if v == "-" { Some(0.0) } else { parse_number(v) });
-        values.collect::<Option<_>>().ok_or_else(|| self.problem(field, &format!("not numbers: {text}")))
+        let values = text
+            .split(',')
+            .map(|v| if v == "-" { Some(0.0) } else { parse_number(v) });
+        values
+            .collect::<Option<_>>()
+            .ok_or_else(|| self.problem(field, &format!("not numbers: {text}")))
     }
 
     fn outcome(&self, i: usize) -> Result<Outcome, Problem> {
@@ -149,7 +170,19 @@
 
     /// The fields that TASK and STANDING share, found at these places.
     fn task(&self, at: [usize; 11], names: &Names) -> Result<Task, Problem> {
-        let [id, class, tenant, key, budget, hint, service, cores, memory, resent, back] = at;
+        let [
+            id,
+            class,
+            tenant,
+            key,
+            budget,
+            hint,
+            service,
+            cores,
+            memory,
+            resent,
+            back,
+        ] = at;
         let tenant = match self.values.get(tenant) {
             None | Some(&("-" | "0")) => None,
             Some(_) => Some(TenantId(self.named(tenant, "billing", &names.tenants)?)),
@@ -215,7 +248,9 @@
             if kind != ListKind::Failed {
                 f.number_or(1, "seq_no", 0.0)?;
                 let list = f.unsigned(2, "list")?;
-                let lines = catalogs.get(&list).ok_or_else(|| f.problem("list", "unknown list"))?;
+                let lines = catalogs
+                    .get(&list)
+                    .ok_or_else(|| f.problem("list", "unknown list"))?;
                 for text in lines {
                     entries.push(entry(f.line, text, names)?);
                 }
@@ -254,7 +289,12 @@
                 _ => Note::Other,
             };
             let value = f.number_or(4, "value", 0.0)?;
-            Event::Noted { id: f.id(0, "rid")?, host: f.host(2, "host")?, note, value }
+            Event::Noted {
+                id: f.id(0, "rid")?,
+                host: f.host(2, "host")?,
+                note,
+                value,
+            }
         }
         "RESULT" => {
             f.exactly(8)?;
@@ -316,7 +356,9 @@
         Action::Fail { id } => writeln!(out, "FINISH_ERROR\t{}", id.0),
         Action::Move { id } => writeln!(out, "TAKE_OFF\t{}", id.0),
         Action::Probe { host } => writeln!(out, "SOUND_OUT\t{}", host.0),
-        Action::SetTimer { token, after } => writeln!(out, "SET_ALARM\t{}\t{}", token.0, ms(*after)),
+        Action::SetTimer { token, after } => {
+            writeln!(out, "SET_ALARM\t{}\t{}", token.0, ms(*after))
+        }
         Action::Log(text) => writeln!(out, "RECORD\t{}", text.replace(['\n', '\t'], " ")),
     };
     written.expect("writing to a String cannot fail");
--- a/src/bin/anisehead-benchlink/wire/tests.rs
+++ b/src/bin/anisehead-benchlink/wire/tests.rs
@@ -12,13 +12,38 @@
         (Action::Fetch, "SNAPSHOT\n"),
         (Action::Close { host: host() }, "LET_GO\thost.b\n"),
         (Action::Fault("no\tway".into()), "BAIL_OUT\tno way\n"),
-        (Action::Send { id: id(), host: host(), timeout: 80_500 }, "PROPOSE\tc:a\thost.b\t80.5\n"),
-        (Action::Cancel { id: id(), attempt: 2 }, "RETRACT\tc:a\t2\n"),
-        (Action::Refuse { id: id(), retry_after: 1_000 }, "SHED\tc:a\t1\n"),
+        (
+            Action::Send {
+                id: id(),
+                host: host(),
+                timeout: 80_500,
+            },
+            "PROPOSE\tc:a\thost.b\t80.5\n",
+        ),
+        (
+            Action::Cancel {
+                id: id(),
+                attempt: 2,
+            },
+            "RETRACT\tc:a\t2\n",
+        ),
+        (
+            Action::Refuse {
+                id: id(),
+                retry_after: 1_000,
+            },
+            "SHED\tc:a\t1\n",
+        ),
         (Action::Fail { id: id() }, "FINISH_ERROR\tc:a\n"),
         (Action::Move { id: id() }, "TAKE_OFF\tc:a\n"),
         (Action::Probe { host: host() }, "SOUND_OUT\thost.b\n"),
-        (Action::SetTimer { token: TimerToken(7), after: 2_000 }, "SET_ALARM\t7\t2\n"),
+        (
+            Action::SetTimer {
+                token: TimerToken(7),
+                after: 2_000,
+            },
+            "SET_ALARM\t7\t2\n",
+        ),
         (Action::Log("one\nline".into()), "RECORD\tone line\n"),
     ];
     for (action, line) in cases {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -125,7 +125,12 @@
         }
         Some(Command::Call { at, call }) => call_at(*at, call),
         Some(Command::Completions { shell }) => {
-            clap_complete::generate(*shell, &mut Cli::command(), "anisehead", &mut std::io::stdout());
+            clap_complete::generate(
+                *shell,
+                &mut Cli::command(),
+                "anisehead",
+                &mut std::io::stdout(),
+            );
             ExitCode::SUCCESS
         }
     }
@@ -139,9 +144,15 @@
 fn disagreements(config: &config::Config, operator: &Operator) -> Vec<(&'static str, String)> {
     let mut found = Vec::new();
     let health = &operator.health;
-    for (field, addresses) in [("health.agent", &health.agent), ("health.http", &health.http)] {
+    for (field, addresses) in [
+        ("health.agent", &health.agent),
+        ("health.http", &health.http),
+    ] {
         if addresses.contains(&config.listen) {
-            found.push((field, format!("{} is where clients connect (listen)", config.listen)));
+            found.push((
+                field,
+                format!("{} is where clients connect (listen)", config.listen),
+            ));
         }
     }
     // Clients hold at most a third of the descriptors; hosts and the placer itself need theirs.
@@ -155,7 +166,10 @@
     }
     let queues = config.limits.memory / 16;
     if operator.log.queue > queues {
-        let what = format!("{} is more than a sixteenth of limits.memory_mb, {queues}", operator.log.queue);
+        let what = format!(
+            "{} is more than a sixteenth of limits.memory_mb, {queues}",
+            operator.log.queue
+        );
         found.push(("log.queue-bytes", what));
     }
     found
@@ -179,12 +193,21 @@
     let loaded = load_operator(cli.files.operator.as_deref());
     let mut operator = loaded.operator;
     if let Some(path) = cli.files.operator.as_deref() {
-        let mut wrong: Vec<String> =
-            loaded.problems.iter().map(|p| p.line(&path.to_string_lossy())).collect();
+        let mut wrong: Vec<String> = loaded
+            .problems
+            .iter()
+            .map(|p| p.line(&path.to_string_lossy()))
+            .collect();
         let between = disagreements(&config, &operator);
-        wrong.extend(between.iter().map(|(field, what)| format!("{}: {field}: {what}", path.display())));
+        wrong.extend(
+            between
+                .iter()
+                .map(|(field, what)| format!("{}: {field}: {what}", path.display())),
+        );
         if !wrong.is_empty() {
-            wrong.iter().for_each(|line| complain(&format!("anisehead: {line}")));
+            wrong
+                .iter()
+                .for_each(|line| complain(&format!("anisehead: {line}")));
             return ExitCode::FAILURE;
         }
     }
@@ -216,10 +239,15 @@
     match asked() {
         Ok(reply) if !reply.is_empty() => {
             let _ = std::io::stdout().write_all(reply.as_bytes());
-            if reply.starts_with("fail") { ExitCode::FAILURE } else { ExitCode::SUCCESS }
+            if reply.starts_with("fail") {
+                ExitCode::FAILURE
+            } else {
+                ExitCode::SUCCESS
+            }
         }
         answered => {
-            let why = answered.map_or_else(|e| e.to_string(), |_| "closed without a reply".to_string());
+            let why =
+                answered.map_or_else(|e| e.to_string(), |_| "closed without a reply".to_string());
             complain(&format!("anisehead: {address}: {why}"));
             ExitCode::from(UNANSWERED)
         }
@@ -236,12 +264,20 @@
         }
     };
     let loaded = load_operator(cli.files.operator.as_deref());
-    let name = cli.files.operator.as_deref().map(|p| p.to_string_lossy().into_owned());
+    let name = cli
+        .files
+        .operator
+        .as_deref()
+        .map(|p| p.to_string_lossy().into_owned());
     let name = name.unwrap_or_else(|| "no operator's file".to_string());
     wrong.extend(loaded.problems.iter().map(|problem| problem.line(&name)));
     if let Some(config) = &config {
         let between = disagreements(config, &loaded.operator);
-        wrong.extend(between.iter().map(|(field, what)| format!("{name}: {field}: {what}")));
+        wrong.extend(
+            between
+                .iter()
+                .map(|(field, what)| format!("{name}: {field}: {what}")),
+        );
     }
     if !wrong.is_empty() {
         wrong.iter().for_each(|line| complain(line));
@@ -252,13 +288,20 @@
         let _ = writeln!(out, "{line}");
     };
     if let Some(config) = &config {
-        let from = cli.files.config.as_deref().map(|p| p.display().to_string()).unwrap_or_default();
+        let from = cli
+            .files
+            .config
+            .as_deref()
+            .map(|p| p.display().to_string())
+            .unwrap_or_default();
         for (field, value) in config.in_force() {
             say(format!("{field} = {value}  # {from}"));
         }
     }
     for value in &loaded.in_force {
-        let origin = value.line.map_or_else(|| "default".to_string(), |line| format!("{name}:{line}"));
+        let origin = value
+            .line
+            .map_or_else(|| "default".to_string(), |line| format!("{name}:{line}"));
         say(format!("{} = {}  # {origin}", value.field, value.value));
     }
     if let Some(format) = cli.log.log_format {
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -47,7 +47,10 @@
     ];
 
     fn as_str(self) -> &'static str {
-        Order::ALL.iter().find(|(_, order)| *order == self).map_or("", |(name, _)| name)
+        Order::ALL
+            .iter()
+            .find(|(_, order)| *order == self)
+            .map_or("", |(name, _)| name)
     }
 }
 
@@ -56,12 +59,21 @@
     let value = simd_json::to_borrowed_value(line).map_err(|e| format!("not JSON: {e}"))?;
     match value.get_u64("v") {
         Some(VERSION) => {}
-        Some(other) => return Err(format!("version {other}: this placer speaks version {VERSION}")),
+        Some(other) => {
+            return Err(format!(
+                "version {other}: this placer speaks version {VERSION}"
+            ));
+        }
         None => return Err("no version: expected \"v\":1".to_string()),
     }
     let name = value.get_str("do").ok_or("expected \"do\" with an order")?;
-    let order = Order::ALL.iter().find(|(known, _)| *known == name).map(|(_, order)| *order);
-    order.ok_or_else(|| format!("no such order: {name}; known are drain, ready, maint, state, overload"))
+    let order = Order::ALL
+        .iter()
+        .find(|(known, _)| *known == name)
+        .map(|(_, order)| *order);
+    order.ok_or_else(|| {
+        format!("no such order: {name}; known are drain, ready, maint, state, overload")
+    })
 }
 
 /// The answer to an order: what was found, or what went wrong.
@@ -95,7 +107,9 @@
         (None, None) => None,
     };
     let Some(socket) = socket else {
-        complain("anisehead: no socket: name one by --socket, or an operator's file that has [ctl] socket");
+        complain(
+            "anisehead: no socket: name one by --socket, or an operator's file that has [ctl] socket",
+        );
         return ExitCode::FAILURE;
     };
     let line = match ask(&socket, order) {
@@ -107,11 +121,17 @@
     };
     let mut bytes = line.clone().into_bytes();
     let Ok(value) = simd_json::to_owned_value(&mut bytes) else {
-        complain(&format!("anisehead: {}: answered what is no JSON", socket.display()));
+        complain(&format!(
+            "anisehead: {}: answered what is no JSON",
+            socket.display()
+        ));
         return ExitCode::FAILURE;
     };
     if value.get_bool("ok") != Some(true) {
-        complain(&format!("anisehead: {}", value.get_str("error").unwrap_or("refused")));
+        complain(&format!(
+            "anisehead: {}",
+            value.get_str("error").unwrap_or("refused")
+        ));
         return ExitCode::FAILURE;
     }
     let text = match order {
@@ -133,7 +153,10 @@
     let mut line = String::new();
     BufReader::new(stream.take(MOST_ANSWER)).read_line(&mut line)?;
     if line.is_empty() {
-        return Err(std::io::Error::new(std::io::ErrorKind::UnexpectedEof, "closed without an answer"));
+        return Err(std::io::Error::new(
+            std::io::ErrorKind::UnexpectedEof,
+            "closed without an answer",
+        ));
     }
     Ok(line)
 }
@@ -141,13 +164,17 @@
 /// An answer for people.
 fn told(value: &OwnedValue) -> String {
     let text = |name: &str| value.get_str(name).unwrap_or_default().to_string();
-    let number = |value: &OwnedValue, name: &str| value.get(name).and_then(|v| v.cast_f64()).unwrap_or(0.0);
+    let number =
+        |value: &OwnedValue, name: &str| value.get(name).and_then(|v| v.cast_f64()).unwrap_or(0.0);
     let mut lines = vec![format!("{} {}%", text("state"), number(value, "weight"))];
     if !text("reason").is_empty() {
         lines.push(format!("held down by {}", text("reason")));
     }
     if let Some(signals) = value.get_array("signals") {
-        lines.push(format!("the fleet explains {:.0}% of what goes badly", 100.0 * number(value, "fleet")));
+        lines.push(format!(
+            "the fleet explains {:.0}% of what goes badly",
+            100.0 * number(value, "fleet")
+        ));
         for signal in signals {
             let code = signal.get_str("code").unwrap_or_default();
             lines.push(format!(
@@ -183,13 +210,24 @@
     if let Some(left) = number(value, "attempts-left") {
         first.push_str(&format!("; {left:.1} further attempts left"));
     }
-    first.push_str(&format!("; {} clients stay away", number(value, "away").unwrap_or(0.0)));
+    first.push_str(&format!(
+        "; {} clients stay away",
+        number(value, "away").unwrap_or(0.0)
+    ));
     let mut lines = vec![first];
     if let Some(counters) = value.get_object("counters") {
-        let mut counters: Vec<(&String, u64)> =
-            counters.iter().map(|(name, v)| (name, v.as_u64().unwrap_or(0))).collect();
+        let mut counters: Vec<(&String, u64)> = counters
+            .iter()
+            .map(|(name, v)| (name, v.as_u64().unwrap_or(0)))
+            .collect();
         counters.sort();
-        lines.push(counters.iter().map(|(name, n)| format!("{name} {n}")).collect::<Vec<_>>().join("  "));
+        lines.push(
+            counters
+                .iter()
+                .map(|(name, n)| format!("{name} {n}"))
+                .collect::<Vec<_>>()
+                .join("  "),
+        );
     }
     for host in value.get_array("hosts").into_iter().flatten() {
         let name = host.get_str("host").unwrap_or_default();
--- a/src/ctl/tests.rs
+++ b/src/ctl/tests.rs
@@ -5,7 +5,15 @@
 #[test]
 fn orders_are_read_and_what_is_none_is_named() {
     for (name, order) in Order::ALL {
-        assert_eq!(read(format!("{{\"v\":1,\"do\":\"{name}\"}}").as_bytes().to_vec().as_mut()), Ok(order));
+        assert_eq!(
+            read(
+                format!("{{\"v\":1,\"do\":\"{name}\"}}")
+                    .as_bytes()
+                    .to_vec()
+                    .as_mut()
+            ),
+            Ok(order)
+        );
         assert_eq!(order.as_str(), name);
     }
     for (line, says) in [
@@ -23,10 +31,16 @@
 
 #[test]
 fn answers_are_lines_with_the_version() {
-    assert_eq!(answer(Err("no".into())), b"{\"v\":1,\"ok\":false,\"error\":\"no\"}\n");
+    assert_eq!(
+        answer(Err("no".into())),
+        b"{\"v\":1,\"ok\":false,\"error\":\"no\"}\n"
+    );
     let mut line = answer(Ok(json!({ "state": "up", "weight": 100 })));
     let value = simd_json::to_owned_value(&mut line).expect("JSON");
-    assert_eq!((value.get_u64("v"), value.get_bool("ok")), (Some(1), Some(true)));
+    assert_eq!(
+        (value.get_u64("v"), value.get_bool("ok")),
+        (Some(1), Some(true))
+    );
     assert_eq!(told(&value), "up 100%");
     let value = json!({
         "step": 2, "through": 0.81, "attempts-left": 1.5, "away": 3, "counters": { "shed": 7, "again": 2 },
--- a/src/descriptors/mod.rs
+++ b/src/descriptors/mod.rs
@@ -42,9 +42,16 @@
     /// The shares of `sockets` descriptors, with so many set `apart` and so many hosts listed.
     pub fn of(sockets: usize, apart: usize, listed: usize) -> Shares {
         let free = sockets.saturating_sub(OWN + apart).max(2 * FEWEST);
-        let promised = (sockets.div_ceil(CLIENTS_PART) + ENDING).min(free - FEWEST).max(FEWEST);
-        let hosts = (free - promised).min(listed.saturating_mul(A_HOST)).max(FEWEST);
-        Shares { clients: free - hosts, hosts }
+        let promised = (sockets.div_ceil(CLIENTS_PART) + ENDING)
+            .min(free - FEWEST)
+            .max(FEWEST);
+        let hosts = (free - promised)
+            .min(listed.saturating_mul(A_HOST))
+            .max(FEWEST);
+        Shares {
+            clients: free - hosts,
+            hosts,
+        }
     }
 }
 
--- a/src/descriptors/pool.rs
+++ b/src/descriptors/pool.rs
@@ -90,7 +90,14 @@
     /// With so many slots.
     pub fn new(most: usize) -> Pool<H, C> {
         let (slots, order) = (BTreeMap::new(), BTreeSet::new());
-        Pool { most, slots, order, closing: 0, waiting: BTreeMap::new(), queue: BTreeSet::new() }
+        Pool {
+            most,
+            slots,
+            order,
+            closing: 0,
+            waiting: BTreeMap::new(),
+            queue: BTreeSet::new(),
+        }
     }
 
     /// Sets the number of slots. What is held beyond it is closed as [`Pool::make_way`] tells.
@@ -116,7 +123,11 @@
     /// A call to a host is wanted. One that waits already keeps its place, and goes up with its want.
     pub fn ask(&mut self, now: Micros, host: H, want: Want) -> Answer {
         if want == Want::Warm {
-            return if self.spacious() { Answer::Call } else { Answer::No };
+            return if self.spacious() {
+                Answer::Call
+            } else {
+                Answer::No
+            };
         }
         if self.waiting.is_empty() && self.slots.len() < self.most {
             return Answer::Call;
@@ -170,12 +181,21 @@
     /// A connection holds a slot from now on. Until it is up it is as busy as one with an offer out.
     pub fn taken(&mut self, now: Micros, conn: C) {
         self.order.insert((Rank::Busy, now, conn.clone()));
-        self.slots.insert(conn, Slot { rank: Rank::Busy, used: now, closing: false });
+        self.slots.insert(
+            conn,
+            Slot {
+                rank: Rank::Busy,
+                used: now,
+                closing: false,
+            },
+        );
     }
 
     /// What a connection is needed for now; `used` where it was just used for that.
     pub fn rank(&mut self, conn: &C, rank: Rank, used: Option<Micros>) {
-        let Some(slot) = self.slots.get_mut(conn) else { return };
+        let Some(slot) = self.slots.get_mut(conn) else {
+            return;
+        };
         let at = used.unwrap_or(slot.used);
         if slot.closing || (slot.rank, slot.used) == (rank, at) {
             return;
--- a/src/descriptors/pool/tests.rs
+++ b/src/descriptors/pool/tests.rs
@@ -23,25 +23,40 @@
         (&[Busy, Stands, Stands, Busy], Want::Offer, 0, Some(1)),
         (&[Busy, Stands, Stands, Busy], Want::Release, 0, Some(1)),
         (&[Busy, Stands, Stands, Busy], Want::Visit, 200 * MS, None),
-        (&[Busy, Stands, Stands, Busy], Want::Visit, 300 * MS, Some(1)),
+        (
+            &[Busy, Stands, Stands, Busy],
+            Want::Visit,
+            300 * MS,
+            Some(1),
+        ),
         (&[Busy, Busy, Busy, Busy], Want::Offer, 900 * MS, None),
     ] {
         let mut pool = held(4, ranks);
         assert_eq!(pool.ask(now, 9, want), Answer::Wait);
         assert_eq!(pool.make_way(now), closed, "{ranks:?} {want:?} {now}");
     }
-    assert_eq!(held(4, &[Busy, Idle, Spare, Spare]).ask(0, 9, Want::Warm), Answer::No);
+    assert_eq!(
+        held(4, &[Busy, Idle, Spare, Spare]).ask(0, 9, Want::Warm),
+        Answer::No
+    );
     assert_eq!(held(8, &[Busy; 4]).ask(0, 9, Want::Warm), Answer::Call);
     assert_eq!(held(5, &[Busy; 4]).ask(0, 9, Want::Visit), Answer::Call);
-    assert_eq!(held(8, &[Busy; 7]).ask(0, 9, Want::Warm), Answer::No, "one in eight is kept");
+    assert_eq!(
+        held(8, &[Busy; 7]).ask(0, 9, Want::Warm),
+        Answer::No,
+        "one in eight is kept"
+    );
 }
 
 #[test]
 fn calls_are_served_by_want_and_then_by_age() {
     let mut pool = held(1, &[Rank::Busy]);
-    for (now, host, want) in
-        [(1, 1, Want::Visit), (2, 2, Want::Offer), (3, 3, Want::Release), (4, 4, Want::Offer)]
-    {
+    for (now, host, want) in [
+        (1, 1, Want::Visit),
+        (2, 2, Want::Offer),
+        (3, 3, Want::Release),
+        (4, 4, Want::Offer),
+    ] {
         assert_eq!(pool.ask(now, host, want), Answer::Wait);
     }
     // It goes up with its want and keeps its age.
@@ -56,7 +71,11 @@
 fn one_connection_makes_way_for_one_call() {
     let mut pool = held(3, &[Rank::Idle; 3]);
     pool.ask(1, 7, Want::Offer);
-    assert_eq!((pool.make_way(1), pool.make_way(1)), (Some(0), None), "its slot is coming");
+    assert_eq!(
+        (pool.make_way(1), pool.make_way(1)),
+        (Some(0), None),
+        "its slot is coming"
+    );
     pool.ask(1, 7, Want::Offer);
     assert_eq!(pool.make_way(1), None, "it is the same call");
     pool.ask(1, 8, Want::Offer);
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -184,14 +184,25 @@
             let kinds = settings.kinds.iter().enumerate();
             let kinds = kinds.filter(|(i, _)| class.kind.is_none_or(|kind| kind.0 == *i));
             let size = kinds.map(|(_, kind)| {
-                [kind.cores * settings.accepts_cores, kind.memory * settings.accepts_memory]
+                [
+                    kind.cores * settings.accepts_cores,
+                    kind.memory * settings.accepts_memory,
+                ]
             });
-            let size = size.fold([0.0; 2], |a, b| [f64::max(a[0], b[0]), f64::max(a[1], b[1])]);
-            Most { aim: class.aim, deadline: class.deadline, size }
+            let size = size.fold([0.0; 2], |a, b| {
+                [f64::max(a[0], b[0]), f64::max(a[1], b[1])]
+            });
+            Most {
+                aim: class.aim,
+                deadline: class.deadline,
+                size,
+            }
         };
         Facade {
             most: settings.classes.iter().map(most).collect(),
-            ordinary: settings.list_shows_room.then_some([settings.mean_cores, settings.mean_memory]),
+            ordinary: settings
+                .list_shows_room
+                .then_some([settings.mean_cores, settings.mean_memory]),
             placer: Placer::new(settings, seed),
             names,
             timers: BTreeSet::new(),
@@ -203,9 +214,20 @@
 
     /// The same, bounded by what the fleet of placers bears. `wall` is the wall clock at the time 0 of all
     /// calls, in microseconds since 1970.
-    pub fn bounded(settings: Settings, names: Names, seed: u64, parts: Parts, wall: Micros) -> Facade {
-        let overload = parts.any().then(|| Overload::new(parts, &settings, wall, seed));
-        Facade { overload, ..Facade::new(settings, names, seed) }
+    pub fn bounded(
+        settings: Settings,
+        names: Names,
+        seed: u64,
+        parts: Parts,
+        wall: Micros,
+    ) -> Facade {
+        let overload = parts
+            .any()
+            .then(|| Overload::new(parts, &settings, wall, seed));
+        Facade {
+            overload,
+            ..Facade::new(settings, names, seed)
+        }
     }
 
     /// What bounds it, if anything does.
@@ -215,7 +237,13 @@
 
     /// So many processes act as this placer from now on, and this is one of them.
     pub fn share(&mut self, now: Micros, share: Share) -> Vec<Verdict> {
-        self.give(now, Event::Bounds(vec![Bound::Processes { of: share.of, me: share.me }]))
+        self.give(
+            now,
+            Event::Bounds(vec![Bound::Processes {
+                of: share.of,
+                me: share.me,
+            }]),
+        )
     }
 
     /// The names of the settings.
@@ -235,7 +263,11 @@
 
     /// The longest that a client of any class waits.
     pub fn longest(&self) -> Micros {
-        self.most.iter().map(|most| most.deadline).max().unwrap_or(0)
+        self.most
+            .iter()
+            .map(|most| most.deadline)
+            .max()
+            .unwrap_or(0)
     }
 
     /// Listed machines that get no offers now, whatever is asked: they drain, or are shut after failures.
@@ -273,10 +305,25 @@
     /// Takes news.
     pub fn report(&mut self, now: Micros, news: News) -> Vec<Verdict> {
         let event = match news {
-            News::Placed { ticket, attempt, host, elapsed } => {
-                Event::First { id: ticket.id(), attempt, host, elapsed }
-            }
-            News::Ended { ticket, attempt, host, outcome, detail, elapsed } => Event::Outcome {
+            News::Placed {
+                ticket,
+                attempt,
+                host,
+                elapsed,
+            } => Event::First {
+                id: ticket.id(),
+                attempt,
+                host,
+                elapsed,
+            },
+            News::Ended {
+                ticket,
+                attempt,
+                host,
+                outcome,
+                detail,
+                elapsed,
+            } => Event::Outcome {
                 id: ticket.id(),
                 attempt,
                 host,
@@ -286,23 +333,47 @@
                 elapsed,
                 report: Vec::new(),
             },
-            News::Noted { ticket, host, note, value } => Event::Noted { id: ticket.id(), host, note, value },
+            News::Noted {
+                ticket,
+                host,
+                note,
+                value,
+            } => Event::Noted {
+                id: ticket.id(),
+                host,
+                note,
+                value,
+            },
             News::GivenUp(ticket) => Event::Gone(ticket.id()),
-            News::Known(entries) => Event::Members { kind: ListKind::Cached, entries },
-            News::Listed { whole, entries } => {
-                Event::Members { kind: if whole { ListKind::Full } else { ListKind::Delta }, entries }
-            }
+            News::Known(entries) => Event::Members {
+                kind: ListKind::Cached,
+                entries,
+            },
+            News::Listed { whole, entries } => Event::Members {
+                kind: if whole {
+                    ListKind::Full
+                } else {
+                    ListKind::Delta
+                },
+                entries,
+            },
             News::FeedUp => {
                 self.feed_up = true;
                 if !std::mem::take(&mut self.watch_owed) {
                     return Vec::new();
                 }
-                Event::Members { kind: ListKind::Delta, entries: Vec::new() }
+                Event::Members {
+                    kind: ListKind::Delta,
+                    entries: Vec::new(),
+                }
             }
             News::FeedDown => {
                 self.feed_up = false;
                 self.watch_owed = false;
-                Event::Members { kind: ListKind::Failed, entries: Vec::new() }
+                Event::Members {
+                    kind: ListKind::Failed,
+                    entries: Vec::new(),
+                }
             }
             News::Closing(within) => Event::Closing(within),
         };
@@ -336,12 +407,17 @@
         let Some(Most { deadline, size, .. }) = class.and_then(|class| self.most.get(class)) else {
             return Err(Unfit("unknown class"));
         };
-        let tenant = ask.tenant.as_ref().is_none_or(|tenant| self.names.tenants.contains(tenant));
+        let tenant = ask
+            .tenant
+            .as_ref()
+            .is_none_or(|tenant| self.names.tenants.contains(tenant));
         if !tenant && !self.names.tenants.is_empty() {
             return Err(Unfit("unknown tenant"));
         }
         // Twice the size: kinds state what is usual, and a machine may be larger.
-        let mut asks = [ask.cores, ask.memory].into_iter().zip(size.iter().copied());
+        let mut asks = [ask.cores, ask.memory]
+            .into_iter()
+            .zip(size.iter().copied());
         if asks.any(|(asked, most)| !(0.0..=2.0 * most).contains(&asked)) {
             return Err(Unfit("more than any machine has"));
         }
@@ -355,10 +431,16 @@
         let place = |names: &[String], name: &str| names.iter().position(|n| n == name);
         Ok(Task {
             id: ticket.id(),
-            class: place(&self.names.classes, &ask.class).map(ClassId).ok_or(Unfit("unknown class"))?,
+            class: place(&self.names.classes, &ask.class)
+                .map(ClassId)
+                .ok_or(Unfit("unknown class"))?,
             service: ServiceId(ask.service),
             key: TaskKey(ask.key),
-            tenant: ask.tenant.as_deref().and_then(|t| place(&self.names.tenants, t)).map(TenantId),
+            tenant: ask
+                .tenant
+                .as_deref()
+                .and_then(|t| place(&self.names.tenants, t))
+                .map(TenantId),
             cores: ask.cores,
             memory: ask.memory,
             hint: None,
@@ -398,10 +480,17 @@
                         None
                     }
                     Action::Send { id, host, timeout } => {
-                        Ticket::of(&id).map(|ticket| Verdict::Offer { ticket, host, timeout })
+                        Ticket::of(&id).map(|ticket| Verdict::Offer {
+                            ticket,
+                            host,
+                            timeout,
+                        })
                     }
                     Action::Refuse { id, retry_after } => {
-                        Ticket::of(&id).map(|ticket| Verdict::Refuse { ticket, retry_after })
+                        Ticket::of(&id).map(|ticket| Verdict::Refuse {
+                            ticket,
+                            retry_after,
+                        })
                     }
                     Action::Fail { id } => Ticket::of(&id).map(|ticket| Verdict::Fail { ticket }),
                     Action::Move { id } => Ticket::of(&id).map(|ticket| Verdict::Move { ticket }),
@@ -419,7 +508,13 @@
             }
         }
         if asked && self.feed_up {
-            verdicts.extend(self.give(now, Event::Members { kind: ListKind::Delta, entries: Vec::new() }));
+            verdicts.extend(self.give(
+                now,
+                Event::Members {
+                    kind: ListKind::Delta,
+                    entries: Vec::new(),
+                },
+            ));
         } else if asked {
             self.watch_owed = true;
         }
@@ -428,16 +523,31 @@
 
     /// What an event says to the engine that bounds the module.
     fn bound_by_event(&mut self, now: Micros, event: &Event, bounds: &mut Vec<Bound>) {
-        let Some(overload) = &mut self.overload else { return };
+        let Some(overload) = &mut self.overload else {
+            return;
+        };
         let told = match event {
             Event::Members { kind, entries } if *kind != ListKind::Failed => {
-                overload::Event::Listed { whole: *kind != ListKind::Delta, entries }
+                overload::Event::Listed {
+                    whole: *kind != ListKind::Delta,
+                    entries,
+                }
             }
             Event::First { id, .. } => overload::Event::Started { id },
-            Event::Outcome { id, outcome, detail, .. } => {
-                overload::Event::Ended { id, outcome: *outcome, detail: *detail }
-            }
-            Event::Gone(id) => overload::Event::Over { id, given_up: false },
+            Event::Outcome {
+                id,
+                outcome,
+                detail,
+                ..
+            } => overload::Event::Ended {
+                id,
+                outcome: *outcome,
+                detail: *detail,
+            },
+            Event::Gone(id) => overload::Event::Over {
+                id,
+                given_up: false,
+            },
             _ => return,
         };
         overload.handle(now, told, bounds);
@@ -448,7 +558,9 @@
 fn bound_by_action(overload: &mut Overload, now: Micros, action: &Action, bounds: &mut Vec<Bound>) {
     let told = match action {
         Action::Send { id, host, .. } => overload::Event::Offered { id, host },
-        Action::Refuse { id, .. } | Action::Fail { id } => overload::Event::Over { id, given_up: true },
+        Action::Refuse { id, .. } | Action::Fail { id } => {
+            overload::Event::Over { id, given_up: true }
+        }
         _ => return,
     };
     overload.handle(now, told, bounds);
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -183,7 +183,15 @@
     /// None yet.
     pub fn new(bounds: Bounds) -> Drain {
         let (phase, pollers) = (Phase::Idle, BTreeMap::new());
-        Drain { bounds, phase, since: 0, began: 0, exit: false, quiet_since: None, pollers }
+        Drain {
+            bounds,
+            phase,
+            since: 0,
+            began: 0,
+            exit: false,
+            quiet_since: None,
+            pollers,
+        }
     }
 
     /// Where it is.
@@ -199,7 +207,9 @@
     /// Balancers that poll, and how many of them have seen the drain.
     pub fn pollers(&self, now: Micros) -> (usize, usize) {
         let live = self.pollers.values().filter(|polls| polls.alive(now));
-        live.fold((0, 0), |(all, seen), polls| (all + 1, seen + usize::from(polls.seen.is_some())))
+        live.fold((0, 0), |(all, seen), polls| {
+            (all + 1, seen + usize::from(polls.seen.is_some()))
+        })
     }
 
     /// A balancer has been answered.
@@ -210,10 +220,19 @@
         };
         let telling = self.phase != Phase::Idle;
         if self.pollers.len() >= MOST_POLLERS && !self.pollers.contains_key(&poller) {
-            let oldest = self.pollers.iter().min_by_key(|(_, polls)| polls.last).map(|(p, _)| p.clone());
+            let oldest = self
+                .pollers
+                .iter()
+                .min_by_key(|(_, polls)| polls.last)
+                .map(|(p, _)| p.clone());
             oldest.map(|oldest| self.pollers.remove(&oldest));
         }
-        let fresh = Polls { last: now, interval: UNKNOWN_INTERVAL, told: 0, seen: None };
+        let fresh = Polls {
+            last: now,
+            interval: UNKNOWN_INTERVAL,
+            told: 0,
+            seen: None,
+        };
         let polls = self.pollers.entry(poller).or_insert(fresh);
         if now > polls.last {
             // The longer of the latest two counts: checks come in pairs and with jitter.
@@ -238,9 +257,15 @@
             Phase::Idle => {
                 self.exit = exit;
                 self.began = now;
-                self.pollers.values_mut().for_each(|polls| (polls.told, polls.seen) = (0, None));
+                self.pollers
+                    .values_mut()
+                    .for_each(|polls| (polls.told, polls.seen) = (0, None));
                 let mut effects = vec![Effect::Tell(true)];
-                effects.extend(self.enter(now, Phase::Telling, if exit { "signal" } else { "order" }));
+                effects.extend(self.enter(
+                    now,
+                    Phase::Telling,
+                    if exit { "signal" } else { "order" },
+                ));
                 effects
             }
             Phase::Answering | Phase::Over => Vec::new(),
@@ -273,7 +298,9 @@
             None => Some(now),
             since => since,
         };
-        let quiet = self.quiet_since.is_some_and(|since| now - since >= self.bounds.quiet);
+        let quiet = self
+            .quiet_since
+            .is_some_and(|since| now - since >= self.bounds.quiet);
         let clear = hand.owed == 0 && hand.unflushed == 0;
         let passed = now - self.since;
         match self.phase {
@@ -311,8 +338,11 @@
             Phase::Drained if clear => self.exit_if_told(now, hand),
             Phase::Drained => Vec::new(),
             Phase::Answering if passed >= self.bounds.last_end || (clear && quiet) => {
-                let mut effects =
-                    self.enter(now, Phase::Over, if clear { "all-answered" } else { "end-bound" });
+                let mut effects = self.enter(
+                    now,
+                    Phase::Over,
+                    if clear { "all-answered" } else { "end-bound" },
+                );
                 effects.push(Effect::Exit(hand));
                 effects
             }
@@ -326,7 +356,11 @@
         if now - self.began >= self.bounds.notice {
             return Some("notice-bound");
         }
-        let mut live = self.pollers.values().filter(|polls| polls.alive(now)).peekable();
+        let mut live = self
+            .pollers
+            .values()
+            .filter(|polls| polls.alive(now))
+            .peekable();
         if live.peek().is_none() {
             return (now - self.began >= self.bounds.quiet).then_some("nobody-polls");
         }
--- a/src/health/drain/tests.rs
+++ b/src/health/drain/tests.rs
@@ -68,7 +68,11 @@
         Hand::default()
     };
     let phases = run(&mut drain, 20 * SECOND, poll);
-    assert_eq!(phases[0], (3_050, Phase::Closing, "all-seen"), "four of its intervals");
+    assert_eq!(
+        phases[0],
+        (3_050, Phase::Closing, "all-seen"),
+        "four of its intervals"
+    );
     // A slow HTTP check needs 3 polls of 4 s, more than is waited.
     let slow = Poller(Check::Http, "slow".into());
     let mut drain = Drain::new(Bounds::default());
@@ -84,7 +88,10 @@
     });
     assert_eq!(phases[0], (10_000, Phase::Closing, "notice-bound"));
     let mut drain = begun(true, &[]);
-    assert_eq!(run(&mut drain, SECOND, |_, _| Hand::default())[0], (1_000, Phase::Closing, "nobody-polls"));
+    assert_eq!(
+        run(&mut drain, SECOND, |_, _| Hand::default())[0],
+        (1_000, Phase::Closing, "nobody-polls")
+    );
 }
 
 #[test]
@@ -111,7 +118,10 @@
 #[test]
 fn standing_tasks_that_do_not_end_are_left_at_a_bound_and_counted() {
     let mut drain = begun(true, &[]);
-    let hand = Hand { standing: 3, ..Hand::default() };
+    let hand = Hand {
+        standing: 3,
+        ..Hand::default()
+    };
     let mut left = None;
     for n in 1..=4_000 {
         for effect in drain.look(START + n * 50 * MS, hand) {
@@ -131,7 +141,10 @@
     assert_eq!(drain.cancel(START + SECOND), (false, vec![]));
     assert_eq!(drain.begin(START + SECOND, true), []);
     // Owed to the end: the process ends all the same.
-    let owed = Hand { owed: 1, ..Hand::default() };
+    let owed = Hand {
+        owed: 1,
+        ..Hand::default()
+    };
     assert_eq!(drain.look(START + SECOND + 3_450 * MS, owed), []);
     let last = drain.look(START + SECOND + 3_500 * MS, owed);
     assert_eq!(last.last(), Some(&Effect::Exit(owed)));
@@ -144,23 +157,44 @@
     assert_eq!(drain.phase(), Phase::Drained);
     assert_eq!(drain.begin(START + 21 * SECOND, true), []);
     let effects = drain.look(START + 21 * SECOND, Hand::default());
-    assert_eq!(effects, [Effect::Entered(Phase::Over, "drained"), Effect::Exit(Hand::default())]);
+    assert_eq!(
+        effects,
+        [
+            Effect::Entered(Phase::Over, "drained"),
+            Effect::Exit(Hand::default())
+        ]
+    );
     // An ask that is never answered does not end a process that was only told to drain.
     let mut drain = begun(false, &[]);
-    let phases = run(&mut drain, 60 * SECOND, |_, _| Hand { owed: 1, ..Hand::default() });
-    assert_eq!(phases.last().map(|p| (p.1, p.2)), Some((Phase::Standing, "answer-bound")));
+    let phases = run(&mut drain, 60 * SECOND, |_, _| Hand {
+        owed: 1,
+        ..Hand::default()
+    });
+    assert_eq!(
+        phases.last().map(|p| (p.1, p.2)),
+        Some((Phase::Standing, "answer-bound"))
+    );
     assert_eq!(drain.phase(), Phase::Standing);
 }
 
 #[test]
 fn ready_takes_a_drain_back_in_every_phase_but_the_last() {
-    for (looks, phase) in [(1, Phase::Telling), (25, Phase::Closing), (45, Phase::Standing)] {
+    for (looks, phase) in [
+        (1, Phase::Telling),
+        (25, Phase::Closing),
+        (45, Phase::Standing),
+    ] {
         let mut drain = begun(true, &[]);
-        run(&mut drain, looks * 50 * MS, |_, _| Hand { standing: 1, ..Hand::default() });
+        run(&mut drain, looks * 50 * MS, |_, _| Hand {
+            standing: 1,
+            ..Hand::default()
+        });
         assert_eq!(drain.phase(), phase);
         let (taken, effects) = drain.cancel(START + 10 * SECOND);
         assert!(
-            taken && effects.contains(&Effect::Tell(false)) && effects.contains(&Effect::CloseIdle(false))
+            taken
+                && effects.contains(&Effect::Tell(false))
+                && effects.contains(&Effect::CloseIdle(false))
         );
         assert_eq!((drain.phase(), drain.exits()), (Phase::Idle, false));
         // It can begin again, and balancers must see it again.
--- a/src/health/fleet.rs
+++ b/src/health/fleet.rs
@@ -39,8 +39,13 @@
 /// as ours only where it covers more than half of it.
 pub fn unreached(zones: &[Zone]) -> (f64, f64) {
     let known = zones.iter().filter(|zone| zone.listed > 0);
-    let silent = known.clone().map(|zone| f64::from(zone.silent) / f64::from(zone.listed));
-    let (zones, listed) = (known.clone().count(), known.clone().map(|z| z.listed).sum::<u32>());
+    let silent = known
+        .clone()
+        .map(|zone| f64::from(zone.silent) / f64::from(zone.listed));
+    let (zones, listed) = (
+        known.clone().count(),
+        known.clone().map(|z| z.listed).sum::<u32>(),
+    );
     let all = known.map(|zone| zone.refused + zone.silent).sum::<u32>();
     if listed == 0 {
         return (0.0, 0.0);
@@ -67,7 +72,14 @@
 impl Default for Fleet {
     fn default() -> Fleet {
         let window = || Window::new(WINDOW);
-        Fleet { full: window(), slow: window(), timeouts: window(), roomy: None, said_full: 0.0, down: 0.0 }
+        Fleet {
+            full: window(),
+            slow: window(),
+            timeouts: window(),
+            roomy: None,
+            said_full: 0.0,
+            down: 0.0,
+        }
     }
 }
 
@@ -79,13 +91,17 @@
 impl Fleet {
     /// An offer has ended: `stretch` is its time at the host over the aim of its class.
     pub fn offer(&mut self, now: Micros, outcome: Outcome, detail: Detail, stretch: f64) {
-        let room = matches!(detail, Detail::NoCores | Detail::NoMemory | Detail::Busy | Detail::None);
+        let room = matches!(
+            detail,
+            Detail::NoCores | Detail::NoMemory | Detail::Busy | Detail::None
+        );
         let full = outcome == Outcome::Full && room;
         self.full.add(now, f64::from(u8::from(full)), 1.0);
         let timeout = outcome == Outcome::Timeout;
         self.timeouts.add(now, f64::from(u8::from(timeout)), 1.0);
         if outcome == Outcome::Ok {
-            self.slow.add(now, f64::from(u8::from(stretch >= SLOW)), 1.0);
+            self.slow
+                .add(now, f64::from(u8::from(stretch >= SLOW)), 1.0);
         }
     }
 
@@ -102,12 +118,25 @@
     /// How far the fleet explains late and refused asks, 0 to 1, given how bad this placer's own loop is
     /// and how stale its inventory.
     pub fn explains(&self, now: Micros, loop_late: f64, feed_stale: f64) -> f64 {
-        let refusals = self.full.share(now, LEAST_OFFERS).map_or(0.0, |share| between(share, 0.1, 0.4));
-        let no_room = self.roomy.map_or(0.0, |roomy| between(1.0 - roomy, 0.6, 0.95)) * (1.0 - feed_stale);
-        let slow = self.slow.share(now, LEAST_OFFERS).map_or(0.0, |share| between(share, 0.3, 0.7));
+        let refusals = self
+            .full
+            .share(now, LEAST_OFFERS)
+            .map_or(0.0, |share| between(share, 0.1, 0.4));
+        let no_room = self
+            .roomy
+            .map_or(0.0, |roomy| between(1.0 - roomy, 0.6, 0.95))
+            * (1.0 - feed_stale);
+        let slow = self
+            .slow
+            .share(now, LEAST_OFFERS)
+            .map_or(0.0, |share| between(share, 0.3, 0.7));
         let down = between(self.down, 0.1, 0.4);
         let full = between(self.said_full, 0.3, 0.7);
-        refusals.max(full).max(no_room).max(slow * (1.0 - loop_late)).max(down)
+        refusals
+            .max(full)
+            .max(no_room)
+            .max(slow * (1.0 - loop_late))
+            .max(down)
     }
 }
 
--- a/src/health/fleet/tests.rs
+++ b/src/health/fleet/tests.rs
@@ -3,7 +3,11 @@
 use super::*;
 
 fn zone(listed: u32, refused: u32, silent: u32) -> Zone {
-    Zone { listed, refused, silent }
+    Zone {
+        listed,
+        refused,
+        silent,
+    }
 }
 
 #[test]
@@ -12,7 +16,11 @@
         (&[], 0.0, 0.0),
         (&[zone(4, 0, 0), zone(4, 0, 0)], 0.0, 0.0),
         // A whole room is lost.
-        (&[zone(4, 0, 4), zone(4, 0, 0), zone(4, 0, 0)], 0.0, 1.0 / 3.0),
+        (
+            &[zone(4, 0, 4), zone(4, 0, 0), zone(4, 0, 0)],
+            0.0,
+            1.0 / 3.0,
+        ),
         // Nothing comes up anywhere.
         (&[zone(4, 0, 4), zone(4, 0, 4)], 1.0, 0.0),
         // Half of each room, and one room more.
@@ -24,7 +32,10 @@
     ];
     for (zones, own, fleet) in cases {
         let (o, f) = unreached(zones);
-        assert!((o - own).abs() < 1e-9 && (f - fleet).abs() < 1e-9, "{zones:?}: {o} {f}");
+        assert!(
+            (o - own).abs() < 1e-9 && (f - fleet).abs() < 1e-9,
+            "{zones:?}: {o} {f}"
+        );
     }
 }
 
@@ -36,12 +47,33 @@
         fleet
     };
     let slow = offers(Outcome::Ok, Detail::None, 2.0);
-    assert_eq!((slow.explains(1_000_000, 0.0, 0.0), slow.explains(1_000_000, 1.0, 0.0)), (1.0, 0.0));
+    assert_eq!(
+        (
+            slow.explains(1_000_000, 0.0, 0.0),
+            slow.explains(1_000_000, 1.0, 0.0)
+        ),
+        (1.0, 0.0)
+    );
     let full = offers(Outcome::Full, Detail::NoCores, 0.0);
-    assert_eq!((full.explains(1_000_000, 0.0, 0.0), full.explains(1_000_000, 1.0, 1.0)), (1.0, 1.0));
+    assert_eq!(
+        (
+            full.explains(1_000_000, 0.0, 0.0),
+            full.explains(1_000_000, 1.0, 1.0)
+        ),
+        (1.0, 1.0)
+    );
     let mut listed = Fleet::default();
     listed.looked(Some(0.0), 0.0, 0.0);
-    assert_eq!((listed.explains(0, 0.0, 0.0), listed.explains(0, 0.0, 1.0)), (1.0, 0.0));
-    assert_eq!(offers(Outcome::Timeout, Detail::None, 0.0).timeouts(1_000_000), Some(1.0));
-    assert_eq!(offers(Outcome::Full, Detail::NotHere, 0.0).explains(1_000_000, 0.0, 0.0), 0.0);
+    assert_eq!(
+        (listed.explains(0, 0.0, 0.0), listed.explains(0, 0.0, 1.0)),
+        (1.0, 0.0)
+    );
+    assert_eq!(
+        offers(Outcome::Timeout, Detail::None, 0.0).timeouts(1_000_000),
+        Some(1.0)
+    );
+    assert_eq!(
+        offers(Outcome::Full, Detail::NotHere, 0.0).explains(1_000_000, 0.0, 0.0),
+        0.0
+    );
 }
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -76,7 +76,12 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        let ramp = |ok, bad, step, reach| Ramp { ok, bad, step, reach };
+        let ramp = |ok, bad, step, reach| Ramp {
+            ok,
+            bad,
+            step,
+            reach,
+        };
         Settings {
             turn: 20_000,
             slow_start: 10 * SECOND,
@@ -308,9 +313,14 @@
                 self.gauges = gauges;
             }
             Event::Answered { in_aim } => self.answers.add(now, f64::from(u8::from(!in_aim)), 1.0),
-            Event::Offer { outcome, detail, stretch } => self.fleet.offer(now, outcome, detail, stretch),
+            Event::Offer {
+                outcome,
+                detail,
+                stretch,
+            } => self.fleet.offer(now, outcome, detail, stretch),
             Event::Connection { turned_away } => {
-                self.connections.add(now, f64::from(u8::from(turned_away)), 1.0);
+                self.connections
+                    .add(now, f64::from(u8::from(turned_away)), 1.0);
             }
             Event::Feed => self.feed_at = self.feed_at.max(now),
             Event::Polled(poller) => self.polled(now, poller),
@@ -320,7 +330,8 @@
     }
 
     fn polled(&mut self, now: Micros, poller: u64) {
-        self.polls.retain(|_, (last, _)| now - *last < 2 * MOST_INTERVAL);
+        self.polls
+            .retain(|_, (last, _)| now - *last < 2 * MOST_INTERVAL);
         if self.polls.len() < MOST_POLLERS || self.polls.contains_key(&poller) {
             let polls = self.polls.entry(poller).or_insert((now, 0));
             *polls = (now, (now - polls.0).min(MOST_INTERVAL));
@@ -329,7 +340,11 @@
 
     /// How long the slowest balancer takes to act on what is told: it must poll first.
     fn reaction(&self) -> Micros {
-        self.polls.values().map(|(_, interval)| interval + ACTS).max().unwrap_or(0)
+        self.polls
+            .values()
+            .map(|(_, interval)| interval + ACTS)
+            .max()
+            .unwrap_or(0)
     }
 
     /// What holds now. A loop that has stood still until this very moment counts as late at once.
@@ -388,7 +403,13 @@
     fn go(&mut self, now: Micros, to: State, why: &'static str) -> Change {
         let from = std::mem::replace(&mut self.state, to);
         self.since = now;
-        let transition = Transition { at: now, from, to, why, weight: self.weight.told() };
+        let transition = Transition {
+            at: now,
+            from,
+            to,
+            why,
+            weight: self.weight.told(),
+        };
         if self.history.len() >= HISTORY {
             self.history.pop_front();
         }
@@ -408,30 +429,62 @@
         let measured = [
             (Code::LoopLate, (late / self.late.length() as f64).min(1.0)),
             (Code::AskAge, self.gauges.oldest),
-            (Code::OutOfAim, self.answers.share(now, LEAST_ANSWERS).unwrap_or(0.0)),
+            (
+                Code::OutOfAim,
+                self.answers.share(now, LEAST_ANSWERS).unwrap_or(0.0),
+            ),
             (Code::OfferTimeout, self.fleet.timeouts(now).unwrap_or(0.0)),
             (Code::Unreached, unreached),
-            (Code::FeedAge, (now - self.feed_at).max(0) as f64 / SECOND as f64),
+            (
+                Code::FeedAge,
+                (now - self.feed_at).max(0) as f64 / SECOND as f64,
+            ),
             (Code::Descriptors, self.gauges.descriptors),
             (Code::Queues, self.gauges.queues),
-            (Code::TurnedAway, self.connections.share(now, LEAST_CONNECTIONS).unwrap_or(0.0)),
+            (
+                Code::TurnedAway,
+                self.connections
+                    .share(now, LEAST_CONNECTIONS)
+                    .unwrap_or(0.0),
+            ),
         ];
         let badness = |code: Code| {
-            let found = measured.iter().zip(&self.settings.ramps).find(|((c, _), _)| *c == code);
+            let found = measured
+                .iter()
+                .zip(&self.settings.ramps)
+                .find(|((c, _), _)| *c == code);
             found.map_or(0.0, |((_, value), ramp)| ramp.badness(*value))
         };
-        self.explained = self.fleet.explains(now, badness(Code::LoopLate), badness(Code::FeedAge));
+        self.explained = self
+            .fleet
+            .explains(now, badness(Code::LoopLate), badness(Code::FeedAge));
         let unexplained = 1.0 - self.explained;
         self.readings.clear();
         for ((code, value), ramp) in measured.into_iter().zip(&self.settings.ramps) {
             let badness = ramp.badness(value);
-            let own = if code.shared() { badness * unexplained } else { badness };
-            self.readings.push(Reading { code, value, badness, own, cap: ramp.cap(own) });
+            let own = if code.shared() {
+                badness * unexplained
+            } else {
+                badness
+            };
+            self.readings.push(Reading {
+                code,
+                value,
+                badness,
+                own,
+                cap: ramp.cap(own),
+            });
         }
         let age = (now - self.came) as f64 / self.settings.slow_start.max(1) as f64;
         let young = (1.0 - age).clamp(0.0, 1.0);
         let cap = FIRST_WEIGHT + (100.0 - FIRST_WEIGHT) * (1.0 - young);
-        self.readings.push(Reading { code: Code::SlowStart, value: young, badness: young, own: young, cap });
+        self.readings.push(Reading {
+            code: Code::SlowStart,
+            value: young,
+            badness: young,
+            own: young,
+            cap,
+        });
     }
 
     fn steer(&mut self, now: Micros) -> Vec<Change> {
@@ -440,16 +493,26 @@
         }
         self.steered = Some(now);
         self.read(now);
-        let (target, cause) = self.worst().map_or((100.0, None), |worst| (worst.cap, Some(worst.code)));
+        let (target, cause) = self
+            .worst()
+            .map_or((100.0, None), |worst| (worst.cap, Some(worst.code)));
         let before = self.weight.told();
         if self.explained >= EXONERATES {
             self.weight.exonerate();
         }
         let mut changes = Vec::new();
         if self.weight.steer(now, target, cause, self.reaction()) {
-            changes.push(Change::Weight(before, self.weight.told(), cause, self.explained));
+            changes.push(Change::Weight(
+                before,
+                self.weight.told(),
+                cause,
+                self.explained,
+            ));
         }
-        let (weight, started) = (self.weight.told(), now - self.came >= self.settings.slow_start);
+        let (weight, started) = (
+            self.weight.told(),
+            now - self.came >= self.settings.slow_start,
+        );
         let why = cause.map_or("signals-clear", Code::as_str);
         match self.state {
             State::Starting if started && weight >= UP_FROM => {
@@ -459,7 +522,9 @@
             State::Starting if now - self.came >= 2 * self.settings.slow_start => {
                 changes.push(self.go(now, State::Degraded, why));
             }
-            State::Up if weight < DEGRADED_BELOW => changes.push(self.go(now, State::Degraded, why)),
+            State::Up if weight < DEGRADED_BELOW => {
+                changes.push(self.go(now, State::Degraded, why))
+            }
             State::Degraded if weight >= UP_FROM => {
                 changes.push(self.go(now, State::Up, "signals-clear"));
             }
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -15,7 +15,12 @@
 impl Run {
     fn new() -> Run {
         let now = 1_000 * SECOND;
-        Run { health: Health::new(Settings::default(), now), now, feed: true, gauges: Gauges::default() }
+        Run {
+            health: Health::new(Settings::default(), now),
+            now,
+            feed: true,
+            gauges: Gauges::default(),
+        }
     }
 
     /// One that is up.
@@ -31,13 +36,20 @@
     }
 
     /// Lets time pass; `each` is called every 100 ms.
-    fn pass_with(&mut self, span: Micros, mut each: impl FnMut(&mut Health, Micros)) -> Vec<Change> {
+    fn pass_with(
+        &mut self,
+        span: Micros,
+        mut each: impl FnMut(&mut Health, Micros),
+    ) -> Vec<Change> {
         let (end, mut changes) = (self.now + span, Vec::new());
         while self.now < end {
             self.now += 5 * MS;
             changes.extend(self.health.handle(self.now, Event::Turn));
             if self.now % (250 * MS) == 0 {
-                changes.extend(self.health.handle(self.now, Event::Look(self.gauges.clone())));
+                changes.extend(
+                    self.health
+                        .handle(self.now, Event::Look(self.gauges.clone())),
+                );
             }
             if self.now % (100 * MS) == 0 {
                 each(&mut self.health, self.now);
@@ -57,13 +69,27 @@
 #[test]
 fn a_placer_starts_slowly_and_is_up_once_that_is_over() {
     let mut run = Run::new();
-    assert_eq!((run.health.state(), run.health.weight()), (State::Starting, 10));
+    assert_eq!(
+        (run.health.state(), run.health.weight()),
+        (State::Starting, 10)
+    );
     run.pass(5 * SECOND);
-    assert!((40..=60).contains(&run.health.weight()), "{}", run.health.weight());
+    assert!(
+        (40..=60).contains(&run.health.weight()),
+        "{}",
+        run.health.weight()
+    );
     assert_eq!(run.cause(), Some(Code::SlowStart));
     let changes = run.pass(10 * SECOND);
-    assert_eq!((run.health.state(), run.health.weight(), run.cause()), (State::Up, 100, None));
-    assert!(changes.iter().any(|c| matches!(c, Change::State(t) if t.why == "slow-start-over")));
+    assert_eq!(
+        (run.health.state(), run.health.weight(), run.cause()),
+        (State::Up, 100, None)
+    );
+    assert!(
+        changes
+            .iter()
+            .any(|c| matches!(c, Change::State(t) if t.why == "slow-start-over"))
+    );
 }
 
 #[test]
@@ -71,7 +97,11 @@
     let mut run = Run::up();
     run.now += 700 * MS;
     let (report, _) = run.health.report(run.now);
-    assert_eq!((report.cause, report.weight < 80), (Some(Code::LoopLate), true), "{report:?}");
+    assert_eq!(
+        (report.cause, report.weight < 80),
+        (Some(Code::LoopLate), true),
+        "{report:?}"
+    );
     // Turns that are a little late do not.
     let mut run = Run::up();
     for _ in 0..400 {
@@ -93,8 +123,15 @@
     run.pass(10 * SECOND);
     let at_13 = run.health.weight();
     run.pass(300 * SECOND);
-    assert!(at_13 < at_3 && run.health.weight() < at_13, "the longer, the less");
-    assert!((40..=45).contains(&run.health.weight()), "{}", run.health.weight());
+    assert!(
+        at_13 < at_3 && run.health.weight() < at_13,
+        "the longer, the less"
+    );
+    assert!(
+        (40..=45).contains(&run.health.weight()),
+        "{}",
+        run.health.weight()
+    );
     assert_eq!(run.health.state(), State::Degraded);
     run.feed = true;
     run.pass(20 * SECOND);
@@ -116,7 +153,11 @@
         full.gauges.oldest = oldest;
         full.pass_with(5 * SECOND, |health, now| {
             late(health, now);
-            let offer = Event::Offer { outcome: Outcome::Full, detail: Detail::NoCores, stretch: 0.0 };
+            let offer = Event::Offer {
+                outcome: Outcome::Full,
+                detail: Detail::NoCores,
+                stretch: 0.0,
+            };
             health.handle(now, offer);
         });
     }
@@ -125,8 +166,17 @@
     // And with a room that is lost, hosts silent there alone.
     let mut lost = Run::up();
     lost.gauges.oldest = 3.0;
-    lost.gauges.zones =
-        vec![Zone { listed: 4, silent: 4, ..Zone::default() }, Zone { listed: 4, ..Zone::default() }];
+    lost.gauges.zones = vec![
+        Zone {
+            listed: 4,
+            silent: 4,
+            ..Zone::default()
+        },
+        Zone {
+            listed: 4,
+            ..Zone::default()
+        },
+    ];
     lost.pass_with(10 * SECOND, late);
     assert!(lost.health.weight() >= 95, "{}", lost.health.weight());
 }
@@ -137,7 +187,16 @@
     let bad: [(Code, Spoil); 4] = [
         (Code::Descriptors, |g| g.descriptors = 0.97),
         (Code::Queues, |g| g.queues = 0.9),
-        (Code::Unreached, |g| g.zones = vec![Zone { listed: 4, silent: 3, ..Zone::default() }; 2]),
+        (Code::Unreached, |g| {
+            g.zones = vec![
+                Zone {
+                    listed: 4,
+                    silent: 3,
+                    ..Zone::default()
+                };
+                2
+            ]
+        }),
         (Code::AskAge, |g| g.oldest = 3.5),
     ];
     for (code, spoil) in bad {
@@ -145,11 +204,21 @@
         spoil(&mut run.gauges);
         run.pass(5 * SECOND);
         assert!(run.health.weight() < 60, "{code}: {}", run.health.weight());
-        assert_eq!((run.cause(), run.health.state()), (Some(code), State::Degraded));
+        assert_eq!(
+            (run.cause(), run.health.state()),
+            (Some(code), State::Degraded)
+        );
     }
     let events: [(Code, Event); 2] = [
         (Code::TurnedAway, Event::Connection { turned_away: true }),
-        (Code::OfferTimeout, Event::Offer { outcome: Outcome::Timeout, detail: Detail::None, stretch: 1.0 }),
+        (
+            Code::OfferTimeout,
+            Event::Offer {
+                outcome: Outcome::Timeout,
+                detail: Detail::None,
+                stretch: 1.0,
+            },
+        ),
     ];
     for (code, event) in events {
         let mut run = Run::up();
@@ -203,5 +272,8 @@
     }
     let (report, _) = run.health.report(run.now);
     assert_eq!(report.history.len(), HISTORY);
-    assert_eq!(report.history.last().map(|t| (t.from, t.to)), Some((State::Drain, State::Starting)));
+    assert_eq!(
+        report.history.last().map(|t| (t.from, t.to)),
+        Some((State::Drain, State::Starting))
+    );
 }
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -125,15 +125,27 @@
     /// tightest signal: only load is remembered as trouble, since a young or uninformed placer was not
     /// brought down by the weight that it had.
     /// `reaction` is how long balancers take to act on what is told.
-    pub fn steer(&mut self, now: Micros, target: f64, cause: Option<Code>, reaction: Micros) -> bool {
+    pub fn steer(
+        &mut self,
+        now: Micros,
+        target: f64,
+        cause: Option<Code>,
+        reaction: Micros,
+    ) -> bool {
         let target = target.clamp(self.pace.floor, 100.0);
         let passed = (now - self.steered).clamp(0, SECOND);
         self.steered = self.steered.max(now);
         // Long passed without trouble, it was another time's.
-        if self.ceiling.is_some_and(|c| now - c.since > c.counts_for + self.pace.most_memory) {
+        if self
+            .ceiling
+            .is_some_and(|c| now - c.since > c.counts_for + self.pace.most_memory)
+        {
             self.ceiling = None;
         }
-        if self.fell.is_none_or(|at| now - at > 2 * self.pace.most_hold) {
+        if self
+            .fell
+            .is_none_or(|at| now - at > 2 * self.pace.most_hold)
+        {
             self.hold = self.pace.hold;
         }
         let before = self.told;
@@ -149,7 +161,10 @@
     }
 
     fn fall(&mut self, now: Micros, target: f64, cause: Option<Code>, reaction: Micros) {
-        if self.fell.is_some_and(|at| now - at < self.pace.fall_pause.max(reaction * 3 / 2)) {
+        if self
+            .fell
+            .is_some_and(|at| now - at < self.pace.fall_pause.max(reaction * 3 / 2))
+        {
             return;
         }
         // A fall soon after a rise tells that the rise was wrong: the next one waits longer.
@@ -161,7 +176,9 @@
         let load = !matches!(cause, Some(Code::SlowStart | Code::FeedAge));
         let first = rose.is_some() || self.fell.is_none();
         if load && first {
-            let again = self.ceiling.map(|c| (c.counts_for * 2).min(self.pace.most_memory));
+            let again = self
+                .ceiling
+                .map(|c| (c.counts_for * 2).min(self.pace.most_memory));
             let counts_for = again.unwrap_or(self.pace.memory);
             self.ceiling = Some(Ceiling {
                 weight: self.exact,
@@ -170,14 +187,21 @@
                 shared: cause.is_some_and(Code::shared),
             });
         }
-        let leaves = if first && cause == Some(Code::LoopLate) { FIRST_LEAVES } else { LEAVES };
+        let leaves = if first && cause == Some(Code::LoopLate) {
+            FIRST_LEAVES
+        } else {
+            LEAVES
+        };
         self.exact = target.max(self.exact * leaves).max(self.pace.floor);
         self.told = self.exact;
         self.fell = Some(now);
     }
 
     fn climb(&mut self, now: Micros, target: f64, passed: Micros, reaction: Micros) {
-        if self.fell.is_some_and(|at| now - at < self.hold.max(2 * reaction)) {
+        if self
+            .fell
+            .is_some_and(|at| now - at < self.hold.max(2 * reaction))
+        {
             return;
         }
         while self.changes.front().is_some_and(|at| now - at >= MINUTE) {
--- a/src/health/weight/tests.rs
+++ b/src/health/weight/tests.rs
@@ -26,7 +26,11 @@
             weight.told()
         })
         .collect();
-    assert_eq!(told, [50, 50, 25, 25], "what others may explain goes by halves from the first on");
+    assert_eq!(
+        told,
+        [50, 50, 25, 25],
+        "what others may explain goes by halves from the first on"
+    );
     assert!(told.iter().all(|told| *told >= 5));
 }
 
@@ -38,7 +42,10 @@
     assert_eq!(told[6], 40, "held for 2 s");
     let at = |n: usize| f64::from(told[n]);
     assert!(at(12) >= 45.0, "then 10 a second: {told:?}");
-    assert!(at(56) < 65.0, "then it creeps past what was too much: {told:?}");
+    assert!(
+        at(56) < 65.0,
+        "then it creeps past what was too much: {told:?}"
+    );
     assert!(told.windows(2).all(|pair| pair[1] >= pair[0]));
 }
 
@@ -63,7 +70,10 @@
         }
     }
     assert!(waits.windows(2).all(|pair| pair[1] >= pair[0]), "{waits:?}");
-    assert!(waits.last() >= Some(&30) && waits.first() <= Some(&4), "{waits:?}");
+    assert!(
+        waits.last() >= Some(&30) && waits.first() <= Some(&4),
+        "{waits:?}"
+    );
 }
 
 #[test]
--- a/src/health/window.rs
+++ b/src/health/window.rs
@@ -17,7 +17,10 @@
     /// An empty window of this length, rounded up to whole spans.
     pub fn new(length: Micros) -> Window {
         let spans = (length.max(SPAN) + SPAN - 1) / SPAN;
-        Window { at: 0, ring: vec![(0.0, 0.0); usize::try_from(spans).unwrap_or(1)] }
+        Window {
+            at: 0,
+            ring: vec![(0.0, 0.0); usize::try_from(spans).unwrap_or(1)],
+        }
     }
 
     /// Adds to the sums at `now`. What comes from before the last addition counts as of then.
@@ -36,7 +39,9 @@
         let spans = self.ring.len() as i64;
         let kept = (self.at - spans + 1 + passed..=self.at).filter(|span| *span > self.at - spans);
         kept.filter_map(|span| self.ring.get(self.place(span)))
-            .fold((0.0, 0.0), |sum, (part, whole)| (sum.0 + part, sum.1 + whole))
+            .fold((0.0, 0.0), |sum, (part, whole)| {
+                (sum.0 + part, sum.1 + whole)
+            })
     }
 
     /// The first sum as a share of the second, or none below `least` of the second.
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -566,7 +566,10 @@
             placers: 3,
             zone: Some(ZoneId(0)),
             tick: 2_000,
-            kinds: vec![Kind { cores: 32.0, memory: 64.0 }],
+            kinds: vec![Kind {
+                cores: 32.0,
+                memory: 64.0,
+            }],
             classes: vec![Class {
                 aim: SECOND,
                 deadline: 5 * SECOND,
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -65,7 +65,8 @@
 
     /// Whether another own offer may be out here: as bounded from outside, else by so many.
     pub fn open(&self, own: f64) -> bool {
-        self.most.map_or(f64::from(self.pending) < own, |most| self.pending < most)
+        self.most
+            .map_or(f64::from(self.pending) < own, |most| self.pending < most)
     }
 
     pub fn offered(&mut self, now: Micros, since: Micros) {
@@ -139,7 +140,8 @@
         if renewed {
             m.renew();
         }
-        (m.zone, m.cell, m.kind, m.state, m.ready_at) = (e.zone, e.cell, e.kind, e.state, e.ready_at);
+        (m.zone, m.cell, m.kind, m.state, m.ready_at) =
+            (e.zone, e.cell, e.kind, e.state, e.ready_at);
         (m, at, renewed)
     }
 
@@ -147,7 +149,9 @@
     pub fn bounded(&mut self, bound: &Bound) -> bool {
         match bound {
             Bound::Line { host, most, .. } => {
-                let Some(m) = self.place(host).and_then(|at| self.machines.get_mut(at)) else { return false };
+                let Some(m) = self.place(host).and_then(|at| self.machines.get_mut(at)) else {
+                    return false;
+                };
                 let before = std::mem::replace(&mut m.most, *most);
                 before.is_some_and(|before| most.is_none_or(|most| most > before))
             }
@@ -156,7 +160,13 @@
                 *freed || before.is_some_and(|before| *most > before)
             }
             Bound::Gate { through, late } => {
-                let before = std::mem::replace(&mut self.gate, Gate { through: *through, late: *late });
+                let before = std::mem::replace(
+                    &mut self.gate,
+                    Gate {
+                        through: *through,
+                        late: *late,
+                    },
+                );
                 *through > before.through
             }
             Bound::Processes { of, me } => {
@@ -185,7 +195,9 @@
 }
 
 pub(crate) fn hash_of(host: &HostId) -> u64 {
-    host.0.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
+    host.0.bytes().fold(0xcbf2_9ce4_8422_2325, |h, b| {
+        (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 /// Mixes two hashes into one whose bits are all of use.
@@ -224,7 +236,12 @@
 
 impl Job {
     pub fn new(task: &Task, since: Micros, deadline: Micros) -> Job {
-        Job { task: task.clone(), since, deadline, ..Job::default() }
+        Job {
+            task: task.clone(),
+            since,
+            deadline,
+            ..Job::default()
+        }
     }
 
     pub fn asks(&self) -> [f64; 2] {
@@ -260,11 +277,15 @@
 
     /// Where own tasks of a service stand or are on offer, and how many.
     pub fn of_service(&self, service: ServiceId) -> impl Iterator<Item = (Place, usize)> + '_ {
-        self.held.range((service, 0)..=(service, Place::MAX)).map(|((_, at), n)| (*at, *n))
+        self.held
+            .range((service, 0)..=(service, Place::MAX))
+            .map(|((_, at), n)| (*at, *n))
     }
 
     pub fn told_use(&mut self, id: &ReqId, dim: usize, value: f64) {
-        let Some(job) = self.all.get_mut(id) else { return };
+        let Some(job) = self.all.get_mut(id) else {
+            return;
+        };
         let value = value.max(f64::MIN_POSITIVE);
         if job.used[dim] == 0.0 {
             self.use_asked[dim] += job.asks()[dim];
@@ -274,7 +295,9 @@
     }
 
     pub fn remove(&mut self, id: &ReqId) {
-        let Some(job) = self.all.remove(id) else { return };
+        let Some(job) = self.all.remove(id) else {
+            return;
+        };
         self.waiting.remove(&(job.deadline, id.clone()));
         for dim in 0..2 {
             if job.used[dim] > 0.0 {
@@ -288,12 +311,22 @@
 impl Jobs {
     /// A task that runs at `at` already.
     pub fn open(&mut self, task: &Task, at: Option<Place>, now: Micros) {
-        if let Some(stood) = self.all.get(&task.id).and_then(|old| old.out).and_then(|(_, at)| at) {
+        if let Some(stood) = self
+            .all
+            .get(&task.id)
+            .and_then(|old| old.out)
+            .and_then(|(_, at)| at)
+        {
             self.unhold(task.service, stood);
         }
         self.remove(&task.id);
         at.into_iter().for_each(|at| self.hold(task.service, at));
-        let job = Job { sent: 1, out: Some((0, at)), placed: true, ..Job::new(task, now, now) };
+        let job = Job {
+            sent: 1,
+            out: Some((0, at)),
+            placed: true,
+            ..Job::new(task, now, now)
+        };
         self.all.insert(task.id.clone(), job);
     }
 
@@ -345,7 +378,11 @@
 
     pub fn entry(&mut self, at: Place, scope: Scope) -> &mut Health {
         self.changed.insert(at);
-        self.machines.entry(at).or_default().entry(scope).or_default()
+        self.machines
+            .entry(at)
+            .or_default()
+            .entry(scope)
+            .or_default()
     }
 
     /// A machine was struck: the end of its suspension as a whole, if there is one, is noted.
@@ -370,14 +407,22 @@
 
     /// Halves the strikes of a scope.
     pub fn ease(&mut self, at: Place, scope: Scope) {
-        if let Some(h) = self.machines.get_mut(&at).and_then(|scopes| scopes.get_mut(&scope)) {
+        if let Some(h) = self
+            .machines
+            .get_mut(&at)
+            .and_then(|scopes| scopes.get_mut(&scope))
+        {
             h.strikes /= 2;
         }
     }
 
     /// An answered probe: the machine is there. It says nothing of a class or tenant.
     pub fn answered(&mut self, at: Place) {
-        if let Some(h) = self.machines.get_mut(&at).and_then(|scopes| scopes.get_mut(&Scope::Machine)) {
+        if let Some(h) = self
+            .machines
+            .get_mut(&at)
+            .and_then(|scopes| scopes.get_mut(&Scope::Machine))
+        {
             h.on_trial = false;
             self.changed.insert(at);
         }
@@ -390,8 +435,14 @@
 
     /// Machines on trial whose suspension is over.
     pub fn trials(&self, now: Micros) -> Vec<Place> {
-        let due = |scopes: &BTreeMap<Scope, Health>| scopes.values().any(|h| h.on_trial && now >= h.until);
-        self.machines.iter().filter(|(_, scopes)| due(scopes)).map(|(at, _)| *at).collect()
+        let due = |scopes: &BTreeMap<Scope, Health>| {
+            scopes.values().any(|h| h.on_trial && now >= h.until)
+        };
+        self.machines
+            .iter()
+            .filter(|(_, scopes)| due(scopes))
+            .map(|(at, _)| *at)
+            .collect()
     }
 }
 
@@ -404,7 +455,10 @@
 
 impl Default for Gate {
     fn default() -> Gate {
-        Gate { through: f64::INFINITY, late: None }
+        Gate {
+            through: f64::INFINITY,
+            late: None,
+        }
     }
 }
 
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -31,7 +31,9 @@
     let bound = Async::<TcpListener>::bind(address);
     let listener = bound.map_err(|e| io::Error::new(e.kind(), format!("admin: {address}: {e}")))?;
     let gate = Rc::new(Gate::new(MOST_CALLERS));
-    executor.spawn(accept(listener, gate.clone(), shared.clone())).detach();
+    executor
+        .spawn(accept(listener, gate.clone(), shared.clone()))
+        .detach();
     info!(%address, "takes calls");
     Ok(gate)
 }
@@ -42,7 +44,9 @@
             Ok((stream, peer)) => {
                 let dispatch = shared.borrow();
                 let place = gate.enter(dispatch.clock.now() + PATIENCE);
-                dispatch.tasks.spawn(serve(stream, peer, place, gate.clone(), shared.clone()));
+                dispatch
+                    .tasks
+                    .spawn(serve(stream, peer, place, gate.clone(), shared.clone()));
             }
             Err(e) => AcceptFailed::pause(&shared, &e).await,
         }
@@ -51,7 +55,13 @@
     }
 }
 
-async fn serve(stream: Async<TcpStream>, peer: SocketAddr, place: Place, gate: Rc<Gate>, shared: Shared) {
+async fn serve(
+    stream: Async<TcpStream>,
+    peer: SocketAddr,
+    place: Place,
+    gate: Rc<Gate>,
+    shared: Shared,
+) {
     let away = async {
         place.away().await;
         "sent-away"
@@ -85,7 +95,11 @@
                 Err(_) => return "failed",
             },
         };
-        return if stream.write_all(&reply).await.is_ok() { reason } else { "failed" };
+        return if stream.write_all(&reply).await.is_ok() {
+            reason
+        } else {
+            "failed"
+        };
     }
 }
 
@@ -102,10 +116,16 @@
             Call::Check => {
                 let serves = self.serves();
                 self.on_duty(now, duty::Event::Asked);
-                return calls::reply(if serves { Ok(()) } else { Err("takes no requests") });
+                return calls::reply(if serves {
+                    Ok(())
+                } else {
+                    Err("takes no requests")
+                });
             }
             // Nothing takes back what the module has been told to give up.
-            Call::DrainOn | Call::DrainOff if self.ends() => return calls::reply(Err("the process ends")),
+            Call::DrainOn | Call::DrainOff if self.ends() => {
+                return calls::reply(Err("the process ends"));
+            }
             Call::DrainOn => self.on_duty(now, duty::Event::DrainOn),
             Call::DrainOff => self.on_duty(now, duty::Event::DrainOff),
         }
@@ -116,7 +136,8 @@
     fn figures(&self) -> OwnedValue {
         let counts = |c: &Counts| json!({ "served": c.served, "refused": c.refused, "failed": c.failed, "attempts": c.attempts });
         let classes = self.names().classes.iter().zip(self.tally.classes());
-        let requests: simd_json::owned::Object = classes.map(|(name, c)| (name.clone(), counts(c))).collect();
+        let requests: simd_json::owned::Object =
+            classes.map(|(name, c)| (name.clone(), counts(c))).collect();
         let attempts: u64 = self.tally.classes().iter().map(|c| c.attempts).sum();
         let mut figures = json!({
             "attempts": attempts,
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -134,7 +134,16 @@
     /// Connections within so many descriptors of the whole process, less those set apart.
     pub fn new(sockets: usize, apart: usize) -> Clients {
         let (all, told) = (BTreeMap::new(), BTreeMap::new());
-        Clients { all, next: 0, unsent: Vec::new(), told, sockets, lingering: 0, apart, close_idle: false }
+        Clients {
+            all,
+            next: 0,
+            unsent: Vec::new(),
+            told,
+            sockets,
+            lingering: 0,
+            apart,
+            close_idle: false,
+        }
     }
 
     /// Closes connections that carry no task, from now on or no more.
@@ -150,9 +159,17 @@
         if !self.close_idle {
             return;
         }
-        let told: BTreeSet<ClientId> =
-            self.told.values().filter(|told| now - told.since < YOUNG).map(|told| told.client).collect();
-        for (id, client) in self.all.iter().filter(|(_, o)| o.stand == 0 && !o.conn.stopping()) {
+        let told: BTreeSet<ClientId> = self
+            .told
+            .values()
+            .filter(|told| now - told.since < YOUNG)
+            .map(|told| told.client)
+            .collect();
+        for (id, client) in self
+            .all
+            .iter()
+            .filter(|(_, o)| o.stand == 0 && !o.conn.stopping())
+        {
             if !told.contains(id) && !client.busy(now) {
                 client.conn.stop(End::Draining);
             }
@@ -167,18 +184,30 @@
     /// A task that was set up or named on it stands, or no longer does.
     pub fn count_standing(&mut self, id: ClientId, stands: bool) {
         if let Some(client) = self.all.get_mut(&id) {
-            client.stand = if stands { client.stand + 1 } else { client.stand.saturating_sub(1) };
+            client.stand = if stands {
+                client.stand + 1
+            } else {
+                client.stand.saturating_sub(1)
+            };
         }
     }
 
     /// Words on tasks that stood which no client has taken, or may not have read yet.
     pub fn untold(&self, now: Micros) -> usize {
-        self.unsent.len() + self.told.values().filter(|told| now - told.since < UNREAD).count()
+        self.unsent.len()
+            + self
+                .told
+                .values()
+                .filter(|told| now - told.since < UNREAD)
+                .count()
     }
 
     /// Connections whose queue is not empty.
     pub fn unflushed(&self) -> usize {
-        self.all.values().filter(|client| !client.conn.flushed()).count()
+        self.all
+            .values()
+            .filter(|client| !client.conn.flushed())
+            .count()
     }
 
     /// Sets the descriptors of the whole process.
@@ -210,9 +239,17 @@
     /// Forgets a connection that has ended, and tells which set-ups wait on it. Guards against the end of a task that was written to it and
     /// not heard: it is told again on another.
     pub fn ended(&mut self, now: Micros, id: ClientId) -> BTreeSet<Ticket> {
-        let open = self.all.remove(&id).map(|client| client.open).unwrap_or_default();
-        let unheard: Vec<TaskId> =
-            self.told.iter().filter(|(_, t)| t.client == id).map(|(k, _)| *k).collect();
+        let open = self
+            .all
+            .remove(&id)
+            .map(|client| client.open)
+            .unwrap_or_default();
+        let unheard: Vec<TaskId> = self
+            .told
+            .iter()
+            .filter(|(_, t)| t.client == id)
+            .map(|(k, _)| *k)
+            .collect();
         for task in unheard {
             if let Some(told) = self.told.remove(&task) {
                 self.send_any(now, task, told.bytes);
@@ -224,7 +261,10 @@
     /// What only clients send came in on it: it is told what found no other. Guards the words on ended tasks
     /// against fronts, which test on connections of their own and read nothing but the result.
     pub fn asked(&mut self, now: Micros, id: ClientId) {
-        let first = self.all.get_mut(&id).is_some_and(|client| !std::mem::replace(&mut client.asks, true));
+        let first = self
+            .all
+            .get_mut(&id)
+            .is_some_and(|client| !std::mem::replace(&mut client.asks, true));
         if first {
             for (task, bytes) in std::mem::take(&mut self.unsent) {
                 self.send_any(now, task, bytes);
@@ -254,7 +294,9 @@
 
     /// All that came with the last read was taken in, so many bytes: the hosts where offers waited for that.
     pub fn read(&mut self, id: ClientId, bytes: usize) -> BTreeSet<HostId> {
-        let Some(client) = self.all.get_mut(&id) else { return BTreeSet::new() };
+        let Some(client) = self.all.get_mut(&id) else {
+            return BTreeSet::new();
+        };
         client.reading = false;
         client.read = client.read.saturating_add(bytes as u64);
         std::mem::take(&mut client.behind)
@@ -273,7 +315,11 @@
     /// of the first look (`mark`) is read before the offer leaves; what it says later is not waited for, or one
     /// that never pauses would hold its own offers up.
     pub fn presence(&mut self, id: ClientId, mark: Option<Mark>, host: &HostId) -> Presence {
-        let Some(client) = self.all.get_mut(&id).filter(|client| !client.conn.stopping()) else {
+        let Some(client) = self
+            .all
+            .get_mut(&id)
+            .filter(|client| !client.conn.stopping())
+        else {
             return Presence::Left;
         };
         let mark = mark.filter(|mark| mark.client == id);
@@ -281,7 +327,8 @@
             client.behind.insert(host.clone());
             return Presence::Unread(mark);
         }
-        let reached = |mark: Mark| mark.whole && client.read >= mark.bytes || client.read >= mark.most;
+        let reached =
+            |mark: Mark| mark.whole && client.read >= mark.bytes || client.read >= mark.most;
         let count = match client.conn.unread() {
             Unread::End => return Presence::Left,
             Unread::Nothing => return Presence::Here,
@@ -295,7 +342,12 @@
         let most = mark.map_or(client.read.saturating_add(MOST_AHEAD), |mark| mark.most);
         let bytes = client.read.saturating_add(count as u64);
         let whole = Unread::Bytes(count).whole();
-        Presence::Unread(Some(Mark { client: id, bytes, whole, most }))
+        Presence::Unread(Some(Mark {
+            client: id,
+            bytes,
+            whole,
+            most,
+        }))
     }
 
     /// The client has heard the end of this task.
@@ -344,7 +396,14 @@
     pub fn send_after(&mut self, now: Micros, id: ClientId, task: TaskId, bytes: Vec<u8>) {
         let live = self.all.get(&id).filter(|client| !client.conn.stopping());
         if live.is_some_and(|client| client.conn.send(now, &bytes)) {
-            self.told.insert(task, Told { client: id, bytes, since: now });
+            self.told.insert(
+                task,
+                Told {
+                    client: id,
+                    bytes,
+                    since: now,
+                },
+            );
         } else {
             self.send_any(now, task, bytes);
         }
@@ -355,11 +414,21 @@
     /// all. With none open the next that asks is told.
     pub fn send_any(&mut self, now: Micros, task: TaskId, bytes: Vec<u8>) {
         loop {
-            let live = self.all.iter().filter(|(_, o)| !o.conn.stopping() && o.asks);
+            let live = self
+                .all
+                .iter()
+                .filter(|(_, o)| !o.conn.stopping() && o.asks);
             match live.max_by_key(|(_, o)| (o.proven, !o.open.is_empty(), o.heard)) {
                 None => return self.unsent.push((task, bytes)),
                 Some((id, client)) if client.conn.send(now, &bytes) => {
-                    self.told.insert(task, Told { client: *id, bytes, since: now });
+                    self.told.insert(
+                        task,
+                        Told {
+                            client: *id,
+                            bytes,
+                            since: now,
+                        },
+                    );
                     return;
                 }
                 // It has ended under the write, and no byte has left.
@@ -375,7 +444,11 @@
             if client.open.is_empty() && now - client.heard > IDLE {
                 client.conn.stop(End::Idle);
             }
-            if client.open.is_empty() && client.half_since.is_some_and(|since| now - since > UNSPOKEN) {
+            if client.open.is_empty()
+                && client
+                    .half_since
+                    .is_some_and(|since| now - since > UNSPOKEN)
+            {
                 client.conn.stop(End::Unspoken);
             }
         }
@@ -386,8 +459,13 @@
     /// Makes room for so many other connections: one that has said nothing goes before the longest idle one;
     /// none with an open set-up does, nor one on which something waits to be read. How many there were to close.
     pub fn shed(&self, now: Micros, most: usize) -> usize {
-        let idle = self.all.values().filter(|o| o.open.is_empty() && !o.conn.stopping());
-        let mut idle: Vec<&Client> = idle.filter(|o| o.spoken || now - o.heard >= YOUNG).collect();
+        let idle = self
+            .all
+            .values()
+            .filter(|o| o.open.is_empty() && !o.conn.stopping());
+        let mut idle: Vec<&Client> = idle
+            .filter(|o| o.spoken || now - o.heard >= YOUNG)
+            .collect();
         idle.sort_by_key(|o| (o.spoken, o.proven, o.heard));
         let closed = idle.into_iter().filter(|o| o.conn.quiet()).take(most);
         closed.map(|client| client.conn.stop(End::Shed)).count()
@@ -415,7 +493,9 @@
 
     /// Whether nothing waits to be read on any.
     fn quiet(&self) -> bool {
-        self.all.values().all(|o| o.conn.stopping() || o.conn.quiet())
+        self.all
+            .values()
+            .all(|o| o.conn.stopping() || o.conn.quiet())
     }
 
     /// Ends our side of all.
@@ -508,7 +588,9 @@
         let crowds = shared.borrow().client_crowds();
         let now = shared.borrow().clock.now();
         if !crowds || shared.borrow().clients.shed(now, 1) > 0 {
-            shared.borrow_mut().watch(now, Event::Connection { turned_away: waits });
+            shared
+                .borrow_mut()
+                .watch(now, Event::Connection { turned_away: waits });
             if crowds {
                 // The one that was told to end gives its descriptor back first.
                 future::yield_now().await;
@@ -555,7 +637,9 @@
             }
             inbox.drain(..taken.min(inbox.len()));
             rest = inbox.len();
-            shared.borrow_mut().client_heard(id, came, taken > 0, !inbox.is_empty());
+            shared
+                .borrow_mut()
+                .client_heard(id, came, taken > 0, !inbox.is_empty());
             Ok(())
         })
         .await;
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -10,7 +10,8 @@
 /// A client, and its end of the connection.
 fn client() -> (Clients, ClientId, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let peer = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+    let peer =
+        TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let (stream, _) = listener.accept().expect("a connection");
     let mut clients = Clients::new(256, 0);
     let id = clients.opened(0, Rc::new(Conn::new(Async::new(stream).expect("a socket"))));
@@ -42,11 +43,21 @@
     let Presence::Unread(mark @ Some(_)) = clients.presence(id, None, &host) else {
         panic!("ten bytes wait")
     };
-    assert_eq!(clients.presence(id, mark, &host), Presence::Unread(mark), "nothing was read");
+    assert_eq!(
+        clients.presence(id, mark, &host),
+        Presence::Unread(mark),
+        "nothing was read"
+    );
     clients.read(id, 10);
     assert_eq!(clients.presence(id, mark, &host), Presence::Here);
-    let other = mark.map(|mark| Mark { client: ClientId(7), ..mark });
-    assert!(matches!(clients.presence(id, other, &host), Presence::Unread(Some(_))));
+    let other = mark.map(|mark| Mark {
+        client: ClientId(7),
+        ..mark
+    });
+    assert!(matches!(
+        clients.presence(id, other, &host),
+        Presence::Unread(Some(_))
+    ));
     drop(peer);
     clients.reads(id);
     assert!(
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -30,7 +30,10 @@
 
 impl Default for Clock {
     fn default() -> Clock {
-        Clock { start: Instant::now(), told: Cell::new(None) }
+        Clock {
+            start: Instant::now(),
+            told: Cell::new(None),
+        }
     }
 }
 
@@ -39,7 +42,9 @@
     pub fn now(&self) -> Micros {
         let run = Micros::try_from(self.start.elapsed().as_micros()).unwrap_or(Micros::MAX);
         let told = follow(self.told.get(), run, || {
-            let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+            let unix = SystemTime::now()
+                .duration_since(UNIX_EPOCH)
+                .unwrap_or_default();
             Micros::try_from(unix.as_micros()).unwrap_or(Micros::MAX)
         });
         self.told.set(Some(told));
@@ -49,16 +54,35 @@
 
 /// What to tell at `run` of the monotonic clock; `unix` reads the system's.
 fn follow(before: Option<Told>, run: Micros, unix: impl FnOnce() -> Micros) -> Told {
-    let Some(Told { at, run: then, checked }) = before else {
-        return Told { at: unix(), run, checked: run };
+    let Some(Told {
+        at,
+        run: then,
+        checked,
+    }) = before
+    else {
+        return Told {
+            at: unix(),
+            run,
+            checked: run,
+        };
     };
     let even = at.saturating_add((run - then).max(0));
     if run - checked < CHECK {
-        return Told { at: even, run, checked };
+        return Told {
+            at: even,
+            run,
+            checked,
+        };
     }
     let most = (run - checked) / SLEW;
-    let at = even.saturating_add(unix().saturating_sub(even).clamp(-most, most)).max(at);
-    Told { at, run, checked: run }
+    let at = even
+        .saturating_add(unix().saturating_sub(even).clamp(-most, most))
+        .max(at);
+    Told {
+        at,
+        run,
+        checked: run,
+    }
 }
 
 #[cfg(test)]
--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -13,7 +13,10 @@
         let before = told.at;
         told = follow(Some(told), run, || start + step + run);
         let passed = told.at - before;
-        assert!((0..=2_000 + CHECK / SLEW).contains(&passed), "{passed} in 2 ms");
+        assert!(
+            (0..=2_000 + CHECK / SLEW).contains(&passed),
+            "{passed} in 2 ms"
+        );
     }
     (told.at - start - length, start + step + length - told.at)
 }
@@ -31,6 +34,13 @@
     }
     assert_eq!(run(0, SECOND), (0, 0));
     // A stall is time that has passed.
-    let before = Told { at: 42, run: 7, checked: 7 };
-    assert_eq!(follow(Some(before), 7 + 9 * SECOND, || 42 + 9 * SECOND).at, 42 + 9 * SECOND);
+    let before = Told {
+        at: 42,
+        run: 7,
+        checked: 7,
+    };
+    assert_eq!(
+        follow(Some(before), 7 + 9 * SECOND, || 42 + 9 * SECOND).at,
+        42 + 9 * SECOND
+    );
 }
--- a/src/net/codec/binary.rs
+++ b/src/net/codec/binary.rs
@@ -49,7 +49,9 @@
 
 /// Reads the first message of `bytes`: its task, its word and its length, or none if more must come.
 pub fn read(bytes: &[u8]) -> Result<Option<(TaskId, ClientWord, usize)>, Malformed> {
-    let Some((length, rest)) = bytes.split_first_chunk::<2>() else { return Ok(None) };
+    let Some((length, rest)) = bytes.split_first_chunk::<2>() else {
+        return Ok(None);
+    };
     let length = usize::from(u16::from_be_bytes(*length));
     if length + 2 > MOST_BYTES {
         return Err(Malformed::TooLong);
@@ -57,9 +59,15 @@
     if length < 9 {
         return Err(Malformed::Length);
     }
-    let Some(body) = rest.get(..length) else { return Ok(None) };
-    let Some((kind, body)) = body.split_first() else { return Err(Malformed::Length) };
-    let Some((task, body)) = body.split_first_chunk::<8>() else { return Err(Malformed::Length) };
+    let Some(body) = rest.get(..length) else {
+        return Ok(None);
+    };
+    let Some((kind, body)) = body.split_first() else {
+        return Err(Malformed::Length);
+    };
+    let Some((task, body)) = body.split_first_chunk::<8>() else {
+        return Err(Malformed::Length);
+    };
     let parameters = parameters(body)?;
     let word = match *kind {
         kind::SET_UP => match set_up(&parameters) {
@@ -90,7 +98,10 @@
 }
 
 fn find<'a>(parameters: &[(u8, &'a [u8])], code: u8) -> Option<&'a [u8]> {
-    parameters.iter().find(|(c, _)| *c == code).map(|(_, value)| *value)
+    parameters
+        .iter()
+        .find(|(c, _)| *c == code)
+        .map(|(_, value)| *value)
 }
 
 fn set_up(parameters: &[(u8, &[u8])]) -> Result<SetUp, Malformed> {
@@ -103,7 +114,10 @@
     let figures = need(code::FIGURES, "figures")?;
     let figure = |name: &str| {
         let pairs = figures.split(';').filter_map(|pair| pair.split_once(':'));
-        pairs.into_iter().find(|(n, _)| *n == name).map(|(_, value)| value)
+        pairs
+            .into_iter()
+            .find(|(n, _)| *n == name)
+            .map(|(_, value)| value)
     };
     let amount = |name: &'static str| {
         let value = figure(name).and_then(parse_number).filter(|v| *v >= 0.0);
@@ -115,14 +129,19 @@
         None if at.is_some() => 0.0,
         None => return Err(Malformed::Field("wait")),
         // A day at the most: later sums of times stay far from their limits.
-        Some(text) => parse_number(text).ok_or(Malformed::Field("wait"))?.clamp(0.0, 86_400_000.0),
+        Some(text) => parse_number(text)
+            .ok_or(Malformed::Field("wait"))?
+            .clamp(0.0, 86_400_000.0),
     };
     let key = need(code::KEY, "key")?;
     Ok(SetUp {
         ask: Ask {
             class: need(code::CLASS, "class")?.to_string(),
             tenant: text(code::TENANT, "tenant")?.map(str::to_string),
-            service: hex(figure("service").ok_or(Malformed::Field("service"))?, "service")?,
+            service: hex(
+                figure("service").ok_or(Malformed::Field("service"))?,
+                "service",
+            )?,
             key: hex(key, "key")?,
             cores: amount("cores")?,
             memory: amount("memory")?,
@@ -132,13 +151,18 @@
         wait: millis(wait),
         at,
         key: key.to_string(),
-        description: text(code::DESCRIPTION, "description")?.unwrap_or_default().to_string(),
+        description: text(code::DESCRIPTION, "description")?
+            .unwrap_or_default()
+            .to_string(),
     })
 }
 
 /// Puts a message together. Values come from messages that were short enough themselves.
 fn message(kind: u8, task: TaskId, parameters: &[(u8, &[u8])]) -> Vec<u8> {
-    let length = 9 + parameters.iter().map(|(_, value)| 3 + value.len()).sum::<usize>();
+    let length = 9 + parameters
+        .iter()
+        .map(|(_, value)| 3 + value.len())
+        .sum::<usize>();
     let mut bytes = Vec::with_capacity(2 + length);
     bytes.extend(u16::try_from(length).unwrap_or(u16::MAX).to_be_bytes());
     bytes.push(kind);
@@ -153,7 +177,11 @@
 
 /// The task stands.
 pub fn answer(task: TaskId, description: &str) -> Vec<u8> {
-    message(kind::ANSWER, task, &[(code::DESCRIPTION, description.as_bytes())])
+    message(
+        kind::ANSWER,
+        task,
+        &[(code::DESCRIPTION, description.as_bytes())],
+    )
 }
 
 /// A refusal, a failure or the end of a task, with the time to stay away where one is given.
--- a/src/net/codec/binary/tests.rs
+++ b/src/net/codec/binary/tests.rs
@@ -12,7 +12,10 @@
     (code::TENANT, b"acme"),
     (code::RETRY, b"1"),
     (code::KEY, b"7f3a9c21e0b4d655"),
-    (code::FIGURES, b"cores:1.5;memory:2;service:00000000b4d65521;at:s-1"),
+    (
+        code::FIGURES,
+        b"cores:1.5;memory:2;service:00000000b4d65521;at:s-1",
+    ),
     (code::DESCRIPTION, b"c=IN IP4\r\n"),
 ];
 
@@ -34,7 +37,10 @@
     };
     assert_eq!(set_up.ask, ask);
     assert_eq!(set_up.at, Some(HostId(Arc::from("s-1"))));
-    assert_eq!((set_up.key.as_str(), set_up.description.as_str()), ("7f3a9c21e0b4d655", "c=IN IP4\r\n"));
+    assert_eq!(
+        (set_up.key.as_str(), set_up.description.as_str()),
+        ("7f3a9c21e0b4d655", "c=IN IP4\r\n")
+    );
 }
 
 #[test]
@@ -45,7 +51,10 @@
     }
     let two = [whole.clone(), heard(TaskId(7))].concat();
     assert!(matches!(read(&two), Ok(Some((TaskId(0x9b1f), _, n))) if n == whole.len()));
-    assert_eq!(read(&two[whole.len()..]), Ok(Some((TaskId(7), ClientWord::Heard, 11))));
+    assert_eq!(
+        read(&two[whole.len()..]),
+        Ok(Some((TaskId(7), ClientWord::Heard, 11)))
+    );
 }
 
 #[test]
@@ -67,8 +76,14 @@
             Some(value) => parameters[place].1 = value,
             None => drop(parameters.remove(place)),
         }
-        let read = read(&set_up_bytes(&parameters)).expect("a message").expect("a whole one");
-        assert_eq!(read.1, ClientWord::BadSetUp(Malformed::Field(field)), "{value:?}");
+        let read = read(&set_up_bytes(&parameters))
+            .expect("a message")
+            .expect("a whole one");
+        assert_eq!(
+            read.1,
+            ClientWord::BadSetUp(Malformed::Field(field)),
+            "{value:?}"
+        );
     }
     let long = set_up_bytes(&[(code::DESCRIPTION, &[b'x'; MOST_BYTES])]);
     let broken: [(&[u8], Malformed); 6] = [
@@ -76,8 +91,14 @@
         (&[0xff, 0xff], Malformed::TooLong),
         (&[0, 8, 1, 0, 0, 0, 0, 0, 0, 0], Malformed::Length),
         (&[0, 10, 12, 0, 0, 0, 0, 0, 0, 0, 0, 171], Malformed::Length),
-        (&[0, 12, 12, 0, 0, 0, 0, 0, 0, 0, 0, 171, 0, 9], Malformed::Length),
-        (&[0, 9, 12, 0, 0, 0, 0, 0, 0, 0, 0], Malformed::Field("cause")),
+        (
+            &[0, 12, 12, 0, 0, 0, 0, 0, 0, 0, 0, 171, 0, 9],
+            Malformed::Length,
+        ),
+        (
+            &[0, 9, 12, 0, 0, 0, 0, 0, 0, 0, 0],
+            Malformed::Field("cause"),
+        ),
     ];
     for (bytes, why) in broken {
         assert_eq!(read(bytes), Err(why), "{:?}", &bytes[..bytes.len().min(16)]);
@@ -90,7 +111,11 @@
     let cases: [(Vec<u8>, u8, &[u8]); 6] = [
         (answer(id, "d"), 9, &[174, 0, 1, b'd']),
         (release(id, 41, None), 12, &[171, 0, 1, 41]),
-        (release(id, 42, Some(250)), 12, &[171, 0, 1, 42, 147, 0, 3, b'2', b'5', b'0']),
+        (
+            release(id, 42, Some(250)),
+            12,
+            &[171, 0, 1, 42, 147, 0, 3, b'2', b'5', b'0'],
+        ),
         (heard(id), 16, &[]),
         (moved(id), 51, &[]),
         (tested(id, true), 53, &[171, 0, 1, 1]),
--- a/src/net/codec/feed.rs
+++ b/src/net/codec/feed.rs
@@ -47,9 +47,17 @@
 pub fn event(value: &BorrowedValue<'_>, names: &Names) -> Result<FeedLine, Malformed> {
     let number = value.get_u64("n").ok_or(Malformed::Field("n"))?;
     let mut aside = Vec::new();
-    let Some(members) = value.get("members") else { return Ok(FeedLine { number, members: None, aside }) };
+    let Some(members) = value.get("members") else {
+        return Ok(FeedLine {
+            number,
+            members: None,
+            aside,
+        });
+    };
     let whole = members.get_bool("whole").ok_or(Malformed::Field("whole"))?;
-    let entries = members.get_array("hosts").ok_or(Malformed::Field("hosts"))?;
+    let entries = members
+        .get_array("hosts")
+        .ok_or(Malformed::Field("hosts"))?;
     let mut hosts = Vec::with_capacity(entries.len());
     for entry in entries {
         match listed(entry, names) {
@@ -57,16 +65,28 @@
             Err(why) => aside.push((entry.get_str("host").unwrap_or_default().to_string(), why)),
         }
     }
-    Ok(FeedLine { number, members: Some((whole, hosts)), aside })
+    Ok(FeedLine {
+        number,
+        members: Some((whole, hosts)),
+        aside,
+    })
 }
 
 /// A zone by its name, alike at every placer. Where the settings do not state it, or the entry names none,
 /// it is a zone all the same: hosts there are apart from those of all others.
 fn zone(name: Option<&str>, names: &[String]) -> ZoneId {
     let name = name.unwrap_or_default().replace([' ', ','], "_");
-    let hash =
-        || name.bytes().fold(1_469_598_103, |h: usize, b| (h ^ usize::from(b)).wrapping_mul(1_099_511));
-    ZoneId(names.iter().position(|n| *n == name).unwrap_or_else(|| hash() | 1 << 31))
+    let hash = || {
+        name.bytes().fold(1_469_598_103, |h: usize, b| {
+            (h ^ usize::from(b)).wrapping_mul(1_099_511)
+        })
+    };
+    ZoneId(
+        names
+            .iter()
+            .position(|n| *n == name)
+            .unwrap_or_else(|| hash() | 1 << 31),
+    )
 }
 
 fn listed(value: &BorrowedValue<'_>, names: &Names) -> Result<Listed, Malformed> {
@@ -79,22 +99,36 @@
     };
     let gone = state == HostState::Gone;
     // Of a host that is gone only its name counts.
-    let kind = value.get_str("class").map(|name| name.replace([' ', ','], "_"));
+    let kind = value
+        .get_str("class")
+        .map(|name| name.replace([' ', ','], "_"));
     let kind = kind.and_then(|name| names.kinds.iter().position(|n| *n == name));
     let dial = value.get_str("dial").and_then(|text| text.parse().ok());
     if dial.is_none() && !gone {
         return Err(Malformed::Field("dial"));
     }
-    let free = |i: usize| value.get_array("unasked").and_then(|v| v.get(i)).and_then(number).unwrap_or(0.0);
+    let free = |i: usize| {
+        value
+            .get_array("unasked")
+            .and_then(|v| v.get(i))
+            .and_then(number)
+            .unwrap_or(0.0)
+    };
     Ok(Listed {
         entry: Entry {
             host: HostId(Arc::from(host)),
             zone: zone(value.get_str("site"), &names.zones),
             cell: CellId(value.get_u64("block").unwrap_or(0)),
-            kind: KindId(kind.or(gone.then_some(0)).ok_or(Malformed::Field("class"))?),
+            kind: KindId(
+                kind.or(gone.then_some(0))
+                    .ok_or(Malformed::Field("class"))?,
+            ),
             state,
             // Bounded, so that sums with it stay far from their limits.
-            ready_at: value.get("born_ms").and_then(number).map_or(0, |ms| millis(ms.clamp(0.0, 1e14))),
+            ready_at: value
+                .get("born_ms")
+                .and_then(number)
+                .map_or(0, |ms| millis(ms.clamp(0.0, 1e14))),
             free_cores: free(0),
             free_memory: free(1),
         },
--- a/src/net/codec/feed/tests.rs
+++ b/src/net/codec/feed/tests.rs
@@ -3,13 +3,18 @@
 use super::*;
 
 fn names() -> Names {
-    Names { zones: vec!["west".into(), "east".into()], kinds: vec!["std".into()], ..Names::default() }
+    Names {
+        zones: vec!["west".into(), "east".into()],
+        kinds: vec!["std".into()],
+        ..Names::default()
+    }
 }
 
 #[test]
 fn events_are_read_and_bad_ones_are_typed_errors() {
     let host = r#"{"host":"s-1","dial":"127.0.0.1:5060","site":"east","class":"std","block":2,"health":"up","share":4,"born_ms":1500,"unasked":[3.5,-1]}"#;
-    let event = |host: &str| format!(r#"{{"n":41,"members":{{"seq":7,"whole":false,"hosts":[{host}]}}}}"#);
+    let event =
+        |host: &str| format!(r#"{{"n":41,"members":{{"seq":7,"whole":false,"hosts":[{host}]}}}}"#);
     let read_text = |text: &str| read(&mut text.as_bytes().to_vec(), &names());
     let line = read_text(&event(host)).expect("good");
     let (whole, hosts) = line.members.expect("hosts");
@@ -20,13 +25,22 @@
         ("s-1", ZoneId(1), KindId(0), CellId(2))
     );
     assert_eq!((entry.state, entry.ready_at), (HostState::Up, 1_500_000));
-    assert_eq!((entry.free_cores, entry.free_memory, dial.map(|d| d.port())), (3.5, -1.0, Some(5060)));
+    assert_eq!(
+        (entry.free_cores, entry.free_memory, dial.map(|d| d.port())),
+        (3.5, -1.0, Some(5060))
+    );
     assert!(read_text(r#"{"n":41}"#).is_ok_and(|line| line.members.is_none()));
-    assert!(read_text(&event(r#"{"host":"s-1","health":"removed"}"#)).is_ok(), "its name is enough");
+    assert!(
+        read_text(&event(r#"{"host":"s-1","health":"removed"}"#)).is_ok(),
+        "its name is enough"
+    );
     let cases = [
         ("{\"n\":".to_string(), Malformed::Json),
         ("{}".to_string(), Malformed::Field("n")),
-        (r#"{"n":1,"members":{}}"#.to_string(), Malformed::Field("whole")),
+        (
+            r#"{"n":1,"members":{}}"#.to_string(),
+            Malformed::Field("whole"),
+        ),
     ];
     for (text, why) in cases {
         assert_eq!(read_text(&text).map(|_| ()), Err(why), "{text}");
@@ -37,7 +51,8 @@
 // refused: the placer did not start.
 #[test]
 fn an_entry_that_cannot_be_right_is_set_aside_and_the_others_are_taken() {
-    let good = r#"{"host":"s-1","dial":"127.0.0.1:5060","site":"east","class":"std","health":"up"}"#;
+    let good =
+        r#"{"host":"s-1","dial":"127.0.0.1:5060","site":"east","class":"std","health":"up"}"#;
     for (bad, why) in [
         (good.replace("\"up\"", "\"odd\""), "health"),
         (good.replace("\"std\"", "\"odd\""), "class"),
@@ -48,7 +63,10 @@
         let text = format!(r#"{{"n":4,"members":{{"whole":true,"hosts":[{bad},{good}]}}}}"#);
         let line = read(&mut text.into_bytes(), &names()).expect("an event");
         assert_eq!(line.members.map(|(_, hosts)| hosts.len()), Some(1), "{bad}");
-        assert_eq!(line.aside.iter().map(|(_, why)| *why).collect::<Vec<_>>(), [Malformed::Field(why)]);
+        assert_eq!(
+            line.aside.iter().map(|(_, why)| *why).collect::<Vec<_>>(),
+            [Malformed::Field(why)]
+        );
     }
 }
 
@@ -59,7 +77,13 @@
     let zones = ["west", "east", "north", "south", ""].map(|name| zone(Some(name), &stated));
     assert_eq!((zones[0], zones[1]), (ZoneId(0), ZoneId(1)));
     for (i, one) in zones.iter().enumerate() {
-        assert!(zones.iter().skip(i + 1).all(|other| other != one), "{zones:?}");
+        assert!(
+            zones.iter().skip(i + 1).all(|other| other != one),
+            "{zones:?}"
+        );
     }
-    assert_eq!((zone(Some("north"), &stated), zone(None, &[])), (zones[2], zones[4]));
+    assert_eq!(
+        (zone(Some("north"), &stated), zone(None, &[])),
+        (zones[2], zones[4])
+    );
 }
--- a/src/net/codec/lines.rs
+++ b/src/net/codec/lines.rs
@@ -26,7 +26,9 @@
         return Err(Malformed::Json);
     }
     let text = |name| value.get_str(name);
-    let task = text("ref").filter(|t| t.len() == 16).and_then(|t| u64::from_str_radix(t, 16).ok());
+    let task = text("ref")
+        .filter(|t| t.len() == 16)
+        .and_then(|t| u64::from_str_radix(t, 16).ok());
     let task = TaskId(task.ok_or(Malformed::Field("ref"))?);
     let fields = value.get("f");
     let field = |name| fields.and_then(|f| f.get(name));
@@ -35,11 +37,16 @@
         // Without its description it is no answer, but a spoilt one.
         "up" => HostWord::Up(text("d").ok_or(Malformed::Field("d"))?.to_string()),
         "down" => {
-            let cause = value.get("c").and_then(|v| v.as_u8()).ok_or(Malformed::Field("c"))?;
+            let cause = value
+                .get("c")
+                .and_then(|v| v.as_u8())
+                .ok_or(Malformed::Field("c"))?;
             HostWord::Down(cause, detail(note))
         }
         "tell" => {
-            let figure = field("value").and_then(number).ok_or(Malformed::Field("value"))?;
+            let figure = field("value")
+                .and_then(number)
+                .ok_or(Malformed::Field("value"))?;
             HostWord::Tell(kind_of_note(note), figure)
         }
         _ => HostWord::Other,
@@ -86,7 +93,13 @@
 }
 
 /// An offer, or none if it does not fit in one message. `left_ms` is how long the placer waits.
-pub fn offer(task: TaskId, class: &str, key: &str, left_ms: i64, description: &str) -> Option<Vec<u8>> {
+pub fn offer(
+    task: TaskId,
+    class: &str,
+    key: &str,
+    left_ms: i64,
+    description: &str,
+) -> Option<Vec<u8>> {
     let value: BorrowedValue<'_> = json!({
         "t": "new",
         "ref": task.to_string(),
--- a/src/net/codec/lines/tests.rs
+++ b/src/net/codec/lines/tests.rs
@@ -5,19 +5,41 @@
 #[test]
 fn lines_are_read_by_type() {
     let cases = [
-        (r#""t":"up","f":{},"d":"a\r\nb""#, HostWord::Up("a\r\nb".into())),
+        (
+            r#""t":"up","f":{},"d":"a\r\nb""#,
+            HostWord::Up("a\r\nb".into()),
+        ),
         (r#""t":"up","d":"""#, HostWord::Up(String::new())),
-        (r#""t":"down","f":{"note":"nc"},"c":34"#, HostWord::Down(34, Detail::NoCores)),
-        (r#""t":"down","f":{"note":"pre"},"c":41"#, HostWord::Down(41, Detail::PushedOut)),
-        (r#""t":"down","f":{},"c":16"#, HostWord::Down(16, Detail::None)),
-        (r#""t":"tell","f":{"note":"m","value":"1.5"}"#, HostWord::Tell(Note::Memory, 1.5)),
-        (r#""t":"tell","f":{"note":"s","value":0.25}"#, HostWord::Tell(Note::Served, 0.25)),
+        (
+            r#""t":"down","f":{"note":"nc"},"c":34"#,
+            HostWord::Down(34, Detail::NoCores),
+        ),
+        (
+            r#""t":"down","f":{"note":"pre"},"c":41"#,
+            HostWord::Down(41, Detail::PushedOut),
+        ),
+        (
+            r#""t":"down","f":{},"c":16"#,
+            HostWord::Down(16, Detail::None),
+        ),
+        (
+            r#""t":"tell","f":{"note":"m","value":"1.5"}"#,
+            HostWord::Tell(Note::Memory, 1.5),
+        ),
+        (
+            r#""t":"tell","f":{"note":"s","value":0.25}"#,
+            HostWord::Tell(Note::Served, 0.25),
+        ),
         (r#""t":"wait","f":{}"#, HostWord::Other),
         (r#""t":"unheard of""#, HostWord::Other),
     ];
     for (rest, word) in cases {
         let mut line = format!(r#"{{"ref":"9b1f03aa5c7e2d41",{rest}}}"#).into_bytes();
-        assert_eq!(read(&mut line), Ok((TaskId(0x9b1f_03aa_5c7e_2d41), word)), "{rest}");
+        assert_eq!(
+            read(&mut line),
+            Ok((TaskId(0x9b1f_03aa_5c7e_2d41), word)),
+            "{rest}"
+        );
     }
 }
 
@@ -31,17 +53,37 @@
         (deep.as_str(), Malformed::Json),
         ("{\"t\":\"up\",\"ref\":\"\u{1}\"}", Malformed::Json),
         (r#"{"t":"up"}"#, Malformed::Field("ref")),
-        (r#"{"t":"up","ref":"9b1f03aa5c7e2d41","f":{}}"#, Malformed::Field("d")),
-        (r#"{"t":"up","ref":"9b1f03aa5c7e2d41","d":7}"#, Malformed::Field("d")),
+        (
+            r#"{"t":"up","ref":"9b1f03aa5c7e2d41","f":{}}"#,
+            Malformed::Field("d"),
+        ),
+        (
+            r#"{"t":"up","ref":"9b1f03aa5c7e2d41","d":7}"#,
+            Malformed::Field("d"),
+        ),
         (r#"{"t":"up","ref":"1"}"#, Malformed::Field("ref")),
         (r#"{"t":"up","ref":7}"#, Malformed::Field("ref")),
         (r#"{"ref":"9b1f03aa5c7e2d41"}"#, Malformed::Field("t")),
-        (r#"{"t":"down","ref":"9b1f03aa5c7e2d41","c":"x"}"#, Malformed::Field("c")),
-        (r#"{"t":"down","ref":"9b1f03aa5c7e2d41","c":300}"#, Malformed::Field("c")),
-        (r#"{"t":"tell","ref":"9b1f03aa5c7e2d41","f":[]}"#, Malformed::Field("value")),
+        (
+            r#"{"t":"down","ref":"9b1f03aa5c7e2d41","c":"x"}"#,
+            Malformed::Field("c"),
+        ),
+        (
+            r#"{"t":"down","ref":"9b1f03aa5c7e2d41","c":300}"#,
+            Malformed::Field("c"),
+        ),
+        (
+            r#"{"t":"tell","ref":"9b1f03aa5c7e2d41","f":[]}"#,
+            Malformed::Field("value"),
+        ),
     ];
     for (line, why) in cases {
-        assert_eq!(read(&mut line.as_bytes().to_vec()), Err(why), "{:.40}", line);
+        assert_eq!(
+            read(&mut line.as_bytes().to_vec()),
+            Err(why),
+            "{:.40}",
+            line
+        );
     }
 }
 
@@ -53,9 +95,24 @@
     line.pop();
     let value = simd_json::to_owned_value(&mut line).expect("JSON");
     let field = |name| value.get("f").and_then(|f| f.get_str(name));
-    assert_eq!((value.get_str("t"), value.get_str("ref")), (Some("new"), Some("0000000000000041")));
-    assert_eq!((field("class"), field("key"), field("left")), (Some("batch"), Some("7f3a"), Some("1500")));
+    assert_eq!(
+        (value.get_str("t"), value.get_str("ref")),
+        (Some("new"), Some("0000000000000041"))
+    );
+    assert_eq!(
+        (field("class"), field("key"), field("left")),
+        (Some("batch"), Some("7f3a"), Some("1500"))
+    );
     assert_eq!(value.get_str("d"), Some(text));
-    assert_eq!(offer(TaskId(1), "batch", "7f3a", 1500, &"\u{1}".repeat(MOST_BYTES / 6)), None);
+    assert_eq!(
+        offer(
+            TaskId(1),
+            "batch",
+            "7f3a",
+            1500,
+            &"\u{1}".repeat(MOST_BYTES / 6)
+        ),
+        None
+    );
     assert_eq!(release(TaskId(1), 16).last(), Some(&b'\n'));
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -38,18 +38,29 @@
 impl Config {
     /// What `anisehead check` tells of it: fields and values.
     pub fn in_force(&self) -> Vec<(String, String)> {
-        let up = self.known.iter().filter_map(|line| line.members.as_ref()).flat_map(|(_, hosts)| hosts);
+        let up = self
+            .known
+            .iter()
+            .filter_map(|line| line.members.as_ref())
+            .flat_map(|(_, hosts)| hosts);
         let names = |names: &[String]| names.join(",");
         [
             ("name", self.name.clone()),
             ("listen", self.listen.to_string()),
-            ("admin", self.admin.map_or_else(|| "none".to_string(), |admin| admin.to_string())),
+            (
+                "admin",
+                self.admin
+                    .map_or_else(|| "none".to_string(), |admin| admin.to_string()),
+            ),
             ("feed", self.feed.to_string()),
             ("seed", format!("{:016x}", self.seed)),
             ("known.n", self.known_to.to_string()),
             ("known.entries", up.count().to_string()),
             ("limits.sockets", self.limits.sockets.to_string()),
-            ("limits.memory_mb", (self.limits.memory / 1_048_576).to_string()),
+            (
+                "limits.memory_mb",
+                (self.limits.memory / 1_048_576).to_string(),
+            ),
             ("settings.services", names(&self.names.classes)),
             ("settings.realms", names(&self.names.tenants)),
             ("settings.models", names(&self.names.kinds)),
@@ -71,7 +82,12 @@
 
 impl Limits {
     fn read(value: Option<&BorrowedValue<'_>>) -> Limits {
-        let stated = |field: &str| value.and_then(|v| v.get(field)).and_then(number).filter(|v| *v >= 1.0);
+        let stated = |field: &str| {
+            value
+                .and_then(|v| v.get(field))
+                .and_then(number)
+                .filter(|v| *v >= 1.0)
+        };
         let megabytes = stated("memory_mb").unwrap_or(32.0);
         Limits {
             sockets: stated("sockets").unwrap_or(256.0) as usize,
@@ -94,7 +110,10 @@
 }
 
 fn error(field: &str, what: impl fmt::Display) -> ConfigError {
-    ConfigError { field: field.to_string(), what: what.to_string() }
+    ConfigError {
+        field: field.to_string(),
+        what: what.to_string(),
+    }
 }
 
 /// Reads the file that `--config` or `LB_CONFIG` names.
@@ -106,12 +125,16 @@
     // A second process of this placer is told another address, on the same file.
     if let Some(named) = std::env::var_os("LB_ADMIN").filter(|named| !named.is_empty()) {
         let named = named.to_string_lossy().into_owned();
-        let parsed: SocketAddr =
-            named.parse().map_err(|e| error("LB_ADMIN", format_args!("{named}: {e}")))?;
+        let parsed: SocketAddr = named
+            .parse()
+            .map_err(|e| error("LB_ADMIN", format_args!("{named}: {e}")))?;
         config.admin = Some(parsed);
     }
     if config.admin == Some(config.listen) {
-        return Err(error("admin", format_args!("{} is where clients connect (listen)", config.listen)));
+        return Err(error(
+            "admin",
+            format_args!("{} is where clients connect (listen)", config.listen),
+        ));
     }
     Ok(config)
 }
@@ -127,17 +150,28 @@
         Some("") | None => None,
         Some(_) => Some(address("admin")?),
     };
-    let stated = value.get("settings").ok_or_else(|| error("settings", "missing"))?;
+    let stated = value
+        .get("settings")
+        .ok_or_else(|| error("settings", "missing"))?;
     let (settings, names) = settings::read(&settings::flatten(stated))
         .map_err(|e| error(&format!("settings.{}", e.field), e.what))?;
-    let known = value.get("known").ok_or_else(|| error("known", "missing"))?;
-    let known_to = known.get_u64("n").ok_or_else(|| error("known.n", "missing"))?;
+    let known = value
+        .get("known")
+        .ok_or_else(|| error("known", "missing"))?;
+    let known_to = known
+        .get_u64("n")
+        .ok_or_else(|| error("known.n", "missing"))?;
     let limits = Limits::read(value.get("limits"));
     if limits.sockets < FEWEST_SOCKETS {
-        let what = format!("{}, and {FEWEST_SOCKETS} are the fewest that serve anyone", limits.sockets);
+        let what = format!(
+            "{}, and {FEWEST_SOCKETS} are the fewest that serve anyone",
+            limits.sockets
+        );
         return Err(error("limits.sockets", what));
     }
-    let events = known.get_array("events").ok_or_else(|| error("known.events", "missing"))?;
+    let events = known
+        .get_array("events")
+        .ok_or_else(|| error("known.events", "missing"))?;
     let event = |e| feed::event(e, &names).map_err(|e| error("known.events", e));
     let known = events.iter().map(event).collect::<Result<_, _>>()?;
     Ok(Config {
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -100,7 +100,9 @@
 impl From<io::Error> for End {
     fn from(e: io::Error) -> End {
         match e.kind() {
-            ErrorKind::ConnectionReset | ErrorKind::BrokenPipe | ErrorKind::ConnectionAborted => End::Reset,
+            ErrorKind::ConnectionReset | ErrorKind::BrokenPipe | ErrorKind::ConnectionAborted => {
+                End::Reset
+            }
             kind => End::Failed(kind),
         }
     }
@@ -210,7 +212,9 @@
 
     /// Whether it was told to end for what the peer did on it, and not because it failed.
     pub fn dismissed(&self) -> bool {
-        self.end.get().is_some_and(|end| !matches!(end, End::Reset | End::Failed(_)))
+        self.end
+            .get()
+            .is_some_and(|end| !matches!(end, End::Reset | End::Failed(_)))
     }
 
     /// Whether nothing waits to be read. Guards a set-up that has come in and was not read yet against a
@@ -225,7 +229,9 @@
         match SCRATCH.with_borrow_mut(|chunk| self.stream.get_ref().peek(chunk)) {
             Ok(0) => Unread::End,
             Ok(count) => Unread::Bytes(count),
-            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Unread::Nothing,
+            Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+                Unread::Nothing
+            }
             Err(e) => {
                 self.stop(e.into());
                 Unread::End
@@ -261,7 +267,11 @@
 
     /// Ends a connection on which half a message has waited so long for its rest.
     pub fn end_if_half(&self, patience: Duration) {
-        if self.half_since.get().is_some_and(|since| since.elapsed() > patience) {
+        if self
+            .half_since
+            .get()
+            .is_some_and(|since| since.elapsed() > patience)
+        {
             self.stop(End::Unspoken);
         }
     }
@@ -282,7 +292,11 @@
         end
     }
 
-    async fn read(&self, inbox: &mut Vec<u8>, take: &mut impl FnMut(&mut Vec<u8>) -> Result<(), End>) -> End {
+    async fn read(
+        &self,
+        inbox: &mut Vec<u8>,
+        take: &mut impl FnMut(&mut Vec<u8>) -> Result<(), End>,
+    ) -> End {
         loop {
             match self.read_some(inbox).await {
                 Ok(0) => return self.end.get().unwrap_or(End::Closed),
@@ -294,7 +308,8 @@
                 return end;
             }
             let since = self.half_since.get().filter(|_| inbox.len() == before);
-            self.half_since.set((!inbox.is_empty()).then(|| since.unwrap_or_else(Instant::now)));
+            self.half_since
+                .set((!inbox.is_empty()).then(|| since.unwrap_or_else(Instant::now)));
             if inbox.is_empty() {
                 *inbox = Vec::new();
             }
@@ -328,7 +343,13 @@
     pub async fn linger(&self) {
         let read_off = async {
             while !self.queue.borrow().is_empty() {
-                if self.stream.writable().await.and_then(|()| self.flush()).is_err() {
+                if self
+                    .stream
+                    .writable()
+                    .await
+                    .and_then(|()| self.flush())
+                    .is_err()
+                {
                     return;
                 }
             }
--- a/src/net/conn/tests.rs
+++ b/src/net/conn/tests.rs
@@ -6,7 +6,8 @@
 /// A connection, and the peer's end of it, which reads nothing.
 fn pair() -> (Conn, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let stream = TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+    let stream =
+        TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let (peer, _) = listener.accept().expect("a connection");
     (Conn::new(Async::new(stream).expect("a socket")), peer)
 }
@@ -62,9 +63,15 @@
     let (conn, mut peer) = pair();
     assert_eq!(conn.unread(), Unread::Nothing);
     peer.write_all(&[7; 3]).expect("it has room");
-    assert_eq!((conn.unread(), conn.unread().whole()), (Unread::Bytes(3), true));
+    assert_eq!(
+        (conn.unread(), conn.unread().whole()),
+        (Unread::Bytes(3), true)
+    );
     peer.write_all(&[7; CHUNK]).expect("it has room");
-    assert_eq!((conn.unread(), conn.unread().whole()), (Unread::Bytes(CHUNK), false));
+    assert_eq!(
+        (conn.unread(), conn.unread().whole()),
+        (Unread::Bytes(CHUNK), false)
+    );
     let (conn, peer) = pair();
     drop(peer);
     assert_eq!(conn.unread(), Unread::End);
--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -21,8 +21,13 @@
 const PATIENCE: Micros = 5_000_000;
 
 /// Opens the socket. One that a dead process left is replaced; one that answers is another placer's.
-pub fn open(path: &Path, executor: &Rc<LocalExecutor<'static>>, shared: &Shared) -> io::Result<Rc<Gate>> {
-    let named = |e: io::Error| io::Error::new(e.kind(), format!("ctl.socket: {}: {e}", path.display()));
+pub fn open(
+    path: &Path,
+    executor: &Rc<LocalExecutor<'static>>,
+    shared: &Shared,
+) -> io::Result<Rc<Gate>> {
+    let named =
+        |e: io::Error| io::Error::new(e.kind(), format!("ctl.socket: {}: {e}", path.display()));
     if path.exists() {
         if UnixStream::connect(path).is_ok() {
             let taken = io::Error::new(io::ErrorKind::AddrInUse, "another process answers there");
@@ -36,7 +41,9 @@
     umask(before);
     let listener = bound.map_err(named)?;
     let gate = Rc::new(Gate::new(MOST));
-    executor.spawn(accept(listener, gate.clone(), shared.clone())).detach();
+    executor
+        .spawn(accept(listener, gate.clone(), shared.clone()))
+        .detach();
     info!(socket = %path.display(), "takes orders");
     Ok(gate)
 }
@@ -47,7 +54,9 @@
             Ok((stream, _)) => {
                 let dispatch = shared.borrow();
                 let place = gate.enter(dispatch.clock.now() + PATIENCE);
-                dispatch.tasks.spawn(serve(stream, place, gate.clone(), shared.clone()));
+                dispatch
+                    .tasks
+                    .spawn(serve(stream, place, gate.clone(), shared.clone()));
             }
             Err(e) => AcceptFailed::pause(&shared, &e).await,
         }
@@ -65,13 +74,20 @@
     info!(reason, "ctl connection ended");
 }
 
-async fn orders(mut stream: &Async<UnixStream>, place: &Place, gate: &Gate, shared: &Shared) -> &'static str {
+async fn orders(
+    mut stream: &Async<UnixStream>,
+    place: &Place,
+    gate: &Gate,
+    shared: &Shared,
+) -> &'static str {
     let (mut inbox, mut scratch) = (Vec::new(), [0; 1_024]);
     loop {
         let line = match super::codec::next_line(&mut inbox, ctl::MOST_ORDER) {
             Ok(line) => line,
             Err(_) => {
-                let _ = stream.write_all(&ctl::answer(Err("longer than any order".into()))).await;
+                let _ = stream
+                    .write_all(&ctl::answer(Err("longer than any order".into())))
+                    .await;
                 return "too-long";
             }
         };
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -151,8 +151,16 @@
         let watch = operator.watches().then(|| Watch::new(operator, now));
         // The listeners, their connections, and those that are on their way out.
         let listeners = operator.health.agent.len() + operator.health.http.len();
-        let polls = if operator.health.listens() { operator.health.connections + 4 } else { 0 };
-        let calls = if config.admin.is_some() { MOST_CALLERS + 1 } else { 0 };
+        let polls = if operator.health.listens() {
+            operator.health.connections + 4
+        } else {
+            0
+        };
+        let calls = if config.admin.is_some() {
+            MOST_CALLERS + 1
+        } else {
+            0
+        };
         let apart = listeners + polls + calls + if operator.ctl.is_some() { 6 } else { 0 };
         // What a cold host was sent is looked back on for that time, and counted by clocks that differ.
         let company = Company::new(2 * config.settings.fall.max(config.settings.connect_timeout));
@@ -207,12 +215,23 @@
         self.wheel.add(now + SWEEP, Due::Sweep);
         for (i, event) in std::mem::take(&mut self.known).into_iter().enumerate() {
             self.name_aside(&event.aside);
-            let Some((whole, hosts)) = event.members else { continue };
+            let Some((whole, hosts)) = event.members else {
+                continue;
+            };
             let (entries, _) = self.update_hosts(now, whole, hosts);
-            let news = if i == 0 { News::Known(entries) } else { News::Listed { whole, entries } };
+            let news = if i == 0 {
+                News::Known(entries)
+            } else {
+                News::Listed { whole, entries }
+            };
             self.tell(now, news);
         }
-        info!(name = self.name, hosts = self.hosts.len(), warm = self.warm, "serves");
+        info!(
+            name = self.name,
+            hosts = self.hosts.len(),
+            warm = self.warm,
+            "serves"
+        );
     }
 
     /// Takes over what the process may hold.
--- a/src/net/dispatch/answers.rs
+++ b/src/net/dispatch/answers.rs
@@ -28,13 +28,22 @@
         away: Option<u64>,
     ) -> Option<News> {
         let news = self.give_up(now, ticket, None, Outcome::Cancelled);
-        if self.requests.get(&ticket).is_some_and(|r| r.state == State::Held) {
+        if self
+            .requests
+            .get(&ticket)
+            .is_some_and(|r| r.state == State::Held)
+        {
             self.watch(now, Event::Answered { in_aim: false });
             let request = self.remove(ticket)?;
             if let Some(client) = request.client {
-                let how = if cause == cause::REFUSED { Told::Refused } else { Told::Failed };
+                let how = if cause == cause::REFUSED {
+                    Told::Refused
+                } else {
+                    Told::Failed
+                };
                 self.tally.ended(request.class, how);
-                self.clients.send(now, client, &binary::release(request.id, cause, away));
+                self.clients
+                    .send(now, client, &binary::release(request.id, cause, away));
                 self.clients.settled(client, ticket);
             }
         }
@@ -52,12 +61,14 @@
         description: &str,
     ) {
         self.tally.ended(class, Told::Served);
-        self.clients.send(now, client, &binary::answer(id, description));
+        self.clients
+            .send(now, client, &binary::answer(id, description));
         self.clients.settled(client, ticket);
     }
 
     /// The final answer to a set-up that neither the module nor a host hears of.
     pub(super) fn answer_unfit(&mut self, now: Micros, client: ClientId, id: TaskId) {
-        self.clients.send(now, client, &binary::release(id, cause::FAILED, None));
+        self.clients
+            .send(now, client, &binary::release(id, cause::FAILED, None));
     }
 }
--- a/src/net/dispatch/at_hosts.rs
+++ b/src/net/dispatch/at_hosts.rs
@@ -13,7 +13,11 @@
 
 impl Here {
     fn of(&mut self, stands: bool) -> &mut BTreeSet<Ticket> {
-        if stands { &mut self.standing } else { &mut self.out }
+        if stands {
+            &mut self.standing
+        } else {
+            &mut self.out
+        }
     }
 }
 
@@ -34,7 +38,9 @@
 
     /// It no longer is.
     pub fn left(&mut self, ticket: Ticket, host: &HostId, stands: bool) {
-        let Some(here) = self.0.get_mut(host) else { return };
+        let Some(here) = self.0.get_mut(host) else {
+            return;
+        };
         here.of(stands).remove(&ticket);
         if here.out.is_empty() && here.standing.is_empty() {
             self.0.remove(host);
@@ -43,16 +49,25 @@
 
     /// The requests that are out there.
     pub fn out(&self, host: &HostId) -> impl Iterator<Item = Ticket> + '_ {
-        self.0.get(host).into_iter().flat_map(|here| here.out.iter().copied())
+        self.0
+            .get(host)
+            .into_iter()
+            .flat_map(|here| here.out.iter().copied())
     }
 
     /// Those that stand there or leave.
     pub fn standing(&self, host: &HostId) -> impl Iterator<Item = Ticket> + '_ {
-        self.0.get(host).into_iter().flat_map(|here| here.standing.iter().copied())
+        self.0
+            .get(host)
+            .into_iter()
+            .flat_map(|here| here.standing.iter().copied())
     }
 
     /// The hosts at which any stand.
     pub fn hosts(&self) -> impl Iterator<Item = &HostId> {
-        self.0.iter().filter(|(_, here)| !here.standing.is_empty()).map(|(host, _)| host)
+        self.0
+            .iter()
+            .filter(|(_, here)| !here.standing.is_empty())
+            .map(|(host, _)| host)
     }
 }
--- a/src/net/dispatch/bounds.rs
+++ b/src/net/dispatch/bounds.rs
@@ -22,11 +22,19 @@
 impl Dispatch {
     /// Logs what was decided since the last line, if anything was.
     pub(super) fn log_overload(&mut self, now: Micros) {
-        let Some(overload) = self.facade.overload() else { return };
+        let Some(overload) = self.facade.overload() else {
+            return;
+        };
         let (step, counters) = (overload.step(), overload.counters());
         if step != self.logged.step {
             let through = anisehead::overload::gate::through(step);
-            info!(reason = "overload-step", from = self.logged.step, to = step, through, "overload");
+            info!(
+                reason = "overload-step",
+                from = self.logged.step,
+                to = step,
+                through,
+                "overload"
+            );
             self.logged.step = step;
         }
         if now - self.logged.at < EVERY || counters == self.logged.counters {
@@ -43,7 +51,12 @@
             .map(|((name, now), (_, before))| format!("{name}={}", now - before))
             .collect();
         if !moved.is_empty() {
-            info!(reason = "overload", step, moved = moved.join(" "), "overload");
+            info!(
+                reason = "overload",
+                step,
+                moved = moved.join(" "),
+                "overload"
+            );
         }
         (self.logged.at, self.logged.counters) = (now, counters);
     }
@@ -52,7 +65,14 @@
     pub(super) fn tell_overload(&self, now: Micros) -> Result<OwnedValue, String> {
         let overload = self.facade.overload();
         let overload = overload.ok_or("nothing of [overload] is on here")?;
-        let Report { step, through, left, away, counters, hosts } = overload.report(now);
+        let Report {
+            step,
+            through,
+            left,
+            away,
+            counters,
+            hosts,
+        } = overload.report(now);
         let seconds = |span: Micros| span as f64 / 1e6;
         let hosts = hosts.into_iter().map(|host| match host.turn {
             Some(turn) => json!({ "host": &*host.host.0, "turn": seconds(turn), "out": host.out }),
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -90,13 +90,24 @@
                 self.on_duty(now, duty::Event::Asked);
             }
             ClientWord::Heard => self.clients.heard_end(id),
-            ClientWord::Other => self.clients.stop(client, End::Malformed(Malformed::Field("type"))),
+            ClientWord::Other => self
+                .clients
+                .stop(client, End::Malformed(Malformed::Field("type"))),
         }
     }
 
     /// A client gives a set-up up, on its connection, or ends a task that stands, on any.
-    fn client_release(&mut self, now: Micros, client: ClientId, id: TaskId, cause: u8, held: Option<Ticket>) {
-        let open = held.and_then(|ticket| self.requests.get(&ticket)).filter(|r| r.awaits_answer());
+    fn client_release(
+        &mut self,
+        now: Micros,
+        client: ClientId,
+        id: TaskId,
+        cause: u8,
+        held: Option<Ticket>,
+    ) {
+        let open = held
+            .and_then(|ticket| self.requests.get(&ticket))
+            .filter(|r| r.awaits_answer());
         match (held, open.map(|r| r.client == Some(client))) {
             (Some(ticket), Some(true)) => return self.gone(now, ticket),
             (Some(ticket), None) => self.release_standing(now, ticket, cause),
@@ -121,7 +132,8 @@
         };
         if let Some(why) = unfit {
             info!(task = %id, reason = why, "not placed");
-            self.tally.ended(self.facade.class(&ask.class), Told::Failed);
+            self.tally
+                .ended(self.facade.class(&ask.class), Told::Failed);
             return self.answer_unfit(now, client, id);
         }
         let ticket = self.admit(now, id, client, &ask.class, State::Held);
@@ -139,7 +151,9 @@
     /// under an id that is open, or the same twice on one connection: its connection ends, and an answer
     /// that another is owed does not go there.
     fn set_up_again(&mut self, client: ClientId, ticket: Ticket, set_up: &SetUp) {
-        let Some(request) = self.requests.get_mut(&ticket) else { return };
+        let Some(request) = self.requests.get_mut(&ticket) else {
+            return;
+        };
         let known = matches!((&request.state, &set_up.at),
             (State::Standing { host, .. } | State::Leaving { host, .. }, Some(at)) if host == at);
         if known {
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -24,7 +24,13 @@
         let Some((ticket, request)) = known else {
             if let HostWord::Down(cause, detail) = word {
                 self.confirm_release(now, host, id);
-                self.ended.insert(id, Ended { by: Some((host.clone(), cause, detail)), since: now });
+                self.ended.insert(
+                    id,
+                    Ended {
+                        by: Some((host.clone(), cause, detail)),
+                        since: now,
+                    },
+                );
             }
             return;
         };
@@ -32,33 +38,62 @@
             State::Out { host: offered, .. } if offered == host => match word {
                 HostWord::Up(description) => self.task_started(now, ticket, &description),
                 HostWord::Down(cause::NORMAL, detail) => self.task_over(now, ticket, detail),
-                HostWord::Down(cause, detail) => self.offer_released(now, ticket, host, cause, detail),
-                HostWord::Tell(..) | HostWord::Other => {}
-            },
-            State::Standing { host: at, .. } | State::Leaving { host: at, .. } if at == host => match word {
                 HostWord::Down(cause, detail) => {
-                    self.confirm_release(now, host, id);
-                    self.end_standing(now, ticket, cause, detail);
-                }
-                HostWord::Tell(note, value) => {
-                    self.tell(now, News::Noted { ticket, host: host.clone(), note, value });
+                    self.offer_released(now, ticket, host, cause, detail)
                 }
-                HostWord::Up(_) | HostWord::Other => {}
+                HostWord::Tell(..) | HostWord::Other => {}
             },
+            State::Standing { host: at, .. } | State::Leaving { host: at, .. } if at == host => {
+                match word {
+                    HostWord::Down(cause, detail) => {
+                        self.confirm_release(now, host, id);
+                        self.end_standing(now, ticket, cause, detail);
+                    }
+                    HostWord::Tell(note, value) => {
+                        self.tell(
+                            now,
+                            News::Noted {
+                                ticket,
+                                host: host.clone(),
+                                note,
+                                value,
+                            },
+                        );
+                    }
+                    HostWord::Up(_) | HostWord::Other => {}
+                }
+            }
             _ => {}
         }
     }
 
     /// The host of the offer that is out has started the task: it stands, and its client gets the answer.
     fn task_started(&mut self, now: Micros, ticket: Ticket, description: &str) {
-        let Some(request) = self.requests.get_mut(&ticket) else { return };
-        let State::Out { attempt, host, since, .. } = &request.state else { return };
+        let Some(request) = self.requests.get_mut(&ticket) else {
+            return;
+        };
+        let State::Out {
+            attempt,
+            host,
+            since,
+            ..
+        } = &request.state
+        else {
+            return;
+        };
         let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
         request.set_up = None;
         let stretch = elapsed as f64 / request.aim as f64;
         let in_aim = now - request.since <= request.aim;
         let (id, client, class) = (request.id, request.client.take(), request.class);
-        self.enter(ticket, State::Standing { attempt, host: host.clone(), since: now });
+        self.enter(
+            ticket,
+            State::Standing {
+                attempt,
+                host: host.clone(),
+                since: now,
+            },
+        );
         self.settle(now, &host, true);
         if let Some(client) = client {
             self.answer_placed(now, ticket, client, class, id, description);
@@ -68,25 +103,67 @@
         if let Some(link) = self.hosts.get_mut(&host) {
             link.full_at = None;
         }
-        self.watch(now, Event::Offer { outcome: Outcome::Ok, detail: Detail::None, stretch });
+        self.watch(
+            now,
+            Event::Offer {
+                outcome: Outcome::Ok,
+                detail: Detail::None,
+                stretch,
+            },
+        );
         self.watch(now, Event::Answered { in_aim });
-        self.tell(now, News::Placed { ticket, attempt, host, elapsed });
+        self.tell(
+            now,
+            News::Placed {
+                ticket,
+                attempt,
+                host,
+                elapsed,
+            },
+        );
     }
 
     /// The task's own time is over: hosts release it so wherever it is offered. Guards against offering it again and
     /// holding each of these hosts for broken; its client is told the cause.
     fn task_over(&mut self, now: Micros, ticket: Ticket, detail: Detail) {
-        let Some(request) = self.requests.get(&ticket) else { return };
-        let State::Out { attempt, host, since, .. } = &request.state else { return };
+        let Some(request) = self.requests.get(&ticket) else {
+            return;
+        };
+        let State::Out {
+            attempt,
+            host,
+            since,
+            ..
+        } = &request.state
+        else {
+            return;
+        };
         let (attempt, host, elapsed, outcome) = (*attempt, host.clone(), now - since, Outcome::Ok);
         self.enter(ticket, State::Held);
         self.settle(now, &host, true);
         self.answer(now, ticket, cause::NORMAL, None);
-        self.tell(now, News::Ended { ticket, attempt, host, outcome, detail, elapsed });
+        self.tell(
+            now,
+            News::Ended {
+                ticket,
+                attempt,
+                host,
+                outcome,
+                detail,
+                elapsed,
+            },
+        );
     }
 
     /// The host of the offer that is out does not start the task: the attempt has ended, and the module decides on.
-    fn offer_released(&mut self, now: Micros, ticket: Ticket, host: &HostId, cause: u8, detail: Detail) {
+    fn offer_released(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        host: &HostId,
+        cause: u8,
+        detail: Detail,
+    ) {
         let outcome = match cause {
             cause::FULL => Outcome::Full,
             cause::FAILED => Outcome::Error,
@@ -94,7 +171,10 @@
             _ => Outcome::Reset,
         };
         if outcome == Outcome::Full && detail != Detail::NotHere {
-            self.hosts.get_mut(host).into_iter().for_each(|link| link.full_at = Some(now));
+            self.hosts
+                .get_mut(host)
+                .into_iter()
+                .for_each(|link| link.full_at = Some(now));
         }
         let news = self.end_attempt(now, ticket, outcome, detail);
         news.into_iter().for_each(|news| self.tell(now, news));
--- a/src/net/dispatch/links.rs
+++ b/src/net/dispatch/links.rs
@@ -38,7 +38,10 @@
         if self.at_hosts.standing(host).next().is_some() {
             return 0;
         }
-        self.facade.overload().and_then(|overload| overload.call_in(now, host)).unwrap_or(0)
+        self.facade
+            .overload()
+            .and_then(|overload| overload.call_in(now, host))
+            .unwrap_or(0)
     }
 
     // ---- The list ----
@@ -78,8 +81,13 @@
         let mut recalled = Vec::new();
         let mut touched: Vec<HostId> = Vec::with_capacity(hosts.len());
         if whole {
-            let named: std::collections::BTreeSet<&HostId> = hosts.iter().map(|h| &h.entry.host).collect();
-            for (host, link) in self.hosts.iter_mut().filter(|(host, _)| !named.contains(host)) {
+            let named: std::collections::BTreeSet<&HostId> =
+                hosts.iter().map(|h| &h.entry.host).collect();
+            for (host, link) in self
+                .hosts
+                .iter_mut()
+                .filter(|(host, _)| !named.contains(host))
+            {
                 self.in_use -= usize::from(link.state != HostState::Gone);
                 link.state = HostState::Gone;
                 touched.push(host.clone());
@@ -87,8 +95,14 @@
         }
         let mut entries = Vec::with_capacity(hosts.len());
         for listed in hosts {
-            let before = self.hosts.get(&listed.entry.host).map_or(HostState::Gone, |link| link.state);
-            let link = self.hosts.entry(listed.entry.host.clone()).or_insert_with(|| Link::new(&listed));
+            let before = self
+                .hosts
+                .get(&listed.entry.host)
+                .map_or(HostState::Gone, |link| link.state);
+            let link = self
+                .hosts
+                .entry(listed.entry.host.clone())
+                .or_insert_with(|| Link::new(&listed));
             let Listed { entry, dial } = listed;
             self.in_use += usize::from(entry.state != HostState::Gone);
             self.in_use -= usize::from(before != HostState::Gone);
@@ -109,7 +123,9 @@
         }
         self.share_out();
         for host in &touched {
-            let Some(link) = self.hosts.get_mut(host) else { continue };
+            let Some(link) = self.hosts.get_mut(host) else {
+                continue;
+            };
             if link.state == HostState::Gone {
                 // A gone host's address may be a new host's: nothing more is to reach the old one there, nor on a
                 // connection that comes up only now.
@@ -128,9 +144,13 @@
 
     /// Starts to connect, beside what is up, if anything is.
     pub(super) fn dial(&mut self, now: Micros, host: &HostId) {
-        let Some(link) = self.hosts.get_mut(host) else { return };
+        let Some(link) = self.hosts.get_mut(host) else {
+            return;
+        };
         let Some(address) = link.dial else { return };
-        let Some(shared) = self.tasks.shared.upgrade() else { return };
+        let Some(shared) = self.tasks.shared.upgrade() else {
+            return;
+        };
         let (stop, stopped) = async_channel::bounded(1);
         if let Phase::Up(conn) = std::mem::replace(&mut link.phase, Phase::Connecting(stop)) {
             link.doubted.push((link.round, conn));
@@ -141,15 +161,21 @@
         let round = link.round;
         self.pool.taken(now, (host.clone(), round));
         self.reclaim(now);
-        self.wheel.add(now + self.connect_timeout, Due::Connect(host.clone(), round));
-        self.tasks.spawn(hosts::serve(host.clone(), round, address, stopped, shared));
+        self.wheel.add(
+            now + self.connect_timeout,
+            Due::Connect(host.clone(), round),
+        );
+        self.tasks
+            .spawn(hosts::serve(host.clone(), round, address, stopped, shared));
         self.settle(now, host, false);
     }
 
     /// The connection is up; false if it is not wanted any more.
     pub fn host_up(&mut self, host: &HostId, round: Round, conn: Rc<Conn>) -> bool {
         let now = self.clock.now();
-        let Some(link) = self.hosts.get_mut(host) else { return false };
+        let Some(link) = self.hosts.get_mut(host) else {
+            return false;
+        };
         if link.round != round || !matches!(link.phase, Phase::Connecting(_)) {
             return false;
         }
@@ -163,7 +189,9 @@
     /// The connection was not made: what waited for it never ran.
     pub fn dial_failed(&mut self, host: &HostId, round: Round, why: DialError) {
         let now = self.clock.now();
-        let Some(link) = self.hosts.get_mut(host) else { return };
+        let Some(link) = self.hosts.get_mut(host) else {
+            return;
+        };
         if link.round != round || !matches!(link.phase, Phase::Connecting(_)) {
             return;
         }
@@ -172,9 +200,12 @@
         if link.state != HostState::Gone {
             let pause = link.pause();
             let pause = pause.max(self.turn_in(now, host));
-            self.wheel.add(now + pause, Due::Redial(host.clone(), round));
+            self.wheel
+                .add(now + pause, Due::Redial(host.clone(), round));
         }
-        let Some(link) = self.hosts.get_mut(host) else { return };
+        let Some(link) = self.hosts.get_mut(host) else {
+            return;
+        };
         if why == DialError::NoDescriptor {
             // Nothing of it is the host's.
             info!(peer = "host", host = &*host.0, connection = round, reason = %why, "connection ended");
@@ -188,7 +219,9 @@
             info!(peer = "host", host = &*host.0, connection = round, reason = %why, "connection ended");
         }
         self.never_ran(now, waiting, Outcome::ConnectFailed);
-        let Some(link) = self.hosts.get(host) else { return };
+        let Some(link) = self.hosts.get(host) else {
+            return;
+        };
         if link.heard <= link.dialled {
             // Nothing comes on what is open there. Guards against offers that wait there for an answer until
             // their clients give up: what may be repeated goes elsewhere at once.
@@ -207,7 +240,9 @@
 
     /// What stands at a host that is out of reach since then is lost once that has lasted.
     pub(super) fn lose_unreached(&mut self, now: Micros, host: &HostId, since: Micros) {
-        let Some(link) = self.hosts.get_mut(host) else { return };
+        let Some(link) = self.hosts.get_mut(host) else {
+            return;
+        };
         if link.down_since != Some(since) {
             return;
         }
@@ -224,15 +259,22 @@
     /// Guards against machines of a cell that died together: where nothing is out on a connection its
     /// end may go unheard, and what stands there would be lost only when the feed tells.
     fn doubt_cell(&mut self, now: Micros, failed: &HostId) {
-        let Some(cell) = self.hosts.get(failed).map(|link| link.cell) else { return };
-        let others = self.hosts.iter().filter(|(host, link)| *host != failed && link.cell == cell);
+        let Some(cell) = self.hosts.get(failed).map(|link| link.cell) else {
+            return;
+        };
+        let others = self
+            .hosts
+            .iter()
+            .filter(|(host, link)| *host != failed && link.cell == cell);
         let others: Vec<HostId> = others.map(|(host, _)| host.clone()).collect();
         others.iter().for_each(|host| self.doubt(now, host));
     }
 
     /// Makes another connection beside the one that is up.
     pub(super) fn doubt(&mut self, now: Micros, host: &HostId) {
-        let Some(link) = self.hosts.get_mut(host) else { return };
+        let Some(link) = self.hosts.get_mut(host) else {
+            return;
+        };
         if let Phase::Up(_) = &link.phase {
             link.doubt = true;
             self.call(now, host);
@@ -243,13 +285,24 @@
     /// connection stays open and silent. Another is made beside it, so that later offers don't vanish
     /// too; where none comes up either, what stands there is lost. Offers stay out on the silent one.
     pub(super) fn doubt_silent(&mut self, now: Micros, ticket: Ticket, attempt: u32) {
-        let Some(Request { state: State::Out { attempt: n, host, since, round, .. }, .. }) =
-            self.requests.get(&ticket)
+        let Some(Request {
+            state:
+                State::Out {
+                    attempt: n,
+                    host,
+                    since,
+                    round,
+                    ..
+                },
+            ..
+        }) = self.requests.get(&ticket)
         else {
             return;
         };
         let host = host.clone();
-        let Some(link) = self.hosts.get(&host) else { return };
+        let Some(link) = self.hosts.get(&host) else {
+            return;
+        };
         if *n == attempt && *round == Some(link.round) && link.heard < *since {
             self.doubt(now, &host);
         }
@@ -258,11 +311,15 @@
     /// The connection has ended: what was offered on it may have run. What stands there still does.
     pub fn host_ended(&mut self, host: &HostId, round: Round, end: End) {
         let now = self.clock.now();
-        let on = |ticket: &Ticket| self.requests.get(ticket).and_then(|r| r.state.out_on()) == Some(round);
+        let on = |ticket: &Ticket| {
+            self.requests.get(ticket).and_then(|r| r.state.out_on()) == Some(round)
+        };
         let cut: Vec<Ticket> = self.at_hosts.out(host).filter(on).collect();
         let out = cut.len();
         info!(peer = "host", host = &*host.0, connection = round, reason = %end, out, "connection ended");
-        let Some(link) = self.hosts.get_mut(host) else { return };
+        let Some(link) = self.hosts.get_mut(host) else {
+            return;
+        };
         let made_way = matches!(link.phase, Phase::Down);
         link.doubted.retain(|(r, _)| *r != round);
         if link.round == round {
@@ -295,8 +352,16 @@
                 conn.end_if_half(HALF);
             });
             for (round, conn) in link.doubted.iter().rev().skip(MOST_DOUBTED) {
-                let on = |ticket| self.requests.get(&ticket).and_then(|r: &Request| r.state.out_on());
-                if !self.at_hosts.out(host).any(|ticket| on(ticket) == Some(*round)) {
+                let on = |ticket| {
+                    self.requests
+                        .get(&ticket)
+                        .and_then(|r: &Request| r.state.out_on())
+                };
+                if !self
+                    .at_hosts
+                    .out(host)
+                    .any(|ticket| on(ticket) == Some(*round))
+                {
                     conn.stop(End::Replaced);
                 }
             }
@@ -308,7 +373,12 @@
         let unvisited = |host: &&HostId| down(host).is_some_and(|link| now - link.closed >= VISIT);
         let mut calls: Vec<HostId> = self.at_hosts.hosts().filter(unvisited).cloned().collect();
         if self.pool.spacious() {
-            calls.extend(self.hosts.keys().filter(|host| down(host).is_some()).cloned());
+            calls.extend(
+                self.hosts
+                    .keys()
+                    .filter(|host| down(host).is_some())
+                    .cloned(),
+            );
         }
         calls.iter().for_each(|host| self.call(now, host));
         self.make_way(now);
--- a/src/net/dispatch/offers.rs
+++ b/src/net/dispatch/offers.rs
@@ -31,18 +31,38 @@
         let attempt = request.attempts;
         request.attempts += 1;
         let until = now.saturating_add(timeout);
-        self.enter(ticket, State::Out { attempt, host: host.clone(), since: now, until, round: None });
+        self.enter(
+            ticket,
+            State::Out {
+                attempt,
+                host: host.clone(),
+                since: now,
+                until,
+                round: None,
+            },
+        );
         self.wheel.add(until, Due::Attempt(ticket, attempt));
         let link = self.hosts.get_mut(&host).filter(|link| link.dial.is_some());
-        let Some(link) = link else { return self.end_attempt(now, ticket, Outcome::Moot, Detail::None) };
-        link.waiting.push(Waiting { ticket, attempt, mark: None });
+        let Some(link) = link else {
+            return self.end_attempt(now, ticket, Outcome::Moot, Detail::None);
+        };
+        link.waiting.push(Waiting {
+            ticket,
+            attempt,
+            mark: None,
+        });
         match link.phase {
             Phase::Up(_) => self.send_waiting(now, &host),
             Phase::Connecting(_) => {}
             Phase::Down => self.call(now, &host),
         }
-        if self.requests.get(&ticket).is_some_and(|request| request.state.unsent()) {
-            self.wheel.add(now + self.connect_timeout, Due::Unsent(ticket, attempt));
+        if self
+            .requests
+            .get(&ticket)
+            .is_some_and(|request| request.state.unsent())
+        {
+            self.wheel
+                .add(now + self.connect_timeout, Due::Unsent(ticket, attempt));
         }
         None
     }
@@ -52,18 +72,35 @@
     /// Guards also against an attempt that begins when its client has gone: nothing is queued behind what the
     /// host has not taken, where it can't be taken back, and each client is looked at before its offer leaves.
     pub(super) fn send_waiting(&mut self, now: Micros, host: &HostId) {
-        let Some(link) = self.hosts.get_mut(host) else { return };
+        let Some(link) = self.hosts.get_mut(host) else {
+            return;
+        };
         let Phase::Up(conn) = &link.phase else { return };
         if conn.unread() == Unread::End {
             return conn.stop(End::Closed);
         }
         let mut left = Vec::new();
-        for Waiting { ticket, attempt, mark } in std::mem::take(&mut link.waiting) {
-            let Some(request) = self.requests.get_mut(&ticket) else { continue };
-            let State::Out { attempt: n, round: round @ None, until, .. } = &mut request.state else {
+        for Waiting {
+            ticket,
+            attempt,
+            mark,
+        } in std::mem::take(&mut link.waiting)
+        {
+            let Some(request) = self.requests.get_mut(&ticket) else {
+                continue;
+            };
+            let State::Out {
+                attempt: n,
+                round: round @ None,
+                until,
+                ..
+            } = &mut request.state
+            else {
                 continue;
             };
-            let (true, Some(set_up), Some(client)) = (*n == attempt, &request.set_up, request.client) else {
+            let (true, Some(set_up), Some(client)) =
+                (*n == attempt, &request.set_up, request.client)
+            else {
                 continue;
             };
             let mark = match self.clients.presence(client, mark, host) {
@@ -77,7 +114,9 @@
                     None
                 }
                 Presence::Here => {
-                    let Some(line) = offer_line(request.id, set_up, *until - now) else { continue };
+                    let Some(line) = offer_line(request.id, set_up, *until - now) else {
+                        continue;
+                    };
                     if conn.send(now, &line) {
                         self.tally.offered(request.class);
                         *round = Some(link.round);
@@ -87,7 +126,11 @@
                     None
                 }
             };
-            link.waiting.push(Waiting { ticket, attempt, mark });
+            link.waiting.push(Waiting {
+                ticket,
+                attempt,
+                mark,
+            });
         }
         self.settle(now, host, true);
         for ticket in left {
@@ -104,7 +147,15 @@
         detail: Detail,
     ) -> Option<News> {
         let request = self.requests.get_mut(&ticket)?;
-        let State::Out { attempt, host, since, .. } = &request.state else { return None };
+        let State::Out {
+            attempt,
+            host,
+            since,
+            ..
+        } = &request.state
+        else {
+            return None;
+        };
         let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
         let aim = request.aim;
         self.enter(ticket, State::Held);
@@ -112,9 +163,23 @@
         let stretch = elapsed as f64 / aim as f64;
         // What its client gave up tells nothing of the host.
         if outcome != Outcome::Cancelled {
-            self.watch(now, Event::Offer { outcome, detail, stretch });
+            self.watch(
+                now,
+                Event::Offer {
+                    outcome,
+                    detail,
+                    stretch,
+                },
+            );
         }
-        Some(News::Ended { ticket, attempt, host, outcome, detail, elapsed })
+        Some(News::Ended {
+            ticket,
+            attempt,
+            host,
+            outcome,
+            detail,
+            elapsed,
+        })
     }
 
     /// Stops waiting for an attempt and tells its host so: two attempts are never out at once.
@@ -126,7 +191,15 @@
         why: Outcome,
     ) -> Option<News> {
         let request = self.requests.get(&ticket)?;
-        let State::Out { attempt, host, round, .. } = &request.state else { return None };
+        let State::Out {
+            attempt,
+            host,
+            round,
+            ..
+        } = &request.state
+        else {
+            return None;
+        };
         if only.is_some_and(|n| n != *attempt) {
             return None;
         }
@@ -135,7 +208,11 @@
             conn.send(now, &lines::release(request.id, cause::NORMAL));
         }
         // What has not left its queue never ran.
-        let why = if round.is_none() && why == Outcome::Timeout { Outcome::ConnectFailed } else { why };
+        let why = if round.is_none() && why == Outcome::Timeout {
+            Outcome::ConnectFailed
+        } else {
+            why
+        };
         self.end_attempt(now, ticket, why, Detail::None)
     }
 
@@ -145,8 +222,13 @@
     /// sent when it is decided (the budget of cold hosts, the time in which a repeat is dropped, the grace of a
     /// drain) against offers that leave much later.
     pub(super) fn end_unsent(&mut self, now: Micros, ticket: Ticket, attempt: u32) {
-        let Some(State::Out { attempt: n, host, since, round: None, .. }) =
-            self.requests.get(&ticket).map(|r| &r.state)
+        let Some(State::Out {
+            attempt: n,
+            host,
+            since,
+            round: None,
+            ..
+        }) = self.requests.get(&ticket).map(|r| &r.state)
         else {
             return;
         };
@@ -154,14 +236,17 @@
         if *n != attempt {
             return;
         }
-        let Some(link) = self.hosts.get_mut(&host) else { return };
+        let Some(link) = self.hosts.get_mut(&host) else {
+            return;
+        };
         let outcome = match &link.phase {
             // What becomes of a call that has had its whole time is told by its end.
             Phase::Connecting(_) if link.dialled <= since => return,
             Phase::Up(conn) if !conn.flushed() => Outcome::ConnectFailed,
             Phase::Up(_) | Phase::Connecting(_) | Phase::Down => Outcome::Moot,
         };
-        link.waiting.retain(|offer| (offer.ticket, offer.attempt) != (ticket, attempt));
+        link.waiting
+            .retain(|offer| (offer.ticket, offer.attempt) != (ticket, attempt));
         if self.need(&host).is_none() {
             self.pool.forget(&host);
         }
@@ -174,9 +259,14 @@
 
     /// Offers that waited for a connection in vain.
     pub(super) fn never_ran(&mut self, now: Micros, waiting: Vec<Waiting>, outcome: Outcome) {
-        for Waiting { ticket, attempt, .. } in waiting {
+        for Waiting {
+            ticket, attempt, ..
+        } in waiting
+        {
             let request = self.requests.get(&ticket);
-            if request.is_some_and(|r| matches!(r.state, State::Out { attempt: n, .. } if n == attempt)) {
+            if request
+                .is_some_and(|r| matches!(r.state, State::Out { attempt: n, .. } if n == attempt))
+            {
                 let news = self.end_attempt(now, ticket, outcome, Detail::None);
                 news.into_iter().for_each(|news| self.tell(now, news));
             }
@@ -186,5 +276,11 @@
 
 /// The line that offers a task to a host, if it can be one.
 pub(super) fn offer_line(id: TaskId, set_up: &SetUp, left: Micros) -> Option<Vec<u8>> {
-    lines::offer(id, &set_up.ask.class, &set_up.key, (left / MILLI).max(1), &set_up.description)
+    lines::offer(
+        id,
+        &set_up.ask.class,
+        &set_up.key,
+        (left / MILLI).max(1),
+        &set_up.description,
+    )
 }
--- a/src/net/dispatch/operating.rs
+++ b/src/net/dispatch/operating.rs
@@ -13,7 +13,10 @@
 impl Dispatch {
     /// Whether this process takes requests: what every test is told.
     pub fn serves(&self) -> bool {
-        self.listens && !self.ends() && self.duty.serves() && self.watch.as_ref().is_none_or(Watch::serves)
+        self.listens
+            && !self.ends()
+            && self.duty.serves()
+            && self.watch.as_ref().is_none_or(Watch::serves)
     }
 
     /// Whether this process has been told to end.
@@ -23,7 +26,8 @@
 
     /// Closes connections that carry no task for as long as balancers' drain or maintenance or this duty wants it.
     pub(super) fn close_idle(&mut self) {
-        self.clients.close_idle(self.closes_idle || self.duty.empties());
+        self.clients
+            .close_idle(self.closes_idle || self.duty.empties());
     }
 
     /// Whether clients' tests pass: the placer serves, if not this process.
@@ -59,7 +63,10 @@
 
     /// Requests taken whose answer is owed.
     pub fn owed(&self) -> usize {
-        self.requests.values().filter(|r: &&Request| r.awaits_answer()).count()
+        self.requests
+            .values()
+            .filter(|r: &&Request| r.awaits_answer())
+            .count()
     }
 
     /// Requests taken that have not ended: those that wait for their answer, and tasks that stand.
@@ -86,7 +93,9 @@
         let watch = self.watch.as_mut().ok_or("nothing is watched here")?;
         if let Some(order) = order {
             info!(?order, "ordered");
-            let tasks = watch.order(now, order).map_err(|Refused(why)| why.to_string())?;
+            let tasks = watch
+                .order(now, order)
+                .map_err(|Refused(why)| why.to_string())?;
             self.follow(now, tasks);
         }
         let watch = self.watch.as_mut().ok_or("nothing is watched here")?;
--- a/src/net/dispatch/requests.rs
+++ b/src/net/dispatch/requests.rs
@@ -35,11 +35,25 @@
     /// With the module; an answer is owed.
     Held,
     /// Offered; an answer is owed.
-    Out { attempt: u32, host: HostId, since: Micros, until: Micros, round: Option<Round> },
+    Out {
+        attempt: u32,
+        host: HostId,
+        since: Micros,
+        until: Micros,
+        round: Option<Round>,
+    },
     /// It stands.
-    Standing { attempt: u32, host: HostId, since: Micros },
+    Standing {
+        attempt: u32,
+        host: HostId,
+        since: Micros,
+    },
     /// Ended from this side; the host's word on it is awaited, and its client is owed nothing.
-    Leaving { attempt: u32, host: HostId, since: Micros },
+    Leaving {
+        attempt: u32,
+        host: HostId,
+        since: Micros,
+    },
 }
 
 /// One request, from its set-up until nothing of it is owed.
@@ -72,9 +86,9 @@
     pub(super) fn at(&self) -> Option<&HostId> {
         match self {
             State::Held => None,
-            State::Out { host, .. } | State::Standing { host, .. } | State::Leaving { host, .. } => {
-                Some(host)
-            }
+            State::Out { host, .. }
+            | State::Standing { host, .. }
+            | State::Leaving { host, .. } => Some(host),
         }
     }
 
@@ -90,7 +104,11 @@
 
     /// The connection that its offer is out on.
     pub(super) fn out_on(&self) -> Option<Round> {
-        if let State::Out { round, .. } = self { *round } else { None }
+        if let State::Out { round, .. } = self {
+            *round
+        } else {
+            None
+        }
     }
 }
 
@@ -121,14 +139,26 @@
         }
         let class = self.facade.class(class);
         let (set_up, home) = (None, None);
-        let request = Request { id, client, set_up, attempts: 0, state, class, since: now, aim, home };
+        let request = Request {
+            id,
+            client,
+            set_up,
+            attempts: 0,
+            state,
+            class,
+            since: now,
+            aim,
+            home,
+        };
         self.requests.insert(ticket, request);
         ticket
     }
 
     /// A request goes over into another state.
     pub(super) fn enter(&mut self, ticket: Ticket, state: State) {
-        let Some(request) = self.requests.get_mut(&ticket) else { return };
+        let Some(request) = self.requests.get_mut(&ticket) else {
+            return;
+        };
         let before = std::mem::replace(&mut request.state, state);
         if let Some(host) = before.at() {
             self.at_hosts.left(ticket, host, before.stands());
@@ -151,7 +181,10 @@
         if self.by_id.get(&request.id) == Some(&ticket) {
             self.by_id.remove(&request.id);
             let since = self.clock.now();
-            self.ended.entry(request.id).or_insert(Ended { by: None, since }).since = since;
+            self.ended
+                .entry(request.id)
+                .or_insert(Ended { by: None, since })
+                .since = since;
         }
         Some(request)
     }
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -61,7 +61,12 @@
 
     /// What a drain could not wait for, task by task.
     fn name_what_is_left(&self, left: Hand) {
-        info!(owed = left.owed, standing = left.standing, untold = left.untold, "drained");
+        info!(
+            owed = left.owed,
+            standing = left.standing,
+            untold = left.untold,
+            "drained"
+        );
         for request in self.requests.values() {
             if let State::Standing { host, .. } | State::Leaving { host, .. } = &request.state {
                 warn!(task = %request.id, host = &*host.0, "left standing");
@@ -86,7 +91,13 @@
     pub fn overdue(&self) -> bool {
         let now = self.clock.now();
         let end = self.closing_wait() + CLOSE_END;
-        let ends = |since| if self.duty.leaves() { self.duty.overdue(now) } else { now - since >= end };
+        let ends = |since| {
+            if self.duty.leaves() {
+                self.duty.overdue(now)
+            } else {
+                now - since >= end
+            }
+        };
         self.drained || self.closing_since.is_some_and(ends)
     }
 
@@ -96,7 +107,9 @@
         if self.drained {
             return true;
         }
-        let Some(since) = self.closing_since else { return false };
+        let Some(since) = self.closing_since else {
+            return false;
+        };
         // A drain that has come to this tells itself when it is over.
         if self.watch.as_ref().is_some_and(Watch::draining) {
             return false;
--- a/src/net/dispatch/slots.rs
+++ b/src/net/dispatch/slots.rs
@@ -36,7 +36,8 @@
     pub(super) fn reclaim(&mut self, now: Micros) {
         let shares = self.clients.shares(self.in_use);
         let held = self.clients.live() + self.pool.held();
-        self.clients.shed(now, held.saturating_sub(shares.clients + shares.hosts));
+        self.clients
+            .shed(now, held.saturating_sub(shares.clients + shares.hosts));
     }
 
     /// What a connection to a host is wanted for, if one more is. Guards against hundreds of placers that
@@ -78,7 +79,11 @@
         if self.need(host).is_some() {
             return self.call(now, host);
         }
-        if let Some(link) = self.hosts.get_mut(host).filter(|link| matches!(link.phase, Phase::Down)) {
+        if let Some(link) = self
+            .hosts
+            .get_mut(host)
+            .filter(|link| matches!(link.phase, Phase::Down))
+        {
             (link.failures, link.down_since) = (0, None);
         }
     }
@@ -86,7 +91,9 @@
     /// Closes connections that others need more, and calls what has a slot now.
     pub(super) fn make_way(&mut self, now: Micros) {
         while let Some((host, round)) = self.pool.make_way(now) {
-            let Some(link) = self.hosts.get_mut(&host) else { continue };
+            let Some(link) = self.hosts.get_mut(&host) else {
+                continue;
+            };
             // Guards against the end of a task that the host says while we close: our side ends, and what it
             // still has to say is read until it closes, too.
             if link.round == round
@@ -95,7 +102,8 @@
                 conn.finish();
                 link.closed = now;
                 link.doubted.push((round, conn));
-                self.wheel.add(now + READ_OFF, Due::ReadOff(host.clone(), round));
+                self.wheel
+                    .add(now + READ_OFF, Due::ReadOff(host.clone(), round));
             } else if let Some(conn) = link.open(round) {
                 conn.stop(End::Shed);
             }
@@ -115,10 +123,14 @@
 
     /// Tells the pool what the connections to a host are needed for, `used` where one just was.
     pub(super) fn settle(&mut self, now: Micros, host: &HostId, used: bool) {
-        let Some(link) = self.hosts.get(host) else { return };
+        let Some(link) = self.hosts.get(host) else {
+            return;
+        };
         let out_on = |round| {
             let on = |ticket: Ticket| self.requests.get(&ticket).and_then(|r| r.state.out_on());
-            self.at_hosts.out(host).any(|ticket| on(ticket) == Some(round))
+            self.at_hosts
+                .out(host)
+                .any(|ticket| on(ticket) == Some(round))
         };
         if let Phase::Up(_) = &link.phase {
             let rank = if out_on(link.round) {
@@ -128,10 +140,15 @@
             } else {
                 Rank::Idle
             };
-            self.pool.rank(&(host.clone(), link.round), rank, used.then_some(now));
+            self.pool
+                .rank(&(host.clone(), link.round), rank, used.then_some(now));
         }
         for (round, _) in &link.doubted {
-            let rank = if out_on(*round) { Rank::Busy } else { Rank::Spare };
+            let rank = if out_on(*round) {
+                Rank::Busy
+            } else {
+                Rank::Spare
+            };
             self.pool.rank(&(host.clone(), *round), rank, None);
         }
         if self.pool.waiting() > 0 {
--- a/src/net/dispatch/standing.rs
+++ b/src/net/dispatch/standing.rs
@@ -21,7 +21,14 @@
 impl Dispatch {
     /// A task that a host holds already. Its release may have come first. The list may be late to name
     /// its host: it gets a while for that.
-    pub(super) fn adopt(&mut self, now: Micros, client: ClientId, id: TaskId, set_up: &SetUp, host: &HostId) {
+    pub(super) fn adopt(
+        &mut self,
+        now: Micros,
+        client: ClientId,
+        id: TaskId,
+        set_up: &SetUp,
+        host: &HostId,
+    ) {
         let unfit = match self.facade.check(&set_up.ask, true) {
             Err(Unfit(why)) => Some(why),
             Ok(()) if id == TaskId(0) => Some("no id"),
@@ -29,15 +36,30 @@
         };
         // Guards against a release that came on our new connection before the client told of the task.
         let over = match self.ended.get(&id) {
-            Some(Ended { by: Some((by, cause, _)), .. }) if by == host => Some(*cause),
-            _ if self.hosts.get(host).is_some_and(|l| l.state == HostState::Gone) => Some(cause::RESET),
+            Some(Ended {
+                by: Some((by, cause, _)),
+                ..
+            }) if by == host => Some(*cause),
+            _ if self
+                .hosts
+                .get(host)
+                .is_some_and(|l| l.state == HostState::Gone) =>
+            {
+                Some(cause::RESET)
+            }
             _ => None,
         };
         if let Some(cause) = over.or(unfit.map(|_| cause::RESET)) {
             info!(task = %id, reason = unfit.unwrap_or("released"), host = &*host.0, "does not stand");
-            return self.clients.send(now, client, &binary::release(id, cause, None));
+            return self
+                .clients
+                .send(now, client, &binary::release(id, cause, None));
         }
-        let state = State::Standing { attempt: 0, host: host.clone(), since: now };
+        let state = State::Standing {
+            attempt: 0,
+            host: host.clone(),
+            since: now,
+        };
         let ticket = self.admit(now, id, client, &set_up.ask.class, state);
         self.stands_for(ticket, client);
         if self.hosts.contains_key(host) {
@@ -47,7 +69,10 @@
         } else {
             self.wheel.add(now + UNLISTED, Due::Unlisted(ticket));
         }
-        let verdicts = self.facade.adopt(now, ticket, &set_up.ask, host).unwrap_or_default();
+        let verdicts = self
+            .facade
+            .adopt(now, ticket, &set_up.ask, host)
+            .unwrap_or_default();
         self.carry_out(now, verdicts);
     }
 
@@ -61,7 +86,9 @@
 
     /// MOVE: the task ends, also at its host, and its client comes again.
     pub(super) fn move_away(&mut self, now: Micros, ticket: Ticket) {
-        let Some(request) = self.requests.get(&ticket) else { return };
+        let Some(request) = self.requests.get(&ticket) else {
+            return;
+        };
         if let State::Standing { since, .. } = request.state {
             let (id, home) = (request.id, request.home);
             self.tell_end(now, id, home, since, binary::moved(id));
@@ -71,7 +98,14 @@
 
     /// Tells that a task which stood since then is over, or moves: in order with its answer, where that went
     /// out only just now.
-    fn tell_end(&mut self, now: Micros, id: TaskId, home: Option<ClientId>, since: Micros, word: Vec<u8>) {
+    fn tell_end(
+        &mut self,
+        now: Micros,
+        id: TaskId,
+        home: Option<ClientId>,
+        since: Micros,
+        word: Vec<u8>,
+    ) {
         match home {
             Some(client) if now - since < ORDERED => self.clients.send_after(now, client, id, word),
             _ => self.clients.send_any(now, id, word),
@@ -80,11 +114,24 @@
 
     /// Releases a task that stands at its host, on any connection, or on the next to open.
     pub(super) fn release_standing(&mut self, now: Micros, ticket: Ticket, cause: u8) {
-        let Some(request) = self.requests.get_mut(&ticket) else { return };
-        let State::Standing { attempt, host, since } = &request.state else { return };
+        let Some(request) = self.requests.get_mut(&ticket) else {
+            return;
+        };
+        let State::Standing {
+            attempt,
+            host,
+            since,
+        } = &request.state
+        else {
+            return;
+        };
         let line = lines::release(request.id, cause);
         let host = host.clone();
-        let state = State::Leaving { attempt: *attempt, host: host.clone(), since: *since };
+        let state = State::Leaving {
+            attempt: *attempt,
+            host: host.clone(),
+            since: *since,
+        };
         let mut sent = true;
         if let Some(link) = self.hosts.get_mut(&host) {
             sent = matches!(&link.phase, Phase::Up(conn) if conn.send(now, &line));
@@ -101,25 +148,55 @@
 
     /// Guards against tasks named at hosts that no list knows: they would stand for ever.
     pub(super) fn end_unlisted(&mut self, now: Micros, ticket: Ticket) {
-        let Some(request) = self.requests.get(&ticket) else { return };
-        let State::Standing { attempt, host, since } = &request.state else { return };
+        let Some(request) = self.requests.get(&ticket) else {
+            return;
+        };
+        let State::Standing {
+            attempt,
+            host,
+            since,
+        } = &request.state
+        else {
+            return;
+        };
         if self.hosts.contains_key(host) {
             return;
         }
-        let (attempt, host, elapsed, outcome) = (*attempt, host.clone(), now - since, Outcome::Reset);
+        let (attempt, host, elapsed, outcome) =
+            (*attempt, host.clone(), now - since, Outcome::Reset);
         info!(task = %request.id, reason = "no-such-host", host = &*host.0, "does not stand");
         if let Some(client) = request.client {
-            self.clients.send(now, client, &binary::release(request.id, cause::RESET, None));
+            self.clients.send(
+                now,
+                client,
+                &binary::release(request.id, cause::RESET, None),
+            );
         }
         self.remove(ticket);
-        self.tell(now, News::Ended { ticket, attempt, host, outcome, detail: Detail::None, elapsed });
+        self.tell(
+            now,
+            News::Ended {
+                ticket,
+                attempt,
+                host,
+                outcome,
+                detail: Detail::None,
+                elapsed,
+            },
+        );
     }
 
     /// What stood is over: its client is told, unless it ended the task itself.
     pub(super) fn end_standing(&mut self, now: Micros, ticket: Ticket, cause: u8, detail: Detail) {
-        let Some(request) = self.remove(ticket) else { return };
+        let Some(request) = self.remove(ticket) else {
+            return;
+        };
         let (attempt, host, since, outcome) = match request.state {
-            State::Standing { attempt, host, since } => {
+            State::Standing {
+                attempt,
+                host,
+                since,
+            } => {
                 let word = binary::release(request.id, cause, None);
                 self.tell_end(now, request.id, request.home, since, word);
                 let outcome = match cause {
@@ -129,10 +206,24 @@
                 };
                 (attempt, host, since, outcome)
             }
-            State::Leaving { attempt, host, since } => (attempt, host, since, Outcome::Cancelled),
+            State::Leaving {
+                attempt,
+                host,
+                since,
+            } => (attempt, host, since, Outcome::Cancelled),
             State::Held | State::Out { .. } => return,
         };
-        self.tell(now, News::Ended { ticket, attempt, host, outcome, detail, elapsed: now - since });
+        self.tell(
+            now,
+            News::Ended {
+                ticket,
+                attempt,
+                host,
+                outcome,
+                detail,
+                elapsed: now - since,
+            },
+        );
     }
 
     /// What stood at a host since before then is lost.
@@ -147,6 +238,7 @@
         if !lost.is_empty() {
             info!(host = &*host.0, tasks = lost.len(), "tasks lost");
         }
-        lost.into_iter().for_each(|ticket| self.end_standing(now, ticket, cause::RESET, Detail::None));
+        lost.into_iter()
+            .for_each(|ticket| self.end_standing(now, ticket, cause::RESET, Detail::None));
     }
 }
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -56,7 +56,11 @@
             Due::Doubt(ticket, attempt) => self.doubt_silent(now, ticket, attempt),
             Due::Unsent(ticket, attempt) => self.end_unsent(now, ticket, attempt),
             Due::Connect(host, round) => {
-                if let Some(Link { phase: Phase::Connecting(stop), round: r, .. }) = self.hosts.get(&host)
+                if let Some(Link {
+                    phase: Phase::Connecting(stop),
+                    round: r,
+                    ..
+                }) = self.hosts.get(&host)
                     && *r == round
                 {
                     let _ = stop.try_send(());
@@ -64,7 +68,11 @@
                 }
             }
             Due::Redial(host, round) => {
-                if self.hosts.get(&host).is_some_and(|link| link.round == round) {
+                if self
+                    .hosts
+                    .get(&host)
+                    .is_some_and(|link| link.round == round)
+                {
                     self.redial(now, &host);
                 }
             }
--- a/src/net/dispatch/verdicts.rs
+++ b/src/net/dispatch/verdicts.rs
@@ -20,8 +20,15 @@
         let mut queue = VecDeque::from(verdicts);
         while let Some(verdict) = queue.pop_front() {
             let news = match verdict {
-                Verdict::Offer { ticket, host, timeout } => self.offer(now, ticket, host, timeout),
-                Verdict::Refuse { ticket, retry_after } => {
+                Verdict::Offer {
+                    ticket,
+                    host,
+                    timeout,
+                } => self.offer(now, ticket, host, timeout),
+                Verdict::Refuse {
+                    ticket,
+                    retry_after,
+                } => {
                     let away = u64::try_from(retry_after / MILLI).ok().filter(|ms| *ms > 0);
                     self.answer(now, ticket, cause::REFUSED, away)
                 }
--- a/src/net/dispatch/watching.rs
+++ b/src/net/dispatch/watching.rs
@@ -25,14 +25,22 @@
         let mut zones: BTreeMap<anisehead::ZoneId, Zone> = BTreeMap::new();
         let (mut listed, mut roomy, mut full) = (0u32, 0u32, 0u32);
         let ordinary = self.facade.ordinary();
-        for link in self.hosts.values().filter(|link| link.state == HostState::Up) {
+        for link in self
+            .hosts
+            .values()
+            .filter(|link| link.state == HostState::Up)
+        {
             let zone = zones.entry(link.zone).or_default();
             zone.listed += 1;
             zone.refused += u32::from(link.down_since.is_some() && link.refused);
             zone.silent += u32::from(link.down_since.is_some() && !link.refused);
             listed += 1;
-            let fits =
-                ordinary.is_none_or(|size| link.free.iter().zip(size).all(|(free, asked)| *free >= asked));
+            let fits = ordinary.is_none_or(|size| {
+                link.free
+                    .iter()
+                    .zip(size)
+                    .all(|(free, asked)| *free >= asked)
+            });
             roomy += u32::from(fits);
             full += u32::from(link.full_at.is_some_and(|at| now - at < FULL));
         }
@@ -44,9 +52,12 @@
         let gauges = Gauges {
             oldest: ages.fold(0.0, f64::max),
             zones: zones.into_values().collect(),
-            roomy: ordinary.filter(|_| listed > 0).map(|_| f64::from(roomy) / f64::from(listed)),
+            roomy: ordinary
+                .filter(|_| listed > 0)
+                .map(|_| f64::from(roomy) / f64::from(listed)),
             full: f64::from(full) / f64::from(listed.max(1)),
-            descriptors: self.clients.live() as f64 / self.clients.budget(self.hosts_in_use()) as f64,
+            descriptors: self.clients.live() as f64
+                / self.clients.budget(self.hosts_in_use()) as f64,
             queues: conn::queued_share(),
         };
         let hand = self.hand();
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -23,7 +23,12 @@
 
 /// Follows the feed for the life of the process. `last` is the number of the last event known. Another
 /// address that comes in takes the place of the old one at once, and the numbers go on.
-pub async fn follow(mut address: SocketAddr, mut last: u64, moves: Receiver<SocketAddr>, shared: Shared) {
+pub async fn follow(
+    mut address: SocketAddr,
+    mut last: u64,
+    moves: Receiver<SocketAddr>,
+    shared: Shared,
+) {
     loop {
         let moved = async {
             match moves.recv().await {
@@ -45,7 +50,11 @@
 /// One call, until it ends: whether it brought a line that could be used. Guards against a feed that leaves the
 /// same gap, or says the same bad line, each time that it is called: it is not called without a pause.
 async fn call(address: SocketAddr, last: &mut u64, shared: &Shared) -> bool {
-    let connect = async { Async::<TcpStream>::connect(address).await.map_err(End::from) };
+    let connect = async {
+        Async::<TcpStream>::connect(address)
+            .await
+            .map_err(End::from)
+    };
     let limit = async {
         Timer::after(CONNECT).await;
         Err(End::Silent)
--- a/src/net/health/agent.rs
+++ b/src/net/health/agent.rs
@@ -25,10 +25,16 @@
 /// Reads what the balancer has sent so far.
 pub fn sent(bytes: &[u8]) -> Sent {
     let Some(end) = bytes.iter().position(|b| *b == b'\n') else {
-        return if bytes.len() >= MOST_LINE { Sent::Bad } else { Sent::More };
+        return if bytes.len() >= MOST_LINE {
+            Sent::Bad
+        } else {
+            Sent::More
+        };
     };
     let line = bytes.get(..end.min(MOST_LINE)).unwrap_or_default();
-    let printable = line.iter().all(|b| (b' '..=b'~').contains(b) || matches!(b, b'\r' | b'\t'));
+    let printable = line
+        .iter()
+        .all(|b| (b' '..=b'~').contains(b) || matches!(b, b'\r' | b'\t'));
     match std::str::from_utf8(line) {
         Ok(text) if printable && end < MOST_LINE => Sent::Line(text.trim().to_string()),
         _ => Sent::Bad,
@@ -38,11 +44,16 @@
 /// The answer for a report. `maxconn` is the most connections that clients may hold, where that is told;
 /// it shrinks with the weight.
 pub fn answer(report: &Report, maxconn: Option<usize>) -> String {
-    let cause = report.cause.map(|code| format!(" # {code}")).unwrap_or_default();
+    let cause = report
+        .cause
+        .map(|code| format!(" # {code}"))
+        .unwrap_or_default();
     match report.state {
         State::Starting | State::Up | State::Degraded => {
             let most = maxconn.map(|most| (most * usize::from(report.weight) / 100).max(1));
-            let most = most.map(|most| format!(" maxconn:{most}")).unwrap_or_default();
+            let most = most
+                .map(|most| format!(" maxconn:{most}"))
+                .unwrap_or_default();
             format!("up ready {}%{most}{cause}\n", report.weight)
         }
         // Still up: what a balancer holds open goes on, and a retried connection finds it.
@@ -61,17 +72,46 @@
     /// A report of this state and weight.
     pub fn report(state: State, weight: u8, cause: Option<Code>) -> Report {
         let (report, _) = Health::new(Settings::default(), 0).report(0);
-        Report { state, weight, cause, ..report }
+        Report {
+            state,
+            weight,
+            cause,
+            ..report
+        }
     }
 
     #[test]
     fn each_state_is_told_in_words_that_take_back_what_was_told_before() {
         let cases = [
             (State::Up, 100, None, None, "up ready 100%\n"),
-            (State::Degraded, 40, Some(Code::FeedAge), None, "up ready 40% # feed-age\n"),
-            (State::Starting, 10, Some(Code::SlowStart), Some(200), "up ready 10% maxconn:20 # slow-start\n"),
-            (State::Degraded, 1, None, Some(50), "up ready 1% maxconn:1\n"),
-            (State::Drain, 100, None, Some(200), "up drain # finishing what was taken\n"),
+            (
+                State::Degraded,
+                40,
+                Some(Code::FeedAge),
+                None,
+                "up ready 40% # feed-age\n",
+            ),
+            (
+                State::Starting,
+                10,
+                Some(Code::SlowStart),
+                Some(200),
+                "up ready 10% maxconn:20 # slow-start\n",
+            ),
+            (
+                State::Degraded,
+                1,
+                None,
+                Some(50),
+                "up ready 1% maxconn:1\n",
+            ),
+            (
+                State::Drain,
+                100,
+                None,
+                Some(200),
+                "up drain # finishing what was taken\n",
+            ),
             (State::Maint, 100, None, None, "maint # by order\n"),
             (State::Stopped, 100, None, None, "stopped # ending\n"),
         ];
--- a/src/net/health/gate.rs
+++ b/src/net/health/gate.rs
@@ -48,7 +48,11 @@
 impl Gate {
     /// A gate for so many at a time.
     pub fn new(most: usize) -> Gate {
-        Gate { most: most.max(1), guests: RefCell::default(), next: RefCell::new(0) }
+        Gate {
+            most: most.max(1),
+            guests: RefCell::default(),
+            next: RefCell::new(0),
+        }
     }
 
     fn turn(&self) -> u64 {
@@ -62,14 +66,20 @@
         let turn = self.turn();
         let mut guests = self.guests.borrow_mut();
         if guests.len() >= self.most {
-            let quietest = guests.iter().min_by_key(|(_, guest)| guest.turn).map(|(number, _)| *number);
+            let quietest = guests
+                .iter()
+                .min_by_key(|(_, guest)| guest.turn)
+                .map(|(number, _)| *number);
             if let Some(guest) = quietest.and_then(|number| guests.remove(&number)) {
                 let _ = guest.away.try_send(Away::Shed);
             }
         }
         let (away, receiver) = async_channel::bounded(1);
         guests.insert(turn, Guest { turn, until, away });
-        Place { number: turn, away: receiver }
+        Place {
+            number: turn,
+            away: receiver,
+        }
     }
 
     /// It has done something, and may stay until then.
--- a/src/net/health/gate/tests.rs
+++ b/src/net/health/gate/tests.rs
@@ -13,7 +13,10 @@
     let (first, second) = (gate.enter(100), gate.enter(100));
     gate.stay(&first, 100);
     let third = gate.enter(100);
-    assert_eq!((sent(&first), sent(&second), sent(&third)), (None, Some(Away::Shed), None));
+    assert_eq!(
+        (sent(&first), sent(&second), sent(&third)),
+        (None, Some(Away::Shed), None)
+    );
     gate.leave(&second);
     let fourth = gate.enter(100);
     assert_eq!(
