--- a/src/net/health/http.rs
+++ b/src/net/health/http.rs
@@ -83,7 +83,10 @@
         return Parsed::Bad(400);
     }
     let named = |name: &str| {
-        let found = read.headers.iter().filter(|header| header.name.eq_ignore_ascii_case(name));
+        let found = read
+            .headers
+            .iter()
+            .filter(|header| header.name.eq_ignore_ascii_case(name));
         found.map(|header| header.value).collect::<Vec<_>>()
     };
     // A check has no body. One that says it has could leave its bytes to be read as the next request.
@@ -106,10 +109,18 @@
     }
     let connection = named("connection");
     let says = |word: &str| {
-        let words = connection.iter().flat_map(|value| value.split(|b| *b == b','));
-        words.into_iter().any(|w| w.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+        let words = connection
+            .iter()
+            .flat_map(|value| value.split(|b| *b == b','));
+        words
+            .into_iter()
+            .any(|w| w.trim_ascii().eq_ignore_ascii_case(word.as_bytes()))
+    };
+    let keep = if newer {
+        !says("close")
+    } else {
+        says("keep-alive") && !says("close")
     };
-    let keep = if newer { !says("close") } else { says("keep-alive") && !says("close") };
     let method = match read.method {
         Some("GET") => Method::Get,
         Some("HEAD") => Method::Head,
@@ -118,7 +129,9 @@
     };
     let path = read.path.unwrap_or_default();
     // A proxy may send the whole address.
-    let path = path.strip_prefix("http://").map_or(path, |rest| rest.find('/').map_or("/", |at| &rest[at..]));
+    let path = path
+        .strip_prefix("http://")
+        .map_or(path, |rest| rest.find('/').map_or("/", |at| &rest[at..]));
     let target = match path.split(['?', '#']).next().unwrap_or_default() {
         "/livez" => Target::Live,
         "/readyz" => Target::Ready,
@@ -127,15 +140,29 @@
         "*" if method == Method::Options => Target::Server,
         _ => Target::Unknown,
     };
-    Parsed::Request(Request { method, target, keep }, length)
+    Parsed::Request(
+        Request {
+            method,
+            target,
+            keep,
+        },
+        length,
+    )
 }
 
 /// Whether every line ends in CR LF: a bare line feed, or a bare CR, ends a line for some readers only.
 fn lines_end_whole(head: &[u8]) -> bool {
     let before = |n: usize| n.checked_sub(1).and_then(|n| head.get(n)).copied();
-    let feeds = head.iter().enumerate().filter(|(_, b)| **b == b'\n').all(|(n, _)| before(n) == Some(b'\r'));
-    let returns =
-        head.iter().enumerate().filter(|(_, b)| **b == b'\r').all(|(n, _)| head.get(n + 1) == Some(&b'\n'));
+    let feeds = head
+        .iter()
+        .enumerate()
+        .filter(|(_, b)| **b == b'\n')
+        .all(|(n, _)| before(n) == Some(b'\r'));
+    let returns = head
+        .iter()
+        .enumerate()
+        .filter(|(_, b)| **b == b'\r')
+        .all(|(n, _)| head.get(n + 1) == Some(&b'\n'));
     feeds && returns
 }
 
@@ -180,8 +207,14 @@
     };
     let (kind, body) = match request.target {
         _ if status == 204 => ("text/plain", String::new()),
-        Target::Health => ("application/health+json", health_json(report, around).encode()),
-        _ => ("text/plain", format!("{} {}\n", report.state, report.weight)),
+        Target::Health => (
+            "application/health+json",
+            health_json(report, around).encode(),
+        ),
+        _ => (
+            "text/plain",
+            format!("{} {}\n", report.state, report.weight),
+        ),
     };
     let mut headers = String::new();
     // Envoy takes a degraded host's traffic away as long as others have room, all of it: that is told
@@ -195,13 +228,34 @@
     if request.method == Method::Options {
         headers.push_str("Allow: GET, HEAD, OPTIONS\r\n");
     }
-    (status, bytes(status, request.keep, &headers, kind, &body, request.method == Method::Head))
+    (
+        status,
+        bytes(
+            status,
+            request.keep,
+            &headers,
+            kind,
+            &body,
+            request.method == Method::Head,
+        ),
+    )
 }
 
 /// The answer to what can't be read.
 pub fn refusal(status: u16) -> Vec<u8> {
-    let allow = if status == 405 { "Allow: GET, HEAD, OPTIONS\r\n" } else { "" };
-    bytes(status, false, allow, "text/plain", &format!("{status} {}\n", reason(status)), false)
+    let allow = if status == 405 {
+        "Allow: GET, HEAD, OPTIONS\r\n"
+    } else {
+        ""
+    };
+    bytes(
+        status,
+        false,
+        allow,
+        "text/plain",
+        &format!("{status} {}\n", reason(status)),
+        false,
+    )
 }
 
 fn reason(status: u16) -> &'static str {
@@ -222,7 +276,14 @@
     }
 }
 
-fn bytes(status: u16, keep: bool, headers: &str, kind: &str, body: &str, head_only: bool) -> Vec<u8> {
+fn bytes(
+    status: u16,
+    keep: bool,
+    headers: &str,
+    kind: &str,
+    body: &str,
+    head_only: bool,
+) -> Vec<u8> {
     let connection = if keep { "keep-alive" } else { "close" };
     let what = if status == 204 {
         String::new()
--- a/src/net/health/mod.rs
+++ b/src/net/health/mod.rs
@@ -64,11 +64,17 @@
     let fronts = settings.agent.iter().map(|a| (Check::Agent, a));
     for (check, address) in fronts.chain(settings.http.iter().map(|a| (Check::Http, a))) {
         let listener = Async::<TcpListener>::bind(*address).map_err(|e| {
-            let field = if check == Check::Agent { "health.agent" } else { "health.http" };
+            let field = if check == Check::Agent {
+                "health.agent"
+            } else {
+                "health.http"
+            };
             io::Error::new(e.kind(), format!("{field}: can't listen at {address}: {e}"))
         })?;
         info!(?check, address = %listener.get_ref().local_addr()?, "answers balancers");
-        executor.spawn(accept(check, listener, shared.clone())).detach();
+        executor
+            .spawn(accept(check, listener, shared.clone()))
+            .detach();
     }
     Ok(())
 }
@@ -115,7 +121,9 @@
     gate.leave(&place);
     match end {
         // The ordinary end of a poll is no news: there are thousands an hour.
-        End::Answered | End::Closed => debug!(?check, %peer, reason = %end, "balancer connection ended"),
+        End::Answered | End::Closed => {
+            debug!(?check, %peer, reason = %end, "balancer connection ended")
+        }
         _ => info!(?check, %peer, reason = %end, "balancer connection ended"),
     }
 }
@@ -155,8 +163,14 @@
         Timer::after(wait).await;
         Ok(String::new())
     };
-    let line = if wait.is_zero() { String::new() } else { future::or(line, none).await? };
-    let answer = shared.borrow_mut().agent_polled(Poller(Check::Agent, format!("{} {line}", peer.ip())));
+    let line = if wait.is_zero() {
+        String::new()
+    } else {
+        future::or(line, none).await?
+    };
+    let answer = shared
+        .borrow_mut()
+        .agent_polled(Poller(Check::Agent, format!("{} {line}", peer.ip())));
     let mut out = stream;
     out.write_all(answer.as_bytes()).await?;
     Ok(End::Answered)
@@ -179,7 +193,10 @@
                 }
                 if inbox.is_empty() {
                     let dispatch = shared.borrow();
-                    gate.stay(place, dispatch.clock.now() + dispatch.poll_time(Check::Http));
+                    gate.stay(
+                        place,
+                        dispatch.clock.now() + dispatch.poll_time(Check::Http),
+                    );
                 }
                 inbox.extend_from_slice(scratch.get(..n).unwrap_or_default());
             }
@@ -223,26 +240,38 @@
     }
 
     fn idle_time(&self) -> Micros {
-        self.watch.as_ref().map_or(LINGER, |watch| micros(watch.settings.idle))
+        self.watch
+            .as_ref()
+            .map_or(LINGER, |watch| micros(watch.settings.idle))
     }
 
     fn line_wait(&self) -> Duration {
-        self.watch.as_ref().map_or(Duration::ZERO, |watch| watch.settings.line_wait)
+        self.watch
+            .as_ref()
+            .map_or(Duration::ZERO, |watch| watch.settings.line_wait)
     }
 
     fn agent_polled(&mut self, poller: Poller) -> String {
         let (now, budget) = (self.clock.now(), self.clients.budget(self.hosts_in_use()));
-        let Some(watch) = &mut self.watch else { return String::new() };
+        let Some(watch) = &mut self.watch else {
+            return String::new();
+        };
         let maxconn = watch.settings.maxconn.then_some(budget);
         agent::answer(&watch.polled(now, poller), maxconn)
     }
 
     fn http_polled(&mut self, poller: Poller, request: &http::Request) -> Vec<u8> {
         let now = self.clock.now();
-        let Some(watch) = &mut self.watch else { return http::refusal(503) };
+        let Some(watch) = &mut self.watch else {
+            return http::refusal(503);
+        };
         // Only what tells of a drain counts as a balancer's poll.
         let polls = matches!(request.target, http::Target::Ready | http::Target::Health);
-        let report = if polls { watch.polled(now, poller) } else { watch.report(now) };
+        let report = if polls {
+            watch.polled(now, poller)
+        } else {
+            watch.report(now)
+        };
         let around = http::Surroundings {
             now,
             started: watch.started() || report.state != anisehead::health::State::Starting,
--- a/src/net/health/watch.rs
+++ b/src/net/health/watch.rs
@@ -120,7 +120,9 @@
                 self.tell(now, Event::Order(Order::Maint));
                 Ok(vec![Task::CloseIdle(true)])
             }
-            Order::Maint => Err(Refused("a drain is under way; take it back with ready first")),
+            Order::Maint => Err(Refused(
+                "a drain is under way; take it back with ready first",
+            )),
             Order::Stop => Err(Refused("send SIGTERM to end the process")),
         }
     }
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -120,7 +120,11 @@
     pub fn open(&self, round: Round) -> Option<&Rc<Conn>> {
         match &self.phase {
             Phase::Up(conn) if self.round == round => Some(conn),
-            _ => self.doubted.iter().find(|(r, _)| *r == round).map(|(_, conn)| conn),
+            _ => self
+                .doubted
+                .iter()
+                .find(|(r, _)| *r == round)
+                .map(|(_, conn)| conn),
         }
     }
 
@@ -130,12 +134,16 @@
             Phase::Up(conn) => Some(conn),
             Phase::Down | Phase::Connecting(_) => None,
         };
-        current.into_iter().chain(self.doubted.iter().map(|(_, conn)| conn))
+        current
+            .into_iter()
+            .chain(self.doubted.iter().map(|(_, conn)| conn))
     }
 
     /// Gives up a connection that is being made: whether there was one.
     pub fn hang_up(&mut self) -> bool {
-        let Phase::Connecting(stop) = &self.phase else { return false };
+        let Phase::Connecting(stop) = &self.phase else {
+            return false;
+        };
         let _ = stop.try_send(());
         self.phase = Phase::Down;
         true
@@ -143,7 +151,8 @@
 
     /// Whether the host is gone and nothing of it is left: a new one under its name inherits nothing.
     pub fn over(&self) -> bool {
-        let quiet = matches!(self.phase, Phase::Down) && self.doubted.is_empty() && self.waiting.is_empty();
+        let quiet =
+            matches!(self.phase, Phase::Down) && self.doubted.is_empty() && self.waiting.is_empty();
         self.state == HostState::Gone && quiet
     }
 
@@ -205,7 +214,9 @@
         Some(Ok(stream)) => stream,
         Some(Err(e)) => {
             let why = match e.kind() {
-                _ if e.raw_os_error().is_some_and(|e| NO_DESCRIPTOR.contains(&e)) => DialError::NoDescriptor,
+                _ if e.raw_os_error().is_some_and(|e| NO_DESCRIPTOR.contains(&e)) => {
+                    DialError::NoDescriptor
+                }
                 ErrorKind::ConnectionRefused => DialError::Refused,
                 ErrorKind::TimedOut | ErrorKind::HostUnreachable => DialError::TimedOut,
                 kind => DialError::Failed(kind),
--- a/src/net/hosts/tests.rs
+++ b/src/net/hosts/tests.rs
@@ -27,6 +27,10 @@
         (link.state, link.phase) = (state, phase);
         assert_eq!(link.over(), over, "{state:?}");
     }
-    link.waiting.push(Waiting { ticket: Ticket(1), attempt: 0, mark: None });
+    link.waiting.push(Waiting {
+        ticket: Ticket(1),
+        attempt: 0,
+        mark: None,
+    });
     assert!(!link.over(), "an offer still waits");
 }
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -28,12 +28,15 @@
 /// The inherited socket, if there is one; an error names what is wrong with it. The descriptor itself stays
 /// as it is: what is used is a second one to the same socket, which the system hands out whole.
 pub fn listener(listen: SocketAddr) -> io::Result<Option<Async<TcpListener>>> {
-    let Some(named) = std::env::var_os(NAMED).filter(|named| !named.is_empty()) else { return Ok(None) };
+    let Some(named) = std::env::var_os(NAMED).filter(|named| !named.is_empty()) else {
+        return Ok(None);
+    };
     let named = named.to_string_lossy().into_owned();
     let wrong = |what: &dyn Display| io::Error::other(format!("{NAMED}: {named}: {what}"));
     let number: i32 = named.parse().map_err(|e| wrong(&e))?;
     let itself = pidfd_open(getpid(), PidfdFlags::empty()).map_err(|e| wrong(&e))?;
-    let inherited = pidfd_getfd(&itself, number, PidfdGetfdFlags::empty()).map_err(|e| wrong(&e))?;
+    let inherited =
+        pidfd_getfd(&itself, number, PidfdGetfdFlags::empty()).map_err(|e| wrong(&e))?;
     if !sockopt::socket_acceptconn(&inherited).unwrap_or(false) {
         return Err(wrong(&"is no socket that listens"));
     }
@@ -48,7 +51,11 @@
 /// Finds the other processes of this placer, and is found by them, for the life of the process.
 pub fn meet(name: &str, executor: &Rc<LocalExecutor<'static>>, shared: &Shared) {
     let plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
-    let name: String = name.chars().map(|c| if plain(c) { c } else { '_' }).take(64).collect();
+    let name: String = name
+        .chars()
+        .map(|c| if plain(c) { c } else { '_' })
+        .take(64)
+        .collect();
     let path = std::env::temp_dir().join(format!("anisehead-{name}.sock"));
     executor.spawn(find(path, shared.clone())).detach();
 }
@@ -91,7 +98,10 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let with = shared.clone();
-                shared.borrow().tasks.spawn(async move { beside(stream, false, &with).await });
+                shared
+                    .borrow()
+                    .tasks
+                    .spawn(async move { beside(stream, false, &with).await });
             }
             Err(e) => AcceptFailed::pause(shared, &e).await,
         }
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -37,7 +37,13 @@
 impl Queue {
     fn new(settings: &operator::Log) -> Queue {
         let json = settings.format == LogFormat::Json;
-        Queue { waiting: Vec::new(), most: settings.queue, dropped: 0, json, closed: false }
+        Queue {
+            waiting: Vec::new(),
+            most: settings.queue,
+            dropped: 0,
+            json,
+            closed: false,
+        }
     }
 
     /// Takes a whole line, or counts it as dropped.
@@ -90,7 +96,10 @@
 
     fn pump(&self, patience: Duration) {
         let stderr = io::stderr();
-        let wait = Timespec { tv_sec: 0, tv_nsec: patience.subsec_nanos().into() };
+        let wait = Timespec {
+            tv_sec: 0,
+            tv_nsec: patience.subsec_nanos().into(),
+        };
         let ready = || {
             let mut fds = [PollFd::new(&stderr, PollFlags::OUT)];
             // A reader that is gone counts as ready: the write tells.
@@ -124,7 +133,9 @@
 }
 
 fn unix() -> (u64, u32) {
-    let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    let now = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
     (now.as_secs(), now.subsec_micros())
 }
 
@@ -140,7 +151,9 @@
 
 /// Sets the log up for the life of the process.
 pub fn start(settings: &operator::Log) {
-    let sink = SINK.get_or_init(|| Sink(Arc::new(Mutex::new(Queue::new(settings))))).clone();
+    let sink = SINK
+        .get_or_init(|| Sink(Arc::new(Mutex::new(Queue::new(settings)))))
+        .clone();
     let level = match settings.level {
         LogLevel::Error => Level::ERROR,
         LogLevel::Warn => Level::WARN,
@@ -156,7 +169,11 @@
     let set = match settings.format {
         LogFormat::Text => tracing::subscriber::set_global_default(plain.finish()),
         LogFormat::Json => {
-            let json = plain.json().flatten_event(true).with_current_span(false).with_span_list(false);
+            let json = plain
+                .json()
+                .flatten_event(true)
+                .with_current_span(false)
+                .with_span_list(false);
             tracing::subscriber::set_global_default(json.finish())
         }
     };
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -23,18 +23,28 @@
 
 #[test]
 fn lines_wait_in_order_and_beyond_the_bound_they_are_dropped_whole_and_counted() {
-    let mut queue = Queue::new(&operator::Log { queue: 30, ..operator::Log::default() });
+    let mut queue = Queue::new(&operator::Log {
+        queue: 30,
+        ..operator::Log::default()
+    });
     let mut out = Narrow(5, Vec::new());
     for n in 0..6 {
         queue.push(format!("line {n} ..\n").as_bytes());
         queue.pump(&mut out, || true);
     }
-    assert_eq!((out.1.as_slice(), queue.dropped), (&b"line "[..], 3), "{queue:?}");
+    assert_eq!(
+        (out.1.as_slice(), queue.dropped),
+        (&b"line "[..], 3),
+        "{queue:?}"
+    );
     out.0 = 1_000;
     queue.pump(&mut out, || true);
     queue.pump(&mut out, || true);
     let text = String::from_utf8(out.1).expect("text");
-    assert!(text.starts_with("line 0 ..\nline 1 ..\nline 2 ..\n"), "{text}");
+    assert!(
+        text.starts_with("line 0 ..\nline 1 ..\nline 2 ..\n"),
+        "{text}"
+    );
     assert!(text.ends_with("log lines dropped dropped=3\n"), "{text}");
 }
 
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -47,9 +47,14 @@
 ) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let name = config.name.clone();
-    let (listen, admin, feed, known_to) = (config.listen, config.admin, config.feed, config.known_to);
+    let (listen, admin, feed, known_to) =
+        (config.listen, config.admin, config.feed, config.known_to);
     let shared: Shared = Rc::new_cyclic(|me| {
-        RefCell::new(Dispatch::new(config, &operator, dispatch::Tasks::new(me.clone(), executor.clone())))
+        RefCell::new(Dispatch::new(
+            config,
+            &operator,
+            dispatch::Tasks::new(me.clone(), executor.clone()),
+        ))
     });
     async_io::block_on(executor.run(async {
         // The known hosts are taken in before anyone can connect: a test that passes means ready.
@@ -75,10 +80,14 @@
                 .map_err(|e| io::Error::new(e.kind(), format!("listen: {listen}: {e}")))?,
         };
         let listener = Rc::new(listener);
-        executor.spawn(clients::accept(listener.clone(), shared.clone())).detach();
+        executor
+            .spawn(clients::accept(listener.clone(), shared.clone()))
+            .detach();
         shared.borrow_mut().listens = true;
         let (moves, moved) = async_channel::unbounded();
-        executor.spawn(feed::follow(feed, known_to, moved, shared.clone())).detach();
+        executor
+            .spawn(feed::follow(feed, known_to, moved, shared.clone()))
+            .detach();
         let signalled = shared.clone();
         let on_signal = async move {
             while let Some(signal) = signals.next().await {
--- a/src/net/wheel.rs
+++ b/src/net/wheel.rs
@@ -16,7 +16,10 @@
 impl<T> Wheel<T> {
     /// An empty wheel that starts at `now`.
     pub fn new(now: Micros) -> Wheel<T> {
-        Wheel { slots: (0..SLOTS).map(|_| Vec::new()).collect(), done: now / TICK }
+        Wheel {
+            slots: (0..SLOTS).map(|_| Vec::new()).collect(),
+            done: now / TICK,
+        }
     }
 
     /// Adds an item that is due at `at`.
--- a/src/net/wheel/tests.rs
+++ b/src/net/wheel/tests.rs
@@ -6,7 +6,12 @@
 fn items_come_in_order_and_never_early() {
     let mut wheel = Wheel::new(1_000_000);
     let turn = TICK * SLOTS as Micros;
-    for (at, item) in [(1_020_000, 'b'), (900_000, 'a'), (1_020_000 + turn, 'd'), (1_030_000, 'c')] {
+    for (at, item) in [
+        (1_020_000, 'b'),
+        (900_000, 'a'),
+        (1_020_000 + turn, 'd'),
+        (1_030_000, 'c'),
+    ] {
         wheel.add(at, item);
     }
     assert_eq!(wheel.due(1_000_000), []);
@@ -14,5 +19,9 @@
     assert_eq!(wheel.due(1_019_999), []);
     assert_eq!(wheel.due(1_035_000), ['b', 'c']);
     assert_eq!(wheel.due(1_020_000 + turn - 1), []);
-    assert_eq!(wheel.due(1_000_000 + 3 * turn), ['d'], "after a stall of more than a turn");
+    assert_eq!(
+        wheel.due(1_000_000 + 3 * turn),
+        ['d'],
+        "after a stall of more than a turn"
+    );
 }
--- a/src/operation/calls.rs
+++ b/src/operation/calls.rs
@@ -32,7 +32,9 @@
     pub fn read(line: &[u8]) -> Result<Call, &'static str> {
         let word = std::str::from_utf8(line).map_err(|_| "not text")?.trim();
         let found = Call::ALL.iter().find(|(name, _)| *name == word);
-        found.map(|(_, call)| *call).ok_or("unknown call: known are check, vars, drain-on, drain-off")
+        found
+            .map(|(_, call)| *call)
+            .ok_or("unknown call: known are check, vars, drain-on, drain-off")
     }
 }
 
--- a/src/operation/calls/tests.rs
+++ b/src/operation/calls/tests.rs
@@ -9,7 +9,14 @@
             assert_eq!(Call::read(line.as_bytes()), Ok(call), "{line:?}");
         }
     }
-    for line in [&b""[..], b"Check", b"check vars", b"drain", b"\xff\xfe", b"GET / HTTP/1.1"] {
+    for line in [
+        &b""[..],
+        b"Check",
+        b"check vars",
+        b"drain",
+        b"\xff\xfe",
+        b"GET / HTTP/1.1",
+    ] {
         assert!(Call::read(line).is_err(), "{line:?}");
     }
 }
--- a/src/operation/company.rs
+++ b/src/operation/company.rs
@@ -35,7 +35,12 @@
 impl Company {
     /// Nobody yet; what is offered counts for so long.
     pub fn new(span: Micros) -> Company {
-        Company { span: span.max(0), others: 0, share: Share::WHOLE, grows_at: 0 }
+        Company {
+            span: span.max(0),
+            others: 0,
+            share: Share::WHOLE,
+            grows_at: 0,
+        }
     }
 
     /// Others that live.
@@ -47,7 +52,10 @@
     pub fn met(&mut self, first: bool) -> Share {
         self.others = self.others.saturating_add(1);
         let of = self.share.of.max(self.others.saturating_add(1));
-        self.share = Share { of, me: if first { 1 } else { self.share.me.min(of - 1) } };
+        self.share = Share {
+            of,
+            me: if first { 1 } else { self.share.me.min(of - 1) },
+        };
         self.share
     }
 
@@ -63,7 +71,14 @@
         if of >= self.share.of || now < self.grows_at {
             return None;
         }
-        self.share = if of == 1 { Share::WHOLE } else { Share { of, me: self.share.me.min(of - 1) } };
+        self.share = if of == 1 {
+            Share::WHOLE
+        } else {
+            Share {
+                of,
+                me: self.share.me.min(of - 1),
+            }
+        };
         Some(self.share)
     }
 }
--- a/src/operation/company/tests.rs
+++ b/src/operation/company/tests.rs
@@ -5,11 +5,22 @@
 #[test]
 fn an_upgrade_shares_out_at_once_and_is_whole_again_once_nothing_of_the_other_counts() {
     let (mut old, mut new) = (Company::new(1_000), Company::new(1_000));
-    assert_eq!((new.met(true), old.met(false)), (Share { of: 2, me: 1 }, Share { of: 2, me: 0 }));
+    assert_eq!(
+        (new.met(true), old.met(false)),
+        (Share { of: 2, me: 1 }, Share { of: 2, me: 0 })
+    );
     assert_eq!((old.look(500), new.look(500)), (None, None));
     new.left(600);
-    assert_eq!((new.others(), new.look(1_599)), (0, None), "what the old one offered still counts");
-    assert_eq!((new.look(1_600), new.look(1_601)), (Some(Share::WHOLE), None), "told once");
+    assert_eq!(
+        (new.others(), new.look(1_599)),
+        (0, None),
+        "what the old one offered still counts"
+    );
+    assert_eq!(
+        (new.look(1_600), new.look(1_601)),
+        (Some(Share::WHOLE), None),
+        "told once"
+    );
     // The next upgrade: this one is the first now, also where it comes before the share has grown.
     assert_eq!(new.met(false), Share { of: 2, me: 0 });
     new.left(2_000);
--- a/src/operation/duty.rs
+++ b/src/operation/duty.rs
@@ -96,7 +96,12 @@
 
 impl Default for Duty {
     fn default() -> Duty {
-        Duty { phase: Phase::Serving, since: 0, heard: None, until: Micros::MAX }
+        Duty {
+            phase: Phase::Serving,
+            since: 0,
+            heard: None,
+            until: Micros::MAX,
+        }
     }
 }
 
@@ -152,7 +157,8 @@
             }
             (Event::Leave(longest), Phase::Serving | Phase::Refusing | Phase::Emptying) => {
                 let wait = longest.clamp(0, MOST_WAIT);
-                (self.phase, self.since, self.until) = (Phase::Leaving, now, now + wait + LEAVE_END);
+                (self.phase, self.since, self.until) =
+                    (Phase::Leaving, now, now + wait + LEAVE_END);
                 Some(Effect::Leave(wait + LEAVE_ANSWER))
             }
             _ => None,
--- a/src/operation/tally.rs
+++ b/src/operation/tally.rs
@@ -36,7 +36,9 @@
 
     /// A request of this class was answered. One of a class that the settings do not state counts nowhere.
     pub fn ended(&mut self, class: Option<usize>, how: Ended) {
-        let Some(counts) = class.and_then(|class| self.0.get_mut(class)) else { return };
+        let Some(counts) = class.and_then(|class| self.0.get_mut(class)) else {
+            return;
+        };
         match how {
             Ended::Served => counts.served += 1,
             Ended::Refused => counts.refused += 1,
--- a/src/operation/tally/tests.rs
+++ b/src/operation/tally/tests.rs
@@ -17,6 +17,20 @@
     }
     tally.offered(Some(1));
     tally.offered(None);
-    let first = Counts { served: 1, ..Counts::default() };
-    assert_eq!(tally.classes(), [first, Counts { served: 1, refused: 1, failed: 1, attempts: 1 }]);
+    let first = Counts {
+        served: 1,
+        ..Counts::default()
+    };
+    assert_eq!(
+        tally.classes(),
+        [
+            first,
+            Counts {
+                served: 1,
+                refused: 1,
+                failed: 1,
+                attempts: 1
+            }
+        ]
+    );
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -61,7 +61,11 @@
 
 impl Default for Log {
     fn default() -> Log {
-        Log { format: LogFormat::Text, level: LogLevel::Info, queue: 256 * 1024 }
+        Log {
+            format: LogFormat::Text,
+            level: LogLevel::Info,
+            queue: 256 * 1024,
+        }
     }
 }
 
@@ -152,8 +156,15 @@
     match std::fs::read_to_string(path) {
         Ok(text) => parse(&text),
         Err(e) => {
-            let problem = Problem { place: None, field: String::new(), what: format!("can't be read: {e}") };
-            Loaded { problems: vec![problem], ..Loaded::default() }
+            let problem = Problem {
+                place: None,
+                field: String::new(),
+                what: format!("can't be read: {e}"),
+            };
+            Loaded {
+                problems: vec![problem],
+                ..Loaded::default()
+            }
         }
     }
 }
@@ -175,7 +186,11 @@
         reader.close(&root);
     }
     let (in_force, problems) = reader.finish();
-    Loaded { operator, in_force, problems }
+    Loaded {
+        operator,
+        in_force,
+        problems,
+    }
 }
 
 fn log(reader: &mut Reader<'_>, root: &mut Section<'_>) -> Log {
@@ -194,16 +209,31 @@
         "text" => LogFormat::Text,
         "json" => LogFormat::Json,
         other => {
-            reader.wrong(&section, "format", format!("expected text or json, found \"{other}\""));
+            reader.wrong(
+                &section,
+                "format",
+                format!("expected text or json, found \"{other}\""),
+            );
             LogFormat::Text
         }
     };
-    let found = LogLevel::ALL.iter().find(|(name, _)| *name == level).map(|(_, level)| *level);
+    let found = LogLevel::ALL
+        .iter()
+        .find(|(name, _)| *name == level)
+        .map(|(_, level)| *level);
     if found.is_none() {
-        reader.wrong(&section, "level", format!("expected error, warn, info or debug, found \"{level}\""));
+        reader.wrong(
+            &section,
+            "level",
+            format!("expected error, warn, info or debug, found \"{level}\""),
+        );
     }
     reader.close(&section);
-    Log { format, level: found.unwrap_or_default(), queue: usize::try_from(queue).unwrap_or(default.queue) }
+    Log {
+        format,
+        level: found.unwrap_or_default(),
+        queue: usize::try_from(queue).unwrap_or(default.queue),
+    }
 }
 
 fn health(reader: &mut Reader<'_>, root: &mut Section<'_>) -> Health {
@@ -213,7 +243,10 @@
     let http = reader.value(&mut section, "http", Vec::<SocketAddr>::new());
     let mut all: Vec<SocketAddr> = agent.iter().chain(&http).copied().collect();
     all.sort();
-    if let Some([twice, _]) = all.windows(2).find(|pair| matches!(pair, [a, b] if a == b && a.port() != 0)) {
+    if let Some([twice, _]) = all
+        .windows(2)
+        .find(|pair| matches!(pair, [a, b] if a == b && a.port() != 0))
+    {
         reader.wrong(&section, "http", format!("{twice} is named twice"));
     }
     let connections = reader.checked(
@@ -232,9 +265,20 @@
         "at most 1s",
     );
     let minute = Duration::from_secs(60);
-    let request_time =
-        reader.checked(&mut section, "request-time", default.request_time, short(minute), "1ms to 1m");
-    let idle = reader.checked(&mut section, "idle", default.idle, short(10 * minute), "1ms to 10m");
+    let request_time = reader.checked(
+        &mut section,
+        "request-time",
+        default.request_time,
+        short(minute),
+        "1ms to 1m",
+    );
+    let idle = reader.checked(
+        &mut section,
+        "idle",
+        default.idle,
+        short(10 * minute),
+        "1ms to 10m",
+    );
     let drain_status = reader.checked(
         &mut section,
         "drain-status",
@@ -280,19 +324,44 @@
     let mut weight = reader.section(health, "weight");
     let positive = |d: &Duration| !d.is_zero();
     let slow_start = reader.value(&mut weight, "slow-start", span(default.slow_start));
-    let floor =
-        reader.checked(&mut weight, "floor", default.pace.floor, |f| (1.0..=100.0).contains(f), "1 to 100");
-    let rise = reader.checked(&mut weight, "rise", span(default.pace.rise), positive, "more than 0s");
+    let floor = reader.checked(
+        &mut weight,
+        "floor",
+        default.pace.floor,
+        |f| (1.0..=100.0).contains(f),
+        "1 to 100",
+    );
+    let rise = reader.checked(
+        &mut weight,
+        "rise",
+        span(default.pace.rise),
+        positive,
+        "more than 0s",
+    );
     let fall_pause = reader.value(&mut weight, "fall-pause", span(default.pace.fall_pause));
-    let hold = reader.checked(&mut weight, "hold", span(default.pace.hold), positive, "more than 0s");
+    let hold = reader.checked(
+        &mut weight,
+        "hold",
+        span(default.pace.hold),
+        positive,
+        "more than 0s",
+    );
     let most_hold = reader.value(&mut weight, "most-hold", span(default.pace.most_hold));
     if most_hold < hold {
-        reader.wrong(&weight, "most-hold", "it is shorter than hold, from which it is doubled up".into());
+        reader.wrong(
+            &weight,
+            "most-hold",
+            "it is shorter than hold, from which it is doubled up".into(),
+        );
     }
     let memory = reader.value(&mut weight, "memory", span(default.pace.memory));
     let most_memory = reader.value(&mut weight, "most-memory", span(default.pace.most_memory));
     if most_memory < memory {
-        reader.wrong(&weight, "most-memory", "it is shorter than memory, from which it is doubled up".into());
+        reader.wrong(
+            &weight,
+            "most-memory",
+            "it is shorter than memory, from which it is doubled up".into(),
+        );
     }
     let changes = reader.checked(
         &mut weight,
@@ -312,7 +381,11 @@
         ramp.step = reader.checked(&mut section, "step", ramp.step, share, "0 to 1");
         ramp.reach = reader.checked(&mut section, "reach", ramp.reach, share, "0 to 1");
         if ramp.ok >= ramp.bad {
-            reader.wrong(&section, "bad", format!("{} is no more than ok, {}", ramp.bad, ramp.ok));
+            reader.wrong(
+                &section,
+                "bad",
+                format!("{} is no more than ok, {}", ramp.bad, ramp.ok),
+            );
         }
         reader.close(&section);
     }
@@ -327,7 +400,12 @@
         most_memory: micros(most_memory),
         most_changes: usize::try_from(changes).unwrap_or(default.pace.most_changes),
     };
-    Settings { slow_start: micros(slow_start), ramps, pace, ..default }
+    Settings {
+        slow_start: micros(slow_start),
+        ramps,
+        pace,
+        ..default
+    }
 }
 
 fn drain(reader: &mut Reader<'_>, root: &mut Section<'_>) -> Option<Bounds> {
@@ -337,12 +415,27 @@
     let notice = reader.value(&mut section, "notice", span(default.notice));
     let settle = reader.value(&mut section, "settle", span(default.settle));
     if settle > notice {
-        reader.wrong(&section, "settle", "it is longer than notice, which ends the wait".into());
+        reader.wrong(
+            &section,
+            "settle",
+            "it is longer than notice, which ends the wait".into(),
+        );
     }
     let polls = |n: &u64| (1..=100).contains(n);
-    let agent =
-        reader.checked(&mut section, "agent-polls", u64::from(default.agent_polls), polls, "1 to 100");
-    let http = reader.checked(&mut section, "http-polls", u64::from(default.http_polls), polls, "1 to 100");
+    let agent = reader.checked(
+        &mut section,
+        "agent-polls",
+        u64::from(default.agent_polls),
+        polls,
+        "1 to 100",
+    );
+    let http = reader.checked(
+        &mut section,
+        "http-polls",
+        u64::from(default.http_polls),
+        polls,
+        "1 to 100",
+    );
     let quiet = reader.value(&mut section, "quiet", span(default.quiet));
     let answer = reader.value(&mut section, "answer", span(default.answer));
     let standing = reader.value(&mut section, "standing", span(default.standing));
@@ -363,8 +456,15 @@
     let mut section = reader.section(root, "ctl");
     let socket = reader.optional::<PathBuf>(&mut section, "socket");
     // A longer one does not fit a socket's address.
-    if socket.as_ref().is_some_and(|path| path.as_os_str().len() > 107) {
-        reader.wrong(&section, "socket", "expected a path of at most 107 bytes".into());
+    if socket
+        .as_ref()
+        .is_some_and(|path| path.as_os_str().len() > 107)
+    {
+        reader.wrong(
+            &section,
+            "socket",
+            "expected a path of at most 107 bytes".into(),
+        );
     }
     reader.close(&section);
     socket
@@ -377,7 +477,13 @@
     let default = line::Settings::default();
     let line_on = reader.value(&mut sub, "enabled", false);
     let line = line::Settings {
-        target: reader.checked(&mut sub, "target", default.target, part(0.9), "more than 0, at most 0.9"),
+        target: reader.checked(
+            &mut sub,
+            "target",
+            default.target,
+            part(0.9),
+            "more than 0, at most 0.9",
+        ),
         most_target: reader.checked(
             &mut sub,
             "most-target",
@@ -385,8 +491,20 @@
             part(1.0),
             "more than 0, at most 1",
         ),
-        first: reader.checked(&mut sub, "first", default.first, part(1_024.0), "more than 0, at most 1024"),
-        most: reader.checked(&mut sub, "most", default.most, |v| (1.0..=1_024.0).contains(v), "1 to 1024"),
+        first: reader.checked(
+            &mut sub,
+            "first",
+            default.first,
+            part(1_024.0),
+            "more than 0, at most 1024",
+        ),
+        most: reader.checked(
+            &mut sub,
+            "most",
+            default.most,
+            |v| (1.0..=1_024.0).contains(v),
+            "1 to 1024",
+        ),
     };
     if line.most_target < line.target {
         reader.wrong(
@@ -399,10 +517,28 @@
     let mut sub = reader.section(&mut section, "shed");
     let default = gate::Settings::default();
     let shed_on = reader.value(&mut sub, "enabled", false);
-    let epoch = reader.checked(&mut sub, "epoch", span(default.epoch), |d| !d.is_zero(), "more than 0s");
+    let epoch = reader.checked(
+        &mut sub,
+        "epoch",
+        span(default.epoch),
+        |d| !d.is_zero(),
+        "more than 0s",
+    );
     let shed = gate::Settings {
-        high: reader.checked(&mut sub, "high", default.high, part(10.0), "more than 0, at most 10"),
-        low: reader.checked(&mut sub, "low", default.low, part(10.0), "more than 0, at most 10"),
+        high: reader.checked(
+            &mut sub,
+            "high",
+            default.high,
+            part(10.0),
+            "more than 0, at most 10",
+        ),
+        low: reader.checked(
+            &mut sub,
+            "low",
+            default.low,
+            part(10.0),
+            "more than 0, at most 10",
+        ),
         hopeless: reader.checked(
             &mut sub,
             "hopeless",
@@ -413,20 +549,55 @@
         epoch: micros(epoch),
     };
     if shed.low >= shed.high {
-        reader.wrong(&sub, "low", format!("{} is no less than high, {}", shed.low, shed.high));
+        reader.wrong(
+            &sub,
+            "low",
+            format!("{} is no less than high, {}", shed.low, shed.high),
+        );
     }
     reader.close(&sub);
     let mut sub = reader.section(&mut section, "attempts");
     let default = attempts::Settings::default();
     let attempts_on = reader.value(&mut sub, "enabled", false);
     let attempts = attempts::Settings {
-        ratio: reader.checked(&mut sub, "ratio", default.ratio, part(10.0), "more than 0, at most 10"),
-        pressed: reader.checked(&mut sub, "pressed", default.pressed, part(10.0), "more than 0, at most 10"),
-        domain: reader.checked(&mut sub, "domain", default.domain, part(10.0), "more than 0, at most 10"),
-        stock: reader.checked(&mut sub, "stock", default.stock, part(65_536.0), "more than 0, at most 65536"),
+        ratio: reader.checked(
+            &mut sub,
+            "ratio",
+            default.ratio,
+            part(10.0),
+            "more than 0, at most 10",
+        ),
+        pressed: reader.checked(
+            &mut sub,
+            "pressed",
+            default.pressed,
+            part(10.0),
+            "more than 0, at most 10",
+        ),
+        domain: reader.checked(
+            &mut sub,
+            "domain",
+            default.domain,
+            part(10.0),
+            "more than 0, at most 10",
+        ),
+        stock: reader.checked(
+            &mut sub,
+            "stock",
+            default.stock,
+            part(65_536.0),
+            "more than 0, at most 65536",
+        ),
     };
     if attempts.pressed > attempts.ratio {
-        reader.wrong(&sub, "pressed", format!("{} is more than ratio, {}", attempts.pressed, attempts.ratio));
+        reader.wrong(
+            &sub,
+            "pressed",
+            format!(
+                "{} is more than ratio, {}",
+                attempts.pressed, attempts.ratio
+            ),
+        );
     }
     reader.close(&sub);
     let mut sub = reader.section(&mut section, "returns");
@@ -435,8 +606,13 @@
     let mut sub = reader.section(&mut section, "turns");
     let default = turns::Settings::default();
     let turns_on = reader.value(&mut sub, "enabled", false);
-    let callers =
-        reader.checked(&mut sub, "callers", default.callers as u64, |n| (1..=1_024).contains(n), "1 to 1024");
+    let callers = reader.checked(
+        &mut sub,
+        "callers",
+        default.callers as u64,
+        |n| (1..=1_024).contains(n),
+        "1 to 1024",
+    );
     let step = reader.checked(
         &mut sub,
         "step",
@@ -444,8 +620,10 @@
         |d| *d >= Duration::from_millis(10) && *d <= Duration::from_secs(10),
         "10ms to 10s",
     );
-    let turns =
-        turns::Settings { callers: usize::try_from(callers).unwrap_or(default.callers), step: micros(step) };
+    let turns = turns::Settings {
+        callers: usize::try_from(callers).unwrap_or(default.callers),
+        step: micros(step),
+    };
     reader.close(&sub);
     reader.close(&section);
     Parts {
--- a/src/operator/reader.rs
+++ b/src/operator/reader.rs
@@ -24,8 +24,15 @@
 impl Problem {
     /// As one line, with the file's name.
     pub fn line(&self, file: &str) -> String {
-        let place = self.place.map(|(line, column)| format!(":{line}:{column}")).unwrap_or_default();
-        let field = if self.field.is_empty() { String::new() } else { format!("{}: ", self.field) };
+        let place = self
+            .place
+            .map(|(line, column)| format!(":{line}:{column}"))
+            .unwrap_or_default();
+        let field = if self.field.is_empty() {
+            String::new()
+        } else {
+            format!("{}: ", self.field)
+        };
         format!("{file}{place}: {field}{}", self.what)
     }
 }
@@ -91,7 +98,12 @@
     fn read(value: &DeValue<'_>) -> Result<u64, String> {
         match value {
             DeValue::Integer(integer) => u64::from_str_radix(integer.as_str(), integer.radix())
-                .map_err(|_| format!("expected a whole number from 0 on, found {}", integer.as_str())),
+                .map_err(|_| {
+                    format!(
+                        "expected a whole number from 0 on, found {}",
+                        integer.as_str()
+                    )
+                }),
             _ => Err(wrong::<u64>(value)),
         }
     }
@@ -107,7 +119,8 @@
     fn read(value: &DeValue<'_>) -> Result<Duration, String> {
         let text = value.as_str().ok_or_else(|| wrong::<Duration>(value))?;
         let read = humantime::parse_duration(text);
-        let read = read.map_err(|e| format!("expected {}, found \"{text}\": {e}", Self::EXPECTED))?;
+        let read =
+            read.map_err(|e| format!("expected {}, found \"{text}\": {e}", Self::EXPECTED))?;
         // Sums of durations with the clock stay far from their limits.
         if read > Duration::from_secs(366 * 86_400) {
             return Err(format!("expected at most a year, found \"{text}\""));
@@ -116,7 +129,12 @@
     }
 
     fn show(&self) -> String {
-        format!("\"{}\"", humantime::format_duration(*self).to_string().replace(' ', ""))
+        format!(
+            "\"{}\"",
+            humantime::format_duration(*self)
+                .to_string()
+                .replace(' ', "")
+        )
     }
 }
 
@@ -124,7 +142,10 @@
     const EXPECTED: &'static str = "a text";
 
     fn read(value: &DeValue<'_>) -> Result<String, String> {
-        value.as_str().map(str::to_string).ok_or_else(|| wrong::<String>(value))
+        value
+            .as_str()
+            .map(str::to_string)
+            .ok_or_else(|| wrong::<String>(value))
     }
 
     fn show(&self) -> String {
@@ -137,7 +158,8 @@
 
     fn read(value: &DeValue<'_>) -> Result<Self, String> {
         let text = value.as_str().ok_or_else(|| wrong::<Self>(value))?;
-        text.parse().map_err(|_| format!("expected {}, found \"{text}\"", Self::EXPECTED))
+        text.parse()
+            .map_err(|_| format!("expected {}, found \"{text}\"", Self::EXPECTED))
     }
 
     fn show(&self) -> String {
@@ -176,7 +198,10 @@
     }
 
     fn show(&self) -> String {
-        format!("[{}]", self.iter().map(Value::show).collect::<Vec<_>>().join(", "))
+        format!(
+            "[{}]",
+            self.iter().map(Value::show).collect::<Vec<_>>().join(", ")
+        )
     }
 }
 
@@ -189,12 +214,19 @@
 
 impl Section<'_> {
     fn field(&self, key: &str) -> String {
-        if self.path.is_empty() { key.to_string() } else { format!("{}.{key}", self.path) }
+        if self.path.is_empty() {
+            key.to_string()
+        } else {
+            format!("{}.{key}", self.path)
+        }
     }
 
     fn find(&self, key: &str) -> Option<&Spanned<DeValue<'_>>> {
         let (table, _) = self.table.as_ref()?;
-        table.iter().find(|(name, _)| name.get_ref() == key).map(|(_, value)| value)
+        table
+            .iter()
+            .find(|(name, _)| name.get_ref() == key)
+            .map(|(_, value)| value)
     }
 }
 
@@ -208,10 +240,18 @@
 impl<'t> Reader<'t> {
     /// Begins with the parser's own problems.
     pub fn new(text: &'t str, errors: &[toml::de::Error]) -> Reader<'t> {
-        let mut reader = Reader { text, problems: Vec::new(), in_force: Vec::new() };
+        let mut reader = Reader {
+            text,
+            problems: Vec::new(),
+            in_force: Vec::new(),
+        };
         for error in errors {
             let place = error.span().map(|span| reader.place(span.start));
-            reader.problems.push(Problem { place, field: String::new(), what: error.message().to_string() });
+            reader.problems.push(Problem {
+                place,
+                field: String::new(),
+                what: error.message().to_string(),
+            });
         }
         reader
     }
@@ -219,7 +259,11 @@
     /// The document itself.
     pub fn root<'d>(&self, document: &'d Spanned<DeTable<'d>>) -> Section<'d> {
         let table = Some((document.get_ref(), document.span()));
-        Section { path: String::new(), table, known: BTreeSet::new() }
+        Section {
+            path: String::new(),
+            table,
+            known: BTreeSet::new(),
+        }
     }
 
     /// A table within another; its absence is no problem.
@@ -227,7 +271,10 @@
         parent.known.insert(key.to_string());
         let path = parent.field(key);
         let found = parent.table.as_ref().and_then(|(table, _)| {
-            table.iter().find(|(name, _)| name.get_ref() == key).map(|(_, value)| value)
+            table
+                .iter()
+                .find(|(name, _)| name.get_ref() == key)
+                .map(|(_, value)| value)
         });
         let table = match found.map(|value| (value.get_ref(), value.span())) {
             Some((DeValue::Table(table), span)) => Some((table, span)),
@@ -238,14 +285,22 @@
             }
             None => None,
         };
-        Section { path, table, known: BTreeSet::new() }
+        Section {
+            path,
+            table,
+            known: BTreeSet::new(),
+        }
     }
 
     /// The value of a key, or its default.
     pub fn value<T: Value>(&mut self, section: &mut Section<'_>, key: &str, default: T) -> T {
         self.read(section, key).unwrap_or_else(|| {
             let field = section.field(key);
-            self.in_force.push(InForce { field, value: default.show(), line: None });
+            self.in_force.push(InForce {
+                field,
+                value: default.show(),
+                line: None,
+            });
             default
         })
     }
@@ -280,7 +335,11 @@
         match T::read(found.get_ref()) {
             Ok(value) => {
                 let line = Some(self.place(start).0);
-                self.in_force.push(InForce { field, value: value.show(), line });
+                self.in_force.push(InForce {
+                    field,
+                    value: value.show(),
+                    line,
+                });
                 Some(value)
             }
             Err(what) => {
@@ -300,11 +359,22 @@
 
     /// Nothing more is read from a table: what is left there is unknown.
     pub fn close(&mut self, section: &Section<'_>) {
-        let Some((table, _)) = &section.table else { return };
-        for (name, _) in table.iter().filter(|(name, _)| !section.known.contains(name.get_ref().as_ref())) {
+        let Some((table, _)) = &section.table else {
+            return;
+        };
+        for (name, _) in table
+            .iter()
+            .filter(|(name, _)| !section.known.contains(name.get_ref().as_ref()))
+        {
             let alike = |known: &&String| strsim::damerau_levenshtein(known, name.get_ref());
-            let near = section.known.iter().min_by_key(alike).filter(|known| alike(known) <= 2);
-            let hint = near.map(|known| format!(", perhaps {known} is meant")).unwrap_or_default();
+            let near = section
+                .known
+                .iter()
+                .min_by_key(alike)
+                .filter(|known| alike(known) <= 2);
+            let hint = near
+                .map(|known| format!(", perhaps {known} is meant"))
+                .unwrap_or_default();
             let known: Vec<&str> = section.known.iter().map(String::as_str).collect();
             let what = format!("unknown{hint}; known here are {}", known.join(", "));
             let field = section.field(name.get_ref());
@@ -320,14 +390,25 @@
 
     fn problem(&mut self, start: Option<usize>, field: &str, what: String) {
         let place = start.map(|start| self.place(start));
-        self.problems.push(Problem { place, field: field.to_string(), what });
+        self.problems.push(Problem {
+            place,
+            field: field.to_string(),
+            what,
+        });
     }
 
     /// Line and column of an offset, counted from 1, in characters.
     fn place(&self, offset: usize) -> (usize, usize) {
-        let before = self.text.get(..offset.min(self.text.len())).unwrap_or(self.text);
+        let before = self
+            .text
+            .get(..offset.min(self.text.len()))
+            .unwrap_or(self.text);
         let line = before.matches('\n').count() + 1;
-        let column = before.rsplit('\n').next().map_or(0, |last| last.chars().count()) + 1;
+        let column = before
+            .rsplit('\n')
+            .next()
+            .map_or(0, |last| last.chars().count())
+            + 1;
         (line, column)
     }
 }
--- a/src/operator/tests.rs
+++ b/src/operator/tests.rs
@@ -5,13 +5,20 @@
 #[test]
 fn an_empty_file_is_the_defaults_and_the_example_states_them() {
     let empty = parse("");
-    assert_eq!((empty.operator, empty.problems), (Operator::default(), vec![]));
+    assert_eq!(
+        (empty.operator, empty.problems),
+        (Operator::default(), vec![])
+    );
     let example = parse(include_str!("../../deploy/operator.toml"));
     assert_eq!(example.problems, []);
     assert_eq!(example.operator.health.engine, Settings::default());
     assert!(example.operator.health.listens() && example.operator.drain == Some(Bounds::default()));
     // Every value that can be set is in the example, with its default or a listener to try.
-    let unset: Vec<&InForce> = example.in_force.iter().filter(|value| value.line.is_none()).collect();
+    let unset: Vec<&InForce> = example
+        .in_force
+        .iter()
+        .filter(|value| value.line.is_none())
+        .collect();
     assert_eq!(unset, Vec::<&InForce>::new(), "not in the example");
 }
 
@@ -42,8 +49,11 @@
 socket = "run/ctl"
 [extra]
 "#;
-    let fields: Vec<(usize, String)> =
-        parse(text).problems.into_iter().map(|p| (p.place.map_or(0, |(line, _)| line), p.field)).collect();
+    let fields: Vec<(usize, String)> = parse(text)
+        .problems
+        .into_iter()
+        .map(|p| (p.place.map_or(0, |(line, _)| line), p.field))
+        .collect();
     let expected = [
         (3, "log.format"),
         (4, "log.level"),
@@ -60,5 +70,8 @@
         (23, "ctl.socket"),
         (24, "extra"),
     ];
-    assert_eq!(fields, expected.map(|(line, field)| (line, field.to_string())));
+    assert_eq!(
+        fields,
+        expected.map(|(line, field)| (line, field.to_string()))
+    );
 }
--- a/src/overload/attempts.rs
+++ b/src/overload/attempts.rs
@@ -27,7 +27,12 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { ratio: 0.5, pressed: 0.1, domain: 1.0, stock: 30.0 }
+        Settings {
+            ratio: 0.5,
+            pressed: 0.1,
+            domain: 1.0,
+            stock: 30.0,
+        }
     }
 }
 
@@ -78,7 +83,12 @@
     pub fn new(settings: Settings, placers: usize) -> Budget {
         let part = settings.stock / placers.max(1) as f64;
         // Less than one can't be spent, and what is earned has to be kept until it can.
-        Budget { tokens: part, most: part.max(1.0), domains: BTreeMap::new(), settings }
+        Budget {
+            tokens: part,
+            most: part.max(1.0),
+            domains: BTreeMap::new(),
+            settings,
+        }
     }
 
     /// What is left.
@@ -88,7 +98,11 @@
 
     /// A fresh task was offered for the first time, to a host of these domains.
     pub fn first(&mut self, now: Micros, pressed: bool, domains: &[Domain]) {
-        let ratio = if pressed { self.settings.pressed } else { self.settings.ratio };
+        let ratio = if pressed {
+            self.settings.pressed
+        } else {
+            self.settings.ratio
+        };
         self.tokens = (self.tokens + ratio).min(self.most);
         let earned = self.settings.domain;
         for domain in domains {
@@ -106,7 +120,10 @@
         if self.tokens < 1.0 {
             return Err("placer");
         }
-        if let Some(spent) = domains.iter().find(|domain| self.bucket(now, domain).tokens < 1.0) {
+        if let Some(spent) = domains
+            .iter()
+            .find(|domain| self.bucket(now, domain).tokens < 1.0)
+        {
             return Err(spent.kind());
         }
         self.tokens -= 1.0;
@@ -130,7 +147,10 @@
             self.make_room(now);
         }
         let tokens = self.most_of(domain);
-        let bucket = self.domains.entry(domain.clone()).or_insert(Bucket { tokens, used: now });
+        let bucket = self
+            .domains
+            .entry(domain.clone())
+            .or_insert(Bucket { tokens, used: now });
         bucket.used = now;
         bucket
     }
@@ -141,7 +161,12 @@
         }
         self.domains.retain(|_, bucket| now - bucket.used < FORGET);
         while self.domains.len() >= MOST_DOMAINS {
-            let Some(oldest) = self.domains.iter().min_by_key(|(_, b)| b.used).map(|(d, _)| d.clone()) else {
+            let Some(oldest) = self
+                .domains
+                .iter()
+                .min_by_key(|(_, b)| b.used)
+                .map(|(d, _)| d.clone())
+            else {
                 return;
             };
             self.domains.remove(&oldest);
--- a/src/overload/gate.rs
+++ b/src/overload/gate.rs
@@ -52,7 +52,12 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { high: 0.8, low: 0.3, hopeless: 0.35, epoch: 8_000_000 }
+        Settings {
+            high: 0.8,
+            low: 0.3,
+            hopeless: 0.35,
+            epoch: 8_000_000,
+        }
     }
 }
 
@@ -150,8 +155,9 @@
     /// It is let through where that is less than [`Gate::through`].
     pub fn asked(&mut self, now: Micros, wall: Micros, asked: Asked) -> f64 {
         let beyond = unit(asked.name, 0x7368_6172) >= asked.within;
-        let bucket =
-            usize::from(3 - asked.priority.min(3)) * 6 + usize::from(beyond) * 3 + asked.turn as usize;
+        let bucket = usize::from(3 - asked.priority.min(3)) * 6
+            + usize::from(beyond) * 3
+            + asked.turn as usize;
         self.rate.add(now, 1.0, 0.0);
         if let Some(window) = self.mix.get_mut(bucket) {
             window.add(now, 1.0, 0.0);
@@ -167,7 +173,11 @@
         }
         let epoch = wall.div_euclid(length / TURNS as Micros) as u64;
         let place = before + own * unit(asked.name, !epoch);
-        if before > CLEAR * self.through() { place.max(self.through()) } else { place }
+        if before > CLEAR * self.through() {
+            place.max(self.through())
+        } else {
+            place
+        }
     }
 
     /// A task that was asked for at `asked` has started; its delay from then is so many aims.
@@ -196,8 +206,8 @@
         let passed = now - self.changed;
         let starts = self.per_second(now, &self.starts);
         let asked = self.per_second(now, &self.rate);
-        let waits =
-            held as f64 > MANY * starts * self.aim as f64 / 1e6 && oldest as f64 > HELD * self.aim as f64;
+        let waits = held as f64 > MANY * starts * self.aim as f64 / 1e6
+            && oldest as f64 > HELD * self.aim as f64;
         if waits && starts > 0.0 && asked > 0.0 {
             let steps = (MARGIN * starts / asked).min(1.0).ln() / STEP_PART.ln();
             if steps > f64::from(self.step) {
@@ -206,13 +216,23 @@
             }
         }
         let outcomes = self.started + self.missed;
-        let mean = if self.started > 0.0 { self.delays / self.started } else { 0.0 };
+        let mean = if self.started > 0.0 {
+            self.delays / self.started
+        } else {
+            0.0
+        };
         let bad = self.missed > 0.0 || mean > self.settings.high;
         if outcomes >= ENOUGH && bad {
             // What was started of what was let through; where all was, and late, by how much.
             let part = self.started / outcomes;
-            let part = if mean > self.settings.high { part.min(self.settings.high / mean) } else { part };
-            let steps = (part.max(f64::MIN_POSITIVE).ln() / STEP_PART.ln()).clamp(0.0, RISE).round();
+            let part = if mean > self.settings.high {
+                part.min(self.settings.high / mean)
+            } else {
+                part
+            };
+            let steps = (part.max(f64::MIN_POSITIVE).ln() / STEP_PART.ln())
+                .clamp(0.0, RISE)
+                .round();
             self.able = starts;
             // A little missed of much is no reason for a whole step.
             return self.change(now, f64::from(self.step) + steps);
@@ -220,7 +240,11 @@
         if self.step > 0 && !bad && passed >= self.pause() {
             // What was started in the trouble is enough for what is asked now, or for more of it than is let
             // through; and where starts have been calm for a while, there may be more room than was seen.
-            let room = if asked > 0.0 { (MARGIN * self.able / asked).min(1.0) } else { 1.0 };
+            let room = if asked > 0.0 {
+                (MARGIN * self.able / asked).min(1.0)
+            } else {
+                1.0
+            };
             let by_room = (room.max(f64::MIN_POSITIVE).ln() / STEP_PART.ln()).round();
             let fall = match mean {
                 _ if self.started == 0.0 => 0.0,
--- a/src/overload/line.rs
+++ b/src/overload/line.rs
@@ -61,7 +61,12 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { target: 0.4, most_target: 0.75, first: 8.0, most: 32.0 }
+        Settings {
+            target: 0.4,
+            most_target: 0.75,
+            first: 8.0,
+            most: 32.0,
+        }
     }
 }
 
@@ -133,7 +138,11 @@
             started_at: Micros::MIN,
             shortest: f64::INFINITY,
             aimed: settings.target * aim as f64,
-            floor: Floor { since: 0, now: f64::INFINITY, before: f64::INFINITY },
+            floor: Floor {
+                since: 0,
+                now: f64::INFINITY,
+                before: f64::INFINITY,
+            },
             cut_at: Micros::MIN,
             next: Micros::MIN,
             offered_at: Micros::MIN,
@@ -196,7 +205,8 @@
         let (whole, part) = self.parts();
         if self.out >= whole {
             if part > 0.0 {
-                self.next = now.saturating_add((self.pace(now) / part * (0.75 + 0.5 * spread)) as Micros);
+                self.next =
+                    now.saturating_add((self.pace(now) / part * (0.75 + 0.5 * spread)) as Micros);
             }
             self.used_up_at = now;
         }
@@ -231,7 +241,11 @@
         let target = self.target(settings);
         self.floor.see(now, stretch);
         if stretch > target {
-            return self.cut(now - delay, now, (CUT * (stretch - target) / stretch).min(MOST_CUT));
+            return self.cut(
+                now - delay,
+                now,
+                (CUT * (stretch - target) / stretch).min(MOST_CUT),
+            );
         }
         // A window that was not used up is no reason for a wider one.
         if now.saturating_sub(self.used_up_at) <= (4.0 * self.delay) as Micros {
@@ -244,7 +258,11 @@
 
     fn target(&self, settings: &Settings) -> f64 {
         let least = self.floor.least();
-        let slow = if least.is_finite() { OVER_FLOOR * least } else { 0.0 };
+        let slow = if least.is_finite() {
+            OVER_FLOOR * least
+        } else {
+            0.0
+        };
         slow.clamp(settings.target, settings.most_target.max(settings.target))
     }
 
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -296,18 +296,39 @@
         let classes: Vec<Class> = settings
             .classes
             .iter()
-            .map(|class| Class { aim: class.aim.max(1), priority: class.priority })
+            .map(|class| Class {
+                aim: class.aim.max(1),
+                priority: class.priority,
+            })
             .collect();
-        let aim = classes.iter().map(|class| class.aim).min().unwrap_or(1_000_000);
+        let aim = classes
+            .iter()
+            .map(|class| class.aim)
+            .min()
+            .unwrap_or(1_000_000);
         let tenant = || crate::health::window::Window::new(4 * aim);
         Overload {
-            quotas: settings.tenants.iter().map(|tenant| tenant.quota_per_s).collect(),
+            quotas: settings
+                .tenants
+                .iter()
+                .map(|tenant| tenant.quota_per_s)
+                .collect(),
             tenants: settings.tenants.iter().map(|_| tenant()).collect(),
             placers: settings.placers.max(1),
-            most_away: if settings.retry_after { settings.max_retry_after } else { 0 },
+            most_away: if settings.retry_after {
+                settings.max_retry_after
+            } else {
+                0
+            },
             gate: parts.gate.clone().map(|settings| Gate::new(settings, aim)),
-            budget: parts.attempts.clone().map(|parts| Budget::new(parts, settings.placers)),
-            turns: parts.turns.clone().map(|turns| Turns::new(turns, settings.me, settings.placers)),
+            budget: parts
+                .attempts
+                .clone()
+                .map(|parts| Budget::new(parts, settings.placers)),
+            turns: parts
+                .turns
+                .clone()
+                .map(|turns| Turns::new(turns, settings.me, settings.placers)),
             parts,
             classes,
             aim,
@@ -331,7 +352,10 @@
     pub fn ask(&mut self, now: Micros, task: &Task) -> Admission {
         let (class, tenant, name, repeat) = (task.class, task.tenant, task.key.0, task.came_back);
         let wall = self.wall + now;
-        let of = self.classes.get(class.0).copied().unwrap_or(Class { aim: self.aim, priority: 0 });
+        let of = self.classes.get(class.0).copied().unwrap_or(Class {
+            aim: self.aim,
+            priority: 0,
+        });
         let within = self.within(now, tenant);
         if repeat {
             self.counters.repeats += 1;
@@ -346,19 +370,44 @@
                 (true, false) => Turn::Again,
                 (true, true) => Turn::Early,
             };
-            order = gate.asked(now, wall, Asked { priority: of.priority, within, turn, name });
+            order = gate.asked(
+                now,
+                wall,
+                Asked {
+                    priority: of.priority,
+                    within,
+                    turn,
+                    name,
+                },
+            );
             step = gate.step();
             through = step == 0 || order < gate.through();
         }
         if early {
             self.counters.early += 1;
         }
-        let epoch = wall.div_euclid(self.parts.gate.as_ref().map_or(8_000_000, |g| g.epoch.max(1))) as u64;
-        let away =
-            if self.parts.returns { returns::away(step, name, epoch, self.aim, self.most_away) } else { 0 };
+        let epoch = wall.div_euclid(
+            self.parts
+                .gate
+                .as_ref()
+                .map_or(8_000_000, |g| g.epoch.max(1)),
+        ) as u64;
+        let away = if self.parts.returns {
+            returns::away(step, name, epoch, self.aim, self.most_away)
+        } else {
+            0
+        };
         if through {
             let asked = task.id.clone();
-            let task = InHand { since: now, aim: of.aim, name, fresh: !repeat, away, attempts: 0, out: None };
+            let task = InHand {
+                since: now,
+                aim: of.aim,
+                name,
+                fresh: !repeat,
+                away,
+                attempts: 0,
+                out: None,
+            };
             self.in_hand.insert(asked, task);
         } else {
             self.counters.shed += 1;
@@ -373,7 +422,11 @@
             Event::Listed { whole, entries } => self.listed(now, whole, entries, out),
             Event::Offered { id, host } => self.offered(now, id, host, out),
             Event::Started { id } => self.started(now, id, out),
-            Event::Ended { id, outcome, detail } => self.ended(now, id, outcome, detail, out),
+            Event::Ended {
+                id,
+                outcome,
+                detail,
+            } => self.ended(now, id, outcome, detail, out),
             Event::Over { id, given_up } => self.over(now, id, given_up, out),
             Event::Tick => self.tick(now, out),
         }
@@ -390,7 +443,10 @@
         let full = self.out >= most;
         if self.told_total != Some(most) || self.full && !full {
             self.told_total = Some(most);
-            out.push(Bound::Total { most, freed: self.full && !full });
+            out.push(Bound::Total {
+                most,
+                freed: self.full && !full,
+            });
         }
         self.full = full;
     }
@@ -404,21 +460,25 @@
 
     /// How all stands.
     pub fn report(&self, now: Micros) -> Report {
-        let hosts = self.hosts.iter().filter(|(_, host)| host.up).map(|(id, host)| {
-            let doubt = self.turns.is_some() && host.line.in_doubt();
-            let turn = self.turns.as_ref().filter(|_| doubt).map(|turns| {
-                let (on, next) = turns.turn_after(host.hash, self.wall + now, host.failed);
-                if on { 0 } else { next - self.wall - now }
+        let hosts = self
+            .hosts
+            .iter()
+            .filter(|(_, host)| host.up)
+            .map(|(id, host)| {
+                let doubt = self.turns.is_some() && host.line.in_doubt();
+                let turn = self.turns.as_ref().filter(|_| doubt).map(|turns| {
+                    let (on, next) = turns.turn_after(host.hash, self.wall + now, host.failed);
+                    if on { 0 } else { next - self.wall - now }
+                });
+                HostReport {
+                    host: id.clone(),
+                    window: host.line.window(),
+                    out: host.line.out(),
+                    delay: host.line.delay(),
+                    doubt,
+                    turn,
+                }
             });
-            HostReport {
-                host: id.clone(),
-                window: host.line.window(),
-                out: host.line.out(),
-                delay: host.line.delay(),
-                doubt,
-                turn,
-            }
-        });
         Report {
             step: self.gate.as_ref().map_or(0, Gate::step),
             through: self.gate.as_ref().map_or(1.0, Gate::through),
@@ -444,13 +504,20 @@
     /// The part of what a tenant asks here that is within its share, as far as this placer sees: its own
     /// asks, as many times as there are placers.
     fn within(&mut self, now: Micros, tenant: Option<TenantId>) -> f64 {
-        let Some(TenantId(tenant)) = tenant else { return 1.0 };
-        let (Some(window), Some(quota)) = (self.tenants.get_mut(tenant), self.quotas.get(tenant)) else {
+        let Some(TenantId(tenant)) = tenant else {
+            return 1.0;
+        };
+        let (Some(window), Some(quota)) = (self.tenants.get_mut(tenant), self.quotas.get(tenant))
+        else {
             return 1.0;
         };
         window.add(now, 1.0, 0.0);
         let asked = window.sums(now).0 * 1e6 / window.length() as f64 * self.placers as f64;
-        if *quota > 0.0 && asked > *quota { quota / asked } else { 1.0 }
+        if *quota > 0.0 && asked > *quota {
+            quota / asked
+        } else {
+            1.0
+        }
     }
 
     /// Whether a client was told to stay away longer.
@@ -482,7 +549,12 @@
     fn listed(&mut self, now: Micros, whole: bool, entries: &[Entry], out: &mut Vec<Bound>) {
         if whole {
             let named: BTreeSet<&HostId> = entries.iter().map(|entry| &entry.host).collect();
-            let gone: Vec<HostId> = self.hosts.keys().filter(|host| !named.contains(host)).cloned().collect();
+            let gone: Vec<HostId> = self
+                .hosts
+                .keys()
+                .filter(|host| !named.contains(host))
+                .cloned()
+                .collect();
             gone.iter().for_each(|host| self.forget(host));
         }
         let lines = self.parts.line.clone().unwrap_or_default();
@@ -491,19 +563,22 @@
                 self.forget(&entry.host);
                 continue;
             }
-            let host = self.hosts.entry(entry.host.clone()).or_insert_with(|| Host {
-                hash: hash_of(&entry.host),
-                cell: entry.cell,
-                room: entry.zone,
-                born: entry.ready_at,
-                up: true,
-                line: Line::new(&lines, self.placers, self.aim),
-                trial: false,
-                failed: 0,
-                told: None,
-                due: None,
-                counted: (0.0, 0),
-            });
+            let host = self
+                .hosts
+                .entry(entry.host.clone())
+                .or_insert_with(|| Host {
+                    hash: hash_of(&entry.host),
+                    cell: entry.cell,
+                    room: entry.zone,
+                    born: entry.ready_at,
+                    up: true,
+                    line: Line::new(&lines, self.placers, self.aim),
+                    trial: false,
+                    failed: 0,
+                    told: None,
+                    due: None,
+                    counted: (0.0, 0),
+                });
             if host.born != entry.ready_at {
                 // Another process: nothing of the one before holds.
                 host.line = Line::new(&lines, self.placers, self.aim);
@@ -515,7 +590,9 @@
     }
 
     fn forget(&mut self, id: &HostId) {
-        let Some(gone) = self.hosts.remove(id) else { return };
+        let Some(gone) = self.hosts.remove(id) else {
+            return;
+        };
         self.windows -= gone.counted.0;
         self.out = self.out.saturating_sub(gone.counted.1);
         if let Some(due) = gone.due {
@@ -525,9 +602,17 @@
 
     /// Tells the bound of a host anew, if it is another, and when to look at it again.
     fn refresh(&mut self, now: Micros, id: &HostId, out: &mut Vec<Bound>) {
-        let Some(host) = self.hosts.get_mut(id) else { return };
-        let counted =
-            (if host.up && !host.line.in_doubt() { host.line.window() } else { 0.0 }, host.line.out());
+        let Some(host) = self.hosts.get_mut(id) else {
+            return;
+        };
+        let counted = (
+            if host.up && !host.line.in_doubt() {
+                host.line.window()
+            } else {
+                0.0
+            },
+            host.line.out(),
+        );
         self.windows += counted.0 - host.counted.0;
         self.out = (self.out + counted.1).saturating_sub(host.counted.1);
         host.counted = counted;
@@ -537,13 +622,23 @@
                 let (on, next) = turns.turn_after(host.hash, self.wall + now, host.failed);
                 let begins = !host.trial && on && host.line.out() == 0;
                 host.trial = on;
-                let most = if on { Some(host.told.flatten().unwrap_or(0)) } else { Some(0) };
+                let most = if on {
+                    Some(host.told.flatten().unwrap_or(0))
+                } else {
+                    Some(0)
+                };
                 let most = if begins { Some(1) } else { most };
                 // The end of a turn that is on comes before the next begins.
                 let ends = self.parts.turns.as_ref().map_or(0, |turns| turns.step);
-                (most, begins, Some(if on { now + ends } else { next - self.wall }))
+                (
+                    most,
+                    begins,
+                    Some(if on { now + ends } else { next - self.wall }),
+                )
+            }
+            None if self.parts.line.is_some() => {
+                (Some(host.line.most(now)), false, host.line.due(now))
             }
-            None if self.parts.line.is_some() => (Some(host.line.most(now)), false, host.line.due(now)),
             None => (None, false, None),
         };
         if host.due != due {
@@ -557,13 +652,23 @@
         }
         if host.told != Some(most) && (most.is_some() || host.told.is_some()) {
             host.told = Some(most);
-            out.push(Bound::Line { host: id.clone(), most, trial });
+            out.push(Bound::Line {
+                host: id.clone(),
+                most,
+                trial,
+            });
         }
     }
 
     fn domains(&self, id: &HostId) -> Vec<Domain> {
-        let Some(host) = self.hosts.get(id) else { return vec![Domain::Host(id.clone())] };
-        vec![Domain::Host(id.clone()), Domain::Cell(host.cell), Domain::Room(host.room)]
+        let Some(host) = self.hosts.get(id) else {
+            return vec![Domain::Host(id.clone())];
+        };
+        vec![
+            Domain::Host(id.clone()),
+            Domain::Cell(host.cell),
+            Domain::Room(host.room),
+        ]
     }
 
     // ---- Tasks ----
@@ -591,7 +696,11 @@
             if self.turns.is_some() && at.line.in_doubt() {
                 self.counters.trials += 1;
                 at.told = Some(Some(0));
-                out.push(Bound::Line { host: host.clone(), most: Some(0), trial: false });
+                out.push(Bound::Line {
+                    host: host.clone(),
+                    most: Some(0),
+                    trial: false,
+                });
             }
             at.line.offered(now, spread);
         }
@@ -599,7 +708,9 @@
     }
 
     fn started(&mut self, now: Micros, ticket: &ReqId, out: &mut Vec<Bound>) {
-        let Some(task) = self.in_hand.remove(ticket) else { return };
+        let Some(task) = self.in_hand.remove(ticket) else {
+            return;
+        };
         let Some((host, sent)) = task.out else { return };
         if let Some(gate) = &mut self.gate {
             gate.started(now, task.since, (now - task.since) as f64 / task.aim as f64);
@@ -612,9 +723,20 @@
         self.refresh(now, &host, out);
     }
 
-    fn ended(&mut self, now: Micros, ticket: &ReqId, outcome: Outcome, detail: Detail, out: &mut Vec<Bound>) {
-        let Some(task) = self.in_hand.get_mut(ticket) else { return };
-        let Some((host, sent)) = task.out.take() else { return };
+    fn ended(
+        &mut self,
+        now: Micros,
+        ticket: &ReqId,
+        outcome: Outcome,
+        detail: Detail,
+        out: &mut Vec<Bound>,
+    ) {
+        let Some(task) = self.in_hand.get_mut(ticket) else {
+            return;
+        };
+        let Some((host, sent)) = task.out.take() else {
+            return;
+        };
         let domains = self.domains(&host);
         let was = self.hosts.get(&host).is_some_and(|at| at.line.in_doubt());
         if let Some(at) = self.hosts.get_mut(&host) {
@@ -659,14 +781,18 @@
         if self.turns.is_none() {
             return;
         }
-        let Some(room) = self.hosts.get(host).map(|at| at.room) else { return };
+        let Some(room) = self.hosts.get(host).map(|at| at.room) else {
+            return;
+        };
         let mut cells: BTreeMap<CellId, (usize, usize)> = BTreeMap::new();
         for at in self.hosts.values().filter(|at| at.up && at.room == room) {
             let cell = cells.entry(at.cell).or_default();
             cell.0 += usize::from(at.line.in_doubt());
             cell.1 += 1;
         }
-        let silent = cells.values().filter(|(silent, all)| *silent as f64 >= PART_OF_CELL * *all as f64);
+        let silent = cells
+            .values()
+            .filter(|(silent, all)| *silent as f64 >= PART_OF_CELL * *all as f64);
         let silent = silent.count();
         if silent < CELLS_OF_ROOM || silent >= cells.len() {
             return;
@@ -687,7 +813,9 @@
     }
 
     fn over(&mut self, now: Micros, ticket: &ReqId, given_up: bool, out: &mut Vec<Bound>) {
-        let Some(task) = self.in_hand.remove(ticket) else { return };
+        let Some(task) = self.in_hand.remove(ticket) else {
+            return;
+        };
         if given_up {
             self.counters.given_up += 1;
             if let Some(gate) = &mut self.gate {
@@ -724,9 +852,13 @@
         let Some(gate) = &mut self.gate else { return };
         let before = gate.step();
         let changed = gate.changed();
-        let held = self.in_hand.values().filter(|task| task.out.is_none() && task.since >= changed);
-        let (held, oldest) =
-            held.fold((0, 0), |(n, oldest), task| (n + 1, Micros::max(oldest, now - task.since)));
+        let held = self
+            .in_hand
+            .values()
+            .filter(|task| task.out.is_none() && task.since >= changed);
+        let (held, oldest) = held.fold((0, 0), |(n, oldest), task| {
+            (n + 1, Micros::max(oldest, now - task.since))
+        });
         if gate.look(now, held, oldest) {
             let (step, through) = (gate.step(), gate.through());
             let hopeless = self.parts.gate.as_ref().map_or(1.0, |gate| gate.hopeless);
@@ -736,7 +868,10 @@
                 self.counters.falls += 1;
             }
             self.counters.highest = self.counters.highest.max(u64::from(step));
-            out.push(Bound::Gate { through, late: (step > 0).then_some(hopeless) });
+            out.push(Bound::Gate {
+                through,
+                late: (step > 0).then_some(hopeless),
+            });
         }
     }
 }
--- a/src/overload/turns.rs
+++ b/src/overload/turns.rs
@@ -26,7 +26,10 @@
 
 impl Default for Settings {
     fn default() -> Settings {
-        Settings { callers: 2, step: 250_000 }
+        Settings {
+            callers: 2,
+            step: 250_000,
+        }
     }
 }
 
@@ -41,15 +44,24 @@
 impl Turns {
     /// The turns of placer `me` of `placers`.
     pub fn new(settings: Settings, me: usize, placers: usize) -> Turns {
-        let settings = Settings { callers: settings.callers.max(1), step: settings.step.max(1) };
-        Turns { settings, me, placers: placers.max(me + 1) }
+        let settings = Settings {
+            callers: settings.callers.max(1),
+            step: settings.step.max(1),
+        };
+        Turns {
+            settings,
+            me,
+            placers: placers.max(me + 1),
+        }
     }
 
     /// The rank of this placer at a host, counted from 0: as many placers go before it.
     pub fn rank(&self, host: u64) -> usize {
         let score = |placer: usize| (mix(host, placer as u64), placer);
         let own = score(self.me);
-        (0..self.placers).filter(|placer| score(*placer) < own).count()
+        (0..self.placers)
+            .filter(|placer| score(*placer) < own)
+            .count()
     }
 
     fn groups(&self) -> i64 {
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -102,7 +102,14 @@
 impl Placer {
     /// A placer that knows its settings and nothing else.
     pub fn new(settings: Settings, seed: u64) -> Placer {
-        let aim = settings.classes.iter().map(|c| c.aim).min().unwrap_or(0).max(settings.tick).max(1);
+        let aim = settings
+            .classes
+            .iter()
+            .map(|c| c.aim)
+            .min()
+            .unwrap_or(0)
+            .max(settings.tick)
+            .max(1);
         Placer {
             window: aim,
             rng: ChaCha8Rng::seed_from_u64(seed),
@@ -131,11 +138,35 @@
             Event::Members { kind, entries } => self.members(*kind, entries, out),
             Event::Request(task) => self.request(task, out),
             Event::Open(task, host) => self.jobs.open(task, self.fleet.place(host), self.now),
-            Event::First { id, attempt, elapsed, .. } => self.first(id, *attempt, *elapsed),
-            Event::Noted { id, note: Note::Cores, value, .. } => self.jobs.told_use(id, 0, *value),
-            Event::Noted { id, note: Note::Memory, value, .. } => self.jobs.told_use(id, 1, *value),
+            Event::First {
+                id,
+                attempt,
+                elapsed,
+                ..
+            } => self.first(id, *attempt, *elapsed),
+            Event::Noted {
+                id,
+                note: Note::Cores,
+                value,
+                ..
+            } => self.jobs.told_use(id, 0, *value),
+            Event::Noted {
+                id,
+                note: Note::Memory,
+                value,
+                ..
+            } => self.jobs.told_use(id, 1, *value),
             Event::Noted { .. } => {}
-            Event::Outcome { id, attempt, host, outcome, detail, done, report, .. } => {
+            Event::Outcome {
+                id,
+                attempt,
+                host,
+                outcome,
+                detail,
+                done,
+                report,
+                ..
+            } => {
                 self.report(host, report);
                 self.outcome(id, *attempt, *outcome, *detail, *done, out);
             }
@@ -143,7 +174,12 @@
             Event::Bounds(bounds) => self.bound(bounds, out),
             Event::Closing(within) => self.close_down(*within, out),
             Event::Timer(token) => self.timer(*token, out),
-            Event::Probed { host, outcome, report, .. } => {
+            Event::Probed {
+                host,
+                outcome,
+                report,
+                ..
+            } => {
                 self.report(host, report);
                 match (outcome, self.fleet.place(host)) {
                     (Outcome::Ok | Outcome::Full, Some(at)) => self.health.answered(at),
@@ -198,24 +234,41 @@
             return;
         }
         let patience = (self.s.ask_within / ASKS) << self.discovery.fails.min(2);
-        if self.discovery.asked_at.is_none_or(|t| self.now - t >= patience) {
+        if self
+            .discovery
+            .asked_at
+            .is_none_or(|t| self.now - t >= patience)
+        {
             self.discovery.asked_at = Some(self.now);
             out.push(Action::Watch);
         }
     }
 
     fn list_lag(&self) -> Micros {
-        let span = if self.s.ask_within > 0 { self.s.ask_within } else { self.s.cold };
+        let span = if self.s.ask_within > 0 {
+            self.s.ask_within
+        } else {
+            self.s.cold
+        };
         (span as f64 * LIST_LAG_OF_ASK) as Micros
     }
 
     fn report(&mut self, host: &HostId, values: &[f64]) {
-        let Some(at) = self.fleet.place(host) else { return };
+        let Some(at) = self.fleet.place(host) else {
+            return;
+        };
         if values.is_empty() || !self.s.counts_asked {
             return;
         }
         let size = self.size(self.fleet.machines[at].kind);
-        let told = |field| self.s.report.iter().zip(values).find(|(f, _)| **f == field).map(|(_, v)| *v);
+        let told = |field| {
+            self.s
+                .report
+                .iter()
+                .zip(values)
+                .find(|(f, _)| **f == field)
+                .map(|(_, v)| *v)
+        };
         if let (Some(c), Some(m)) = (told(ReportField::FreeCores), told(ReportField::FreeMemory)) {
             let as_of = self.now - (self.window as f64 * REPORT_LAG_OF_AIM) as Micros;
             self.fleet.touch(at).see([size[0] - c, size[1] - m], as_of);
@@ -232,9 +285,16 @@
     /// fail now and then, room goes unused.
     fn strike(&mut self, at: Place, scope: Scope) {
         let other = |s: &Scope| matches!((s, scope), (Scope::Class(a), Scope::Class(b)) if *a != b);
-        let wide = self.health.at(at).any(|(s, h)| other(s) && self.now < h.until);
+        let wide = self
+            .health
+            .at(at)
+            .any(|(s, h)| other(s) && self.now < h.until);
         let scope = if wide { Scope::Machine } else { scope };
-        let aims = if scope == Scope::Machine { SUSPECT } else { SUSPECT_PART };
+        let aims = if scope == Scope::Machine {
+            SUSPECT
+        } else {
+            SUSPECT_PART
+        };
         let base = self.s.connect_timeout.max(self.window) * aims;
         let most = self.s.cold.max(base);
         let h = self.health.entry(at, scope);
@@ -247,27 +307,43 @@
     }
 
     fn shut(&self, at: Place, scope: Scope) -> bool {
-        self.health.of(at, scope).is_some_and(|h| h.on_trial || self.now < h.until)
+        self.health
+            .of(at, scope)
+            .is_some_and(|h| h.on_trial || self.now < h.until)
     }
 
     /// Listed machines that get no offers now, whatever the task: draining, or shut as a whole.
     pub fn avoided(&self) -> usize {
-        let listed = self.fleet.machines.iter().enumerate().filter(|(_, m)| m.state != HostState::Gone);
-        listed.filter(|(at, m)| m.state != HostState::Up || self.shut(*at, Scope::Machine)).count()
+        let listed = self
+            .fleet
+            .machines
+            .iter()
+            .enumerate()
+            .filter(|(_, m)| m.state != HostState::Gone);
+        listed
+            .filter(|(at, m)| m.state != HostState::Up || self.shut(*at, Scope::Machine))
+            .count()
     }
 
     fn just_started(&self, at: Place) -> bool {
-        self.fleet.machines[at].started_at.is_some_and(|t| self.now - t < self.window)
+        self.fleet.machines[at]
+            .started_at
+            .is_some_and(|t| self.now - t < self.window)
     }
 
     fn bind(&mut self, at: Place, asks: [f64; 2], sign: f64) {
         let since = self.now - 2 * self.list_lag();
-        self.fleet.touch(at).bind(self.now, asks.map(|v| sign * v), since);
+        self.fleet
+            .touch(at)
+            .bind(self.now, asks.map(|v| sign * v), since);
     }
 
     /// Cores and memory of a kind. Never zero, so that odd settings divide by nothing.
     fn size(&self, kind: KindId) -> [f64; 2] {
-        self.s.kinds.get(kind.0).map_or([1.0; 2], |k| [k.cores.max(1e-9), k.memory.max(1e-9)])
+        self.s
+            .kinds
+            .get(kind.0)
+            .map_or([1.0; 2], |k| [k.cores.max(1e-9), k.memory.max(1e-9)])
     }
 
     // ---- Events of tasks ----
@@ -278,19 +354,26 @@
         }
         // Shed with the same work at every placer; it is no part of a.
         if task.order >= self.fleet.gate.through {
-            out.push(Action::Refuse { id: task.id.clone(), retry_after: self.retry_after(task) });
+            out.push(Action::Refuse {
+                id: task.id.clone(),
+                retry_after: self.retry_after(task),
+            });
             return;
         }
         if !task.came_back && !task.resent {
             let size = task.cores / self.s.mean_cores.max(f64::MIN_POSITIVE);
             self.arrivals.push_back((self.now, size));
-            self.probe_credit = (self.probe_credit + PROBES_PER_TASK).min(self.fleet.machines.len() as f64);
+            self.probe_credit =
+                (self.probe_credit + PROBES_PER_TASK).min(self.fleet.machines.len() as f64);
         }
         let deadline = (self.now + task.budget.max(0)).min(self.closing.unwrap_or(Micros::MAX));
         let margin = (self.s.answer_slack / 2).max(self.s.tick);
-        self.jobs.all.insert(task.id.clone(), Job::new(task, self.now, deadline));
+        self.jobs
+            .all
+            .insert(task.id.clone(), Job::new(task, self.now, deadline));
         let after = (deadline - self.now - margin).max(0);
-        self.alarms.add(self.now, after, Alarm::Deadline(task.id.clone()), out);
+        self.alarms
+            .add(self.now, after, Alarm::Deadline(task.id.clone()), out);
         self.place(&task.id, out);
     }
 
@@ -301,10 +384,20 @@
         for bound in bounds {
             wider |= self.fleet.bounded(bound);
             match bound {
-                Bound::Line { host, trial: true, .. } => {
-                    self.fleet.place(host).into_iter().for_each(|at| self.health.forget(at));
+                Bound::Line {
+                    host, trial: true, ..
+                } => {
+                    self.fleet
+                        .place(host)
+                        .into_iter()
+                        .for_each(|at| self.health.forget(at));
                 }
-                Bound::Last(id) => self.jobs.all.get_mut(id).into_iter().for_each(|job| job.last = true),
+                Bound::Last(id) => self
+                    .jobs
+                    .all
+                    .get_mut(id)
+                    .into_iter()
+                    .for_each(|job| job.last = true),
                 _ => {}
             }
         }
@@ -316,13 +409,21 @@
     /// Rule 1 at a planned end: what is not placed by then is answered then.
     fn close_down(&mut self, within: Micros, out: &mut Vec<Action>) {
         self.closing = Some(self.now + within);
-        for (id, _) in self.jobs.all.iter().filter(|(_, job)| !job.placed && !job.closed) {
-            self.alarms.add(self.now, within, Alarm::Deadline(id.clone()), out);
+        for (id, _) in self
+            .jobs
+            .all
+            .iter()
+            .filter(|(_, job)| !job.placed && !job.closed)
+        {
+            self.alarms
+                .add(self.now, within, Alarm::Deadline(id.clone()), out);
         }
     }
 
     fn first(&mut self, id: &ReqId, attempt: u32, elapsed: Micros) {
-        let Some(job) = self.jobs.all.get_mut(id) else { return };
+        let Some(job) = self.jobs.all.get_mut(id) else {
+            return;
+        };
         let Some((n, Some(at))) = job.out else { return };
         if job.placed || n != attempt {
             return;
@@ -332,12 +433,21 @@
         let errors = std::mem::take(&mut job.errors);
         let part = Scope::Part(class, job.task.tenant);
         let aim = self.s.classes[class.0].aim;
-        self.confirm(at, if elapsed <= aim { WINDOW_GAIN } else { -WINDOW_LATE });
+        self.confirm(
+            at,
+            if elapsed <= aim {
+                WINDOW_GAIN
+            } else {
+                -WINDOW_LATE
+            },
+        );
         self.fleet.machines[at].started_at = Some(self.now);
         for scope in [Scope::Machine, Scope::Class(class), part] {
             self.health.ease(at, scope);
         }
-        errors.into_iter().for_each(|at| self.strike(at, Scope::Class(class)));
+        errors
+            .into_iter()
+            .for_each(|at| self.strike(at, Scope::Class(class)));
     }
 
     /// An offer is no longer out. The window of offers at a machine grows while starts are in time and
@@ -359,13 +469,18 @@
         done: bool,
         out: &mut Vec<Action>,
     ) {
-        let Some(job) = self.jobs.all.get_mut(id) else { return };
+        let Some(job) = self.jobs.all.get_mut(id) else {
+            return;
+        };
         let Some((n, at)) = job.out else { return };
         if n != attempt {
             return;
         }
         job.out = None;
-        job.short = matches!(detail, Detail::NoCores | Detail::NoMemory | Detail::Busy | Detail::PushedOut);
+        job.short = matches!(
+            detail,
+            Detail::NoCores | Detail::NoMemory | Detail::Busy | Detail::PushedOut
+        );
         let (asks, service, placed) = (job.asks(), job.task.service, job.placed);
         let part = Scope::Part(job.task.class, job.task.tenant);
         let class = Scope::Class(job.task.class);
@@ -373,7 +488,10 @@
         if let (Outcome::Error, Some(at)) = (outcome, at) {
             job.errors.push(at);
         }
-        let proven = matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot);
+        let proven = matches!(
+            outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        );
         if !proven && job.may_have_run.is_none() {
             job.may_have_run = Some((at, job.sent_at));
         }
@@ -383,7 +501,14 @@
             self.bind(at, asks, -1.0);
             if !placed {
                 let window = START_WINDOW + self.fleet.machines[at].grown;
-                self.confirm(at, if outcome == Outcome::Timeout { -window * WINDOW_LOST } else { 0.0 });
+                self.confirm(
+                    at,
+                    if outcome == Outcome::Timeout {
+                        -window * WINDOW_LOST
+                    } else {
+                        0.0
+                    },
+                );
             }
             match (outcome, detail) {
                 (Outcome::Full, Detail::NoCores | Detail::NoMemory) => self.mark_full(at, detail),
@@ -455,15 +580,20 @@
             let m = &mut self.fleet.machines[at];
             if m.state == HostState::Up && self.now >= m.probed_at + gap {
                 m.probed_at = self.now;
-                out.push(Action::Probe { host: m.host.clone() });
+                out.push(Action::Probe {
+                    host: m.host.clone(),
+                });
             }
         }
         if self.s.report.is_empty() {
             return;
         }
         let seen = |m: &Machine| m.seen.map_or(m.probed_at, |t| t.max(m.probed_at));
-        let mut stale: Vec<(Micros, Place)> =
-            self.set.members().map(|at| (seen(&self.fleet.machines[at]), at)).collect();
+        let mut stale: Vec<(Micros, Place)> = self
+            .set
+            .members()
+            .map(|at| (seen(&self.fleet.machines[at]), at))
+            .collect();
         stale.retain(|(seen, _)| self.now - seen > STALE_AIMS * self.window);
         stale.sort_unstable();
         for (_, at) in stale {
@@ -473,7 +603,9 @@
             self.probe_credit -= 1.0;
             let m = &mut self.fleet.machines[at];
             m.probed_at = self.now;
-            out.push(Action::Probe { host: m.host.clone() });
+            out.push(Action::Probe {
+                host: m.host.clone(),
+            });
         }
     }
 
@@ -488,7 +620,9 @@
         }
         // Rule 2 for keyed tasks: only the group that drops the repeat, while it remembers.
         if let (Effect::Keyed(group), Some((first, since))) = (class.effect, job.may_have_run) {
-            let Some(first) = first.map(|at| &self.fleet.machines[at]) else { return false };
+            let Some(first) = first.map(|at| &self.fleet.machines[at]) else {
+                return false;
+            };
             let same = match group {
                 Group::All => true,
                 Group::Zone => first.zone == m.zone,
@@ -508,7 +642,10 @@
                 Spread::None => true,
             };
             let held = self.jobs.of_service(job.task.service);
-            let count: usize = held.filter(|(o, _)| here(&self.fleet.machines[*o])).map(|(_, n)| n).sum();
+            let count: usize = held
+                .filter(|(o, _)| here(&self.fleet.machines[*o]))
+                .map(|(_, n)| n)
+                .sum();
             if count + 1 > class.most {
                 return false;
             }
@@ -532,7 +669,12 @@
         if m.ready_at < start && ((self.now - start) as f64) < span {
             return false;
         }
-        let since = |span: f64| m.offers.iter().filter(|t| (self.now - **t) as f64 <= span).count();
+        let since = |span: f64| {
+            m.offers
+                .iter()
+                .filter(|t| (self.now - **t) as f64 <= span)
+                .count()
+        };
         // Several processes of one placer are as many placers here.
         let processes = f64::from(self.fleet.beside) + 1.0;
         let placers = self.s.placers.max(1) as f64 * processes;
@@ -550,8 +692,10 @@
 
     /// Use as a part of what is asked, learned from notes.
     fn use_ratio(&self, dim: usize) -> f64 {
-        let prior = PRIOR_TASKS * [self.s.mean_cores, self.s.mean_memory][dim].max(f64::MIN_POSITIVE);
-        let ratio = (self.jobs.use_used[dim] + PRIOR_USE[dim] * prior) / (self.jobs.use_asked[dim] + prior);
+        let prior =
+            PRIOR_TASKS * [self.s.mean_cores, self.s.mean_memory][dim].max(f64::MIN_POSITIVE);
+        let ratio =
+            (self.jobs.use_used[dim] + PRIOR_USE[dim] * prior) / (self.jobs.use_asked[dim] + prior);
         ratio.clamp(0.05, 2.0)
     }
 
@@ -563,7 +707,11 @@
     /// Fullness of a machine, with so much more asked of it: 1 where its tasks begin to suffer.
     fn fullness(&self, m: &Machine, more: [f64; 2]) -> f64 {
         let asked = m.asked();
-        self.fill(m, [asked[0] + more[0], asked[1] + more[1]], [self.use_ratio(0), self.use_ratio(1)])
+        self.fill(
+            m,
+            [asked[0] + more[0], asked[1] + more[1]],
+            [self.use_ratio(0), self.use_ratio(1)],
+        )
     }
 
     /// Fullness where so much is asked and such a part of it used: the tightest of use and limits.
@@ -594,7 +742,9 @@
     /// stay idle; grows with demand. Chosen again on each list and tick: what has changed is looked at.
     fn choose_set(&mut self) {
         self.fleet.touched.extend(self.health.changed(self.now));
-        std::mem::take(&mut self.fleet.touched).into_iter().for_each(|at| self.weigh(at));
+        std::mem::take(&mut self.fleet.touched)
+            .into_iter()
+            .for_each(|at| self.weigh(at));
         if self.set.cut(SET_FILL) {
             self.set.homes.clear();
         }
@@ -612,7 +762,11 @@
             rank: well.then_some(-(full.min(SET_ALIKE) * SET_STEPS) as i64),
             size: mu,
             need: if gone { 0.0 } else { full * mu },
-            room: if well { (OFFER_FILL - full).max(0.0) * tasks } else { 0.0 },
+            room: if well {
+                (OFFER_FILL - full).max(0.0) * tasks
+            } else {
+                0.0
+            },
         };
         self.set.put(at, &m.host, part);
     }
@@ -641,7 +795,11 @@
             (53.0 - u.log2()) * self.fill(m, mean, PRIOR_USE)
         };
         let order = |x: &(f64, Place), y: &(f64, Place)| x.0.total_cmp(&y.0).then(x.1.cmp(&y.1));
-        let ranked = self.set.members().map(|at| (rank(at), at)).k_smallest_by(RANKED, order);
+        let ranked = self
+            .set
+            .members()
+            .map(|at| (rank(at), at))
+            .k_smallest_by(RANKED, order);
         let homes = ranked.map(|(_, at)| at).collect();
         self.set.homes.insert(service, homes);
     }
@@ -668,13 +826,19 @@
         // A heavy task goes by load alone: one of it moves a home from slack to crowded.
         let mean = [self.s.mean_cores, self.s.mean_memory].map(|v| v.max(1e-9));
         let heavy = asks[0] / mean[0] + asks[1] / mean[1] > 2.0 * HEAVY_TASKS;
-        let homes = self.set.homes.get(&service).filter(|_| !heavy).map_or(&[][..], |homes| homes);
+        let homes = self
+            .set
+            .homes
+            .get(&service)
+            .filter(|_| !heavy)
+            .map_or(&[][..], |homes| homes);
         let scopes = [Scope::Machine, Scope::Class(job.task.class), part];
         for scopes in [&scopes[..], &scopes[..1]] {
             let well = |at: Place| !scopes.iter().any(|scope| self.shut(at, *scope));
             let good = |at: &Place| well(*at) && room(*at) && fit(*at);
-            let slack =
-                |at: &Place| self.fullness(&self.fleet.machines[*at], asks) <= self.set.mean() * HOME_OVER;
+            let slack = |at: &Place| {
+                self.fullness(&self.fleet.machines[*at], asks) <= self.set.mean() * HOME_OVER
+            };
             let own = self.jobs.of_service(service).map(|(at, _)| at);
             let own: Vec<Place> = own.filter(|at| good(at)).collect();
             if !heavy && own.iter().any(slack) {
@@ -689,7 +853,11 @@
                 return circle.into_iter().collect();
             }
             let members: Vec<Place> = self.set.members().filter(good).collect();
-            let circle = if members.is_empty() { self.set.up().filter(good).collect() } else { members };
+            let circle = if members.is_empty() {
+                self.set.up().filter(good).collect()
+            } else {
+                members
+            };
             if !circle.is_empty() {
                 return circle;
             }
@@ -735,10 +903,19 @@
         let heard = machines().filter(|m| m.seen.is_some());
         let known: Vec<f64> = heard.map(|m| self.load(m) / self.mu(m)).collect();
         let mean = known.iter().sum::<f64>() / known.len().max(1) as f64;
-        let load =
-            |m: &Machine| (if m.seen.is_some() { self.load(m) } else { mean * self.mu(m) }, self.mu(m));
+        let load = |m: &Machine| {
+            (
+                if m.seen.is_some() {
+                    self.load(m)
+                } else {
+                    mean * self.mu(m)
+                },
+                self.mu(m),
+            )
+        };
         let loads: Vec<(f64, f64)> = machines().map(load).collect();
-        let a = self.arrivals_everywhere() * (mus / self.set.size().max(f64::MIN_POSITIVE)).min(1.0);
+        let a =
+            self.arrivals_everywhere() * (mus / self.set.size().max(f64::MIN_POSITIVE)).min(1.0);
         let p = scd_probabilities(&loads, a.max(1.0));
         let mut x = self.chance();
         let mut last = None;
@@ -791,7 +968,9 @@
     }
 
     fn place(&mut self, id: &ReqId, out: &mut Vec<Action>) {
-        let Some(service) = self.jobs.all.get(id).map(|j| j.task.service) else { return };
+        let Some(service) = self.jobs.all.get(id).map(|j| j.task.service) else {
+            return;
+        };
         self.rank_homes(service);
         let job = &self.jobs.all[id];
         if !self.may_send(job) {
@@ -811,8 +990,13 @@
             Ack::Accepted => ACCEPT_AIMS * class.aim,
         };
         let timeout = left.min(patience);
-        let short = job.short || job.task.came_back || self.jobs.waiting.contains(&(deadline, id.clone()));
-        let mut eligible = if left > 0 && self.fleet.open() { self.eligible(job) } else { Vec::new() };
+        let short =
+            job.short || job.task.came_back || self.jobs.waiting.contains(&(deadline, id.clone()));
+        let mut eligible = if left > 0 && self.fleet.open() {
+            self.eligible(job)
+        } else {
+            Vec::new()
+        };
         if short && !eligible.is_empty() && self.held_back() {
             eligible.clear();
         }
@@ -826,7 +1010,11 @@
         let m = &mut self.fleet.machines[at];
         m.offered(self.now, self.now - self.s.cold);
         self.fleet.out += 1;
-        out.push(Action::Send { id: id.clone(), host: m.host.clone(), timeout: timeout.max(1) });
+        out.push(Action::Send {
+            id: id.clone(),
+            host: m.host.clone(),
+            timeout: timeout.max(1),
+        });
         if let Some(job) = self.jobs.all.get_mut(id) {
             job.out = Some((sent, Some(at)));
             job.sent += 1;
@@ -840,7 +1028,9 @@
         // Tasks of a service are alike: where one found no machine, its fellows need not look.
         let mut stuck = BTreeSet::new();
         for id in ids {
-            let Some(service) = self.jobs.all.get(&id).map(|j| j.task.service) else { continue };
+            let Some(service) = self.jobs.all.get(&id).map(|j| j.task.service) else {
+                continue;
+            };
             if self.hopeless(&id) {
                 self.answer(&id, out);
             } else if !stuck.contains(&service) {
@@ -854,20 +1044,27 @@
 
     /// Under pressure, a task that can't start in its time any more: it makes way for those that can.
     fn hopeless(&self, id: &ReqId) -> bool {
-        let Some((late, job)) = self.fleet.gate.late.zip(self.jobs.all.get(id)) else { return false };
+        let Some((late, job)) = self.fleet.gate.late.zip(self.jobs.all.get(id)) else {
+            return false;
+        };
         let aim = self.s.classes[job.task.class.0].aim;
         job.out.is_none() && (self.now - job.since) as f64 > late * aim as f64
     }
 
     /// Rule 1: the final answer, at the deadline or when nothing more is permitted.
     fn answer(&mut self, id: &ReqId, out: &mut Vec<Action>) {
-        let Some(job) = self.jobs.all.get(id) else { return };
+        let Some(job) = self.jobs.all.get(id) else {
+            return;
+        };
         if job.placed || job.closed {
             return;
         }
         let refuse = self.may_refuse(job);
         out.push(if refuse {
-            Action::Refuse { id: id.clone(), retry_after: self.retry_after(&job.task) }
+            Action::Refuse {
+                id: id.clone(),
+                retry_after: self.retry_after(&job.task),
+            }
         } else {
             Action::Fail { id: id.clone() }
         });
@@ -877,8 +1074,16 @@
     /// When a refused client should come back: once the offers that are out now have had time to start.
     /// Guards against repeats that can find nothing new; harm: none seen, clients wait longer by themselves.
     fn retry_after(&self, task: &Task) -> Micros {
-        let away = if task.away > 0 { task.away } else { self.window };
-        if self.s.retry_after { away.min(self.s.max_retry_after) } else { 0 }
+        let away = if task.away > 0 {
+            task.away
+        } else {
+            self.window
+        };
+        if self.s.retry_after {
+            away.min(self.s.max_retry_after)
+        } else {
+            0
+        }
     }
 }
 
@@ -888,9 +1093,15 @@
     let mut order: Vec<usize> = (0..machines.len()).collect();
     let rank = |i: usize| (2.0 * machines[i].0 + 1.0) / machines[i].1;
     order.sort_by(|&x, &y| rank(x).total_cmp(&rank(y)));
-    let Some(&least) = order.first() else { return p };
+    let Some(&least) = order.first() else {
+        return p;
+    };
     if a <= 1.0 {
-        let ties: Vec<usize> = order.iter().copied().take_while(|&i| rank(i) <= rank(least)).collect();
+        let ties: Vec<usize> = order
+            .iter()
+            .copied()
+            .take_while(|&i| rank(i) <= rank(least))
+            .collect();
         for &i in &ties {
             p[i] = 1.0 / ties.len() as f64;
         }
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -25,7 +25,13 @@
     let fullness = |m: &Machine| placer.fill(m, m.asked(), used);
     let up = |at: &Place| placer.fleet.machines[*at].state == HostState::Up;
     let all_up = (0..placer.fleet.machines.len()).filter(up).collect();
-    for (at, m) in placer.fleet.machines.iter().enumerate().filter(|(_, m)| m.state != HostState::Gone) {
+    for (at, m) in placer
+        .fleet
+        .machines
+        .iter()
+        .enumerate()
+        .filter(|(_, m)| m.state != HostState::Gone)
+    {
         let full = fullness(m);
         need += full * placer.mu(m);
         if m.state == HostState::Up && !placer.shut(at, Scope::Machine) {
@@ -44,17 +50,35 @@
         have += placer.mu(&placer.fleet.machines[at]);
         members.push(at);
     }
-    let full = |at: &Place| fullness(&placer.fleet.machines[*at]) * placer.mu(&placer.fleet.machines[*at]);
+    let full =
+        |at: &Place| fullness(&placer.fleet.machines[*at]) * placer.mu(&placer.fleet.machines[*at]);
     let mean = members.iter().map(full).sum::<f64>() / have.max(f64::MIN_POSITIVE);
-    Choice { members, up: all_up, mean, mu: have, room }
+    Choice {
+        members,
+        up: all_up,
+        mean,
+        mu: have,
+        room,
+    }
 }
 
 /// What may happen, in small numbers: machines by their index, tasks by their age.
 #[derive(Debug, Clone)]
 enum Step {
-    Listed { machine: usize, state: HostState, free: [f64; 2], restarted: bool },
-    Whole { machines: usize, free: f64 },
-    Asked { service: u64, cores: f64 },
+    Listed {
+        machine: usize,
+        state: HostState,
+        free: [f64; 2],
+        restarted: bool,
+    },
+    Whole {
+        machines: usize,
+        free: f64,
+    },
+    Asked {
+        service: u64,
+        cores: f64,
+    },
     Started(usize),
     Ended(usize, Outcome, Detail),
     Used(usize, f64),
@@ -63,13 +87,16 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let state =
-        prop_oneof![6 => Just(HostState::Up), 1 => Just(HostState::Draining), 1 => Just(HostState::Gone)];
+    let state = prop_oneof![6 => Just(HostState::Up), 1 => Just(HostState::Draining), 1 => Just(HostState::Gone)];
     let outcome = prop_oneof![
         3 => Just(Outcome::Ok), 1 => Just(Outcome::Full), 1 => Just(Outcome::Error),
         1 => Just(Outcome::ConnectFailed), 1 => Just(Outcome::Timeout), 1 => Just(Outcome::Reset)
     ];
-    let detail = prop_oneof![Just(Detail::None), Just(Detail::NoCores), Just(Detail::Busy)];
+    let detail = prop_oneof![
+        Just(Detail::None),
+        Just(Detail::NoCores),
+        Just(Detail::Busy)
+    ];
     let free = (0..=256u32, 0..=512u32).prop_map(|(c, m)| [f64::from(c) / 8.0, f64::from(m) / 8.0]);
     prop_oneof![
         6 => (0..MACHINES, state, free, prop::bool::weighted(0.1))
@@ -117,14 +144,28 @@
 impl Play {
     /// With probes a suspension ends when one is answered, without them with its time.
     fn new(probes: bool, looks_at_all: bool) -> Play {
-        let settings = Settings { placers: 3, probes, ..Settings::example() };
+        let settings = Settings {
+            placers: 3,
+            probes,
+            ..Settings::example()
+        };
         let placer = Placer::new(settings, 7);
-        Play { placer, now: SECOND, timers: BTreeSet::new(), out: Vec::new(), asked: 0, looks_at_all }
+        Play {
+            placer,
+            now: SECOND,
+            timers: BTreeSet::new(),
+            out: Vec::new(),
+            asked: 0,
+            looks_at_all,
+        }
     }
 
     fn give(&mut self, event: Event) -> Vec<Action> {
         if self.looks_at_all {
-            self.placer.fleet.touched.extend(0..self.placer.fleet.machines.len());
+            self.placer
+                .fleet
+                .touched
+                .extend(0..self.placer.fleet.machines.len());
             self.placer.set.homes.clear();
         }
         let mut actions = Vec::new();
@@ -146,14 +187,27 @@
 
     fn play(&mut self, step: &Step) -> Vec<Action> {
         match step {
-            Step::Listed { machine, state, free, restarted } => {
+            Step::Listed {
+                machine,
+                state,
+                free,
+                restarted,
+            } => {
                 let born = if *restarted { self.now } else { 0 };
                 let entries = vec![entry(*machine, *state, *free, born)];
-                self.give(Event::Members { kind: ListKind::Delta, entries })
+                self.give(Event::Members {
+                    kind: ListKind::Delta,
+                    entries,
+                })
             }
             Step::Whole { machines, free } => {
-                let entries = (0..*machines).map(|n| entry(n, HostState::Up, [*free, 64.0], 0)).collect();
-                self.give(Event::Members { kind: ListKind::Full, entries })
+                let entries = (0..*machines)
+                    .map(|n| entry(n, HostState::Up, [*free, 64.0], 0))
+                    .collect();
+                self.give(Event::Members {
+                    kind: ListKind::Full,
+                    entries,
+                })
             }
             Step::Asked { service, cores } => {
                 self.asked += 1;
@@ -168,8 +222,15 @@
                 self.give(Event::Request(task))
             }
             Step::Started(n) => {
-                let Some((id, attempt, host)) = self.out.get(*n).cloned() else { return Vec::new() };
-                self.give(Event::First { id, attempt, host, elapsed: 1_000 })
+                let Some((id, attempt, host)) = self.out.get(*n).cloned() else {
+                    return Vec::new();
+                };
+                self.give(Event::First {
+                    id,
+                    attempt,
+                    host,
+                    elapsed: 1_000,
+                })
             }
             Step::Ended(n, outcome, detail) => {
                 if *n >= self.out.len() {
@@ -178,16 +239,37 @@
                 let (id, attempt, host) = self.out.remove(*n);
                 let (outcome, detail, done) = (*outcome, *detail, *outcome == Outcome::Ok);
                 let (elapsed, report) = (1_000, Vec::new());
-                self.give(Event::Outcome { id, attempt, host, outcome, detail, done, elapsed, report })
+                self.give(Event::Outcome {
+                    id,
+                    attempt,
+                    host,
+                    outcome,
+                    detail,
+                    done,
+                    elapsed,
+                    report,
+                })
             }
             Step::Used(n, value) => {
-                let Some((id, _, host)) = self.out.get(*n).cloned() else { return Vec::new() };
-                self.give(Event::Noted { id, host, note: Note::Cores, value: *value })
+                let Some((id, _, host)) = self.out.get(*n).cloned() else {
+                    return Vec::new();
+                };
+                self.give(Event::Noted {
+                    id,
+                    host,
+                    note: Note::Cores,
+                    value: *value,
+                })
             }
             Step::Probed(machine, outcome) => {
                 let host = HostId(Arc::from(format!("m{machine:02}")));
                 let (elapsed, report) = (1_000, Vec::new());
-                self.give(Event::Probed { host, outcome: *outcome, elapsed, report })
+                self.give(Event::Probed {
+                    host,
+                    outcome: *outcome,
+                    elapsed,
+                    report,
+                })
             }
             Step::Waited(span) => {
                 let end = self.now + span;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -36,7 +36,10 @@
 
 impl SettingsError {
     fn new(field: &str, what: &str) -> SettingsError {
-        SettingsError { field: field.to_string(), what: what.to_string() }
+        SettingsError {
+            field: field.to_string(),
+            what: what.to_string(),
+        }
     }
 }
 
@@ -67,14 +70,24 @@
 }
 
 fn add_paths(pairs: &mut Pairs, path: &str, value: &BorrowedValue<'_>) {
-    let below = |name: &str| if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+    let below = |name: &str| {
+        if path.is_empty() {
+            name.to_string()
+        } else {
+            format!("{path}.{name}")
+        }
+    };
     match value {
         BorrowedValue::Object(map) => {
-            map.iter().for_each(|(name, value)| add_paths(pairs, &below(name), value));
+            map.iter()
+                .for_each(|(name, value)| add_paths(pairs, &below(name), value));
         }
         BorrowedValue::Array(items) if items.iter().any(|v| v.is_object()) => {
             pairs.insert(below("count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(i, v)| add_paths(pairs, &below(&i.to_string()), v));
+            items
+                .iter()
+                .enumerate()
+                .for_each(|(i, v)| add_paths(pairs, &below(&i.to_string()), v));
         }
         BorrowedValue::Array(items) => {
             let words: Vec<String> = items.iter().map(plain).collect();
@@ -100,7 +113,10 @@
 
 impl<'a> Reader<'a> {
     fn get(&self, key: &str) -> Result<&'a str, SettingsError> {
-        self.map.get(key).map(String::as_str).ok_or_else(|| SettingsError::new(key, "missing setting"))
+        self.map
+            .get(key)
+            .map(String::as_str)
+            .ok_or_else(|| SettingsError::new(key, "missing setting"))
     }
 
     fn bad(&self, key: &str, value: &str) -> SettingsError {
@@ -113,7 +129,11 @@
     }
 
     fn number_or(&self, key: &str, absent: f64) -> Result<f64, SettingsError> {
-        if self.map.contains_key(key) { self.number(key) } else { Ok(absent) }
+        if self.map.contains_key(key) {
+            self.number(key)
+        } else {
+            Ok(absent)
+        }
     }
 
     fn span(&self, key: &str) -> Result<Micros, SettingsError> {
@@ -141,14 +161,24 @@
         self.pick(key, self.get(key)?, table)
     }
 
-    fn pick<T: Copy>(&self, key: &str, text: &str, table: &[(&str, T)]) -> Result<T, SettingsError> {
-        let found = table.iter().find(|(word, _)| *word == text).map(|(_, value)| *value);
+    fn pick<T: Copy>(
+        &self,
+        key: &str,
+        text: &str,
+        table: &[(&str, T)],
+    ) -> Result<T, SettingsError> {
+        let found = table
+            .iter()
+            .find(|(word, _)| *word == text)
+            .map(|(_, value)| *value);
         found.ok_or_else(|| self.bad(key, text))
     }
 
     /// Item `i` of a list with one item per class.
     fn item(&self, key: &str, i: usize) -> Result<&'a str, SettingsError> {
-        words(self.get(key)?).nth(i).ok_or_else(|| SettingsError::new(key, "fewer items than names"))
+        words(self.get(key)?)
+            .nth(i)
+            .ok_or_else(|| SettingsError::new(key, "fewer items than names"))
     }
 
     fn item_number(&self, key: &str, i: usize) -> Result<f64, SettingsError> {
@@ -163,10 +193,18 @@
             Some(text) => self.pick(
                 &key("group"),
                 text,
-                &[("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)],
+                &[
+                    ("all", Group::All),
+                    ("zone", Group::Zone),
+                    ("cell", Group::Cell),
+                ],
             )?,
         };
-        let effects = [("safe", Effect::Safe), ("keyed", Effect::Keyed(group)), ("unsafe", Effect::Unsafe)];
+        let effects = [
+            ("safe", Effect::Safe),
+            ("keyed", Effect::Keyed(group)),
+            ("unsafe", Effect::Unsafe),
+        ];
         let spreads = [
             ("off", Spread::None),
             ("none", Spread::None),
@@ -187,7 +225,9 @@
             kind: (kind >= 0.0).then_some(KindId(kind as usize)),
             spread: self.pick(spread_key, self.item(spread_key, i)?, &spreads)?,
             most: self.item_number("family_info.class_most", i)?.max(0.0) as usize,
-            priority: self.item_number("family_info.class_priority", i)?.clamp(0.0, 3.0) as u8,
+            priority: self
+                .item_number("family_info.class_priority", i)?
+                .clamp(0.0, 3.0) as u8,
             calm: self.item_number("family_info.full_up_to", i)?,
             fade: self.item_number("family_info.fades_over", i)?,
         })
@@ -206,11 +246,17 @@
 pub fn read(pairs: &Pairs) -> Result<(Settings, Names), SettingsError> {
     let p = Reader { map: pairs };
     let count = p.count("services.count")?;
-    let classes = (0..count).map(|i| p.class(i)).collect::<Result<Vec<_>, _>>()?;
+    let classes = (0..count)
+        .map(|i| p.class(i))
+        .collect::<Result<Vec<_>, _>>()?;
     let class_names = (0..count)
         .map(|i| p.get(&format!("services.{i}.name")).map(str::to_string))
         .collect::<Result<Vec<_>, _>>()?;
-    let tenant_count = if p.map.contains_key("realms.count") { p.count("realms.count")? } else { 0 };
+    let tenant_count = if p.map.contains_key("realms.count") {
+        p.count("realms.count")?
+    } else {
+        0
+    };
     let mut tenants = Vec::new();
     let mut tenant_names = Vec::new();
     for i in 0..tenant_count {
@@ -220,7 +266,11 @@
         tenants.push(Tenant {
             share: p.number(&key("portion"))?,
             quota_per_s: p.number_or(&key("allowance_per_s"), 0.0)?,
-            quota_cores: if p.map.contains_key(cores) { p.item_number(cores, i)? } else { 0.0 },
+            quota_cores: if p.map.contains_key(cores) {
+                p.item_number(cores, i)?
+            } else {
+                0.0
+            },
         });
     }
     let kind_names = p.names("models")?;
@@ -232,17 +282,34 @@
         });
     }
     // A deployment may have no zones.
-    let zones = if p.map.contains_key("zones") { p.names("zones")? } else { Vec::new() };
-    let on_ask = p.one_of("membership_mode", &[("automatic", false), ("subscribe", true)])?;
-    let report = if matches!(p.map.get("report.via").map(String::as_str), None | Some("off")) {
+    let zones = if p.map.contains_key("zones") {
+        p.names("zones")?
+    } else {
+        Vec::new()
+    };
+    let on_ask = p.one_of(
+        "membership_mode",
+        &[("automatic", false), ("subscribe", true)],
+    )?;
+    let report = if matches!(
+        p.map.get("report.via").map(String::as_str),
+        None | Some("off")
+    ) {
         Vec::new()
     } else {
-        p.names("report.names")?.iter().map(|name| report_field(name)).collect()
+        p.names("report.names")?
+            .iter()
+            .map(|name| report_field(name))
+            .collect()
     };
     let settings = Settings {
         me: p.count("me")?,
         placers: p.count("n_instances")?,
-        zone: p.map.get("locality").and_then(|zone| index(&zones, zone)).map(ZoneId),
+        zone: p
+            .map
+            .get("locality")
+            .and_then(|zone| index(&zones, zone))
+            .map(ZoneId),
         tick: p.span("step")?,
         kinds,
         classes,
@@ -255,11 +322,21 @@
         max_retry_after: millis(p.number_or("caps.max_retry_after", 0.0)?),
         connect_timeout: p.span("caps.connect_timeout")?,
         list_on_ask: on_ask,
-        ask_within: if on_ask { p.span("rules.ask_every")? } else { 0 },
+        ask_within: if on_ask {
+            p.span("rules.ask_every")?
+        } else {
+            0
+        },
         report,
-        counts_asked: p.one_of("family_info.measured_by", &[("asked", true), ("used", false)])?,
+        counts_asked: p.one_of(
+            "family_info.measured_by",
+            &[("asked", true), ("used", false)],
+        )?,
         list_shows_room: p.flag("family_info.lists_free")?,
-        ack: p.one_of("family_info.yes_at", &[("accepted", Ack::Accepted), ("running", Ack::Running)])?,
+        ack: p.one_of(
+            "family_info.yes_at",
+            &[("accepted", Ack::Accepted), ("running", Ack::Running)],
+        )?,
         accepts_cores: p.number("family_info.cores_multiple")?,
         accepts_memory: p.number("family_info.accepts_memory")?,
         preempts: p.flag("family_info.preempts")?,
@@ -280,7 +357,12 @@
         price_moves: p.number_or("prices.moves", 0.0)?,
         price_handshake: p.number_or("prices.handshake", 0.0)?,
     };
-    let names = Names { classes: class_names, tenants: tenant_names, kinds: kind_names, zones };
+    let names = Names {
+        classes: class_names,
+        tenants: tenant_names,
+        kinds: kind_names,
+        zones,
+    };
     Ok((settings, names))
 }
 
--- a/src/working_set.rs
+++ b/src/working_set.rs
@@ -76,7 +76,10 @@
 impl WorkingSet {
     /// An empty set, whose parts will be stated by this use.
     pub fn new(used: [f64; 2]) -> WorkingSet {
-        WorkingSet { used, ..WorkingSet::default() }
+        WorkingSet {
+            used,
+            ..WorkingSet::default()
+        }
     }
 
     /// Takes a machine's part in place of the one before. The cut is as it was.
@@ -84,8 +87,12 @@
         if self.added.len() <= at {
             self.added.resize(at + 1, Added::default());
         }
-        let added =
-            Added { rank: part.rank, size: steps(part.size), need: steps(part.need), room: steps(part.room) };
+        let added = Added {
+            rank: part.rank,
+            size: steps(part.size),
+            need: steps(part.need),
+            room: steps(part.room),
+        };
         let before = std::mem::replace(&mut self.added[at], added);
         if part.up {
             self.up.insert(at);
@@ -95,7 +102,10 @@
         self.need += added.need - before.need;
         self.room += added.room - before.room;
         if before.rank == added.rank {
-            if added.rank.is_some_and(|rank| self.within(&(rank, host.clone(), at))) {
+            if added
+                .rank
+                .is_some_and(|rank| self.within(&(rank, host.clone(), at)))
+            {
                 self.size += added.size - before.size;
                 self.load += added.need - before.need;
             }
@@ -116,7 +126,9 @@
         let suffices = |size: Steps| value(size) * fill >= need;
         while let Some(last) = self.last.clone() {
             let without = self.size - self.added[last.2].size;
-            let Some(before) = self.order.range(..&last).next_back().cloned() else { break };
+            let Some(before) = self.order.range(..&last).next_back().cloned() else {
+                break;
+            };
             if !suffices(without) {
                 break;
             }
@@ -137,7 +149,10 @@
 
     /// The members, in order.
     pub fn members(&self) -> impl Iterator<Item = Place> + '_ {
-        self.last.iter().flat_map(|last| self.order.range(..=last)).map(|(_, _, at)| *at)
+        self.last
+            .iter()
+            .flat_map(|last| self.order.range(..=last))
+            .map(|(_, _, at)| *at)
     }
 
     /// Whether a machine is a member.
--- a/src/working_set/tests.rs
+++ b/src/working_set/tests.rs
@@ -33,13 +33,15 @@
 
 fn part() -> impl Strategy<Value = Part> {
     let rank = prop_oneof![1 => Just(None), 4 => (-2..=0i64).prop_map(Some)];
-    (any::<bool>(), rank, 0.1..40.0, 0.0..40.0, 0.0..40.0).prop_map(|(up, rank, size, need, room)| Part {
-        up,
-        rank,
-        size,
-        need,
-        room,
-    })
+    (any::<bool>(), rank, 0.1..40.0, 0.0..40.0, 0.0..40.0).prop_map(
+        |(up, rank, size, need, room)| Part {
+            up,
+            rank,
+            size,
+            need,
+            room,
+        },
+    )
 }
 
 proptest! {
@@ -84,7 +86,13 @@
 
 #[test]
 fn one_machine_at_least_is_chosen_and_all_where_none_suffice() {
-    let part = Part { up: true, rank: Some(0), size: 1.0, need: 0.5, room: 2.0 };
+    let part = Part {
+        up: true,
+        rank: Some(0),
+        size: 1.0,
+        need: 0.5,
+        room: 2.0,
+    };
     let mut set = WorkingSet::default();
     assert!(!set.cut(1.0), "no machine, no member");
     (0..5).for_each(|at| set.put(at, &id(at), part));
@@ -101,7 +109,17 @@
     let mut set = WorkingSet::default();
     for round in 0..3 {
         for (at, size) in odd.into_iter().cycle().skip(round).take(50).enumerate() {
-            set.put(at, &id(at), Part { up: true, rank: Some(0), size, need: size, room: size });
+            set.put(
+                at,
+                &id(at),
+                Part {
+                    up: true,
+                    rank: Some(0),
+                    size,
+                    need: size,
+                    room: size,
+                },
+            );
             set.cut(0.5);
         }
     }
--- a/tests/balancers.rs
+++ b/tests/balancers.rs
@@ -37,7 +37,11 @@
     fn start(habits: &Habits) -> Site {
         let books: Arc<Mutex<Books>> = Arc::default();
         let host = |n: usize| {
-            let zone = if n.is_multiple_of(2) { "north" } else { "south" };
+            let zone = if n.is_multiple_of(2) {
+                "north"
+            } else {
+                "south"
+            };
             LiveHost::start(&format!("h{n}"), zone, habits.clone(), books.clone())
         };
         let hosts: Vec<LiveHost> = (0..6).map(host).collect();
@@ -46,35 +50,57 @@
         let placer = |(n, feed): (usize, &LiveFeed)| {
             let entries = hosts.iter().map(|host| host.entry("up")).collect();
             let config = deployment(&format!("n{n}"), n as u64, 3, &feed.address(), entries);
-            Launch::new(&config).operator(&format!("[health]\nagent = [\"{}\"]\n{BRISK}", agents[n])).start()
+            Launch::new(&config)
+                .operator(&format!("[health]\nagent = [\"{}\"]\n{BRISK}", agents[n]))
+                .start()
         };
         let placers: Vec<Program> = feeds.iter().enumerate().map(placer).collect();
-        let pairs: Vec<(SocketAddr, SocketAddr)> =
-            placers.iter().zip(&agents).map(|(placer, agent)| (placer.address, *agent)).collect();
+        let pairs: Vec<(SocketAddr, SocketAddr)> = placers
+            .iter()
+            .zip(&agents)
+            .map(|(placer, agent)| (placer.address, *agent))
+            .collect();
         for (placer, agent) in placers.iter().zip(&agents) {
             drop(placer.client());
-            until("full weight", || weight(*agent).filter(|weight| *weight == 100));
+            until("full weight", || {
+                weight(*agent).filter(|weight| *weight == 100)
+            });
         }
         let front = Arc::new(Front::start(&pairs, MS(500), MS(1_500)));
-        let site = Site { books, hosts, feeds, placers, agents, front };
+        let site = Site {
+            books,
+            hosts,
+            feeds,
+            placers,
+            agents,
+            front,
+        };
         until("polls", || (site.front.polls().len() >= 3).then_some(()));
         site
     }
 
     /// No task that must not start twice did.
     fn nothing_started_twice(&self) {
-        assert_eq!(self.books.lock().expect("books").twice("once"), Vec::<String>::new());
+        assert_eq!(
+            self.books.lock().expect("books").twice("once"),
+            Vec::<String>::new()
+        );
     }
 }
 
 /// The weight that an agent tells.
 fn weight(agent: SocketAddr) -> Option<u32> {
     let line = ask_agent(agent, "test\n", Duration::from_secs(2))?;
-    line.split([' ', '\n']).find_map(|word| word.strip_suffix('%')?.parse().ok())
+    line.split([' ', '\n'])
+        .find_map(|word| word.strip_suffix('%')?.parse().ok())
 }
 
 fn habits() -> Habits {
-    Habits { start: MS(20), life: MS(800), room: 1_000 }
+    Habits {
+        start: MS(20),
+        life: MS(800),
+        room: 1_000,
+    }
 }
 
 /// The share of the arrivals of the last while that came to a server.
@@ -85,8 +111,16 @@
 
 /// Each got exactly one answer.
 fn all_answered(records: &[Record]) {
-    let bad: Vec<&Record> = records.iter().filter(|r| r.answer.is_none() || r.more_answers > 0).collect();
-    assert!(bad.is_empty(), "{} of {}: {bad:#?}", bad.len(), records.len());
+    let bad: Vec<&Record> = records
+        .iter()
+        .filter(|r| r.answer.is_none() || r.more_answers > 0)
+        .collect();
+    assert!(
+        bad.is_empty(),
+        "{} of {}: {bad:#?}",
+        bad.len(),
+        records.len()
+    );
 }
 
 #[test]
@@ -113,13 +147,21 @@
     });
     let back = ended.elapsed();
     let records = clients.finish();
-    eprintln!("share {before:.2}, halved after {halved:?}, {low:.2} at the end of it, back after {back:?}");
-    assert!(halved.is_some_and(|after| after <= Duration::from_secs(5)), "{halved:?}");
+    eprintln!(
+        "share {before:.2}, halved after {halved:?}, {low:.2} at the end of it, back after {back:?}"
+    );
+    assert!(
+        halved.is_some_and(|after| after <= Duration::from_secs(5)),
+        "{halved:?}"
+    );
     assert!(low < 0.5 * before, "{low} of {before}");
     all_answered(&records);
     // The others' aims hold all the while.
     let others: Vec<&Record> = records.iter().filter(|r| r.server != Some(0)).collect();
-    let late = others.iter().filter(|r| r.wait().is_none_or(|wait| wait > Duration::from_secs(1))).count();
+    let late = others
+        .iter()
+        .filter(|r| r.wait().is_none_or(|wait| wait > Duration::from_secs(1)))
+        .count();
     assert!(late * 50 <= others.len(), "{late} of {} late", others.len());
     site.nothing_started_twice();
 }
@@ -130,12 +172,18 @@
     let clients = Clients::start(&site.front, 8.0, 1);
     site.feeds[0].silence(true);
     let begun = Instant::now();
-    let after =
-        until("less than all", || weight(site.agents[0]).filter(|w| *w < 100).map(|_| begun.elapsed()));
+    let after = until("less than all", || {
+        weight(site.agents[0])
+            .filter(|w| *w < 100)
+            .map(|_| begun.elapsed())
+    });
     eprintln!("under 100 after {after:?}");
     // It counts from the feed's last word, which may be a second old.
     assert!(after <= Duration::from_secs(3), "{after:?}");
-    assert_eq!((weight(site.agents[1]), weight(site.agents[2])), (Some(100), Some(100)));
+    assert_eq!(
+        (weight(site.agents[1]), weight(site.agents[2])),
+        (Some(100), Some(100))
+    );
     site.feeds.iter().for_each(|feed| feed.silence(true));
     for agent in &site.agents {
         until("less than all", || weight(*agent).filter(|w| *w < 100));
@@ -144,7 +192,11 @@
     let records = clients.finish();
     all_answered(&records);
     let placed = records.iter().filter(|r| r.placed()).count();
-    assert!(placed * 100 >= records.len() * 95, "{placed} of {}", records.len());
+    assert!(
+        placed * 100 >= records.len() * 95,
+        "{placed} of {}",
+        records.len()
+    );
     let least = site.agents.iter().filter_map(|agent| weight(*agent)).min();
     assert!(least >= Some(40), "{least:?}");
     site.nothing_started_twice();
@@ -152,26 +204,40 @@
 
 #[test]
 fn at_sigterm_balancers_are_told_no_task_is_lost_and_every_standing_tasks_end_is_told() {
-    let mut site = Site::start(&Habits { life: MS(5_000), ..habits() });
+    let mut site = Site::start(&Habits {
+        life: MS(5_000),
+        ..habits()
+    });
     let clients = Clients::start(&site.front, 8.0, 1);
     std::thread::sleep(Duration::from_secs(3));
     let signalled = Instant::now();
     site.placers[0].terminate();
     // Within a poll, and the time of the poll itself.
-    until("the balancer has it", || (site.front.weight(0) == 0).then_some(()));
+    until("the balancer has it", || {
+        (site.front.weight(0) == 0).then_some(())
+    });
     let seen = signalled.elapsed();
     let status = site.placers[0].exit();
     let over = signalled.elapsed();
     std::thread::sleep(Duration::from_secs(1));
     let records = clients.finish();
-    eprintln!("seen after {seen:?}, ended after {over:?}, {} tasks", records.len());
+    eprintln!(
+        "seen after {seen:?}, ended after {over:?}, {} tasks",
+        records.len()
+    );
     assert!(seen <= MS(900), "{seen:?}");
     assert_eq!(status.code(), Some(0), "{}", site.placers[0].log());
     all_answered(&records);
-    let untold: Vec<&Record> = records.iter().filter(|r| r.placed() && r.end.is_none()).collect();
+    let untold: Vec<&Record> = records
+        .iter()
+        .filter(|r| r.placed() && r.end.is_none())
+        .collect();
     assert!(untold.is_empty(), "{untold:#?}");
     // Nothing new came to it once the balancer had seen it.
-    let late = records.iter().filter(|r| r.server == Some(0) && r.due > signalled + seen + MS(100)).count();
+    let late = records
+        .iter()
+        .filter(|r| r.server == Some(0) && r.due > signalled + seen + MS(100))
+        .count();
     assert_eq!(late, 0);
     assert!(records.iter().filter(|r| r.server == Some(0)).count() > 5);
     let log = site.placers[0].log();
@@ -194,14 +260,30 @@
     let clients = Clients::start(&site.front, 30.0, 1);
     let (begun, mut least) = (Instant::now(), 100);
     while begun.elapsed() < Duration::from_secs(10) {
-        least = site.agents.iter().filter_map(|agent| weight(*agent)).min().unwrap_or(0).min(least);
+        least = site
+            .agents
+            .iter()
+            .filter_map(|agent| weight(*agent))
+            .min()
+            .unwrap_or(0)
+            .min(least);
         std::thread::sleep(MS(250));
     }
     let counts = clients.came(3, begun + Duration::from_secs(4));
     let records = clients.finish();
-    let refused = records.iter().filter(|r| r.answer.is_some() && !r.placed()).count();
-    eprintln!("least weight {least}, {counts:?} came, {refused} of {} refused", records.len());
-    assert!(refused * 4 > records.len(), "it is overload: {refused} of {}", records.len());
+    let refused = records
+        .iter()
+        .filter(|r| r.answer.is_some() && !r.placed())
+        .count();
+    eprintln!(
+        "least weight {least}, {counts:?} came, {refused} of {} refused",
+        records.len()
+    );
+    assert!(
+        refused * 4 > records.len(),
+        "it is overload: {refused} of {}",
+        records.len()
+    );
     assert!(least >= 50, "{least}");
     let all: usize = counts.iter().sum();
     assert!(counts.iter().all(|n| n * 5 >= all), "{counts:?}");
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -18,7 +18,8 @@
 /// The most that came within the time of a fall.
 fn densest(mut times: Vec<Micros>, fall: Micros) -> usize {
     times.sort_unstable();
-    let within = |(i, t): (usize, &Micros)| times[i..].iter().take_while(|u| **u - t < fall).count();
+    let within =
+        |(i, t): (usize, &Micros)| times[i..].iter().take_while(|u| **u - t < fall).count();
     times.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
@@ -34,16 +35,30 @@
     fn start(settings: &Settings, skew: Micros, at: Micros, ready_at: Micros) -> Instance {
         let mut bench = Bench::new(settings.clone());
         bench.now = at + skew;
-        let cold = Entry { ready_at, ..entry(0, HostState::Up) };
-        bench.give(Event::Members { kind: ListKind::Cached, entries: vec![cold] });
-        Instance { bench, settings: settings.clone(), skew, asked: 0 }
+        let cold = Entry {
+            ready_at,
+            ..entry(0, HostState::Up)
+        };
+        bench.give(Event::Members {
+            kind: ListKind::Cached,
+            entries: vec![cold],
+        });
+        Instance {
+            bench,
+            settings: settings.clone(),
+            skew,
+            asked: 0,
+        }
     }
 
     /// Asks for a task that waits for one step only, and refuses it there: how many were offered.
     fn step(&mut self, step: Micros) -> usize {
         self.asked += 1;
         let n = self.asked;
-        let mut sent = sends(&self.bench.ask(Task { budget: step / 2, ..task(n, n as u64) }));
+        let mut sent = sends(&self.bench.ask(Task {
+            budget: step / 2,
+            ..task(n, n as u64)
+        }));
         sent.extend(sends(&untimed(self.bench.pass(0))));
         for at in &sent {
             self.bench.end(n, 0, at, Outcome::Full, Detail::NotHere);
@@ -80,13 +95,20 @@
         connect_timeout: wait,
         ..Settings::example()
     };
-    let settings = |me| Settings { me, ..settings.clone() };
+    let settings = |me| Settings {
+        me,
+        ..settings.clone()
+    };
     let skew = |me: usize| (me as Micros % 5 - 2) * 10 * MS;
-    let mut fleet: Vec<Instance> =
-        (0..placers).map(|me| Instance::start(&settings(me), skew(me), born, born + skew(me))).collect();
+    let mut fleet: Vec<Instance> = (0..placers)
+        .map(|me| Instance::start(&settings(me), skew(me), born, born + skew(me)))
+        .collect();
     let (mut times, mut delay) = (Vec::new(), delays.iter().cycle());
     for now in (born..born + length).step_by(STEP as usize) {
-        for (_, part) in restarts.iter().filter(|(at, _)| (now..now + STEP).contains(&(born + at))) {
+        for (_, part) in restarts
+            .iter()
+            .filter(|(at, _)| (now..now + STEP).contains(&(born + at)))
+        {
             let count = (placers as f64 * part).ceil() as usize;
             for instance in fleet.iter_mut().take(count) {
                 *instance = Instance::start(&instance.settings, instance.skew, now, born);
@@ -107,15 +129,33 @@
     for placers in [3, 20, 30] {
         for borne in [22.0, 100.0] {
             let quiet = play(placers, borne, 8 * SECOND, &[], 0, &[0.0]);
-            assert!(densest(quiet.clone(), SECOND) <= most(borne), "{placers} {borne}");
+            assert!(
+                densest(quiet.clone(), SECOND) <= most(borne),
+                "{placers} {borne}"
+            );
             // At least a quarter of what is borne comes through: a zone that returns does not starve.
-            assert!(quiet.len() as f64 > 8.0 * borne / 4.0, "{placers} {borne}: {}", quiet.len());
+            assert!(
+                quiet.len() as f64 > 8.0 * borne / 4.0,
+                "{placers} {borne}: {}",
+                quiet.len()
+            );
             for part in [0.1, 0.7, 1.0] {
-                let restarts: Vec<(Micros, f64)> =
-                    [1_100, 1_400, 1_700, 3_000].map(|ms| (ms * MS, part)).to_vec();
-                let times = play(placers, borne, 6 * SECOND, &restarts, SECOND / 4, &[1.0, 0.0, 0.5]);
+                let restarts: Vec<(Micros, f64)> = [1_100, 1_400, 1_700, 3_000]
+                    .map(|ms| (ms * MS, part))
+                    .to_vec();
+                let times = play(
+                    placers,
+                    borne,
+                    6 * SECOND,
+                    &restarts,
+                    SECOND / 4,
+                    &[1.0, 0.0, 0.5],
+                );
                 let densest = densest(times.clone(), SECOND);
-                assert!(densest <= most(borne), "{placers} {borne} {part}: {densest}");
+                assert!(
+                    densest <= most(borne),
+                    "{placers} {borne} {part}: {densest}"
+                );
                 assert!(!times.is_empty());
             }
         }
@@ -156,17 +196,36 @@
 // The clocks of machines differ: one that starts may seem to start later than now.
 #[test]
 fn a_machine_that_starts_in_the_future_by_our_clock_is_as_cold_as_others() {
-    let settings = Settings { placers: 30, cold_sends: 15.0, fall: SECOND, ..Settings::example() };
+    let settings = Settings {
+        placers: 30,
+        cold_sends: 15.0,
+        fall: SECOND,
+        ..Settings::example()
+    };
     let born = 100 * SECOND;
     let sent = |me| {
-        let mut instance = Instance::start(&Settings { me, ..settings.clone() }, 0, born, born + 18 * SECOND);
+        let mut instance = Instance::start(
+            &Settings {
+                me,
+                ..settings.clone()
+            },
+            0,
+            born,
+            born + 18 * SECOND,
+        );
         (0..40).map(|_| instance.step(25 * MS)).sum::<usize>()
     };
     assert!((0..30).map(sent).sum::<usize>() <= most(15.0));
 }
 
 /// All offers that come to a host, and when; each is answered at once.
-fn collect(host: &Host, conns: &mut Vec<HostConn>, times: &mut Vec<Micros>, start: Instant, span: Duration) {
+fn collect(
+    host: &Host,
+    conns: &mut Vec<HostConn>,
+    times: &mut Vec<Micros>,
+    start: Instant,
+    span: Duration,
+) {
     let end = Instant::now() + span;
     while Instant::now() < end {
         conns.extend(host.accept_within(Duration::from_millis(1)));
@@ -192,8 +251,13 @@
     for life in 0..2 {
         let mut programs = Vec::new();
         for (me, feed) in feeds.iter_mut().enumerate() {
-            let mut config =
-                deployment(&format!("n{me}"), me as u64, 3, &feed.address(), vec![host.entry("up", born)]);
+            let mut config = deployment(
+                &format!("n{me}"),
+                me as u64,
+                3,
+                &feed.address(),
+                vec![host.entry("up", born)],
+            );
             config["settings"]["family_info"]["young_limit"] = json!(borne);
             // A cold host starts so many; none waits for its fellows of a service.
             config["settings"]["family_info"]["class_most"] = json!([50, 50]);
@@ -211,7 +275,13 @@
         for client in &mut clients {
             assert!(client.test());
             for n in 1..=20 {
-                client.set_up(life * 100 + n, &Ask { service: n, ..QUICK });
+                client.set_up(
+                    life * 100 + n,
+                    &Ask {
+                        service: n,
+                        ..QUICK
+                    },
+                );
             }
         }
         collect(
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -31,7 +31,10 @@
 
 pub fn full_list(count: usize) -> Event {
     let entries = (0..count).map(|n| entry(n, HostState::Up)).collect();
-    Event::Members { kind: ListKind::Full, entries }
+    Event::Members {
+        kind: ListKind::Full,
+        entries,
+    }
 }
 
 pub fn task(n: usize, service: u64) -> Task {
@@ -61,7 +64,11 @@
 
 impl Bench {
     pub fn new(settings: Settings) -> Bench {
-        Bench { placer: Placer::new(settings, 1), now: 100 * SECOND, timers: Vec::new() }
+        Bench {
+            placer: Placer::new(settings, 1),
+            now: 100 * SECOND,
+            timers: Vec::new(),
+        }
     }
 
     pub fn with(settings: Settings, machines: usize) -> Bench {
@@ -108,7 +115,12 @@
     }
 
     pub fn first(&mut self, n: usize, attempt: u32, at: &HostId) -> Vec<Action> {
-        self.give(Event::First { id: req(n), attempt, host: at.clone(), elapsed: MS })
+        self.give(Event::First {
+            id: req(n),
+            attempt,
+            host: at.clone(),
+            elapsed: MS,
+        })
     }
 
     pub fn end(
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -17,7 +17,10 @@
 
 /// A set-up of a service of its own.
 fn ask(id: u64) -> Ask<'static> {
-    Ask { service: id + 100, ..QUICK }
+    Ask {
+        service: id + 100,
+        ..QUICK
+    }
 }
 
 /// A connection that has been read before: what is said on it next is read at once.
@@ -48,8 +51,15 @@
     let mut ids = Vec::new();
     let end = Instant::now() + LIMIT;
     loop {
-        assert!(Instant::now() < end, "the last request is not offered: {ids:?}");
-        conns.extend(hosts.iter().filter_map(|host| host.accept_within(Duration::from_millis(2))));
+        assert!(
+            Instant::now() < end,
+            "the last request is not offered: {ids:?}"
+        );
+        conns.extend(
+            hosts
+                .iter()
+                .filter_map(|host| host.accept_within(Duration::from_millis(2))),
+        );
         for conn in conns.iter_mut() {
             while let Some(message) = conn.read_within(Duration::from_millis(20)) {
                 if message.get_str("t") != Some("new") {
@@ -127,7 +137,11 @@
                 held.iter_mut().for_each(|client| client.release(1, 16));
             }
         });
-        assert_eq!(offered_until_last(&program, &hosts, &mut conns), NONE, "{kind}");
+        assert_eq!(
+            offered_until_last(&program, &hosts, &mut conns),
+            NONE,
+            "{kind}"
+        );
     }
 }
 
@@ -136,7 +150,10 @@
 fn no_attempt_elsewhere_begins_for_a_client_that_left_while_a_host_was_called() {
     let mut feed = Feed::new();
     let hosts = [Host::new("h0", "north"), Host::new("h1", "north")];
-    let mut config = config(&feed, hosts.iter().map(|host| host.entry("up", 0)).collect());
+    let mut config = config(
+        &feed,
+        hosts.iter().map(|host| host.entry("up", 0)).collect(),
+    );
     config["settings"]["prices"] = json!({ "handshake": 0.05 });
     let held: Vec<OutOfReach> = hosts.iter().map(Host::vanish).collect();
     let program = Program::start(&config);
@@ -145,12 +162,20 @@
     client.set_up(1, &ask(1));
     assert!(client.test(), "the set-up was taken in");
     program.stopped(|| {
-        hosts.iter().zip(held).for_each(|(host, held)| host.come_back(held));
+        hosts
+            .iter()
+            .zip(held)
+            .for_each(|(host, held)| host.come_back(held));
         client.leave();
         std::thread::sleep(Duration::from_millis(300));
     });
     program.logged("connection ended peer=\"client\"");
-    assert_eq!(offered_until_last(&program, &hosts, &mut Vec::new()), NONE, "{}", program.log());
+    assert_eq!(
+        offered_until_last(&program, &hosts, &mut Vec::new()),
+        NONE,
+        "{}",
+        program.log()
+    );
 }
 
 #[test]
@@ -205,7 +230,10 @@
     assert!(cancels.test(), "the cancel was taken in");
     let offered = offered_until_last(&program, &hosts, &mut conns);
     assert!(offered.contains(&hex(1)), "{offered:?}");
-    assert!([0x990, 0x991].iter().all(|id| !offered.contains(&hex(*id))), "{offered:?}");
+    assert!(
+        [0x990, 0x991].iter().all(|id| !offered.contains(&hex(*id))),
+        "{offered:?}"
+    );
 }
 
 // A host that takes nothing is as good as out of reach: what waits for it goes elsewhere.
@@ -228,13 +256,21 @@
     let mut conn = hosts[1].accept();
     // What waited before it goes there, too.
     while conn.offer() != hex(0x990) {}
-    assert!(start.elapsed() < Duration::from_secs(1), "{:?}", start.elapsed());
+    assert!(
+        start.elapsed() < Duration::from_secs(1),
+        "{:?}",
+        start.elapsed()
+    );
     conn.up(&hex(0x990));
     let answer = client.read();
     assert_eq!((answer.kind, answer.id), (9, 0x990));
     // Nothing of it has left to the other.
     while let Some(message) = reads_nothing.read_within(Duration::from_millis(20)) {
-        assert_ne!(message.get_str("ref"), Some(hex(0x990).as_str()), "{message}");
+        assert_ne!(
+            message.get_str("ref"),
+            Some(hex(0x990).as_str()),
+            "{message}"
+        );
     }
 }
 
@@ -352,16 +388,42 @@
 #[test]
 fn words_of_a_host_in_one_read_end_an_attempt_once() {
     let up = |id: &str| format!("{{\"t\":\"up\",\"ref\":\"{id}\",\"f\":{{}},\"d\":\"stands\"}}\n");
-    let down =
-        |id: &str, cause: u8| format!("{{\"t\":\"down\",\"ref\":\"{id}\",\"f\":{{}},\"c\":{cause}}}\n");
+    let down = |id: &str, cause: u8| {
+        format!("{{\"t\":\"down\",\"ref\":\"{id}\",\"f\":{{}},\"c\":{cause}}}\n")
+    };
     let id = hex(1);
     // What the host says, the client's words (type and cause), and whether the host is asked once more.
     let cases = [
-        ("answered twice and ended", up(&id) + &up(&id) + &down(&id, 16), vec![(9, 0), (12, 16)], false),
-        ("answered, and then spoilt", up(&id) + "\u{1}\u{2}\n", vec![(9, 0)], false),
-        ("answered, and half of another", up(&id) + "{\"t\":\"up\",\"re", vec![(9, 0)], false),
-        ("refused, and then answered", down(&id, 34) + &up(&id), Vec::new(), true),
-        ("an error, and then a refusal", down(&id, 47) + &down(&id, 34), Vec::new(), true),
+        (
+            "answered twice and ended",
+            up(&id) + &up(&id) + &down(&id, 16),
+            vec![(9, 0), (12, 16)],
+            false,
+        ),
+        (
+            "answered, and then spoilt",
+            up(&id) + "\u{1}\u{2}\n",
+            vec![(9, 0)],
+            false,
+        ),
+        (
+            "answered, and half of another",
+            up(&id) + "{\"t\":\"up\",\"re",
+            vec![(9, 0)],
+            false,
+        ),
+        (
+            "refused, and then answered",
+            down(&id, 34) + &up(&id),
+            Vec::new(),
+            true,
+        ),
+        (
+            "an error, and then a refusal",
+            down(&id, 47) + &down(&id, 34),
+            Vec::new(),
+            true,
+        ),
     ];
     for (what, said, words, again) in cases {
         let (program, _feed, _hosts, mut conns) = start(2);
@@ -382,7 +444,11 @@
         }
         for (kind, cause) in words {
             let word = client.read();
-            assert_eq!((word.kind, if word.kind == 12 { word.cause() } else { 0 }), (kind, cause), "{what}");
+            assert_eq!(
+                (word.kind, if word.kind == 12 { word.cause() } else { 0 }),
+                (kind, cause),
+                "{what}"
+            );
         }
         assert!(client.test(), "nothing else was said: {what}");
     }
@@ -393,7 +459,13 @@
 fn an_answer_and_the_time_out_in_one_turn_give_one_final_answer() {
     let (program, _feed, _hosts, mut conns) = start(1);
     let mut client = known(&program);
-    client.set_up(1, &Ask { wait_ms: 300, ..ask(1) });
+    client.set_up(
+        1,
+        &Ask {
+            wait_ms: 300,
+            ..ask(1)
+        },
+    );
     let id = conns[0].offer();
     program.stopped(|| {
         conns[0].up(&id);
@@ -415,23 +487,37 @@
     let mut client = known(&program);
     client.set_up(1, &ask(1));
     let (at, id) = offered(&mut conns);
-    client.set_up(2, &Ask { service: 102, ..ONCE });
+    client.set_up(
+        2,
+        &Ask {
+            service: 102,
+            ..ONCE
+        },
+    );
     let (other, once) = offered(&mut conns);
     // Twice, and the second tells nothing new.
-    let rest: Vec<_> = (0..2).filter(|n| *n != at).map(|n| hosts[n].entry("up", 0)).collect();
+    let rest: Vec<_> = (0..2)
+        .filter(|n| *n != at)
+        .map(|n| hosts[n].entry("up", 0))
+        .collect();
     feed.tell(&event(2, true, rest.clone()));
     feed.tell(&event(2, true, rest));
     assert!(conns[at].ended());
     let left = 1 - at;
     assert_eq!(
-        conns[left].read_within(LIMIT).and_then(|m| m.get_str("ref").map(str::to_string)),
+        conns[left]
+            .read_within(LIMIT)
+            .and_then(|m| m.get_str("ref").map(str::to_string)),
         Some(id.clone())
     );
     conns[left].up(&id);
     if other == at {
         // It may have run there.
         let words = [client.read(), client.read()].map(|word| (word.id, word.kind));
-        assert!(words.contains(&(1, 9)) && words.contains(&(2, 12)), "{words:?}");
+        assert!(
+            words.contains(&(1, 9)) && words.contains(&(2, 12)),
+            "{words:?}"
+        );
     } else {
         assert_eq!(client.read().kind, 9);
         conns[left].up(&once);
@@ -472,11 +558,21 @@
     let moved = Instant::now();
     program.reload(&config.encode());
     assert_eq!(second.subscribed(), 1);
-    assert!(moved.elapsed() < Duration::from_millis(500), "{:?}", moved.elapsed());
+    assert!(
+        moved.elapsed() < Duration::from_millis(500),
+        "{:?}",
+        moved.elapsed()
+    );
     second.event(2, &hosts[0], "draining");
     second.tell(&json!({ "n": 2 }));
     let mut client = known(&program);
-    client.set_up(1, &Ask { wait_ms: 300, ..ask(1) });
+    client.set_up(
+        1,
+        &Ask {
+            wait_ms: 300,
+            ..ask(1)
+        },
+    );
     assert_eq!(client.read().kind, 12);
     assert!(conns[0].read_within(Duration::from_millis(20)).is_none());
     drop(held);
@@ -504,16 +600,30 @@
             idle.push(client);
         }
     }
-    assert!(program.descriptors() < sockets as usize, "{}", program.descriptors());
+    assert!(
+        program.descriptors() < sockets as usize,
+        "{}",
+        program.descriptors()
+    );
     let mut feed = Feed::at(address);
     feed.subscribed();
-    let hosts: Vec<Host> = (1..40).map(|n| Host::new(&format!("h{n}"), "south")).collect();
+    let hosts: Vec<Host> = (1..40)
+        .map(|n| Host::new(&format!("h{n}"), "south"))
+        .collect();
     let mut entries: Vec<_> = hosts.iter().map(|host| host.entry("up", 0)).collect();
     entries.push(first.entry("draining", 0));
     feed.tell(&event(2, true, entries));
     let mut conns: Vec<HostConn> = hosts.iter().map(Host::accept).collect();
-    assert!(program.descriptors() < sockets as usize, "{}", program.descriptors());
-    assert!(!program.log().contains("no-descriptor"), "{}", program.log());
+    assert!(
+        program.descriptors() < sockets as usize,
+        "{}",
+        program.descriptors()
+    );
+    assert!(
+        !program.log().contains("no-descriptor"),
+        "{}",
+        program.log()
+    );
     let mut client = known(&program);
     client.set_up(1, &ask(1));
     let (at, id) = offered(&mut conns);
@@ -567,7 +677,12 @@
     let pipe = scratch("pipe");
     let made = std::process::Command::new("mkfifo").arg(&pipe).status();
     assert!(made.expect("mkfifo runs").success());
-    (Launch::new(config).env("LB_CONFIG", &pipe.to_string_lossy()).start(), pipe)
+    (
+        Launch::new(config)
+            .env("LB_CONFIG", &pipe.to_string_lossy())
+            .start(),
+        pipe,
+    )
 }
 
 // SIGTERM comes when the program has just begun to read its file: it starts, and ends as it should.
@@ -577,9 +692,13 @@
     let host = Host::new("h0", "north");
     let config = config(&feed, vec![host.entry("up", 0)]);
     let (mut program, pipe) = start_on_a_pipe(&config);
-    let mut file = OpenOptions::new().write(true).open(&pipe).expect("it reads");
+    let mut file = OpenOptions::new()
+        .write(true)
+        .open(&pipe)
+        .expect("it reads");
     program.terminate();
-    file.write_all(config.encode().as_bytes()).expect("it reads");
+    file.write_all(config.encode().as_bytes())
+        .expect("it reads");
     drop(file);
     // Who connects meanwhile is answered.
     let mut client = program.client();
@@ -608,7 +727,13 @@
     for n in 0..30 {
         for (at, client) in good.iter_mut().enumerate() {
             let id = 1 + at as u64 * 100 + n;
-            client.set_up(id, &Ask { wait_ms: 900, ..ask(id) });
+            client.set_up(
+                id,
+                &Ask {
+                    wait_ms: 900,
+                    ..ask(id)
+                },
+            );
         }
         for client in &mut bad {
             let _ = client.0.write_all(&[0xff; 600]);
@@ -620,7 +745,11 @@
         ids.sort_unstable();
         ids.dedup();
         assert_eq!(ids.len(), 30);
-        assert!(start.elapsed() < sent + wait + Duration::from_millis(50), "{:?} {sent:?}", start.elapsed());
+        assert!(
+            start.elapsed() < sent + wait + Duration::from_millis(50),
+            "{:?} {sent:?}",
+            start.elapsed()
+        );
         assert!(client.test());
     }
 }
@@ -641,10 +770,20 @@
     let told = Instant::now();
     program.terminate();
     program.logged("closing");
-    client.set_up(1, &Ask { wait_ms: 200, ..ask(1) });
+    client.set_up(
+        1,
+        &Ask {
+            wait_ms: 200,
+            ..ask(1)
+        },
+    );
     assert_eq!((client.read().kind, client.next_message()), (12, None));
     assert!(program.exit().success());
-    assert!(told.elapsed() < Duration::from_millis(900), "{:?}", told.elapsed());
+    assert!(
+        told.elapsed() < Duration::from_millis(900),
+        "{:?}",
+        told.elapsed()
+    );
 }
 
 // The file is a pipe, so that the signal comes when the program has just begun to read it.
@@ -655,7 +794,8 @@
     let config = config(&feed, vec![host.entry("up", 0)]);
     let (mut program, pipe) = start_on_a_pipe(&config);
     let write = |file: std::io::Result<std::fs::File>| {
-        file.and_then(|mut file| file.write_all(config.encode().as_bytes())).expect("it reads");
+        file.and_then(|mut file| file.write_all(config.encode().as_bytes()))
+            .expect("it reads");
     };
     let open = || OpenOptions::new().write(true).open(&pipe);
     let file = open();
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -21,7 +21,12 @@
     fn start(hosts: usize, sockets: u32, habits: &Habits) -> Fleet {
         let books: Arc<Mutex<Books>> = Arc::default();
         let host = |n: usize| {
-            LiveHost::start(&format!("h{n}"), ["north", "south"][n % 2], habits.clone(), books.clone())
+            LiveHost::start(
+                &format!("h{n}"),
+                ["north", "south"][n % 2],
+                habits.clone(),
+                books.clone(),
+            )
         };
         let hosts: Vec<LiveHost> = (0..hosts).map(host).collect();
         let feed = LiveFeed::start();
@@ -29,7 +34,12 @@
         let mut config = deployment("n1", 0, 1, &feed.address(), entries);
         config["limits"] = json!({ "cores": 1.0, "memory_mb": 32, "sockets": sockets });
         let program = Program::start_with(&config, sockets);
-        Fleet { program, _feed: feed, _hosts: hosts, _books: books }
+        Fleet {
+            program,
+            _feed: feed,
+            _hosts: hosts,
+            _books: books,
+        }
     }
 }
 
@@ -37,11 +47,21 @@
 // closed with their set-ups unread.
 #[test]
 fn clients_may_hold_their_third_of_the_descriptors_whatever_the_fleet() {
-    let habits = Habits { start: Duration::from_millis(300), life: Duration::from_secs(60), room: 1_000 };
+    let habits = Habits {
+        start: Duration::from_millis(300),
+        life: Duration::from_secs(60),
+        room: 1_000,
+    };
     let fleet = Fleet::start(40, 160, &habits);
     let mut clients: Vec<Client> = (0..53).map(|_| fleet.program.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.set_up(n as u64 + 1, &Ask { service: n as u64, ..QUICK });
+        client.set_up(
+            n as u64 + 1,
+            &Ask {
+                service: n as u64,
+                ..QUICK
+            },
+        );
     }
     for client in &mut clients {
         assert_eq!(client.read().kind, 9);
@@ -52,11 +72,21 @@
 // One that comes while all others are busy has sent its set-up already: closed unread, that is lost.
 #[test]
 fn a_connection_beyond_the_budget_waits_for_one_that_is_answered() {
-    let habits = Habits { start: Duration::from_millis(300), life: Duration::from_secs(60), room: 1_000 };
+    let habits = Habits {
+        start: Duration::from_millis(300),
+        life: Duration::from_secs(60),
+        room: 1_000,
+    };
     let fleet = Fleet::start(1, 40, &habits);
     let busy = |n: u64| {
         let mut client = fleet.program.client();
-        client.set_up(n + 1, &Ask { service: n, ..QUICK });
+        client.set_up(
+            n + 1,
+            &Ask {
+                service: n,
+                ..QUICK
+            },
+        );
         client
     };
     let mut clients: Vec<Client> = (0..16).map(busy).collect();
@@ -70,15 +100,28 @@
 // connections wait in the system's queue, whose length is the program's to ask for.
 #[test]
 fn hundreds_that_come_at_once_are_all_taken_and_answered() {
-    let habits = Habits { start: Duration::from_millis(20), life: Duration::from_secs(60), room: 1_000 };
+    let habits = Habits {
+        start: Duration::from_millis(20),
+        life: Duration::from_secs(60),
+        room: 1_000,
+    };
     let fleet = Fleet::start(40, 1_024, &habits);
     drop(fleet.program.client());
     fleet.program.signal("-STOP");
     let comes = |n: u64| {
         let stream = TcpStream::connect_timeout(&fleet.program.address, Duration::from_millis(500));
         let mut client = Client(stream.expect("it waits in the queue"));
-        client.0.set_read_timeout(Some(LIMIT)).expect("a socket option");
-        client.set_up(n + 1, &Ask { service: n, ..QUICK });
+        client
+            .0
+            .set_read_timeout(Some(LIMIT))
+            .expect("a socket option");
+        client.set_up(
+            n + 1,
+            &Ask {
+                service: n,
+                ..QUICK
+            },
+        );
         client
     };
     let mut clients: Vec<Client> = (0..400).map(comes).collect();
@@ -92,12 +135,22 @@
 // after the process could end, and those that were beyond the budget until then are still there.
 #[test]
 fn at_the_end_nothing_is_left_in_the_accept_queue() {
-    let habits = Habits { start: Duration::from_millis(1_100), life: Duration::from_secs(60), room: 1_000 };
+    let habits = Habits {
+        start: Duration::from_millis(1_100),
+        life: Duration::from_secs(60),
+        room: 1_000,
+    };
     let mut fleet = Fleet::start(3, 36, &habits);
     let mut waiting: Vec<Client> = (0..12).map(|_| fleet.program.client()).collect();
     // The first eight fill the budget, and their set-ups come together.
     for (n, client) in waiting.iter_mut().enumerate() {
-        client.set_up(n as u64 + 1, &Ask { service: n as u64, ..QUICK });
+        client.set_up(
+            n as u64 + 1,
+            &Ask {
+                service: n as u64,
+                ..QUICK
+            },
+        );
     }
     fleet.program.terminate();
     for client in &mut waiting {
@@ -109,12 +162,18 @@
 // A process that ends with unread input resets the connection, and an answer on its way may go with it.
 #[test]
 fn at_the_end_connections_are_closed_and_not_reset() {
-    let habits = Habits { start: Duration::from_millis(20), life: Duration::from_secs(60), room: 1_000 };
+    let habits = Habits {
+        start: Duration::from_millis(20),
+        life: Duration::from_secs(60),
+        room: 1_000,
+    };
     let mut fleet = Fleet::start(1, 256, &habits);
     let mut clients: Vec<Client> = (0..20).map(|_| fleet.program.client()).collect();
     assert!(clients.iter_mut().all(Client::test));
     let flood: Vec<u8> = (0..2_000).flat_map(|_| bytes(16, 77, &[])).collect();
-    clients.iter().for_each(|client| client.0.set_nonblocking(true).expect("a socket option"));
+    clients
+        .iter()
+        .for_each(|client| client.0.set_nonblocking(true).expect("a socket option"));
     fleet.program.terminate();
     while !clients.is_empty() {
         clients.retain_mut(|client| {
@@ -140,19 +199,32 @@
 fn where_connections_have_a_price_a_host_is_called_for_what_it_is_offered() {
     let mut feed = Feed::new();
     let hosts = [Host::new("h0", "north"), Host::new("h1", "south")];
-    let mut config = config(&feed, hosts.iter().map(|host| host.entry("up", 0)).collect());
+    let mut config = config(
+        &feed,
+        hosts.iter().map(|host| host.entry("up", 0)).collect(),
+    );
     config["settings"]["prices"] = json!({ "fleet": 0.15, "moves": 0.07, "handshake": 0.05 });
     let program = Program::start(&config);
     feed.subscribed();
     let mut client = program.client();
     assert!(client.test());
-    assert!(hosts.iter().all(|host| host.accept_within(QUIET / 2).is_none()));
+    assert!(
+        hosts
+            .iter()
+            .all(|host| host.accept_within(QUIET / 2).is_none())
+    );
     client.set_up(1, &QUICK);
-    let mut conn = until("a call", || hosts.iter().find_map(|host| host.accept_within(QUIET / 20)));
+    let mut conn = until("a call", || {
+        hosts.iter().find_map(|host| host.accept_within(QUIET / 20))
+    });
     assert_eq!(conn.offer(), hex(1));
     conn.up(&hex(1));
     assert_eq!(client.read().kind, 9);
-    assert!(hosts.iter().all(|host| host.accept_within(QUIET / 2).is_none()));
+    assert!(
+        hosts
+            .iter()
+            .all(|host| host.accept_within(QUIET / 2).is_none())
+    );
 }
 
 // The operators' fleets may have hundreds of either; nothing here is bounded below 1,024, nor in the time
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -4,7 +4,8 @@
 use standin::front::ask_agent;
 use standin::live::{Books, Habits, LiveFeed, LiveHost};
 use standin::{
-    Client, Feed, Host, HostConn, Launch, Program, QUICK, binary, config, free_address, hex, scratch, until,
+    Client, Feed, Host, HostConn, Launch, Program, QUICK, binary, config, free_address, hex,
+    scratch, until,
 };
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -37,11 +38,21 @@
         socket.display()
     );
     let entries = hosts.iter().map(|host| host.entry("up", 0)).collect();
-    let program = Launch::new(&config(&feed, entries)).operator(&operator).start();
+    let program = Launch::new(&config(&feed, entries))
+        .operator(&operator)
+        .start();
     assert_eq!(feed.subscribed(), 1);
     feed.tell(&simd_json::json!({ "n": 1 }));
     let conns = hosts.iter().map(Host::accept).collect();
-    Fronts { program, feed, hosts, conns, agent, http, socket }
+    Fronts {
+        program,
+        feed,
+        hosts,
+        conns,
+        agent,
+        http,
+        socket,
+    }
 }
 
 fn agent(address: SocketAddr) -> String {
@@ -51,7 +62,9 @@
 /// Sends bytes and reads to the end, or until nothing comes.
 fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
     let mut stream = TcpStream::connect(address).expect("it listens");
-    stream.set_read_timeout(Some(5 * SECOND)).expect("a socket option");
+    stream
+        .set_read_timeout(Some(5 * SECOND))
+        .expect("a socket option");
     stream.write_all(bytes).expect("it reads");
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
@@ -59,13 +72,25 @@
 }
 
 fn get(address: SocketAddr, path: &str) -> String {
-    exchange(address, format!("GET {path} HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n").as_bytes())
+    exchange(
+        address,
+        format!("GET {path} HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n").as_bytes(),
+    )
 }
 
 fn ctl(socket: &Path, words: &[&str]) -> (bool, String) {
-    let out =
-        Command::new(binary()).arg("ctl").args(words).arg("--socket").arg(socket).output().expect("it runs");
-    let text = if out.status.success() { out.stdout } else { out.stderr };
+    let out = Command::new(binary())
+        .arg("ctl")
+        .args(words)
+        .arg("--socket")
+        .arg(socket)
+        .output()
+        .expect("it runs");
+    let text = if out.status.success() {
+        out.stdout
+    } else {
+        out.stderr
+    };
     (out.status.success(), String::from_utf8(text).expect("text"))
 }
 
@@ -74,18 +99,28 @@
 #[test]
 fn agents_and_http_checks_follow_the_state_from_start_to_drain_and_back() {
     let mut fronts = start("");
-    until("it is up", || agent(fronts.agent).starts_with("up ready 100%").then_some(()));
+    until("it is up", || {
+        agent(fronts.agent)
+            .starts_with("up ready 100%")
+            .then_some(())
+    });
     assert!(get(fronts.http, "/readyz").starts_with("HTTP/1.1 200"));
     assert!(get(fronts.http, "/startupz").starts_with("HTTP/1.1 200"));
     let health = get(fronts.http, "/health");
-    assert!(health.contains("\"status\":\"pass\"") && health.contains("application/health+json"), "{health}");
+    assert!(
+        health.contains("\"status\":\"pass\"") && health.contains("application/health+json"),
+        "{health}"
+    );
     let mut client = fronts.program.client();
     assert!(client.test());
     let (done, said) = ctl(&fronts.socket, &["drain"]);
     assert!(done && said.starts_with("drain"), "{said}");
     assert_eq!(agent(fronts.agent), "up drain # finishing what was taken\n");
     let ready = get(fronts.http, "/readyz");
-    assert!(ready.starts_with("HTTP/1.1 503") && ready.contains("x-envoy-immediate-health-check-fail: true"));
+    assert!(
+        ready.starts_with("HTTP/1.1 503")
+            && ready.contains("x-envoy-immediate-health-check-fail: true")
+    );
     assert!(
         get(fronts.http, "/livez").starts_with("HTTP/1.1 200"),
         "it lives, and must not be killed for draining"
@@ -97,7 +132,10 @@
     fronts.conns[0].up(&hex(1));
     assert_eq!(client.read().kind, 9);
     assert!(ctl(&fronts.socket, &["ready"]).0);
-    assert!(agent(fronts.agent).starts_with("up ready "), "taken back by name");
+    assert!(
+        agent(fronts.agent).starts_with("up ready "),
+        "taken back by name"
+    );
     assert!(client.test());
     assert!(ctl(&fronts.socket, &["maint"]).0);
     assert_eq!(agent(fronts.agent), "maint # by order\n");
@@ -107,9 +145,16 @@
     assert!(done && value.get_u64("v") == Some(1), "{state}");
     let signals = value.get_array("signals").expect("signals");
     assert_eq!(signals.len(), 10);
-    let history: Vec<&str> =
-        value.get_array("history").expect("a history").iter().filter_map(|t| t.get_str("reason")).collect();
-    assert!(history.ends_with(&["told-drain", "told-ready", "told-maint", "told-ready"]), "{history:?}");
+    let history: Vec<&str> = value
+        .get_array("history")
+        .expect("a history")
+        .iter()
+        .filter_map(|t| t.get_str("reason"))
+        .collect();
+    assert!(
+        history.ends_with(&["told-drain", "told-ready", "told-maint", "told-ready"]),
+        "{history:?}"
+    );
     assert!(fronts.program.runs() && fronts.feed.address() != fronts.hosts[0].name);
 }
 
@@ -120,7 +165,9 @@
     let answers = exchange(fronts.http, two.as_bytes());
     assert_eq!(answers.matches("HTTP/1.1 ").count(), 2, "{answers}");
     assert!(
-        answers.contains("HTTP/1.1 200") && answers.contains("HTTP/1.1 404") && answers.ends_with("\r\n\r\n")
+        answers.contains("HTTP/1.1 200")
+            && answers.contains("HTTP/1.1 404")
+            && answers.ends_with("\r\n\r\n")
     );
     for (bytes, status) in [
         (
@@ -136,17 +183,31 @@
         ("DELETE /health HTTP/1.1\r\nHost: t\r\n\r\n", 405),
     ] {
         let answer = exchange(fronts.http, bytes.as_bytes());
-        assert!(answer.starts_with(&format!("HTTP/1.1 {status} ")), "{bytes:?}: {answer}");
-        assert_eq!(answer.matches("HTTP/1.1 ").count(), 1, "the rest is not read as a request: {answer}");
+        assert!(
+            answer.starts_with(&format!("HTTP/1.1 {status} ")),
+            "{bytes:?}: {answer}"
+        );
+        assert_eq!(
+            answer.matches("HTTP/1.1 ").count(),
+            1,
+            "the rest is not read as a request: {answer}"
+        );
     }
-    let endless =
-        format!("GET /livez HTTP/1.1\r\nHost: t\r\n{}", "X: yyyyyyyyyyyyyyyyyyyyyyyyyyyyyy\r\n".repeat(400));
+    let endless = format!(
+        "GET /livez HTTP/1.1\r\nHost: t\r\n{}",
+        "X: yyyyyyyyyyyyyyyyyyyyyyyyyyyyyy\r\n".repeat(400)
+    );
     assert!(exchange(fronts.http, endless.as_bytes()).contains("431"));
     // A sender that never comes to an end is sent away.
     let mut slow = TcpStream::connect(fronts.http).expect("it listens");
     slow.write_all(b"GET /livez HT").expect("it reads");
-    slow.set_read_timeout(Some(10 * SECOND)).expect("a socket option");
-    assert_eq!(slow.read(&mut [0; 16]).unwrap_or(0), 0, "closed with no answer");
+    slow.set_read_timeout(Some(10 * SECOND))
+        .expect("a socket option");
+    assert_eq!(
+        slow.read(&mut [0; 16]).unwrap_or(0),
+        0,
+        "closed with no answer"
+    );
     fronts.program.logged("reason=late");
 }
 
@@ -159,7 +220,9 @@
     }
     for bad in [&[0xff, b'\n'][..], &[b'x'; 600]] {
         let mut stream = TcpStream::connect(fronts.agent).expect("it listens");
-        stream.set_read_timeout(Some(5 * SECOND)).expect("a socket option");
+        stream
+            .set_read_timeout(Some(5 * SECOND))
+            .expect("a socket option");
         stream.write_all(bad).expect("it reads");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
@@ -173,7 +236,14 @@
     let mut fronts = start("");
     let before = fronts.program.descriptors();
     let silent: Vec<TcpStream> = (0..500)
-        .map(|n| TcpStream::connect(if n % 2 == 0 { fronts.agent } else { fronts.http }).expect("it listens"))
+        .map(|n| {
+            TcpStream::connect(if n % 2 == 0 {
+                fronts.agent
+            } else {
+                fronts.http
+            })
+            .expect("it listens")
+        })
         .collect();
     // One that does ask is answered all the same, and a placing goes on.
     assert!(agent(fronts.agent).starts_with("up "));
@@ -199,18 +269,36 @@
     let feed = Feed::new();
     let config = config(&feed, vec![]);
     for (operator, says) in [
-        (format!("[health]\nagent = [\"{address}\"]\n"), "health.agent: can't listen at"),
-        (format!("[health]\nhttp = [\"{address}\"]\n"), "health.http: can't listen at"),
-        ("[ctl]\nsocket = \"/nowhere/at/all.sock\"\n".to_string(), "ctl.socket: /nowhere/at/all.sock"),
-        ("[health]\nagents = 1\n".to_string(), "toml:2:1: health.agents: unknown, perhaps agent is meant"),
         (
-            format!("[health]\nagent = [\"{}\"]\n", config.get_str("listen").expect("an address")),
+            format!("[health]\nagent = [\"{address}\"]\n"),
+            "health.agent: can't listen at",
+        ),
+        (
+            format!("[health]\nhttp = [\"{address}\"]\n"),
+            "health.http: can't listen at",
+        ),
+        (
+            "[ctl]\nsocket = \"/nowhere/at/all.sock\"\n".to_string(),
+            "ctl.socket: /nowhere/at/all.sock",
+        ),
+        (
+            "[health]\nagents = 1\n".to_string(),
+            "toml:2:1: health.agents: unknown, perhaps agent is meant",
+        ),
+        (
+            format!(
+                "[health]\nagent = [\"{}\"]\n",
+                config.get_str("listen").expect("an address")
+            ),
             "is where clients connect",
         ),
     ] {
         let out = Launch::new(&config).operator(&operator).output();
         let said = String::from_utf8(out.stderr).expect("text");
-        assert!(!out.status.success() && said.contains(says), "{operator}: {said}");
+        assert!(
+            !out.status.success() && said.contains(says),
+            "{operator}: {said}"
+        );
     }
 }
 
@@ -218,15 +306,21 @@
 fn check_prints_what_holds_and_where_it_came_from_or_every_error() {
     let feed = Feed::new();
     let good = config(&feed, vec![]);
-    let out =
-        Launch::new(&good).operator("[drain]\nenabled = true\nnotice = \"3s\"\n").args(&["check"]).output();
+    let out = Launch::new(&good)
+        .operator("[drain]\nenabled = true\nnotice = \"3s\"\n")
+        .args(&["check"])
+        .output();
     let said = String::from_utf8(out.stdout).expect("text");
     assert!(out.status.success(), "{said}");
-    for line in ["limits.sockets = 1024  # ", "drain.settle = \"500ms\"  # default"] {
+    for line in [
+        "limits.sockets = 1024  # ",
+        "drain.settle = \"500ms\"  # default",
+    ] {
         assert!(said.contains(line), "{line}: {said}");
     }
     assert!(
-        said.lines().any(|l| l.starts_with("drain.notice = \"3s\"  # ") && l.ends_with("toml:3")),
+        said.lines()
+            .any(|l| l.starts_with("drain.notice = \"3s\"  # ") && l.ends_with("toml:3")),
         "{said}"
     );
     let bad = "[drain]\nnotice = 5\nsettel = \"1s\"\n[log]\nlevel = \"loud\"\n";
@@ -252,30 +346,46 @@
     drop(std::os::unix::net::UnixListener::bind(&socket).expect("a socket"));
     let feed = Feed::new();
     let operator = format!("[ctl]\nsocket = \"{}\"\n", socket.display());
-    let mut program = Launch::new(&config(&feed, vec![])).operator(&operator).start();
+    let mut program = Launch::new(&config(&feed, vec![]))
+        .operator(&operator)
+        .start();
     drop(program.client());
-    let mode = std::fs::metadata(&socket).expect("a socket").permissions().mode();
+    let mode = std::fs::metadata(&socket)
+        .expect("a socket")
+        .permissions()
+        .mode();
     assert_eq!(mode & 0o777, 0o600);
     // A second placer does not take it away.
-    let out = Launch::new(&config(&feed, vec![])).operator(&operator).output();
+    let out = Launch::new(&config(&feed, vec![]))
+        .operator(&operator)
+        .output();
     assert!(String::from_utf8_lossy(&out.stderr).contains("another process answers there"));
     assert!(ctl(&socket, &["state"]).0);
     // What is no order is answered with what is wrong, and the connection goes on.
     let mut stream = UnixStream::connect(&socket).expect("it listens");
-    stream.write_all(b"{\"v\":9}\nnonsense\n{\"v\":1,\"do\":\"state\"}\n").expect("it reads");
-    stream.shutdown(std::net::Shutdown::Write).expect("a socket");
+    stream
+        .write_all(b"{\"v\":9}\nnonsense\n{\"v\":1,\"do\":\"state\"}\n")
+        .expect("it reads");
+    stream
+        .shutdown(std::net::Shutdown::Write)
+        .expect("a socket");
     let mut answers = String::new();
     stream.read_to_string(&mut answers).expect("text");
     let lines: Vec<&str> = answers.lines().collect();
     assert_eq!(lines.len(), 3, "{answers}");
     assert!(
-        lines[0].contains("version 9") && lines[1].contains("not JSON") && lines[2].contains("\"ok\":true")
+        lines[0].contains("version 9")
+            && lines[1].contains("not JSON")
+            && lines[2].contains("\"ok\":true")
     );
     let mut stream = UnixStream::connect(&socket).expect("it listens");
     let _ = stream.write_all(&vec![b'x'; 10_000]);
     let mut answer = String::new();
     let _ = stream.read_to_string(&mut answer);
-    assert!(answer.contains("longer than any order") || answer.is_empty(), "{answer}");
+    assert!(
+        answer.contains("longer than any order") || answer.is_empty(),
+        "{answer}"
+    );
     // Without [drain] SIGTERM ends it as without a file, and the socket goes with it.
     program.terminate();
     assert_eq!(program.exit().code(), Some(0));
@@ -287,17 +397,26 @@
 #[test]
 fn a_second_signal_ends_a_drain_as_sigterm_does_without_one() {
     let mut fronts = start("notice = \"60s\"\nsettle = \"1s\"");
-    until("polled", || agent(fronts.agent).starts_with("up ready 100%").then_some(()));
+    until("polled", || {
+        agent(fronts.agent)
+            .starts_with("up ready 100%")
+            .then_some(())
+    });
     let mut client = fronts.program.client();
     client.set_up(1, &QUICK);
     let id = fronts.conns[0].offer();
     fronts.program.terminate();
-    until("draining", || agent(fronts.agent).starts_with("up drain").then_some(()));
+    until("draining", || {
+        agent(fronts.agent).starts_with("up drain").then_some(())
+    });
     fronts.program.terminate();
     // The host never answers: the module gives the ask up in time for the end.
     let answer = client.read();
     assert_eq!((answer.kind, answer.id, answer.cause()), (12, 1, 42));
-    assert_eq!(fronts.conns[0].expect("down").get_str("ref"), Some(id.as_str()));
+    assert_eq!(
+        fronts.conns[0].expect("down").get_str("ref"),
+        Some(id.as_str())
+    );
     assert_eq!(fronts.program.exit_within(8 * SECOND).code(), Some(0));
     assert!(fronts.program.log().contains("reason=\"second-signal\""));
 }
@@ -305,9 +424,15 @@
 #[test]
 fn a_drain_is_taken_back_by_ready_also_after_sigterm_and_goes_on_where_it_is_not() {
     let mut fronts = start("notice = \"60s\"\nsettle = \"30s\"");
-    until("polled", || agent(fronts.agent).starts_with("up ready 100%").then_some(()));
+    until("polled", || {
+        agent(fronts.agent)
+            .starts_with("up ready 100%")
+            .then_some(())
+    });
     fronts.program.terminate();
-    until("draining", || agent(fronts.agent).starts_with("up drain").then_some(()));
+    until("draining", || {
+        agent(fronts.agent).starts_with("up drain").then_some(())
+    });
     assert!(ctl(&fronts.socket, &["ready"]).0);
     assert!(agent(fronts.agent).starts_with("up ready"));
     // Well beyond where a drain with nobody polling would have ended.
@@ -328,14 +453,20 @@
     fronts.program.terminate();
     assert_eq!(fronts.program.exit().code(), Some(0));
     let log = fronts.program.log();
-    assert!(log.contains("from=starting to=drain") && log.contains("from=drain to=stopped"), "{log}");
+    assert!(
+        log.contains("from=starting to=drain") && log.contains("from=drain to=stopped"),
+        "{log}"
+    );
 }
 
 #[test]
 fn connections_without_a_task_are_closed_and_standing_tasks_are_left_by_name_at_their_bound() {
     let mut fronts = start("settle = \"100ms\"\nquiet = \"300ms\"\nstanding = \"2s\"");
-    let (mut idle, mut busy, mut standing) =
-        (fronts.program.client(), fronts.program.client(), fronts.program.client());
+    let (mut idle, mut busy, mut standing) = (
+        fronts.program.client(),
+        fronts.program.client(),
+        fronts.program.client(),
+    );
     assert!(idle.test());
     for (client, id) in [(&mut standing, 1), (&mut busy, 2)] {
         client.set_up(id, &QUICK);
@@ -361,7 +492,8 @@
     assert_eq!(fronts.program.exit().code(), Some(0));
     let log = fronts.program.log();
     assert!(
-        log.contains(&format!("left standing task={}", hex(1))) && log.contains("reason=\"standing-bound\""),
+        log.contains(&format!("left standing task={}", hex(1)))
+            && log.contains("reason=\"standing-bound\""),
         "{log}"
     );
     assert!(log.contains("reason=draining"), "{log}");
@@ -381,7 +513,12 @@
         }
     }
     fronts.program.terminate();
-    assert_eq!(fronts.program.exit_within(20 * SECOND).code(), Some(0), "{}", fronts.program.log());
+    assert_eq!(
+        fronts.program.exit_within(20 * SECOND).code(),
+        Some(0),
+        "{}",
+        fronts.program.log()
+    );
 }
 
 // ---- The log ----
@@ -399,7 +536,11 @@
 fn a_log_that_nobody_reads_or_that_is_closed_stops_nothing() {
     for closed in [false, true] {
         let books: Arc<Mutex<Books>> = Arc::default();
-        let habits = Habits { start: Duration::from_millis(5), life: SECOND, room: 100 };
+        let habits = Habits {
+            start: Duration::from_millis(5),
+            life: SECOND,
+            room: 100,
+        };
         let host = LiveHost::start("h0", "north", habits, books);
         let feed = LiveFeed::start();
         let config = standin::deployment("n0", 0, 1, &feed.address(), vec![host.entry("up")]);
@@ -410,8 +551,10 @@
         } else {
             Some(reader)
         };
-        let mut program =
-            Launch::new(&config).operator("[log]\nqueue-bytes = 4096\n").log_to(Stdio::from(writer)).start();
+        let mut program = Launch::new(&config)
+            .operator("[log]\nqueue-bytes = 4096\n")
+            .log_to(Stdio::from(writer))
+            .start();
         drop(program.client());
         // More than the pipe and the queue hold.
         chatter(&program, 1_500);
@@ -432,7 +575,8 @@
             });
             let text = told.join().expect("a reader");
             assert!(
-                text.contains("connection ended peer=\"client\"") && text.contains("reason=malformed:"),
+                text.contains("connection ended peer=\"client\"")
+                    && text.contains("reason=malformed:"),
                 "{text}"
             );
         }
@@ -444,7 +588,9 @@
 #[test]
 fn lines_can_be_json() {
     let feed = Feed::new();
-    let mut program = Launch::new(&config(&feed, vec![])).args(&["serve", "--log-format", "json"]).start();
+    let mut program = Launch::new(&config(&feed, vec![]))
+        .args(&["serve", "--log-format", "json"])
+        .start();
     chatter(program_ready(&program), 1);
     program.terminate();
     assert_eq!(program.exit().code(), Some(0));
@@ -453,8 +599,15 @@
         .lines()
         .map(|line| simd_json::to_owned_value(&mut line.as_bytes().to_vec()).expect(line))
         .collect();
-    let ended = lines.iter().find(|line| line.get_str("reason").is_some_and(|r| r.starts_with("malformed:")));
-    assert_eq!(ended.and_then(|line| line.get_str("peer")), Some("client"), "{log}");
+    let ended = lines.iter().find(|line| {
+        line.get_str("reason")
+            .is_some_and(|r| r.starts_with("malformed:"))
+    });
+    assert_eq!(
+        ended.and_then(|line| line.get_str("peer")),
+        Some("client"),
+        "{log}"
+    );
 }
 
 fn program_ready(program: &Program) -> &Program {
