--- a/tests/health_loop.rs
+++ b/tests/health_loop.rs
@@ -114,7 +114,10 @@
             // Polls come in turn, as balancers spread them.
             let phase = n as Micros * self.interval / came.len() as Micros / STEP * STEP;
             if (now - phase) % self.interval == 0 {
-                changes_of(&mut self.changes, &placer.health.handle(now, Event::Polled(0)));
+                changes_of(
+                    &mut self.changes,
+                    &placer.health.handle(now, Event::Polled(0)),
+                );
                 let weight = match self.rule {
                     Rule::Ours => u32::from(placer.health.report(now).0.weight),
                     Rule::Naive => (100.0 - 100.0 * placer.load).clamp(1.0, 100.0) as u32,
@@ -123,8 +126,16 @@
             }
         }
         while self.acts.front().is_some_and(|(at, ..)| *at <= now) {
-            let Some((_, n, weight)) = self.acts.pop_front() else { break };
-            self.balancer.advised(n, Advice { weight: Some(weight), ..Advice::default() });
+            let Some((_, n, weight)) = self.acts.pop_front() else {
+                break;
+            };
+            self.balancer.advised(
+                n,
+                Advice {
+                    weight: Some(weight),
+                    ..Advice::default()
+                },
+            );
         }
         for (n, placer) in self.placers.iter_mut().enumerate() {
             placer.weights.push(self.balancer.servers[n].weight as u8);
@@ -134,7 +145,9 @@
     /// What the balancer held of a placer's weight in the last so many seconds.
     fn weights(&self, n: usize, seconds: i64) -> &[u8] {
         let weights = &self.placers[n].weights;
-        &weights[weights.len().saturating_sub((seconds * SECOND / STEP) as usize)..]
+        &weights[weights
+            .len()
+            .saturating_sub((seconds * SECOND / STEP) as usize)..]
     }
 
     /// The distance between its lowest and highest.
@@ -146,7 +159,11 @@
     /// A placer's share of what came in the last so many seconds.
     fn share(&self, n: usize, seconds: i64) -> f64 {
         let last = (seconds * SECOND / STEP) as usize;
-        let of = |p: &Placer| p.taken[p.taken.len().saturating_sub(last)..].iter().sum::<f64>();
+        let of = |p: &Placer| {
+            p.taken[p.taken.len().saturating_sub(last)..]
+                .iter()
+                .sum::<f64>()
+        };
         of(&self.placers[n]) / self.placers.iter().map(of).sum::<f64>()
     }
 
@@ -162,13 +179,19 @@
             };
             of(&self.placers[n]) / self.placers.iter().map(of).sum::<f64>()
         };
-        (0..=seconds - 30).rev().find(|from| (over(*from) - end).abs() > end / 3.0).map_or(0, |from| from + 1)
+        (0..=seconds - 30)
+            .rev()
+            .find(|from| (over(*from) - end).abs() > end / 3.0)
+            .map_or(0, |from| from + 1)
     }
 }
 
 /// Counts changes of weight or state.
 fn changes_of(count: &mut usize, changes: &[Change]) {
-    *count += changes.iter().filter(|c| matches!(c, Change::Weight(..) | Change::State(_))).count();
+    *count += changes
+        .iter()
+        .filter(|c| matches!(c, Change::Weight(..) | Change::State(_)))
+        .count();
 }
 
 impl Placer {
@@ -185,7 +208,10 @@
         // With a step's work left the loop did not come round.
         if self.waiting < able.max(1.0) {
             for turn in 1..=10 {
-                changes.extend(self.health.handle(now - STEP + turn * STEP / 10, Event::Turn));
+                changes.extend(
+                    self.health
+                        .handle(now - STEP + turn * STEP / 10, Event::Turn),
+                );
             }
         }
         let wait = self.waiting / self.able.max(0.001);
@@ -195,15 +221,36 @@
             // The hosts turn away what they can't bear, the same for all.
             let turn = (now / STEP * 7919 % 1000) as f64 / 1000.0;
             let full = turn < refused;
-            let (outcome, detail) =
-                if full { (Outcome::Full, Detail::NoCores) } else { (Outcome::Ok, Detail::None) };
-            changes.extend(self.health.handle(now, Event::Offer { outcome, detail, stretch: 0.1 }));
-            changes.extend(self.health.handle(now, Event::Answered { in_aim: !full && wait < AIM }));
+            let (outcome, detail) = if full {
+                (Outcome::Full, Detail::NoCores)
+            } else {
+                (Outcome::Ok, Detail::None)
+            };
+            changes.extend(self.health.handle(
+                now,
+                Event::Offer {
+                    outcome,
+                    detail,
+                    stretch: 0.1,
+                },
+            ));
+            changes.extend(self.health.handle(
+                now,
+                Event::Answered {
+                    in_aim: !full && wait < AIM,
+                },
+            ));
         }
         if now % (5 * STEP) == 0 {
             // Under refusals asks are held and come again: the oldest is past its aim everywhere.
             let oldest = if refused > 0.0 { 2.0 } else { wait / AIM };
-            changes.extend(self.health.handle(now, Event::Look(Gauges { oldest, ..Gauges::default() })));
+            changes.extend(self.health.handle(
+                now,
+                Event::Look(Gauges {
+                    oldest,
+                    ..Gauges::default()
+                }),
+            ));
         }
         if self.feed && now % SECOND == 0 {
             changes.extend(self.health.handle(now, Event::Feed));
@@ -224,7 +271,10 @@
                 let mut world = World::settled(rule, placers, interval);
                 world.load = 0.85 * ABLE * placers as f64;
                 world.run(120);
-                (0..placers).map(|n| world.swing(n, 60)).max().expect("some")
+                (0..placers)
+                    .map(|n| world.swing(n, 60))
+                    .max()
+                    .expect("some")
             });
             eprintln!(
                 "step of load, {placers} placers, polls each {} ms: swing {ours}, naive {naive}",
@@ -232,7 +282,10 @@
             );
             assert_eq!(ours, 0);
             if interval >= 2 * SECOND {
-                assert!(naive >= 20, "the baseline shows what it is there for: {naive}");
+                assert!(
+                    naive >= 20,
+                    "the baseline shows what it is there for: {naive}"
+                );
             }
         }
     }
@@ -255,7 +308,10 @@
                 world.run(180 - halved.unwrap_or(60));
                 if rule == Rule::Ours {
                     for n in 1..placers {
-                        assert!(*world.weights(n, 60).iter().min().expect("some") >= 90, "{n} stays whole");
+                        assert!(
+                            *world.weights(n, 60).iter().min().expect("some") >= 90,
+                            "{n} stays whole"
+                        );
                     }
                 }
                 (
@@ -285,10 +341,24 @@
                 naive.5,
             );
             let soon = 3 + 4 * interval / SECOND;
-            assert!(ours.1.is_some_and(|s| s <= soon), "its share is halved within {soon} s: {:?}", ours.1);
+            assert!(
+                ours.1.is_some_and(|s| s <= soon),
+                "its share is halved within {soon} s: {:?}",
+                ours.1
+            );
             // It can bear half of its portion, and gets not much more, nor nothing.
-            assert!(ours.2 < 0.62 * ours.0 && ours.2 > 0.1 * ours.0, "{} of {}", ours.2, ours.0);
-            assert!(ours.3 <= 60 && ours.4 <= 90, "swing {} settling {}", ours.3, ours.4);
+            assert!(
+                ours.2 < 0.62 * ours.0 && ours.2 > 0.1 * ours.0,
+                "{} of {}",
+                ours.2,
+                ours.0
+            );
+            assert!(
+                ours.3 <= 60 && ours.4 <= 90,
+                "swing {} settling {}",
+                ours.3,
+                ours.4
+            );
         }
     }
 }
@@ -304,7 +374,10 @@
         world.placers[0].able = ABLE;
         world.run(200);
         let back = world.share(0, 20);
-        eprintln!("recovery, polls each {} ms: share {low:.3} to {back:.3}", interval / 1_000);
+        eprintln!(
+            "recovery, polls each {} ms: share {low:.3} to {back:.3}",
+            interval / 1_000
+        );
         assert!(low < 0.25 && back > 0.31, "{low} {back}");
         assert_eq!(world.placers[0].health.state(), State::Up);
         assert!(*world.weights(0, 20).iter().min().expect("some") >= 95);
@@ -321,8 +394,14 @@
         let (early, portion) = (world.share(0, 2), 1.0 / placers as f64);
         world.run(30);
         let late = world.share(0, 10);
-        assert!(early < 0.6 * portion && late > 0.9 * portion, "{early} {late}");
-        assert!((1..placers).all(|n| world.swing(n, 35) == 0), "nobody else moves");
+        assert!(
+            early < 0.6 * portion && late > 0.9 * portion,
+            "{early} {late}"
+        );
+        assert!(
+            (1..placers).all(|n| world.swing(n, 35) == 0),
+            "nobody else moves"
+        );
     }
 }
 
@@ -335,7 +414,10 @@
             world.run(120);
             for n in 0..placers {
                 let least = *world.weights(n, 115).iter().min().expect("some");
-                assert!(least >= 50, "weights do not collapse: {n} of {placers}, polls {interval}: {least}");
+                assert!(
+                    least >= 50,
+                    "weights do not collapse: {n} of {placers}, polls {interval}: {least}"
+                );
                 assert!(
                     *world.weights(n, 60).iter().min().expect("some") >= 95,
                     "{n} of {placers}, polls {interval}: nor stay low"
@@ -343,12 +425,18 @@
             }
         }
         let mut world = World::settled(Rule::Ours, placers, 2 * SECOND);
-        world.placers.iter_mut().for_each(|placer| placer.feed = false);
+        world
+            .placers
+            .iter_mut()
+            .for_each(|placer| placer.feed = false);
         world.run(120);
         let portion = 1.0 / placers as f64;
         for n in 0..placers {
             let share = world.share(n, 30);
-            assert!((share - portion).abs() < 0.1 * portion, "all alike, all served: {share}");
+            assert!(
+                (share - portion).abs() < 0.1 * portion,
+                "all alike, all served: {share}"
+            );
             assert!(world.weights(n, 30).iter().all(|w| (35..100).contains(w)));
         }
         // Of one alone it does show.
--- a/tests/health_random.rs
+++ b/tests/health_random.rs
@@ -28,14 +28,16 @@
         figure.clone(),
         figure,
     )
-        .prop_map(|(oldest, zones, (roomy, full), descriptors, queues)| Gauges {
-            oldest,
-            zones,
-            roomy,
-            full,
-            descriptors,
-            queues,
-        });
+        .prop_map(
+            |(oldest, zones, (roomy, full), descriptors, queues)| Gauges {
+                oldest,
+                zones,
+                roomy,
+                full,
+                descriptors,
+                queues,
+            },
+        );
     let outcome = prop_oneof![
         Just(Outcome::Ok),
         Just(Outcome::Full),
@@ -43,12 +45,17 @@
         Just(Outcome::Reset),
         Just(Outcome::Error)
     ];
-    let detail = prop_oneof![Just(Detail::None), Just(Detail::NoCores), Just(Detail::NotHere)];
-    let offer = (outcome, detail, 0.0..3.0f64).prop_map(|(outcome, detail, stretch)| Event::Offer {
-        outcome,
-        detail,
-        stretch,
-    });
+    let detail = prop_oneof![
+        Just(Detail::None),
+        Just(Detail::NoCores),
+        Just(Detail::NotHere)
+    ];
+    let offer =
+        (outcome, detail, 0.0..3.0f64).prop_map(|(outcome, detail, stretch)| Event::Offer {
+            outcome,
+            detail,
+            stretch,
+        });
     let order = prop_oneof![Just(Order::Drain), Just(Order::Maint), Just(Order::Ready)];
     let event = prop_oneof![
         6 => Just(Event::Turn),
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -31,7 +31,9 @@
     while reader.read_line(&mut line).ok()? > 0 {
         if let Some(start) = line.find('{') {
             let mut json = line.as_bytes().get(start..)?.to_vec();
-            return simd_json::to_owned_value(&mut json).ok()?.get_u64("hosts_known");
+            return simd_json::to_owned_value(&mut json)
+                .ok()?
+                .get_u64("hosts_known");
         }
         line.clear();
     }
@@ -59,7 +61,15 @@
 
 fn place(program: &Program, host: &Host, id: u64) -> HostConn {
     let mut client = program.client();
-    client.set_up(id, &standin::Ask { class: "quick", wait_ms: 6_000, service: id, at: None });
+    client.set_up(
+        id,
+        &standin::Ask {
+            class: "quick",
+            wait_ms: 6_000,
+            service: id,
+            at: None,
+        },
+    );
     let mut conn = host.accept();
     assert_eq!(conn.offer(), hex(id));
     conn.up(&hex(id));
@@ -76,7 +86,10 @@
         let mut hosts: Vec<OwnedValue> = (0..count - 1).map(|n| full(n, "up", -40)).collect();
         hosts.push(host.entry("up", 0));
         let line = event(2, true, hosts);
-        assert!(line.encode().len() > 1_048_576, "the case needs a long line");
+        assert!(
+            line.encode().len() > 1_048_576,
+            "the case needs a long line"
+        );
         feed.tell(&line);
         until("all are known", || {
             assert!(!program.log().contains("too-long"), "{}", program.log());
@@ -89,15 +102,35 @@
 #[test]
 fn a_thousand_entries_in_one_line_and_a_thousand_lines_of_one_entry_come_to_the_same() {
     let (program, mut feed, _host, mut conn, admin) = start();
-    feed.tell(&event(2, false, (0..1_000).map(|n| full(n, "up", -40)).collect()));
-    until("all are known", || (hosts_known(&admin) == Some(1_001)).then_some(()));
+    feed.tell(&event(
+        2,
+        false,
+        (0..1_000).map(|n| full(n, "up", -40)).collect(),
+    ));
+    until("all are known", || {
+        (hosts_known(&admin) == Some(1_001)).then_some(())
+    });
     for n in 0..1_000 {
         feed.tell(&event(3 + n as u64, false, vec![full(n, "removed", -40)]));
     }
-    until("all are gone", || (hosts_known(&admin) == Some(1)).then_some(()));
+    until("all are gone", || {
+        (hosts_known(&admin) == Some(1)).then_some(())
+    });
     let mut client = program.client();
-    client.set_up(7, &standin::Ask { class: "quick", wait_ms: 6_000, service: 7, at: None });
-    assert_eq!(conn.offer(), hex(7), "the host that was not named is as it was");
+    client.set_up(
+        7,
+        &standin::Ask {
+            class: "quick",
+            wait_ms: 6_000,
+            service: 7,
+            at: None,
+        },
+    );
+    assert_eq!(
+        conn.offer(),
+        hex(7),
+        "the host that was not named is as it was"
+    );
 }
 
 /// A drain that is told between thousands of other events, and a whole list among them, holds from when it was told:
@@ -125,14 +158,27 @@
     std::thread::sleep(Duration::from_millis(1_500));
     let mut client = program.client();
     for id in 100..108 {
-        client.set_up(id, &standin::Ask { class: "once", wait_ms: 6_000, service: id, at: None });
+        client.set_up(
+            id,
+            &standin::Ask {
+                class: "once",
+                wait_ms: 6_000,
+                service: id,
+                at: None,
+            },
+        );
     }
     let mut there = second.accept();
     for id in 100..108 {
-        assert_eq!(there.offer(), hex(id), "offers go to the host that is up, in order");
+        assert_eq!(
+            there.offer(),
+            hex(id),
+            "offers go to the host that is up, in order"
+        );
     }
     assert!(
-        conn.read_within(QUIET).is_none_or(|m| m.get_str("t") != Some("new")),
+        conn.read_within(QUIET)
+            .is_none_or(|m| m.get_str("t") != Some("new")),
         "nothing goes to the other"
     );
 }
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -11,8 +11,13 @@
 /// A program that takes calls, with its hosts.
 fn start_with_calls(hosts: usize) -> (Program, Calls, Feed, Vec<Host>, Vec<HostConn>) {
     let mut feed = Feed::new();
-    let hosts: Vec<Host> = (0..hosts).map(|n| Host::new(&format!("h{n}"), "north")).collect();
-    let (config, calls) = with_calls(config(&feed, hosts.iter().map(|h| h.entry("up", 0)).collect()));
+    let hosts: Vec<Host> = (0..hosts)
+        .map(|n| Host::new(&format!("h{n}"), "north"))
+        .collect();
+    let (config, calls) = with_calls(config(
+        &feed,
+        hosts.iter().map(|h| h.entry("up", 0)).collect(),
+    ));
     let program = Program::start(&config);
     assert_eq!(feed.subscribed(), 1);
     feed.tell(&json!({ "n": 1 }));
@@ -22,7 +27,9 @@
 
 fn with_calls(mut config: OwnedValue) -> (OwnedValue, Calls) {
     let address = free_address();
-    config.insert("admin", address.to_string()).expect("an object");
+    config
+        .insert("admin", address.to_string())
+        .expect("an object");
     (config, Calls(address))
 }
 
@@ -32,17 +39,32 @@
 fn calls_are_answered_beside_callers_that_say_half_a_line() {
     let (_program, calls, _feed, _hosts, _conns) = start_with_calls(1);
     until("it serves", || calls.check().then_some(()));
-    for (line, begins) in [("checks", "fail "), ("", "fail "), ("drain-off", "ok\n"), ("check", "ok\n")] {
-        assert!(calls.call(line).starts_with(begins), "{line:?}: {:?}", calls.call(line));
+    for (line, begins) in [
+        ("checks", "fail "),
+        ("", "fail "),
+        ("drain-off", "ok\n"),
+        ("check", "ok\n"),
+    ] {
+        assert!(
+            calls.call(line).starts_with(begins),
+            "{line:?}: {:?}",
+            calls.call(line)
+        );
     }
     assert!(calls.call(&"x".repeat(4_096)).starts_with("fail "));
     // Three times as many as there are places.
     let mut halves: Vec<_> = (0..24).map(|_| calls.connect()).collect();
-    halves.iter_mut().for_each(|half| half.write_all(b"che").expect("it reads"));
+    halves
+        .iter_mut()
+        .for_each(|half| half.write_all(b"che").expect("it reads"));
     for _ in 0..10 {
         let asked = Instant::now();
         assert!(calls.check());
-        assert!(asked.elapsed() < Duration::from_secs(1), "{:?}", asked.elapsed());
+        assert!(
+            asked.elapsed() < Duration::from_secs(1),
+            "{:?}",
+            asked.elapsed()
+        );
     }
 }
 
@@ -51,12 +73,21 @@
     let feed = Feed::new();
     let (config, first) = with_calls(config(&feed, Vec::new()));
     let second = Calls(free_address());
-    let program = Launch::new(&config).env("LB_ADMIN", &second.0.to_string()).start();
+    let program = Launch::new(&config)
+        .env("LB_ADMIN", &second.0.to_string())
+        .start();
     until("it serves", || second.check().then_some(()));
-    assert!(std::net::TcpStream::connect(first.0).is_err(), "{}", program.log());
+    assert!(
+        std::net::TcpStream::connect(first.0).is_err(),
+        "{}",
+        program.log()
+    );
     let out = Launch::new(&config).env("LB_ADMIN", "nowhere").output();
     let said = String::from_utf8_lossy(&out.stderr).into_owned();
-    assert!(!out.status.success() && said.contains("LB_ADMIN: nowhere"), "{said}");
+    assert!(
+        !out.status.success() && said.contains("LB_ADMIN: nowhere"),
+        "{said}"
+    );
 }
 
 #[test]
@@ -75,7 +106,9 @@
         (&nowhere, "check", 2, ""),
         (&at, "explode", 2, ""),
     ] {
-        let out = Launch::text("{}").args(&["call", "--at", at, call]).output();
+        let out = Launch::text("{}")
+            .args(&["call", "--at", at, call])
+            .output();
         let said = String::from_utf8_lossy(&out.stdout).into_owned();
         assert_eq!(out.status.code(), Some(code), "{call}: {out:?}");
         assert!(said.ends_with(says), "{call}: {said}");
@@ -107,7 +140,13 @@
     assert_eq!(client.read().kind, 9);
     client.set_up(4, &ONCE);
     let (at, id) = offered(&mut conns);
-    client.set_up(2, &Ask { wait_ms: 600, ..ONCE });
+    client.set_up(
+        2,
+        &Ask {
+            wait_ms: 600,
+            ..ONCE
+        },
+    );
     let mut attempts = 0;
     let refusal = loop {
         for conn in &mut conns {
@@ -120,23 +159,51 @@
             break message.expect("an answer");
         }
     };
-    assert!(attempts > 0 && refusal.cause() == 42, "{attempts}: {refusal:?}");
-    client.set_up(3, &Ask { wait_ms: 1_000_000, ..ONCE });
+    assert!(
+        attempts > 0 && refusal.cause() == 42,
+        "{attempts}: {refusal:?}"
+    );
+    client.set_up(
+        3,
+        &Ask {
+            wait_ms: 1_000_000,
+            ..ONCE
+        },
+    );
     assert_eq!(client.read().cause(), 47);
     let figures = calls.figures();
-    let whole = |name: &str| figures.get_u64(name).unwrap_or_else(|| panic!("{name}: {figures}"));
-    assert_eq!((whole("in_flight"), whole("hosts_known"), whole("hosts_excluded")), (2, 2, 0));
-    let counts =
-        |class: &str| ["served", "refused", "failed", "attempts"].map(|what| calls.count(class, what));
-    assert_eq!((counts("quick"), counts("once")), ([1, 0, 0, 2], [0, 1, 1, attempts + 1]));
+    let whole = |name: &str| {
+        figures
+            .get_u64(name)
+            .unwrap_or_else(|| panic!("{name}: {figures}"))
+    };
+    assert_eq!(
+        (
+            whole("in_flight"),
+            whole("hosts_known"),
+            whole("hosts_excluded")
+        ),
+        (2, 2, 0)
+    );
+    let counts = |class: &str| {
+        ["served", "refused", "failed", "attempts"].map(|what| calls.count(class, what))
+    };
+    assert_eq!(
+        (counts("quick"), counts("once")),
+        ([1, 0, 0, 2], [0, 1, 1, attempts + 1])
+    );
     assert_eq!(whole("attempts"), attempts + 3);
     conns[at].up(&id);
     assert_eq!(client.read().kind, 9);
     // A host that drains is known, and avoided.
     feed.event(2, &hosts[0], "draining");
-    until("it avoids one", || (calls.figures().get_u64("hosts_excluded") == Some(1)).then_some(()));
+    until("it avoids one", || {
+        (calls.figures().get_u64("hosts_excluded") == Some(1)).then_some(())
+    });
     feed.event(3, &hosts[0], "removed");
-    until("it forgets it", || (calls.figures().get_u64("hosts_known") == Some(1)).then_some(()));
+    until("it forgets it", || {
+        (calls.figures().get_u64("hosts_known") == Some(1)).then_some(())
+    });
     assert_eq!(calls.figures().get_u64("hosts_excluded"), Some(0));
 }
 
@@ -145,8 +212,12 @@
 #[test]
 fn a_drain_empties_connections_without_turning_anything_away_and_is_taken_back() {
     let (program, calls, _feed, _hosts, mut conns) = start_with_calls(1);
-    let (mut idle, mut stood, mut busy, mut half) =
-        (program.client(), program.client(), program.client(), program.client());
+    let (mut idle, mut stood, mut busy, mut half) = (
+        program.client(),
+        program.client(),
+        program.client(),
+        program.client(),
+    );
     assert!(idle.test() && busy.test() && half.test());
     stood.set_up(1, &QUICK);
     let standing = conns[0].offer();
@@ -201,7 +272,10 @@
     conns[0].down(&id, 16, "");
     conns[0].expect("ack");
     let mut front = program.client();
-    assert!(front.test() && front.test(), "nothing but results comes on it");
+    assert!(
+        front.test() && front.test(),
+        "nothing but results comes on it"
+    );
     let mut next = program.client();
     next.set_up(2, &QUICK);
     let end = next.read();
@@ -223,7 +297,11 @@
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
         config.insert("listen", address).expect("an object");
-        Processes { config, listener, folder: tempfile::tempdir().expect("a folder") }
+        Processes {
+            config,
+            listener,
+            folder: tempfile::tempdir().expect("a folder"),
+        }
     }
 
     /// Starts one more, which serves, and where it takes calls.
@@ -231,7 +309,9 @@
         let calls = Calls(free_address());
         let launch = Launch::new(&self.config).inherits(&self.listener);
         let launch = launch.env("LB_ADMIN", &calls.0.to_string());
-        let program = launch.env("TMPDIR", &self.folder.path().to_string_lossy()).start();
+        let program = launch
+            .env("TMPDIR", &self.folder.path().to_string_lossy())
+            .start();
         until("it serves", || calls.check().then_some(()));
         (program, calls)
     }
@@ -269,7 +349,13 @@
     // Whoever comes now is the new one's.
     let mut next_conn = hosts[0].accept();
     let mut late = new.client();
-    late.set_up(3, &Ask { service: 8, ..QUICK });
+    late.set_up(
+        3,
+        &Ask {
+            service: 8,
+            ..QUICK
+        },
+    );
     let id = next_conn.offer();
     next_conn.up(&id);
     assert_eq!((late.read().kind, late.test()), (9, true));
@@ -291,7 +377,13 @@
     assert_eq!(busy.next_message(), None);
     new.logged("others=0");
     // What still stood is named to the new one.
-    late.set_up(2, &Ask { at: Some("h0"), ..ONCE });
+    late.set_up(
+        2,
+        &Ask {
+            at: Some("h0"),
+            ..ONCE
+        },
+    );
     assert!(late.test());
     next_conn.down(&open, 16, "");
     let end = late.read();
@@ -311,7 +403,10 @@
     first.logged("others=1");
     other.logged("others=1");
     // It starts once both are there: what one of them sent before it started it can't know.
-    let starts = format!("{}\n", event(2, false, vec![host.entry("up", unix_ms())]).encode());
+    let starts = format!(
+        "{}\n",
+        event(2, false, vec![host.entry("up", unix_ms())]).encode()
+    );
     let _subscriptions = [0; 2].map(|_| {
         assert_eq!(feed.subscribed(), 1);
         let mut told = feed.stream_taken().expect("a subscription");
@@ -321,10 +416,19 @@
     let mut conns = [host.accept(), host.accept()];
     let mut client = first.client();
     for id in 1..6 {
-        client.set_up(id, &Ask { service: id, ..QUICK });
+        client.set_up(
+            id,
+            &Ask {
+                service: id,
+                ..QUICK
+            },
+        );
     }
     let mut offers = 0;
-    while conns.iter_mut().any(|conn| conn.read_within(QUIET / 2).is_some()) {
+    while conns
+        .iter_mut()
+        .any(|conn| conn.read_within(QUIET / 2).is_some())
+    {
         offers += 1;
     }
     assert_eq!(offers, 1, "{}{}", first.log(), other.log());
@@ -335,11 +439,20 @@
     let feed = Feed::new();
     let (config, _) = with_calls(config(&feed, Vec::new()));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    for (number, says) in [("5", "listens at"), ("4", "LB_ACCEPT_FD: 4: "), ("five", "LB_ACCEPT_FD: five: ")]
-    {
-        let out = Launch::new(&config).inherits(&listener).env("LB_ACCEPT_FD", number).output();
+    for (number, says) in [
+        ("5", "listens at"),
+        ("4", "LB_ACCEPT_FD: 4: "),
+        ("five", "LB_ACCEPT_FD: five: "),
+    ] {
+        let out = Launch::new(&config)
+            .inherits(&listener)
+            .env("LB_ACCEPT_FD", number)
+            .output();
         let said = String::from_utf8_lossy(&out.stderr).into_owned();
-        assert!(!out.status.success() && said.contains(says), "{number}: {said}");
+        assert!(
+            !out.status.success() && said.contains(says),
+            "{number}: {said}"
+        );
     }
 }
 
@@ -350,9 +463,17 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     config.insert("listen", address).expect("an object");
-    let program = Launch::new(&config).inherits(&listener).env("TMPDIR", "/nowhere/at/all").start();
+    let program = Launch::new(&config)
+        .inherits(&listener)
+        .env("TMPDIR", "/nowhere/at/all")
+        .start();
     until("it serves", || calls.check().then_some(()));
     program.logged("processes do not meet");
     std::thread::sleep(QUIET);
-    assert_eq!(program.log().matches("processes do not meet").count(), 1, "{}", program.log());
+    assert_eq!(
+        program.log().matches("processes do not meet").count(),
+        1,
+        "{}",
+        program.log()
+    );
 }
--- a/tests/overload/main.rs
+++ b/tests/overload/main.rs
@@ -12,7 +12,10 @@
 fn table() {
     for parts in [Parts::default(), Parts::all()] {
         for placers in [1, 3, 12, 30] {
-            let mut line = format!("{} {placers:>3}", if parts.any() { "as one" } else { "before" });
+            let mut line = format!(
+                "{} {placers:>3}",
+                if parts.any() { "as one" } else { "before" }
+            );
             for seed in 1..=3 {
                 let out = Model::play(Day::crowd(placers, 1.8, parts.clone(), seed));
                 line.push_str(&format!(
@@ -29,7 +32,11 @@
 }
 
 fn day(placers: usize, parts: Parts) -> Day {
-    Day { load: vec![(0, 0.6)], length: 16 * SECOND, ..Day::crowd(placers, 1.0, parts, 1) }
+    Day {
+        load: vec![(0, 0.6)],
+        length: 16 * SECOND,
+        ..Day::crowd(placers, 1.0, parts, 1)
+    }
 }
 
 /// What each case comes to, before and as one: for people.
@@ -69,76 +76,113 @@
             out.trials
         );
         assert!(with(placers, &out), "{name}, {placers} placers: {told}");
-        assert_eq!((out.unanswered, out.twice), (0, 0), "{name}, {placers} placers");
+        assert_eq!(
+            (out.unanswered, out.twice),
+            (0, 0),
+            "{name}, {placers} placers"
+        );
     }
     let out = Model::play(make(12, without.clone()));
-    assert!(!with(12, &out), "{name}: the same without it: {:.3} {:.3}", out.whole(), out.in_aim(12, 16));
+    assert!(
+        !with(12, &out),
+        "{name}: the same without it: {:.3} {:.3}",
+        out.whole(),
+        out.in_aim(12, 16)
+    );
 }
 
 /// The most offers in a quarter of a second at one host in trouble, from a time on, when all know of it.
 fn trials(out: &Outcome, from: Micros) -> u32 {
-    let late = out.trials.iter().filter(|((_, quarter), _)| quarter * 250 * MS >= from);
+    let late = out
+        .trials
+        .iter()
+        .filter(|((_, quarter), _)| quarter * 250 * MS >= from);
     late.map(|(_, count)| *count).max().unwrap_or(0)
 }
 
 #[test]
 fn a_crowd_of_three_times_what_hosts_start_is_met_alike_by_three_placers_and_by_thirty() {
-    shown("a crowd x3", &Parts::default(), |_, out| out.whole() > 0.32 && out.offers_a_task() < 0.6);
+    shown("a crowd x3", &Parts::default(), |_, out| {
+        out.whole() > 0.32 && out.offers_a_task() < 0.6
+    });
 }
 
 #[test]
 fn b_a_room_lost_at_load_and_back_cold_leaves_no_overload_behind() {
-    shown("b room", &Parts::default(), |_, out| out.whole() > 0.93 && out.in_aim(12, 16) > 0.95);
+    shown("b room", &Parts::default(), |_, out| {
+        out.whole() > 0.93 && out.in_aim(12, 16) > 0.95
+    });
 }
 
 #[test]
 fn c_placers_killed_in_a_crowd_and_back_do_not_bring_it_back() {
-    shown("c killed", &Parts::default(), |_, out| out.whole() > 0.52 && out.in_aim(12, 16) > 0.95);
+    shown("c killed", &Parts::default(), |_, out| {
+        out.whole() > 0.52 && out.in_aim(12, 16) > 0.95
+    });
 }
 
 #[test]
 fn c_placers_stalled_in_a_crowd_do_not_either() {
-    shown("c stalled", &Parts::default(), |_, out| out.whole() > 0.49 && out.in_aim(12, 16) > 0.95);
+    shown("c stalled", &Parts::default(), |_, out| {
+        out.whole() > 0.49 && out.in_aim(12, 16) > 0.95
+    });
 }
 
 #[test]
 fn d_one_placer_with_bad_links_is_not_taken_for_the_fleet() {
-    shown("d one link", &Parts::default(), |_, out| out.whole() > 0.97 && out.in_aim(12, 16) > 0.98);
+    shown("d one link", &Parts::default(), |_, out| {
+        out.whole() > 0.97 && out.in_aim(12, 16) > 0.98
+    });
 }
 
 #[test]
 fn e_a_cell_out_of_reach_of_all_is_tried_by_turns_whatever_the_number_of_placers() {
     // Turns of two groups may fall into one quarter of the clock.
     let bound = 2 * turns::Settings::default().callers as u32;
-    shown("e cell", &Parts::default(), |_, out| out.whole() > 0.9 && trials(out, 6 * SECOND) <= bound);
+    shown("e cell", &Parts::default(), |_, out| {
+        out.whole() > 0.9 && trials(out, 6 * SECOND) <= bound
+    });
 }
 
 #[test]
 fn f_a_list_ten_seconds_late_does_not_make_an_overload_worse() {
-    shown("f late list", &Parts::default(), |_, out| out.whole() > 0.56 && out.in_aim(12, 16) > 0.95);
+    shown("f late list", &Parts::default(), |_, out| {
+        out.whole() > 0.56 && out.in_aim(12, 16) > 0.95
+    });
 }
 
 #[test]
 fn g_clients_who_do_not_wait_as_told_do_not_crowd_out_those_who_do() {
     // Half of them; without the line and the order it is all one.
-    shown("g clients", &Parts { returns: true, ..Parts::default() }, |_, out| {
-        out.whole() > 0.55 && out.in_aim(12, 16) > 0.95
-    });
+    shown(
+        "g clients",
+        &Parts {
+            returns: true,
+            ..Parts::default()
+        },
+        |_, out| out.whole() > 0.55 && out.in_aim(12, 16) > 0.95,
+    );
 }
 
 #[test]
 fn h_a_placer_with_seven_tenths_of_the_traffic_gets_its_part_of_the_hosts() {
-    shown("h uneven", &Parts::default(), |_, out| out.whole() > 0.53 && out.offers_a_task() < 0.95);
+    shown("h uneven", &Parts::default(), |_, out| {
+        out.whole() > 0.53 && out.offers_a_task() < 0.95
+    });
 }
 
 #[test]
 fn i_placers_that_restart_in_a_crowd_know_nothing_and_do_not_open_the_gate() {
-    shown("i restart", &Parts::default(), |_, out| out.whole() > 0.54 && out.in_aim(12, 16) > 0.95);
+    shown("i restart", &Parts::default(), |_, out| {
+        out.whole() > 0.54 && out.in_aim(12, 16) > 0.95
+    });
 }
 
 #[test]
 fn k_hosts_that_flap_do_not_take_the_others_down() {
-    shown("k flap", &Parts::default(), |_, out| out.whole() > 0.95 && out.in_aim(12, 16) > 0.97);
+    shown("k flap", &Parts::default(), |_, out| {
+        out.whole() > 0.95 && out.in_aim(12, 16) > 0.97
+    });
 }
 
 type Case = (&'static str, fn(usize, Parts) -> Day);
@@ -151,7 +195,10 @@
     }),
     ("b room", |n, parts| Day {
         load: vec![(0, 0.6)],
-        faults: vec![(3 * SECOND, Fault::Die(vec![0, 1])), (8 * SECOND, Fault::Rise(vec![0, 1]))],
+        faults: vec![
+            (3 * SECOND, Fault::Die(vec![0, 1])),
+            (8 * SECOND, Fault::Rise(vec![0, 1])),
+        ],
         ..day(n, parts)
     }),
     ("c killed", |n, parts| Day {
@@ -204,7 +251,12 @@
         load: vec![(0, 0.2), (2 * SECOND, 1.8), (8 * SECOND, 0.2)],
         faults: (0..n)
             .map(|p| (4 * SECOND + p as Micros * 100 * MS, p))
-            .flat_map(|(at, p)| [(at, Fault::Kill(vec![p])), (at + 50 * MS, Fault::Start(vec![p]))])
+            .flat_map(|(at, p)| {
+                [
+                    (at, Fault::Kill(vec![p])),
+                    (at + 50 * MS, Fault::Start(vec![p])),
+                ]
+            })
             .collect(),
         ..day(n, parts)
     }),
--- a/tests/overload/model.rs
+++ b/tests/overload/model.rs
@@ -113,7 +113,10 @@
 impl Outcome {
     /// The part that started in its aim, of what was due between two seconds.
     pub fn in_aim(&self, from: usize, to: usize) -> f64 {
-        let of = self.seconds.get(from..to.min(self.seconds.len())).unwrap_or_default();
+        let of = self
+            .seconds
+            .get(from..to.min(self.seconds.len()))
+            .unwrap_or_default();
         let sum = |f: fn(&Second) -> u32| of.iter().map(f).sum::<u32>();
         f64::from(sum(|s| s.in_aim)) / f64::from(sum(|s| s.due).max(1))
     }
@@ -131,13 +134,38 @@
 enum Ev {
     Due,
     Ask(usize),
-    Arrives { host: usize, id: u64, placer: usize, offer: Offer },
-    Stop { host: usize, id: u64, placer: usize },
+    Arrives {
+        host: usize,
+        id: u64,
+        placer: usize,
+        offer: Offer,
+    },
+    Stop {
+        host: usize,
+        id: u64,
+        placer: usize,
+    },
     Machine(usize),
-    Heard { placer: usize, id: u64, host: usize, word: Word },
-    Timeout { placer: usize, ticket: u64, attempt: u32 },
-    Answer { task: usize, id: u64, away: Option<Micros> },
-    GiveUp { task: usize, id: u64 },
+    Heard {
+        placer: usize,
+        id: u64,
+        host: usize,
+        word: Word,
+    },
+    Timeout {
+        placer: usize,
+        ticket: u64,
+        attempt: u32,
+    },
+    Answer {
+        task: usize,
+        id: u64,
+        away: Option<Micros>,
+    },
+    GiveUp {
+        task: usize,
+        id: u64,
+    },
     Tick(usize),
     Refresh,
     List(usize, Vec<Entry>),
@@ -222,13 +250,24 @@
 
 pub fn settings(me: usize, placers: usize) -> Settings {
     let base = Settings::example();
-    let class = Class { aim: SECOND, deadline: LIMIT, ..base.classes[0].clone() };
+    let class = Class {
+        aim: SECOND,
+        deadline: LIMIT,
+        ..base.classes[0].clone()
+    };
     Settings {
         me,
         placers,
         zone: None,
-        kinds: vec![Kind { cores: 200.0, memory: 400.0 }],
-        classes: vec![Class { calm: 1.0, fade: 0.5, ..class }],
+        kinds: vec![Kind {
+            cores: 200.0,
+            memory: 400.0,
+        }],
+        classes: vec![Class {
+            calm: 1.0,
+            fade: 0.5,
+            ..class
+        }],
         max_attempts: 4,
         probes: false,
         list_on_ask: true,
@@ -246,7 +285,12 @@
 
 fn names() -> Names {
     let one = |name: &str| vec![name.to_string()];
-    Names { classes: one("pagina"), tenants: Vec::new(), kinds: one("node"), zones: Vec::new() }
+    Names {
+        classes: one("pagina"),
+        tenants: Vec::new(),
+        kinds: one("node"),
+        zones: Vec::new(),
+    }
 }
 
 impl Model {
@@ -269,7 +313,12 @@
         model.out.steps = model
             .placers
             .iter()
-            .map(|p| p.facade.as_ref().and_then(|f| f.overload()).map_or(0, |o| o.step()))
+            .map(|p| {
+                p.facade
+                    .as_ref()
+                    .and_then(|f| f.overload())
+                    .map_or(0, |o| o.step())
+            })
             .collect();
         model.out
     }
@@ -326,10 +375,18 @@
     }
 
     fn start(&mut self, n: usize) {
-        let seed =
-            self.day.seed.wrapping_mul(0x9e37_79b9).wrapping_add(n as u64 * 1_000 + self.placers[n].life);
-        let mut facade =
-            Facade::bounded(settings(n, self.day.placers), names(), seed, self.day.parts.clone(), 0);
+        let seed = self
+            .day
+            .seed
+            .wrapping_mul(0x9e37_79b9)
+            .wrapping_add(n as u64 * 1_000 + self.placers[n].life);
+        let mut facade = Facade::bounded(
+            settings(n, self.day.placers),
+            names(),
+            seed,
+            self.day.parts.clone(),
+            0,
+        );
         facade.report(self.now, News::FeedUp);
         facade.report(self.now, News::Known(self.entries()));
         let placer = &mut self.placers[n];
@@ -347,7 +404,11 @@
                 zone: ZoneId(cell / self.day.room.max(1)),
                 cell: CellId(cell as u64),
                 kind: KindId(0),
-                state: if self.hosts[n].dead { HostState::Gone } else { HostState::Up },
+                state: if self.hosts[n].dead {
+                    HostState::Gone
+                } else {
+                    HostState::Up
+                },
                 ready_at: self.hosts[n].born,
                 free_cores,
                 free_memory,
@@ -379,9 +440,16 @@
         match event {
             Ev::Due => self.due(),
             Ev::Ask(task) => self.ask(task),
-            Ev::Arrives { host, id, placer, offer } => self.arrives(host, id, placer, offer),
+            Ev::Arrives {
+                host,
+                id,
+                placer,
+                offer,
+            } => self.arrives(host, id, placer, offer),
             Ev::Stop { host, id, placer } => {
-                if !self.cut.contains(&(placer, host)) && self.hosts[host].machine.stop(id) == Cut::Running {
+                if !self.cut.contains(&(placer, host))
+                    && self.hosts[host].machine.stop(id) == Cut::Running
+                {
                     self.hosts[host].of.remove(&id);
                 }
             }
@@ -415,7 +483,10 @@
                     // An answer that a dead or stalled placer owes is nobody's fault here.
                     let placer = (id >> 40) as usize;
                     let p = &self.placers[placer];
-                    if p.facade.is_some() && !p.stopped && p.requests.contains_key(&(id & 0xff_ffff_ffff)) {
+                    if p.facade.is_some()
+                        && !p.stopped
+                        && p.requests.contains_key(&(id & 0xff_ffff_ffff))
+                    {
                         self.out.unanswered += 1;
                     }
                     self.come_back(task, None);
@@ -435,8 +506,13 @@
 
     fn due(&mut self) {
         let after = self.now - START;
-        let times =
-            self.day.load.iter().rev().find(|(from, _)| *from <= after).map_or(0.0, |(_, times)| *times);
+        let times = self
+            .day
+            .load
+            .iter()
+            .rev()
+            .find(|(from, _)| *from <= after)
+            .map_or(0.0, |(_, times)| *times);
         let rate = (times * STARTS * self.day.hosts as f64).max(0.1);
         let gap = (-(1.0 - self.chance()).ln() / rate * 1e6) as Micros;
         if after + gap < self.day.length {
@@ -461,13 +537,18 @@
 
     /// Clients find any placer that is not dead; one that is stalled takes no notice.
     fn ask(&mut self, task: usize) {
-        let alive: Vec<usize> =
-            (0..self.placers.len()).filter(|n| self.placers[*n].facade.is_some()).collect();
+        let alive: Vec<usize> = (0..self.placers.len())
+            .filter(|n| self.placers[*n].facade.is_some())
+            .collect();
         if alive.is_empty() {
             return self.come_back(task, None);
         }
         let any = self.draw(alive.len() as Micros) as usize;
-        let n = if self.chance() < self.day.uneven { alive[0] } else { alive[any] };
+        let n = if self.chance() < self.day.uneven {
+            alive[0]
+        } else {
+            alive[any]
+        };
         let t = &mut self.tasks[task];
         t.asked += 1;
         let resent = t.asked > 1;
@@ -494,9 +575,19 @@
             return;
         }
         let p = &mut self.placers[n];
-        p.requests.insert(ticket, Request { task, attempts: 0, out: None, standing: None });
+        p.requests.insert(
+            ticket,
+            Request {
+                task,
+                attempts: 0,
+                out: None,
+                standing: None,
+            },
+        );
         let Some(facade) = &mut p.facade else { return };
-        let verdicts = facade.pick(now, Ticket(ticket), &ask).expect("it can be meant");
+        let verdicts = facade
+            .pick(now, Ticket(ticket), &ask)
+            .expect("it can be meant");
         self.carry_out(n, verdicts);
     }
 
@@ -536,10 +627,16 @@
         while let Some(verdict) = queue.pop_front() {
             let now = self.now;
             let news = match verdict {
-                Verdict::Offer { ticket, host, timeout } => {
+                Verdict::Offer {
+                    ticket,
+                    host,
+                    timeout,
+                } => {
                     let number = host.0[1..].parse::<usize>().expect("a number");
                     let (at, life) = (number % 100, number / 100);
-                    let Some(r) = self.placers[n].requests.get_mut(&ticket.0) else { continue };
+                    let Some(r) = self.placers[n].requests.get_mut(&ticket.0) else {
+                        continue;
+                    };
                     let attempt = r.attempts;
                     r.attempts += 1;
                     assert!(r.out.is_none(), "two attempts at once");
@@ -550,7 +647,14 @@
                         self.out.offers += 1;
                         let host = host.clone();
                         let (outcome, detail) = (Outcome_::ConnectFailed, Detail::None);
-                        let news = News::Ended { ticket, attempt, host, outcome, detail, elapsed: 0 };
+                        let news = News::Ended {
+                            ticket,
+                            attempt,
+                            host,
+                            outcome,
+                            detail,
+                            elapsed: 0,
+                        };
                         if let Some(facade) = &mut self.placers[n].facade {
                             queue.extend(facade.report(now, news));
                         }
@@ -568,11 +672,29 @@
                     };
                     self.out.offers += 1;
                     self.second(now).offers += 1;
-                    self.at(now + NET, Ev::Arrives { host: at, id, placer: n, offer });
-                    self.at(now + timeout, Ev::Timeout { placer: n, ticket: ticket.0, attempt });
+                    self.at(
+                        now + NET,
+                        Ev::Arrives {
+                            host: at,
+                            id,
+                            placer: n,
+                            offer,
+                        },
+                    );
+                    self.at(
+                        now + timeout,
+                        Ev::Timeout {
+                            placer: n,
+                            ticket: ticket.0,
+                            attempt,
+                        },
+                    );
                     None
                 }
-                Verdict::Refuse { ticket, retry_after } => self.final_word(n, ticket, Some(retry_after)),
+                Verdict::Refuse {
+                    ticket,
+                    retry_after,
+                } => self.final_word(n, ticket, Some(retry_after)),
                 Verdict::Fail { ticket } => self.final_word(n, ticket, Some(0)),
                 Verdict::GiveUp { ticket, .. } => self.give_up(n, ticket.0, Outcome_::Cancelled),
                 Verdict::Move { .. } | Verdict::Note(_) => None,
@@ -587,7 +709,14 @@
         let r = self.placers[n].requests.get_mut(&ticket)?;
         let (host, since) = r.out.take()?;
         let attempt = r.attempts - 1;
-        self.at(self.now + NET, Ev::Stop { host, id: ((n as u64) << 40) | ticket, placer: n });
+        self.at(
+            self.now + NET,
+            Ev::Stop {
+                host,
+                id: ((n as u64) << 40) | ticket,
+                placer: n,
+            },
+        );
         Some(News::Ended {
             ticket: Ticket(ticket),
             attempt,
@@ -605,15 +734,27 @@
             return news;
         };
         self.second(self.now).refused += 1;
-        self.at(self.now + NET, Ev::Answer { task: r.task, id: ((n as u64) << 40) | ticket.0, away });
+        self.at(
+            self.now + NET,
+            Ev::Answer {
+                task: r.task,
+                id: ((n as u64) << 40) | ticket.0,
+                away,
+            },
+        );
         news
     }
 
     fn deliver(&mut self, n: usize, event: Ev) {
         let now = self.now;
         let news = match event {
-            Ev::List(_, entries) => Some(News::Listed { whole: false, entries }),
-            Ev::Timeout { ticket, attempt, .. } => {
+            Ev::List(_, entries) => Some(News::Listed {
+                whole: false,
+                entries,
+            }),
+            Ev::Timeout {
+                ticket, attempt, ..
+            } => {
                 let here = self.placers[n].requests.get(&ticket);
                 if here.is_some_and(|r| r.out.is_some() && r.attempts == attempt + 1) {
                     self.give_up(n, ticket, Outcome_::Timeout)
@@ -647,8 +788,20 @@
             (Word::Up, Some((at, since)), None) if at == host => {
                 (r.out, r.standing) = (None, Some(host));
                 let task = r.task;
-                self.at(now + NET, Ev::Answer { task, id, away: None });
-                Some(News::Placed { ticket: Ticket(ticket), attempt, host: place, elapsed: now - since })
+                self.at(
+                    now + NET,
+                    Ev::Answer {
+                        task,
+                        id,
+                        away: None,
+                    },
+                );
+                Some(News::Placed {
+                    ticket: Ticket(ticket),
+                    attempt,
+                    host: place,
+                    elapsed: now - since,
+                })
             }
             (Word::Down(cause, note), Some((at, since)), None) if at == host => {
                 r.out = None;
@@ -659,7 +812,11 @@
                     "nh" => Detail::NotHere,
                     _ => Detail::None,
                 };
-                let outcome = if cause == 34 { Outcome_::Full } else { Outcome_::Reset };
+                let outcome = if cause == 34 {
+                    Outcome_::Full
+                } else {
+                    Outcome_::Reset
+                };
                 Some(ended(outcome, detail, now - since))
             }
             (Word::Down(..), None, Some(at)) if at == host => {
@@ -693,12 +850,22 @@
             self.hosts[host].held.extend(said);
         } else {
             for (id, word) in said {
-                let Some(placer) = self.hosts[host].of.get(&id).copied() else { continue };
+                let Some(placer) = self.hosts[host].of.get(&id).copied() else {
+                    continue;
+                };
                 if matches!(word, Word::Down(..)) {
                     self.hosts[host].of.remove(&id);
                 }
                 if !self.cut.contains(&(placer, host)) {
-                    self.at(self.now + NET, Ev::Heard { placer, id, host, word });
+                    self.at(
+                        self.now + NET,
+                        Ev::Heard {
+                            placer,
+                            id,
+                            host,
+                            word,
+                        },
+                    );
                 }
             }
         }
@@ -729,7 +896,10 @@
                 }
             }
             Fault::Cut(placers, hosts, cut) => {
-                for pair in placers.iter().flat_map(|p| hosts.iter().map(move |h| (*p, *h))) {
+                for pair in placers
+                    .iter()
+                    .flat_map(|p| hosts.iter().map(move |h| (*p, *h)))
+                {
                     if cut {
                         self.cut.insert(pair);
                     } else {
@@ -749,7 +919,11 @@
                     for (ticket, host) in out {
                         self.at(
                             self.now + NET,
-                            Ev::Stop { host, id: ((n as u64) << 40) | ticket, placer: n },
+                            Ev::Stop {
+                                host,
+                                id: ((n as u64) << 40) | ticket,
+                                placer: n,
+                            },
                         );
                     }
                     self.placers[n].requests.clear();
@@ -763,7 +937,15 @@
                     let of: Vec<(u64, usize)> = here.of.drain().collect();
                     for (id, placer) in of {
                         let word = Word::Down(43, "");
-                        self.at(self.now + NET, Ev::Heard { placer, id, host, word });
+                        self.at(
+                            self.now + NET,
+                            Ev::Heard {
+                                placer,
+                                id,
+                                host,
+                                word,
+                            },
+                        );
                     }
                 }
                 self.list_soon();
--- a/tests/overload_random.rs
+++ b/tests/overload_random.rs
@@ -13,7 +13,11 @@
 
 fn domains(host: usize) -> Vec<Domain> {
     let id = HostId(Arc::from(format!("m{host}")));
-    vec![Domain::Host(id), Domain::Cell(CellId(host as u64 / 2)), Domain::Room(ZoneId(host / 4))]
+    vec![
+        Domain::Host(id),
+        Domain::Cell(CellId(host as u64 / 2)),
+        Domain::Room(ZoneId(host / 4)),
+    ]
 }
 
 proptest! {
--- a/tests/placer.rs
+++ b/tests/placer.rs
@@ -15,16 +15,30 @@
     client.set_up(0x51, &QUICK);
     let offer = conns[0].expect("new");
     let field = |name| offer.get("f").and_then(|f| f.get_str(name));
-    assert_eq!((offer.get_str("ref"), offer.get_str("d")), (Some(hex(0x51).as_str()), Some("c=IN 81\r\n")));
-    assert_eq!((field("class"), field("key")), (Some("quick"), Some(hex(0x51 + 0xabc0).as_str())));
-    let left: u64 = field("left").and_then(|ms| ms.parse().ok()).expect("a time");
+    assert_eq!(
+        (offer.get_str("ref"), offer.get_str("d")),
+        (Some(hex(0x51).as_str()), Some("c=IN 81\r\n"))
+    );
+    assert_eq!(
+        (field("class"), field("key")),
+        (Some("quick"), Some(hex(0x51 + 0xabc0).as_str()))
+    );
+    let left: u64 = field("left")
+        .and_then(|ms| ms.parse().ok())
+        .expect("a time");
     assert!(left > 1_000 && left < 6_000, "{left}");
     conns[0].up(&hex(0x51));
     // A host's second word is no second answer.
     conns[0].up(&hex(0x51));
     let answer = client.read();
-    assert_eq!((answer.kind, answer.id, answer.text(174)), (9, 0x51, Some("stands 0000000000000051\r\n")));
-    assert!(client.test(), "nothing else was written before the test's result");
+    assert_eq!(
+        (answer.kind, answer.id, answer.text(174)),
+        (9, 0x51, Some("stands 0000000000000051\r\n"))
+    );
+    assert!(
+        client.test(),
+        "nothing else was written before the test's result"
+    );
     // The end of the task is told, with its cause.
     conns[0].down(&hex(0x51), 16, "");
     let end = client.read();
@@ -40,7 +54,11 @@
     let (first, id) = offered(&mut conns);
     conns[first].down(&id, 34, "nc");
     let (second, again) = offered(&mut conns);
-    assert_eq!((again.as_str(), second), (id.as_str(), 1 - first), "a retry carries the same id");
+    assert_eq!(
+        (again.as_str(), second),
+        (id.as_str(), 1 - first),
+        "a retry carries the same id"
+    );
     conns[first].up(&id);
     conns[first].down(&id, 16, "");
     conns[second].up(&id);
@@ -53,13 +71,26 @@
     let (program, _feed, _hosts, mut conns) = start(1);
     let mut client = program.client();
     let start = Instant::now();
-    client.set_up(1, &Ask { wait_ms: 900, ..QUICK });
+    client.set_up(
+        1,
+        &Ask {
+            wait_ms: 900,
+            ..QUICK
+        },
+    );
     let id = conns[0].offer();
     conns[0].down(&id, 34, "nc");
     let answer = client.read();
     assert_eq!((answer.kind, answer.cause()), (12, 42));
-    assert!(start.elapsed() < Duration::from_millis(950), "{:?}", start.elapsed());
-    let away: u64 = answer.text(147).and_then(|ms| ms.parse().ok()).expect("a time to stay away");
+    assert!(
+        start.elapsed() < Duration::from_millis(950),
+        "{:?}",
+        start.elapsed()
+    );
+    let away: u64 = answer
+        .text(147)
+        .and_then(|ms| ms.parse().ok())
+        .expect("a time to stay away");
     assert!(away > 0 && away <= 3_000, "{away}");
 }
 
@@ -90,7 +121,10 @@
     client.set_up(2, &QUICK);
     conns[0].offer();
     drop(client);
-    assert_eq!(conns[0].expect("down").get_str("ref"), Some(hex(2).as_str()));
+    assert_eq!(
+        conns[0].expect("down").get_str("ref"),
+        Some(hex(2).as_str())
+    );
 }
 
 // Found in rehearsals: a host's answer and release were read at once, and the release went out on another
@@ -150,10 +184,19 @@
 fn an_attempt_that_timed_out_is_given_up_and_a_late_answer_is_not_passed_on() {
     let (program, _feed, _hosts, mut conns) = start(1);
     let mut client = program.client();
-    client.set_up(1, &Ask { wait_ms: 800, ..QUICK });
+    client.set_up(
+        1,
+        &Ask {
+            wait_ms: 800,
+            ..QUICK
+        },
+    );
     let id = conns[0].offer();
     let down = conns[0].expect("down");
-    assert_eq!((down.get_str("ref"), down.get_u64("c")), (Some(id.as_str()), Some(16)));
+    assert_eq!(
+        (down.get_str("ref"), down.get_u64("c")),
+        (Some(id.as_str()), Some(16))
+    );
     conns[0].up(&id);
     assert_eq!((client.read().kind, client.test()), (12, true));
 }
@@ -167,7 +210,13 @@
     let mut client = program.client();
     std::thread::sleep(Duration::from_secs(2));
     for id in 1..20 {
-        client.set_up(id, &Ask { service: id, ..QUICK });
+        client.set_up(
+            id,
+            &Ask {
+                service: id,
+                ..QUICK
+            },
+        );
         let (at, offer) = offered(&mut conns);
         assert_eq!(at, 1, "offered after the grace");
         conns[at].down(&offer, 16, "");
@@ -183,7 +232,15 @@
     feed.subscribed();
     let mut conn = host.accept();
     let mut client = program.client();
-    (1..=12).for_each(|id| client.set_up(id, &Ask { service: id, ..QUICK }));
+    (1..=12).for_each(|id| {
+        client.set_up(
+            id,
+            &Ask {
+                service: id,
+                ..QUICK
+            },
+        )
+    });
     let times: Vec<Instant> = (0..5)
         .map(|_| {
             let id = conn.offer();
@@ -193,7 +250,12 @@
         })
         .collect();
     // Three in a second are borne; a fourth must be a whole second after the first.
-    assert!(times.windows(4).all(|w| w[3] - w[0] >= Duration::from_secs(1)), "{times:?}");
+    assert!(
+        times
+            .windows(4)
+            .all(|w| w[3] - w[0] >= Duration::from_secs(1)),
+        "{times:?}"
+    );
 }
 
 #[test]
@@ -203,7 +265,10 @@
     (1..=3).for_each(|id| client.set_up(id, &QUICK));
     let placed = [conns[0].offer(), conns[0].offer()];
     placed.iter().for_each(|id| conns[0].up(id));
-    assert!(conns[0].read_within(QUIET).is_none(), "two stand, a third is held");
+    assert!(
+        conns[0].read_within(QUIET).is_none(),
+        "two stand, a third is held"
+    );
     conns[0].down(&placed[0], 16, "");
     conns[0].expect("ack");
     conns[0].offer();
@@ -216,7 +281,13 @@
     let (program, _feed, hosts, mut conns) = start(1);
     let mut client = program.client();
     for id in [1, 2] {
-        client.set_up(id, &Ask { service: id, ..QUICK });
+        client.set_up(
+            id,
+            &Ask {
+                service: id,
+                ..QUICK
+            },
+        );
         let offer = conns[0].offer();
         conns[0].up(&offer);
         client.read();
@@ -262,7 +333,13 @@
     let (program, _feed, mut hosts, mut conns) = start(2);
     let mut client = program.client();
     for (id, host) in [(1, "h0"), (2, "h1")] {
-        client.set_up(id, &Ask { at: Some(host), ..QUICK });
+        client.set_up(
+            id,
+            &Ask {
+                at: Some(host),
+                ..QUICK
+            },
+        );
     }
     assert!(client.test());
     // Nothing listens any more, but only the first connection shows it.
@@ -279,10 +356,28 @@
     conns[0].down(&hex(1), 16, "");
     conns[0].expect("ack");
     let mut client = program.client();
-    client.set_up(1, &Ask { at: Some("h0"), ..QUICK });
-    client.set_up(2, &Ask { at: Some("h0"), ..QUICK });
+    client.set_up(
+        1,
+        &Ask {
+            at: Some("h0"),
+            ..QUICK
+        },
+    );
+    client.set_up(
+        2,
+        &Ask {
+            at: Some("h0"),
+            ..QUICK
+        },
+    );
     // It may be named again, which changes nothing.
-    client.set_up(2, &Ask { at: Some("h0"), ..QUICK });
+    client.set_up(
+        2,
+        &Ask {
+            at: Some("h0"),
+            ..QUICK
+        },
+    );
     let end = client.read();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 16));
     conns[0].down(&hex(2), 16, "");
@@ -323,7 +418,10 @@
     let since = Instant::now();
     let mut beside = hosts[1 - at].accept();
     assert_eq!(beside.offer(), hex(2));
-    assert!(since.elapsed() < Duration::from_secs(3), "well before its client gives up");
+    assert!(
+        since.elapsed() < Duration::from_secs(3),
+        "well before its client gives up"
+    );
     beside.up(&hex(2));
     assert_eq!(client.read().kind, 9);
     (program, feed, client, hosts, at, held, heard)
@@ -349,7 +447,11 @@
     let (_program, _feed, mut client, _hosts, _at, _held, heard) = one_vanishes();
     let end = client.read();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
-    assert!(heard.elapsed() < Duration::from_millis(8_050), "{:?}", heard.elapsed());
+    assert!(
+        heard.elapsed() < Duration::from_millis(8_050),
+        "{:?}",
+        heard.elapsed()
+    );
 }
 
 #[test]
@@ -367,22 +469,35 @@
     last.set_up(2, &QUICK);
     assert_eq!(conn.offer(), hex(2));
     conn.up(&id);
-    assert_eq!((busy.read().kind, idle.len()), (9, 60), "one with an open set-up stays");
+    assert_eq!(
+        (busy.read().kind, idle.len()),
+        (9, 60),
+        "one with an open set-up stays"
+    );
 }
 
 #[test]
 fn bad_clients_end_alone() {
     let (program, _feed, _hosts, mut conns) = start(1);
     let mut good = program.client();
-    for bad in
-        [&[0xff, 0xff, 1][..], &[0, 3, 1, 2, 3], &bytes(12, 1, &[]), &[0, 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 9]]
-    {
+    for bad in [
+        &[0xff, 0xff, 1][..],
+        &[0, 3, 1, 2, 3],
+        &bytes(12, 1, &[]),
+        &[0, 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 9],
+    ] {
         let mut client = program.client();
         client.say(bad);
         assert_eq!(client.next_message(), None, "{bad:?}");
     }
     // A set-up of an unknown class, and one with nothing in it, fail; the connection goes on.
-    good.set_up(1, &Ask { class: "unheard", ..QUICK });
+    good.set_up(
+        1,
+        &Ask {
+            class: "unheard",
+            ..QUICK
+        },
+    );
     assert_eq!((good.read().cause(), good.test()), (47, true));
     good.say(&bytes(1, 2, &[]));
     assert_eq!((good.read().cause(), good.test()), (47, true));
@@ -403,7 +518,11 @@
     assert_eq!(feed.subscribed(), 3, "after a silence");
     let mut client = program.client();
     client.set_up(1, &QUICK);
-    assert_eq!(conns[0].offer(), hex(1), "an event that comes twice counts once");
+    assert_eq!(
+        conns[0].offer(),
+        hex(1),
+        "an event that comes twice counts once"
+    );
 }
 
 // ---- Start and end ----
@@ -416,14 +535,26 @@
         ("[]", "LB_CONFIG"),
         (&good.replace("\"8c1f30d27a5be964\"", "\"seed\""), "seed"),
         (&good.replace("\"listen\"", "\"lisen\""), "listen"),
-        (&good.replace("\"drain_grace\"", "\"drain\""), "settings.rules.drain_grace"),
-        (&good.replace("\"safe\"", "\"sage\""), "settings.services.0.semantics"),
+        (
+            &good.replace("\"drain_grace\"", "\"drain\""),
+            "settings.rules.drain_grace",
+        ),
+        (
+            &good.replace("\"safe\"", "\"sage\""),
+            "settings.services.0.semantics",
+        ),
         (&good.replace("\"events\"", "\"event\""), "known.events"),
-        (&good.replace("\"sockets\":1024", "\"sockets\":31"), "limits.sockets"),
+        (
+            &good.replace("\"sockets\":1024", "\"sockets\":31"),
+            "limits.sockets",
+        ),
     ];
     for (text, field) in cases {
         let (failed, said) = refuses(text);
-        assert!(failed && said.lines().count() == 1 && said.contains(field), "{field}: {said}");
+        assert!(
+            failed && said.lines().count() == 1 && said.contains(field),
+            "{field}: {said}"
+        );
     }
 }
 
@@ -436,7 +567,13 @@
     program.terminate();
     while client.test() {}
     let mut late = program.client();
-    late.set_up(2, &Ask { service: 2, ..QUICK });
+    late.set_up(
+        2,
+        &Ask {
+            service: 2,
+            ..QUICK
+        },
+    );
     let id = conns[0].offer();
     conns[0].up(&id);
     assert_eq!((late.read().id, program.exit().code()), (2, Some(0)));
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -59,7 +59,9 @@
 /// Adds one line to a digest (FNV-1a).
 fn digest_line(digest: u64, line: &str) -> u64 {
     let bytes = line.bytes().chain([b'\n']);
-    bytes.fold(digest, |sum, byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    bytes.fold(digest, |sum, byte| {
+        (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
 impl World {
@@ -100,14 +102,26 @@
                     Effect::Safe | Effect::Keyed(Group::All) => true,
                     _ => a.may_have_run.is_none() && a.out.is_none(),
                 };
-                assert!(harmless, "rule 2: refused {id:?} though an attempt may have run");
+                assert!(
+                    harmless,
+                    "rule 2: refused {id:?} though an attempt may have run"
+                );
             }
             Action::Fail { id } => self.check_answer(&id),
             Action::Probe { host } => {
                 assert!(self.s.probes && self.machines.contains_key(&host));
                 let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Timeout][self.pick(3)];
-                let report = if outcome == Outcome::Ok { vec![10.0, 20.0] } else { Vec::new() };
-                self.give(Event::Probed { host, outcome, elapsed: MS, report });
+                let report = if outcome == Outcome::Ok {
+                    vec![10.0, 20.0]
+                } else {
+                    Vec::new()
+                };
+                self.give(Event::Probed {
+                    host,
+                    outcome,
+                    elapsed: MS,
+                    report,
+                });
             }
             Action::Cancel { .. } => assert!(self.s.cancel),
             Action::Fault(text) => panic!("the module gave up: {text}"),
@@ -118,8 +132,14 @@
     fn check_answer(&mut self, id: &ReqId) {
         let slack = self.s.answer_slack;
         let a = self.tasks.get_mut(id).expect("a known task");
-        assert!(!a.answered && !a.placed && !a.gone, "rule 1: a second answer for {id:?}");
-        assert!(self.now <= a.deadline + slack, "rule 1: too late for {id:?}");
+        assert!(
+            !a.answered && !a.placed && !a.gone,
+            "rule 1: a second answer for {id:?}"
+        );
+        assert!(
+            self.now <= a.deadline + slack,
+            "rule 1: too late for {id:?}"
+        );
         a.answered = true;
         self.answers += 1;
     }
@@ -127,7 +147,10 @@
     fn check_send(&mut self, id: &ReqId, host: &HostId, timeout: Micros) {
         let (now, s) = (self.now, self.s.clone());
         let a = &self.tasks[id];
-        assert!(!a.answered && !a.placed && !a.gone, "rule 1: sent after the end of {id:?}");
+        assert!(
+            !a.answered && !a.placed && !a.gone,
+            "rule 1: sent after the end of {id:?}"
+        );
         assert!(a.out.is_none(), "rule 2: two attempts at once");
         assert!(a.sends < s.max_attempts && timeout > 0);
         let class = &s.classes[a.task.class.0];
@@ -145,15 +168,23 @@
             _ => {}
         }
         if let Some(since) = self.closed_since.get(host) {
-            assert!(now - since <= s.drain_grace, "rule 3: sent to a machine that drains");
+            assert!(
+                now - since <= s.drain_grace,
+                "rule 3: sent to a machine that drains"
+            );
         }
         if class.spread != Spread::None {
             let place = self.place_of(class.spread, host);
             let held = self.tasks.values().filter(|b| {
                 b.task.service == a.task.service
-                    && b.out.as_ref().is_some_and(|(_, h, _)| self.place_of(class.spread, h) == place)
+                    && b.out
+                        .as_ref()
+                        .is_some_and(|(_, h, _)| self.place_of(class.spread, h) == place)
             });
-            assert!(held.count() < class.most, "rule 5: too many of a service in one place");
+            assert!(
+                held.count() < class.most,
+                "rule 5: too many of a service in one place"
+            );
         }
         let ready = self.told_ready[host];
         if ready > 0 && now - ready < s.cold {
@@ -173,24 +204,49 @@
     }
 
     fn outcome(&mut self, id: &ReqId, outcome: Outcome) {
-        let Some(a) = self.tasks.get_mut(id) else { return };
-        let Some((attempt, host, _)) = a.out.take() else { return };
+        let Some(a) = self.tasks.get_mut(id) else {
+            return;
+        };
+        let Some((attempt, host, _)) = a.out.take() else {
+            return;
+        };
         let done = outcome == Outcome::Ok || a.placed || a.answered || a.gone;
         if outcome == Outcome::Ok && !a.placed && !a.answered {
             self.answers += 1;
             a.placed = true;
         }
-        if !matches!(outcome, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
-            && a.may_have_run.is_none()
+        if !matches!(
+            outcome,
+            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+        ) && a.may_have_run.is_none()
         {
             a.may_have_run = Some((host.clone(), a.sent_at));
         }
-        let details =
-            [Detail::None, Detail::NoCores, Detail::NoMemory, Detail::Busy, Detail::NotHere, Detail::Evicted];
+        let details = [
+            Detail::None,
+            Detail::NoCores,
+            Detail::NoMemory,
+            Detail::Busy,
+            Detail::NotHere,
+            Detail::Evicted,
+        ];
         let detail = details[self.pick(details.len())];
-        let report = if self.pick(3) == 0 { vec![5.0, -3.0] } else { Vec::new() };
+        let report = if self.pick(3) == 0 {
+            vec![5.0, -3.0]
+        } else {
+            Vec::new()
+        };
         let id = id.clone();
-        self.give(Event::Outcome { id, attempt, host, outcome, detail, done, elapsed: MS, report });
+        self.give(Event::Outcome {
+            id,
+            attempt,
+            host,
+            outcome,
+            detail,
+            done,
+            elapsed: MS,
+            report,
+        });
     }
 
     fn members(&mut self, kind: ListKind) {
@@ -216,8 +272,12 @@
 
     fn step(&mut self, n: usize, last_id: &mut usize) {
         self.now += [0, 0, MS, 20 * MS, 200 * MS, 2 * SECOND][self.pick(6)];
-        let ids: Vec<ReqId> =
-            self.tasks.iter().filter(|(_, a)| a.out.is_some()).map(|(k, _)| k.clone()).collect();
+        let ids: Vec<ReqId> = self
+            .tasks
+            .iter()
+            .filter(|(_, a)| a.out.is_some())
+            .map(|(k, _)| k.clone())
+            .collect();
         self.timers.sort();
         while self.timers.first().is_some_and(|(at, _)| *at <= self.now) {
             // Batches come each tick: a due timer is never answered long after its time.
@@ -228,8 +288,10 @@
             self.now = later;
             self.timers.sort();
         }
-        for (id, at) in
-            ids.iter().filter_map(|id| Some((id, self.tasks[id].out.as_ref()?.2))).collect::<Vec<_>>()
+        for (id, at) in ids
+            .iter()
+            .filter_map(|id| Some((id, self.tasks[id].out.as_ref()?.2)))
+            .collect::<Vec<_>>()
         {
             if !self.tasks[id].placed && at <= self.now {
                 self.outcome(id, Outcome::Timeout);
@@ -265,8 +327,18 @@
                 {
                     a.placed = true;
                     self.answers += 1;
-                    self.give(Event::First { id: id.clone(), attempt, host: host.clone(), elapsed: MS });
-                    self.give(Event::Noted { id, host, note: Note::Cores, value: 0.4 });
+                    self.give(Event::First {
+                        id: id.clone(),
+                        attempt,
+                        host: host.clone(),
+                        elapsed: MS,
+                    });
+                    self.give(Event::Noted {
+                        id,
+                        host,
+                        note: Note::Cores,
+                        value: 0.4,
+                    });
                 }
             }
             7 | 8 if !ids.is_empty() => {
@@ -299,7 +371,8 @@
             10 if n.is_multiple_of(3) => {
                 let which = self.pick(self.tasks.len());
                 let id = self.tasks.keys().nth(which).cloned();
-                if let Some(id) = id.filter(|id| !self.tasks[id].answered && !self.tasks[id].placed) {
+                if let Some(id) = id.filter(|id| !self.tasks[id].answered && !self.tasks[id].placed)
+                {
                     self.tasks.get_mut(&id).expect("known").gone = true;
                     self.give(Event::Gone(id));
                 }
@@ -313,16 +386,28 @@
     let base = Settings::example();
     let mut keyed = base.clone();
     let template = base.classes[0].clone();
-    let effects =
-        [Effect::Keyed(Group::All), Effect::Keyed(Group::Zone), Effect::Keyed(Group::Cell), Effect::Unsafe];
+    let effects = [
+        Effect::Keyed(Group::All),
+        Effect::Keyed(Group::Zone),
+        Effect::Keyed(Group::Cell),
+        Effect::Unsafe,
+    ];
     let spreads = [Spread::Machine, Spread::Zone, Spread::Cell, Spread::None];
     keyed.classes = effects
         .iter()
         .zip(spreads)
-        .map(|(&effect, spread)| Class { effect, spread, ..template.clone() })
+        .map(|(&effect, spread)| Class {
+            effect,
+            spread,
+            ..template.clone()
+        })
         .collect();
     let mut mixed = keyed.clone();
-    mixed.classes.push(Class { most: 1, spread: Spread::Machine, ..template });
+    mixed.classes.push(Class {
+        most: 1,
+        spread: Spread::Machine,
+        ..template
+    });
     mixed.placers = 12;
     mixed.list_on_ask = true;
     mixed.ack = Ack::Running;
@@ -367,7 +452,9 @@
                 now: 1_000 * SECOND,
                 timers: Vec::new(),
                 tasks: BTreeMap::new(),
-                machines: (0..count).map(|n| (host(n), entry(n, HostState::Up))).collect(),
+                machines: (0..count)
+                    .map(|n| (host(n), entry(n, HostState::Up)))
+                    .collect(),
                 closed_since: BTreeMap::new(),
                 offers: BTreeMap::new(),
                 told_ready: BTreeMap::new(),
@@ -388,16 +475,26 @@
                     w.give(Event::Timer(token));
                 }
             }
-            let open: BTreeSet<_> =
-                w.tasks.iter().filter(|(_, a)| !a.answered && !a.placed && !a.gone).map(|(k, _)| k).collect();
-            assert!(open.is_empty(), "variant {v} seed {seed}: no answer for {open:?}");
+            let open: BTreeSet<_> = w
+                .tasks
+                .iter()
+                .filter(|(_, a)| !a.answered && !a.placed && !a.gone)
+                .map(|(k, _)| k)
+                .collect();
+            assert!(
+                open.is_empty(),
+                "variant {v} seed {seed}: no answer for {open:?}"
+            );
             let owed = w.tasks.values().filter(|a| a.answered || a.placed).count();
             assert_eq!(w.answers, owed, "variant {v} seed {seed}");
             assert!(last_id > 50);
             digest = w.digest;
         }
     }
-    assert_eq!(digest, DIGEST_OF_ALL_ACTIONS, "{digest:#018x}: other actions than before");
+    assert_eq!(
+        digest, DIGEST_OF_ALL_ACTIONS,
+        "{digest:#018x}: other actions than before"
+    );
 }
 
 #[test]
@@ -407,7 +504,11 @@
         let mut out = Vec::new();
         placer.handle(0, &full_list(8), &mut out);
         for n in 0..50 {
-            placer.handle(n as Micros * MS, &Event::Request(task(n, n as u64 % 7)), &mut out);
+            placer.handle(
+                n as Micros * MS,
+                &Event::Request(task(n, n as u64 % 7)),
+                &mut out,
+            );
         }
         out
     };
--- a/tests/rough.rs
+++ b/tests/rough.rs
@@ -13,8 +13,17 @@
 /// The parameters of a set-up, for spoiling.
 fn parameters<'a>(wait: &'a str, tenant: &'a str, figures: &'a str) -> Vec<(u8, &'a [u8])> {
     let key = b"000000000000abcd";
-    let texts = [(129, "quick"), (132, wait), (135, tenant), (144, figures), (174, "d")];
-    let mut all: Vec<(u8, &[u8])> = texts.iter().map(|(code, text)| (*code, text.as_bytes())).collect();
+    let texts = [
+        (129, "quick"),
+        (132, wait),
+        (135, tenant),
+        (144, figures),
+        (174, "d"),
+    ];
+    let mut all: Vec<(u8, &[u8])> = texts
+        .iter()
+        .map(|(code, text)| (*code, text.as_bytes()))
+        .collect();
     all.push((141, key));
     all
 }
@@ -41,7 +50,11 @@
     for (id, wait, tenant, figures) in cases {
         client.say(&bytes(1, id, &parameters(wait, tenant, figures)));
         let answer = client.read();
-        assert_eq!((answer.kind, answer.id, answer.cause()), (12, id, 47), "{wait} {tenant} {figures}");
+        assert_eq!(
+            (answer.kind, answer.id, answer.cause()),
+            (12, id, 47),
+            "{wait} {tenant} {figures}"
+        );
     }
     // An id that is over is not used again.
     client.set_up(9, &QUICK);
@@ -61,11 +74,21 @@
     client.set_up(1, &QUICK);
     let id = conns[0].offer();
     let mut other = program.client();
-    other.set_up(1, &Ask { service: 8, ..QUICK });
+    other.set_up(
+        1,
+        &Ask {
+            service: 8,
+            ..QUICK
+        },
+    );
     assert_eq!(other.next_message(), None, "the second connection ends");
     let mut other = program.client();
     other.say(&bytes(1, 1, &[]));
-    assert_eq!(other.next_message(), None, "nor is a failure under its id told");
+    assert_eq!(
+        other.next_message(),
+        None,
+        "nor is a failure under its id told"
+    );
     // Given up from elsewhere it is still owed.
     let mut other = program.client();
     other.release(1, 16);
@@ -73,11 +96,26 @@
     conns[0].up(&id);
     assert_eq!((client.read().kind, client.test()), (9, true));
     // Two set-ups under one number end their connection, and the offer is given up.
-    other.set_up(2, &Ask { service: 8, ..QUICK });
+    other.set_up(
+        2,
+        &Ask {
+            service: 8,
+            ..QUICK
+        },
+    );
     assert_eq!(conns[0].offer(), hex(2));
-    other.set_up(2, &Ask { service: 8, ..QUICK });
+    other.set_up(
+        2,
+        &Ask {
+            service: 8,
+            ..QUICK
+        },
+    );
     assert_eq!(other.next_message(), None);
-    assert_eq!(conns[0].expect("down").get_str("ref"), Some(hex(2).as_str()));
+    assert_eq!(
+        conns[0].expect("down").get_str("ref"),
+        Some(hex(2).as_str())
+    );
 }
 
 #[test]
@@ -104,7 +142,11 @@
     let (program, _feed, _hosts, _conns) = start(1);
     let mut client = program.client();
     client.release(77, 16);
-    assert_eq!((client.read().kind, client.test()), (16, true), "of a task that is not known");
+    assert_eq!(
+        (client.read().kind, client.test()),
+        (16, true),
+        "of a task that is not known"
+    );
     client.say(&bytes(99, 5, &[]));
     assert_eq!(client.next_message(), None, "of an unknown type");
     // The word comes before the end, though more is under way that nobody reads.
@@ -160,8 +202,20 @@
 fn a_task_at_a_host_that_no_list_knows_does_not_stand_for_ever() {
     let (program, _feed, _hosts, _conns) = start(1);
     let mut client = program.client();
-    client.set_up(1, &Ask { at: Some("h9"), ..QUICK });
-    client.set_up(2, &Ask { at: Some("h0"), ..QUICK });
+    client.set_up(
+        1,
+        &Ask {
+            at: Some("h9"),
+            ..QUICK
+        },
+    );
+    client.set_up(
+        2,
+        &Ask {
+            at: Some("h0"),
+            ..QUICK
+        },
+    );
     let started = Instant::now();
     assert_eq!((client.read().id, client.test()), (1, true));
     assert!(started.elapsed() < OWED, "{:?}", started.elapsed());
@@ -200,17 +254,29 @@
 fn a_feed_cut_inside_an_event_or_gone_silent_is_asked_again_soon() {
     let (_program, mut feed, hosts, _conns) = start(1);
     let text = event(2, false, vec![hosts[0].entry("draining", 0)]).encode();
-    for spoilt in [&text[..text.len() / 2], "{\"n\":2,\"members\":7}\n", "\u{1}\u{2}\n"] {
+    for spoilt in [
+        &text[..text.len() / 2],
+        "{\"n\":2,\"members\":7}\n",
+        "\u{1}\u{2}\n",
+    ] {
         let mut stream = feed.stream_taken().expect("a subscription");
         std::io::Write::write_all(&mut stream, spoilt.as_bytes()).expect("it reads");
         let broken = Instant::now();
         drop(stream);
         assert_eq!(feed.subscribed(), 1, "{spoilt}");
-        assert!(broken.elapsed() < Duration::from_secs(2), "{:?}", broken.elapsed());
+        assert!(
+            broken.elapsed() < Duration::from_secs(2),
+            "{:?}",
+            broken.elapsed()
+        );
     }
     let stopped = Instant::now();
     assert_eq!(feed.subscribed(), 1, "it stays open and tells nothing");
-    assert!(stopped.elapsed() < Duration::from_secs(4), "{:?}", stopped.elapsed());
+    assert!(
+        stopped.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        stopped.elapsed()
+    );
 }
 
 // ---- Bad hosts ----
@@ -221,10 +287,21 @@
     let mut client = program.client();
     let up = |rest: &str| format!("{{\"t\":\"up\",\"ref\":\"{}\"{rest}", hex(1));
     // Noise, no description, a line that never ends, one that stops short.
-    let spoilt = ["\u{1}\u{2}\n".into(), up(",\"f\":{}}\n"), up(&"x".repeat(20_000)), up(",\"d\":\"sta")];
+    let spoilt = [
+        "\u{1}\u{2}\n".into(),
+        up(",\"f\":{}}\n"),
+        up(&"x".repeat(20_000)),
+        up(",\"d\":\"sta"),
+    ];
     for (n, bytes) in spoilt.iter().enumerate() {
         let id = 1 + n as u64;
-        client.set_up(id, &Ask { service: 20 + id, ..QUICK });
+        client.set_up(
+            id,
+            &Ask {
+                service: 20 + id,
+                ..QUICK
+            },
+        );
         let (at, _) = offered(&mut conns);
         conns[at].raw(bytes.as_bytes());
         assert!(conns[at].ended(), "{n}");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -29,7 +29,10 @@
 }
 
 fn gone(n: usize, state: HostState) -> Event {
-    Event::Members { kind: ListKind::Delta, entries: vec![entry(n, state)] }
+    Event::Members {
+        kind: ListKind::Delta,
+        entries: vec![entry(n, state)],
+    }
 }
 
 // ---- Rule 1: one final answer, in time ----
@@ -40,7 +43,10 @@
     assert!(b.ask(task(1, 1)).is_empty());
     let start = b.now;
     let done = b.pass(20 * SECOND);
-    let answers: Vec<_> = done.iter().filter(|(_, a)| matches!(a, Action::Refuse { .. })).collect();
+    let answers: Vec<_> = done
+        .iter()
+        .filter(|(_, a)| matches!(a, Action::Refuse { .. }))
+        .collect();
     assert_eq!(answers.len(), 1);
     assert!(answers[0].0 <= start + 5 * SECOND && answers[0].0 > start + 4 * SECOND);
     assert!(sends(&untimed(done)).is_empty());
@@ -52,8 +58,10 @@
     let start = b.now;
     sent(&b.ask(task(1, 1)));
     let done = b.pass(20 * SECOND);
-    let answers: Vec<_> =
-        done.iter().filter(|(_, a)| matches!(a, Action::Fail { .. } | Action::Refuse { .. })).collect();
+    let answers: Vec<_> = done
+        .iter()
+        .filter(|(_, a)| matches!(a, Action::Fail { .. } | Action::Refuse { .. }))
+        .collect();
     assert_eq!(answers.len(), 1);
     assert!(matches!(answers[0].1, Action::Fail { .. }) && answers[0].0 <= start + 5 * SECOND);
     assert!(sends(&untimed(done)).is_empty());
@@ -105,15 +113,23 @@
 
 #[test]
 fn a_refusal_tells_when_to_come_back_where_clients_are_told() {
-    for (told, most, expected) in
-        [(true, 3 * SECOND, SECOND), (true, SECOND / 2, SECOND / 2), (false, SECOND, 0)]
-    {
+    for (told, most, expected) in [
+        (true, 3 * SECOND, SECOND),
+        (true, SECOND / 2, SECOND / 2),
+        (false, SECOND, 0),
+    ] {
         let mut s = settings();
         (s.retry_after, s.max_retry_after) = (told, most);
         let mut b = Bench::with(s, 0);
         b.ask(task(1, 1));
         let refused = untimed(b.pass(20 * SECOND));
-        assert_eq!(refused, [Action::Refuse { id: req(1), retry_after: expected }]);
+        assert_eq!(
+            refused,
+            [Action::Refuse {
+                id: req(1),
+                retry_after: expected
+            }]
+        );
     }
 }
 
@@ -128,9 +144,15 @@
     sent(&b.ask(task(3, 3)));
     let done = b.pass(20 * SECOND);
     // The one that stands is owed nothing; those that are out may have run.
-    let failed: Vec<_> = done.iter().filter(|(_, a)| matches!(a, Action::Fail { .. })).collect();
+    let failed: Vec<_> = done
+        .iter()
+        .filter(|(_, a)| matches!(a, Action::Fail { .. }))
+        .collect();
     assert_eq!(failed.len(), 2, "{done:?}");
-    assert!(failed.iter().all(|(at, _)| *at <= start + SECOND), "{failed:?}");
+    assert!(
+        failed.iter().all(|(at, _)| *at <= start + SECOND),
+        "{failed:?}"
+    );
     assert!(!refused(&untimed(done)));
 }
 
@@ -158,7 +180,12 @@
 
 #[test]
 fn safe_tasks_go_on_to_another_machine() {
-    for outcome in [Outcome::Error, Outcome::Timeout, Outcome::Reset, Outcome::Full] {
+    for outcome in [
+        Outcome::Error,
+        Outcome::Timeout,
+        Outcome::Reset,
+        Outcome::Full,
+    ] {
         let mut b = Bench::with(settings(), 6);
         let at = sent(&b.ask(task(1, 1)));
         let next = sent(&b.end(1, 0, &at, outcome, Detail::None));
@@ -168,7 +195,11 @@
 
 #[test]
 fn keyed_tasks_stay_in_the_group_that_drops_repeats() {
-    for (group, same) in [(Group::Zone, true), (Group::Cell, true), (Group::All, false)] {
+    for (group, same) in [
+        (Group::Zone, true),
+        (Group::Cell, true),
+        (Group::All, false),
+    ] {
         for seed in 0..20 {
             let mut b = Bench::with(with_effect(Effect::Keyed(group)), 8);
             let at = sent(&b.ask(task(1, seed)));
@@ -182,16 +213,23 @@
 // An offer may wait for its connection as long as one may take, and has to be there before the window is over.
 #[test]
 fn keyed_tasks_are_not_resent_where_the_offer_could_wait_past_a_short_window() {
-    for (window, sent_after, again) in
-        [(400, 140, true), (400, 160, false), (200, 0, false), (2_000, 900, true)]
-    {
+    for (window, sent_after, again) in [
+        (400, 140, true),
+        (400, 160, false),
+        (200, 0, false),
+        (2_000, 900, true),
+    ] {
         let mut s = with_effect(Effect::Keyed(Group::All));
         (s.classes[0].window, s.connect_timeout) = (window * MS, 250 * MS);
         let mut b = Bench::with(s, 3);
         let at = sent(&b.ask(task(1, 1)));
         b.now += sent_after * MS;
         let actions = b.end(1, 0, &at, Outcome::Reset, Detail::None);
-        assert_eq!(!sends(&actions).is_empty(), again, "{window} {sent_after}: {actions:?}");
+        assert_eq!(
+            !sends(&actions).is_empty(),
+            again,
+            "{window} {sent_after}: {actions:?}"
+        );
     }
 }
 
@@ -242,13 +280,27 @@
     let mut s = settings();
     s.list_on_ask = true;
     let mut b = Bench::new(s);
-    let Event::Members { entries, .. } = full_list(2) else { unreachable!() };
-    let actions = b.give(Event::Members { kind: ListKind::Cached, entries });
+    let Event::Members { entries, .. } = full_list(2) else {
+        unreachable!()
+    };
+    let actions = b.give(Event::Members {
+        kind: ListKind::Cached,
+        entries,
+    });
     assert!(actions.contains(&Action::Watch));
-    b.give(Event::Members { kind: ListKind::Delta, entries: Vec::new() });
-    assert!(!untimed(b.pass(30 * SECOND)).contains(&Action::Watch), "subscribed: no need to ask");
+    b.give(Event::Members {
+        kind: ListKind::Delta,
+        entries: Vec::new(),
+    });
+    assert!(
+        !untimed(b.pass(30 * SECOND)).contains(&Action::Watch),
+        "subscribed: no need to ask"
+    );
     for _ in 0..6 {
-        b.give(Event::Members { kind: ListKind::Failed, entries: Vec::new() });
+        b.give(Event::Members {
+            kind: ListKind::Failed,
+            entries: Vec::new(),
+        });
         let asked = b.pass(5 * SECOND);
         assert!(asked.iter().any(|(_, a)| *a == Action::Watch));
     }
@@ -262,7 +314,10 @@
     s.list_on_ask = true;
     let mut b = Bench::with(s, 2);
     b.give(gone(0, HostState::Draining));
-    b.give(Event::Members { kind: ListKind::Failed, entries: Vec::new() });
+    b.give(Event::Members {
+        kind: ListKind::Failed,
+        entries: Vec::new(),
+    });
     for n in 0..20 {
         assert!(!sends(&b.ask(task(n, n as u64))).contains(&host(0)));
     }
@@ -275,54 +330,95 @@
     let mut b = Bench::new(settings());
     let mut cold = entry(0, HostState::Up);
     cold.ready_at = b.now;
-    b.give(Event::Members { kind: ListKind::Full, entries: vec![cold] });
+    b.give(Event::Members {
+        kind: ListKind::Full,
+        entries: vec![cold],
+    });
     let mut offers = 0;
     for n in 0..60 {
         let actions = b.ask(task(n, n as u64));
         for at in sends(&actions) {
             offers += 1;
             b.end(n, 0, &at, Outcome::Full, Detail::NotHere);
-            b.give(Event::Probed { host: at, outcome: Outcome::Ok, elapsed: MS, report: Vec::new() });
+            b.give(Event::Probed {
+                host: at,
+                outcome: Outcome::Ok,
+                elapsed: MS,
+                report: Vec::new(),
+            });
         }
     }
     offers += sends(&untimed(b.pass(SECOND))).len();
-    assert!(offers > 0 && offers <= 20, "{offers} offers where 60 / 3 are borne");
+    assert!(
+        offers > 0 && offers <= 20,
+        "{offers} offers where 60 / 3 are borne"
+    );
 }
 
 #[test]
 fn processes_of_one_placer_share_its_part_of_a_cold_machine() {
     // How many offers so many processes send to one cold machine within `span`, asked all along.
-    let offers = |placers: usize, sends_borne: f64, processes: u32, told: bool, span: Micros| -> usize {
-        let settings = Settings { placers, cold_sends: sends_borne, ..settings() };
-        let mut all: Vec<Bench> = (0..processes).map(|_| Bench::new(settings.clone())).collect();
-        let mut count = 0;
-        for (me, b) in all.iter_mut().enumerate() {
-            let mut cold = entry(0, HostState::Up);
-            cold.ready_at = b.now;
-            b.give(Event::Members { kind: ListKind::Full, entries: vec![cold] });
-            if told {
-                b.give(Event::Bounds(vec![Bound::Processes { of: processes, me: me as u32 }]));
-            }
-            for n in 0..usize::try_from(span / (20 * MS)).unwrap() {
-                let mut sent = sends(&b.ask(Task { budget: 10 * MS, ..task(n, n as u64) }));
-                sent.extend(sends(&untimed(b.pass(0))));
-                for at in sent {
-                    count += 1;
-                    b.end(n, 0, &at, Outcome::Full, Detail::NotHere);
-                    b.give(Event::Probed { host: at, outcome: Outcome::Ok, elapsed: MS, report: Vec::new() });
+    let offers =
+        |placers: usize, sends_borne: f64, processes: u32, told: bool, span: Micros| -> usize {
+            let settings = Settings {
+                placers,
+                cold_sends: sends_borne,
+                ..settings()
+            };
+            let mut all: Vec<Bench> = (0..processes)
+                .map(|_| Bench::new(settings.clone()))
+                .collect();
+            let mut count = 0;
+            for (me, b) in all.iter_mut().enumerate() {
+                let mut cold = entry(0, HostState::Up);
+                cold.ready_at = b.now;
+                b.give(Event::Members {
+                    kind: ListKind::Full,
+                    entries: vec![cold],
+                });
+                if told {
+                    b.give(Event::Bounds(vec![Bound::Processes {
+                        of: processes,
+                        me: me as u32,
+                    }]));
+                }
+                for n in 0..usize::try_from(span / (20 * MS)).unwrap() {
+                    let mut sent = sends(&b.ask(Task {
+                        budget: 10 * MS,
+                        ..task(n, n as u64)
+                    }));
+                    sent.extend(sends(&untimed(b.pass(0))));
+                    for at in sent {
+                        count += 1;
+                        b.end(n, 0, &at, Outcome::Full, Detail::NotHere);
+                        b.give(Event::Probed {
+                            host: at,
+                            outcome: Outcome::Ok,
+                            elapsed: MS,
+                            report: Vec::new(),
+                        });
+                    }
+                    b.pass(20 * MS);
                 }
-                b.pass(20 * MS);
             }
-        }
-        count
-    };
+            count
+        };
     let (fall, cold) = (settings().fall, settings().cold);
     // A part of several offers, and one of less than an offer, which is had by turns.
     for (placers, borne, span) in [(3, 60.0, fall), (30, 30.0, cold - fall)] {
-        let (one, two) = (offers(placers, borne, 1, true, span), offers(placers, borne, 2, true, span));
+        let (one, two) = (
+            offers(placers, borne, 1, true, span),
+            offers(placers, borne, 2, true, span),
+        );
         let untold = offers(placers, borne, 2, false, span);
-        assert!(one > 1 && two <= one + 1, "{placers}: {one} of one process, {two} of two");
-        assert!(untold > one + 1, "{placers}: {untold} of two that do not know of each other, {one} of one");
+        assert!(
+            one > 1 && two <= one + 1,
+            "{placers}: {one} of one process, {two} of two"
+        );
+        assert!(
+            untold > one + 1,
+            "{placers}: {untold} of two that do not know of each other, {one} of one"
+        );
     }
 }
 
@@ -388,9 +484,16 @@
     let done = untimed(b.pass(3 * SECOND));
     assert!(done.contains(&Action::Probe { host: host(0) }));
     assert!(!sends(&done).contains(&host(0)));
-    b.give(Event::Probed { host: host(0), outcome: Outcome::Ok, elapsed: MS, report: vec![32.0, 64.0] });
+    b.give(Event::Probed {
+        host: host(0),
+        outcome: Outcome::Ok,
+        elapsed: MS,
+        report: vec![32.0, 64.0],
+    });
     b.give(gone(1, HostState::Draining));
-    let after: Vec<_> = (50..90).flat_map(|n| sends(&b.ask(task(n, n as u64)))).collect();
+    let after: Vec<_> = (50..90)
+        .flat_map(|n| sends(&b.ask(task(n, n as u64))))
+        .collect();
     assert!(after.contains(&host(0)), "an answered probe brings it back");
 }
 
@@ -419,8 +522,15 @@
 fn a_machine_where_own_tasks_of_the_service_stand_comes_before_its_homes() {
     for n in 0..6 {
         let mut b = Bench::with(settings(), n);
-        let half = |n| Entry { free_cores: 16.0, free_memory: 32.0, ..entry(n, HostState::Up) };
-        b.give(Event::Members { kind: ListKind::Full, entries: (0..6).map(half).collect() });
+        let half = |n| Entry {
+            free_cores: 16.0,
+            free_memory: 32.0,
+            ..entry(n, HostState::Up)
+        };
+        b.give(Event::Members {
+            kind: ListKind::Full,
+            entries: (0..6).map(half).collect(),
+        });
         b.give(Event::Open(task(100, 1), host(n)));
         assert_eq!(sends(&b.ask(task(1, 1))), [host(n)]);
     }
@@ -429,7 +539,13 @@
 /// Found there too: offers given up before their time were started twice, and made other starts late.
 #[test]
 fn an_offer_waits_all_the_time_left_where_yes_means_running() {
-    let mut b = Bench::with(Settings { ack: Ack::Running, ..settings() }, 1);
+    let mut b = Bench::with(
+        Settings {
+            ack: Ack::Running,
+            ..settings()
+        },
+        1,
+    );
     let slack = settings().answer_slack.max(2 * settings().tick);
     let actions = b.ask(task(1, 1));
     let timeout = actions.iter().find_map(|a| match a {
@@ -451,7 +567,10 @@
         let second = sent(&again);
         assert_ne!(first, second);
         let done = b.end(n, 1, &second, Outcome::Error, Detail::None);
-        assert!(sends(&done).is_empty() && refused(&done), "two errors are enough");
+        assert!(
+            sends(&done).is_empty() && refused(&done),
+            "two errors are enough"
+        );
     }
     // The machines are as good as before: a task goes to the home of its service, as in the beginning.
     let mut fresh = Bench::with(settings(), 1);
@@ -461,7 +580,12 @@
     let before = b.ask(task(60, 1));
     let broken = sent(&before);
     let second = sent(&b.end(60, 0, &broken, Outcome::Error, Detail::None));
-    b.give(Event::First { id: req(60), attempt: 1, host: second, elapsed: MS });
+    b.give(Event::First {
+        id: req(60),
+        attempt: 1,
+        host: second,
+        elapsed: MS,
+    });
     assert!(!sends(&b.ask(task(61, 1))).contains(&broken));
 }
 
@@ -503,7 +627,12 @@
     b.end(98, 0, &host(77), Outcome::Ok, Detail::None);
     b.first(97, 0, &host(76));
     b.give(Event::Timer(TimerToken(1 << 60)));
-    b.give(Event::Probed { host: host(75), outcome: Outcome::Timeout, elapsed: 0, report: Vec::new() });
+    b.give(Event::Probed {
+        host: host(75),
+        outcome: Outcome::Timeout,
+        elapsed: 0,
+        report: Vec::new(),
+    });
     let at = sent(&b.ask(task(1, 1)));
     b.end(1, 7, &at, Outcome::Full, Detail::None);
     b.first(1, 0, &at);
@@ -512,12 +641,21 @@
     b.now -= 50 * SECOND;
     sent(&b.ask(task(2, 2)));
     b.now += 5_000 * SECOND;
-    b.give(Event::Members { kind: ListKind::Full, entries: Vec::new() });
+    b.give(Event::Members {
+        kind: ListKind::Full,
+        entries: Vec::new(),
+    });
     assert!(sends(&b.ask(task(3, 3))).is_empty());
     let mut full = entry(0, HostState::Up);
     (full.free_cores, full.free_memory) = (-40.0, 0.0);
-    b.give(Event::Members { kind: ListKind::Delta, entries: vec![full] });
-    assert!(sends(&untimed(b.pass(SECOND))).is_empty(), "a machine below zero takes nothing");
+    b.give(Event::Members {
+        kind: ListKind::Delta,
+        entries: vec![full],
+    });
+    assert!(
+        sends(&untimed(b.pass(SECOND))).is_empty(),
+        "a machine below zero takes nothing"
+    );
 }
 
 /// Starts piled up on machines that could not keep up, and timed out one after the other (incident ib29225).
@@ -526,7 +664,9 @@
     let mut s = settings();
     s.probes = false;
     let mut b = Bench::with(s, 1);
-    let before: usize = (0..40).map(|n| sends(&b.ask(task(n, n as u64))).len()).sum();
+    let before: usize = (0..40)
+        .map(|n| sends(&b.ask(task(n, n as u64))).len())
+        .sum();
     for n in 0..before {
         b.give(Event::Gone(req(n)));
         b.end_with(n, 0, &host(0), Outcome::Timeout, Detail::None, true);
@@ -535,8 +675,13 @@
         b.give(Event::Gone(req(n)));
     }
     b.pass(30 * SECOND);
-    let after: usize = (50..90).map(|n| sends(&b.ask(task(n, n as u64))).len()).sum();
-    assert!(before >= 8 && after >= 1 && after <= before / 2, "{before} before, {after} after");
+    let after: usize = (50..90)
+        .map(|n| sends(&b.ask(task(n, n as u64))).len())
+        .sum();
+    assert!(
+        before >= 8 && after >= 1 && after <= before / 2,
+        "{before} before, {after} after"
+    );
 }
 
 /// Heavy tasks crowded the home of their service, and its other tasks with it (a fresh day of one deployment).
@@ -547,8 +692,16 @@
         let mut placer = Placer::new(settings(), seed);
         let mut out = Vec::new();
         let mut busy: Vec<Entry> = (0..4).map(|n| entry(n, HostState::Up)).collect();
-        busy.iter_mut().for_each(|e| (e.free_cores, e.free_memory) = (12.0, 24.0));
-        placer.handle(0, &Event::Members { kind: ListKind::Full, entries: busy }, &mut out);
+        busy.iter_mut()
+            .for_each(|e| (e.free_cores, e.free_memory) = (12.0, 24.0));
+        placer.handle(
+            0,
+            &Event::Members {
+                kind: ListKind::Full,
+                entries: busy,
+            },
+            &mut out,
+        );
         let mut heavy = task(1, 3);
         (heavy.cores, heavy.memory) = (6.0, 8.0);
         placer.handle(MS, &Event::Request(heavy), &mut out);
@@ -568,7 +721,14 @@
             let mut out = Vec::new();
             let mut list: Vec<Entry> = (0..2).map(|n| entry(n, HostState::Up)).collect();
             (list[0].free_cores, list[1].free_cores) = (12.0, 14.0);
-            placer.handle(0, &Event::Members { kind: ListKind::Full, entries: list }, &mut out);
+            placer.handle(
+                0,
+                &Event::Members {
+                    kind: ListKind::Full,
+                    entries: list,
+                },
+                &mut out,
+            );
             let mut heavy = task(1, seed);
             (heavy.cores, heavy.memory, heavy.came_back) = (8.0, 1.0, came_back);
             placer.handle(MS, &Event::Request(heavy), &mut out);
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -12,17 +12,35 @@
     s.placers = placers;
     let second = s.classes[0].clone();
     s.classes.push(second);
-    s.tenants = vec![Tenant { share: 0.5, quota_per_s: 100.0, quota_cores: 100.0 }; 2];
+    s.tenants = vec![
+        Tenant {
+            share: 0.5,
+            quota_per_s: 100.0,
+            quota_cores: 100.0
+        };
+        2
+    ];
     s
 }
 
 fn of(n: usize, service: u64, class: usize, tenant: usize) -> Task {
-    Task { class: ClassId(class), tenant: Some(TenantId(tenant)), ..task(n, service) }
+    Task {
+        class: ClassId(class),
+        tenant: Some(TenantId(tenant)),
+        ..task(n, service)
+    }
 }
 
 /// Offers `count` tasks of one class and tenant, ends each by an error at machine 0 where `bad` and well elsewhere;
 /// answers how many went to machine 0.
-fn offer(b: &mut Bench, from: usize, count: usize, class: usize, tenant: usize, bad: bool) -> usize {
+fn offer(
+    b: &mut Bench,
+    from: usize,
+    count: usize,
+    class: usize,
+    tenant: usize,
+    bad: bool,
+) -> usize {
     let mut there = 0;
     for n in from..from + count {
         for at in sends(&b.ask(of(n, n as u64, class, tenant))) {
@@ -47,13 +65,28 @@
     let mut b = Bench::with(settings(1), 2);
     let failed = offer(&mut b, 0, 40, 0, 0, true);
     assert!((1..=2).contains(&failed), "{failed}");
-    b.give(Event::Probed { host: host(0), outcome: Outcome::Ok, elapsed: MS, report: Vec::new() });
-    assert_eq!(offer(&mut b, 100, 40, 0, 1, true), 0, "a probe tells nothing of a class");
-    assert!(offer(&mut b, 200, 40, 1, 0, false) > 5, "the other class is served there");
+    b.give(Event::Probed {
+        host: host(0),
+        outcome: Outcome::Ok,
+        elapsed: MS,
+        report: Vec::new(),
+    });
+    assert_eq!(
+        offer(&mut b, 100, 40, 0, 1, true),
+        0,
+        "a probe tells nothing of a class"
+    );
+    assert!(
+        offer(&mut b, 200, 40, 1, 0, false) > 5,
+        "the other class is served there"
+    );
     // A second class fails there too: now it is the machine.
     offer(&mut b, 300, 40, 1, 0, true);
     let asked = untimed(b.pass(5 * SECOND));
-    assert!(asked.contains(&Action::Probe { host: host(0) }), "{asked:?}");
+    assert!(
+        asked.contains(&Action::Probe { host: host(0) }),
+        "{asked:?}"
+    );
 }
 
 /// A refusal that names nothing, from a machine with room in view, shut the whole machine.
@@ -85,7 +118,9 @@
     for n in 0..12 {
         let mut actions = b.ask(of(n, 7, 0, 0));
         for attempt in 0.. {
-            let Some(at) = sends(&actions).first().cloned() else { break };
+            let Some(at) = sends(&actions).first().cloned() else {
+                break;
+            };
             tries += 1;
             actions = b.end(n, attempt, &at, Outcome::Full, Detail::None);
         }
@@ -114,7 +149,10 @@
         b.now = start;
         let mut cold = entry(0, HostState::Up);
         cold.ready_at = start;
-        b.give(Event::Members { kind: ListKind::Full, entries: vec![cold] });
+        b.give(Event::Members {
+            kind: ListKind::Full,
+            entries: vec![cold],
+        });
         // The worst case: every placer always has a task to offer.
         for n in 0..60 {
             for at in sends(&b.ask(task(n, n as u64))) {
@@ -127,9 +165,16 @@
         }
     }
     offers.sort_unstable();
-    assert!(offers.len() > 60, "{} offers in the cold span", offers.len());
+    assert!(
+        offers.len() > 60,
+        "{} offers in the cold span",
+        offers.len()
+    );
     for (i, t) in offers.iter().enumerate() {
-        let within = offers[i..].iter().take_while(|u| **u - t <= 3 * SECOND).count();
+        let within = offers[i..]
+            .iter()
+            .take_while(|u| **u - t <= 3 * SECOND)
+            .count();
         assert!(within <= 58, "{within} offers within 3 s of {t}");
     }
 }
@@ -139,8 +184,12 @@
 fn tasks_refused_for_room_are_held_back_while_the_fleet_is_full() {
     let mut b = Bench::new(settings(100));
     let mut list: Vec<Entry> = (0..4).map(|n| entry(n, HostState::Up)).collect();
-    list.iter_mut().for_each(|e| (e.free_cores, e.free_memory) = (4.0, -14.0));
-    b.give(Event::Members { kind: ListKind::Full, entries: list });
+    list.iter_mut()
+        .for_each(|e| (e.free_cores, e.free_memory) = (4.0, -14.0));
+    b.give(Event::Members {
+        kind: ListKind::Full,
+        entries: list,
+    });
     let mut again = 0;
     let mut answered = BTreeSet::new();
     for n in 0..30 {
@@ -150,9 +199,15 @@
         }
     }
     assert!(again <= 3, "{again} of 30 offered again at once");
-    let back = |n: usize| Task { came_back: true, ..task(n, n as u64) };
+    let back = |n: usize| Task {
+        came_back: true,
+        ..task(n, n as u64)
+    };
     let returned: usize = (100..130).map(|n| sends(&b.ask(back(n))).len()).sum();
-    assert!(returned <= 3, "{returned} of 30 that came back offered at once (iae28a3)");
+    assert!(
+        returned <= 3,
+        "{returned} of 30 that came back offered at once (iae28a3)"
+    );
     for a in untimed(b.pass(6 * SECOND)) {
         if let Action::Refuse { id, .. } = a {
             assert!(answered.insert(id));
@@ -170,7 +225,14 @@
         let mut out = Vec::new();
         let mut list: Vec<Entry> = (0..2).map(|n| entry(n, HostState::Up)).collect();
         (list[0].free_cores, list[1].free_cores) = (8.0, 16.0);
-        placer.handle(0, &Event::Members { kind: ListKind::Full, entries: list }, &mut out);
+        placer.handle(
+            0,
+            &Event::Members {
+                kind: ListKind::Full,
+                entries: list,
+            },
+            &mut out,
+        );
         for n in 0..8 {
             let now = (1 + n as i64) * 400 * SECOND;
             out.clear();
@@ -180,11 +242,24 @@
             for at in sends(&out) {
                 fuller += usize::from(n >= 4 && at == host(0));
                 let (id, attempt, elapsed) = (req(n), 0, MS);
-                let first = Event::First { id: id.clone(), attempt, host: at.clone(), elapsed };
+                let first = Event::First {
+                    id: id.clone(),
+                    attempt,
+                    host: at.clone(),
+                    elapsed,
+                };
                 placer.handle(now, &first, &mut out);
                 let (outcome, detail, report) = (Outcome::Ok, Detail::None, Vec::new());
-                let end =
-                    Event::Outcome { id, attempt, host: at, outcome, detail, done: true, elapsed, report };
+                let end = Event::Outcome {
+                    id,
+                    attempt,
+                    host: at,
+                    outcome,
+                    detail,
+                    done: true,
+                    elapsed,
+                    report,
+                };
                 placer.handle(now, &end, &mut out);
             }
         }
@@ -221,7 +296,10 @@
     }
     assert!(seen.values().all(|n| *n == 1), "{seen:?}");
     for n in 0..30 {
-        assert!(seen.contains_key(&(req(n), "answered")), "task {n} has no answer");
+        assert!(
+            seen.contains_key(&(req(n), "answered")),
+            "task {n} has no answer"
+        );
     }
 }
 
@@ -229,7 +307,10 @@
 #[test]
 fn homes_are_won_by_what_a_machine_holds() {
     let mut s = settings(1);
-    s.kinds.push(Kind { cores: 96.0, memory: 192.0 });
+    s.kinds.push(Kind {
+        cores: 96.0,
+        memory: 192.0,
+    });
     let mut list: Vec<Entry> = (0..2).map(|n| entry(n, HostState::Up)).collect();
     (list[1].kind, list[1].free_cores, list[1].free_memory) = (KindId(1), 96.0, 192.0);
     // Enough is asked for that both are in the set.
@@ -239,11 +320,21 @@
     for service in 0..200 {
         let mut placer = Placer::new(s.clone(), service);
         let mut out = Vec::new();
-        placer.handle(0, &Event::Members { kind: ListKind::Full, entries: list.clone() }, &mut out);
+        placer.handle(
+            0,
+            &Event::Members {
+                kind: ListKind::Full,
+                entries: list.clone(),
+            },
+            &mut out,
+        );
         placer.handle(MS, &Event::Request(task(1, service)), &mut out);
         large += usize::from(sends(&out) == vec![host(1)]);
     }
-    assert!((130..=170).contains(&large), "{large} of 200 at the machine of three quarters of the fleet");
+    assert!(
+        (130..=170).contains(&large),
+        "{large} of 200 at the machine of three quarters of the fleet"
+    );
 }
 
 /// Tasks pushed out before they ran shut the machine for all, in the very overload that needs it (ia8ddc2).
@@ -275,18 +366,46 @@
         }
         assert!(placed.len() >= 25, "{}", placed.len());
         let leaving: Vec<usize> = (wave * 3..wave * 3 + 3).collect();
-        let drained = leaving.iter().map(|n| entry(*n, HostState::Draining)).collect();
-        b.give(Event::Members { kind: ListKind::Delta, entries: drained });
-        let new = leaving.iter().map(|n| Entry { ready_at: b.now, ..entry(n + 20, HostState::Up) }).collect();
-        b.give(Event::Members { kind: ListKind::Delta, entries: new });
+        let drained = leaving
+            .iter()
+            .map(|n| entry(*n, HostState::Draining))
+            .collect();
+        b.give(Event::Members {
+            kind: ListKind::Delta,
+            entries: drained,
+        });
+        let new = leaving
+            .iter()
+            .map(|n| Entry {
+                ready_at: b.now,
+                ..entry(n + 20, HostState::Up)
+            })
+            .collect();
+        b.give(Event::Members {
+            kind: ListKind::Delta,
+            entries: new,
+        });
         for (n, at) in placed {
             let gone = leaving.iter().any(|m| host(*m) == at);
-            b.end_with(n, 0, &at, if gone { Outcome::Reset } else { Outcome::Ok }, Detail::SentAway, true);
+            b.end_with(
+                n,
+                0,
+                &at,
+                if gone { Outcome::Reset } else { Outcome::Ok },
+                Detail::SentAway,
+                true,
+            );
             if gone {
                 lost += 1;
-                let back = Task { came_back: true, ..of(n + 50, n as u64 % 9, 0, 0) };
+                let back = Task {
+                    came_back: true,
+                    ..of(n + 50, n as u64 % 9, 0, 0)
+                };
                 for to in sends(&b.ask(back)) {
-                    assert!(leaving.iter().all(|m| host(*m) != to), "an announced machine got a task");
+                    assert!(
+                        leaving.iter().all(|m| host(*m) != to),
+                        "an announced machine got a task"
+                    );
                     cold_offers += usize::from(to.0[1..].parse::<usize>().unwrap() >= 20);
                     b.first(n + 50, 0, &to);
                     b.end(n + 50, 0, &to, Outcome::Ok, Detail::None);
@@ -295,5 +414,8 @@
         }
     }
     assert!(lost > 0, "the waves met no task");
-    assert!(cold_offers <= 6 * 2, "{cold_offers} offers to six cold machines at two each");
+    assert!(
+        cold_offers <= 6 * 2,
+        "{cold_offers} offers to six cold machines at two each"
+    );
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -22,7 +22,8 @@
 const LIST: &str = "CATALOG\t0\t2\nM\t33\tnorth\tup\t1\tplain\t-\t0\t80\thost.a\n\
 M\t33\tsouth\tup\t1\tplain\t-\t1\t80\thost.b\nBACKENDS_CHANGED\twarm_copy\t4\t0";
 
-const TASK: &str = "TASK\tc:one\t-\tquick\t1\t2b8e6401d9f37c10\t91f03b7c55d20a64\t1.5\t0\t6000.0\t0\tours";
+const TASK: &str =
+    "TASK\tc:one\t-\tquick\t1\t2b8e6401d9f37c10\t91f03b7c55d20a64\t1.5\t0\t6000.0\t0\tours";
 
 fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_anisehead-benchlink"))
@@ -32,13 +33,21 @@
         .spawn()
         .expect("the binary starts");
     // A run that ends on bad input may close its end first; its output tells.
-    let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
+    let _ = child
+        .stdin
+        .take()
+        .expect("piped")
+        .write_all(input.as_bytes());
     child.wait_with_output().expect("the binary ends")
 }
 
 fn good(input: &str) -> String {
     let out = run(input);
-    assert!(out.status.success(), "{}", String::from_utf8_lossy(&out.stderr));
+    assert!(
+        out.status.success(),
+        "{}",
+        String::from_utf8_lossy(&out.stderr)
+    );
     String::from_utf8(out.stdout).expect("text")
 }
 
@@ -47,7 +56,10 @@
     let out = run(input);
     assert!(!out.status.success(), "accepted: {input}");
     let stdout = String::from_utf8(out.stdout).expect("text");
-    assert!(stdout.is_empty() || stdout.ends_with("YIELD\n"), "half a reply: {stdout}");
+    assert!(
+        stdout.is_empty() || stdout.ends_with("YIELD\n"),
+        "half a reply: {stdout}"
+    );
     let stderr = String::from_utf8(out.stderr).expect("text");
     assert_eq!(stderr.lines().count(), 1, "{stderr}");
     stderr
@@ -65,9 +77,15 @@
 
 #[test]
 fn a_task_is_offered_confirmed_noted_and_ended() {
-    let first = good(&format!("{}BATCH\t1002.0\nINSTANCE\t0\n{TASK}\nEOB\n", started()));
+    let first = good(&format!(
+        "{}BATCH\t1002.0\nINSTANCE\t0\n{TASK}\nEOB\n",
+        started()
+    ));
     assert!(first.contains("TRACK\t1\n"), "{first}");
-    let sent = first.lines().find(|l| l.starts_with("PROPOSE\tc:one\thost.")).expect("an offer");
+    let sent = first
+        .lines()
+        .find(|l| l.starts_with("PROPOSE\tc:one\thost."))
+        .expect("an offer");
     let host = sent.split('\t').nth(2).expect("a host");
     let more = format!(
         "{}BATCH\t1002.0\nINSTANCE\t0\n{TASK}\nEOB\nBATCH\t1004.0\nINSTANCE\t0\nCONFIRMED\tc:one\t0\t{host}\t2.0\n\
@@ -84,8 +102,14 @@
 #[test]
 fn every_outcome_is_understood() {
     for how in ["100", "301", "302", "303", "304", "305", "306", "307"] {
-        let first = good(&format!("{}BATCH\t1002.0\nINSTANCE\t0\n{TASK}\nEOB\n", started()));
-        let sent = first.lines().find(|l| l.starts_with("PROPOSE")).expect("an offer");
+        let first = good(&format!(
+            "{}BATCH\t1002.0\nINSTANCE\t0\n{TASK}\nEOB\n",
+            started()
+        ));
+        let sent = first
+            .lines()
+            .find(|l| l.starts_with("PROPOSE"))
+            .expect("an offer");
         let host = sent.split('\t').nth(2).expect("a host");
         let done = u8::from(how == "100");
         let all = good(&format!(
@@ -101,10 +125,14 @@
 #[test]
 fn instances_share_nothing_and_one_process_acts_as_several() {
     let of = |n: u32| {
-        format!("INSTANCE\t{n}\n{BOOT}\n{LIST}\n") + &TASK.replace("c:one", &format!("c:t{n}")) + "\n"
+        format!("INSTANCE\t{n}\n{BOOT}\n{LIST}\n")
+            + &TASK.replace("c:one", &format!("c:t{n}"))
+            + "\n"
     };
     let joint = good(&format!("BATCH\t1000.0\n{}{}EOB\n", of(0), of(1)));
-    let alone: Vec<String> = (0..2).map(|n| good(&format!("BATCH\t1000.0\n{}EOB\n", of(n)))).collect();
+    let alone: Vec<String> = (0..2)
+        .map(|n| good(&format!("BATCH\t1000.0\n{}EOB\n", of(n))))
+        .collect();
     let strip = |s: &str| s.replace("YIELD\n", "");
     assert_eq!(strip(&joint), strip(&alone[0]) + &strip(&alone[1]));
 }
@@ -120,11 +148,16 @@
 
 #[test]
 fn a_standing_task_and_a_stop_are_taken() {
-    let standing =
-        "STANDING\tc:old\tonce\tours\t91f03b7c55d20a64\t240.0\t12.0\t2b8e6401d9f37c10\t2\t1.5\t0\t0\thost.a";
-    let all = good(&format!("{}BATCH\t1002.0\nINSTANCE\t0\n{standing}\nSTOP\nEOB\n", started()));
+    let standing = "STANDING\tc:old\tonce\tours\t91f03b7c55d20a64\t240.0\t12.0\t2b8e6401d9f37c10\t2\t1.5\t0\t0\thost.a";
+    let all = good(&format!(
+        "{}BATCH\t1002.0\nINSTANCE\t0\n{standing}\nSTOP\nEOB\n",
+        started()
+    ));
     assert_eq!(all.matches("YIELD").count(), 2);
-    let after = format!("{}BATCH\t1002.0\nINSTANCE\t0\nSTOP\nTIMER\t1\nEOB\n", started());
+    let after = format!(
+        "{}BATCH\t1002.0\nINSTANCE\t0\nSTOP\nTIMER\t1\nEOB\n",
+        started()
+    );
     assert!(bad(&after).contains("placer"));
 }
 
@@ -138,9 +171,18 @@
         (TASK.replace("2b8e6401d9f37c10", "xyz"), "app"),
         (TASK.replace("\tours", "\ttheirs"), "billing"),
         ("CONFIRMED\tc:one\t0".to_string(), "message"),
-        ("RESULT\tc:one\t999\t0\t-\t0\t1.0\thost.a\t-".to_string(), "how"),
-        ("RESULT\tc:one\t303\tmaybe\t-\t0\t1.0\thost.a\t-".to_string(), "complete"),
-        ("RESULT\tc:one\t303\t0\t-\t0\t1.0\thost.a\t1,x".to_string(), "load"),
+        (
+            "RESULT\tc:one\t999\t0\t-\t0\t1.0\thost.a\t-".to_string(),
+            "how",
+        ),
+        (
+            "RESULT\tc:one\t303\tmaybe\t-\t0\t1.0\thost.a\t-".to_string(),
+            "complete",
+        ),
+        (
+            "RESULT\tc:one\t303\t0\t-\t0\t1.0\thost.a\t1,x".to_string(),
+            "load",
+        ),
         ("BACKENDS_CHANGED\ttotal\t3\t9".to_string(), "list"),
         ("BACKENDS_CHANGED\tsome\t3\t0".to_string(), "mode"),
         ("TIMER\t-4".to_string(), "mark"),
@@ -150,7 +192,10 @@
     for (line, field) in cases {
         let error = bad(&format!("{start}BATCH\t1002.0\nINSTANCE\t0\n{line}\nEOB\n"));
         assert!(error.contains(&format!("line {at}:")), "{line}: {error}");
-        assert!(error.contains(&format!("field {field}:")), "{line}: {error}");
+        assert!(
+            error.contains(&format!("field {field}:")),
+            "{line}: {error}"
+        );
     }
     assert!(bad(&format!("{start}BATCH\t1002.0\nINSTANCE\t6\n{TASK}\nEOB\n")).contains("placer"));
     assert!(bad(&format!("{start}BATCH\t1002.0\n{TASK}\nEOB\n")).contains("placer"));
