--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -3,9 +3,9 @@
 //!
 //! `cargo bench --bench decisions [-- PLACERS]`; the placers that the settings state are 12 unless told otherwise.
 
-use anisehead::*;
 use std::sync::Arc;
 use std::time::Instant;
+use task_placer::*;
 
 const SIZES: [usize; 7] = [100, 400, 1_000, 2_000, 4_000, 7_300, 16_384];
 const EVENTS: usize = 2_000;
--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -1,11 +1,11 @@
 //! What the size of the fleet costs: memory, and CPU of a client's connection that comes and goes, of a task that
 //! is placed and of an event of the feed, among 10, 100, 400 and 1,000 hosts, each with a program of its own.
 //!
-//! `cargo bench --bench fleet`; `ANISEHEAD_BIN` names another version's program to hold against it.
+//! `cargo bench --bench fleet`; `TASK_PLACER_BIN` names another version's program to hold against it.
 
+use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::{Ask, Launch, deployment, until};
 use simd_json::{OwnedValue, json};
-use standin::live::{Books, Habits, LiveFeed, LiveHost};
-use standin::{Ask, Launch, deployment, until};
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/benches/health_polls.rs
+++ b/benches/health_polls.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo bench --bench health_polls [-- SECONDS]`
 
-use standin::live::{Books, Habits, LiveFeed, LiveHost};
-use standin::{Ask, Launch, Program, deployment, free_address, until};
+use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::{Ask, Launch, Program, deployment, free_address, until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
--- a/benches/standing.rs
+++ b/benches/standing.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo bench --bench standing`
 
-use standin::live::{Books, Habits, LiveFeed, LiveHost};
-use standin::{Ask, Launch, deployment, until};
+use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::{Ask, Launch, deployment, until};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
--- a/crates/standin/src/keeper.rs
+++ b/crates/emulator/src/keeper.rs
@@ -165,6 +165,7 @@
         };
         command
             .env("LB_CONFIG", self.path(n, "json"))
+            .env_remove("TASK_PLACER_OPERATOR")
             .env_remove("ANISEHEAD_OPERATOR")
             .stdin(Stdio::null());
         if let (Some(text), Some(placer)) = (&self.start.operator, self.placers.get(n)) {
@@ -174,6 +175,8 @@
                 .replace("{http}", &placer.http.to_string())
                 .replace("{socket}", &self.path(n, "sock").to_string_lossy());
             std::fs::write(self.path(n, "toml"), text)?;
+            command.env("TASK_PLACER_OPERATOR", self.path(n, "toml"));
+            // Placers of earlier versions read the former name.
             command.env("ANISEHEAD_OPERATOR", self.path(n, "toml"));
         }
         let log = File::options()
--- a/crates/standin/src/program.rs
+++ b/crates/emulator/src/program.rs
@@ -11,9 +11,9 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// The binary under test: `ANISEHEAD_BIN`, or the one beside the test that runs.
+/// The binary under test: `TASK_PLACER_BIN`, or the one beside the test that runs.
 pub fn binary() -> PathBuf {
-    if let Some(named) = std::env::var_os("ANISEHEAD_BIN") {
+    if let Some(named) = std::env::var_os("TASK_PLACER_BIN") {
         return PathBuf::from(named);
     }
     let test = std::env::current_exe().expect("a path of the test");
@@ -21,14 +21,14 @@
         .parent()
         .and_then(Path::parent)
         .expect("a target folder");
-    folder.join("anisehead")
+    folder.join("task-placer")
 }
 
 /// A path for a file of a test, used once.
 pub fn scratch(ending: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!(
-        "anisehead-{}-{}.{ending}",
+        "task-placer-{}-{}.{ending}",
         std::process::id(),
         NEXT.fetch_add(1, Ordering::Relaxed)
     );
@@ -86,7 +86,7 @@
         let path = scratch("toml");
         std::fs::write(&path, text).expect("a temporary file");
         self.env.push((
-            "ANISEHEAD_OPERATOR".into(),
+            "TASK_PLACER_OPERATOR".into(),
             path.to_string_lossy().into_owned(),
         ));
         self.files.push(path);
--- a/crates/load/src/director.rs
+++ b/crates/load-test/src/director.rs
@@ -5,9 +5,9 @@
 use crate::network::Network;
 use crate::plan::{FaultKind, Plan};
 use crate::shape::Micros;
-use standin::keeper::Keeper;
-use standin::notes::Notes;
-use standin::site::{FeedFault, HostFault, Order, Site};
+use emulator::keeper::Keeper;
+use emulator::notes::Notes;
+use emulator::site::{FeedFault, HostFault, Order, Site};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
--- a/crates/load/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -1,15 +1,15 @@
-//! `anisehead-load`: rehearsals from the command line.
+//! `load-test`: rehearsals from the command line.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
-use load::arrivals::arrivals;
-use load::clients::Policy;
-use load::plan::Plan;
-use load::report::{html, shape_svg, shape_text};
-use load::results::{Summary, findings, interval_log, summarize};
-use load::run::{Options, Outcome, run, run_arrivals};
-use load::search::{Search, Spread, compare, figures, spreads};
-use load::shape::Micros;
-use load::table::{Columns, Trace, Unit, read_trace, write_tasks, write_trace};
+use load_test::arrivals::arrivals;
+use load_test::clients::Policy;
+use load_test::plan::Plan;
+use load_test::report::{html, shape_svg, shape_text};
+use load_test::results::{Summary, findings, interval_log, summarize};
+use load_test::run::{Options, Outcome, run, run_arrivals};
+use load_test::search::{Search, Spread, compare, figures, spreads};
+use load_test::shape::Micros;
+use load_test::table::{Columns, Trace, Unit, read_trace, write_tasks, write_trace};
 use std::fs::File;
 use std::io::{BufWriter, IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -21,7 +21,7 @@
 /// Exit codes: 0 good, 1 an aim was missed or the run was ended, 2 the input can't be meant, 3 a rule is
 /// broken, 4 the generator itself was late.
 #[derive(Debug, Parser)]
-#[command(name = "anisehead-load", version, max_term_width = 100)]
+#[command(name = "load-test", version, max_term_width = 100)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -111,7 +111,7 @@
 #[derive(Debug, Args)]
 struct Common {
     /// The placer's program
-    #[arg(long, default_value = "target/release/anisehead")]
+    #[arg(long, default_value = "target/release/task-placer")]
     placer: PathBuf,
     /// Where configurations and logs of the placers go
     #[arg(long, default_value = "target/rehearsal")]
@@ -188,7 +188,7 @@
     match act(Cli::parse().command) {
         Ok(code) => ExitCode::from(code),
         Err(problem) => {
-            let _ = writeln!(std::io::stderr(), "anisehead-load: {problem}");
+            let _ = writeln!(std::io::stderr(), "load-test: {problem}");
             ExitCode::from(2)
         }
     }
@@ -258,7 +258,7 @@
         Command::Guard {
             program,
             descriptors,
-        } => Err(standin::keeper::guard(&program, descriptors).to_string()),
+        } => Err(emulator::keeper::guard(&program, descriptors).to_string()),
     }
 }
 
@@ -308,12 +308,12 @@
             let length = trace.arrivals.last().map_or(1, |a| a.due + 1);
             let rate = trace.arrivals.len() as f64 * 1e6 / length as f64;
             // The report's phases need a shape: one phase, as long as the trace.
-            let shape = load::shape::Shape {
-                phases: vec![load::shape::Phase {
+            let shape = load_test::shape::Shape {
+                phases: vec![load_test::shape::Phase {
                     name: "trace".into(),
                     start: 0,
                     length,
-                    course: load::shape::Course::Level(rate),
+                    course: load_test::shape::Course::Level(rate),
                 }],
             };
             run_arrivals(&plan, shape, trace.arrivals, &options)
@@ -399,7 +399,7 @@
     // From the end of the highest phase on: the first second from which on nine in ten start in their aim.
     let summary = summarize(outcome);
     let peak = outcome.shape.phases.iter().max_by(|a, b| {
-        let most = |p: &load::shape::Phase| outcome.shape.rate(p.start + p.length / 2);
+        let most = |p: &load_test::shape::Phase| outcome.shape.rate(p.start + p.length / 2);
         most(a).total_cmp(&most(b))
     });
     let from = peak.map_or(0, |p| (p.start + p.length) / 1_000_000) as usize;
@@ -563,7 +563,7 @@
 fn pace(seconds: u64) -> Done {
     let mut best = None;
     for rate in [500, 1_000, 2_000, 4_000, 8_000, 16_000, 32_000, 64_000] {
-        let late = load::run::pace_alone(f64::from(rate), Duration::from_secs(seconds))
+        let late = load_test::run::pace_alone(f64::from(rate), Duration::from_secs(seconds))
             .map_err(|e| e.to_string())?;
         let p99 = late.value_at_quantile(0.99) as f64 / 1e3;
         say(&format!(
--- a/crates/load/src/network.rs
+++ b/crates/load-test/src/network.rs
@@ -7,12 +7,12 @@
 //! whoever calls.
 
 use crate::plan::{Fault, FaultKind, Plan, Which};
+use emulator::audit::{Note, Peer};
+use emulator::keeper::Keeper;
+use emulator::link::{self, End, Links};
+use emulator::notes::Notes;
+use emulator::site::Site;
 use serde::{Deserialize, Serialize};
-use standin::audit::{Note, Peer};
-use standin::keeper::Keeper;
-use standin::link::{self, End, Links};
-use standin::notes::Notes;
-use standin::site::Site;
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
 use std::net::SocketAddr;
--- a/crates/load/src/plan.rs
+++ b/crates/load-test/src/plan.rs
@@ -4,8 +4,8 @@
 use crate::clients::Policy;
 use crate::network::{self, MOST_LINKS, Parties};
 use crate::shape::{self, Shape};
+use emulator::audit::Peer;
 use serde::{Deserialize, Serialize};
-use standin::audit::Peer;
 use std::collections::BTreeSet;
 use std::fmt;
 use std::path::Path;
--- a/crates/load/src/results.rs
+++ b/crates/load-test/src/results.rs
@@ -3,10 +3,10 @@
 use crate::clients::Fate;
 use crate::run::{Outcome, Task};
 use crate::shape::Micros;
+use emulator::audit::Rule;
 use hdrhistogram::Histogram;
 use hdrhistogram::serialization::V2DeflateSerializer;
 use hdrhistogram::serialization::interval_log::{IntervalLogWriterBuilder, Tag};
-use standin::audit::Rule;
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::time::Duration;
--- a/crates/load/src/run/deployment.rs
+++ b/crates/load-test/src/run/deployment.rs
@@ -2,8 +2,8 @@
 
 use super::micros;
 use crate::plan::Plan;
+use emulator::machine::Spec;
 use simd_json::{OwnedValue, json};
-use standin::machine::Spec;
 use std::time::Duration;
 
 /// Hosts as the plan has them.
--- a/crates/load/tests/plans.rs
+++ b/crates/load-test/tests/plans.rs
@@ -6,7 +6,7 @@
     let mut count = 0;
     for entry in std::fs::read_dir(folder).expect("the plans") {
         let path = entry.expect("a file").path();
-        let plan = load::plan::Plan::load(&path).unwrap_or_else(|e| panic!("{e}"));
+        let plan = load_test::plan::Plan::load(&path).unwrap_or_else(|e| panic!("{e}"));
         assert!(plan.shape().length() > 0);
         count += 1;
     }
--- a/crates/load/tests/rehearsal.rs
+++ b/crates/load-test/tests/rehearsal.rs
@@ -1,11 +1,11 @@
 //! Rehearsals on loopback with the real placer, short enough for CI.
 
-use load::plan::Plan;
-use load::results::{findings, summarize};
-use load::run::{Options, Outcome, run};
-use standin::machine::{Micros, Offer};
-use standin::site::describe;
-use standin::{Message, bytes};
+use emulator::machine::{Micros, Offer};
+use emulator::site::describe;
+use emulator::{Message, bytes};
+use load_test::plan::Plan;
+use load_test::results::{findings, summarize};
+use load_test::run::{Options, Outcome, run};
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -18,12 +18,18 @@
 /// The placer, built on the way where the test runs alone. A lock keeps the runs apart: each needs the cores.
 fn placer() -> PathBuf {
     static BUILT: std::sync::Once = std::sync::Once::new();
-    let binary = standin::binary();
+    let binary = emulator::binary();
     BUILT.call_once(|| {
         let cargo = std::env::var("CARGO").unwrap_or_else(|_| "cargo".into());
         let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
         let built = std::process::Command::new(cargo)
-            .args(["build", "--locked", "--bin", "anisehead", "--manifest-path"])
+            .args([
+                "build",
+                "--locked",
+                "--bin",
+                "task-placer",
+                "--manifest-path",
+            ])
             .arg(format!("{root}/Cargo.toml"))
             .status();
         assert!(
@@ -41,7 +47,7 @@
         .unwrap_or_else(std::sync::PoisonError::into_inner);
     let folder = tempfile::tempdir().expect("a folder");
     let plan = Plan::parse(plan).expect("a plan");
-    let guard = Some(PathBuf::from(env!("CARGO_BIN_EXE_anisehead-load")));
+    let guard = Some(PathBuf::from(env!("CARGO_BIN_EXE_load-test")));
     let options = Options {
         placer: placer(),
         guard,
@@ -245,7 +251,7 @@
 #[test]
 fn a_placer_ends_with_the_keeper_that_was_killed() {
     // The guard becomes a program that would run for ever; its keeper is killed.
-    let guard = env!("CARGO_BIN_EXE_anisehead-load");
+    let guard = env!("CARGO_BIN_EXE_load-test");
     let script = format!("{guard} guard /usr/bin/yes > /dev/null & echo $!; wait");
     let mut keeper = std::process::Command::new("sh")
         .args(["-c", &script])
@@ -259,14 +265,14 @@
     )
     .expect("a line");
     let path = PathBuf::from(format!("/proc/{}/comm", line.trim()));
-    standin::until("it runs", || {
+    emulator::until("it runs", || {
         std::fs::read_to_string(&path)
             .ok()
             .filter(|name| name.trim() == "yes")
     });
     keeper.kill().expect("a child");
     keeper.wait().expect("a child");
-    standin::until("it has ended", || (!path.exists()).then_some(()));
+    emulator::until("it has ended", || (!path.exists()).then_some(()));
 }
 
 /// A placer of the test's own, in a few lines: it answers each set-up after 30 ms, on threads, and counts
--- a/crates/scale/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -27,14 +27,14 @@
 /// The figures are of no use.
 const NOT_USABLE: u8 = 4;
 /// The placer's program beside this one.
-const PROGRAM: &str = "anisehead";
+const PROGRAM: &str = "task-placer";
 
 /// Runs real placers among thousands of hollow workers, and tells what each costs by second.
 ///
 /// Exit codes: 0 good, 1 a run failed or was ended, 2 refused: it can't be meant or needs too much, 3 a rule is
 /// broken, 4 the figures are of no use.
 #[derive(Debug, Parser)]
-#[command(name = "anisehead-scale", version, max_term_width = 100)]
+#[command(name = "scale-test", version, max_term_width = 100)]
 struct Cli {
     #[command(subcommand)]
     command: Command,
@@ -112,11 +112,11 @@
                 value,
                 source: RunError::Budget(error),
             }) => (format!("{axis} {value}: "), &error.excesses),
-            _ => return eprintln!("anisehead-scale: {self}"),
+            _ => return eprintln!("scale-test: {self}"),
         };
         excesses
             .iter()
-            .for_each(|excess| eprintln!("anisehead-scale: {prefix}{excess}"));
+            .for_each(|excess| eprintln!("scale-test: {prefix}{excess}"));
     }
 }
 
@@ -149,7 +149,7 @@
     }
     let text = error.to_string();
     eprintln!(
-        "anisehead-scale: {}",
+        "scale-test: {}",
         text.lines().next().unwrap_or("bad command line")
     );
     ExitCode::from(REFUSED)
--- a/crates/scale/src/placer_process.rs
+++ b/crates/scale-test/src/placer_process.rs
@@ -89,6 +89,7 @@
             .env(CONFIG_VARIABLE, config)
             .env_remove("LB_ADMIN")
             .env_remove("LB_ACCEPT_FD");
+        command.env_remove("TASK_PLACER_OPERATOR");
         command.env_remove("ANISEHEAD_OPERATOR");
         command
             .stdin(Stdio::null())
--- a/crates/scale/src/run/stage.rs
+++ b/crates/scale-test/src/run/stage.rs
@@ -62,9 +62,7 @@
                 Ok(Folder::Kept(path.clone()))
             }
             None => {
-                let folder = tempfile::Builder::new()
-                    .prefix("anisehead-scale-")
-                    .tempdir();
+                let folder = tempfile::Builder::new().prefix("scale-test-").tempdir();
                 folder
                     .map(Folder::Temporary)
                     .map_err(RunError::system("make a folder"))
--- a/crates/scale/tests/command_line.rs
+++ b/crates/scale-test/tests/command_line.rs
@@ -1,6 +1,6 @@
 //! The command line: what it refuses, what it prints, and that it leaves nothing behind.
 
-use scale::sweep::SweepReport;
+use scale_test::sweep::SweepReport;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
@@ -9,7 +9,7 @@
 const LIMIT: Duration = Duration::from_secs(60);
 
 fn tool() -> Command {
-    Command::new(env!("CARGO_BIN_EXE_anisehead-scale"))
+    Command::new(env!("CARGO_BIN_EXE_scale-test"))
 }
 
 fn plan(name: &str) -> PathBuf {
@@ -164,7 +164,7 @@
         let out = output(&[command, &HUGE].concat());
         let lines = String::from_utf8(out.stderr).expect("text");
         assert_eq!(out.status.code(), Some(2), "{command:?}: {lines}");
-        let needs = format!("anisehead-scale: {prefix}needs ");
+        let needs = format!("scale-test: {prefix}needs ");
         assert!(
             lines.lines().all(|line| line.starts_with(&needs)),
             "{command:?}: {lines}"
@@ -203,7 +203,7 @@
     let line = String::from_utf8(out.stderr).expect("text");
     assert_eq!(out.status.code(), Some(1), "{line}");
     assert!(
-        line.starts_with("anisehead-scale: workers 20, repeat 1: placer "),
+        line.starts_with("scale-test: workers 20, repeat 1: placer "),
         "{line}"
     );
     assert!(line.contains("ended by itself"), "{line}");
@@ -318,8 +318,8 @@
 
 #[test]
 fn sigterm_ends_the_run_and_every_placer_with_it() {
-    let program = std::env::var_os("ANISEHEAD_BIN").map(PathBuf::from);
-    let beside = PathBuf::from(env!("CARGO_BIN_EXE_anisehead-scale")).with_file_name("anisehead");
+    let program = std::env::var_os("TASK_PLACER_BIN").map(PathBuf::from);
+    let beside = PathBuf::from(env!("CARGO_BIN_EXE_scale-test")).with_file_name("task-placer");
     let program = program.unwrap_or(beside);
     let mut command = tool();
     command
--- a/crates/scale/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -1,19 +1,19 @@
 //! A run of the small plan with real placers: counts and rules. No times are judged.
 
-use scale::results::PlacerResult;
-use scale::sample::ProcSampler;
-use scale::settings::{Connect, FeedRule};
-use scale::sweep::{Axis, Metric, Runner};
-use scale::sweep_runner::ScaleRunner;
-use scale::traffic::FeedCounts;
-use scale::{RunResult, Settings, Unwatched, run};
+use scale_test::results::PlacerResult;
+use scale_test::sample::ProcSampler;
+use scale_test::settings::{Connect, FeedRule};
+use scale_test::sweep::{Axis, Metric, Runner};
+use scale_test::sweep_runner::ScaleRunner;
+use scale_test::traffic::FeedCounts;
+use scale_test::{RunResult, Settings, Unwatched, run};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use strum::IntoEnumIterator;
 
-/// The placer's program: `ANISEHEAD_BIN`, or the one beside the test that runs.
+/// The placer's program: `TASK_PLACER_BIN`, or the one beside the test that runs.
 fn program() -> PathBuf {
-    if let Some(named) = std::env::var_os("ANISEHEAD_BIN") {
+    if let Some(named) = std::env::var_os("TASK_PLACER_BIN") {
         return PathBuf::from(named);
     }
     let test = std::env::current_exe().expect("a path of the test");
@@ -21,7 +21,7 @@
         .parent()
         .and_then(Path::parent)
         .expect("a target folder");
-    folder.join("anisehead")
+    folder.join("task-placer")
 }
 
 fn small_plan() -> Settings {
@@ -38,7 +38,7 @@
     let settings = small_plan();
     let result = run_of(&settings);
     let fleet = &result.fleet;
-    println!("{}", scale::results::print(&result));
+    println!("{}", scale_test::results::print(&result));
     assert!(result.usable, "{:?}", result.reason);
 
     // Every task that was due has one end.
--- a/crates/scale/src/main.rs
+++ /dev/null
@@ -1,7 +0,0 @@
-//! `anisehead-scale`: scale runs from the command line.
-
-use std::process::ExitCode;
-
-fn main() -> ExitCode {
-    scale::cli::main()
-}
--- a/src/bin/anisehead-benchlink/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,4 +1,4 @@
-//! Hosts one [`anisehead::Placer`] per instance on the simulator's wire.
+//! Hosts one [`task_placer::Placer`] per instance on the simulator's wire.
 //!
 //! Reads batches on standard input, answers each on standard output, ends at end of input.
 //! A malformed line ends it with one line on standard error that names the line and the field.
@@ -6,11 +6,11 @@
 
 mod wire;
 
-use anisehead::settings::{self, Names, Pairs};
-use anisehead::{Action, Micros, Placer};
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
+use task_placer::settings::{self, Names, Pairs};
+use task_placer::{Action, Micros, Placer};
 use wire::{Fields, Problem};
 
 /// One instance: its module and the names its settings stated.
@@ -166,7 +166,7 @@
     match run(io::stdin().lock(), io::BufWriter::new(io::stdout().lock())) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("anisehead-benchlink: {problem}");
+            eprintln!("simulator-adapter: {problem}");
             ExitCode::FAILURE
         }
     }
--- a/src/bin/anisehead-benchlink/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -1,10 +1,10 @@
 //! Lines of the wire to events, actions to lines.
 
-use anisehead::settings::{Names, millis, parse_number};
-use anisehead::*;
 use std::collections::BTreeMap;
 use std::fmt::{self, Write};
 use std::sync::Arc;
+use task_placer::settings::{Names, millis, parse_number};
+use task_placer::*;
 
 /// What is wrong with the input, and where.
 pub struct Problem {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -4,7 +4,6 @@
 use crate::net::{self, config, log};
 use crate::operator::{self, Loaded, LogFormat, LogLevel, Operator};
 use crate::terminal::complain;
-use anisehead::operation::calls::Call;
 use clap::builder::PossibleValuesParser;
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use std::io::{Read, Write};
@@ -12,6 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
+use task_placer::operation::calls::Call;
 
 /// Exit code of `check` for files with errors, as of `clap` for words that can't be read.
 const BAD_INPUT: u8 = 2;
@@ -26,7 +26,7 @@
 ///
 /// Without a command it serves on the configuration that LB_CONFIG names.
 #[derive(Debug, Parser)]
-#[command(name = "anisehead", version, max_term_width = 100)]
+#[command(name = "task-placer", version, max_term_width = 100)]
 struct Cli {
     #[command(subcommand)]
     command: Option<Command>,
@@ -42,10 +42,28 @@
     #[arg(long, value_name = "FILE", env = "LB_CONFIG", global = true)]
     config: Option<PathBuf>,
     /// The operator's file, TOML; without one nothing that it could switch on is on
-    #[arg(long, value_name = "FILE", env = "ANISEHEAD_OPERATOR", global = true)]
+    #[arg(long, value_name = "FILE", env = "TASK_PLACER_OPERATOR", global = true)]
     operator: Option<PathBuf>,
 }
 
+/// The former name of `TASK_PLACER_OPERATOR`, still read for installations that set it.
+const FORMER_OPERATOR_VARIABLE: &str = "ANISEHEAD_OPERATOR";
+
+impl Files {
+    /// Takes the operator's file from the variable's former name if nothing else names it, with a warning.
+    fn apply_former_variable(&mut self) {
+        if self.operator.is_some() {
+            return;
+        }
+        if let Some(path) = std::env::var_os(FORMER_OPERATOR_VARIABLE) {
+            complain(&format!(
+                "task-placer: warning: {FORMER_OPERATOR_VARIABLE} is the former name of TASK_PLACER_OPERATOR"
+            ));
+            self.operator = Some(path.into());
+        }
+    }
+}
+
 #[derive(Debug, Args)]
 struct LogArgs {
     /// How lines of the log look; goes before the operator's file
@@ -109,7 +127,8 @@
 
 /// Reads the command line and does what it says.
 pub fn run() -> ExitCode {
-    let cli = Cli::parse();
+    let mut cli = Cli::parse();
+    cli.files.apply_former_variable();
     match &cli.command {
         None | Some(Command::Serve) => serve(&cli),
         Some(Command::Check) => check(&cli),
@@ -128,7 +147,7 @@
             clap_complete::generate(
                 *shell,
                 &mut Cli::command(),
-                "anisehead",
+                "task-placer",
                 &mut std::io::stdout(),
             );
             ExitCode::SUCCESS
@@ -179,14 +198,14 @@
     let signals = match net::signals() {
         Ok(signals) => signals,
         Err(problem) => {
-            complain(&format!("anisehead: signals: {problem}"));
+            complain(&format!("task-placer: signals: {problem}"));
             return ExitCode::FAILURE;
         }
     };
     let config = match config::load(cli.files.config.as_deref()) {
         Ok(config) => config,
         Err(problem) => {
-            complain(&format!("anisehead: {problem}"));
+            complain(&format!("task-placer: {problem}"));
             return ExitCode::FAILURE;
         }
     };
@@ -207,7 +226,7 @@
         if !wrong.is_empty() {
             wrong
                 .iter()
-                .for_each(|line| complain(&format!("anisehead: {line}")));
+                .for_each(|line| complain(&format!("task-placer: {line}")));
             return ExitCode::FAILURE;
         }
     }
@@ -248,7 +267,7 @@
         answered => {
             let why =
                 answered.map_or_else(|e| e.to_string(), |_| "closed without a reply".to_string());
-            complain(&format!("anisehead: {address}: {why}"));
+            complain(&format!("task-placer: {address}: {why}"));
             ExitCode::from(UNANSWERED)
         }
     }
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -6,20 +6,27 @@
 fn the_command_line_holds_together() {
     Cli::command().debug_assert();
     for words in [
-        &["anisehead"][..],
-        &["anisehead", "serve", "--operator", "f.toml"],
-        &["anisehead", "--operator", "f.toml", "check"],
-        &["anisehead", "ctl", "state", "--json", "--socket", "/run/s"],
-        &["anisehead", "completions", "bash"],
-        &["anisehead", "call", "--at", "127.0.0.1:9600", "drain-on"],
+        &["task-placer"][..],
+        &["task-placer", "serve", "--operator", "f.toml"],
+        &["task-placer", "--operator", "f.toml", "check"],
+        &[
+            "task-placer",
+            "ctl",
+            "state",
+            "--json",
+            "--socket",
+            "/run/s",
+        ],
+        &["task-placer", "completions", "bash"],
+        &["task-placer", "call", "--at", "127.0.0.1:9600", "drain-on"],
     ] {
         assert!(Cli::try_parse_from(words).is_ok(), "{words:?}");
     }
     for words in [
-        &["anisehead", "sevre"][..],
-        &["anisehead", "--log-level", "loud"],
-        &["anisehead", "ctl"],
-        &["anisehead", "call", "--at", "127.0.0.1:1", "drain"],
+        &["task-placer", "sevre"][..],
+        &["task-placer", "--log-level", "loud"],
+        &["task-placer", "ctl"],
+        &["task-placer", "call", "--at", "127.0.0.1:1", "drain"],
     ] {
         assert!(Cli::try_parse_from(words).is_err(), "{words:?}");
     }
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -108,28 +108,28 @@
     };
     let Some(socket) = socket else {
         complain(
-            "anisehead: no socket: name one by --socket, or an operator's file that has [ctl] socket",
+            "task-placer: no socket: name one by --socket, or an operator's file that has [ctl] socket",
         );
         return ExitCode::FAILURE;
     };
     let line = match ask(&socket, order) {
         Ok(line) => line,
         Err(e) => {
-            complain(&format!("anisehead: {}: {e}", socket.display()));
+            complain(&format!("task-placer: {}: {e}", socket.display()));
             return ExitCode::FAILURE;
         }
     };
     let mut bytes = line.clone().into_bytes();
     let Ok(value) = simd_json::to_owned_value(&mut bytes) else {
         complain(&format!(
-            "anisehead: {}: answered what is no JSON",
+            "task-placer: {}: answered what is no JSON",
             socket.display()
         ));
         return ExitCode::FAILURE;
     };
     if value.get_bool("ok") != Some(true) {
         complain(&format!(
-            "anisehead: {}",
+            "task-placer: {}",
             value.get_str("error").unwrap_or("refused")
         ));
         return ExitCode::FAILURE;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -5,7 +5,7 @@
 //! settings, seed and events give the same actions.
 //!
 //! ```
-//! use anisehead::*;
+//! use task_placer::*;
 //! use std::sync::Arc;
 //!
 //! let settings = Settings::example();
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -5,10 +5,6 @@
 use super::dispatch::{Dispatch, MOST_CALLERS, Shared};
 use super::health::gate::{Gate, Place};
 use super::health::linger;
-use anisehead::Micros;
-use anisehead::operation::calls::{self, Call};
-use anisehead::operation::duty;
-use anisehead::operation::tally::Counts;
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -17,6 +13,10 @@
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
+use task_placer::Micros;
+use task_placer::operation::calls::{self, Call};
+use task_placer::operation::duty;
+use task_placer::operation::tally::Counts;
 use tracing::{debug, info};
 
 /// How long a caller may take for its line, and to read its reply and close.
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -3,10 +3,6 @@
 use super::codec::{TaskId, binary};
 use super::conn::{Conn, End, STUCK, Unread};
 use super::dispatch::Shared;
-use anisehead::descriptors::Shares;
-use anisehead::facade::Ticket;
-use anisehead::health::Event;
-use anisehead::{HostId, Micros};
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,6 +10,10 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::Duration;
+use task_placer::descriptors::Shares;
+use task_placer::facade::Ticket;
+use task_placer::health::Event;
+use task_placer::{HostId, Micros};
 use tracing::{info, warn};
 
 /// A silent connection that carries no open set-up is closed after this.
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,8 +1,8 @@
 //! The one clock: Unix microseconds that run on evenly.
 
-use anisehead::Micros;
 use std::cell::Cell;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
+use task_placer::Micros;
 
 /// The part of the time by which the clock follows a step of the system's Unix clock, at the most; it never
 /// goes back. A step of 5 s is made up for within 5 minutes.
--- a/src/net/codec/binary.rs
+++ b/src/net/codec/binary.rs
@@ -3,10 +3,10 @@
 //! `length:2 type:1 task:8 parameters`, each parameter `code:1 length:2 value`, all big-endian.
 
 use super::{MOST_BYTES, Malformed, SetUp, TaskId};
-use anisehead::HostId;
-use anisehead::facade::Ask;
-use anisehead::settings::{millis, parse_number};
 use std::sync::Arc;
+use task_placer::HostId;
+use task_placer::facade::Ask;
+use task_placer::settings::{millis, parse_number};
 
 mod kind {
     pub const SET_UP: u8 = 1;
--- a/src/net/codec/feed.rs
+++ b/src/net/codec/feed.rs
@@ -2,12 +2,12 @@
 
 use super::Malformed;
 use super::lines::number;
-use anisehead::settings::{Names, millis};
-use anisehead::{CellId, Entry, HostId, HostState, KindId, ZoneId};
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
+use task_placer::settings::{Names, millis};
+use task_placer::{CellId, Entry, HostId, HostState, KindId, ZoneId};
 
 /// The most hosts that a list may name.
 const MOST_HOSTS: usize = 16_384;
--- a/src/net/codec/lines.rs
+++ b/src/net/codec/lines.rs
@@ -1,10 +1,10 @@
 //! The JSON lines that placers and hosts exchange.
 
 use super::{MOST_BYTES, Malformed, TaskId};
-use anisehead::settings::parse_number;
-use anisehead::{Detail, Note};
 use simd_json::prelude::*;
 use simd_json::{BorrowedValue, json};
+use task_placer::settings::parse_number;
+use task_placer::{Detail, Note};
 
 /// What a host says of a task.
 #[derive(Debug, Clone, PartialEq)]
--- a/src/net/codec/mod.rs
+++ b/src/net/codec/mod.rs
@@ -4,9 +4,9 @@
 pub mod feed;
 pub mod lines;
 
-use anisehead::facade::Ask;
-use anisehead::{HostId, Micros};
 use std::fmt;
+use task_placer::facade::Ask;
+use task_placer::{HostId, Micros};
 
 /// No message of clients or hosts holds more.
 pub const MOST_BYTES: usize = 16 * 1024;
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -2,14 +2,14 @@
 
 use super::codec::feed::{self, FeedLine};
 use super::codec::lines::number;
-use anisehead::Settings;
-use anisehead::descriptors::FEWEST_SOCKETS;
-use anisehead::settings::{self, Names};
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
 use std::fmt;
 use std::net::SocketAddr;
 use std::path::Path;
+use task_placer::Settings;
+use task_placer::descriptors::FEWEST_SOCKETS;
+use task_placer::settings::{self, Names};
 
 /// What a placer is told at its start.
 pub struct Config {
@@ -36,7 +36,7 @@
 }
 
 impl Config {
-    /// What `anisehead check` tells of it: fields and values.
+    /// What `task-placer check` tells of it: fields and values.
     pub fn in_force(&self) -> Vec<(String, String)> {
         let up = self
             .known
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -1,7 +1,6 @@
 //! One TCP connection: reads by chunks, and writes through a bounded queue.
 
 use super::codec::Malformed;
-use anisehead::Micros;
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -10,6 +9,7 @@
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::{Duration, Instant};
+use task_placer::Micros;
 
 /// Bytes that may wait for a peer that reads slowly.
 const MOST_QUEUED: usize = 256 * 1024;
--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -4,7 +4,6 @@
 use super::dispatch::Shared;
 use super::health::gate::{Gate, Place};
 use crate::ctl;
-use anisehead::Micros;
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -14,6 +13,7 @@
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::Path;
 use std::rc::Rc;
+use task_placer::Micros;
 use tracing::info;
 
 /// Connections at a time, and how long one may take for an order.
--- a/src/net/dispatch/answers.rs
+++ b/src/net/dispatch/answers.rs
@@ -13,10 +13,10 @@
 use super::requests::State;
 use crate::net::clients::ClientId;
 use crate::net::codec::{TaskId, binary, cause};
-use anisehead::facade::{News, Ticket};
-use anisehead::health::Event;
-use anisehead::operation::tally::Ended as Told;
-use anisehead::{Micros, Outcome};
+use task_placer::facade::{News, Ticket};
+use task_placer::health::Event;
+use task_placer::operation::tally::Ended as Told;
+use task_placer::{Micros, Outcome};
 
 impl Dispatch {
     /// The final answer to a request that does not stand: the only place that gives it a refusal or a failure.
--- a/src/net/dispatch/at_hosts.rs
+++ b/src/net/dispatch/at_hosts.rs
@@ -1,9 +1,9 @@
 //! Owns the lists of requests by the host that they are at, so that news of one host does not walk all requests. It
 //! never holds a request itself, only its ticket.
 
-use anisehead::HostId;
-use anisehead::facade::Ticket;
 use std::collections::{BTreeMap, BTreeSet};
+use task_placer::HostId;
+use task_placer::facade::Ticket;
 
 #[derive(Default)]
 struct Here {
--- a/src/net/dispatch/bounds.rs
+++ b/src/net/dispatch/bounds.rs
@@ -2,10 +2,10 @@
 //! the answer to `ctl overload`. It never bounds anything itself: the engine does, through the facade.
 
 use super::Dispatch;
-use anisehead::Micros;
-use anisehead::overload::{Counters, Report};
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
+use task_placer::Micros;
+use task_placer::overload::{Counters, Report};
 use tracing::info;
 
 /// The most often that decisions are logged.
@@ -27,7 +27,7 @@
         };
         let (step, counters) = (overload.step(), overload.counters());
         if step != self.logged.step {
-            let through = anisehead::overload::gate::through(step);
+            let through = task_placer::overload::gate::through(step);
             info!(
                 reason = "overload-step",
                 from = self.logged.step,
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -9,11 +9,11 @@
 use crate::net::codec::binary::{self, ClientWord};
 use crate::net::codec::{Malformed, SetUp, TaskId};
 use crate::net::conn::{Conn, End};
-use anisehead::facade::{News, Ticket, Unfit};
-use anisehead::operation::duty;
-use anisehead::operation::tally::Ended as Told;
-use anisehead::{Micros, Outcome};
 use std::rc::Rc;
+use task_placer::facade::{News, Ticket, Unfit};
+use task_placer::operation::duty;
+use task_placer::operation::tally::Ended as Told;
+use task_placer::{Micros, Outcome};
 use tracing::info;
 
 /// A client's time runs from when it sent: what the way here, a tick and the way back may take.
--- a/src/net/dispatch/feed_messages.rs
+++ b/src/net/dispatch/feed_messages.rs
@@ -3,8 +3,8 @@
 use super::Dispatch;
 use crate::net::codec::Malformed;
 use crate::net::conn::End;
-use anisehead::facade::News;
-use anisehead::health::Event;
+use task_placer::facade::News;
+use task_placer::health::Event;
 use tracing::{info, warn};
 
 impl Dispatch {
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -7,9 +7,9 @@
 use crate::net::codec::lines::{self, HostWord};
 use crate::net::codec::{TaskId, cause};
 use crate::net::hosts::Phase;
-use anisehead::facade::{News, Ticket};
-use anisehead::health::Event;
-use anisehead::{Detail, HostId, Micros, Outcome};
+use task_placer::facade::{News, Ticket};
+use task_placer::health::Event;
+use task_placer::{Detail, HostId, Micros, Outcome};
 
 impl Dispatch {
     /// A message of a host. It counts only for the attempt that is out there or the task that stands
--- a/src/net/dispatch/links.rs
+++ b/src/net/dispatch/links.rs
@@ -7,12 +7,12 @@
 use crate::net::codec::feed::Listed;
 use crate::net::conn::{Conn, End, STUCK};
 use crate::net::hosts::{self, DialError, Link, Phase, Round, Waiting};
-use anisehead::descriptors::Want;
-use anisehead::facade::{News, Ticket};
-use anisehead::health::Event;
-use anisehead::{Detail, HostId, HostState, Micros, Outcome};
 use std::rc::Rc;
 use std::time::Duration;
+use task_placer::descriptors::Want;
+use task_placer::facade::{News, Ticket};
+use task_placer::health::Event;
+use task_placer::{Detail, HostId, HostState, Micros, Outcome};
 use tracing::info;
 
 /// How long half a line of a host may wait for its rest.
@@ -77,7 +77,7 @@
         now: Micros,
         whole: bool,
         hosts: Vec<Listed>,
-    ) -> (Vec<anisehead::Entry>, Vec<Waiting>) {
+    ) -> (Vec<task_placer::Entry>, Vec<Waiting>) {
         let mut recalled = Vec::new();
         let mut touched: Vec<HostId> = Vec::with_capacity(hosts.len());
         if whole {
--- a/src/net/dispatch/offers.rs
+++ b/src/net/dispatch/offers.rs
@@ -10,9 +10,9 @@
 use crate::net::codec::{SetUp, TaskId, cause, lines};
 use crate::net::conn::{End, Unread};
 use crate::net::hosts::{Phase, Waiting};
-use anisehead::facade::{News, Ticket};
-use anisehead::health::Event;
-use anisehead::{Detail, HostId, Micros, Outcome};
+use task_placer::facade::{News, Ticket};
+use task_placer::health::Event;
+use task_placer::{Detail, HostId, Micros, Outcome};
 
 /// How long an offer may be out on a connection on which nothing is heard.
 const DOUBT: Micros = 1_000 * MILLI;
--- a/src/net/dispatch/operating.rs
+++ b/src/net/dispatch/operating.rs
@@ -5,9 +5,9 @@
 use super::requests::Request;
 use crate::ctl;
 use crate::net::health::watch::{Refused, Watch};
-use anisehead::Micros;
-use anisehead::operation::duty::{Effect, Event};
 use simd_json::OwnedValue;
+use task_placer::Micros;
+use task_placer::operation::duty::{Effect, Event};
 use tracing::info;
 
 impl Dispatch {
@@ -81,7 +81,7 @@
 
     /// An order of an operator: what to answer.
     pub fn ordered(&mut self, order: ctl::Order) -> Result<OwnedValue, String> {
-        use anisehead::health::Order;
+        use task_placer::health::Order;
         let (now, hand) = (self.clock.now(), self.hand());
         let order = match order {
             ctl::Order::Overload => return self.tell_overload(now),
--- a/src/net/dispatch/requests.rs
+++ b/src/net/dispatch/requests.rs
@@ -26,8 +26,8 @@
 use crate::net::clients::ClientId;
 use crate::net::codec::{SetUp, TaskId};
 use crate::net::hosts::Round;
-use anisehead::facade::Ticket;
-use anisehead::{Detail, HostId, Micros};
+use task_placer::facade::Ticket;
+use task_placer::{Detail, HostId, Micros};
 
 /// Where a request is.
 #[derive(Debug, Clone, PartialEq)]
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -4,10 +4,10 @@
 use super::requests::{Request, State};
 use super::{Dispatch, MILLI};
 use crate::net::health::watch::{Task, Watch};
-use anisehead::Micros;
-use anisehead::facade::News;
-use anisehead::health::drain::Hand;
-use anisehead::operation::duty;
+use task_placer::Micros;
+use task_placer::facade::News;
+use task_placer::health::drain::Hand;
+use task_placer::operation::duty;
 use tracing::{info, warn};
 
 /// After SIGTERM the platform ends the process no sooner than after the longest wait of a client, counted as this
--- a/src/net/dispatch/slots.rs
+++ b/src/net/dispatch/slots.rs
@@ -5,9 +5,9 @@
 use super::{Dispatch, MILLI};
 use crate::net::conn::End;
 use crate::net::hosts::{Phase, Round};
-use anisehead::descriptors::{Answer, Rank, Want};
-use anisehead::facade::Ticket;
-use anisehead::{HostId, HostState, Micros};
+use task_placer::descriptors::{Answer, Rank, Want};
+use task_placer::facade::Ticket;
+use task_placer::{HostId, HostState, Micros};
 
 /// How long what a host still says is read on a connection that makes way.
 const READ_OFF: Micros = 200 * MILLI;
--- a/src/net/dispatch/standing.rs
+++ b/src/net/dispatch/standing.rs
@@ -7,8 +7,8 @@
 use crate::net::clients::ClientId;
 use crate::net::codec::{SetUp, TaskId, binary, cause, lines};
 use crate::net::hosts::Phase;
-use anisehead::facade::{News, Ticket, Unfit};
-use anisehead::{Detail, HostId, HostState, Micros, Outcome};
+use task_placer::facade::{News, Ticket, Unfit};
+use task_placer::{Detail, HostId, HostState, Micros, Outcome};
 use tracing::info;
 
 /// How long a host may take to confirm a release.
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -5,10 +5,10 @@
 use super::{Dispatch, MILLI};
 use crate::net::codec::cause;
 use crate::net::hosts::{DialError, Link, Phase, Round};
-use anisehead::facade::Ticket;
-use anisehead::health::Event;
-use anisehead::operation::duty;
-use anisehead::{Detail, HostId, Micros, Outcome};
+use task_placer::facade::Ticket;
+use task_placer::health::Event;
+use task_placer::operation::duty;
+use task_placer::{Detail, HostId, Micros, Outcome};
 
 /// How often connections are looked through.
 pub(super) const SWEEP: Micros = 250 * MILLI;
--- a/src/net/dispatch/verdicts.rs
+++ b/src/net/dispatch/verdicts.rs
@@ -3,9 +3,9 @@
 
 use super::{Dispatch, MILLI};
 use crate::net::codec::cause;
-use anisehead::facade::{News, Verdict};
-use anisehead::{Micros, Outcome};
 use std::collections::VecDeque;
+use task_placer::facade::{News, Verdict};
+use task_placer::{Micros, Outcome};
 use tracing::info;
 
 impl Dispatch {
--- a/src/net/dispatch/watching.rs
+++ b/src/net/dispatch/watching.rs
@@ -2,9 +2,9 @@
 
 use super::{Dispatch, MILLI};
 use crate::net::conn;
-use anisehead::health::{Event, Gauges, Zone};
-use anisehead::{HostState, Micros};
 use std::collections::BTreeMap;
+use task_placer::health::{Event, Gauges, Zone};
+use task_placer::{HostState, Micros};
 
 /// How long a host's word that it is full counts.
 const FULL: Micros = 15_000 * MILLI;
@@ -22,7 +22,7 @@
         if self.watch.is_none() {
             return;
         }
-        let mut zones: BTreeMap<anisehead::ZoneId, Zone> = BTreeMap::new();
+        let mut zones: BTreeMap<task_placer::ZoneId, Zone> = BTreeMap::new();
         let (mut listed, mut roomy, mut full) = (0u32, 0u32, 0u32);
         let ordinary = self.facade.ordinary();
         for link in self
--- a/src/net/health/agent.rs
+++ b/src/net/health/agent.rs
@@ -6,7 +6,7 @@
 //! `ready`, and one that said `stopped` has to say `up`. Every answer of a state that serves therefore
 //! says both.
 
-use anisehead::health::{Report, State};
+use task_placer::health::{Report, State};
 
 /// A line of the balancer longer than this is none.
 pub const MOST_LINE: usize = 256;
@@ -66,8 +66,8 @@
 #[cfg(test)]
 pub mod tests {
     use super::*;
-    use anisehead::health::{Code, Health, Settings};
-    use standin::balance::{Admin, Advice, read_agent};
+    use emulator::balance::{Admin, Advice, read_agent};
+    use task_placer::health::{Code, Health, Settings};
 
     /// A report of this state and weight.
     pub fn report(state: State, weight: u8, cause: Option<Code>) -> Report {
--- a/src/net/health/gate.rs
+++ b/src/net/health/gate.rs
@@ -4,10 +4,10 @@
 //! can't keep out one that does, and their descriptors never grow beyond the bound. Deadlines are looked
 //! at with the wheel's sweep, so they are coarse.
 
-use anisehead::Micros;
 use async_channel::{Receiver, Sender};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
+use task_placer::Micros;
 
 /// Why a connection is sent away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/src/net/health/http.rs
+++ b/src/net/health/http.rs
@@ -4,10 +4,10 @@
 //! check that travels through proxies is a way in: a body of any kind, lengths that disagree, a line that
 //! ends in a bare line feed, a name with a space before its colon, a folded line.
 
-use anisehead::Micros;
-use anisehead::health::{Code, Reading, Report, State};
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
+use task_placer::Micros;
+use task_placer::health::{Code, Reading, Report, State};
 
 /// No request holds more.
 pub const MOST_REQUEST: usize = 8 * 1024;
--- a/src/net/health/mod.rs
+++ b/src/net/health/mod.rs
@@ -8,8 +8,6 @@
 use super::clients::AcceptFailed;
 use super::dispatch::Shared;
 use crate::operator;
-use anisehead::Micros;
-use anisehead::health::drain::{Check, Poller};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
@@ -18,6 +16,8 @@
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
+use task_placer::Micros;
+use task_placer::health::drain::{Check, Poller};
 use tracing::{debug, info};
 
 /// How long the peer may take to read its answer and close.
@@ -274,7 +274,7 @@
         };
         let around = http::Surroundings {
             now,
-            started: watch.started() || report.state != anisehead::health::State::Starting,
+            started: watch.started() || report.state != task_placer::health::State::Starting,
             drain_status: watch.settings.drain_status,
             degraded_below: watch.settings.degraded_below,
         };
--- a/src/net/health/watch.rs
+++ b/src/net/health/watch.rs
@@ -1,13 +1,13 @@
 //! The engine and the drain of this process: what dispatch tells them, and what they make dispatch do.
 
 use crate::operator;
-use anisehead::Micros;
-use anisehead::health::drain::{Drain, Effect, Hand, Phase, Poller};
-use anisehead::health::{Change, Event, Health, Order, Report, State};
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
 use std::collections::hash_map::DefaultHasher;
 use std::hash::{Hash, Hasher};
+use task_placer::Micros;
+use task_placer::health::drain::{Drain, Effect, Hand, Phase, Poller};
+use task_placer::health::{Change, Event, Health, Order, Report, State};
 use tracing::{debug, info, warn};
 
 /// What dispatch has to do.
@@ -184,7 +184,7 @@
             "weight": report.weight,
             "since_ms": (report.since / 1_000),
             "now_ms": (now / 1_000),
-            "reason": report.cause.map_or("", anisehead::health::Code::as_str),
+            "reason": report.cause.map_or("", task_placer::health::Code::as_str),
             "fleet": report.fleet,
             "signals": signals,
             "drain": {
@@ -204,7 +204,7 @@
             }
             Change::Weight(before, after, cause, fleet) => {
                 let fleet = (100.0 * fleet).round() / 100.0;
-                let reason = cause.map_or("signals-clear", anisehead::health::Code::as_str);
+                let reason = cause.map_or("signals-clear", task_placer::health::Code::as_str);
                 if after < before {
                     warn!(before, after, reason, fleet, "health weight");
                 } else {
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -5,8 +5,6 @@
 use super::codec::{MOST_BYTES, lines, next_line};
 use super::conn::{Conn, End};
 use super::dispatch::Shared;
-use anisehead::facade::Ticket;
-use anisehead::{CellId, HostId, HostState, Micros, ZoneId};
 use async_channel::Sender;
 use async_io::Async;
 use futures_lite::future;
@@ -14,6 +12,8 @@
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
+use task_placer::facade::Ticket;
+use task_placer::{CellId, HostId, HostState, Micros, ZoneId};
 
 /// Pauses between attempts to connect: the first, doubled to the last.
 const FIRST_PAUSE: Micros = 50_000;
--- a/src/net/hosts/tests.rs
+++ b/src/net/hosts/tests.rs
@@ -1,8 +1,8 @@
 //! When a host is forgotten.
 
 use super::*;
-use anisehead::{Entry, KindId, ZoneId};
 use std::sync::Arc;
+use task_placer::{Entry, KindId, ZoneId};
 
 #[test]
 fn a_host_is_forgotten_once_it_is_gone_and_its_connections_have_ended() {
--- a/src/net/wheel.rs
+++ b/src/net/wheel.rs
@@ -1,6 +1,6 @@
 //! A wheel of coarse ticks: all the timers of the network side, with no timer of the system's per request.
 
-use anisehead::Micros;
+use task_placer::Micros;
 
 /// Length of a tick.
 pub const TICK: Micros = 5_000;
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,18 +1,18 @@
-//! The operator's file: TOML, named by `--operator` or `ANISEHEAD_OPERATOR`. Without one nothing in it
+//! The operator's file: TOML, named by `--operator` or `TASK_PLACER_OPERATOR`. Without one nothing in it
 //! is on, and the program is what the platform runs.
 
 mod reader;
 
 pub use reader::{InForce, Problem};
 
-use anisehead::Micros;
-use anisehead::health::drain::Bounds;
-use anisehead::health::{Code, Pace, Settings};
-use anisehead::overload::{Parts, attempts, gate, line, turns};
 use reader::{Reader, Section};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::time::Duration;
+use task_placer::Micros;
+use task_placer::health::drain::Bounds;
+use task_placer::health::{Code, Pace, Settings};
+use task_placer::overload::{Parts, attempts, gate, line, turns};
 use toml::de::DeTable;
 
 /// How lines of the log look.
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -1,4 +1,4 @@
-//! All decisions of anisehead. Types of settings, events and actions: `interface.rs`; what was
+//! All decisions of the placer. Types of settings, events and actions: `interface.rs`; what was
 //! heard and sent is kept by `ledger.rs`, which decides nothing.
 //!
 //! One task's way: eligible machines, load, a, then SCD (ideal workload, sorted prefix, draw), the
--- a/tests/balancers.rs
+++ b/tests/balancers.rs
@@ -1,9 +1,9 @@
 //! Whole installations on loopback: three placers behind a balancer that polls them, hosts and feeds that
 //! run by themselves, clients that arrive whatever became of those before. Every task is checked.
 
-use standin::front::{Clients, Front, Record, ask_agent};
-use standin::live::{Books, Habits, LiveFeed, LiveHost};
-use standin::{Launch, Program, deployment, free_address, until};
+use emulator::front::{Clients, Front, Record, ask_agent};
+use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::{Launch, Program, deployment, free_address, until};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -2,13 +2,13 @@
 
 mod common;
 
-use anisehead::*;
 use common::*;
+use emulator::{Ask, Feed, Host, HostConn, Program, QUICK, deployment, unix_ms};
 use proptest::prelude::*;
 use simd_json::json;
 use simd_json::prelude::*;
-use standin::{Ask, Feed, Host, HostConn, Program, QUICK, deployment, unix_ms};
 use std::time::{Duration, Instant};
+use task_placer::*;
 
 /// What a machine that bears so many is sent at most: the operators put so much more down to chance.
 fn most(borne: f64) -> usize {
@@ -268,7 +268,7 @@
         if life == 0 {
             born = unix_ms();
             for feed in &mut feeds {
-                feed.tell(&standin::event(2, false, vec![host.entry("up", born)]));
+                feed.tell(&emulator::event(2, false, vec![host.entry("up", born)]));
             }
         }
         let mut clients: Vec<_> = programs.iter().map(Program::client).collect();
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Helpers of the module tests: events in short form and a small client's view of the answers.
 #![allow(dead_code)]
 
-use anisehead::*;
 use std::sync::Arc;
+use task_placer::*;
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -3,9 +3,9 @@
 
 #![recursion_limit = "256"]
 
+use emulator::*;
 use simd_json::json;
 use simd_json::prelude::*;
-use standin::*;
 use std::fs::OpenOptions;
 use std::io::Write;
 use std::sync::Arc;
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,8 +1,8 @@
 //! The program among fleets that are large against what it may hold.
 
+use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::*;
 use simd_json::{OwnedValue, json};
-use standin::live::{Books, Habits, LiveFeed, LiveHost};
-use standin::*;
 use std::io::{ErrorKind, Write};
 use std::net::TcpStream;
 use std::sync::{Arc, Mutex};
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -1,12 +1,12 @@
 //! One placer's fronts for balancers and operators, on real sockets, with peers that misbehave.
 
-use simd_json::prelude::*;
-use standin::front::ask_agent;
-use standin::live::{Books, Habits, LiveFeed, LiveHost};
-use standin::{
+use emulator::front::ask_agent;
+use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::{
     Client, Feed, Host, HostConn, Launch, Program, QUICK, binary, config, free_address, hex,
     scratch, until,
 };
+use simd_json::prelude::*;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::unix::net::UnixStream;
@@ -504,7 +504,7 @@
     let mut fronts = start("settle = \"100ms\"\nquiet = \"300ms\"\nstanding = \"3s\"");
     let mut deaf = fronts.program.client();
     // Answers to tests fill its connection until nothing more goes.
-    let test = standin::bytes(52, 0xfe, &[(171, &[0])]);
+    let test = emulator::bytes(52, 0xfe, &[(171, &[0])]);
     deaf.0.set_nonblocking(true).expect("a socket option");
     let begun = Instant::now();
     while begun.elapsed() < 2 * SECOND {
@@ -543,7 +543,7 @@
         };
         let host = LiveHost::start("h0", "north", habits, books);
         let feed = LiveFeed::start();
-        let config = standin::deployment("n0", 0, 1, &feed.address(), vec![host.entry("up")]);
+        let config = emulator::deployment("n0", 0, 1, &feed.address(), vec![host.entry("up")]);
         let (reader, writer) = std::io::pipe().expect("a pipe");
         let reader = if closed {
             drop(reader);
--- a/tests/health_loop.rs
+++ b/tests/health_loop.rs
@@ -4,10 +4,10 @@
 //! serve waits, and a loop with work left does not come round. Beside the engine stands the naive rule,
 //! weight = 100 - load, in the same run.
 
-use anisehead::health::{Change, Event, Gauges, Health, Settings, State};
-use anisehead::{Detail, Micros, Outcome};
-use standin::balance::{Advice, Balancer};
+use emulator::balance::{Advice, Balancer};
 use std::collections::VecDeque;
+use task_placer::health::{Change, Event, Gauges, Health, Settings, State};
+use task_placer::{Detail, Micros, Outcome};
 
 const SECOND: Micros = 1_000_000;
 const STEP: Micros = 50_000;
--- a/tests/health_random.rs
+++ b/tests/health_random.rs
@@ -1,9 +1,9 @@
 //! The engine under random signals: what it tells stays in range, changes seldom, and no state is a trap.
 
-use anisehead::health::drain::{Bounds, Check, Drain, Effect, Hand, Phase, Poller};
-use anisehead::health::{Change, Code, Event, Gauges, Health, Order, Settings, State, Zone};
-use anisehead::{Detail, Micros, Outcome};
 use proptest::prelude::*;
+use task_placer::health::drain::{Bounds, Check, Drain, Effect, Hand, Phase, Poller};
+use task_placer::health::{Change, Code, Event, Gauges, Health, Order, Settings, State, Zone};
+use task_placer::{Detail, Micros, Outcome};
 
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_000 * SECOND;
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -1,8 +1,8 @@
 //! Lists of thousands of hosts, and floods of the feed: what matters in them is acted on at once.
 
+use emulator::{Feed, Host, HostConn, LIMIT, Program, QUIET, config, event, hex, until};
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
-use standin::{Feed, Host, HostConn, LIMIT, Program, QUIET, config, event, hex, until};
 use std::io::{BufRead, BufReader, Write};
 use std::net::TcpStream;
 use std::time::Duration;
@@ -45,7 +45,7 @@
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let mut config = config(&feed, vec![host.entry("up", 0)]);
-    let admin = standin::free_address().to_string();
+    let admin = emulator::free_address().to_string();
     config.insert("admin", admin.as_str()).expect("an object");
     // Hosts are called when something is wanted of them.
     config["settings"]["prices"] = json!({ "fleet": 0.15, "moves": 0.07, "handshake": 0.01 });
@@ -63,7 +63,7 @@
     let mut client = program.client();
     client.set_up(
         id,
-        &standin::Ask {
+        &emulator::Ask {
             class: "quick",
             wait_ms: 6_000,
             service: id,
@@ -119,7 +119,7 @@
     let mut client = program.client();
     client.set_up(
         7,
-        &standin::Ask {
+        &emulator::Ask {
             class: "quick",
             wait_ms: 6_000,
             service: 7,
@@ -160,7 +160,7 @@
     for id in 100..108 {
         client.set_up(
             id,
-            &standin::Ask {
+            &emulator::Ask {
                 class: "once",
                 wait_ms: 6_000,
                 service: id,
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -1,9 +1,9 @@
 //! The real program as operators and the platform run it day by day: calls, figures, drains.
 
+use emulator::operator::Calls;
+use emulator::*;
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
-use standin::operator::Calls;
-use standin::*;
 use std::io::Write;
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
--- a/tests/overload/main.rs
+++ b/tests/overload/main.rs
@@ -3,9 +3,9 @@
 
 mod model;
 
-use anisehead::Micros;
-use anisehead::overload::{Parts, turns};
 use model::{Day, Fault, MS, Model, Outcome, SECOND};
+use task_placer::Micros;
+use task_placer::overload::{Parts, turns};
 
 #[test]
 #[ignore = "a table for people: cargo test --release --test overload table -- --ignored --nocapture"]
--- a/tests/overload/model.rs
+++ b/tests/overload/model.rs
@@ -2,16 +2,16 @@
 //! and a late list, joined by one queue of events. No socket, no clock, no thread; the same seed gives the
 //! same run. What a day of it shows is compared, never asserted to the digit.
 
-use anisehead::facade::{Ask, Facade, News, Ticket, Verdict};
-use anisehead::overload::Parts;
-use anisehead::settings::Names;
-use anisehead::*;
+use emulator::machine::{Cut, Machine, Offer, Spec, Word};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
-use standin::machine::{Cut, Machine, Offer, Spec, Word};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::sync::Arc;
+use task_placer::facade::{Ask, Facade, News, Ticket, Verdict};
+use task_placer::overload::Parts;
+use task_placer::settings::Names;
+use task_placer::*;
 
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
@@ -971,4 +971,4 @@
     }
 }
 
-use anisehead::Outcome as Outcome_;
+use task_placer::Outcome as Outcome_;
--- a/tests/overload_random.rs
+++ b/tests/overload_random.rs
@@ -1,13 +1,13 @@
 //! Properties of the engine of overloads: sums over any number of placers, in any order of events.
 
-use anisehead::overload::attempts::{self, Budget, Domain};
-use anisehead::overload::gate;
-use anisehead::overload::gate::{Asked, Gate, Turn};
-use anisehead::overload::line::{self, Line};
-use anisehead::overload::turns::{self, Turns};
-use anisehead::{CellId, HostId, Micros, ZoneId};
 use proptest::prelude::*;
 use std::sync::Arc;
+use task_placer::overload::attempts::{self, Budget, Domain};
+use task_placer::overload::gate;
+use task_placer::overload::gate::{Asked, Gate, Turn};
+use task_placer::overload::line::{self, Line};
+use task_placer::overload::turns::{self, Turns};
+use task_placer::{CellId, HostId, Micros, ZoneId};
 
 const SECOND: Micros = 1_000_000;
 
--- a/tests/placer.rs
+++ b/tests/placer.rs
@@ -2,8 +2,8 @@
 
 #![recursion_limit = "256"]
 
+use emulator::*;
 use simd_json::prelude::*;
-use standin::*;
 use std::time::{Duration, Instant};
 
 // ---- Rule 1: one final answer ----
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -3,11 +3,11 @@
 
 mod common;
 
-use anisehead::*;
 use common::*;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::collections::{BTreeMap, BTreeSet};
+use task_placer::*;
 
 struct Account {
     task: Task,
--- a/tests/rough.rs
+++ b/tests/rough.rs
@@ -2,9 +2,9 @@
 
 #![recursion_limit = "256"]
 
+use emulator::*;
 use simd_json::json;
 use simd_json::prelude::*;
-use standin::*;
 use std::time::{Duration, Instant};
 
 /// A bad client is owed a word or a close within 3 s.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -2,8 +2,8 @@
 
 mod common;
 
-use anisehead::*;
 use common::*;
+use task_placer::*;
 
 fn settings() -> Settings {
     Settings::example()
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -2,9 +2,9 @@
 
 mod common;
 
-use anisehead::*;
 use common::*;
 use std::collections::{BTreeMap, BTreeSet};
+use task_placer::*;
 
 /// Two classes and two tenants, many placers.
 fn settings(placers: usize) -> Settings {
--- a/tests/scd.rs
+++ b/tests/scd.rs
@@ -1,6 +1,6 @@
 //! SCD against an exhaustive search over subsets, hand-worked examples and the edges.
 
-use anisehead::scd_probabilities;
+use task_placer::scd_probabilities;
 
 /// The paper's objective for given probabilities: sum of ((a-1)p^2 + (2(q - mu*iwl) + 1)p) / mu.
 fn objective(machines: &[(f64, f64)], p: &[f64], a: f64, iwl: f64) -> f64 {
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -26,7 +26,7 @@
     "TASK\tc:one\t-\tquick\t1\t2b8e6401d9f37c10\t91f03b7c55d20a64\t1.5\t0\t6000.0\t0\tours";
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_anisehead-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
