--- a/src/descriptors/pool.rs
+++ b/src/descriptors/pool.rs
@@ -18,7 +18,7 @@
 //! told on a connection only: it closes another such host's connection only after [`DWELL`], so that all
 //! of them get their turn.
 
-use crate::interface::Micros;
+use crate::placement::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -5,7 +5,7 @@
 //! speaks, hands in asks and news and gets [`Verdict`]s. The facade also keeps the module's timers,
 //! and answers its requests for the host list from the state of the feed.
 
-use crate::interface::*;
+use crate::placement::*;
 use crate::operation::company::Share;
 use crate::overload::{self, Overload, Parts};
 use crate::policy::Placer;
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -1,6 +1,6 @@
 //! Bookkeeping of the module: what was heard and sent. Holds no decision and no tuned value.
 
-use crate::interface::*;
+use crate::placement::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Position of a machine in [`Fleet`], for the life of the placer.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -32,7 +32,7 @@
 pub mod descriptors;
 pub mod facade;
 pub mod health;
-mod interface;
+pub mod placement;
 mod ledger;
 pub mod operation;
 pub mod overload;
@@ -40,5 +40,5 @@
 pub mod settings;
 mod working_set;
 
-pub use interface::*;
+pub use placement::*;
 pub use policy::{Placer, scd_probabilities};
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -4,7 +4,7 @@
 //! One task's way: eligible machines, load, a, then SCD (ideal workload, sorted prefix, draw), the
 //! offer with its time-out, and what its outcome permits next. Steps follow in that order below.
 
-use crate::interface::*;
+use crate::placement::*;
 use crate::ledger::*;
 use crate::working_set::{Part, WorkingSet};
 use itertools::Itertools;
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -3,7 +3,7 @@
 //! Both programs state the same names: the simulator as `path=value` pairs, the real placer's
 //! configuration as nested JSON, which [`flatten`] turns into the same paths.
 
-use crate::interface::*;
+use crate::placement::*;
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
 use std::collections::BTreeMap;
