--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -17,15 +17,15 @@
 const SERVICES: usize = 200;
 
 /// Machine `n` with a third to two thirds of its cores free, other ones each time.
-fn entry(n: usize, time: usize) -> Entry {
+fn entry(n: usize, time: usize) -> Endpoint {
     let free = 10.0 + ((n * 7 + time * 13) % 11) as f64;
-    Entry {
+    Endpoint {
         host: HostId(Arc::from(format!("w-{n:06}"))),
         zone: ZoneId(n % 7),
         cell: CellId((n / 8) as u64),
         kind: KindId(0),
-        state: HostState::Up,
-        ready_at: 0,
+        state: EndpointState::Up,
+        started_at: 0,
         free_cores: free,
         free_memory: 2.0 * free,
     }
@@ -33,12 +33,12 @@
 
 fn task(n: usize) -> Task {
     Task {
-        id: ReqId(Arc::from(format!("{n:016x}"))),
+        id: RequestId(Arc::from(format!("{n:016x}"))),
         service: ServiceId((n % SERVICES) as u64),
         key: TaskKey(n as u64),
         cores: 1.0,
         memory: 2.0,
-        budget: 5 * SECOND,
+        time_budget: 5 * SECOND,
         ..Task::default()
     }
 }
@@ -54,9 +54,9 @@
 impl Bench {
     fn new(machines: usize, placers: usize) -> Bench {
         let settings = Settings {
-            placers,
-            probes: false,
-            report: Vec::new(),
+            placer_count: placers,
+            allows_health_checks: false,
+            load_report: Vec::new(),
             ..Settings::example()
         };
         let placer = Placer::new(settings, 7);
@@ -67,9 +67,9 @@
             tick: None,
         };
         let entries = (0..machines).map(|n| entry(n, 0)).collect();
-        bench.give(&Event::Members {
-            kind: ListKind::Full,
-            entries,
+        bench.give(&Event::EndpointsChanged {
+            kind: UpdateKind::Complete,
+            endpoints: entries,
         });
         let ticks = bench.actions.iter().rev().find_map(|action| match action {
             Action::SetTimer { token, after } => Some((bench.now + after, *token)),
@@ -86,7 +86,7 @@
 
     fn sent_to(&self) -> Option<HostId> {
         self.actions.iter().find_map(|action| match action {
-            Action::Send { host, .. } => Some(host.clone()),
+            Action::SendAttempt { host, .. } => Some(host.clone()),
             _ => None,
         })
     }
@@ -94,18 +94,18 @@
     fn place(&mut self, n: usize) {
         let task = task(n);
         let id = task.id.clone();
-        self.give(&Event::Request(task));
+        self.give(&Event::TaskRequested(task));
         if let Some(host) = self.sent_to() {
-            let first = Event::First {
+            let first = Event::AttemptStarted {
                 id: id.clone(),
                 attempt: 0,
                 host: host.clone(),
                 elapsed: MS,
             };
             self.give(&first);
-            let (outcome, detail) = (Outcome::Ok, Detail::None);
+            let (outcome, detail) = (Outcome::Completed, OutcomeDetail::Unknown);
             let (attempt, done, elapsed, report) = (0, true, MS, Vec::new());
-            self.give(&Event::Outcome {
+            self.give(&Event::AttemptEnded {
                 id,
                 attempt,
                 host,
@@ -113,7 +113,7 @@
                 detail,
                 done,
                 elapsed,
-                report,
+                load_report: report,
             });
         }
     }
@@ -123,7 +123,7 @@
             return;
         };
         self.now = self.now.max(due);
-        self.give(&Event::Timer(token));
+        self.give(&Event::TimerFired(token));
         self.tick = self.actions.iter().find_map(|action| match action {
             Action::SetTimer { token, after } => Some((self.now + after, *token)),
             _ => None,
@@ -150,9 +150,9 @@
         let event = each(EVENTS, |n| {
             bench.now += MS;
             let entries = vec![entry(n * 31 % machines, n)];
-            bench.give(&Event::Members {
-                kind: ListKind::Delta,
-                entries,
+            bench.give(&Event::EndpointsChanged {
+                kind: UpdateKind::Delta,
+                endpoints: entries,
             });
         });
         let task = each(TASKS, |n| {
--- a/src/bin/simulator-adapter/wire.rs
+++ b/src/bin/simulator-adapter/wire.rs
@@ -113,8 +113,8 @@
         found.ok_or_else(|| self.problem(field, &format!("unknown name: {text}")))
     }
 
-    fn id(&self, i: usize, field: &str) -> Result<ReqId, Problem> {
-        self.text(i, field).map(|t| ReqId(Arc::from(t)))
+    fn id(&self, i: usize, field: &str) -> Result<RequestId, Problem> {
+        self.text(i, field).map(|t| RequestId(Arc::from(t)))
     }
 
     fn host(&self, i: usize, field: &str) -> Result<HostId, Problem> {
@@ -140,31 +140,31 @@
 
     fn outcome(&self, i: usize) -> Result<Outcome, Problem> {
         Ok(match self.unsigned(i, "how")? {
-            100 => Outcome::Ok,
+            100 => Outcome::Completed,
             301 => Outcome::Error,
-            302 => Outcome::Full,
+            302 => Outcome::Rejected,
             303 => Outcome::Timeout,
             304 => Outcome::ConnectFailed,
             305 => Outcome::Reset,
             306 => Outcome::Cancelled,
-            307 => Outcome::Moot,
+            307 => Outcome::NotSent,
             other => return Err(self.problem("how", &format!("unknown outcome: {other}"))),
         })
     }
 
-    fn detail(&self, i: usize) -> Result<Detail, Problem> {
+    fn detail(&self, i: usize) -> Result<OutcomeDetail, Problem> {
         if self.text(i, "detail")? == "-" {
-            return Ok(Detail::None);
+            return Ok(OutcomeDetail::Unknown);
         }
         Ok(match self.unsigned(i, "detail")? {
-            1 => Detail::NoCores,
-            2 => Detail::NoMemory,
-            3 => Detail::Busy,
-            4 => Detail::NotHere,
-            5 => Detail::Evicted,
-            6 => Detail::PushedOut,
-            7 => Detail::SentAway,
-            _ => Detail::None,
+            1 => OutcomeDetail::NoCores,
+            2 => OutcomeDetail::NoMemory,
+            3 => OutcomeDetail::QueueFull,
+            4 => OutcomeDetail::NotEligible,
+            5 => OutcomeDetail::Evicted,
+            6 => OutcomeDetail::Preempted,
+            7 => OutcomeDetail::Drained,
+            _ => OutcomeDetail::Unknown,
         })
     }
 
@@ -196,32 +196,32 @@
             tenant,
             cores: self.number(cores, "cpu")?,
             memory: self.number(memory, "memory")?,
-            hint: (!hint.is_nan()).then_some(hint),
-            budget: self.micros(budget, "budget")?,
-            resent: self.flag(resent, "resent")?,
-            came_back: self.flag(back, "came_back")?,
-            order: 0.0,
-            away: 0,
+            expected_run_seconds: (!hint.is_nan()).then_some(hint),
+            time_budget: self.micros(budget, "budget")?,
+            is_retry: self.flag(resent, "resent")?,
+            is_returning: self.flag(back, "came_back")?,
+            shed_rank: 0.0,
+            retry_after: 0,
         })
     }
 }
 
-fn entry(line: u64, text: &str, names: &Names) -> Result<Entry, Problem> {
+fn entry(line: u64, text: &str, names: &Names) -> Result<Endpoint, Problem> {
     let f = Fields::new(line, text);
     f.exactly(9)?;
     let state = match f.text(2, "health")? {
-        "up" => HostState::Up,
-        "draining" => HostState::Draining,
-        "removed" => HostState::Gone,
+        "up" => EndpointState::Up,
+        "draining" => EndpointState::Draining,
+        "removed" => EndpointState::Removed,
         other => return Err(f.problem("health", &format!("unknown state: {other}"))),
     };
     f.number_or(3, "nominal", 1.0)?;
-    Ok(Entry {
+    Ok(Endpoint {
         free_cores: f.number_or(0, "spare_cpu", 0.0)?,
         zone: ZoneId(f.named(1, "az", &names.zones)?),
         state,
         kind: KindId(f.named(4, "flavor", &names.kinds)?),
-        ready_at: millis(f.number_or(5, "started_at", 0.0)?),
+        started_at: millis(f.number_or(5, "started_at", 0.0)?),
         cell: CellId(f.unsigned(6, "pack")?),
         free_memory: f.number_or(7, "open_memory", 0.0)?,
         host: f.host(8, "host")?,
@@ -238,14 +238,14 @@
         "BACKENDS_CHANGED" => {
             f.exactly(3)?;
             let kind = match f.text(0, "mode")? {
-                "incr" => ListKind::Delta,
-                "total" => ListKind::Full,
-                "warm_copy" => ListKind::Cached,
-                "lost" => ListKind::Failed,
+                "incr" => UpdateKind::Delta,
+                "total" => UpdateKind::Complete,
+                "warm_copy" => UpdateKind::Cached,
+                "lost" => UpdateKind::Failed,
                 other => return Err(f.problem("mode", &format!("unknown mode: {other}"))),
             };
             let mut entries = Vec::new();
-            if kind != ListKind::Failed {
+            if kind != UpdateKind::Failed {
                 f.number_or(1, "seq_no", 0.0)?;
                 let list = f.unsigned(2, "list")?;
                 let lines = catalogs
@@ -255,22 +255,25 @@
                     entries.push(entry(f.line, text, names)?);
                 }
             }
-            Event::Members { kind, entries }
+            Event::EndpointsChanged {
+                kind,
+                endpoints: entries,
+            }
         }
         "TASK" => {
             if f.values.len() != 10 {
                 f.exactly(11)?;
             }
-            Event::Request(f.task([0, 2, 10, 5, 8, 1, 4, 3, 6, 7, 9], names)?)
+            Event::TaskRequested(f.task([0, 2, 10, 5, 8, 1, 4, 3, 6, 7, 9], names)?)
         }
         "STANDING" => {
             f.exactly(12)?;
             let task = f.task([0, 1, 2, 3, 4, 5, 6, 7, 8, 9, 10], names)?;
-            Event::Open(task, f.host(11, "host")?)
+            Event::TaskAdopted(task, f.host(11, "host")?)
         }
         "CONFIRMED" => {
             f.exactly(4)?;
-            Event::First {
+            Event::AttemptStarted {
                 id: f.id(0, "rid")?,
                 attempt: f.attempt(1)?,
                 host: f.host(2, "host")?,
@@ -281,24 +284,24 @@
             f.exactly(5)?;
             f.attempt(1)?;
             let note = match f.unsigned(3, "what")? {
-                1 => Note::Runs,
-                2 => Note::Cores,
-                3 => Note::Memory,
-                4 => Note::Served,
-                5 => Note::HostMemory,
-                _ => Note::Other,
+                1 => TaskReport::Running,
+                2 => TaskReport::Cores,
+                3 => TaskReport::Memory,
+                4 => TaskReport::ServiceLevel,
+                5 => TaskReport::HostMemory,
+                _ => TaskReport::Other,
             };
             let value = f.number_or(4, "value", 0.0)?;
-            Event::Noted {
+            Event::TaskReported {
                 id: f.id(0, "rid")?,
                 host: f.host(2, "host")?,
-                note,
+                report: note,
                 value,
             }
         }
         "RESULT" => {
             f.exactly(8)?;
-            Event::Outcome {
+            Event::AttemptEnded {
                 id: f.id(0, "rid")?,
                 outcome: f.outcome(1)?,
                 done: f.flag(2, "complete")?,
@@ -306,25 +309,25 @@
                 attempt: f.attempt(4)?,
                 elapsed: f.micros(5, "cost_time")?,
                 host: f.host(6, "host")?,
-                report: f.report(7, "load")?,
+                load_report: f.report(7, "load")?,
             }
         }
         "STATUS_BACK" => {
             f.exactly(4)?;
-            Event::Probed {
+            Event::HealthCheckEnded {
                 outcome: f.outcome(0)?,
                 elapsed: f.micros(1, "cost_time")?,
                 host: f.host(2, "host")?,
-                report: f.report(3, "load")?,
+                load_report: f.report(3, "load")?,
             }
         }
         "ABANDONED" => {
             f.exactly(1)?;
-            Event::Gone(f.id(0, "rid")?)
+            Event::TaskCancelled(f.id(0, "rid")?)
         }
         "TIMER" => {
             f.exactly(1)?;
-            Event::Timer(TimerToken(f.unsigned(0, "mark")?))
+            Event::TimerFired(TimerToken(f.unsigned(0, "mark")?))
         }
         "PEER_DATA" => {
             f.exactly(2)?;
@@ -343,19 +346,19 @@
 /// Appends the line of one action.
 pub fn write_action(out: &mut String, action: &Action) {
     let written = match action {
-        Action::Watch => writeln!(out, "TRACK\t1"),
-        Action::Unwatch => writeln!(out, "TRACK\t0"),
-        Action::Fetch => writeln!(out, "SNAPSHOT"),
-        Action::Close { host } => writeln!(out, "LET_GO\t{}", host.0),
-        Action::Fault(text) => writeln!(out, "BAIL_OUT\t{}", text.replace(['\n', '\t'], " ")),
-        Action::Send { id, host, timeout } => {
+        Action::Subscribe => writeln!(out, "TRACK\t1"),
+        Action::Unsubscribe => writeln!(out, "TRACK\t0"),
+        Action::PollEndpoints => writeln!(out, "SNAPSHOT"),
+        Action::CloseIdleConnections { host } => writeln!(out, "LET_GO\t{}", host.0),
+        Action::ReportFault(text) => writeln!(out, "BAIL_OUT\t{}", text.replace(['\n', '\t'], " ")),
+        Action::SendAttempt { id, host, timeout } => {
             writeln!(out, "PROPOSE\t{}\t{}\t{}", id.0, host.0, ms(*timeout))
         }
-        Action::Cancel { id, attempt } => writeln!(out, "RETRACT\t{}\t{attempt}", id.0),
-        Action::Refuse { id, retry_after } => writeln!(out, "SHED\t{}\t{}", id.0, ms(*retry_after)),
+        Action::CancelAttempt { id, attempt } => writeln!(out, "RETRACT\t{}\t{attempt}", id.0),
+        Action::Reject { id, retry_after } => writeln!(out, "SHED\t{}\t{}", id.0, ms(*retry_after)),
         Action::Fail { id } => writeln!(out, "FINISH_ERROR\t{}", id.0),
-        Action::Move { id } => writeln!(out, "TAKE_OFF\t{}", id.0),
-        Action::Probe { host } => writeln!(out, "SOUND_OUT\t{}", host.0),
+        Action::Migrate { id } => writeln!(out, "TAKE_OFF\t{}", id.0),
+        Action::SendHealthCheck { host } => writeln!(out, "SOUND_OUT\t{}", host.0),
         Action::SetTimer { token, after } => {
             writeln!(out, "SET_ALARM\t{}\t{}", token.0, ms(*after))
         }
--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/wire/tests.rs
@@ -4,16 +4,19 @@
 
 #[test]
 fn every_action_has_its_line() {
-    let id = || ReqId(Arc::from("c:a"));
+    let id = || RequestId(Arc::from("c:a"));
     let host = || HostId(Arc::from("host.b"));
     let cases = [
-        (Action::Watch, "TRACK\t1\n"),
-        (Action::Unwatch, "TRACK\t0\n"),
-        (Action::Fetch, "SNAPSHOT\n"),
-        (Action::Close { host: host() }, "LET_GO\thost.b\n"),
-        (Action::Fault("no\tway".into()), "BAIL_OUT\tno way\n"),
+        (Action::Subscribe, "TRACK\t1\n"),
+        (Action::Unsubscribe, "TRACK\t0\n"),
+        (Action::PollEndpoints, "SNAPSHOT\n"),
         (
-            Action::Send {
+            Action::CloseIdleConnections { host: host() },
+            "LET_GO\thost.b\n",
+        ),
+        (Action::ReportFault("no\tway".into()), "BAIL_OUT\tno way\n"),
+        (
+            Action::SendAttempt {
                 id: id(),
                 host: host(),
                 timeout: 80_500,
@@ -21,22 +24,25 @@
             "PROPOSE\tc:a\thost.b\t80.5\n",
         ),
         (
-            Action::Cancel {
+            Action::CancelAttempt {
                 id: id(),
                 attempt: 2,
             },
             "RETRACT\tc:a\t2\n",
         ),
         (
-            Action::Refuse {
+            Action::Reject {
                 id: id(),
                 retry_after: 1_000,
             },
             "SHED\tc:a\t1\n",
         ),
         (Action::Fail { id: id() }, "FINISH_ERROR\tc:a\n"),
-        (Action::Move { id: id() }, "TAKE_OFF\tc:a\n"),
-        (Action::Probe { host: host() }, "SOUND_OUT\thost.b\n"),
+        (Action::Migrate { id: id() }, "TAKE_OFF\tc:a\n"),
+        (
+            Action::SendHealthCheck { host: host() },
+            "SOUND_OUT\thost.b\n",
+        ),
         (
             Action::SetTimer {
                 token: TimerToken(7),
--- a/src/health/fleet.rs
+++ b/src/health/fleet.rs
@@ -13,7 +13,7 @@
 //!   nearer to this placer than to the hosts; [`unreached`] splits the two.
 
 use super::window::Window;
-use crate::{Detail, Micros, Outcome};
+use crate::{Micros, Outcome, OutcomeDetail};
 
 const WINDOW: Micros = 10_000_000;
 /// Fewer offers than this tell nothing.
@@ -90,16 +90,19 @@
 
 impl Fleet {
     /// An offer has ended: `stretch` is its time at the host over the aim of its class.
-    pub fn offer(&mut self, now: Micros, outcome: Outcome, detail: Detail, stretch: f64) {
+    pub fn offer(&mut self, now: Micros, outcome: Outcome, detail: OutcomeDetail, stretch: f64) {
         let room = matches!(
             detail,
-            Detail::NoCores | Detail::NoMemory | Detail::Busy | Detail::None
+            OutcomeDetail::NoCores
+                | OutcomeDetail::NoMemory
+                | OutcomeDetail::QueueFull
+                | OutcomeDetail::Unknown
         );
-        let full = outcome == Outcome::Full && room;
+        let full = outcome == Outcome::Rejected && room;
         self.full.add(now, f64::from(u8::from(full)), 1.0);
         let timeout = outcome == Outcome::Timeout;
         self.timeouts.add(now, f64::from(u8::from(timeout)), 1.0);
-        if outcome == Outcome::Ok {
+        if outcome == Outcome::Completed {
             self.slow
                 .add(now, f64::from(u8::from(stretch >= SLOW)), 1.0);
         }
--- a/src/health/fleet/tests.rs
+++ b/src/health/fleet/tests.rs
@@ -46,7 +46,7 @@
         (0..20).for_each(|_| fleet.offer(1_000_000, outcome, detail, stretch));
         fleet
     };
-    let slow = offers(Outcome::Ok, Detail::None, 2.0);
+    let slow = offers(Outcome::Completed, OutcomeDetail::Unknown, 2.0);
     assert_eq!(
         (
             slow.explains(1_000_000, 0.0, 0.0),
@@ -54,7 +54,7 @@
         ),
         (1.0, 0.0)
     );
-    let full = offers(Outcome::Full, Detail::NoCores, 0.0);
+    let full = offers(Outcome::Rejected, OutcomeDetail::NoCores, 0.0);
     assert_eq!(
         (
             full.explains(1_000_000, 0.0, 0.0),
@@ -69,11 +69,11 @@
         (1.0, 0.0)
     );
     assert_eq!(
-        offers(Outcome::Timeout, Detail::None, 0.0).timeouts(1_000_000),
+        offers(Outcome::Timeout, OutcomeDetail::Unknown, 0.0).timeouts(1_000_000),
         Some(1.0)
     );
     assert_eq!(
-        offers(Outcome::Full, Detail::NotHere, 0.0).explains(1_000_000, 0.0, 0.0),
+        offers(Outcome::Rejected, OutcomeDetail::NotEligible, 0.0).explains(1_000_000, 0.0, 0.0),
         0.0
     );
 }
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -29,7 +29,7 @@
 pub use signal::{Code, Ramp, Reading};
 pub use weight::{Pace, Weight};
 
-use crate::{Detail, Micros, Outcome};
+use crate::{Micros, Outcome, OutcomeDetail};
 use fleet::Fleet;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
@@ -187,12 +187,12 @@
         /// Placed, and in time.
         in_aim: bool,
     },
-    /// An offer ended; `Outcome::Ok` stands for a start.
+    /// An offer ended; `Outcome::Completed` stands for a start.
     Offer {
         /// How.
         outcome: Outcome,
         /// Why.
-        detail: Detail,
+        detail: OutcomeDetail,
         /// Its time at the host over the aim of its class.
         stretch: f64,
     },
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -154,8 +154,8 @@
         full.pass_with(5 * SECOND, |health, now| {
             late(health, now);
             let offer = Event::Offer {
-                outcome: Outcome::Full,
-                detail: Detail::NoCores,
+                outcome: Outcome::Rejected,
+                detail: OutcomeDetail::NoCores,
                 stretch: 0.0,
             };
             health.handle(now, offer);
@@ -215,7 +215,7 @@
             Code::OfferTimeout,
             Event::Offer {
                 outcome: Outcome::Timeout,
-                detail: Detail::None,
+                detail: OutcomeDetail::Unknown,
                 stretch: 1.0,
             },
         ),
--- a/src/ledger.rs
+++ b/src/ledger.rs
@@ -15,7 +15,7 @@
     pub zone: ZoneId,
     pub cell: CellId,
     pub kind: KindId,
-    pub state: HostState,
+    pub state: EndpointState,
     pub ready_at: Micros,
     /// Time of which the newest view tells; none while unheard.
     pub seen: Option<Micros>,
@@ -112,7 +112,7 @@
     }
 
     /// The machine of a list entry, brought up to date; true with it where its process is a new one.
-    pub fn update(&mut self, e: &Entry) -> (&mut Machine, Place, bool) {
+    pub fn update(&mut self, e: &Endpoint) -> (&mut Machine, Place, bool) {
         let next = self.machines.len();
         let at = *self.places.entry(e.host.clone()).or_insert(next);
         if at == next {
@@ -123,7 +123,7 @@
                 cell: e.cell,
                 kind: e.kind,
                 state: e.state,
-                ready_at: e.ready_at,
+                ready_at: e.started_at,
                 seen: None,
                 asked: [0.0; 2],
                 log: VecDeque::new(),
@@ -136,30 +136,40 @@
             });
         }
         let m = self.touch(at);
-        let renewed = m.ready_at != e.ready_at;
+        let renewed = m.ready_at != e.started_at;
         if renewed {
             m.renew();
         }
         (m.zone, m.cell, m.kind, m.state, m.ready_at) =
-            (e.zone, e.cell, e.kind, e.state, e.ready_at);
+            (e.zone, e.cell, e.kind, e.state, e.started_at);
         (m, at, renewed)
     }
 
     /// Takes a bound from outside; true where it leaves more room than the one before.
-    pub fn bounded(&mut self, bound: &Bound) -> bool {
+    pub fn bounded(&mut self, bound: &Limit) -> bool {
         match bound {
-            Bound::Line { host, most, .. } => {
+            Limit::HostConcurrency {
+                host,
+                max_in_flight: most,
+                ..
+            } => {
                 let Some(m) = self.place(host).and_then(|at| self.machines.get_mut(at)) else {
                     return false;
                 };
                 let before = std::mem::replace(&mut m.most, *most);
                 before.is_some_and(|before| most.is_none_or(|most| most > before))
             }
-            Bound::Total { most, freed } => {
+            Limit::TotalConcurrency {
+                max_in_flight: most,
+                has_capacity_again: freed,
+            } => {
                 let before = self.most_out.replace(*most);
                 *freed || before.is_some_and(|before| *most > before)
             }
-            Bound::Gate { through, late } => {
+            Limit::Admission {
+                admit_below: through,
+                give_up_after: late,
+            } => {
                 let before = std::mem::replace(
                     &mut self.gate,
                     Gate {
@@ -169,11 +179,14 @@
                 );
                 *through > before.through
             }
-            Bound::Processes { of, me } => {
+            Limit::Processes {
+                process_count: of,
+                process_index: me,
+            } => {
                 (self.beside, self.process) = (of.saturating_sub(1), *me);
                 true
             }
-            Bound::Last(_) => false,
+            Limit::NoRetry(_) => false,
         }
     }
 
@@ -183,11 +196,11 @@
     }
 
     /// A full list: what it does not name is gone.
-    pub fn keep_only(&mut self, entries: &[Entry]) {
+    pub fn keep_only(&mut self, entries: &[Endpoint]) {
         let named: BTreeSet<Place> = entries.iter().filter_map(|e| self.place(&e.host)).collect();
         for (at, m) in self.machines.iter_mut().enumerate() {
-            if !named.contains(&at) && m.state != HostState::Gone {
-                m.state = HostState::Gone;
+            if !named.contains(&at) && m.state != EndpointState::Removed {
+                m.state = EndpointState::Removed;
                 self.touched.insert(at);
             }
         }
@@ -252,9 +265,9 @@
 /// All tasks in hand, which of them wait for an offer, and how many of a service stand where.
 #[derive(Debug, Default)]
 pub(crate) struct Jobs {
-    pub all: BTreeMap<ReqId, Job>,
+    pub all: BTreeMap<RequestId, Job>,
     /// Asks not offered now, the one due first in front.
-    pub waiting: BTreeSet<(Micros, ReqId)>,
+    pub waiting: BTreeSet<(Micros, RequestId)>,
     pub held: BTreeMap<(ServiceId, Place), usize>,
     /// What own placed tasks whose use is told ask for and use.
     pub use_asked: [f64; 2],
@@ -282,7 +295,7 @@
             .map(|((_, at), n)| (*at, *n))
     }
 
-    pub fn told_use(&mut self, id: &ReqId, dim: usize, value: f64) {
+    pub fn told_use(&mut self, id: &RequestId, dim: usize, value: f64) {
         let Some(job) = self.all.get_mut(id) else {
             return;
         };
@@ -294,7 +307,7 @@
         job.used[dim] = value;
     }
 
-    pub fn remove(&mut self, id: &ReqId) {
+    pub fn remove(&mut self, id: &RequestId) {
         let Some(job) = self.all.remove(id) else {
             return;
         };
@@ -331,7 +344,7 @@
     }
 
     /// The client wants no answer any more; an attempt that is out still gets its outcome.
-    pub fn close(&mut self, id: &ReqId) {
+    pub fn close(&mut self, id: &RequestId) {
         match self.all.get_mut(id) {
             Some(job) if job.out.is_some() => job.closed = true,
             Some(_) => self.remove(id),
@@ -474,7 +487,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Alarm {
     Tick,
-    Deadline(ReqId),
+    Deadline(RequestId),
 }
 
 /// Timers asked for, and when each is due.
--- a/src/net/codec/binary.rs
+++ b/src/net/codec/binary.rs
@@ -5,7 +5,7 @@
 use super::{MOST_BYTES, Malformed, SetUp, TaskId};
 use std::sync::Arc;
 use task_placer::HostId;
-use task_placer::facade::Ask;
+use task_placer::facade::PlacementRequest;
 use task_placer::settings::{millis, parse_number};
 
 mod kind {
@@ -135,7 +135,7 @@
     };
     let key = need(code::KEY, "key")?;
     Ok(SetUp {
-        ask: Ask {
+        ask: PlacementRequest {
             class: need(code::CLASS, "class")?.to_string(),
             tenant: text(code::TENANT, "tenant")?.map(str::to_string),
             service: hex(
@@ -145,8 +145,8 @@
             key: hex(key, "key")?,
             cores: amount("cores")?,
             memory: amount("memory")?,
-            budget: millis(wait),
-            resent: text(code::RETRY, "retry")?.is_some_and(|v| v != "0"),
+            time_budget: millis(wait),
+            is_retry: text(code::RETRY, "retry")?.is_some_and(|v| v != "0"),
         },
         wait: millis(wait),
         at,
--- a/src/net/codec/binary/tests.rs
+++ b/src/net/codec/binary/tests.rs
@@ -25,15 +25,15 @@
         panic!("not read")
     };
     assert_eq!((task, length), (TaskId(0x9b1f), set_up_bytes(&GOOD).len()));
-    let ask = Ask {
+    let ask = PlacementRequest {
         class: "batch".into(),
         tenant: Some("acme".into()),
         service: 0xb4d6_5521,
         key: 0x7f3a_9c21_e0b4_d655,
         cores: 1.5,
         memory: 2.0,
-        budget: 1_500_000,
-        resent: true,
+        time_budget: 1_500_000,
+        is_retry: true,
     };
     assert_eq!(set_up.ask, ask);
     assert_eq!(set_up.at, Some(HostId(Arc::from("s-1"))));
--- a/src/net/codec/feed.rs
+++ b/src/net/codec/feed.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use task_placer::settings::{Names, millis};
-use task_placer::{CellId, Entry, HostId, HostState, KindId, ZoneId};
+use task_placer::{CellId, Endpoint, EndpointState, HostId, KindId, ZoneId};
 
 /// The most hosts that a list may name.
 const MOST_HOSTS: usize = 16_384;
@@ -20,7 +20,7 @@
 #[derive(Debug, Clone)]
 pub struct Listed {
     /// What the module is told.
-    pub entry: Entry,
+    pub entry: Endpoint,
     /// Where it listens; a host that is gone may have none.
     pub dial: Option<SocketAddr>,
 }
@@ -92,12 +92,12 @@
 fn listed(value: &BorrowedValue<'_>, names: &Names) -> Result<Listed, Malformed> {
     let host = value.get_str("host").ok_or(Malformed::Field("host"))?;
     let state = match value.get_str("health") {
-        Some("up") => HostState::Up,
-        Some("draining") => HostState::Draining,
-        Some("removed") => HostState::Gone,
+        Some("up") => EndpointState::Up,
+        Some("draining") => EndpointState::Draining,
+        Some("removed") => EndpointState::Removed,
         _ => return Err(Malformed::Field("health")),
     };
-    let gone = state == HostState::Gone;
+    let gone = state == EndpointState::Removed;
     // Of a host that is gone only its name counts.
     let kind = value
         .get_str("class")
@@ -115,7 +115,7 @@
             .unwrap_or(0.0)
     };
     Ok(Listed {
-        entry: Entry {
+        entry: Endpoint {
             host: HostId(Arc::from(host)),
             zone: zone(value.get_str("site"), &names.zones),
             cell: CellId(value.get_u64("block").unwrap_or(0)),
@@ -125,7 +125,7 @@
             ),
             state,
             // Bounded, so that sums with it stay far from their limits.
-            ready_at: value
+            started_at: value
                 .get("born_ms")
                 .and_then(number)
                 .map_or(0, |ms| millis(ms.clamp(0.0, 1e14))),
--- a/src/net/codec/feed/tests.rs
+++ b/src/net/codec/feed/tests.rs
@@ -24,7 +24,10 @@
         (&*entry.host.0, entry.zone, entry.kind, entry.cell),
         ("s-1", ZoneId(1), KindId(0), CellId(2))
     );
-    assert_eq!((entry.state, entry.ready_at), (HostState::Up, 1_500_000));
+    assert_eq!(
+        (entry.state, entry.started_at),
+        (EndpointState::Up, 1_500_000)
+    );
     assert_eq!(
         (entry.free_cores, entry.free_memory, dial.map(|d| d.port())),
         (3.5, -1.0, Some(5060))
--- a/src/net/codec/lines.rs
+++ b/src/net/codec/lines.rs
@@ -4,7 +4,7 @@
 use simd_json::prelude::*;
 use simd_json::{BorrowedValue, json};
 use task_placer::settings::parse_number;
-use task_placer::{Detail, Note};
+use task_placer::{OutcomeDetail, TaskReport};
 
 /// What a host says of a task.
 #[derive(Debug, Clone, PartialEq)]
@@ -12,9 +12,9 @@
     /// The task stands; the description of the answer.
     Up(String),
     /// Refused, ended or cut: the cause, and why.
-    Down(u8, Detail),
+    Down(u8, OutcomeDetail),
     /// A note on a task that stands.
-    Tell(Note, f64),
+    Tell(TaskReport, f64),
     /// A message that asks for nothing.
     Other,
 }
@@ -62,27 +62,27 @@
     }
 }
 
-fn detail(note: Option<&str>) -> Detail {
+fn detail(note: Option<&str>) -> OutcomeDetail {
     match note {
-        Some("nc") => Detail::NoCores,
-        Some("nm") => Detail::NoMemory,
-        Some("nq") => Detail::Busy,
-        Some("nh") => Detail::NotHere,
-        Some("ev") => Detail::Evicted,
-        Some("pre") => Detail::PushedOut,
-        Some("dr") => Detail::SentAway,
-        _ => Detail::None,
+        Some("nc") => OutcomeDetail::NoCores,
+        Some("nm") => OutcomeDetail::NoMemory,
+        Some("nq") => OutcomeDetail::QueueFull,
+        Some("nh") => OutcomeDetail::NotEligible,
+        Some("ev") => OutcomeDetail::Evicted,
+        Some("pre") => OutcomeDetail::Preempted,
+        Some("dr") => OutcomeDetail::Drained,
+        _ => OutcomeDetail::Unknown,
     }
 }
 
-fn kind_of_note(note: Option<&str>) -> Note {
+fn kind_of_note(note: Option<&str>) -> TaskReport {
     match note {
-        Some("live") => Note::Runs,
-        Some("c") => Note::Cores,
-        Some("m") => Note::Memory,
-        Some("s") => Note::Served,
-        Some("p") => Note::HostMemory,
-        _ => Note::Other,
+        Some("live") => TaskReport::Running,
+        Some("c") => TaskReport::Cores,
+        Some("m") => TaskReport::Memory,
+        Some("s") => TaskReport::ServiceLevel,
+        Some("p") => TaskReport::HostMemory,
+        _ => TaskReport::Other,
     }
 }
 
--- a/src/net/codec/lines/tests.rs
+++ b/src/net/codec/lines/tests.rs
@@ -12,23 +12,23 @@
         (r#""t":"up","d":"""#, HostWord::Up(String::new())),
         (
             r#""t":"down","f":{"note":"nc"},"c":34"#,
-            HostWord::Down(34, Detail::NoCores),
+            HostWord::Down(34, OutcomeDetail::NoCores),
         ),
         (
             r#""t":"down","f":{"note":"pre"},"c":41"#,
-            HostWord::Down(41, Detail::PushedOut),
+            HostWord::Down(41, OutcomeDetail::Preempted),
         ),
         (
             r#""t":"down","f":{},"c":16"#,
-            HostWord::Down(16, Detail::None),
+            HostWord::Down(16, OutcomeDetail::Unknown),
         ),
         (
             r#""t":"tell","f":{"note":"m","value":"1.5"}"#,
-            HostWord::Tell(Note::Memory, 1.5),
+            HostWord::Tell(TaskReport::Memory, 1.5),
         ),
         (
             r#""t":"tell","f":{"note":"s","value":0.25}"#,
-            HostWord::Tell(Note::Served, 0.25),
+            HostWord::Tell(TaskReport::ServiceLevel, 0.25),
         ),
         (r#""t":"wait","f":{}"#, HostWord::Other),
         (r#""t":"unheard of""#, HostWord::Other),
--- a/src/net/codec/mod.rs
+++ b/src/net/codec/mod.rs
@@ -5,7 +5,7 @@
 pub mod lines;
 
 use std::fmt;
-use task_placer::facade::Ask;
+use task_placer::facade::PlacementRequest;
 use task_placer::{HostId, Micros};
 
 /// No message of clients or hosts holds more.
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct SetUp {
     /// What the module decides by.
-    pub ask: Ask,
+    pub ask: PlacementRequest,
     /// How long the client waits for the answer, from when it sent the set-up.
     pub wait: Micros,
     /// The host that holds the task already.
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -22,6 +22,7 @@
 mod client_messages;
 mod feed_messages;
 mod host_messages;
+mod invalid_set_up;
 mod links;
 mod offers;
 mod operating;
@@ -51,7 +52,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::{Rc, Weak};
 use task_placer::descriptors::Pool;
-use task_placer::facade::{Facade, News, Ticket};
+use task_placer::facade::{Facade, PlacementEvent, Ticket};
 use task_placer::operation::company::Company;
 use task_placer::operation::duty::Duty;
 use task_placer::operation::tally::Tally;
@@ -163,7 +164,12 @@
         };
         let apart = listeners + polls + calls + if operator.ctl.is_some() { 6 } else { 0 };
         // What a cold host was sent is looked back on for that time, and counted by clocks that differ.
-        let company = Company::new(2 * config.settings.fall.max(config.settings.connect_timeout));
+        let company = Company::new(
+            2 * config
+                .settings
+                .collapse_window
+                .max(config.settings.connect_timeout),
+        );
         let tally = Tally::new(config.names.classes.len());
         conn::bound_queues(config.limits.memory / QUEUES);
         Dispatch {
@@ -171,7 +177,7 @@
             tasks,
             clients: Clients::new(config.limits.sockets, apart),
             name: config.name,
-            facade: Facade::bounded(
+            facade: Facade::with_overload_control(
                 config.settings,
                 config.names,
                 config.seed,
@@ -220,9 +226,12 @@
             };
             let (entries, _) = self.update_hosts(now, whole, hosts);
             let news = if i == 0 {
-                News::Known(entries)
+                PlacementEvent::EndpointsCached(entries)
             } else {
-                News::Listed { whole, entries }
+                PlacementEvent::EndpointsChanged {
+                    is_complete: whole,
+                    endpoints: entries,
+                }
             };
             self.tell(now, news);
         }
--- a/src/net/dispatch/answers.rs
+++ b/src/net/dispatch/answers.rs
@@ -13,7 +13,7 @@
 use super::requests::State;
 use crate::net::clients::ClientId;
 use crate::net::codec::{TaskId, binary, cause};
-use task_placer::facade::{News, Ticket};
+use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
 use task_placer::operation::tally::Ended as Told;
 use task_placer::{Micros, Outcome};
@@ -26,7 +26,7 @@
         ticket: Ticket,
         cause: u8,
         away: Option<u64>,
-    ) -> Option<News> {
+    ) -> Option<PlacementEvent> {
         let news = self.give_up(now, ticket, None, Outcome::Cancelled);
         if self
             .requests
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -2,6 +2,7 @@
 //! is answered, or ends its connection, or asks for nothing. It never chooses a host, and never lets an offer begin
 //! by itself: a set-up that can be right goes to the module.
 
+use super::invalid_set_up::InvalidSetUp;
 use super::offers::offer_line;
 use super::requests::State;
 use super::{Dispatch, MILLI};
@@ -10,7 +11,7 @@
 use crate::net::codec::{Malformed, SetUp, TaskId};
 use crate::net::conn::{Conn, End};
 use std::rc::Rc;
-use task_placer::facade::{News, Ticket, Unfit};
+use task_placer::facade::{PlacementEvent, PlacementRequest, RequestKind, Ticket};
 use task_placer::operation::duty;
 use task_placer::operation::tally::Ended as Told;
 use task_placer::{Micros, Outcome};
@@ -46,7 +47,7 @@
         if let Some(client) = self.remove(ticket).and_then(|r| r.client) {
             self.clients.settled(client, ticket);
         }
-        self.tell(now, News::GivenUp(ticket));
+        self.tell(now, PlacementEvent::Cancelled(ticket));
         if let Some(news) = news {
             self.tell(now, news);
         }
@@ -122,18 +123,11 @@
     /// answers an error that makes it look so; every ask counts as load.
     fn set_up(&mut self, now: Micros, client: ClientId, id: TaskId, set_up: Box<SetUp>) {
         let mut ask = set_up.ask.clone();
-        ask.budget = (set_up.wait - CLIENT_SLACK).max(0);
-        let unfit = match self.facade.check(&ask, false) {
-            Err(Unfit(why)) => Some(why),
-            Ok(()) if id == TaskId(0) => Some("no id"),
-            Ok(()) if self.ended.contains_key(&id) => Some("id used before"),
-            Ok(()) if offer_line(id, &set_up, set_up.wait).is_none() => Some("too long for a host"),
-            Ok(()) => None,
-        };
-        if let Some(why) = unfit {
-            info!(task = %id, reason = why, "not placed");
+        ask.time_budget = (set_up.wait - CLIENT_SLACK).max(0);
+        if let Err(why) = self.check_set_up(id, &set_up, &ask) {
+            info!(task = %id, reason = %why, "not placed");
             self.tally
-                .ended(self.facade.class(&ask.class), Told::Failed);
+                .ended(self.facade.class_index(&ask.class), Told::Failed);
             return self.answer_unfit(now, client, id);
         }
         let ticket = self.admit(now, id, client, &ask.class, State::Held);
@@ -141,10 +135,29 @@
         if let Some(request) = self.requests.get_mut(&ticket) {
             request.set_up = Some(set_up);
         }
-        let verdicts = self.facade.pick(now, ticket, &ask).unwrap_or_default();
+        let verdicts = self.facade.place(now, ticket, &ask).unwrap_or_default();
         self.carry_out(now, verdicts);
     }
 
+    fn check_set_up(
+        &self,
+        id: TaskId,
+        set_up: &SetUp,
+        request: &PlacementRequest,
+    ) -> Result<(), InvalidSetUp> {
+        self.facade.check(request, RequestKind::Place)?;
+        if id == TaskId(0) {
+            return Err(InvalidSetUp::MissingId);
+        }
+        if self.ended.contains_key(&id) {
+            return Err(InvalidSetUp::IdUsedBefore);
+        }
+        if offer_line(id, set_up, set_up.wait).is_none() {
+            return Err(InvalidSetUp::TooLongForHost);
+        }
+        Ok(())
+    }
+
     /// A set-up under an id that is in hand. Guards against a client that sends again because its first
     /// connection broke, before the break is seen here: a second answer would break a rule, so the one
     /// that is owed goes to the connection heard last. Guards also against whoever sends another set-up
--- a/src/net/dispatch/feed_messages.rs
+++ b/src/net/dispatch/feed_messages.rs
@@ -3,7 +3,7 @@
 use super::Dispatch;
 use crate::net::codec::Malformed;
 use crate::net::conn::End;
-use task_placer::facade::News;
+use task_placer::facade::PlacementEvent;
 use task_placer::health::Event;
 use tracing::{info, warn};
 
@@ -20,7 +20,7 @@
         let now = self.clock.now();
         self.watch(now, Event::Feed);
         if !std::mem::replace(&mut self.feed_up, true) {
-            self.tell(now, News::FeedUp);
+            self.tell(now, PlacementEvent::DiscoveryUp);
         }
     }
 
@@ -29,7 +29,7 @@
         let now = self.clock.now();
         if std::mem::replace(&mut self.feed_up, false) {
             info!(peer = "feed", reason = %end, last, "connection ended");
-            self.tell(now, News::FeedDown);
+            self.tell(now, PlacementEvent::DiscoveryDown);
         }
     }
 }
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -7,9 +7,9 @@
 use crate::net::codec::lines::{self, HostWord};
 use crate::net::codec::{TaskId, cause};
 use crate::net::hosts::Phase;
-use task_placer::facade::{News, Ticket};
+use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
-use task_placer::{Detail, HostId, Micros, Outcome};
+use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
 impl Dispatch {
     /// A message of a host. It counts only for the attempt that is out there or the task that stands
@@ -52,10 +52,10 @@
                     HostWord::Tell(note, value) => {
                         self.tell(
                             now,
-                            News::Noted {
+                            PlacementEvent::TaskReported {
                                 ticket,
                                 host: host.clone(),
-                                note,
+                                report: note,
                                 value,
                             },
                         );
@@ -106,15 +106,15 @@
         self.watch(
             now,
             Event::Offer {
-                outcome: Outcome::Ok,
-                detail: Detail::None,
+                outcome: Outcome::Completed,
+                detail: OutcomeDetail::Unknown,
                 stretch,
             },
         );
         self.watch(now, Event::Answered { in_aim });
         self.tell(
             now,
-            News::Placed {
+            PlacementEvent::AttemptStarted {
                 ticket,
                 attempt,
                 host,
@@ -125,7 +125,7 @@
 
     /// The task's own time is over: hosts release it so wherever it is offered. Guards against offering it again and
     /// holding each of these hosts for broken; its client is told the cause.
-    fn task_over(&mut self, now: Micros, ticket: Ticket, detail: Detail) {
+    fn task_over(&mut self, now: Micros, ticket: Ticket, detail: OutcomeDetail) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
         };
@@ -138,13 +138,14 @@
         else {
             return;
         };
-        let (attempt, host, elapsed, outcome) = (*attempt, host.clone(), now - since, Outcome::Ok);
+        let (attempt, host, elapsed, outcome) =
+            (*attempt, host.clone(), now - since, Outcome::Completed);
         self.enter(ticket, State::Held);
         self.settle(now, &host, true);
         self.answer(now, ticket, cause::NORMAL, None);
         self.tell(
             now,
-            News::Ended {
+            PlacementEvent::AttemptEnded {
                 ticket,
                 attempt,
                 host,
@@ -162,15 +163,15 @@
         ticket: Ticket,
         host: &HostId,
         cause: u8,
-        detail: Detail,
+        detail: OutcomeDetail,
     ) {
         let outcome = match cause {
-            cause::FULL => Outcome::Full,
+            cause::FULL => Outcome::Rejected,
             cause::FAILED => Outcome::Error,
-            cause::MOOT => Outcome::Moot,
+            cause::MOOT => Outcome::NotSent,
             _ => Outcome::Reset,
         };
-        if outcome == Outcome::Full && detail != Detail::NotHere {
+        if outcome == Outcome::Rejected && detail != OutcomeDetail::NotEligible {
             self.hosts
                 .get_mut(host)
                 .into_iter()
--- a/src/net/dispatch/links.rs
+++ b/src/net/dispatch/links.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 use task_placer::descriptors::Want;
-use task_placer::facade::{News, Ticket};
+use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
-use task_placer::{Detail, HostId, HostState, Micros, Outcome};
+use task_placer::{EndpointState, HostId, Micros, Outcome, OutcomeDetail};
 use tracing::info;
 
 /// How long half a line of a host may wait for its rest.
@@ -57,11 +57,17 @@
         } else {
             entries.iter().map(|entry| entry.host.clone()).collect()
         };
-        self.tell(now, News::Listed { whole, entries });
-        self.never_ran(now, recalled, Outcome::Moot);
+        self.tell(
+            now,
+            PlacementEvent::EndpointsChanged {
+                is_complete: whole,
+                endpoints: entries,
+            },
+        );
+        self.never_ran(now, recalled, Outcome::NotSent);
         let over = |host: HostId| {
             let link = self.hosts.get(&host)?;
-            let gone = link.state == HostState::Gone;
+            let gone = link.state == EndpointState::Removed;
             (gone || link.born > 0).then_some((host, if gone { Micros::MAX } else { link.born }))
         };
         let lost: Vec<(HostId, Micros)> = named.into_iter().filter_map(over).collect();
@@ -77,7 +83,7 @@
         now: Micros,
         whole: bool,
         hosts: Vec<Listed>,
-    ) -> (Vec<task_placer::Entry>, Vec<Waiting>) {
+    ) -> (Vec<task_placer::Endpoint>, Vec<Waiting>) {
         let mut recalled = Vec::new();
         let mut touched: Vec<HostId> = Vec::with_capacity(hosts.len());
         if whole {
@@ -88,8 +94,8 @@
                 .iter_mut()
                 .filter(|(host, _)| !named.contains(host))
             {
-                self.in_use -= usize::from(link.state != HostState::Gone);
-                link.state = HostState::Gone;
+                self.in_use -= usize::from(link.state != EndpointState::Removed);
+                link.state = EndpointState::Removed;
                 touched.push(host.clone());
             }
         }
@@ -98,19 +104,20 @@
             let before = self
                 .hosts
                 .get(&listed.entry.host)
-                .map_or(HostState::Gone, |link| link.state);
+                .map_or(EndpointState::Removed, |link| link.state);
             let link = self
                 .hosts
                 .entry(listed.entry.host.clone())
                 .or_insert_with(|| Link::new(&listed));
             let Listed { entry, dial } = listed;
-            self.in_use += usize::from(entry.state != HostState::Gone);
-            self.in_use -= usize::from(before != HostState::Gone);
-            if entry.state != HostState::Up || link.born != entry.ready_at {
+            self.in_use += usize::from(entry.state != EndpointState::Removed);
+            self.in_use -= usize::from(before != EndpointState::Removed);
+            if entry.state != EndpointState::Up || link.born != entry.started_at {
                 recalled.append(&mut link.waiting);
             }
-            (link.state, link.cell, link.born) = (entry.state, entry.cell, entry.ready_at);
-            (link.zone, link.free) = (entry.zone, [entry.free_cores, entry.free_memory]);
+            (link.state, link.cell, link.born) = (entry.state, entry.cell, entry.started_at);
+            link.zone = entry.zone;
+            link.free = entry.free();
             if dial.is_some() && link.dial != dial {
                 link.dial = dial;
                 link.conns().for_each(|conn| conn.stop(End::HostGone));
@@ -126,7 +133,7 @@
             let Some(link) = self.hosts.get_mut(host) else {
                 continue;
             };
-            if link.state == HostState::Gone {
+            if link.state == EndpointState::Removed {
                 // A gone host's address may be a new host's: nothing more is to reach the old one there, nor on a
                 // connection that comes up only now.
                 link.conns().for_each(|conn| conn.stop(End::HostGone));
@@ -197,7 +204,7 @@
         }
         link.phase = Phase::Down;
         let waiting = std::mem::take(&mut link.waiting);
-        if link.state != HostState::Gone {
+        if link.state != EndpointState::Removed {
             let pause = link.pause();
             let pause = pause.max(self.turn_in(now, host));
             self.wheel
@@ -209,7 +216,7 @@
         if why == DialError::NoDescriptor {
             // Nothing of it is the host's.
             info!(peer = "host", host = &*host.0, connection = round, reason = %why, "connection ended");
-            return self.never_ran(now, waiting, Outcome::Moot);
+            return self.never_ran(now, waiting, Outcome::NotSent);
         }
         link.refused = why == DialError::Refused;
         link.failures = link.failures.saturating_add(1);
@@ -325,7 +332,7 @@
         if link.round == round {
             link.phase = Phase::Down;
             link.closed = now;
-            if link.state == HostState::Gone {
+            if link.state == EndpointState::Removed {
                 let waiting = std::mem::take(&mut link.waiting);
                 self.never_ran(now, waiting, Outcome::ConnectFailed);
             } else if !made_way || self.need(host) >= Some(Want::Release) {
@@ -333,7 +340,7 @@
             }
         }
         for ticket in cut {
-            let news = self.end_attempt(now, ticket, Outcome::Reset, Detail::None);
+            let news = self.end_attempt(now, ticket, Outcome::Reset, OutcomeDetail::Unknown);
             news.into_iter().for_each(|news| self.tell(now, news));
         }
     }
--- a/src/net/dispatch/offers.rs
+++ b/src/net/dispatch/offers.rs
@@ -10,9 +10,9 @@
 use crate::net::codec::{SetUp, TaskId, cause, lines};
 use crate::net::conn::{End, Unread};
 use crate::net::hosts::{Phase, Waiting};
-use task_placer::facade::{News, Ticket};
+use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
-use task_placer::{Detail, HostId, Micros, Outcome};
+use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
 /// How long an offer may be out on a connection on which nothing is heard.
 const DOUBT: Micros = 1_000 * MILLI;
@@ -26,7 +26,7 @@
         ticket: Ticket,
         host: HostId,
         timeout: Micros,
-    ) -> Option<News> {
+    ) -> Option<PlacementEvent> {
         let request = self.requests.get_mut(&ticket)?;
         let attempt = request.attempts;
         request.attempts += 1;
@@ -44,7 +44,7 @@
         self.wheel.add(until, Due::Attempt(ticket, attempt));
         let link = self.hosts.get_mut(&host).filter(|link| link.dial.is_some());
         let Some(link) = link else {
-            return self.end_attempt(now, ticket, Outcome::Moot, Detail::None);
+            return self.end_attempt(now, ticket, Outcome::NotSent, OutcomeDetail::Unknown);
         };
         link.waiting.push(Waiting {
             ticket,
@@ -144,8 +144,8 @@
         now: Micros,
         ticket: Ticket,
         outcome: Outcome,
-        detail: Detail,
-    ) -> Option<News> {
+        detail: OutcomeDetail,
+    ) -> Option<PlacementEvent> {
         let request = self.requests.get_mut(&ticket)?;
         let State::Out {
             attempt,
@@ -172,7 +172,7 @@
                 },
             );
         }
-        Some(News::Ended {
+        Some(PlacementEvent::AttemptEnded {
             ticket,
             attempt,
             host,
@@ -189,7 +189,7 @@
         ticket: Ticket,
         only: Option<u32>,
         why: Outcome,
-    ) -> Option<News> {
+    ) -> Option<PlacementEvent> {
         let request = self.requests.get(&ticket)?;
         let State::Out {
             attempt,
@@ -213,7 +213,7 @@
         } else {
             why
         };
-        self.end_attempt(now, ticket, why, Detail::None)
+        self.end_attempt(now, ticket, why, OutcomeDetail::Unknown)
     }
 
     /// Nothing of an offer has left for as long as a connection may take to come up: it never ran. A host that
@@ -243,7 +243,7 @@
             // What becomes of a call that has had its whole time is told by its end.
             Phase::Connecting(_) if link.dialled <= since => return,
             Phase::Up(conn) if !conn.flushed() => Outcome::ConnectFailed,
-            Phase::Up(_) | Phase::Connecting(_) | Phase::Down => Outcome::Moot,
+            Phase::Up(_) | Phase::Connecting(_) | Phase::Down => Outcome::NotSent,
         };
         link.waiting
             .retain(|offer| (offer.ticket, offer.attempt) != (ticket, attempt));
@@ -253,7 +253,7 @@
         if outcome == Outcome::ConnectFailed {
             self.doubt(now, &host);
         }
-        let news = self.end_attempt(now, ticket, outcome, Detail::None);
+        let news = self.end_attempt(now, ticket, outcome, OutcomeDetail::Unknown);
         news.into_iter().for_each(|news| self.tell(now, news));
     }
 
@@ -267,7 +267,7 @@
             if request
                 .is_some_and(|r| matches!(r.state, State::Out { attempt: n, .. } if n == attempt))
             {
-                let news = self.end_attempt(now, ticket, outcome, Detail::None);
+                let news = self.end_attempt(now, ticket, outcome, OutcomeDetail::Unknown);
                 news.into_iter().for_each(|news| self.tell(now, news));
             }
         }
--- a/src/net/dispatch/operating.rs
+++ b/src/net/dispatch/operating.rs
@@ -45,7 +45,7 @@
     pub fn met(&mut self, first: bool) {
         let now = self.clock.now();
         let share = self.company.met(first);
-        let verdicts = self.facade.share(now, share);
+        let verdicts = self.facade.set_share(now, share);
         self.carry_out(now, verdicts);
         self.share_limits();
     }
@@ -76,7 +76,7 @@
 
     /// Listed hosts that get no offers now.
     pub fn hosts_avoided(&self) -> usize {
-        self.facade.avoided()
+        self.facade.unavailable_hosts()
     }
 
     /// An order of an operator: what to answer.
@@ -120,7 +120,7 @@
             self.clients.close_spare(now);
         }
         if let Some(share) = self.company.look(now) {
-            let verdicts = self.facade.share(now, share);
+            let verdicts = self.facade.set_share(now, share);
             self.carry_out(now, verdicts);
         }
     }
--- a/src/net/dispatch/requests.rs
+++ b/src/net/dispatch/requests.rs
@@ -27,7 +27,7 @@
 use crate::net::codec::{SetUp, TaskId};
 use crate::net::hosts::Round;
 use task_placer::facade::Ticket;
-use task_placer::{Detail, HostId, Micros};
+use task_placer::{HostId, Micros, OutcomeDetail};
 
 /// Where a request is.
 #[derive(Debug, Clone, PartialEq)]
@@ -77,7 +77,7 @@
 /// still comes, and against one that uses its id again.
 pub(super) struct Ended {
     /// The host that released it, and its cause.
-    pub(super) by: Option<(HostId, u8, Detail)>,
+    pub(super) by: Option<(HostId, u8, OutcomeDetail)>,
     pub(super) since: Micros,
 }
 
@@ -132,12 +132,16 @@
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
         self.by_id.insert(id, ticket);
-        let aim = self.facade.aim(class).unwrap_or(MILLI).max(MILLI);
+        let aim = self
+            .facade
+            .latency_objective(class)
+            .unwrap_or(MILLI)
+            .max(MILLI);
         let client = Some(client);
         if let Some(host) = state.at() {
             self.at_hosts.came(ticket, host, state.stands());
         }
-        let class = self.facade.class(class);
+        let class = self.facade.class_index(class);
         let (set_up, home) = (None, None);
         let request = Request {
             id,
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -5,7 +5,7 @@
 use super::{Dispatch, MILLI};
 use crate::net::health::watch::{Task, Watch};
 use task_placer::Micros;
-use task_placer::facade::News;
+use task_placer::facade::PlacementEvent;
 use task_placer::health::drain::Hand;
 use task_placer::operation::duty;
 use tracing::{info, warn};
@@ -25,7 +25,9 @@
         let now = self.clock.now();
         match self.watch.as_mut().and_then(|watch| watch.terminate(now)) {
             Some(tasks) => self.follow(now, tasks),
-            None if self.inherits => self.on_duty(now, duty::Event::Leave(self.facade.longest())),
+            None if self.inherits => {
+                self.on_duty(now, duty::Event::Leave(self.facade.max_deadline()))
+            }
             None => self.close_down(now, self.closing_wait() + CLOSE_ANSWER),
         }
     }
@@ -78,13 +80,13 @@
         if self.closing_since.is_none() {
             self.closing_since = Some(now);
             info!(requests = self.requests.len(), "closing");
-            self.tell(now, News::Closing(within));
+            self.tell(now, PlacementEvent::ShutdownRequested(within));
         }
     }
 
     /// The longest wait of a client, as the platform counts it at an end of the process.
     fn closing_wait(&self) -> Micros {
-        self.facade.longest().clamp(0, CLOSE_WAIT)
+        self.facade.max_deadline().clamp(0, CLOSE_WAIT)
     }
 
     /// Whether the process must end, whatever is left.
--- a/src/net/dispatch/slots.rs
+++ b/src/net/dispatch/slots.rs
@@ -7,7 +7,7 @@
 use crate::net::hosts::{Phase, Round};
 use task_placer::descriptors::{Answer, Rank, Want};
 use task_placer::facade::Ticket;
-use task_placer::{HostId, HostState, Micros};
+use task_placer::{EndpointState, HostId, Micros};
 
 /// How long what a host still says is read on a connection that makes way.
 const READ_OFF: Micros = 200 * MILLI;
@@ -53,14 +53,14 @@
         };
         if !link.waiting.is_empty() {
             Some(Want::Offer)
-        } else if link.state == HostState::Gone {
+        } else if link.state == EndpointState::Removed {
             None
         } else if !link.unsent.is_empty() || beside {
             Some(Want::Release)
         } else if self.at_hosts.standing(host).next().is_some() {
             Some(Want::Visit)
         } else {
-            (link.state == HostState::Up && self.warm).then_some(Want::Warm)
+            (link.state == EndpointState::Up && self.warm).then_some(Want::Warm)
         }
     }
 
--- a/src/net/dispatch/standing.rs
+++ b/src/net/dispatch/standing.rs
@@ -1,14 +1,15 @@
 //! Owns the tasks that stand: those a host holds, from the moment a connection is told of them until their end is told.
 //! They belong to no connection. It never offers a task again, and never gives a final answer.
 
+use super::invalid_set_up::InvalidSetUp;
 use super::requests::{Ended, State};
 use super::timers::Due;
 use super::{Dispatch, MILLI};
 use crate::net::clients::ClientId;
 use crate::net::codec::{SetUp, TaskId, binary, cause, lines};
 use crate::net::hosts::Phase;
-use task_placer::facade::{News, Ticket, Unfit};
-use task_placer::{Detail, HostId, HostState, Micros, Outcome};
+use task_placer::facade::{PlacementEvent, RequestKind, Ticket};
+use task_placer::{EndpointState, HostId, Micros, Outcome, OutcomeDetail};
 use tracing::info;
 
 /// How long a host may take to confirm a release.
@@ -19,6 +20,14 @@
 const ORDERED: Micros = 2_000 * MILLI;
 
 impl Dispatch {
+    fn check_adoption(&self, id: TaskId, set_up: &SetUp) -> Result<(), InvalidSetUp> {
+        self.facade.check(&set_up.ask, RequestKind::Adopt)?;
+        if id == TaskId(0) {
+            return Err(InvalidSetUp::MissingId);
+        }
+        Ok(())
+    }
+
     /// A task that a host holds already. Its release may have come first. The list may be late to name
     /// its host: it gets a while for that.
     pub(super) fn adopt(
@@ -29,11 +38,7 @@
         set_up: &SetUp,
         host: &HostId,
     ) {
-        let unfit = match self.facade.check(&set_up.ask, true) {
-            Err(Unfit(why)) => Some(why),
-            Ok(()) if id == TaskId(0) => Some("no id"),
-            Ok(()) => None,
-        };
+        let invalid = self.check_adoption(id, set_up).err();
         // Guards against a release that came on our new connection before the client told of the task.
         let over = match self.ended.get(&id) {
             Some(Ended {
@@ -43,14 +48,15 @@
             _ if self
                 .hosts
                 .get(host)
-                .is_some_and(|l| l.state == HostState::Gone) =>
+                .is_some_and(|l| l.state == EndpointState::Removed) =>
             {
                 Some(cause::RESET)
             }
             _ => None,
         };
-        if let Some(cause) = over.or(unfit.map(|_| cause::RESET)) {
-            info!(task = %id, reason = unfit.unwrap_or("released"), host = &*host.0, "does not stand");
+        if let Some(cause) = over.or(invalid.as_ref().map(|_| cause::RESET)) {
+            let reason = invalid.map_or_else(|| "released".to_string(), |why| why.to_string());
+            info!(task = %id, reason, host = &*host.0, "does not stand");
             return self
                 .clients
                 .send(now, client, &binary::release(id, cause, None));
@@ -175,19 +181,25 @@
         self.remove(ticket);
         self.tell(
             now,
-            News::Ended {
+            PlacementEvent::AttemptEnded {
                 ticket,
                 attempt,
                 host,
                 outcome,
-                detail: Detail::None,
+                detail: OutcomeDetail::Unknown,
                 elapsed,
             },
         );
     }
 
     /// What stood is over: its client is told, unless it ended the task itself.
-    pub(super) fn end_standing(&mut self, now: Micros, ticket: Ticket, cause: u8, detail: Detail) {
+    pub(super) fn end_standing(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        cause: u8,
+        detail: OutcomeDetail,
+    ) {
         let Some(request) = self.remove(ticket) else {
             return;
         };
@@ -200,7 +212,7 @@
                 let word = binary::release(request.id, cause, None);
                 self.tell_end(now, request.id, request.home, since, word);
                 let outcome = match cause {
-                    cause::NORMAL => Outcome::Ok,
+                    cause::NORMAL => Outcome::Completed,
                     cause::CANCELLED => Outcome::Cancelled,
                     _ => Outcome::Reset,
                 };
@@ -215,7 +227,7 @@
         };
         self.tell(
             now,
-            News::Ended {
+            PlacementEvent::AttemptEnded {
                 ticket,
                 attempt,
                 host,
@@ -238,7 +250,8 @@
         if !lost.is_empty() {
             info!(host = &*host.0, tasks = lost.len(), "tasks lost");
         }
-        lost.into_iter()
-            .for_each(|ticket| self.end_standing(now, ticket, cause::RESET, Detail::None));
+        lost.into_iter().for_each(|ticket| {
+            self.end_standing(now, ticket, cause::RESET, OutcomeDetail::Unknown)
+        });
     }
 }
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -8,7 +8,7 @@
 use task_placer::facade::Ticket;
 use task_placer::health::Event;
 use task_placer::operation::duty;
-use task_placer::{Detail, HostId, Micros, Outcome};
+use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
 /// How often connections are looked through.
 pub(super) const SWEEP: Micros = 250 * MILLI;
@@ -80,7 +80,7 @@
             Due::ReadOff(host, round) => self.end_read_off(&host, round),
             Due::Left(ticket) => {
                 if let Some(State::Leaving { .. }) = self.requests.get(&ticket).map(|r| &r.state) {
-                    self.end_standing(now, ticket, cause::CANCELLED, Detail::None);
+                    self.end_standing(now, ticket, cause::CANCELLED, OutcomeDetail::Unknown);
                 }
             }
             Due::Unlisted(ticket) => self.end_unlisted(now, ticket),
--- a/src/net/dispatch/verdicts.rs
+++ b/src/net/dispatch/verdicts.rs
@@ -4,43 +4,43 @@
 use super::{Dispatch, MILLI};
 use crate::net::codec::cause;
 use std::collections::VecDeque;
-use task_placer::facade::{News, Verdict};
+use task_placer::facade::{Decision, PlacementEvent};
 use task_placer::{Micros, Outcome};
 use tracing::info;
 
 impl Dispatch {
     /// Tells the module what has happened, and carries out what it decides.
-    pub(super) fn tell(&mut self, now: Micros, news: News) {
+    pub(super) fn tell(&mut self, now: Micros, news: PlacementEvent) {
         let verdicts = self.facade.report(now, news);
         self.carry_out(now, verdicts);
     }
 
     /// Carries out verdicts, and those that their instant results bring.
-    pub(super) fn carry_out(&mut self, now: Micros, verdicts: Vec<Verdict>) {
+    pub(super) fn carry_out(&mut self, now: Micros, verdicts: Vec<Decision>) {
         let mut queue = VecDeque::from(verdicts);
         while let Some(verdict) = queue.pop_front() {
             let news = match verdict {
-                Verdict::Offer {
+                Decision::SendAttempt {
                     ticket,
                     host,
                     timeout,
                 } => self.offer(now, ticket, host, timeout),
-                Verdict::Refuse {
+                Decision::Reject {
                     ticket,
                     retry_after,
                 } => {
                     let away = u64::try_from(retry_after / MILLI).ok().filter(|ms| *ms > 0);
                     self.answer(now, ticket, cause::REFUSED, away)
                 }
-                Verdict::Fail { ticket } => self.answer(now, ticket, cause::FAILED, None),
-                Verdict::Move { ticket } => {
+                Decision::Fail { ticket } => self.answer(now, ticket, cause::FAILED, None),
+                Decision::Migrate { ticket } => {
                     self.move_away(now, ticket);
                     None
                 }
-                Verdict::GiveUp { ticket, attempt } => {
+                Decision::CancelAttempt { ticket, attempt } => {
                     self.give_up(now, ticket, Some(attempt), Outcome::Cancelled)
                 }
-                Verdict::Note(text) => {
+                Decision::Log(text) => {
                     info!(text, "module");
                     None
                 }
--- a/src/net/dispatch/watching.rs
+++ b/src/net/dispatch/watching.rs
@@ -4,7 +4,7 @@
 use crate::net::conn;
 use std::collections::BTreeMap;
 use task_placer::health::{Event, Gauges, Zone};
-use task_placer::{HostState, Micros};
+use task_placer::{EndpointState, Micros};
 
 /// How long a host's word that it is full counts.
 const FULL: Micros = 15_000 * MILLI;
@@ -24,23 +24,18 @@
         }
         let mut zones: BTreeMap<task_placer::ZoneId, Zone> = BTreeMap::new();
         let (mut listed, mut roomy, mut full) = (0u32, 0u32, 0u32);
-        let ordinary = self.facade.ordinary();
+        let ordinary = self.facade.mean_task();
         for link in self
             .hosts
             .values()
-            .filter(|link| link.state == HostState::Up)
+            .filter(|link| link.state == EndpointState::Up)
         {
             let zone = zones.entry(link.zone).or_default();
             zone.listed += 1;
             zone.refused += u32::from(link.down_since.is_some() && link.refused);
             zone.silent += u32::from(link.down_since.is_some() && !link.refused);
             listed += 1;
-            let fits = ordinary.is_none_or(|size| {
-                link.free
-                    .iter()
-                    .zip(size)
-                    .all(|(free, asked)| *free >= asked)
-            });
+            let fits = ordinary.is_none_or(|size| size.fits_in(link.free));
             roomy += u32::from(fits);
             full += u32::from(link.full_at.is_some_and(|at| now - at < FULL));
         }
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -13,7 +13,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use task_placer::facade::Ticket;
-use task_placer::{CellId, HostId, HostState, Micros, ZoneId};
+use task_placer::{CellId, EndpointState, HostId, Micros, Resources, ZoneId};
 
 /// Pauses between attempts to connect: the first, doubled to the last.
 const FIRST_PAUSE: Micros = 50_000;
@@ -51,12 +51,12 @@
     /// Where it listens.
     pub dial: Option<SocketAddr>,
     /// As the list tells.
-    pub state: HostState,
+    pub state: EndpointState,
     /// Its cell: machines of a cell fail together.
     pub cell: CellId,
     /// Its zone, and the cores and memory that nobody asks for, as the list tells.
     pub zone: ZoneId,
-    pub free: [f64; 2],
+    pub free: Resources,
     /// When it last said that it is full, if it has not started a task since.
     pub full_at: Option<Micros>,
     /// When its process started, or 0.
@@ -97,8 +97,8 @@
             state: listed.entry.state,
             cell: listed.entry.cell,
             zone: listed.entry.zone,
-            free: [listed.entry.free_cores, listed.entry.free_memory],
-            born: listed.entry.ready_at,
+            free: listed.entry.free(),
+            born: listed.entry.started_at,
             full_at: None,
             phase: Phase::Down,
             round: 0,
@@ -153,7 +153,7 @@
     pub fn over(&self) -> bool {
         let quiet =
             matches!(self.phase, Phase::Down) && self.doubted.is_empty() && self.waiting.is_empty();
-        self.state == HostState::Gone && quiet
+        self.state == EndpointState::Removed && quiet
     }
 
     /// Pause before the next attempt.
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -22,7 +22,8 @@
 pub mod turns;
 
 use crate::{
-    Bound, CellId, Detail, Entry, HostId, HostState, Micros, Outcome, ReqId, Task, TenantId, ZoneId,
+    CellId, Endpoint, EndpointState, HostId, Limit, Micros, Outcome, OutcomeDetail, RequestId,
+    Task, TenantId, ZoneId,
 };
 use attempts::{Budget, Domain};
 use gate::{Asked, Gate, Turn};
@@ -87,33 +88,33 @@
         /// Whether it is the whole list.
         whole: bool,
         /// Its entries.
-        entries: &'a [Entry],
+        entries: &'a [Endpoint],
     },
     /// An own offer went out.
     Offered {
         /// The ask.
-        id: &'a ReqId,
+        id: &'a RequestId,
         /// The host.
         host: &'a HostId,
     },
     /// An own offer has started its task.
     Started {
         /// The ask.
-        id: &'a ReqId,
+        id: &'a RequestId,
     },
     /// An own offer is over without a start.
     Ended {
         /// The ask.
-        id: &'a ReqId,
+        id: &'a RequestId,
         /// How.
         outcome: Outcome,
         /// Why.
-        detail: Detail,
+        detail: OutcomeDetail,
     },
     /// The task is out of this placer's hands: refused, failed, or given up by its client.
     Over {
         /// The ask.
-        id: &'a ReqId,
+        id: &'a RequestId,
         /// Whether this placer gave it up.
         given_up: bool,
     },
@@ -280,7 +281,7 @@
     told_total: Option<u32>,
     /// No offer more could go out.
     full: bool,
-    in_hand: BTreeMap<ReqId, InHand>,
+    in_hand: BTreeMap<RequestId, InHand>,
     /// Clients told to stay away, by the hash of their task's name; and in the order of their times.
     away: BTreeMap<u64, Micros>,
     away_until: BTreeSet<(Micros, u64)>,
@@ -297,7 +298,7 @@
             .classes
             .iter()
             .map(|class| Class {
-                aim: class.aim.max(1),
+                aim: class.latency_objective.max(1),
                 priority: class.priority,
             })
             .collect();
@@ -311,11 +312,11 @@
             quotas: settings
                 .tenants
                 .iter()
-                .map(|tenant| tenant.quota_per_s)
+                .map(|tenant| tenant.quota_tasks_per_second)
                 .collect(),
             tenants: settings.tenants.iter().map(|_| tenant()).collect(),
-            placers: settings.placers.max(1),
-            most_away: if settings.retry_after {
+            placers: settings.placer_count.max(1),
+            most_away: if settings.allows_retry_after {
                 settings.max_retry_after
             } else {
                 0
@@ -324,11 +325,11 @@
             budget: parts
                 .attempts
                 .clone()
-                .map(|parts| Budget::new(parts, settings.placers)),
+                .map(|parts| Budget::new(parts, settings.placer_count)),
             turns: parts
                 .turns
                 .clone()
-                .map(|turns| Turns::new(turns, settings.me, settings.placers)),
+                .map(|turns| Turns::new(turns, settings.placer_index, settings.placer_count)),
             parts,
             classes,
             aim,
@@ -350,7 +351,8 @@
 
     /// A task is asked for. Answers what it gets; bounds may change with it.
     pub fn ask(&mut self, now: Micros, task: &Task) -> Admission {
-        let (class, tenant, name, repeat) = (task.class, task.tenant, task.key.0, task.came_back);
+        let (class, tenant, name, repeat) =
+            (task.class, task.tenant, task.key.0, task.is_returning);
         let wall = self.wall + now;
         let of = self.classes.get(class.0).copied().unwrap_or(Class {
             aim: self.aim,
@@ -417,7 +419,7 @@
     }
 
     /// Takes what has happened, and adds the bounds that are others now.
-    pub fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Bound>) {
+    pub fn handle(&mut self, now: Micros, event: Event<'_>, out: &mut Vec<Limit>) {
         match event {
             Event::Listed { whole, entries } => self.listed(now, whole, entries, out),
             Event::Offered { id, host } => self.offered(now, id, host, out),
@@ -435,7 +437,7 @@
 
     /// All own offers together are no more than all windows, and one at the least. Guards against a crowd
     /// that finds every placer with a part of a window free at every host: each would send one there at once.
-    fn tell_total(&mut self, out: &mut Vec<Bound>) {
+    fn tell_total(&mut self, out: &mut Vec<Limit>) {
         if self.parts.line.is_none() {
             return;
         }
@@ -443,9 +445,9 @@
         let full = self.out >= most;
         if self.told_total != Some(most) || self.full && !full {
             self.told_total = Some(most);
-            out.push(Bound::Total {
-                most,
-                freed: self.full && !full,
+            out.push(Limit::TotalConcurrency {
+                max_in_flight: most,
+                has_capacity_again: self.full && !full,
             });
         }
         self.full = full;
@@ -546,7 +548,7 @@
 
     // ---- Hosts ----
 
-    fn listed(&mut self, now: Micros, whole: bool, entries: &[Entry], out: &mut Vec<Bound>) {
+    fn listed(&mut self, now: Micros, whole: bool, entries: &[Endpoint], out: &mut Vec<Limit>) {
         if whole {
             let named: BTreeSet<&HostId> = entries.iter().map(|entry| &entry.host).collect();
             let gone: Vec<HostId> = self
@@ -559,7 +561,7 @@
         }
         let lines = self.parts.line.clone().unwrap_or_default();
         for entry in entries {
-            if entry.state == HostState::Gone {
+            if entry.state == EndpointState::Removed {
                 self.forget(&entry.host);
                 continue;
             }
@@ -570,7 +572,7 @@
                     hash: hash_of(&entry.host),
                     cell: entry.cell,
                     room: entry.zone,
-                    born: entry.ready_at,
+                    born: entry.started_at,
                     up: true,
                     line: Line::new(&lines, self.placers, self.aim),
                     trial: false,
@@ -579,12 +581,12 @@
                     due: None,
                     counted: (0.0, 0),
                 });
-            if host.born != entry.ready_at {
+            if host.born != entry.started_at {
                 // Another process: nothing of the one before holds.
                 host.line = Line::new(&lines, self.placers, self.aim);
             }
-            (host.cell, host.room, host.born) = (entry.cell, entry.zone, entry.ready_at);
-            host.up = entry.state == HostState::Up;
+            (host.cell, host.room, host.born) = (entry.cell, entry.zone, entry.started_at);
+            host.up = entry.state == EndpointState::Up;
             self.refresh(now, &entry.host, out);
         }
     }
@@ -601,7 +603,7 @@
     }
 
     /// Tells the bound of a host anew, if it is another, and when to look at it again.
-    fn refresh(&mut self, now: Micros, id: &HostId, out: &mut Vec<Bound>) {
+    fn refresh(&mut self, now: Micros, id: &HostId, out: &mut Vec<Limit>) {
         let Some(host) = self.hosts.get_mut(id) else {
             return;
         };
@@ -652,10 +654,10 @@
         }
         if host.told != Some(most) && (most.is_some() || host.told.is_some()) {
             host.told = Some(most);
-            out.push(Bound::Line {
+            out.push(Limit::HostConcurrency {
                 host: id.clone(),
-                most,
-                trial,
+                max_in_flight: most,
+                health_check: trial,
             });
         }
     }
@@ -673,7 +675,7 @@
 
     // ---- Tasks ----
 
-    fn offered(&mut self, now: Micros, ticket: &ReqId, host: &HostId, out: &mut Vec<Bound>) {
+    fn offered(&mut self, now: Micros, ticket: &RequestId, host: &HostId, out: &mut Vec<Limit>) {
         self.offers = self.offers.wrapping_add(1);
         let spread = gate::unit(self.offers, 0x7061_6365);
         let domains = self.domains(host);
@@ -696,10 +698,10 @@
             if self.turns.is_some() && at.line.in_doubt() {
                 self.counters.trials += 1;
                 at.told = Some(Some(0));
-                out.push(Bound::Line {
+                out.push(Limit::HostConcurrency {
                     host: host.clone(),
-                    most: Some(0),
-                    trial: false,
+                    max_in_flight: Some(0),
+                    health_check: false,
                 });
             }
             at.line.offered(now, spread);
@@ -707,7 +709,7 @@
         self.refresh(now, host, out);
     }
 
-    fn started(&mut self, now: Micros, ticket: &ReqId, out: &mut Vec<Bound>) {
+    fn started(&mut self, now: Micros, ticket: &RequestId, out: &mut Vec<Limit>) {
         let Some(task) = self.in_hand.remove(ticket) else {
             return;
         };
@@ -726,10 +728,10 @@
     fn ended(
         &mut self,
         now: Micros,
-        ticket: &ReqId,
+        ticket: &RequestId,
         outcome: Outcome,
-        detail: Detail,
-        out: &mut Vec<Bound>,
+        detail: OutcomeDetail,
+        out: &mut Vec<Limit>,
     ) {
         let Some(task) = self.in_hand.get_mut(ticket) else {
             return;
@@ -741,12 +743,12 @@
         let was = self.hosts.get(&host).is_some_and(|at| at.line.in_doubt());
         if let Some(at) = self.hosts.get_mut(&host) {
             match (outcome, detail) {
-                (Outcome::Full, Detail::Busy) => at.line.crowded(now, sent),
+                (Outcome::Rejected, OutcomeDetail::QueueFull) => at.line.crowded(now, sent),
                 (Outcome::Timeout, _) => at.line.lost(now, sent, true),
                 (Outcome::ConnectFailed, _) => at.line.lost(now, sent, false),
                 // What its client gave up, and what never left, tell nothing of the host.
-                (Outcome::Cancelled | Outcome::Moot, _) => at.line.ended(false),
-                (Outcome::Reset, Detail::None) => at.line.lost(now, sent, false),
+                (Outcome::Cancelled | Outcome::NotSent, _) => at.line.ended(false),
+                (Outcome::Reset, OutcomeDetail::Unknown) => at.line.lost(now, sent, false),
                 _ => at.line.ended(true),
             }
             if was && at.line.in_doubt() {
@@ -758,7 +760,10 @@
             }
         }
         // What was not sent was no attempt.
-        let charged = !matches!(outcome, Outcome::Moot | Outcome::Cancelled | Outcome::Ok);
+        let charged = !matches!(
+            outcome,
+            Outcome::NotSent | Outcome::Cancelled | Outcome::Completed
+        );
         if charged && let Some(budget) = &mut self.budget {
             match budget.again(now, &domains) {
                 Ok(()) => {}
@@ -768,7 +773,7 @@
                     } else {
                         self.counters.again_domain += 1;
                     }
-                    out.push(Bound::Last(ticket.clone()));
+                    out.push(Limit::NoRetry(ticket.clone()));
                 }
             }
         }
@@ -777,7 +782,7 @@
 
     /// Where hosts of two cells of a room are in doubt together, it is the room: the others there get no more
     /// than trials either, before each of them has swallowed offers of every placer.
-    fn doubt_room(&mut self, now: Micros, host: &HostId, out: &mut Vec<Bound>) {
+    fn doubt_room(&mut self, now: Micros, host: &HostId, out: &mut Vec<Limit>) {
         if self.turns.is_none() {
             return;
         }
@@ -812,7 +817,7 @@
         }
     }
 
-    fn over(&mut self, now: Micros, ticket: &ReqId, given_up: bool, out: &mut Vec<Bound>) {
+    fn over(&mut self, now: Micros, ticket: &RequestId, given_up: bool, out: &mut Vec<Limit>) {
         let Some(task) = self.in_hand.remove(ticket) else {
             return;
         };
@@ -833,7 +838,7 @@
 
     // ---- Time ----
 
-    fn tick(&mut self, now: Micros, out: &mut Vec<Bound>) {
+    fn tick(&mut self, now: Micros, out: &mut Vec<Limit>) {
         while let Some((due, host)) = self.due.first().cloned().filter(|(due, _)| *due <= now) {
             self.due.remove(&(due, host.clone()));
             if let Some(at) = self.hosts.get_mut(&host) {
@@ -868,9 +873,9 @@
                 self.counters.falls += 1;
             }
             self.counters.highest = self.counters.highest.max(u64::from(step));
-            out.push(Bound::Gate {
-                through,
-                late: (step > 0).then_some(hopeless),
+            out.push(Limit::Admission {
+                admit_below: through,
+                give_up_after: (step > 0).then_some(hopeless),
             });
         }
     }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -4,8 +4,8 @@
 //! One task's way: eligible machines, load, a, then SCD (ideal workload, sorted prefix, draw), the
 //! offer with its time-out, and what its outcome permits next. Steps follow in that order below.
 
-use crate::placement::*;
 use crate::ledger::*;
+use crate::placement::*;
 use crate::working_set::{Part, WorkingSet};
 use itertools::Itertools;
 use rand_chacha::ChaCha8Rng;
@@ -105,7 +105,7 @@
         let aim = settings
             .classes
             .iter()
-            .map(|c| c.aim)
+            .map(|c| c.latency_objective)
             .min()
             .unwrap_or(0)
             .max(settings.tick)
@@ -135,55 +135,60 @@
         self.now = self.now.max(now);
         self.started.get_or_insert(now);
         match event {
-            Event::Members { kind, entries } => self.members(*kind, entries, out),
-            Event::Request(task) => self.request(task, out),
-            Event::Open(task, host) => self.jobs.open(task, self.fleet.place(host), self.now),
-            Event::First {
+            Event::EndpointsChanged {
+                kind,
+                endpoints: entries,
+            } => self.members(*kind, entries, out),
+            Event::TaskRequested(task) => self.request(task, out),
+            Event::TaskAdopted(task, host) => {
+                self.jobs.open(task, self.fleet.place(host), self.now)
+            }
+            Event::AttemptStarted {
                 id,
                 attempt,
                 elapsed,
                 ..
             } => self.first(id, *attempt, *elapsed),
-            Event::Noted {
+            Event::TaskReported {
                 id,
-                note: Note::Cores,
+                report: TaskReport::Cores,
                 value,
                 ..
             } => self.jobs.told_use(id, 0, *value),
-            Event::Noted {
+            Event::TaskReported {
                 id,
-                note: Note::Memory,
+                report: TaskReport::Memory,
                 value,
                 ..
             } => self.jobs.told_use(id, 1, *value),
-            Event::Noted { .. } => {}
-            Event::Outcome {
+            Event::TaskReported { .. } => {}
+            Event::AttemptEnded {
                 id,
                 attempt,
                 host,
                 outcome,
                 detail,
                 done,
-                report,
+                load_report: report,
                 ..
             } => {
                 self.report(host, report);
                 self.outcome(id, *attempt, *outcome, *detail, *done, out);
             }
-            Event::Gone(id) => self.jobs.close(id),
-            Event::Bounds(bounds) => self.bound(bounds, out),
-            Event::Closing(within) => self.close_down(*within, out),
-            Event::Timer(token) => self.timer(*token, out),
-            Event::Probed {
+            Event::TaskCancelled(id) => self.jobs.close(id),
+            Event::LimitsChanged(bounds) => self.bound(bounds, out),
+            Event::ShutdownRequested(within) => self.close_down(*within, out),
+            Event::TimerFired(token) => self.timer(*token, out),
+            Event::HealthCheckEnded {
                 host,
                 outcome,
-                report,
+                load_report: report,
                 ..
             } => {
                 self.report(host, report);
                 match (outcome, self.fleet.place(host)) {
-                    (Outcome::Ok | Outcome::Full, Some(at)) => self.health.answered(at),
-                    (Outcome::Moot | Outcome::Cancelled, _) | (_, None) => {}
+                    (Outcome::Completed | Outcome::Rejected, Some(at)) => self.health.answered(at),
+                    (Outcome::NotSent | Outcome::Cancelled, _) | (_, None) => {}
                     (_, Some(at)) => self.strike(at, Scope::Machine),
                 }
             }
@@ -196,31 +201,31 @@
 
     // ---- What is known of machines ----
 
-    fn members(&mut self, kind: ListKind, entries: &[Entry], out: &mut Vec<Action>) {
-        if kind == ListKind::Failed {
+    fn members(&mut self, kind: UpdateKind, entries: &[Endpoint], out: &mut Vec<Action>) {
+        if kind == UpdateKind::Failed {
             self.discovery.watching = false;
             self.discovery.asked_at = Some(self.now);
             self.discovery.fails += 1;
             return;
         }
-        if kind != ListKind::Cached && self.discovery.asked_at.is_some() {
+        if kind != UpdateKind::Cached && self.discovery.asked_at.is_some() {
             (self.discovery.watching, self.discovery.fails) = (true, 0);
         }
-        if kind != ListKind::Delta {
+        if kind != UpdateKind::Delta {
             self.fleet.keep_only(entries);
         }
         let as_of = self.now - self.list_lag();
         for e in entries {
             let size = self.size(e.kind);
             let (m, at, renewed) = self.fleet.update(e);
-            if self.s.list_shows_room {
+            if self.s.endpoints_show_free_resources {
                 m.see([size[0] - e.free_cores, size[1] - e.free_memory], as_of);
             }
             if renewed {
                 self.health.forget(at);
             }
         }
-        if kind == ListKind::Cached {
+        if kind == UpdateKind::Cached {
             self.watch(out);
         }
         self.choose_set();
@@ -230,25 +235,25 @@
     /// Rule 3: keeps the subscription, and asks again well within `ask_within` after a failure, so
     /// that no drain passes unheard. Guards also against an answer that never comes.
     fn watch(&mut self, out: &mut Vec<Action>) {
-        if !self.s.list_on_ask || self.discovery.watching {
+        if !self.s.requires_subscription || self.discovery.watching {
             return;
         }
-        let patience = (self.s.ask_within / ASKS) << self.discovery.fails.min(2);
+        let patience = (self.s.max_time_unsubscribed / ASKS) << self.discovery.fails.min(2);
         if self
             .discovery
             .asked_at
             .is_none_or(|t| self.now - t >= patience)
         {
             self.discovery.asked_at = Some(self.now);
-            out.push(Action::Watch);
+            out.push(Action::Subscribe);
         }
     }
 
     fn list_lag(&self) -> Micros {
-        let span = if self.s.ask_within > 0 {
-            self.s.ask_within
+        let span = if self.s.max_time_unsubscribed > 0 {
+            self.s.max_time_unsubscribed
         } else {
-            self.s.cold
+            self.s.slow_start
         };
         (span as f64 * LIST_LAG_OF_ASK) as Micros
     }
@@ -257,19 +262,22 @@
         let Some(at) = self.fleet.place(host) else {
             return;
         };
-        if values.is_empty() || !self.s.counts_asked {
+        if values.is_empty() || !self.s.counts_requested_resources {
             return;
         }
         let size = self.size(self.fleet.machines[at].kind);
         let told = |field| {
             self.s
-                .report
+                .load_report
                 .iter()
                 .zip(values)
                 .find(|(f, _)| **f == field)
                 .map(|(_, v)| *v)
         };
-        if let (Some(c), Some(m)) = (told(ReportField::FreeCores), told(ReportField::FreeMemory)) {
+        if let (Some(c), Some(m)) = (
+            told(LoadReportField::FreeCores),
+            told(LoadReportField::FreeMemory),
+        ) {
             let as_of = self.now - (self.window as f64 * REPORT_LAG_OF_AIM) as Micros;
             self.fleet.touch(at).see([size[0] - c, size[1] - m], as_of);
         }
@@ -296,13 +304,13 @@
             SUSPECT_PART
         };
         let base = self.s.connect_timeout.max(self.window) * aims;
-        let most = self.s.cold.max(base);
+        let most = self.s.slow_start.max(base);
         let h = self.health.entry(at, scope);
         if self.now >= h.until {
             h.until = self.now + (base << h.strikes.min(DOUBLINGS)).min(most);
             h.strikes += 1;
         }
-        h.on_trial = scope == Scope::Machine && self.s.probes;
+        h.on_trial = scope == Scope::Machine && self.s.allows_health_checks;
         self.health.suspended(at);
     }
 
@@ -319,9 +327,9 @@
             .machines
             .iter()
             .enumerate()
-            .filter(|(_, m)| m.state != HostState::Gone);
+            .filter(|(_, m)| m.state != EndpointState::Removed);
         listed
-            .filter(|(at, m)| m.state != HostState::Up || self.shut(*at, Scope::Machine))
+            .filter(|(at, m)| m.state != EndpointState::Up || self.shut(*at, Scope::Machine))
             .count()
     }
 
@@ -341,7 +349,7 @@
     /// Cores and memory of a kind. Never zero, so that odd settings divide by nothing.
     fn size(&self, kind: KindId) -> [f64; 2] {
         self.s
-            .kinds
+            .host_kinds
             .get(kind.0)
             .map_or([1.0; 2], |k| [k.cores.max(1e-9), k.memory.max(1e-9)])
     }
@@ -353,21 +361,22 @@
             return;
         }
         // Shed with the same work at every placer; it is no part of a.
-        if task.order >= self.fleet.gate.through {
-            out.push(Action::Refuse {
+        if task.shed_rank >= self.fleet.gate.through {
+            out.push(Action::Reject {
                 id: task.id.clone(),
                 retry_after: self.retry_after(task),
             });
             return;
         }
-        if !task.came_back && !task.resent {
+        if !task.is_returning && !task.is_retry {
             let size = task.cores / self.s.mean_cores.max(f64::MIN_POSITIVE);
             self.arrivals.push_back((self.now, size));
             self.probe_credit =
                 (self.probe_credit + PROBES_PER_TASK).min(self.fleet.machines.len() as f64);
         }
-        let deadline = (self.now + task.budget.max(0)).min(self.closing.unwrap_or(Micros::MAX));
-        let margin = (self.s.answer_slack / 2).max(self.s.tick);
+        let deadline =
+            (self.now + task.time_budget.max(0)).min(self.closing.unwrap_or(Micros::MAX));
+        let margin = (self.s.response_slack / 2).max(self.s.tick);
         self.jobs
             .all
             .insert(task.id.clone(), Job::new(task, self.now, deadline));
@@ -379,20 +388,22 @@
 
     /// Takes bounds from outside. A trial is wanted whatever was held against its machine; where there is
     /// room again, what waits is looked at.
-    fn bound(&mut self, bounds: &[Bound], out: &mut Vec<Action>) {
+    fn bound(&mut self, bounds: &[Limit], out: &mut Vec<Action>) {
         let mut wider = false;
         for bound in bounds {
             wider |= self.fleet.bounded(bound);
             match bound {
-                Bound::Line {
-                    host, trial: true, ..
+                Limit::HostConcurrency {
+                    host,
+                    health_check: true,
+                    ..
                 } => {
                     self.fleet
                         .place(host)
                         .into_iter()
                         .for_each(|at| self.health.forget(at));
                 }
-                Bound::Last(id) => self
+                Limit::NoRetry(id) => self
                     .jobs
                     .all
                     .get_mut(id)
@@ -420,7 +431,7 @@
         }
     }
 
-    fn first(&mut self, id: &ReqId, attempt: u32, elapsed: Micros) {
+    fn first(&mut self, id: &RequestId, attempt: u32, elapsed: Micros) {
         let Some(job) = self.jobs.all.get_mut(id) else {
             return;
         };
@@ -432,7 +443,7 @@
         let class = job.task.class;
         let errors = std::mem::take(&mut job.errors);
         let part = Scope::Part(class, job.task.tenant);
-        let aim = self.s.classes[class.0].aim;
+        let aim = self.s.classes[class.0].latency_objective;
         self.confirm(
             at,
             if elapsed <= aim {
@@ -462,10 +473,10 @@
 
     fn outcome(
         &mut self,
-        id: &ReqId,
+        id: &RequestId,
         attempt: u32,
         outcome: Outcome,
-        detail: Detail,
+        detail: OutcomeDetail,
         done: bool,
         out: &mut Vec<Action>,
     ) {
@@ -479,18 +490,21 @@
         job.out = None;
         job.short = matches!(
             detail,
-            Detail::NoCores | Detail::NoMemory | Detail::Busy | Detail::PushedOut
+            OutcomeDetail::NoCores
+                | OutcomeDetail::NoMemory
+                | OutcomeDetail::QueueFull
+                | OutcomeDetail::Preempted
         );
         let (asks, service, placed) = (job.asks(), job.task.service, job.placed);
         let part = Scope::Part(job.task.class, job.task.tenant);
         let class = Scope::Class(job.task.class);
-        let last = self.s.classes[job.task.class.0].effect == Effect::Unsafe;
+        let last = self.s.classes[job.task.class.0].idempotency == Idempotency::NonIdempotent;
         if let (Outcome::Error, Some(at)) = (outcome, at) {
             job.errors.push(at);
         }
         let proven = matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         );
         if !proven && job.may_have_run.is_none() {
             job.may_have_run = Some((at, job.sent_at));
@@ -511,16 +525,21 @@
                 );
             }
             match (outcome, detail) {
-                (Outcome::Full, Detail::NoCores | Detail::NoMemory) => self.mark_full(at, detail),
-                (Outcome::Full, Detail::None) => self.strike(at, part),
+                (Outcome::Rejected, OutcomeDetail::NoCores | OutcomeDetail::NoMemory) => {
+                    self.mark_full(at, detail)
+                }
+                (Outcome::Rejected, OutcomeDetail::Unknown) => self.strike(at, part),
                 // One answer that is lost says nothing of a machine that has just started another.
                 (Outcome::Timeout, _) if self.just_started(at) => {}
                 (Outcome::Timeout, _) => self.strike(at, class),
                 (Outcome::Error, _) if last => self.strike(at, class),
                 // Pushed out before it ran: the machine is well and made room for its betters.
-                (Outcome::Full, Detail::PushedOut) => {}
-                (Outcome::Full | Outcome::ConnectFailed, _)
-                | (Outcome::Reset, Detail::None | Detail::SentAway | Detail::Evicted) => {
+                (Outcome::Rejected, OutcomeDetail::Preempted) => {}
+                (Outcome::Rejected | Outcome::ConnectFailed, _)
+                | (
+                    Outcome::Reset,
+                    OutcomeDetail::Unknown | OutcomeDetail::Drained | OutcomeDetail::Evicted,
+                ) => {
                     self.strike(at, Scope::Machine);
                 }
                 _ => {}
@@ -534,14 +553,14 @@
     }
 
     /// A refusal for room: the view was too low, so it is raised to the machine's limit.
-    fn mark_full(&mut self, at: Place, detail: Detail) {
+    fn mark_full(&mut self, at: Place, detail: OutcomeDetail) {
         let size = self.size(self.fleet.machines[at].kind);
         let m = self.fleet.touch(at);
         let mut asked = m.asked();
-        if detail == Detail::NoCores {
-            asked[0] = asked[0].max(size[0] * self.s.accepts_cores);
+        if detail == OutcomeDetail::NoCores {
+            asked[0] = asked[0].max(size[0] * self.s.core_overcommit);
         } else {
-            asked[1] = asked[1].max(size[1] * self.s.accepts_memory);
+            asked[1] = asked[1].max(size[1] * self.s.memory_overcommit);
         }
         m.see(asked, self.now);
     }
@@ -572,20 +591,20 @@
 
     /// Probes what is on trial, then spends the probe budget on the oldest views of the working set.
     fn probe(&mut self, out: &mut Vec<Action>) {
-        if !self.s.probes {
+        if !self.s.allows_health_checks {
             return;
         }
         let gap = self.s.connect_timeout * SUSPECT;
         for at in self.health.trials(self.now) {
             let m = &mut self.fleet.machines[at];
-            if m.state == HostState::Up && self.now >= m.probed_at + gap {
+            if m.state == EndpointState::Up && self.now >= m.probed_at + gap {
                 m.probed_at = self.now;
-                out.push(Action::Probe {
+                out.push(Action::SendHealthCheck {
                     host: m.host.clone(),
                 });
             }
         }
-        if self.s.report.is_empty() {
+        if self.s.load_report.is_empty() {
             return;
         }
         let seen = |m: &Machine| m.seen.map_or(m.probed_at, |t| t.max(m.probed_at));
@@ -603,7 +622,7 @@
             self.probe_credit -= 1.0;
             let m = &mut self.fleet.machines[at];
             m.probed_at = self.now;
-            out.push(Action::Probe {
+            out.push(Action::SendHealthCheck {
                 host: m.host.clone(),
             });
         }
@@ -615,38 +634,41 @@
     fn permitted(&self, job: &Job, at: Place) -> bool {
         let class = &self.s.classes[job.task.class.0];
         let m = &self.fleet.machines[at];
-        if m.state != HostState::Up || class.kind.is_some_and(|k| k != m.kind) {
+        if m.state != EndpointState::Up || class.host_kind.is_some_and(|k| k != m.kind) {
             return false;
         }
         // Rule 2 for keyed tasks: only the group that drops the repeat, while it remembers.
-        if let (Effect::Keyed(group), Some((first, since))) = (class.effect, job.may_have_run) {
+        if let (Idempotency::IdempotencyKey { scope: group }, Some((first, since))) =
+            (class.idempotency, job.may_have_run)
+        {
             let Some(first) = first.map(|at| &self.fleet.machines[at]) else {
                 return false;
             };
             let same = match group {
-                Group::All => true,
-                Group::Zone => first.zone == m.zone,
-                Group::Cell => first.cell == m.cell,
+                KeyScope::All => true,
+                KeyScope::Zone => first.zone == m.zone,
+                KeyScope::Cell => first.cell == m.cell,
             };
-            let most = (class.window / KEYED_PART).min(class.window - self.s.connect_timeout);
+            let most = (class.idempotency_window / KEYED_PART)
+                .min(class.idempotency_window - self.s.connect_timeout);
             if !same || self.now - since >= most {
                 return false;
             }
         }
         // Rule 5.
-        if class.spread != Spread::None {
-            let here = |other: &Machine| match class.spread {
-                Spread::Machine => other.host == m.host,
-                Spread::Cell => other.cell == m.cell,
-                Spread::Zone => other.zone == m.zone,
-                Spread::None => true,
+        if class.spread_domain != SpreadDomain::None {
+            let here = |other: &Machine| match class.spread_domain {
+                SpreadDomain::Host => other.host == m.host,
+                SpreadDomain::Cell => other.cell == m.cell,
+                SpreadDomain::Zone => other.zone == m.zone,
+                SpreadDomain::None => true,
             };
             let held = self.jobs.of_service(job.task.service);
             let count: usize = held
                 .filter(|(o, _)| here(&self.fleet.machines[*o]))
                 .map(|(_, n)| n)
                 .sum();
-            if count + 1 > class.most {
+            if count + 1 > class.max_per_domain {
                 return false;
             }
         }
@@ -660,11 +682,11 @@
     /// Harm: where few placers have work, most of the budget goes unused.
     fn cold_budget(&self, m: &Machine) -> bool {
         let age = self.now - m.ready_at;
-        if m.ready_at <= 0 || age >= self.s.cold {
+        if m.ready_at <= 0 || age >= self.s.slow_start {
             return true;
         }
-        let wait = (self.s.fall + self.s.connect_timeout).max(1);
-        let span = (self.s.fall as f64 * COLD_STRETCH).max(wait as f64);
+        let wait = (self.s.collapse_window + self.s.connect_timeout).max(1);
+        let span = (self.s.collapse_window as f64 * COLD_STRETCH).max(wait as f64);
         let start = self.started.unwrap_or(self.now);
         if m.ready_at < start && ((self.now - start) as f64) < span {
             return false;
@@ -677,14 +699,14 @@
         };
         // Several processes of one placer are as many placers here.
         let processes = f64::from(self.fleet.beside) + 1.0;
-        let placers = self.s.placers.max(1) as f64 * processes;
-        let part = COLD_PART * self.s.cold_sends / placers;
+        let placers = self.s.placer_count.max(1) as f64 * processes;
+        let part = COLD_PART * self.s.slow_start_attempts / placers;
         if part >= 1.0 {
             return (since(span) + 1) as f64 <= part;
         }
         let turn = COLD_TURN * span;
         let round = (span + turn) / part.max(f64::MIN_POSITIVE);
-        let me = self.s.me as f64 * processes + f64::from(self.fleet.process);
+        let me = self.s.placer_index as f64 * processes + f64::from(self.fleet.process);
         let offset = me / placers + (m.hash >> 32) as f64 / (1u64 << 32) as f64;
         let phase = (age as f64 / round + offset).rem_euclid(1.0) * round;
         phase < turn && since(turn) == 0
@@ -701,7 +723,11 @@
 
     /// Part of the cores in use up to which every class is served in full.
     fn calm(&self) -> f64 {
-        self.s.classes.iter().map(|c| c.calm).fold(1.0, f64::min)
+        self.s
+            .classes
+            .iter()
+            .map(|c| c.full_service_utilization)
+            .fold(1.0, f64::min)
     }
 
     /// Fullness of a machine, with so much more asked of it: 1 where its tasks begin to suffer.
@@ -720,16 +746,16 @@
         let parts = [
             asked[0] * used[0] / (size[0] * self.calm()),
             asked[1] * used[1] / (size[1] * MEMORY_FULL),
-            asked[0] / (size[0] * self.s.accepts_cores * ASKED_FULL),
-            asked[1] / (size[1] * self.s.accepts_memory * ASKED_FULL),
+            asked[0] / (size[0] * self.s.core_overcommit * ASKED_FULL),
+            asked[1] / (size[1] * self.s.memory_overcommit * ASKED_FULL),
         ];
         parts.into_iter().fold(0.0, f64::max)
     }
 
     fn fits(&self, m: &Machine, asks: [f64; 2]) -> bool {
         let (size, asked) = (self.size(m.kind), m.asked());
-        asked[0] + asks[0] <= size[0] * self.s.accepts_cores
-            && asked[1] + asks[1] <= size[1] * self.s.accepts_memory
+        asked[0] + asks[0] <= size[0] * self.s.core_overcommit
+            && asked[1] + asks[1] <= size[1] * self.s.memory_overcommit
     }
 
     /// Size of a machine: its kind's cores over the mean task's.
@@ -754,7 +780,10 @@
     fn weigh(&mut self, at: Place) {
         let m = &self.fleet.machines[at];
         let (full, mu) = (self.fill(m, m.asked(), self.set.used), self.mu(m));
-        let (up, gone) = (m.state == HostState::Up, m.state == HostState::Gone);
+        let (up, gone) = (
+            m.state == EndpointState::Up,
+            m.state == EndpointState::Removed,
+        );
         let well = up && !self.shut(at, Scope::Machine);
         let tasks = mu * self.calm() / self.set.used[0];
         let part = Part {
@@ -892,7 +921,7 @@
         let skip = usize::from(oldest > span);
         let own: f64 = self.arrivals.iter().skip(skip).map(|(_, n)| n).sum();
         let own = own * self.window as f64 / oldest.max(span) as f64;
-        own * self.s.placers.max(1) as f64
+        own * self.s.placer_count.max(1) as f64
     }
 
     /// Draws a machine for the task by SCD among the eligible. Where these are part of the set only
@@ -936,15 +965,18 @@
     /// Rule 2 in one place: whether the attempts so far permit another send. A refusal is permitted
     /// in the same cases, but for keyed tasks outside group `all`.
     fn may_send(&self, job: &Job) -> bool {
-        let effect = self.s.classes[job.task.class.0].effect;
-        let effect_ok = effect != Effect::Unsafe || job.may_have_run.is_none();
+        let effect = self.s.classes[job.task.class.0].idempotency;
+        let effect_ok = effect != Idempotency::NonIdempotent || job.may_have_run.is_none();
         let again = effect_ok && job.errors.len() < BLAME && !job.last;
         again && job.out.is_none() && !job.placed && !job.closed && job.sent < self.s.max_attempts
     }
 
     fn may_refuse(&self, job: &Job) -> bool {
-        match self.s.classes[job.task.class.0].effect {
-            Effect::Safe | Effect::Keyed(Group::All) => true,
+        match self.s.classes[job.task.class.0].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::IdempotencyKey {
+                scope: KeyScope::All,
+            } => true,
             _ => job.may_have_run.is_none() && job.out.is_none(),
         }
     }
@@ -956,7 +988,7 @@
     /// harm: where own traffic is not typical, such a task waits beside free room.
     fn held_back(&mut self) -> bool {
         let lag = self.list_lag().max(self.window) as f64;
-        let waiting = self.jobs.waiting.len() as f64 * self.s.placers as f64;
+        let waiting = self.jobs.waiting.len() as f64 * self.s.placer_count as f64;
         let wanted = self.arrivals_everywhere() * lag / self.window as f64 + waiting;
         let ticks = lag / self.tick_gap() as f64;
         self.chance() * wanted * ticks >= self.set.room()
@@ -967,7 +999,7 @@
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    fn place(&mut self, id: &ReqId, out: &mut Vec<Action>) {
+    fn place(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(service) = self.jobs.all.get(id).map(|j| j.task.service) else {
             return;
         };
@@ -980,18 +1012,19 @@
             return;
         }
         let (deadline, asks, sent) = (job.deadline, job.asks(), job.sent);
-        let left = deadline - self.now - self.s.answer_slack.max(2 * self.s.tick);
+        let left = deadline - self.now - self.s.response_slack.max(2 * self.s.tick);
         let class = &self.s.classes[job.task.class.0];
         // Where a yes means running, an offer waits all the time left. Guards against offers given up
         // while their machine starts them, which are started again elsewhere, and make other starts late;
         // harm: a machine that swallows offers costs its tasks their time.
-        let patience = match self.s.ack {
-            Ack::Running => left,
-            Ack::Accepted => ACCEPT_AIMS * class.aim,
+        let patience = match self.s.acknowledgement {
+            Acknowledgement::Running => left,
+            Acknowledgement::Accepted => ACCEPT_AIMS * class.latency_objective,
         };
         let timeout = left.min(patience);
-        let short =
-            job.short || job.task.came_back || self.jobs.waiting.contains(&(deadline, id.clone()));
+        let short = job.short
+            || job.task.is_returning
+            || self.jobs.waiting.contains(&(deadline, id.clone()));
         let mut eligible = if left > 0 && self.fleet.open() {
             self.eligible(job)
         } else {
@@ -1008,9 +1041,9 @@
         self.jobs.hold(service, at);
         self.bind(at, asks, 1.0);
         let m = &mut self.fleet.machines[at];
-        m.offered(self.now, self.now - self.s.cold);
+        m.offered(self.now, self.now - self.s.slow_start);
         self.fleet.out += 1;
-        out.push(Action::Send {
+        out.push(Action::SendAttempt {
             id: id.clone(),
             host: m.host.clone(),
             timeout: timeout.max(1),
@@ -1024,7 +1057,7 @@
     }
 
     fn retry_waiting(&mut self, out: &mut Vec<Action>) {
-        let ids: Vec<ReqId> = self.jobs.waiting.iter().map(|(_, id)| id.clone()).collect();
+        let ids: Vec<RequestId> = self.jobs.waiting.iter().map(|(_, id)| id.clone()).collect();
         // Tasks of a service are alike: where one found no machine, its fellows need not look.
         let mut stuck = BTreeSet::new();
         for id in ids {
@@ -1043,16 +1076,16 @@
     }
 
     /// Under pressure, a task that can't start in its time any more: it makes way for those that can.
-    fn hopeless(&self, id: &ReqId) -> bool {
+    fn hopeless(&self, id: &RequestId) -> bool {
         let Some((late, job)) = self.fleet.gate.late.zip(self.jobs.all.get(id)) else {
             return false;
         };
-        let aim = self.s.classes[job.task.class.0].aim;
+        let aim = self.s.classes[job.task.class.0].latency_objective;
         job.out.is_none() && (self.now - job.since) as f64 > late * aim as f64
     }
 
     /// Rule 1: the final answer, at the deadline or when nothing more is permitted.
-    fn answer(&mut self, id: &ReqId, out: &mut Vec<Action>) {
+    fn answer(&mut self, id: &RequestId, out: &mut Vec<Action>) {
         let Some(job) = self.jobs.all.get(id) else {
             return;
         };
@@ -1061,7 +1094,7 @@
         }
         let refuse = self.may_refuse(job);
         out.push(if refuse {
-            Action::Refuse {
+            Action::Reject {
                 id: id.clone(),
                 retry_after: self.retry_after(&job.task),
             }
@@ -1074,12 +1107,12 @@
     /// When a refused client should come back: once the offers that are out now have had time to start.
     /// Guards against repeats that can find nothing new; harm: none seen, clients wait longer by themselves.
     fn retry_after(&self, task: &Task) -> Micros {
-        let away = if task.away > 0 {
-            task.away
+        let away = if task.retry_after > 0 {
+            task.retry_after
         } else {
             self.window
         };
-        if self.s.retry_after {
+        if self.s.allows_retry_after {
             away.min(self.s.max_retry_after)
         } else {
             0
--- a/src/policy/tests.rs
+++ b/src/policy/tests.rs
@@ -23,18 +23,18 @@
     let (mut need, mut room) = (0.0, 0.0);
     let mut order = Vec::new();
     let fullness = |m: &Machine| placer.fill(m, m.asked(), used);
-    let up = |at: &Place| placer.fleet.machines[*at].state == HostState::Up;
+    let up = |at: &Place| placer.fleet.machines[*at].state == EndpointState::Up;
     let all_up = (0..placer.fleet.machines.len()).filter(up).collect();
     for (at, m) in placer
         .fleet
         .machines
         .iter()
         .enumerate()
-        .filter(|(_, m)| m.state != HostState::Gone)
+        .filter(|(_, m)| m.state != EndpointState::Removed)
     {
         let full = fullness(m);
         need += full * placer.mu(m);
-        if m.state == HostState::Up && !placer.shut(at, Scope::Machine) {
+        if m.state == EndpointState::Up && !placer.shut(at, Scope::Machine) {
             let tasks = placer.mu(m) * placer.calm() / used[0];
             room += (OFFER_FILL - full).max(0.0) * tasks;
             order.push((-(full.min(SET_ALIKE) * SET_STEPS) as i64, &m.host, at));
@@ -67,7 +67,7 @@
 enum Step {
     Listed {
         machine: usize,
-        state: HostState,
+        state: EndpointState,
         free: [f64; 2],
         restarted: bool,
     },
@@ -80,22 +80,22 @@
         cores: f64,
     },
     Started(usize),
-    Ended(usize, Outcome, Detail),
+    Ended(usize, Outcome, OutcomeDetail),
     Used(usize, f64),
     Probed(usize, Outcome),
     Waited(Micros),
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let state = prop_oneof![6 => Just(HostState::Up), 1 => Just(HostState::Draining), 1 => Just(HostState::Gone)];
+    let state = prop_oneof![6 => Just(EndpointState::Up), 1 => Just(EndpointState::Draining), 1 => Just(EndpointState::Removed)];
     let outcome = prop_oneof![
-        3 => Just(Outcome::Ok), 1 => Just(Outcome::Full), 1 => Just(Outcome::Error),
+        3 => Just(Outcome::Completed), 1 => Just(Outcome::Rejected), 1 => Just(Outcome::Error),
         1 => Just(Outcome::ConnectFailed), 1 => Just(Outcome::Timeout), 1 => Just(Outcome::Reset)
     ];
     let detail = prop_oneof![
-        Just(Detail::None),
-        Just(Detail::NoCores),
-        Just(Detail::Busy)
+        Just(OutcomeDetail::Unknown),
+        Just(OutcomeDetail::NoCores),
+        Just(OutcomeDetail::QueueFull)
     ];
     let free = (0..=256u32, 0..=512u32).prop_map(|(c, m)| [f64::from(c) / 8.0, f64::from(m) / 8.0]);
     prop_oneof![
@@ -107,7 +107,7 @@
         3 => (0..40usize).prop_map(Step::Started),
         3 => (0..40usize, outcome, detail).prop_map(|(n, outcome, detail)| Step::Ended(n, outcome, detail)),
         1 => (0..40usize, 0.1..2.0).prop_map(|(n, value)| Step::Used(n, value)),
-        1 => (0..MACHINES, prop_oneof![Just(Outcome::Ok), Just(Outcome::Timeout)])
+        1 => (0..MACHINES, prop_oneof![Just(Outcome::Completed), Just(Outcome::Timeout)])
             .prop_map(|(machine, outcome)| Step::Probed(machine, outcome)),
         3 => prop_oneof![Just(1_000), Just(100_000), Just(SECOND), Just(7 * SECOND)].prop_map(Step::Waited),
     ]
@@ -117,14 +117,14 @@
 /// What rounding may be worth.
 const TIE: f64 = 1e-6;
 
-fn entry(n: usize, state: HostState, free: [f64; 2], ready_at: Micros) -> Entry {
-    Entry {
+fn entry(n: usize, state: EndpointState, free: [f64; 2], ready_at: Micros) -> Endpoint {
+    Endpoint {
         host: HostId(Arc::from(format!("m{n:02}"))),
         zone: ZoneId(n % 2),
         cell: CellId((n % 5) as u64),
         kind: KindId(0),
         state,
-        ready_at,
+        started_at: ready_at,
         free_cores: free[0],
         free_memory: free[1],
     }
@@ -135,7 +135,7 @@
     placer: Placer,
     now: Micros,
     timers: BTreeSet<(Micros, TimerToken)>,
-    out: Vec<(ReqId, u32, HostId)>,
+    out: Vec<(RequestId, u32, HostId)>,
     asked: usize,
     /// Look at every machine at each choice, as the former way did.
     looks_at_all: bool,
@@ -145,8 +145,8 @@
     /// With probes a suspension ends when one is answered, without them with its time.
     fn new(probes: bool, looks_at_all: bool) -> Play {
         let settings = Settings {
-            placers: 3,
-            probes,
+            placer_count: 3,
+            allows_health_checks: probes,
             ..Settings::example()
         };
         let placer = Placer::new(settings, 7);
@@ -175,7 +175,7 @@
                 Action::SetTimer { token, after } => {
                     self.timers.insert((self.now + after, *token));
                 }
-                Action::Send { id, host, .. } => {
+                Action::SendAttempt { id, host, .. } => {
                     let attempts = self.placer.jobs.all.get(id).map_or(0, |job| job.sent - 1);
                     self.out.push((id.clone(), attempts, host.clone()));
                 }
@@ -195,37 +195,37 @@
             } => {
                 let born = if *restarted { self.now } else { 0 };
                 let entries = vec![entry(*machine, *state, *free, born)];
-                self.give(Event::Members {
-                    kind: ListKind::Delta,
-                    entries,
+                self.give(Event::EndpointsChanged {
+                    kind: UpdateKind::Delta,
+                    endpoints: entries,
                 })
             }
             Step::Whole { machines, free } => {
                 let entries = (0..*machines)
-                    .map(|n| entry(n, HostState::Up, [*free, 64.0], 0))
+                    .map(|n| entry(n, EndpointState::Up, [*free, 64.0], 0))
                     .collect();
-                self.give(Event::Members {
-                    kind: ListKind::Full,
-                    entries,
+                self.give(Event::EndpointsChanged {
+                    kind: UpdateKind::Complete,
+                    endpoints: entries,
                 })
             }
             Step::Asked { service, cores } => {
                 self.asked += 1;
                 let task = Task {
-                    id: ReqId(Arc::from(format!("r{}", self.asked))),
+                    id: RequestId(Arc::from(format!("r{}", self.asked))),
                     service: ServiceId(*service),
                     cores: *cores,
                     memory: 2.0 * cores,
-                    budget: 4 * SECOND,
+                    time_budget: 4 * SECOND,
                     ..Task::default()
                 };
-                self.give(Event::Request(task))
+                self.give(Event::TaskRequested(task))
             }
             Step::Started(n) => {
                 let Some((id, attempt, host)) = self.out.get(*n).cloned() else {
                     return Vec::new();
                 };
-                self.give(Event::First {
+                self.give(Event::AttemptStarted {
                     id,
                     attempt,
                     host,
@@ -237,9 +237,9 @@
                     return Vec::new();
                 }
                 let (id, attempt, host) = self.out.remove(*n);
-                let (outcome, detail, done) = (*outcome, *detail, *outcome == Outcome::Ok);
+                let (outcome, detail, done) = (*outcome, *detail, *outcome == Outcome::Completed);
                 let (elapsed, report) = (1_000, Vec::new());
-                self.give(Event::Outcome {
+                self.give(Event::AttemptEnded {
                     id,
                     attempt,
                     host,
@@ -247,28 +247,28 @@
                     detail,
                     done,
                     elapsed,
-                    report,
+                    load_report: report,
                 })
             }
             Step::Used(n, value) => {
                 let Some((id, _, host)) = self.out.get(*n).cloned() else {
                     return Vec::new();
                 };
-                self.give(Event::Noted {
+                self.give(Event::TaskReported {
                     id,
                     host,
-                    note: Note::Cores,
+                    report: TaskReport::Cores,
                     value: *value,
                 })
             }
             Step::Probed(machine, outcome) => {
                 let host = HostId(Arc::from(format!("m{machine:02}")));
                 let (elapsed, report) = (1_000, Vec::new());
-                self.give(Event::Probed {
+                self.give(Event::HealthCheckEnded {
                     host,
                     outcome: *outcome,
                     elapsed,
-                    report,
+                    load_report: report,
                 })
             }
             Step::Waited(span) => {
@@ -277,7 +277,7 @@
                 while let Some(&(due, token)) = self.timers.first().filter(|(due, _)| *due <= end) {
                     self.timers.pop_first();
                     self.now = self.now.max(due);
-                    actions.extend(self.give(Event::Timer(token)));
+                    actions.extend(self.give(Event::TimerFired(token)));
                 }
                 self.now = end;
                 actions
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -186,50 +186,50 @@
         parse_number(text).ok_or_else(|| self.bad(key, text))
     }
 
-    fn class(&self, i: usize) -> Result<Class, SettingsError> {
+    fn class(&self, i: usize) -> Result<TaskClass, SettingsError> {
         let key = |name: &str| format!("services.{i}.{name}");
         let group = match self.map.get(&key("group")) {
-            None => Group::All,
+            None => KeyScope::All,
             Some(text) => self.pick(
                 &key("group"),
                 text,
                 &[
-                    ("all", Group::All),
-                    ("zone", Group::Zone),
-                    ("cell", Group::Cell),
+                    ("all", KeyScope::All),
+                    ("zone", KeyScope::Zone),
+                    ("cell", KeyScope::Cell),
                 ],
             )?,
         };
         let effects = [
-            ("safe", Effect::Safe),
-            ("keyed", Effect::Keyed(group)),
-            ("unsafe", Effect::Unsafe),
+            ("safe", Idempotency::Idempotent),
+            ("keyed", Idempotency::IdempotencyKey { scope: group }),
+            ("unsafe", Idempotency::NonIdempotent),
         ];
         let spreads = [
-            ("off", Spread::None),
-            ("none", Spread::None),
-            ("machine", Spread::Machine),
-            ("cell", Spread::Cell),
-            ("zone", Spread::Zone),
+            ("off", SpreadDomain::None),
+            ("none", SpreadDomain::None),
+            ("machine", SpreadDomain::Host),
+            ("cell", SpreadDomain::Cell),
+            ("zone", SpreadDomain::Zone),
         ];
         let spread_key = "family_info.spread_by";
         let kind = self.item_number("family_info.class_kind", i)?;
-        Ok(Class {
-            aim: self.span(&key("aim"))?,
+        Ok(TaskClass {
+            latency_objective: self.span(&key("aim"))?,
             deadline: self.span(&key("hard_limit"))?,
-            late_worth: self.number_or(&key("late_share"), 0.0)?,
-            effect: self.one_of(&key("semantics"), &effects)?,
-            window: millis(self.number_or(&key("memory_span"), 0.0)?),
-            worth: self.number(&key("worth"))?,
-            start_s: self.item_number("family_info.prompt_start_s", i)?,
-            kind: (kind >= 0.0).then_some(KindId(kind as usize)),
-            spread: self.pick(spread_key, self.item(spread_key, i)?, &spreads)?,
-            most: self.item_number("family_info.class_most", i)?.max(0.0) as usize,
+            late_weight: self.number_or(&key("late_share"), 0.0)?,
+            idempotency: self.one_of(&key("semantics"), &effects)?,
+            idempotency_window: millis(self.number_or(&key("memory_span"), 0.0)?),
+            priority_weight: self.number(&key("worth"))?,
+            start_weight_seconds: self.item_number("family_info.prompt_start_s", i)?,
+            host_kind: (kind >= 0.0).then_some(KindId(kind as usize)),
+            spread_domain: self.pick(spread_key, self.item(spread_key, i)?, &spreads)?,
+            max_per_domain: self.item_number("family_info.class_most", i)?.max(0.0) as usize,
             priority: self
                 .item_number("family_info.class_priority", i)?
                 .clamp(0.0, 3.0) as u8,
-            calm: self.item_number("family_info.full_up_to", i)?,
-            fade: self.item_number("family_info.fades_over", i)?,
+            full_service_utilization: self.item_number("family_info.full_up_to", i)?,
+            service_falloff: self.item_number("family_info.fades_over", i)?,
         })
     }
 }
@@ -264,8 +264,8 @@
         tenant_names.push(p.get(&key("name"))?.to_string());
         let cores = "family_info.share_cores";
         tenants.push(Tenant {
-            share: p.number(&key("portion"))?,
-            quota_per_s: p.number_or(&key("allowance_per_s"), 0.0)?,
+            service_fraction: p.number(&key("portion"))?,
+            quota_tasks_per_second: p.number_or(&key("allowance_per_s"), 0.0)?,
             quota_cores: if p.map.contains_key(cores) {
                 p.item_number(cores, i)?
             } else {
@@ -276,7 +276,7 @@
     let kind_names = p.names("models")?;
     let mut kinds = Vec::new();
     for i in 0..kind_names.len() {
-        kinds.push(Kind {
+        kinds.push(HostKind {
             cores: p.item_number("family_info.kind_cores", i)?,
             memory: p.item_number("family_info.kind_memory", i)?,
         });
@@ -303,58 +303,61 @@
             .collect()
     };
     let settings = Settings {
-        me: p.count("me")?,
-        placers: p.count("n_instances")?,
+        placer_index: p.count("me")?,
+        placer_count: p.count("n_instances")?,
         zone: p
             .map
             .get("locality")
             .and_then(|zone| index(&zones, zone))
             .map(ZoneId),
         tick: p.span("step")?,
-        kinds,
+        host_kinds: kinds,
         classes,
         tenants,
-        over_share_worth: p.number_or("over_share_worth", 1.0)?,
+        over_quota_weight: p.number_or("over_share_worth", 1.0)?,
         max_attempts: p.count("caps.send_cap")? as u32,
-        probes: p.flag("caps.probing")?,
-        cancel: p.flag("caps.cancel")?,
-        retry_after: p.flag("caps.retry_after")?,
+        allows_health_checks: p.flag("caps.probing")?,
+        allows_cancel: p.flag("caps.cancel")?,
+        allows_retry_after: p.flag("caps.retry_after")?,
         max_retry_after: millis(p.number_or("caps.max_retry_after", 0.0)?),
         connect_timeout: p.span("caps.connect_timeout")?,
-        list_on_ask: on_ask,
-        ask_within: if on_ask {
+        requires_subscription: on_ask,
+        max_time_unsubscribed: if on_ask {
             p.span("rules.ask_every")?
         } else {
             0
         },
-        report,
-        counts_asked: p.one_of(
+        load_report: report,
+        counts_requested_resources: p.one_of(
             "family_info.measured_by",
             &[("asked", true), ("used", false)],
         )?,
-        list_shows_room: p.flag("family_info.lists_free")?,
-        ack: p.one_of(
+        endpoints_show_free_resources: p.flag("family_info.lists_free")?,
+        acknowledgement: p.one_of(
             "family_info.yes_at",
-            &[("accepted", Ack::Accepted), ("running", Ack::Running)],
+            &[
+                ("accepted", Acknowledgement::Accepted),
+                ("running", Acknowledgement::Running),
+            ],
         )?,
-        accepts_cores: p.number("family_info.cores_multiple")?,
-        accepts_memory: p.number("family_info.accepts_memory")?,
+        core_overcommit: p.number("family_info.cores_multiple")?,
+        memory_overcommit: p.number("family_info.accepts_memory")?,
         preempts: p.flag("family_info.preempts")?,
         mean_cores: p.number("family_info.usual_cores")?,
         mean_memory: p.number("family_info.mean_memory")?,
-        settle: p.span("family_info.make_sure")?,
-        answer_slack: p.span("rules.grace_to_answer")?,
+        client_settle_time: p.span("family_info.make_sure")?,
+        response_slack: p.span("rules.grace_to_answer")?,
         drain_grace: p.span("rules.drain_grace")?,
-        cold: p.span("rules.cold")?,
-        cold_from: p.number("rules.cold_from")?,
-        fall_multiple: p.number("rules.overload_factor")?,
-        fall: p.span("rules.overload_for")?,
-        cold_sends: p.number("family_info.young_limit")?,
+        slow_start: p.span("rules.cold")?,
+        slow_start_initial_speed: p.number("rules.cold_from")?,
+        collapse_multiple: p.number("rules.overload_factor")?,
+        collapse_window: p.span("rules.overload_for")?,
+        slow_start_attempts: p.number("family_info.young_limit")?,
         price_cross_zone: p.number_or("prices.cross_zone", 0.0)?,
-        price_probe: p.number_or("prices.probe", 0.0)?,
-        price_fleet: p.number_or("prices.fleet", 0.0)?,
-        price_refused: p.number_or("family_info.no_price", 0.0)?,
-        price_moves: p.number_or("prices.moves", 0.0)?,
+        price_health_check: p.number_or("prices.probe", 0.0)?,
+        price_hosts_used: p.number_or("prices.fleet", 0.0)?,
+        price_rejected_attempt: p.number_or("family_info.no_price", 0.0)?,
+        price_migration: p.number_or("prices.moves", 0.0)?,
         price_handshake: p.number_or("prices.handshake", 0.0)?,
     };
     let names = Names {
@@ -366,13 +369,13 @@
     Ok((settings, names))
 }
 
-fn report_field(name: &str) -> ReportField {
+fn report_field(name: &str) -> LoadReportField {
     match name {
-        "concurrent" => ReportField::Inflight,
-        "depth" => ReportField::Queue,
-        "load_share" => ReportField::Util,
-        "x0" => ReportField::FreeCores,
-        "x1" => ReportField::FreeMemory,
-        _ => ReportField::Other,
+        "concurrent" => LoadReportField::InFlight,
+        "depth" => LoadReportField::QueueLength,
+        "load_share" => LoadReportField::Utilization,
+        "x0" => LoadReportField::FreeCores,
+        "x1" => LoadReportField::FreeMemory,
+        _ => LoadReportField::Other,
     }
 }
--- a/src/working_set.rs
+++ b/src/working_set.rs
@@ -5,8 +5,8 @@
 //! in whole steps of [`STEP`], so that they are the same in whatever order parts come and go: a set that was kept
 //! for hours is the set that is chosen anew from the same parts. Holds no decision and no tuned value.
 
-use crate::placement::{HostId, ServiceId};
 use crate::ledger::Place;
+use crate::placement::{HostId, ServiceId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -35,13 +35,13 @@
     fn start(settings: &Settings, skew: Micros, at: Micros, ready_at: Micros) -> Instance {
         let mut bench = Bench::new(settings.clone());
         bench.now = at + skew;
-        let cold = Entry {
-            ready_at,
-            ..entry(0, HostState::Up)
+        let cold = Endpoint {
+            started_at: ready_at,
+            ..entry(0, EndpointState::Up)
         };
-        bench.give(Event::Members {
-            kind: ListKind::Cached,
-            entries: vec![cold],
+        bench.give(Event::EndpointsChanged {
+            kind: UpdateKind::Cached,
+            endpoints: vec![cold],
         });
         Instance {
             bench,
@@ -56,17 +56,18 @@
         self.asked += 1;
         let n = self.asked;
         let mut sent = sends(&self.bench.ask(Task {
-            budget: step / 2,
+            time_budget: step / 2,
             ..task(n, n as u64)
         }));
         sent.extend(sends(&untimed(self.bench.pass(0))));
         for at in &sent {
-            self.bench.end(n, 0, at, Outcome::Full, Detail::NotHere);
-            self.bench.give(Event::Probed {
+            self.bench
+                .end(n, 0, at, Outcome::Rejected, OutcomeDetail::NotEligible);
+            self.bench.give(Event::HealthCheckEnded {
                 host: at.clone(),
-                outcome: Outcome::Ok,
+                outcome: Outcome::Completed,
                 elapsed: MS,
-                report: Vec::new(),
+                load_report: Vec::new(),
             });
         }
         self.bench.pass(step);
@@ -88,15 +89,15 @@
     const STEP: Micros = 25 * MS;
     let born = 100 * SECOND;
     let settings = Settings {
-        placers,
-        cold_sends: borne,
-        fall: SECOND,
-        cold: 17 * SECOND,
+        placer_count: placers,
+        slow_start_attempts: borne,
+        collapse_window: SECOND,
+        slow_start: 17 * SECOND,
         connect_timeout: wait,
         ..Settings::example()
     };
     let settings = |me| Settings {
-        me,
+        placer_index: me,
         ..settings.clone()
     };
     let skew = |me: usize| (me as Micros % 5 - 2) * 10 * MS;
@@ -197,16 +198,16 @@
 #[test]
 fn a_machine_that_starts_in_the_future_by_our_clock_is_as_cold_as_others() {
     let settings = Settings {
-        placers: 30,
-        cold_sends: 15.0,
-        fall: SECOND,
+        placer_count: 30,
+        slow_start_attempts: 15.0,
+        collapse_window: SECOND,
         ..Settings::example()
     };
     let born = 100 * SECOND;
     let sent = |me| {
         let mut instance = Instance::start(
             &Settings {
-                me,
+                placer_index: me,
                 ..settings.clone()
             },
             0,
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -11,29 +11,29 @@
     HostId(Arc::from(format!("m{n}")))
 }
 
-pub fn req(n: usize) -> ReqId {
-    ReqId(Arc::from(format!("r{n}")))
+pub fn req(n: usize) -> RequestId {
+    RequestId(Arc::from(format!("r{n}")))
 }
 
 /// A warm, empty machine; machine `n` sits in zone and cell `n % 2`.
-pub fn entry(n: usize, state: HostState) -> Entry {
-    Entry {
+pub fn entry(n: usize, state: EndpointState) -> Endpoint {
+    Endpoint {
         host: host(n),
         zone: ZoneId(n % 2),
         cell: CellId((n % 2) as u64),
         kind: KindId(0),
         state,
-        ready_at: 0,
+        started_at: 0,
         free_cores: 32.0,
         free_memory: 64.0,
     }
 }
 
 pub fn full_list(count: usize) -> Event {
-    let entries = (0..count).map(|n| entry(n, HostState::Up)).collect();
-    Event::Members {
-        kind: ListKind::Full,
-        entries,
+    let entries = (0..count).map(|n| entry(n, EndpointState::Up)).collect();
+    Event::EndpointsChanged {
+        kind: UpdateKind::Complete,
+        endpoints: entries,
     }
 }
 
@@ -46,12 +46,12 @@
         tenant: None,
         cores: 1.0,
         memory: 2.0,
-        hint: None,
-        budget: 5 * SECOND,
-        resent: false,
-        came_back: false,
-        order: 0.0,
-        away: 0,
+        expected_run_seconds: None,
+        time_budget: 5 * SECOND,
+        is_retry: false,
+        is_returning: false,
+        shed_rank: 0.0,
+        retry_after: 0,
     }
 }
 
@@ -101,7 +101,11 @@
                 Some((at, token)) if at <= end => {
                     self.timers.remove(0);
                     self.now = self.now.max(at);
-                    done.extend(self.give(Event::Timer(token)).into_iter().map(|a| (at, a)));
+                    done.extend(
+                        self.give(Event::TimerFired(token))
+                            .into_iter()
+                            .map(|a| (at, a)),
+                    );
                 }
                 _ => break,
             }
@@ -111,11 +115,11 @@
     }
 
     pub fn ask(&mut self, task: Task) -> Vec<Action> {
-        self.give(Event::Request(task))
+        self.give(Event::TaskRequested(task))
     }
 
     pub fn first(&mut self, n: usize, attempt: u32, at: &HostId) -> Vec<Action> {
-        self.give(Event::First {
+        self.give(Event::AttemptStarted {
             id: req(n),
             attempt,
             host: at.clone(),
@@ -129,9 +133,9 @@
         attempt: u32,
         at: &HostId,
         outcome: Outcome,
-        detail: Detail,
+        detail: OutcomeDetail,
     ) -> Vec<Action> {
-        let done = outcome == Outcome::Ok;
+        let done = outcome == Outcome::Completed;
         self.end_with(n, attempt, at, outcome, detail, done)
     }
 
@@ -141,10 +145,10 @@
         attempt: u32,
         at: &HostId,
         outcome: Outcome,
-        detail: Detail,
+        detail: OutcomeDetail,
         done: bool,
     ) -> Vec<Action> {
-        self.give(Event::Outcome {
+        self.give(Event::AttemptEnded {
             id: req(n),
             attempt,
             host: at.clone(),
@@ -152,7 +156,7 @@
             detail,
             done,
             elapsed: MS,
-            report: Vec::new(),
+            load_report: Vec::new(),
         })
     }
 }
@@ -162,7 +166,7 @@
     actions
         .iter()
         .filter_map(|a| match a {
-            Action::Send { host, .. } => Some(host.clone()),
+            Action::SendAttempt { host, .. } => Some(host.clone()),
             _ => None,
         })
         .collect()
@@ -173,7 +177,7 @@
 }
 
 pub fn refused(actions: &[Action]) -> bool {
-    actions.iter().any(|a| matches!(a, Action::Refuse { .. }))
+    actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
 pub fn failed(actions: &[Action]) -> bool {
--- a/tests/health_loop.rs
+++ b/tests/health_loop.rs
@@ -7,7 +7,7 @@
 use emulator::balance::{Advice, Balancer};
 use std::collections::VecDeque;
 use task_placer::health::{Change, Event, Gauges, Health, Settings, State};
-use task_placer::{Detail, Micros, Outcome};
+use task_placer::{Micros, Outcome, OutcomeDetail};
 
 const SECOND: Micros = 1_000_000;
 const STEP: Micros = 50_000;
@@ -222,9 +222,9 @@
             let turn = (now / STEP * 7919 % 1000) as f64 / 1000.0;
             let full = turn < refused;
             let (outcome, detail) = if full {
-                (Outcome::Full, Detail::NoCores)
+                (Outcome::Rejected, OutcomeDetail::NoCores)
             } else {
-                (Outcome::Ok, Detail::None)
+                (Outcome::Completed, OutcomeDetail::Unknown)
             };
             changes.extend(self.health.handle(
                 now,
--- a/tests/health_random.rs
+++ b/tests/health_random.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use task_placer::health::drain::{Bounds, Check, Drain, Effect, Hand, Phase, Poller};
 use task_placer::health::{Change, Code, Event, Gauges, Health, Order, Settings, State, Zone};
-use task_placer::{Detail, Micros, Outcome};
+use task_placer::{Micros, Outcome, OutcomeDetail};
 
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_000 * SECOND;
@@ -39,16 +39,16 @@
             },
         );
     let outcome = prop_oneof![
-        Just(Outcome::Ok),
-        Just(Outcome::Full),
+        Just(Outcome::Completed),
+        Just(Outcome::Rejected),
         Just(Outcome::Timeout),
         Just(Outcome::Reset),
         Just(Outcome::Error)
     ];
     let detail = prop_oneof![
-        Just(Detail::None),
-        Just(Detail::NoCores),
-        Just(Detail::NotHere)
+        Just(OutcomeDetail::Unknown),
+        Just(OutcomeDetail::NoCores),
+        Just(OutcomeDetail::NotEligible)
     ];
     let offer =
         (outcome, detail, 0.0..3.0f64).prop_map(|(outcome, detail, stretch)| Event::Offer {
--- a/tests/overload/model.rs
+++ b/tests/overload/model.rs
@@ -8,7 +8,7 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::sync::Arc;
-use task_placer::facade::{Ask, Facade, News, Ticket, Verdict};
+use task_placer::facade::{Decision, Facade, PlacementEvent, PlacementRequest, Ticket};
 use task_placer::overload::Parts;
 use task_placer::settings::Names;
 use task_placer::*;
@@ -168,7 +168,7 @@
     },
     Tick(usize),
     Refresh,
-    List(usize, Vec<Entry>),
+    List(usize, Vec<Endpoint>),
     Fault(usize),
 }
 
@@ -250,32 +250,32 @@
 
 pub fn settings(me: usize, placers: usize) -> Settings {
     let base = Settings::example();
-    let class = Class {
-        aim: SECOND,
+    let class = TaskClass {
+        latency_objective: SECOND,
         deadline: LIMIT,
         ..base.classes[0].clone()
     };
     Settings {
-        me,
-        placers,
+        placer_index: me,
+        placer_count: placers,
         zone: None,
-        kinds: vec![Kind {
+        host_kinds: vec![HostKind {
             cores: 200.0,
             memory: 400.0,
         }],
-        classes: vec![Class {
-            calm: 1.0,
-            fade: 0.5,
+        classes: vec![TaskClass {
+            full_service_utilization: 1.0,
+            service_falloff: 0.5,
             ..class
         }],
         max_attempts: 4,
-        probes: false,
-        list_on_ask: true,
-        ask_within: 10 * SECOND,
-        report: Vec::new(),
-        ack: Ack::Running,
-        accepts_cores: 1.0,
-        accepts_memory: 1.0,
+        allows_health_checks: false,
+        requires_subscription: true,
+        max_time_unsubscribed: 10 * SECOND,
+        load_report: Vec::new(),
+        acknowledgement: Acknowledgement::Running,
+        core_overcommit: 1.0,
+        memory_overcommit: 1.0,
         preempts: true,
         mean_cores: 0.5,
         mean_memory: 0.5,
@@ -380,36 +380,36 @@
             .seed
             .wrapping_mul(0x9e37_79b9)
             .wrapping_add(n as u64 * 1_000 + self.placers[n].life);
-        let mut facade = Facade::bounded(
+        let mut facade = Facade::with_overload_control(
             settings(n, self.day.placers),
             names(),
             seed,
             self.day.parts.clone(),
             0,
         );
-        facade.report(self.now, News::FeedUp);
-        facade.report(self.now, News::Known(self.entries()));
+        facade.report(self.now, PlacementEvent::DiscoveryUp);
+        facade.report(self.now, PlacementEvent::EndpointsCached(self.entries()));
         let placer = &mut self.placers[n];
         (placer.facade, placer.stopped) = (Some(facade), false);
         placer.life += 1;
         placer.requests.clear();
     }
 
-    fn entries(&self) -> Vec<Entry> {
+    fn entries(&self) -> Vec<Endpoint> {
         let entry = |n: usize| {
             let [free_cores, free_memory] = self.hosts[n].machine.free();
             let cell = n / self.day.cell.max(1);
-            Entry {
+            Endpoint {
                 host: self.host_id(n),
                 zone: ZoneId(cell / self.day.room.max(1)),
                 cell: CellId(cell as u64),
                 kind: KindId(0),
                 state: if self.hosts[n].dead {
-                    HostState::Gone
+                    EndpointState::Removed
                 } else {
-                    HostState::Up
+                    EndpointState::Up
                 },
-                ready_at: self.hosts[n].born,
+                started_at: self.hosts[n].born,
                 free_cores,
                 free_memory,
             }
@@ -552,15 +552,15 @@
         let t = &mut self.tasks[task];
         t.asked += 1;
         let resent = t.asked > 1;
-        let ask = Ask {
+        let ask = PlacementRequest {
             class: "pagina".into(),
             tenant: None,
             service: t.service,
             key: t.key,
             cores: 0.5,
             memory: 0.5,
-            budget: LIMIT - 15 * MS,
-            resent,
+            time_budget: LIMIT - 15 * MS,
+            is_retry: resent,
         };
         let p = &mut self.placers[n];
         p.next += 1;
@@ -586,7 +586,7 @@
         );
         let Some(facade) = &mut p.facade else { return };
         let verdicts = facade
-            .pick(now, Ticket(ticket), &ask)
+            .place(now, Ticket(ticket), &ask)
             .expect("it can be meant");
         self.carry_out(n, verdicts);
     }
@@ -622,12 +622,12 @@
 
     // ---- Placers ----
 
-    fn carry_out(&mut self, n: usize, verdicts: Vec<Verdict>) {
+    fn carry_out(&mut self, n: usize, verdicts: Vec<Decision>) {
         let mut queue = std::collections::VecDeque::from(verdicts);
         while let Some(verdict) = queue.pop_front() {
             let now = self.now;
             let news = match verdict {
-                Verdict::Offer {
+                Decision::SendAttempt {
                     ticket,
                     host,
                     timeout,
@@ -646,8 +646,8 @@
                         r.out = None;
                         self.out.offers += 1;
                         let host = host.clone();
-                        let (outcome, detail) = (Outcome_::ConnectFailed, Detail::None);
-                        let news = News::Ended {
+                        let (outcome, detail) = (Outcome_::ConnectFailed, OutcomeDetail::Unknown);
+                        let news = PlacementEvent::AttemptEnded {
                             ticket,
                             attempt,
                             host,
@@ -691,13 +691,15 @@
                     );
                     None
                 }
-                Verdict::Refuse {
+                Decision::Reject {
                     ticket,
                     retry_after,
                 } => self.final_word(n, ticket, Some(retry_after)),
-                Verdict::Fail { ticket } => self.final_word(n, ticket, Some(0)),
-                Verdict::GiveUp { ticket, .. } => self.give_up(n, ticket.0, Outcome_::Cancelled),
-                Verdict::Move { .. } | Verdict::Note(_) => None,
+                Decision::Fail { ticket } => self.final_word(n, ticket, Some(0)),
+                Decision::CancelAttempt { ticket, .. } => {
+                    self.give_up(n, ticket.0, Outcome_::Cancelled)
+                }
+                Decision::Migrate { .. } | Decision::Log(_) => None,
             };
             if let (Some(news), Some(facade)) = (news, &mut self.placers[n].facade) {
                 queue.extend(facade.report(now, news));
@@ -705,7 +707,7 @@
         }
     }
 
-    fn give_up(&mut self, n: usize, ticket: u64, outcome: Outcome_) -> Option<News> {
+    fn give_up(&mut self, n: usize, ticket: u64, outcome: Outcome_) -> Option<PlacementEvent> {
         let r = self.placers[n].requests.get_mut(&ticket)?;
         let (host, since) = r.out.take()?;
         let attempt = r.attempts - 1;
@@ -717,17 +719,22 @@
                 placer: n,
             },
         );
-        Some(News::Ended {
+        Some(PlacementEvent::AttemptEnded {
             ticket: Ticket(ticket),
             attempt,
             host: self.host_id(host),
             outcome,
-            detail: Detail::None,
+            detail: OutcomeDetail::Unknown,
             elapsed: self.now - since,
         })
     }
 
-    fn final_word(&mut self, n: usize, ticket: Ticket, away: Option<Micros>) -> Option<News> {
+    fn final_word(
+        &mut self,
+        n: usize,
+        ticket: Ticket,
+        away: Option<Micros>,
+    ) -> Option<PlacementEvent> {
         let news = self.give_up(n, ticket.0, Outcome_::Cancelled);
         let Some(r) = self.placers[n].requests.remove(&ticket.0) else {
             self.out.twice += 1;
@@ -748,9 +755,9 @@
     fn deliver(&mut self, n: usize, event: Ev) {
         let now = self.now;
         let news = match event {
-            Ev::List(_, entries) => Some(News::Listed {
-                whole: false,
-                entries,
+            Ev::List(_, entries) => Some(PlacementEvent::EndpointsChanged {
+                is_complete: false,
+                endpoints: entries,
             }),
             Ev::Timeout {
                 ticket, attempt, ..
@@ -771,12 +778,12 @@
         }
     }
 
-    fn heard(&mut self, n: usize, id: u64, host: usize, word: Word) -> Option<News> {
+    fn heard(&mut self, n: usize, id: u64, host: usize, word: Word) -> Option<PlacementEvent> {
         let ticket = id & 0xff_ffff_ffff;
         let (now, place) = (self.now, self.host_id(host));
         let r = self.placers[n].requests.get_mut(&ticket)?;
         let attempt = r.attempts.saturating_sub(1);
-        let ended = |outcome, detail, elapsed| News::Ended {
+        let ended = |outcome, detail, elapsed| PlacementEvent::AttemptEnded {
             ticket: Ticket(ticket),
             attempt,
             host: place.clone(),
@@ -796,7 +803,7 @@
                         away: None,
                     },
                 );
-                Some(News::Placed {
+                Some(PlacementEvent::AttemptStarted {
                     ticket: Ticket(ticket),
                     attempt,
                     host: place,
@@ -806,21 +813,21 @@
             (Word::Down(cause, note), Some((at, since)), None) if at == host => {
                 r.out = None;
                 let detail = match note {
-                    "nc" => Detail::NoCores,
-                    "nm" => Detail::NoMemory,
-                    "nq" => Detail::Busy,
-                    "nh" => Detail::NotHere,
-                    _ => Detail::None,
+                    "nc" => OutcomeDetail::NoCores,
+                    "nm" => OutcomeDetail::NoMemory,
+                    "nq" => OutcomeDetail::QueueFull,
+                    "nh" => OutcomeDetail::NotEligible,
+                    _ => OutcomeDetail::Unknown,
                 };
                 let outcome = if cause == 34 {
-                    Outcome_::Full
+                    Outcome_::Rejected
                 } else {
                     Outcome_::Reset
                 };
                 Some(ended(outcome, detail, now - since))
             }
             (Word::Down(..), None, Some(at)) if at == host => {
-                let news = ended(Outcome_::Ok, Detail::None, 0);
+                let news = ended(Outcome_::Completed, OutcomeDetail::Unknown, 0);
                 self.placers[n].requests.remove(&ticket);
                 Some(news)
             }
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -28,8 +28,8 @@
     placer: Placer,
     now: Micros,
     timers: Vec<(Micros, TimerToken)>,
-    tasks: BTreeMap<ReqId, Account>,
-    machines: BTreeMap<HostId, Entry>,
+    tasks: BTreeMap<RequestId, Account>,
+    machines: BTreeMap<HostId, Endpoint>,
     closed_since: BTreeMap<HostId, Micros>,
     offers: BTreeMap<HostId, Vec<Micros>>,
     told_ready: BTreeMap<HostId, Micros>,
@@ -40,17 +40,17 @@
 /// An action as its number on the simulator's wire and its values: independent of the names in the code.
 fn rendered(action: &Action) -> String {
     match action {
-        Action::Watch => "1".to_string(),
-        Action::Unwatch => "2".to_string(),
-        Action::Fetch => "3".to_string(),
-        Action::Close { host } => format!("4 {}", host.0),
-        Action::Fault(text) => format!("5 {text}"),
-        Action::Send { id, host, timeout } => format!("6 {} {} {timeout}", id.0, host.0),
-        Action::Cancel { id, attempt } => format!("7 {} {attempt}", id.0),
-        Action::Refuse { id, retry_after } => format!("8 {} {retry_after}", id.0),
+        Action::Subscribe => "1".to_string(),
+        Action::Unsubscribe => "2".to_string(),
+        Action::PollEndpoints => "3".to_string(),
+        Action::CloseIdleConnections { host } => format!("4 {}", host.0),
+        Action::ReportFault(text) => format!("5 {text}"),
+        Action::SendAttempt { id, host, timeout } => format!("6 {} {} {timeout}", id.0, host.0),
+        Action::CancelAttempt { id, attempt } => format!("7 {} {attempt}", id.0),
+        Action::Reject { id, retry_after } => format!("8 {} {retry_after}", id.0),
         Action::Fail { id } => format!("9 {}", id.0),
-        Action::Move { id } => format!("10 {}", id.0),
-        Action::Probe { host } => format!("11 {}", host.0),
+        Action::Migrate { id } => format!("10 {}", id.0),
+        Action::SendHealthCheck { host } => format!("11 {}", host.0),
         Action::SetTimer { token, after } => format!("12 {} {after}", token.0),
         Action::Log(text) => format!("13 {text}"),
     }
@@ -78,13 +78,13 @@
         }
     }
 
-    fn place_of(&self, spread: Spread, host: &HostId) -> u64 {
+    fn place_of(&self, spread: SpreadDomain, host: &HostId) -> u64 {
         let e = &self.machines[host];
         match spread {
-            Spread::None => 0,
-            Spread::Machine => host.0[1..].parse().expect("a number"),
-            Spread::Cell => e.cell.0,
-            Spread::Zone => e.zone.0 as u64,
+            SpreadDomain::None => 0,
+            SpreadDomain::Host => host.0[1..].parse().expect("a number"),
+            SpreadDomain::Cell => e.cell.0,
+            SpreadDomain::Zone => e.zone.0 as u64,
         }
     }
 
@@ -94,12 +94,15 @@
                 assert!(after >= 0);
                 self.timers.push((self.now + after, token));
             }
-            Action::Send { id, host, timeout } => self.check_send(&id, &host, timeout),
-            Action::Refuse { id, .. } => {
+            Action::SendAttempt { id, host, timeout } => self.check_send(&id, &host, timeout),
+            Action::Reject { id, .. } => {
                 self.check_answer(&id);
                 let a = &self.tasks[&id];
-                let harmless = match self.s.classes[a.task.class.0].effect {
-                    Effect::Safe | Effect::Keyed(Group::All) => true,
+                let harmless = match self.s.classes[a.task.class.0].idempotency {
+                    Idempotency::Idempotent
+                    | Idempotency::IdempotencyKey {
+                        scope: KeyScope::All,
+                    } => true,
                     _ => a.may_have_run.is_none() && a.out.is_none(),
                 };
                 assert!(
@@ -108,29 +111,30 @@
                 );
             }
             Action::Fail { id } => self.check_answer(&id),
-            Action::Probe { host } => {
-                assert!(self.s.probes && self.machines.contains_key(&host));
-                let outcome = [Outcome::Ok, Outcome::Ok, Outcome::Timeout][self.pick(3)];
-                let report = if outcome == Outcome::Ok {
+            Action::SendHealthCheck { host } => {
+                assert!(self.s.allows_health_checks && self.machines.contains_key(&host));
+                let outcome =
+                    [Outcome::Completed, Outcome::Completed, Outcome::Timeout][self.pick(3)];
+                let report = if outcome == Outcome::Completed {
                     vec![10.0, 20.0]
                 } else {
                     Vec::new()
                 };
-                self.give(Event::Probed {
+                self.give(Event::HealthCheckEnded {
                     host,
                     outcome,
                     elapsed: MS,
-                    report,
+                    load_report: report,
                 });
             }
-            Action::Cancel { .. } => assert!(self.s.cancel),
-            Action::Fault(text) => panic!("the module gave up: {text}"),
+            Action::CancelAttempt { .. } => assert!(self.s.allows_cancel),
+            Action::ReportFault(text) => panic!("the module gave up: {text}"),
             _ => {}
         }
     }
 
-    fn check_answer(&mut self, id: &ReqId) {
-        let slack = self.s.answer_slack;
+    fn check_answer(&mut self, id: &RequestId) {
+        let slack = self.s.response_slack;
         let a = self.tasks.get_mut(id).expect("a known task");
         assert!(
             !a.answered && !a.placed && !a.gone,
@@ -144,7 +148,7 @@
         self.answers += 1;
     }
 
-    fn check_send(&mut self, id: &ReqId, host: &HostId, timeout: Micros) {
+    fn check_send(&mut self, id: &RequestId, host: &HostId, timeout: Micros) {
         let (now, s) = (self.now, self.s.clone());
         let a = &self.tasks[id];
         assert!(
@@ -154,16 +158,19 @@
         assert!(a.out.is_none(), "rule 2: two attempts at once");
         assert!(a.sends < s.max_attempts && timeout > 0);
         let class = &s.classes[a.task.class.0];
-        match (class.effect, &a.may_have_run) {
-            (Effect::Unsafe, Some(_)) => panic!("rule 2: an unsafe task sent again"),
-            (Effect::Keyed(group), Some((first, since))) => {
+        match (class.idempotency, &a.may_have_run) {
+            (Idempotency::NonIdempotent, Some(_)) => panic!("rule 2: an unsafe task sent again"),
+            (Idempotency::IdempotencyKey { scope: group }, Some((first, since))) => {
                 let (x, y) = (&self.machines[first], &self.machines[host]);
                 assert!(match group {
-                    Group::All => true,
-                    Group::Zone => x.zone == y.zone,
-                    Group::Cell => x.cell == y.cell,
+                    KeyScope::All => true,
+                    KeyScope::Zone => x.zone == y.zone,
+                    KeyScope::Cell => x.cell == y.cell,
                 });
-                assert!(now - since <= class.window, "rule 2: after the window");
+                assert!(
+                    now - since <= class.idempotency_window,
+                    "rule 2: after the window"
+                );
             }
             _ => {}
         }
@@ -173,29 +180,32 @@
                 "rule 3: sent to a machine that drains"
             );
         }
-        if class.spread != Spread::None {
-            let place = self.place_of(class.spread, host);
+        if class.spread_domain != SpreadDomain::None {
+            let place = self.place_of(class.spread_domain, host);
             let held = self.tasks.values().filter(|b| {
                 b.task.service == a.task.service
                     && b.out
                         .as_ref()
-                        .is_some_and(|(_, h, _)| self.place_of(class.spread, h) == place)
+                        .is_some_and(|(_, h, _)| self.place_of(class.spread_domain, h) == place)
             });
             assert!(
-                held.count() < class.most,
+                held.count() < class.max_per_domain,
                 "rule 5: too many of a service in one place"
             );
         }
         let ready = self.told_ready[host];
-        if ready > 0 && now - ready < s.cold {
+        if ready > 0 && now - ready < s.slow_start {
             let offers = self.offers.entry(host.clone()).or_default();
             offers.push(now);
-            let recent = offers.iter().filter(|t| now - **t <= s.fall).count();
+            let recent = offers
+                .iter()
+                .filter(|t| now - **t <= s.collapse_window)
+                .count();
             // With more placers than offers they take turns of one; tests/scale.rs checks their sum.
-            let part = (s.cold_sends / s.placers as f64).max(1.0);
+            let part = (s.slow_start_attempts / s.placer_count as f64).max(1.0);
             assert!(recent as f64 <= part, "rule 4: {recent} offers");
         }
-        let kind = class.kind;
+        let kind = class.host_kind;
         assert!(kind.is_none_or(|k| k == self.machines[host].kind));
         let a = self.tasks.get_mut(id).expect("known");
         a.out = Some((a.sends, host.clone(), (now + timeout).min(a.deadline)));
@@ -203,32 +213,32 @@
         a.sent_at = now;
     }
 
-    fn outcome(&mut self, id: &ReqId, outcome: Outcome) {
+    fn outcome(&mut self, id: &RequestId, outcome: Outcome) {
         let Some(a) = self.tasks.get_mut(id) else {
             return;
         };
         let Some((attempt, host, _)) = a.out.take() else {
             return;
         };
-        let done = outcome == Outcome::Ok || a.placed || a.answered || a.gone;
-        if outcome == Outcome::Ok && !a.placed && !a.answered {
+        let done = outcome == Outcome::Completed || a.placed || a.answered || a.gone;
+        if outcome == Outcome::Completed && !a.placed && !a.answered {
             self.answers += 1;
             a.placed = true;
         }
         if !matches!(
             outcome,
-            Outcome::Full | Outcome::ConnectFailed | Outcome::Moot
+            Outcome::Rejected | Outcome::ConnectFailed | Outcome::NotSent
         ) && a.may_have_run.is_none()
         {
             a.may_have_run = Some((host.clone(), a.sent_at));
         }
         let details = [
-            Detail::None,
-            Detail::NoCores,
-            Detail::NoMemory,
-            Detail::Busy,
-            Detail::NotHere,
-            Detail::Evicted,
+            OutcomeDetail::Unknown,
+            OutcomeDetail::NoCores,
+            OutcomeDetail::NoMemory,
+            OutcomeDetail::QueueFull,
+            OutcomeDetail::NotEligible,
+            OutcomeDetail::Evicted,
         ];
         let detail = details[self.pick(details.len())];
         let report = if self.pick(3) == 0 {
@@ -237,7 +247,7 @@
             Vec::new()
         };
         let id = id.clone();
-        self.give(Event::Outcome {
+        self.give(Event::AttemptEnded {
             id,
             attempt,
             host,
@@ -245,21 +255,21 @@
             detail,
             done,
             elapsed: MS,
-            report,
+            load_report: report,
         });
     }
 
-    fn members(&mut self, kind: ListKind) {
-        let mut entries: Vec<Entry> = self.machines.values().cloned().collect();
-        if kind == ListKind::Failed {
+    fn members(&mut self, kind: UpdateKind) {
+        let mut entries: Vec<Endpoint> = self.machines.values().cloned().collect();
+        if kind == UpdateKind::Failed {
             entries.clear();
         }
         for e in &entries {
-            if self.told_ready.insert(e.host.clone(), e.ready_at) != Some(e.ready_at) {
+            if self.told_ready.insert(e.host.clone(), e.started_at) != Some(e.started_at) {
                 self.offers.remove(&e.host);
             }
             match e.state {
-                HostState::Up => {
+                EndpointState::Up => {
                     self.closed_since.remove(&e.host);
                 }
                 _ => {
@@ -267,12 +277,15 @@
                 }
             }
         }
-        self.give(Event::Members { kind, entries });
+        self.give(Event::EndpointsChanged {
+            kind,
+            endpoints: entries,
+        });
     }
 
     fn step(&mut self, n: usize, last_id: &mut usize) {
         self.now += [0, 0, MS, 20 * MS, 200 * MS, 2 * SECOND][self.pick(6)];
-        let ids: Vec<ReqId> = self
+        let ids: Vec<RequestId> = self
             .tasks
             .iter()
             .filter(|(_, a)| a.out.is_some())
@@ -284,7 +297,7 @@
             let (at, token) = self.timers.remove(0);
             let later = self.now;
             self.now = (at + self.s.tick).min(later);
-            self.give(Event::Timer(token));
+            self.give(Event::TimerFired(token));
             self.now = later;
             self.timers.sort();
         }
@@ -303,11 +316,11 @@
                 let mut t = task(*last_id, self.rng.next_u64() % 5);
                 t.class = ClassId(t.service.0 as usize % self.s.classes.len());
                 t.cores = [0.25, 1.0, 12.0][self.pick(3)];
-                t.budget = [0, 3 * MS, SECOND, 5 * SECOND][self.pick(4)];
-                t.came_back = self.pick(3) == 0;
+                t.time_budget = [0, 3 * MS, SECOND, 5 * SECOND][self.pick(4)];
+                t.is_returning = self.pick(3) == 0;
                 let account = Account {
                     task: t.clone(),
-                    deadline: self.now + t.budget,
+                    deadline: self.now + t.time_budget,
                     sends: 0,
                     out: None,
                     sent_at: 0,
@@ -317,7 +330,7 @@
                     may_have_run: None,
                 };
                 self.tasks.insert(t.id.clone(), account);
-                self.give(Event::Request(t));
+                self.give(Event::TaskRequested(t));
             }
             5 | 6 if !ids.is_empty() => {
                 let id = ids[self.pick(ids.len())].clone();
@@ -327,16 +340,16 @@
                 {
                     a.placed = true;
                     self.answers += 1;
-                    self.give(Event::First {
+                    self.give(Event::AttemptStarted {
                         id: id.clone(),
                         attempt,
                         host: host.clone(),
                         elapsed: MS,
                     });
-                    self.give(Event::Noted {
+                    self.give(Event::TaskReported {
                         id,
                         host,
-                        note: Note::Cores,
+                        report: TaskReport::Cores,
                         value: 0.4,
                     });
                 }
@@ -344,28 +357,33 @@
             7 | 8 if !ids.is_empty() => {
                 let id = ids[self.pick(ids.len())].clone();
                 let all = [
-                    Outcome::Ok,
-                    Outcome::Full,
+                    Outcome::Completed,
+                    Outcome::Rejected,
                     Outcome::Error,
                     Outcome::ConnectFailed,
                     Outcome::Reset,
                     Outcome::Cancelled,
-                    Outcome::Moot,
+                    Outcome::NotSent,
                 ];
                 let how = all[self.pick(all.len())];
                 self.outcome(&id, how);
             }
             9 if !self.machines.is_empty() => {
                 let which = self.pick(self.machines.len());
-                let state = [HostState::Up, HostState::Up, HostState::Draining][self.pick(3)];
+                let state = [
+                    EndpointState::Up,
+                    EndpointState::Up,
+                    EndpointState::Draining,
+                ][self.pick(3)];
                 let restart = self.pick(2) == 0;
                 let now = self.now;
                 let e = self.machines.values_mut().nth(which).expect("in range");
                 e.state = state;
                 if restart {
-                    e.ready_at = now;
+                    e.started_at = now;
                 }
-                let kind = [ListKind::Delta, ListKind::Full, ListKind::Failed][self.pick(3)];
+                let kind =
+                    [UpdateKind::Delta, UpdateKind::Complete, UpdateKind::Failed][self.pick(3)];
                 self.members(kind);
             }
             10 if n.is_multiple_of(3) => {
@@ -374,7 +392,7 @@
                 if let Some(id) = id.filter(|id| !self.tasks[id].answered && !self.tasks[id].placed)
                 {
                     self.tasks.get_mut(&id).expect("known").gone = true;
-                    self.give(Event::Gone(id));
+                    self.give(Event::TaskCancelled(id));
                 }
             }
             _ => {}
@@ -387,42 +405,53 @@
     let mut keyed = base.clone();
     let template = base.classes[0].clone();
     let effects = [
-        Effect::Keyed(Group::All),
-        Effect::Keyed(Group::Zone),
-        Effect::Keyed(Group::Cell),
-        Effect::Unsafe,
+        Idempotency::IdempotencyKey {
+            scope: KeyScope::All,
+        },
+        Idempotency::IdempotencyKey {
+            scope: KeyScope::Zone,
+        },
+        Idempotency::IdempotencyKey {
+            scope: KeyScope::Cell,
+        },
+        Idempotency::NonIdempotent,
+    ];
+    let spreads = [
+        SpreadDomain::Host,
+        SpreadDomain::Zone,
+        SpreadDomain::Cell,
+        SpreadDomain::None,
     ];
-    let spreads = [Spread::Machine, Spread::Zone, Spread::Cell, Spread::None];
     keyed.classes = effects
         .iter()
         .zip(spreads)
-        .map(|(&effect, spread)| Class {
-            effect,
-            spread,
+        .map(|(&effect, spread)| TaskClass {
+            idempotency: effect,
+            spread_domain: spread,
             ..template.clone()
         })
         .collect();
     let mut mixed = keyed.clone();
-    mixed.classes.push(Class {
-        most: 1,
-        spread: Spread::Machine,
+    mixed.classes.push(TaskClass {
+        max_per_domain: 1,
+        spread_domain: SpreadDomain::Host,
         ..template
     });
-    mixed.placers = 12;
-    mixed.list_on_ask = true;
-    mixed.ack = Ack::Running;
+    mixed.placer_count = 12;
+    mixed.requires_subscription = true;
+    mixed.acknowledgement = Acknowledgement::Running;
     let mut crowd = mixed.clone();
-    crowd.placers = 250;
+    crowd.placer_count = 250;
     let mut bare = base.clone();
-    bare.placers = 1;
-    bare.probes = false;
-    bare.report = Vec::new();
-    bare.list_shows_room = false;
-    bare.counts_asked = false;
+    bare.placer_count = 1;
+    bare.allows_health_checks = false;
+    bare.load_report = Vec::new();
+    bare.endpoints_show_free_resources = false;
+    bare.counts_requested_resources = false;
     let mut impossible = base.clone();
     impossible.max_attempts = 0;
     let mut kindless = base.clone();
-    kindless.kinds = Vec::new();
+    kindless.host_kinds = Vec::new();
     kindless.mean_cores = 0.0;
     vec![
         (base, 6),
@@ -453,7 +482,7 @@
                 timers: Vec::new(),
                 tasks: BTreeMap::new(),
                 machines: (0..count)
-                    .map(|n| (host(n), entry(n, HostState::Up)))
+                    .map(|n| (host(n), entry(n, EndpointState::Up)))
                     .collect(),
                 closed_since: BTreeMap::new(),
                 offers: BTreeMap::new(),
@@ -461,7 +490,7 @@
                 answers: 0,
                 digest,
             };
-            w.members(ListKind::Cached);
+            w.members(UpdateKind::Cached);
             let mut last_id = 0;
             for n in 0..400 {
                 w.step(n, &mut last_id);
@@ -472,7 +501,7 @@
                 w.timers.sort();
                 while w.timers.first().is_some_and(|(at, _)| *at <= w.now) {
                     let (_, token) = w.timers.remove(0);
-                    w.give(Event::Timer(token));
+                    w.give(Event::TimerFired(token));
                 }
             }
             let open: BTreeSet<_> = w
@@ -506,7 +535,7 @@
         for n in 0..50 {
             placer.handle(
                 n as Micros * MS,
-                &Event::Request(task(n, n as u64 % 7)),
+                &Event::TaskRequested(task(n, n as u64 % 7)),
                 &mut out,
             );
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -9,16 +9,16 @@
     Settings::example()
 }
 
-fn with_effect(effect: Effect) -> Settings {
+fn with_effect(effect: Idempotency) -> Settings {
     let mut s = settings();
-    s.classes[0].effect = effect;
+    s.classes[0].idempotency = effect;
     s
 }
 
-fn with_spread(spread: Spread, most: usize) -> Settings {
+fn with_spread(spread: SpreadDomain, most: usize) -> Settings {
     let mut s = settings();
-    s.classes[0].spread = spread;
-    s.classes[0].most = most;
+    s.classes[0].spread_domain = spread;
+    s.classes[0].max_per_domain = most;
     s
 }
 
@@ -28,10 +28,10 @@
     hosts[0].clone()
 }
 
-fn gone(n: usize, state: HostState) -> Event {
-    Event::Members {
-        kind: ListKind::Delta,
-        entries: vec![entry(n, state)],
+fn gone(n: usize, state: EndpointState) -> Event {
+    Event::EndpointsChanged {
+        kind: UpdateKind::Delta,
+        endpoints: vec![entry(n, state)],
     }
 }
 
@@ -45,7 +45,7 @@
     let done = b.pass(20 * SECOND);
     let answers: Vec<_> = done
         .iter()
-        .filter(|(_, a)| matches!(a, Action::Refuse { .. }))
+        .filter(|(_, a)| matches!(a, Action::Reject { .. }))
         .collect();
     assert_eq!(answers.len(), 1);
     assert!(answers[0].0 <= start + 5 * SECOND && answers[0].0 > start + 4 * SECOND);
@@ -54,13 +54,13 @@
 
 #[test]
 fn with_no_reply_an_unsafe_task_fails_in_time_and_is_not_sent_again() {
-    let mut b = Bench::with(with_effect(Effect::Unsafe), 3);
+    let mut b = Bench::with(with_effect(Idempotency::NonIdempotent), 3);
     let start = b.now;
     sent(&b.ask(task(1, 1)));
     let done = b.pass(20 * SECOND);
     let answers: Vec<_> = done
         .iter()
-        .filter(|(_, a)| matches!(a, Action::Fail { .. } | Action::Refuse { .. }))
+        .filter(|(_, a)| matches!(a, Action::Fail { .. } | Action::Reject { .. }))
         .collect();
     assert_eq!(answers.len(), 1);
     assert!(matches!(answers[0].1, Action::Fail { .. }) && answers[0].0 <= start + 5 * SECOND);
@@ -73,13 +73,13 @@
     let mut actions = b.ask(task(1, 1));
     for attempt in 0..3 {
         let at = sent(&actions);
-        actions = b.end(1, attempt, &at, Outcome::Full, Detail::Busy);
+        actions = b.end(1, attempt, &at, Outcome::Rejected, OutcomeDetail::QueueFull);
     }
     assert!(refused(&actions) && sends(&actions).is_empty());
     assert!(
         !untimed(b.pass(20 * SECOND))
             .iter()
-            .any(|a| matches!(a, Action::Refuse { .. } | Action::Send { .. }))
+            .any(|a| matches!(a, Action::Reject { .. } | Action::SendAttempt { .. }))
     );
 }
 
@@ -96,7 +96,7 @@
 fn a_budget_of_zero_is_answered_at_once_and_not_sent() {
     let mut b = Bench::with(settings(), 3);
     let mut t = task(1, 1);
-    t.budget = 0;
+    t.time_budget = 0;
     assert!(sends(&b.ask(t)).is_empty());
     assert!(refused(&untimed(b.pass(4 * MS))));
 }
@@ -105,8 +105,8 @@
 fn a_client_that_is_gone_gets_no_answer() {
     let mut b = Bench::with(settings(), 0);
     b.ask(task(1, 1));
-    b.give(Event::Gone(req(1)));
-    b.give(Event::Gone(req(1)));
+    b.give(Event::TaskCancelled(req(1)));
+    b.give(Event::TaskCancelled(req(1)));
     let done = untimed(b.pass(20 * SECOND));
     assert!(!refused(&done) && !failed(&done));
 }
@@ -119,13 +119,13 @@
         (false, SECOND, 0),
     ] {
         let mut s = settings();
-        (s.retry_after, s.max_retry_after) = (told, most);
+        (s.allows_retry_after, s.max_retry_after) = (told, most);
         let mut b = Bench::with(s, 0);
         b.ask(task(1, 1));
         let refused = untimed(b.pass(20 * SECOND));
         assert_eq!(
             refused,
-            [Action::Refuse {
+            [Action::Reject {
                 id: req(1),
                 retry_after: expected
             }]
@@ -135,11 +135,11 @@
 
 #[test]
 fn at_a_planned_end_all_that_is_owed_is_answered_in_time() {
-    let mut b = Bench::with(with_effect(Effect::Unsafe), 3);
+    let mut b = Bench::with(with_effect(Idempotency::NonIdempotent), 3);
     let host = sent(&b.ask(task(1, 1)));
     b.first(1, 0, &host);
     sent(&b.ask(task(2, 2)));
-    b.give(Event::Closing(SECOND));
+    b.give(Event::ShutdownRequested(SECOND));
     let start = b.now;
     sent(&b.ask(task(3, 3)));
     let done = b.pass(20 * SECOND);
@@ -161,17 +161,17 @@
 #[test]
 fn unsafe_tasks_go_on_only_after_proof_that_nothing_ran() {
     for (outcome, proof) in [
-        (Outcome::Full, true),
+        (Outcome::Rejected, true),
         (Outcome::ConnectFailed, true),
-        (Outcome::Moot, true),
+        (Outcome::NotSent, true),
         (Outcome::Error, false),
         (Outcome::Timeout, false),
         (Outcome::Reset, false),
         (Outcome::Cancelled, false),
     ] {
-        let mut b = Bench::with(with_effect(Effect::Unsafe), 6);
+        let mut b = Bench::with(with_effect(Idempotency::NonIdempotent), 6);
         let at = sent(&b.ask(task(1, 1)));
-        let actions = b.end(1, 0, &at, outcome, Detail::None);
+        let actions = b.end(1, 0, &at, outcome, OutcomeDetail::Unknown);
         assert_eq!(sends(&actions).len(), usize::from(proof), "{outcome:?}");
         assert_eq!(failed(&actions), !proof, "{outcome:?}");
         assert!(!refused(&actions), "{outcome:?}");
@@ -184,11 +184,11 @@
         Outcome::Error,
         Outcome::Timeout,
         Outcome::Reset,
-        Outcome::Full,
+        Outcome::Rejected,
     ] {
         let mut b = Bench::with(settings(), 6);
         let at = sent(&b.ask(task(1, 1)));
-        let next = sent(&b.end(1, 0, &at, outcome, Detail::None));
+        let next = sent(&b.end(1, 0, &at, outcome, OutcomeDetail::Unknown));
         assert_ne!(at, next);
     }
 }
@@ -196,14 +196,14 @@
 #[test]
 fn keyed_tasks_stay_in_the_group_that_drops_repeats() {
     for (group, same) in [
-        (Group::Zone, true),
-        (Group::Cell, true),
-        (Group::All, false),
+        (KeyScope::Zone, true),
+        (KeyScope::Cell, true),
+        (KeyScope::All, false),
     ] {
         for seed in 0..20 {
-            let mut b = Bench::with(with_effect(Effect::Keyed(group)), 8);
+            let mut b = Bench::with(with_effect(Idempotency::IdempotencyKey { scope: group }), 8);
             let at = sent(&b.ask(task(1, seed)));
-            let next = sent(&b.end(1, 0, &at, Outcome::Timeout, Detail::None));
+            let next = sent(&b.end(1, 0, &at, Outcome::Timeout, OutcomeDetail::Unknown));
             let part = |h: &HostId| h.0[1..].parse::<usize>().unwrap() % 2;
             assert!(!same || part(&at) == part(&next));
         }
@@ -219,12 +219,14 @@
         (200, 0, false),
         (2_000, 900, true),
     ] {
-        let mut s = with_effect(Effect::Keyed(Group::All));
-        (s.classes[0].window, s.connect_timeout) = (window * MS, 250 * MS);
+        let mut s = with_effect(Idempotency::IdempotencyKey {
+            scope: KeyScope::All,
+        });
+        (s.classes[0].idempotency_window, s.connect_timeout) = (window * MS, 250 * MS);
         let mut b = Bench::with(s, 3);
         let at = sent(&b.ask(task(1, 1)));
         b.now += sent_after * MS;
-        let actions = b.end(1, 0, &at, Outcome::Reset, Detail::None);
+        let actions = b.end(1, 0, &at, Outcome::Reset, OutcomeDetail::Unknown);
         assert_eq!(
             !sends(&actions).is_empty(),
             again,
@@ -235,12 +237,14 @@
 
 #[test]
 fn keyed_tasks_are_not_resent_after_the_window_which_counts_from_the_send() {
-    let mut s = with_effect(Effect::Keyed(Group::Zone));
-    s.classes[0].window = 2 * SECOND;
+    let mut s = with_effect(Idempotency::IdempotencyKey {
+        scope: KeyScope::Zone,
+    });
+    s.classes[0].idempotency_window = 2 * SECOND;
     let mut b = Bench::with(s, 8);
     let at = sent(&b.ask(task(1, 1)));
     assert!(sends(&untimed(b.pass(2 * SECOND))).is_empty());
-    let mut actions = b.end(1, 0, &at, Outcome::Timeout, Detail::None);
+    let mut actions = b.end(1, 0, &at, Outcome::Timeout, OutcomeDetail::Unknown);
     actions.extend(untimed(b.pass(10 * SECOND)));
     assert!(sends(&actions).is_empty());
     assert!(failed(&actions) && !refused(&actions));
@@ -257,7 +261,7 @@
 
 #[test]
 fn a_draining_or_gone_machine_gets_nothing_new() {
-    for state in [HostState::Draining, HostState::Gone] {
+    for state in [EndpointState::Draining, EndpointState::Removed] {
         let mut b = Bench::with(settings(), 2);
         b.give(gone(0, state));
         for n in 0..20 {
@@ -278,45 +282,48 @@
 #[test]
 fn a_lost_subscription_is_asked_for_again_well_within_the_limit() {
     let mut s = settings();
-    s.list_on_ask = true;
+    s.requires_subscription = true;
     let mut b = Bench::new(s);
-    let Event::Members { entries, .. } = full_list(2) else {
+    let Event::EndpointsChanged {
+        endpoints: entries, ..
+    } = full_list(2)
+    else {
         unreachable!()
     };
-    let actions = b.give(Event::Members {
-        kind: ListKind::Cached,
-        entries,
+    let actions = b.give(Event::EndpointsChanged {
+        kind: UpdateKind::Cached,
+        endpoints: entries,
     });
-    assert!(actions.contains(&Action::Watch));
-    b.give(Event::Members {
-        kind: ListKind::Delta,
-        entries: Vec::new(),
+    assert!(actions.contains(&Action::Subscribe));
+    b.give(Event::EndpointsChanged {
+        kind: UpdateKind::Delta,
+        endpoints: Vec::new(),
     });
     assert!(
-        !untimed(b.pass(30 * SECOND)).contains(&Action::Watch),
+        !untimed(b.pass(30 * SECOND)).contains(&Action::Subscribe),
         "subscribed: no need to ask"
     );
     for _ in 0..6 {
-        b.give(Event::Members {
-            kind: ListKind::Failed,
-            entries: Vec::new(),
+        b.give(Event::EndpointsChanged {
+            kind: UpdateKind::Failed,
+            endpoints: Vec::new(),
         });
         let asked = b.pass(5 * SECOND);
-        assert!(asked.iter().any(|(_, a)| *a == Action::Watch));
+        assert!(asked.iter().any(|(_, a)| *a == Action::Subscribe));
     }
     // No answer at all: asked again too.
-    assert!(untimed(b.pass(5 * SECOND)).contains(&Action::Watch));
+    assert!(untimed(b.pass(5 * SECOND)).contains(&Action::Subscribe));
 }
 
 #[test]
 fn a_drain_heard_before_the_subscription_broke_still_holds() {
     let mut s = settings();
-    s.list_on_ask = true;
+    s.requires_subscription = true;
     let mut b = Bench::with(s, 2);
-    b.give(gone(0, HostState::Draining));
-    b.give(Event::Members {
-        kind: ListKind::Failed,
-        entries: Vec::new(),
+    b.give(gone(0, EndpointState::Draining));
+    b.give(Event::EndpointsChanged {
+        kind: UpdateKind::Failed,
+        endpoints: Vec::new(),
     });
     for n in 0..20 {
         assert!(!sends(&b.ask(task(n, n as u64))).contains(&host(0)));
@@ -328,23 +335,23 @@
 #[test]
 fn a_cold_machine_gets_no_more_than_this_placers_part_refused_offers_included() {
     let mut b = Bench::new(settings());
-    let mut cold = entry(0, HostState::Up);
-    cold.ready_at = b.now;
-    b.give(Event::Members {
-        kind: ListKind::Full,
-        entries: vec![cold],
+    let mut cold = entry(0, EndpointState::Up);
+    cold.started_at = b.now;
+    b.give(Event::EndpointsChanged {
+        kind: UpdateKind::Complete,
+        endpoints: vec![cold],
     });
     let mut offers = 0;
     for n in 0..60 {
         let actions = b.ask(task(n, n as u64));
         for at in sends(&actions) {
             offers += 1;
-            b.end(n, 0, &at, Outcome::Full, Detail::NotHere);
-            b.give(Event::Probed {
+            b.end(n, 0, &at, Outcome::Rejected, OutcomeDetail::NotEligible);
+            b.give(Event::HealthCheckEnded {
                 host: at,
-                outcome: Outcome::Ok,
+                outcome: Outcome::Completed,
                 elapsed: MS,
-                report: Vec::new(),
+                load_report: Vec::new(),
             });
         }
     }
@@ -361,8 +368,8 @@
     let offers =
         |placers: usize, sends_borne: f64, processes: u32, told: bool, span: Micros| -> usize {
             let settings = Settings {
-                placers,
-                cold_sends: sends_borne,
+                placer_count: placers,
+                slow_start_attempts: sends_borne,
                 ..settings()
             };
             let mut all: Vec<Bench> = (0..processes)
@@ -370,32 +377,32 @@
                 .collect();
             let mut count = 0;
             for (me, b) in all.iter_mut().enumerate() {
-                let mut cold = entry(0, HostState::Up);
-                cold.ready_at = b.now;
-                b.give(Event::Members {
-                    kind: ListKind::Full,
-                    entries: vec![cold],
+                let mut cold = entry(0, EndpointState::Up);
+                cold.started_at = b.now;
+                b.give(Event::EndpointsChanged {
+                    kind: UpdateKind::Complete,
+                    endpoints: vec![cold],
                 });
                 if told {
-                    b.give(Event::Bounds(vec![Bound::Processes {
-                        of: processes,
-                        me: me as u32,
+                    b.give(Event::LimitsChanged(vec![Limit::Processes {
+                        process_count: processes,
+                        process_index: me as u32,
                     }]));
                 }
                 for n in 0..usize::try_from(span / (20 * MS)).unwrap() {
                     let mut sent = sends(&b.ask(Task {
-                        budget: 10 * MS,
+                        time_budget: 10 * MS,
                         ..task(n, n as u64)
                     }));
                     sent.extend(sends(&untimed(b.pass(0))));
                     for at in sent {
                         count += 1;
-                        b.end(n, 0, &at, Outcome::Full, Detail::NotHere);
-                        b.give(Event::Probed {
+                        b.end(n, 0, &at, Outcome::Rejected, OutcomeDetail::NotEligible);
+                        b.give(Event::HealthCheckEnded {
                             host: at,
-                            outcome: Outcome::Ok,
+                            outcome: Outcome::Completed,
                             elapsed: MS,
-                            report: Vec::new(),
+                            load_report: Vec::new(),
                         });
                     }
                     b.pass(20 * MS);
@@ -403,7 +410,7 @@
             }
             count
         };
-    let (fall, cold) = (settings().fall, settings().cold);
+    let (fall, cold) = (settings().collapse_window, settings().slow_start);
     // A part of several offers, and one of less than an offer, which is had by turns.
     for (placers, borne, span) in [(3, 60.0, fall), (30, 30.0, cold - fall)] {
         let (one, two) = (
@@ -426,8 +433,8 @@
 
 #[test]
 fn spread_counts_attempts_and_standing_tasks_until_their_outcome() {
-    let mut b = Bench::with(with_spread(Spread::Zone, 2), 4);
-    b.give(Event::Open(task(90, 7), host(0)));
+    let mut b = Bench::with(with_spread(SpreadDomain::Zone, 2), 4);
+    b.give(Event::TaskAdopted(task(90, 7), host(0)));
     let mut per_zone = [1, 0];
     let mut at_of = Vec::new();
     for n in 0..6 {
@@ -441,13 +448,13 @@
     let (n, at) = at_of[0].clone();
     b.first(n, 0, &at);
     assert!(sends(&untimed(b.pass(SECOND))).is_empty());
-    b.end(n, 0, &at, Outcome::Ok, Detail::None);
+    b.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
     assert_eq!(sends(&untimed(b.pass(SECOND))).len(), 1);
 }
 
 #[test]
 fn spread_over_machines_and_cells() {
-    for (spread, places) in [(Spread::Machine, 4), (Spread::Cell, 2)] {
+    for (spread, places) in [(SpreadDomain::Host, 4), (SpreadDomain::Cell, 2)] {
         let mut b = Bench::with(with_spread(spread, 1), 4);
         let count: usize = (0..9).map(|n| sends(&b.ask(task(n, 7))).len()).sum();
         assert_eq!(count, places, "{spread:?}");
@@ -456,10 +463,17 @@
 
 #[test]
 fn after_a_restart_the_standing_tasks_count() {
-    let mut b = Bench::with(with_spread(Spread::Machine, 1), 1);
-    b.give(Event::Open(task(90, 7), host(0)));
+    let mut b = Bench::with(with_spread(SpreadDomain::Host, 1), 1);
+    b.give(Event::TaskAdopted(task(90, 7), host(0)));
     assert!(sends(&b.ask(task(1, 7))).is_empty());
-    b.end_with(90, 0, &host(0), Outcome::Ok, Detail::None, true);
+    b.end_with(
+        90,
+        0,
+        &host(0),
+        Outcome::Completed,
+        OutcomeDetail::Unknown,
+        true,
+    );
     assert_eq!(sends(&untimed(b.pass(SECOND))), vec![host(0)]);
 }
 
@@ -474,7 +488,7 @@
         for at in sends(&b.ask(task(n, n as u64))) {
             if at == host(0) {
                 dead += 1;
-                b.end(n, 0, &at, Outcome::ConnectFailed, Detail::None);
+                b.end(n, 0, &at, Outcome::ConnectFailed, OutcomeDetail::Unknown);
             } else {
                 b.first(n, 0, &at);
             }
@@ -482,15 +496,15 @@
     }
     assert!(dead <= 2, "{dead} offers to the dead machine");
     let done = untimed(b.pass(3 * SECOND));
-    assert!(done.contains(&Action::Probe { host: host(0) }));
+    assert!(done.contains(&Action::SendHealthCheck { host: host(0) }));
     assert!(!sends(&done).contains(&host(0)));
-    b.give(Event::Probed {
+    b.give(Event::HealthCheckEnded {
         host: host(0),
-        outcome: Outcome::Ok,
+        outcome: Outcome::Completed,
         elapsed: MS,
-        report: vec![32.0, 64.0],
+        load_report: vec![32.0, 64.0],
     });
-    b.give(gone(1, HostState::Draining));
+    b.give(gone(1, EndpointState::Draining));
     let after: Vec<_> = (50..90)
         .flat_map(|n| sends(&b.ask(task(n, n as u64))))
         .collect();
@@ -507,7 +521,7 @@
             let mut out = Vec::new();
             placer.handle(0, &full_list(6), &mut out);
             for n in 0..3 {
-                placer.handle(MS, &Event::Request(task(n, service)), &mut out);
+                placer.handle(MS, &Event::TaskRequested(task(n, service)), &mut out);
             }
             homes.extend(sends(&out));
         }
@@ -522,16 +536,16 @@
 fn a_machine_where_own_tasks_of_the_service_stand_comes_before_its_homes() {
     for n in 0..6 {
         let mut b = Bench::with(settings(), n);
-        let half = |n| Entry {
+        let half = |n| Endpoint {
             free_cores: 16.0,
             free_memory: 32.0,
-            ..entry(n, HostState::Up)
+            ..entry(n, EndpointState::Up)
         };
-        b.give(Event::Members {
-            kind: ListKind::Full,
-            entries: (0..6).map(half).collect(),
+        b.give(Event::EndpointsChanged {
+            kind: UpdateKind::Complete,
+            endpoints: (0..6).map(half).collect(),
         });
-        b.give(Event::Open(task(100, 1), host(n)));
+        b.give(Event::TaskAdopted(task(100, 1), host(n)));
         assert_eq!(sends(&b.ask(task(1, 1))), [host(n)]);
     }
 }
@@ -541,15 +555,15 @@
 fn an_offer_waits_all_the_time_left_where_yes_means_running() {
     let mut b = Bench::with(
         Settings {
-            ack: Ack::Running,
+            acknowledgement: Acknowledgement::Running,
             ..settings()
         },
         1,
     );
-    let slack = settings().answer_slack.max(2 * settings().tick);
+    let slack = settings().response_slack.max(2 * settings().tick);
     let actions = b.ask(task(1, 1));
     let timeout = actions.iter().find_map(|a| match a {
-        Action::Send { timeout, .. } => Some(*timeout),
+        Action::SendAttempt { timeout, .. } => Some(*timeout),
         _ => None,
     });
     assert_eq!(timeout, Some(5 * SECOND - slack));
@@ -563,10 +577,10 @@
     for n in 0..10 {
         let actions = b.ask(task(n, 1));
         let first = sent(&actions);
-        let again = b.end(n, 0, &first, Outcome::Error, Detail::None);
+        let again = b.end(n, 0, &first, Outcome::Error, OutcomeDetail::Unknown);
         let second = sent(&again);
         assert_ne!(first, second);
-        let done = b.end(n, 1, &second, Outcome::Error, Detail::None);
+        let done = b.end(n, 1, &second, Outcome::Error, OutcomeDetail::Unknown);
         assert!(
             sends(&done).is_empty() && refused(&done),
             "two errors are enough"
@@ -579,8 +593,8 @@
     // Where another machine starts it the error was the first one's own.
     let before = b.ask(task(60, 1));
     let broken = sent(&before);
-    let second = sent(&b.end(60, 0, &broken, Outcome::Error, Detail::None));
-    b.give(Event::First {
+    let second = sent(&b.end(60, 0, &broken, Outcome::Error, OutcomeDetail::Unknown));
+    b.give(Event::AttemptStarted {
         id: req(60),
         attempt: 1,
         host: second,
@@ -601,7 +615,7 @@
         if just {
             b.first(2, 0, &at);
         }
-        b.end(1, 0, &at, Outcome::Timeout, Detail::None);
+        b.end(1, 0, &at, Outcome::Timeout, OutcomeDetail::Unknown);
         assert_eq!(sends(&b.ask(task(3, 1))) != [at], shut, "{just}");
     }
 }
@@ -623,34 +637,34 @@
 #[test]
 fn odd_but_legal_events_do_no_harm() {
     let mut b = Bench::with(settings(), 2);
-    b.give(Event::Gone(req(99)));
-    b.end(98, 0, &host(77), Outcome::Ok, Detail::None);
+    b.give(Event::TaskCancelled(req(99)));
+    b.end(98, 0, &host(77), Outcome::Completed, OutcomeDetail::Unknown);
     b.first(97, 0, &host(76));
-    b.give(Event::Timer(TimerToken(1 << 60)));
-    b.give(Event::Probed {
+    b.give(Event::TimerFired(TimerToken(1 << 60)));
+    b.give(Event::HealthCheckEnded {
         host: host(75),
         outcome: Outcome::Timeout,
         elapsed: 0,
-        report: Vec::new(),
+        load_report: Vec::new(),
     });
     let at = sent(&b.ask(task(1, 1)));
-    b.end(1, 7, &at, Outcome::Full, Detail::None);
+    b.end(1, 7, &at, Outcome::Rejected, OutcomeDetail::Unknown);
     b.first(1, 0, &at);
-    b.end_with(1, 0, &at, Outcome::Reset, Detail::SentAway, true);
-    b.end_with(1, 0, &at, Outcome::Reset, Detail::SentAway, true);
+    b.end_with(1, 0, &at, Outcome::Reset, OutcomeDetail::Drained, true);
+    b.end_with(1, 0, &at, Outcome::Reset, OutcomeDetail::Drained, true);
     b.now -= 50 * SECOND;
     sent(&b.ask(task(2, 2)));
     b.now += 5_000 * SECOND;
-    b.give(Event::Members {
-        kind: ListKind::Full,
-        entries: Vec::new(),
+    b.give(Event::EndpointsChanged {
+        kind: UpdateKind::Complete,
+        endpoints: Vec::new(),
     });
     assert!(sends(&b.ask(task(3, 3))).is_empty());
-    let mut full = entry(0, HostState::Up);
+    let mut full = entry(0, EndpointState::Up);
     (full.free_cores, full.free_memory) = (-40.0, 0.0);
-    b.give(Event::Members {
-        kind: ListKind::Delta,
-        entries: vec![full],
+    b.give(Event::EndpointsChanged {
+        kind: UpdateKind::Delta,
+        endpoints: vec![full],
     });
     assert!(
         sends(&untimed(b.pass(SECOND))).is_empty(),
@@ -662,17 +676,24 @@
 #[test]
 fn lost_starts_narrow_the_window_of_offers_at_a_machine() {
     let mut s = settings();
-    s.probes = false;
+    s.allows_health_checks = false;
     let mut b = Bench::with(s, 1);
     let before: usize = (0..40)
         .map(|n| sends(&b.ask(task(n, n as u64))).len())
         .sum();
     for n in 0..before {
-        b.give(Event::Gone(req(n)));
-        b.end_with(n, 0, &host(0), Outcome::Timeout, Detail::None, true);
+        b.give(Event::TaskCancelled(req(n)));
+        b.end_with(
+            n,
+            0,
+            &host(0),
+            Outcome::Timeout,
+            OutcomeDetail::Unknown,
+            true,
+        );
     }
     for n in before..40 {
-        b.give(Event::Gone(req(n)));
+        b.give(Event::TaskCancelled(req(n)));
     }
     b.pass(30 * SECOND);
     let after: usize = (50..90)
@@ -691,20 +712,20 @@
     for seed in 0..20 {
         let mut placer = Placer::new(settings(), seed);
         let mut out = Vec::new();
-        let mut busy: Vec<Entry> = (0..4).map(|n| entry(n, HostState::Up)).collect();
+        let mut busy: Vec<Endpoint> = (0..4).map(|n| entry(n, EndpointState::Up)).collect();
         busy.iter_mut()
             .for_each(|e| (e.free_cores, e.free_memory) = (12.0, 24.0));
         placer.handle(
             0,
-            &Event::Members {
-                kind: ListKind::Full,
-                entries: busy,
+            &Event::EndpointsChanged {
+                kind: UpdateKind::Complete,
+                endpoints: busy,
             },
             &mut out,
         );
         let mut heavy = task(1, 3);
         (heavy.cores, heavy.memory) = (6.0, 8.0);
-        placer.handle(MS, &Event::Request(heavy), &mut out);
+        placer.handle(MS, &Event::TaskRequested(heavy), &mut out);
         used.extend(sends(&out));
     }
     assert!(used.len() > 1, "{used:?}");
@@ -719,19 +740,19 @@
         for seed in 0..60 {
             let mut placer = Placer::new(settings(), seed);
             let mut out = Vec::new();
-            let mut list: Vec<Entry> = (0..2).map(|n| entry(n, HostState::Up)).collect();
+            let mut list: Vec<Endpoint> = (0..2).map(|n| entry(n, EndpointState::Up)).collect();
             (list[0].free_cores, list[1].free_cores) = (12.0, 14.0);
             placer.handle(
                 0,
-                &Event::Members {
-                    kind: ListKind::Full,
-                    entries: list,
+                &Event::EndpointsChanged {
+                    kind: UpdateKind::Complete,
+                    endpoints: list,
                 },
                 &mut out,
             );
             let mut heavy = task(1, seed);
-            (heavy.cores, heavy.memory, heavy.came_back) = (8.0, 1.0, came_back);
-            placer.handle(MS, &Event::Request(heavy), &mut out);
+            (heavy.cores, heavy.memory, heavy.is_returning) = (8.0, 1.0, came_back);
+            placer.handle(MS, &Event::TaskRequested(heavy), &mut out);
             fuller += usize::from(sends(&out) == vec![host(0)]);
         }
         fuller
