--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -9,13 +9,13 @@
 /// Two classes and two tenants, many placers.
 fn settings(placers: usize) -> Settings {
     let mut s = Settings::example();
-    s.placers = placers;
+    s.placer_count = placers;
     let second = s.classes[0].clone();
     s.classes.push(second);
     s.tenants = vec![
         Tenant {
-            share: 0.5,
-            quota_per_s: 100.0,
+            service_fraction: 0.5,
+            quota_tasks_per_second: 100.0,
             quota_cores: 100.0
         };
         2
@@ -46,13 +46,13 @@
         for at in sends(&b.ask(of(n, n as u64, class, tenant))) {
             there += usize::from(at == host(0));
             if at == host(0) && bad {
-                for next in sends(&b.end(n, 0, &at, Outcome::Error, Detail::None)) {
+                for next in sends(&b.end(n, 0, &at, Outcome::Error, OutcomeDetail::Unknown)) {
                     b.first(n, 1, &next);
-                    b.end(n, 1, &next, Outcome::Ok, Detail::None);
+                    b.end(n, 1, &next, Outcome::Completed, OutcomeDetail::Unknown);
                 }
             } else {
                 b.first(n, 0, &at);
-                b.end(n, 0, &at, Outcome::Ok, Detail::None);
+                b.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
             }
         }
     }
@@ -65,11 +65,11 @@
     let mut b = Bench::with(settings(1), 2);
     let failed = offer(&mut b, 0, 40, 0, 0, true);
     assert!((1..=2).contains(&failed), "{failed}");
-    b.give(Event::Probed {
+    b.give(Event::HealthCheckEnded {
         host: host(0),
-        outcome: Outcome::Ok,
+        outcome: Outcome::Completed,
         elapsed: MS,
-        report: Vec::new(),
+        load_report: Vec::new(),
     });
     assert_eq!(
         offer(&mut b, 100, 40, 0, 1, true),
@@ -84,7 +84,7 @@
     offer(&mut b, 300, 40, 1, 0, true);
     let asked = untimed(b.pass(5 * SECOND));
     assert!(
-        asked.contains(&Action::Probe { host: host(0) }),
+        asked.contains(&Action::SendHealthCheck { host: host(0) }),
         "{asked:?}"
     );
 }
@@ -98,10 +98,10 @@
         for at in sends(&b.ask(of(n, n as u64, 0, 0))) {
             if at == host(0) {
                 turned_away += 1;
-                b.end(n, 0, &at, Outcome::Full, Detail::None);
+                b.end(n, 0, &at, Outcome::Rejected, OutcomeDetail::Unknown);
             } else {
                 b.first(n, 0, &at);
-                b.end(n, 0, &at, Outcome::Ok, Detail::None);
+                b.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
             }
         }
     }
@@ -122,10 +122,10 @@
                 break;
             };
             tries += 1;
-            actions = b.end(n, attempt, &at, Outcome::Full, Detail::None);
+            actions = b.end(n, attempt, &at, Outcome::Rejected, OutcomeDetail::Unknown);
         }
         for a in actions.into_iter().chain(untimed(b.pass(6 * SECOND))) {
-            if let Action::Refuse { id, .. } | Action::Fail { id } = a {
+            if let Action::Reject { id, .. } | Action::Fail { id } = a {
                 *answers.entry(id).or_insert(0) += 1;
             }
         }
@@ -140,27 +140,27 @@
 fn the_cold_budget_is_shared_by_turns_and_its_sum_is_kept() {
     let placers = 250;
     let mut s = settings(placers);
-    (s.cold_sends, s.fall, s.cold) = (58.0, 3 * SECOND, 14 * SECOND);
+    (s.slow_start_attempts, s.collapse_window, s.slow_start) = (58.0, 3 * SECOND, 14 * SECOND);
     let start = 100 * SECOND;
     let mut offers: Vec<Micros> = Vec::new();
     for me in 0..placers {
-        s.me = me;
+        s.placer_index = me;
         let mut b = Bench::new(s.clone());
         b.now = start;
-        let mut cold = entry(0, HostState::Up);
-        cold.ready_at = start;
-        b.give(Event::Members {
-            kind: ListKind::Full,
-            entries: vec![cold],
+        let mut cold = entry(0, EndpointState::Up);
+        cold.started_at = start;
+        b.give(Event::EndpointsChanged {
+            kind: UpdateKind::Complete,
+            endpoints: vec![cold],
         });
         // The worst case: every placer always has a task to offer.
         for n in 0..60 {
             for at in sends(&b.ask(task(n, n as u64))) {
                 offers.push(b.now);
                 b.first(n, 0, &at);
-                b.end(n, 0, &at, Outcome::Ok, Detail::None);
+                b.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
             }
-            b.give(Event::Gone(req(n)));
+            b.give(Event::TaskCancelled(req(n)));
             b.pass(SECOND / 5);
         }
     }
@@ -183,24 +183,24 @@
 #[test]
 fn tasks_refused_for_room_are_held_back_while_the_fleet_is_full() {
     let mut b = Bench::new(settings(100));
-    let mut list: Vec<Entry> = (0..4).map(|n| entry(n, HostState::Up)).collect();
+    let mut list: Vec<Endpoint> = (0..4).map(|n| entry(n, EndpointState::Up)).collect();
     list.iter_mut()
         .for_each(|e| (e.free_cores, e.free_memory) = (4.0, -14.0));
-    b.give(Event::Members {
-        kind: ListKind::Full,
-        entries: list,
+    b.give(Event::EndpointsChanged {
+        kind: UpdateKind::Complete,
+        endpoints: list,
     });
     let mut again = 0;
     let mut answered = BTreeSet::new();
     for n in 0..30 {
         let actions = b.ask(task(n, n as u64));
         for at in sends(&actions) {
-            again += sends(&b.end(n, 0, &at, Outcome::Full, Detail::NoMemory)).len();
+            again += sends(&b.end(n, 0, &at, Outcome::Rejected, OutcomeDetail::NoMemory)).len();
         }
     }
     assert!(again <= 3, "{again} of 30 offered again at once");
     let back = |n: usize| Task {
-        came_back: true,
+        is_returning: true,
         ..task(n, n as u64)
     };
     let returned: usize = (100..130).map(|n| sends(&b.ask(back(n))).len()).sum();
@@ -209,7 +209,7 @@
         "{returned} of 30 that came back offered at once (iae28a3)"
     );
     for a in untimed(b.pass(6 * SECOND)) {
-        if let Action::Refuse { id, .. } = a {
+        if let Action::Reject { id, .. } = a {
             assert!(answered.insert(id));
         }
     }
@@ -223,13 +223,13 @@
     for seed in 0..40 {
         let mut placer = Placer::new(settings(200), seed);
         let mut out = Vec::new();
-        let mut list: Vec<Entry> = (0..2).map(|n| entry(n, HostState::Up)).collect();
+        let mut list: Vec<Endpoint> = (0..2).map(|n| entry(n, EndpointState::Up)).collect();
         (list[0].free_cores, list[1].free_cores) = (8.0, 16.0);
         placer.handle(
             0,
-            &Event::Members {
-                kind: ListKind::Full,
-                entries: list,
+            &Event::EndpointsChanged {
+                kind: UpdateKind::Complete,
+                endpoints: list,
             },
             &mut out,
         );
@@ -238,19 +238,20 @@
             out.clear();
             let mut heavy = task(n, n as u64);
             (heavy.cores, heavy.memory) = (9.0, 1.0);
-            placer.handle(now, &Event::Request(heavy), &mut out);
+            placer.handle(now, &Event::TaskRequested(heavy), &mut out);
             for at in sends(&out) {
                 fuller += usize::from(n >= 4 && at == host(0));
                 let (id, attempt, elapsed) = (req(n), 0, MS);
-                let first = Event::First {
+                let first = Event::AttemptStarted {
                     id: id.clone(),
                     attempt,
                     host: at.clone(),
                     elapsed,
                 };
                 placer.handle(now, &first, &mut out);
-                let (outcome, detail, report) = (Outcome::Ok, Detail::None, Vec::new());
-                let end = Event::Outcome {
+                let (outcome, detail, report) =
+                    (Outcome::Completed, OutcomeDetail::Unknown, Vec::new());
+                let end = Event::AttemptEnded {
                     id,
                     attempt,
                     host: at,
@@ -258,7 +259,7 @@
                     detail,
                     done: true,
                     elapsed,
-                    report,
+                    load_report: report,
                 };
                 placer.handle(now, &end, &mut out);
             }
@@ -278,7 +279,7 @@
     let mut out = Vec::new();
     for n in 0..30 {
         let mut t = task(n, n as u64 % 5);
-        t.budget = SECOND + n as i64 * SECOND / 10;
+        t.time_budget = SECOND + n as i64 * SECOND / 10;
         out.extend(b.ask(t));
     }
     let first: Vec<_> = sends(&out);
@@ -287,8 +288,8 @@
     let mut seen = BTreeMap::new();
     for a in &out {
         match a {
-            Action::Send { id, .. } => *seen.entry((id.clone(), "sent")).or_insert(0) += 1,
-            Action::Refuse { id, .. } | Action::Fail { id } => {
+            Action::SendAttempt { id, .. } => *seen.entry((id.clone(), "sent")).or_insert(0) += 1,
+            Action::Reject { id, .. } | Action::Fail { id } => {
                 *seen.entry((id.clone(), "answered")).or_insert(0) += 1;
             }
             _ => {}
@@ -307,11 +308,11 @@
 #[test]
 fn homes_are_won_by_what_a_machine_holds() {
     let mut s = settings(1);
-    s.kinds.push(Kind {
+    s.host_kinds.push(HostKind {
         cores: 96.0,
         memory: 192.0,
     });
-    let mut list: Vec<Entry> = (0..2).map(|n| entry(n, HostState::Up)).collect();
+    let mut list: Vec<Endpoint> = (0..2).map(|n| entry(n, EndpointState::Up)).collect();
     (list[1].kind, list[1].free_cores, list[1].free_memory) = (KindId(1), 96.0, 192.0);
     // Enough is asked for that both are in the set.
     (list[0].free_cores, list[0].free_memory) = (8.0, 16.0);
@@ -322,13 +323,13 @@
         let mut out = Vec::new();
         placer.handle(
             0,
-            &Event::Members {
-                kind: ListKind::Full,
-                entries: list.clone(),
+            &Event::EndpointsChanged {
+                kind: UpdateKind::Complete,
+                endpoints: list.clone(),
             },
             &mut out,
         );
-        placer.handle(MS, &Event::Request(task(1, service)), &mut out);
+        placer.handle(MS, &Event::TaskRequested(task(1, service)), &mut out);
         large += usize::from(sends(&out) == vec![host(1)]);
     }
     assert!(
@@ -342,7 +343,7 @@
 fn a_task_pushed_out_before_it_ran_is_no_fault_of_the_machine() {
     let mut b = Bench::with(settings(1), 1);
     let at = sends(&b.ask(of(1, 1, 0, 0)));
-    b.end(1, 0, &at[0], Outcome::Full, Detail::PushedOut);
+    b.end(1, 0, &at[0], Outcome::Rejected, OutcomeDetail::Preempted);
     assert_eq!(sends(&b.ask(of(2, 2, 0, 0))), at);
 }
 
@@ -351,7 +352,7 @@
 #[test]
 fn waves_of_drains_with_cold_replacements_are_ridden_out() {
     let mut s = settings(20);
-    s.cold_sends = 60.0;
+    s.slow_start_attempts = 60.0;
     let mut b = Bench::with(s, 8);
     let mut cold_offers = 0;
     let mut lost = 0;
@@ -368,22 +369,22 @@
         let leaving: Vec<usize> = (wave * 3..wave * 3 + 3).collect();
         let drained = leaving
             .iter()
-            .map(|n| entry(*n, HostState::Draining))
+            .map(|n| entry(*n, EndpointState::Draining))
             .collect();
-        b.give(Event::Members {
-            kind: ListKind::Delta,
-            entries: drained,
+        b.give(Event::EndpointsChanged {
+            kind: UpdateKind::Delta,
+            endpoints: drained,
         });
         let new = leaving
             .iter()
-            .map(|n| Entry {
-                ready_at: b.now,
-                ..entry(n + 20, HostState::Up)
+            .map(|n| Endpoint {
+                started_at: b.now,
+                ..entry(n + 20, EndpointState::Up)
             })
             .collect();
-        b.give(Event::Members {
-            kind: ListKind::Delta,
-            entries: new,
+        b.give(Event::EndpointsChanged {
+            kind: UpdateKind::Delta,
+            endpoints: new,
         });
         for (n, at) in placed {
             let gone = leaving.iter().any(|m| host(*m) == at);
@@ -391,14 +392,18 @@
                 n,
                 0,
                 &at,
-                if gone { Outcome::Reset } else { Outcome::Ok },
-                Detail::SentAway,
+                if gone {
+                    Outcome::Reset
+                } else {
+                    Outcome::Completed
+                },
+                OutcomeDetail::Drained,
                 true,
             );
             if gone {
                 lost += 1;
                 let back = Task {
-                    came_back: true,
+                    is_returning: true,
                     ..of(n + 50, n as u64 % 9, 0, 0)
                 };
                 for to in sends(&b.ask(back)) {
@@ -408,7 +413,7 @@
                     );
                     cold_offers += usize::from(to.0[1..].parse::<usize>().unwrap() >= 20);
                     b.first(n + 50, 0, &to);
-                    b.end(n + 50, 0, &to, Outcome::Ok, Detail::None);
+                    b.end(n + 50, 0, &to, Outcome::Completed, OutcomeDetail::Unknown);
                 }
             }
         }
