--- a/src/facade/mod.rs
+++ b/src/facade/mod.rs
@@ -14,10 +14,10 @@
 use crate::operation::company::Share;
 use crate::overload::{self, Overload, Parts};
 use crate::placement::{
-    Action, ClassId, Event, HostId, Limit, Micros, Outcome, RequestId, Resources, ServiceId,
-    Settings, Task, TaskKey, TenantId, TimerToken, UpdateKind,
+    Action, ClassId, Event, HostId, Limit, Micros, Outcome, Placer, RequestId, Resources,
+    ServiceId, Settings, Task, TaskKey, TenantId, TimerToken, UpdateKind,
 };
-use crate::policy::Placer;
+
 use crate::settings::Names;
 use request::{ClassLimits, check_tenant};
 use std::collections::{BTreeSet, VecDeque};
@@ -127,7 +127,7 @@
 
     /// Number of listed hosts that get no attempts now, whatever is requested: they drain, or are ejected.
     pub fn unavailable_hosts(&self) -> usize {
-        self.placer.avoided()
+        self.placer.unavailable_hosts()
     }
 
     /// Cores and memory of a mean task, if the endpoint list shows the hosts' free resources.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -49,13 +49,10 @@
 pub mod descriptors;
 pub mod facade;
 pub mod health;
-mod ledger;
 pub mod operation;
 pub mod overload;
 pub mod placement;
-mod policy;
 pub mod settings;
-mod working_set;
+mod state;
 
 pub use placement::*;
-pub use policy::{Placer, scd_probabilities};
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -882,5 +882,5 @@
 }
 
 fn hash_of(host: &HostId) -> u64 {
-    crate::ledger::hash_of(host)
+    crate::state::hash::hash_host(host)
 }
--- a/src/overload/turns.rs
+++ b/src/overload/turns.rs
@@ -115,5 +115,5 @@
 
 /// Mixes two hashes into one whose bits are all of use.
 pub(super) fn mix(a: u64, b: u64) -> u64 {
-    crate::ledger::mix(a, b)
+    crate::state::hash::combine_hashes(a, b)
 }
--- /dev/null
+++ b/src/placement/admission.rs
@@ -0,0 +1,93 @@
+//! Load shedding: which requests are admitted, which are given up, and the limits that the fleet imposes.
+
+use super::{Action, Limit, Micros, Placer, RequestId, Task};
+use crate::state::imposed_limits::Admission;
+
+impl Placer {
+    /// Whether a request is admitted. All placers shed the same tasks. A shed task does not count as an arrival.
+    pub(super) fn admits(&self, task: &Task) -> bool {
+        task.shed_rank < self.limits.admission.admit_below
+    }
+
+    /// Takes limits from outside. If there is more capacity than before, waiting requests are tried again.
+    pub(super) fn limits_changed(&mut self, limits: &[Limit], actions: &mut Vec<Action>) {
+        let mut has_more_capacity = false;
+        for limit in limits {
+            has_more_capacity |= self.apply_limit(limit);
+        }
+        if has_more_capacity && !self.tasks.waiting.is_empty() {
+            self.retry_waiting(actions);
+        }
+    }
+
+    /// Returns whether the limit leaves more capacity than the one before.
+    fn apply_limit(&mut self, limit: &Limit) -> bool {
+        match limit {
+            Limit::HostConcurrency {
+                host,
+                max_in_flight,
+                health_check,
+            } => {
+                if *health_check && let Some(index) = self.hosts.index_of(host) {
+                    self.health.forget(index);
+                }
+                self.hosts.limit_host(host, *max_in_flight)
+            }
+            Limit::TotalConcurrency {
+                max_in_flight,
+                has_capacity_again,
+            } => {
+                let is_higher = self.limits.limit_total(*max_in_flight);
+                *has_capacity_again || is_higher
+            }
+            Limit::Admission {
+                admit_below,
+                give_up_after,
+            } => self.limits.limit_admission(Admission {
+                admit_below: *admit_below,
+                give_up_after: *give_up_after,
+            }),
+            Limit::NoRetry(id) => {
+                if let Some(record) = self.tasks.records.get_mut(id) {
+                    record.no_retry = true;
+                }
+                false
+            }
+            Limit::Processes {
+                process_count,
+                process_index,
+            } => {
+                self.limits.set_processes(*process_count, *process_index);
+                true
+            }
+        }
+    }
+
+    /// Whether, under pressure, a task has waited too long to start in time. It makes way for those that can.
+    pub(super) fn is_hopeless(&self, id: &RequestId) -> bool {
+        let Some(give_up_after) = self.limits.admission.give_up_after else {
+            return false;
+        };
+        let Some(record) = self.tasks.records.get(id) else {
+            return false;
+        };
+        let objective = self.settings.classes[record.task.class.0].latency_objective;
+        let waited = self.now - record.requested_at;
+        record.current_attempt.is_none() && waited as f64 > give_up_after * objective as f64
+    }
+
+    /// The Retry-After of a rejection: once the attempts that are in flight now have had time to start.
+    ///
+    /// Covers retries that cannot find anything new.
+    pub(super) fn retry_after(&self, task: &Task) -> Micros {
+        if !self.settings.allows_retry_after {
+            return 0;
+        }
+        let retry_after = if task.retry_after > 0 {
+            task.retry_after
+        } else {
+            self.shortest_objective
+        };
+        retry_after.min(self.settings.max_retry_after)
+    }
+}
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,14 +1,46 @@
-//! The events, actions and settings of the decision module.
+//! The decision module: which host gets a task, whether an attempt is retried, and which requests are rejected.
+//!
+//! [`Placer`] is a state machine without I/O: events and the time go in ([`Event`]), actions come out ([`Action`]).
+//! It keeps no clock, opens no connection and starts no thread. The same settings, seed and events give the same
+//! actions. What it remembers between events is in [`crate::state`], which decides nothing.
+//!
+//! The path of a request, and the module of each step:
+//!
+//! | step | module |
+//! | --- | --- |
+//! | A request arrives, is shed or queued; its final response | `requests`, `admission` |
+//! | Hosts that may get it: hard rules, then preferences | `eligibility`, `slow_start`, `outlier_ejection` |
+//! | One of them is drawn by stochastic coordination (SCD) | `host_selection`, `arrival_rate`, `scd` |
+//! | The attempt, its timeout and its outcome | `attempts`, `concurrency_window` |
+//! | What may follow the outcome | `retry` |
+//! | Which hosts are in use at all | `working_set_selection`, `load_estimate` |
+//! | The endpoint list and the hosts' load reports | `endpoints`, `health_checks` |
 
 mod action;
+mod admission;
+mod arrival_rate;
 mod attempt;
+mod attempts;
+mod concurrency_window;
+mod eligibility;
 mod endpoint;
+mod endpoints;
 mod event;
+mod health_checks;
+mod host_selection;
 mod ids;
 mod limits;
+mod load_estimate;
+mod outlier_ejection;
+mod placer;
+mod requests;
 mod resources;
+mod retry;
+mod scd;
 mod settings;
+mod slow_start;
 mod task;
+mod working_set_selection;
 
 pub use action::Action;
 pub use attempt::{Outcome, OutcomeDetail, TaskReport};
@@ -19,7 +51,9 @@
     ZoneId,
 };
 pub use limits::Limit;
+pub use placer::Placer;
 pub use resources::{ResourceKind, Resources};
+pub use scd::{HostLoad, scd_probabilities};
 pub use settings::{
     Acknowledgement, HostKind, Idempotency, KeyScope, LoadReportField, Settings, SpreadDomain,
     TaskClass, Tenant,
--- /dev/null
+++ b/src/placement/working_set_selection.rs
@@ -0,0 +1,113 @@
+//! Which hosts are in use: the working set, and for each service the members that it prefers.
+//!
+//! Every placer selects alike from the endpoint list, so that idle hosts stay idle without any coordination messages.
+
+use super::eligibility::MAX_FULLNESS;
+use super::load_estimate::ASSUMED_USAGE_RATIO;
+use super::{EndpointState, Placer, ServiceId};
+use crate::state::hash::combine_hashes;
+use crate::state::health_book::Scope;
+use crate::state::hosts::HostIndex;
+use crate::state::working_set::HostContribution;
+use itertools::Itertools;
+
+/// The working set holds the load of all tasks filled to this fraction.
+const WORKING_SET_FILL: f64 = 0.6;
+/// Steps of fullness by which hosts are ordered: coarse, so that late load reports order them alike.
+const RANK_STEPS: f64 = 4.0;
+/// Hosts that are fuller than this count alike in the order.
+const MAX_RANKED_FULLNESS: f64 = 0.5;
+/// Members that are ranked for a service; beyond them all members are considered.
+const MAX_AFFINITY_HOSTS: usize = 8;
+/// Bits of a hash that a rank uses: as many as an `f64` holds exactly.
+const RANK_BITS: u32 = 53;
+
+impl Placer {
+    /// Selects the hosts that all tasks need: fuller ones first (in coarse steps), then by id. Grows with demand. Only what
+    /// has changed since the last selection is computed again.
+    pub(super) fn select_working_set(&mut self) {
+        self.hosts
+            .changed
+            .extend(self.health.take_changed(self.now));
+        for index in std::mem::take(&mut self.hosts.changed) {
+            self.update_contribution(index);
+        }
+        if self.working_set.select(WORKING_SET_FILL) {
+            self.working_set.affinity.clear();
+        }
+    }
+
+    fn update_contribution(&mut self, index: HostIndex) {
+        let contribution = self.contribution(index);
+        self.working_set
+            .update(index, &self.hosts.hosts[index].id, contribution);
+    }
+
+    /// What a host contributes to the working set.
+    fn contribution(&self, index: HostIndex) -> HostContribution {
+        let host = &self.hosts.hosts[index];
+        let usage_ratio = self.working_set.usage_ratio;
+        let fullness = self.fullness_at(host, host.requested(), usage_ratio);
+        let size = self.size_in_tasks(host);
+        let max_tasks = size * self.full_service_utilization() / usage_ratio.cores;
+        let is_up = host.state == EndpointState::Up;
+        let is_healthy = is_up && !self.is_ejected(index, Scope::Host);
+        HostContribution {
+            is_up,
+            rank: is_healthy.then_some(-(fullness.min(MAX_RANKED_FULLNESS) * RANK_STEPS) as i64),
+            size,
+            load: if host.state == EndpointState::Removed {
+                0.0
+            } else {
+                fullness * size
+            },
+            free_capacity: if is_healthy {
+                (MAX_FULLNESS - fullness).max(0.0) * max_tasks
+            } else {
+                0.0
+            },
+        }
+    }
+
+    /// Adopts the usage ratio that was learned since the last tick. It changes with each usage report but is adopted at
+    /// ticks only, since every host's contribution depends on it.
+    pub(super) fn adopt_usage_ratio(&mut self) {
+        let usage_ratio = self.usage_ratio();
+        if usage_ratio != self.working_set.usage_ratio {
+            self.working_set.usage_ratio = usage_ratio;
+            for index in 0..self.hosts.hosts.len() {
+                self.update_contribution(index);
+            }
+        }
+    }
+
+    /// Ranks the members for a service by rendezvous hashing, unless it is ranked already.
+    ///
+    /// Every placer ranks alike. Hosts win by the mean tasks they hold, and one that is added or removed moves only
+    /// the services that it wins or held.
+    pub(super) fn rank_affinity_hosts(&mut self, service: ServiceId) {
+        if self.working_set.affinity.contains_key(&service) {
+            return;
+        }
+        let ranked = self
+            .working_set
+            .members()
+            .map(|index| (self.affinity_rank(index, service), index))
+            .k_smallest_by(MAX_AFFINITY_HOSTS, |first, second| {
+                first.0.total_cmp(&second.0).then(first.1.cmp(&second.1))
+            });
+        let hosts = ranked.map(|(_, index)| index).collect();
+        self.working_set.affinity.insert(service, hosts);
+    }
+
+    /// A member's rank for a service; the lowest wins.
+    fn affinity_rank(&self, index: HostIndex, service: ServiceId) -> f64 {
+        let host = &self.hosts.hosts[index];
+        let draw = (combine_hashes(host.hash, service.0) >> (u64::BITS - RANK_BITS)) as f64 + 1.0;
+        let fullness_per_task = self.fullness_at(host, self.mean_task(), ASSUMED_USAGE_RATIO);
+        (f64::from(RANK_BITS) - draw.log2()) * fullness_per_task
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/src/state/working_set/tests.rs
+++ b/src/state/working_set/tests.rs
@@ -1,127 +1,192 @@
-//! The set that is kept, against one that is chosen anew from the same parts.
+//! The set that is kept up to date, against one that is selected from scratch from the same contributions.
 
 use super::*;
 use proptest::prelude::*;
 use std::sync::Arc;
 
-fn id(at: Place) -> HostId {
-    HostId(Arc::from(format!("m{at:03}")))
+const HOSTS: usize = 24;
+
+/// A selection from scratch.
+struct Selection {
+    members: Vec<HostIndex>,
+    size: f64,
+    load: f64,
+}
+
+/// A change of one host, and whether members are selected after it.
+#[derive(Debug, Clone)]
+struct Change {
+    host: HostIndex,
+    contribution: HostContribution,
+    fill: f64,
+    selects: bool,
+}
+
+fn id(index: HostIndex) -> HostId {
+    HostId(Arc::from(format!("m{index:03}")))
 }
 
-/// The members and their size and load, by sorting everything.
-fn anew(parts: &[Option<Part>], fill: f64) -> (Vec<Place>, f64, f64) {
-    let need = value(parts.iter().flatten().map(|part| steps(part.need)).sum());
-    let mut order: Vec<(i64, HostId, Place)> = Vec::new();
-    for (at, part) in parts.iter().enumerate() {
-        if let Some(rank) = part.and_then(|part| part.rank) {
-            order.push((rank, id(at), at));
+/// Selects members by sorting all hosts.
+fn select_from_scratch(contributions: &[Option<HostContribution>], fill: f64) -> Selection {
+    let known = contributions.iter().flatten();
+    let total_load = from_units(known.map(|contribution| to_units(contribution.load)).sum());
+    let mut order: Vec<(i64, HostId, HostIndex)> = Vec::new();
+    for (index, contribution) in contributions.iter().enumerate() {
+        if let Some(rank) = contribution.and_then(|contribution| contribution.rank) {
+            order.push((rank, id(index), index));
         }
     }
     order.sort();
-    let (mut members, mut size, mut load) = (Vec::new(), 0, 0);
-    for (_, _, at) in order {
-        if value(size) * fill >= need && !members.is_empty() {
+    let mut members = Vec::new();
+    let mut size = 0;
+    let mut load = 0;
+    for (_, _, index) in order {
+        if from_units(size) * fill >= total_load && !members.is_empty() {
             break;
         }
-        let Some(part) = parts[at] else { continue };
-        size += steps(part.size);
-        load += steps(part.need);
-        members.push(at);
+        let Some(contribution) = contributions[index] else {
+            continue;
+        };
+        size += to_units(contribution.size);
+        load += to_units(contribution.load);
+        members.push(index);
+    }
+    Selection {
+        members,
+        size: from_units(size),
+        load: from_units(load),
     }
-    (members, value(size), value(load))
 }
 
-fn part() -> impl Strategy<Value = Part> {
+fn contribution() -> impl Strategy<Value = HostContribution> {
     let rank = prop_oneof![1 => Just(None), 4 => (-2..=0i64).prop_map(Some)];
     (any::<bool>(), rank, 0.1..40.0, 0.0..40.0, 0.0..40.0).prop_map(
-        |(up, rank, size, need, room)| Part {
-            up,
+        |(is_up, rank, size, load, free_capacity)| HostContribution {
+            is_up,
             rank,
             size,
-            need,
-            room,
+            load,
+            free_capacity,
         },
     )
 }
 
+fn change() -> impl Strategy<Value = Change> {
+    (0..HOSTS, contribution(), 0.02..4.0, any::<bool>()).prop_map(
+        |(host, contribution, fill, selects)| Change {
+            host,
+            contribution,
+            fill,
+            selects,
+        },
+    )
+}
+
+fn sorted(mut hosts: Vec<HostIndex>) -> Vec<HostIndex> {
+    hosts.sort_unstable();
+    hosts
+}
+
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Whatever parts come in whatever order, and whatever suffices meanwhile, members, sums and the word on changes
-    /// are those of a choice from scratch.
+    /// Whatever contributions come in whatever order, and whatever suffices meanwhile: members, sums and the report of
+    /// changes are those of a selection from scratch.
     #[test]
-    fn the_kept_set_is_the_set_chosen_anew(
-        steps_taken in prop::collection::vec((0..24usize, part(), 0.02..4.0, any::<bool>()), 1..120)
-    ) {
+    fn kept_set_equals_the_set_selected_from_scratch(changes in prop::collection::vec(change(), 1..120)) {
         let mut set = WorkingSet::default();
-        let mut parts: Vec<Option<Part>> = vec![None; 24];
-        let mut before: Vec<Place> = Vec::new();
-        for (at, part, fill, cut) in steps_taken {
-            set.put(at, &id(at), part);
-            parts[at] = Some(part);
-            if !cut {
+        let mut contributions: Vec<Option<HostContribution>> = vec![None; HOSTS];
+        let mut members_before: Vec<HostIndex> = Vec::new();
+        for Change { host, contribution, fill, selects } in changes {
+            set.update(host, &id(host), contribution);
+            contributions[host] = Some(contribution);
+            if !selects {
                 continue;
             }
-            let changed = set.cut(fill);
-            let (members, size, load) = anew(&parts, fill);
+
+            let changed = set.select(fill);
+
+            let Selection { members, size, load } = select_from_scratch(&contributions, fill);
             prop_assert_eq!(set.members().collect::<Vec<_>>(), members.clone());
             prop_assert_eq!(set.size(), size);
-            prop_assert_eq!(set.mean(), load / size.max(f64::MIN_POSITIVE));
-            let listed = || parts.iter().flatten();
-            prop_assert_eq!(set.need, listed().map(|part| steps(part.need)).sum::<Steps>());
-            prop_assert_eq!(set.room(), value(listed().map(|part| steps(part.room)).sum()));
-            let up: Vec<Place> = (0..parts.len()).filter(|at| parts[*at].is_some_and(|p| p.up)).collect();
-            prop_assert_eq!(set.up().collect::<Vec<_>>(), up);
-            let contained: Vec<bool> = (0..parts.len()).map(|at| set.contains(at, &id(at))).collect();
-            let expected: Vec<bool> = (0..parts.len()).map(|at| members.contains(&at)).collect();
+            prop_assert_eq!(set.mean_fullness(), load / size.max(f64::MIN_POSITIVE));
+            let known = || contributions.iter().flatten();
+            prop_assert_eq!(set.total_load, known().map(|known| to_units(known.load)).sum::<Units>());
+            let free_capacity = known().map(|known| to_units(known.free_capacity)).sum();
+            prop_assert_eq!(set.free_capacity(), from_units(free_capacity));
+            let is_up = |index: &HostIndex| contributions[*index].is_some_and(|known| known.is_up);
+            prop_assert_eq!(set.hosts_up().collect::<Vec<_>>(), (0..HOSTS).filter(is_up).collect::<Vec<_>>());
+            let contained: Vec<bool> = (0..HOSTS).map(|index| set.contains(index, &id(index))).collect();
+            let expected: Vec<bool> = (0..HOSTS).map(|index| members.contains(&index)).collect();
             prop_assert_eq!(contained, expected);
-            let (mut old, mut new) = (before, members.clone());
-            old.sort_unstable();
-            new.sort_unstable();
-            prop_assert!(changed || old == new, "members changed and nobody was told");
-            before = members;
+            let same_members = sorted(members_before) == sorted(members.clone());
+            prop_assert!(changed || same_members, "members changed and it was not reported");
+            members_before = members;
         }
     }
 }
 
-#[test]
-fn one_machine_at_least_is_chosen_and_all_where_none_suffice() {
-    let part = Part {
-        up: true,
+fn set_of_five() -> WorkingSet {
+    let contribution = HostContribution {
+        is_up: true,
         rank: Some(0),
         size: 1.0,
-        need: 0.5,
-        room: 2.0,
+        load: 0.5,
+        free_capacity: 2.0,
     };
     let mut set = WorkingSet::default();
-    assert!(!set.cut(1.0), "no machine, no member");
-    (0..5).for_each(|at| set.put(at, &id(at), part));
-    assert!(set.cut(1e9));
+    for index in 0..5 {
+        set.update(index, &id(index), contribution);
+    }
+    set
+}
+
+#[test]
+fn no_host_gives_no_member() {
+    let mut set = WorkingSet::default();
+
+    assert!(!set.select(1.0), "no host, no member");
+}
+
+#[test]
+fn at_least_one_host_is_selected() {
+    let mut set = set_of_five();
+
+    assert!(set.select(1e9));
+
     assert_eq!(set.members().collect::<Vec<_>>(), [0]);
-    assert!(set.cut(0.0));
+}
+
+#[test]
+fn all_hosts_are_selected_if_they_do_not_suffice() {
+    let mut set = set_of_five();
+    assert!(set.select(1e9));
+
+    assert!(set.select(0.0));
+
     assert_eq!(set.members().count(), 5);
-    assert!(!set.cut(0.0), "nothing has changed");
+    assert!(!set.select(0.0), "nothing has changed");
 }
 
 #[test]
-fn figures_without_bounds_do_not_overflow() {
-    let odd = [f64::MAX, f64::INFINITY, f64::NAN, -f64::MAX, 0.0];
+fn extreme_contributions_do_not_overflow() {
+    let extremes = [f64::MAX, f64::INFINITY, f64::NAN, -f64::MAX, 0.0];
     let mut set = WorkingSet::default();
+
     for round in 0..3 {
-        for (at, size) in odd.into_iter().cycle().skip(round).take(50).enumerate() {
-            set.put(
-                at,
-                &id(at),
-                Part {
-                    up: true,
-                    rank: Some(0),
-                    size,
-                    need: size,
-                    room: size,
-                },
-            );
-            set.cut(0.5);
+        let values = extremes.into_iter().cycle().skip(round).take(50);
+        for (index, value) in values.enumerate() {
+            let contribution = HostContribution {
+                is_up: true,
+                rank: Some(0),
+                size: value,
+                load: value,
+                free_capacity: value,
+            };
+            set.update(index, &id(index), contribution);
+            set.select(0.5);
         }
     }
-    assert!(set.size().is_finite() && set.mean().is_finite());
+
+    assert!(set.size().is_finite() && set.mean_fullness().is_finite());
 }
--- a/tests/decision_module.rs
+++ b/tests/decision_module.rs
@@ -1,9 +1,23 @@
-//! The decisions stand in files that the deploy file names, and these stay small enough to be read on call.
+//! The deploy file names all files of the decision logic, and they stay short enough to be read on call.
 
+use std::collections::BTreeSet;
 use std::path::Path;
 
+/// Files of `src/placement` that hold types only.
+const TYPE_FILES: [&str; 10] = [
+    "action.rs",
+    "attempt.rs",
+    "endpoint.rs",
+    "event.rs",
+    "ids.rs",
+    "limits.rs",
+    "mod.rs",
+    "resources.rs",
+    "settings.rs",
+    "task.rs",
+];
 /// Lines that a file of decisions may have.
-const MAX_LINES: usize = 1_200;
+const MAX_LINES: usize = 400;
 
 /// The files that `policy` in `deploy/balancer.toml` names.
 fn decision_files() -> Vec<String> {
@@ -20,7 +34,7 @@
 }
 
 #[test]
-fn every_file_of_decisions_is_listed_and_stays_short() {
+fn listed_files_exist_and_stay_short() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR"));
     let files = decision_files();
     assert!(!files.is_empty());
@@ -34,3 +48,24 @@
         );
     }
 }
+
+#[test]
+fn every_file_of_decisions_is_listed() {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("src/placement");
+    let entries = std::fs::read_dir(folder).expect("the folder of the decision module");
+    let names = entries.map(|entry| {
+        entry
+            .expect("an entry")
+            .file_name()
+            .into_string()
+            .expect("UTF-8")
+    });
+    let decisions: BTreeSet<String> = names
+        .filter(|name| name.ends_with(".rs") && !TYPE_FILES.contains(&name.as_str()))
+        .map(|name| format!("src/placement/{name}"))
+        .collect();
+
+    let listed: BTreeSet<String> = decision_files().into_iter().collect();
+
+    assert_eq!(listed, decisions);
+}
--- a/tests/scd.rs
+++ b/tests/scd.rs
@@ -1,27 +1,32 @@
-//! SCD against an exhaustive search over subsets, hand-worked examples and the edges.
+//! SCD against an exhaustive search over subsets, hand-worked examples and extreme input.
 
-use task_placer::scd_probabilities;
+use task_placer::{HostLoad, scd_probabilities};
 
-/// The paper's objective for given probabilities: sum of ((a-1)p^2 + (2(q - mu*iwl) + 1)p) / mu.
-fn objective(machines: &[(f64, f64)], p: &[f64], a: f64, iwl: f64) -> f64 {
-    let term = |(&(q, mu), &p): (&(f64, f64), &f64)| {
-        ((a - 1.0) * p * p + (2.0 * (q - mu * iwl) + 1.0) * p) / mu
+fn host(load: f64, size: f64) -> HostLoad {
+    HostLoad { load, size }
+}
+
+/// The objective of the published method: the sum of ((a-1)p^2 + (2(q - mu*iwl) + 1)p) / mu over all hosts.
+fn objective(hosts: &[HostLoad], probabilities: &[f64], arrivals: f64, ideal_workload: f64) -> f64 {
+    let term = |(host, p): (&HostLoad, &f64)| {
+        let excess = 2.0 * (host.load - host.size * ideal_workload) + 1.0;
+        ((arrivals - 1.0) * p * p + excess * p) / host.size
     };
-    machines.iter().zip(p).map(term).sum()
+    hosts.iter().zip(probabilities).map(term).sum()
 }
 
-/// The level at which the machines below it take `a` tasks, by bisection.
-fn level(machines: &[(f64, f64)], a: f64) -> f64 {
-    let spent = |w: f64| {
-        machines
+/// The level at which the hosts below it take all arrivals, by bisection.
+fn ideal_workload(hosts: &[HostLoad], arrivals: f64) -> f64 {
+    let taken_up_to = |level: f64| {
+        let taken = hosts
             .iter()
-            .map(|&(q, mu)| (mu * w - q).max(0.0))
-            .sum::<f64>()
+            .map(|host| (host.size * level - host.load).max(0.0));
+        taken.sum::<f64>()
     };
     let (mut low, mut high) = (0.0, 1e6);
     for _ in 0..200 {
         let middle = (low + high) / 2.0;
-        if spent(middle) < a {
+        if taken_up_to(middle) < arrivals {
             low = middle
         } else {
             high = middle
@@ -31,79 +36,97 @@
 }
 
 /// The best objective over all subsets whose stationary point has no negative probability.
-fn exhaustive(machines: &[(f64, f64)], a: f64) -> f64 {
-    let iwl = level(machines, a);
+fn best_objective(hosts: &[HostLoad], arrivals: f64) -> f64 {
+    let level = ideal_workload(hosts, arrivals);
     let mut best = f64::INFINITY;
-    for mask in 1u32..(1 << machines.len()) {
-        let members: Vec<usize> = (0..machines.len()).filter(|i| mask >> i & 1 == 1).collect();
-        let mus: f64 = members.iter().map(|&i| machines[i].1).sum();
-        let room: f64 = members
+    for mask in 1u32..(1 << hosts.len()) {
+        let members: Vec<usize> = (0..hosts.len())
+            .filter(|index| mask >> index & 1 == 1)
+            .collect();
+        let size: f64 = members.iter().map(|&index| hosts[index].size).sum();
+        let room = members
             .iter()
-            .map(|&i| machines[i].1 * iwl - machines[i].0)
-            .sum();
-        let l = (2.0 * room - members.len() as f64 - 2.0 * (a - 1.0)) / mus;
-        let mut p = vec![0.0; machines.len()];
-        for &i in &members {
-            let (q, mu) = machines[i];
-            p[i] = (2.0 * (mu * iwl - q) - 1.0 - mu * l) / (2.0 * (a - 1.0));
+            .map(|&index| hosts[index].size * level - hosts[index].load);
+        let room: f64 = room.sum();
+        let multiplier = (2.0 * room - members.len() as f64 - 2.0 * (arrivals - 1.0)) / size;
+        let mut probabilities = vec![0.0; hosts.len()];
+        for &index in &members {
+            let HostLoad { load, size } = hosts[index];
+            let numerator = 2.0 * (size * level - load) - 1.0 - size * multiplier;
+            probabilities[index] = numerator / (2.0 * (arrivals - 1.0));
         }
-        if p.iter().all(|&x| x >= -1e-9) {
-            best = best.min(objective(machines, &p, a, iwl));
+        if probabilities.iter().all(|&p| p >= -1e-9) {
+            best = best.min(objective(hosts, &probabilities, arrivals, level));
         }
     }
     best
 }
 
-fn check(machines: &[(f64, f64)], a: f64) -> Vec<f64> {
-    let p = scd_probabilities(machines, a);
-    assert_eq!(p.len(), machines.len());
-    assert!(p.iter().all(|&x| x >= 0.0 && x.is_finite()), "{p:?}");
-    assert!((p.iter().sum::<f64>() - 1.0).abs() < 1e-9, "{p:?}");
-    p
+/// The probabilities, which are a distribution whatever the input.
+fn checked_probabilities(hosts: &[HostLoad], arrivals: f64) -> Vec<f64> {
+    let probabilities = scd_probabilities(hosts, arrivals);
+    assert_eq!(probabilities.len(), hosts.len());
+    assert!(
+        probabilities.iter().all(|&p| p >= 0.0 && p.is_finite()),
+        "{probabilities:?}"
+    );
+    assert!(
+        (probabilities.iter().sum::<f64>() - 1.0).abs() < 1e-9,
+        "{probabilities:?}"
+    );
+    probabilities
 }
 
 #[test]
 fn equals_the_exhaustive_search_on_small_cases() {
     // A small fixed generator of cases: loads and sizes of very different scale.
-    let mut x = 12345u64;
+    let mut state = 12345u64;
     let mut next = || {
-        x = x
+        state = state
             .wrapping_mul(6364136223846793005)
             .wrapping_add(1442695040888963407);
-        (x >> 33) as f64 / (1u64 << 31) as f64
+        (state >> 33) as f64 / (1u64 << 31) as f64
     };
     for case in 0..2000 {
-        let n = 1 + case % 6;
-        let machines: Vec<(f64, f64)> = (0..n)
-            .map(|_| (next() * 40.0, 0.5 + next() * 30.0))
+        let count = 1 + case % 6;
+        let hosts: Vec<HostLoad> = (0..count)
+            .map(|_| host(next() * 40.0, 0.5 + next() * 30.0))
             .collect();
-        let a = 1.0 + next() * [0.01, 1.0, 10.0, 100.0][case % 4] + 1e-6;
-        let p = check(&machines, a);
-        let iwl = level(&machines, a);
-        let found = objective(&machines, &p, a, iwl);
-        let best = exhaustive(&machines, a);
+        let arrivals = 1.0 + next() * [0.01, 1.0, 10.0, 100.0][case % 4] + 1e-6;
+
+        let probabilities = checked_probabilities(&hosts, arrivals);
+
+        let found = objective(
+            &hosts,
+            &probabilities,
+            arrivals,
+            ideal_workload(&hosts, arrivals),
+        );
+        let best = best_objective(&hosts, arrivals);
         assert!(
             (found - best).abs() <= 1e-6 * (1.0 + best.abs()),
-            "{machines:?} a={a}: {found} {best}"
+            "{hosts:?} a={arrivals}: {found} {best}"
         );
     }
 }
 
 #[test]
-fn two_equal_machines_share_evenly() {
-    let p = check(&[(3.0, 2.0), (3.0, 2.0)], 5.0);
-    assert!((p[0] - 0.5).abs() < 1e-12);
+fn two_equal_hosts_share_evenly() {
+    let probabilities = checked_probabilities(&[host(3.0, 2.0), host(3.0, 2.0)], 5.0);
+
+    assert!((probabilities[0] - 0.5).abs() < 1e-12);
 }
 
 #[test]
-fn a_hand_worked_case() {
+fn hand_worked_cases_are_met() {
     // q = (0, 2), mu = (1, 1), a = 3: IWL = 2.5. Both: L = (2*3 - 2 - 4)/2 = 0,
     // p = ((5 - 1)/4, (1 - 1)/4) = (1, 0).
-    let p = check(&[(0.0, 1.0), (2.0, 1.0)], 3.0);
+    let p = checked_probabilities(&[host(0.0, 1.0), host(2.0, 1.0)], 3.0);
     assert!((p[0] - 1.0).abs() < 1e-9 && p[1].abs() < 1e-9, "{p:?}");
+
     // q = (0, 1), mu = (1, 1), a = 3: IWL = 2. Both: L = (2*3 - 2 - 4)/2 = 0,
     // p = ((4 - 1)/4, (2 - 1)/4) = (0.75, 0.25).
-    let p = check(&[(0.0, 1.0), (1.0, 1.0)], 3.0);
+    let p = checked_probabilities(&[host(0.0, 1.0), host(1.0, 1.0)], 3.0);
     assert!(
         (p[0] - 0.75).abs() < 1e-9 && (p[1] - 0.25).abs() < 1e-9,
         "{p:?}"
@@ -111,24 +134,26 @@
 }
 
 #[test]
-fn a_of_one_takes_the_least_and_shares_ties() {
-    assert_eq!(
-        check(&[(4.0, 1.0), (1.0, 1.0), (9.0, 3.0)], 1.0),
-        vec![0.0, 1.0, 0.0]
-    );
-    assert_eq!(check(&[(1.0, 1.0), (1.0, 1.0)], 1.0), vec![0.5, 0.5]);
-    // (2q+1)/mu decides, not q/mu: the large empty machine is the least.
-    assert_eq!(check(&[(0.0, 1.0), (0.0, 8.0)], 0.2), vec![0.0, 1.0]);
+fn one_arrival_goes_to_the_least_loaded_and_ties_share_it() {
+    let hosts = [host(4.0, 1.0), host(1.0, 1.0), host(9.0, 3.0)];
+    assert_eq!(checked_probabilities(&hosts, 1.0), vec![0.0, 1.0, 0.0]);
+
+    let ties = [host(1.0, 1.0), host(1.0, 1.0)];
+    assert_eq!(checked_probabilities(&ties, 1.0), vec![0.5, 0.5]);
+
+    // (2q+1)/mu decides, not q/mu: the large empty host is the least loaded.
+    let empty = [host(0.0, 1.0), host(0.0, 8.0)];
+    assert_eq!(checked_probabilities(&empty, 0.2), vec![0.0, 1.0]);
 }
 
 #[test]
-fn edges() {
+fn extreme_input_gives_a_distribution() {
     assert!(scd_probabilities(&[], 3.0).is_empty());
-    assert_eq!(check(&[(7.0, 2.0)], 9.5), vec![1.0]);
-    check(&[(0.0, 1.0), (0.0, 1.0)], 1.0 + 1e-9);
-    check(&[(1e6, 1.0), (0.0, 1.0)], 2.5);
-    check(&[(1e6, 1e-3), (0.0, 1e3)], 40.0);
-    let p = check(&[(5.0, 10.0), (50.0, 30.0), (0.0, 20.0)], 1e9);
+    assert_eq!(checked_probabilities(&[host(7.0, 2.0)], 9.5), vec![1.0]);
+    checked_probabilities(&[host(0.0, 1.0), host(0.0, 1.0)], 1.0 + 1e-9);
+    checked_probabilities(&[host(1e6, 1.0), host(0.0, 1.0)], 2.5);
+    checked_probabilities(&[host(1e6, 1e-3), host(0.0, 1e3)], 40.0);
+    let p = checked_probabilities(&[host(5.0, 10.0), host(50.0, 30.0), host(0.0, 20.0)], 1e9);
     assert!(
         (p[0] - 10.0 / 60.0).abs() < 1e-3 && (p[2] - 20.0 / 60.0).abs() < 1e-3,
         "{p:?}"
