--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
-use task_placer::settings::{self, Names, Pairs};
+use task_placer::settings::{self, Names, SettingsByPath};
 use task_placer::{Action, Micros, Placer};
 use wire::{Fields, Problem};
 
@@ -39,7 +39,7 @@
         if f.name == "NEW_INSTANCE" {
             let seed = f.unsigned(0, "salt")?;
             let (settings, names) =
-                settings::read(&pairs(f)?).map_err(|e| f.problem(&e.field, &e.what))?;
+                settings::read(&pairs(f)?).map_err(|e| f.problem(e.path(), &e.problem()))?;
             self.instances.insert(
                 at,
                 Instance {
@@ -73,7 +73,7 @@
 }
 
 /// The `path=value` pairs that follow the seed.
-fn pairs(f: &Fields) -> Result<Pairs, Problem> {
+fn pairs(f: &Fields) -> Result<SettingsByPath, Problem> {
     let split = |pair: &&str| match pair.split_once('=') {
         Some((key, value)) => Ok((key.to_string(), value.to_string())),
         None => Err(f.problem("boot_info", &format!("not a pair: {pair}"))),
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -154,7 +154,7 @@
         .get("settings")
         .ok_or_else(|| error("settings", "missing"))?;
     let (settings, names) = settings::read(&settings::flatten(stated))
-        .map_err(|e| error(&format!("settings.{}", e.field), e.what))?;
+        .map_err(|e| error(&format!("settings.{}", e.path()), e.problem()))?;
     let known = value
         .get("known")
         .ok_or_else(|| error("known", "missing"))?;
