--- a/src/bin/simulator-adapter/wire/tests.rs
+++ b/src/bin/simulator-adapter/actions/tests.rs
@@ -1,6 +1,8 @@
-//! Tests of `wire.rs`.
+//! Every action has its line.
 
 use super::*;
+use std::sync::Arc;
+use task_placer::{HostId, RequestId, TimerToken};
 
 #[test]
 fn every_action_has_its_line() {
--- /dev/null
+++ b/src/bin/simulator-adapter/fields.rs
@@ -0,0 +1,173 @@
+//! One line of the simulator's wire, split into its message name and values.
+
+use crate::error::{InputError, Problem};
+use std::sync::Arc;
+use task_placer::settings::{millis, parse_number};
+use task_placer::{HostId, Micros, Outcome, OutcomeDetail, RequestId};
+
+/// The wire's word for a value that is not stated.
+pub const ABSENT: &str = "-";
+
+/// A line, split at tabs.
+pub struct Fields<'a> {
+    /// Its number, from 1.
+    pub line: u64,
+    /// The message name.
+    pub name: &'a str,
+    /// What follows the name.
+    pub values: Vec<&'a str>,
+}
+
+impl<'a> Fields<'a> {
+    /// Splits a line.
+    pub fn new(line: u64, text: &'a str) -> Fields<'a> {
+        let mut parts = text.split('\t');
+        Fields {
+            line,
+            name: parts.next().unwrap_or(""),
+            values: parts.collect(),
+        }
+    }
+
+    /// An error in a field of this line.
+    pub fn error(&self, field: &str, problem: Problem<'_>) -> InputError {
+        InputError::new(self.line, field, format_args!("{problem} ({})", self.name))
+    }
+
+    /// Checks the number of values.
+    pub fn expect_count(&self, expected: usize) -> Result<(), InputError> {
+        let found = self.values.len();
+        if found == expected {
+            return Ok(());
+        }
+        Err(self.error("message", Problem::WrongValueCount { found, expected }))
+    }
+
+    /// A value that is not empty.
+    pub fn text(&self, index: usize, field: &str) -> Result<&'a str, InputError> {
+        match self.values.get(index) {
+            Some(value) if !value.is_empty() => Ok(value),
+            _ => Err(self.error(field, Problem::Missing)),
+        }
+    }
+
+    /// A whole number.
+    pub fn unsigned(&self, index: usize, field: &str) -> Result<u64, InputError> {
+        let text = self.text(index, field)?;
+        text.parse()
+            .map_err(|_| self.error(field, Problem::NotWhole(text)))
+    }
+
+    /// A finite number.
+    pub fn number(&self, index: usize, field: &str) -> Result<f64, InputError> {
+        let text = self.text(index, field)?;
+        parse_number(text).ok_or_else(|| self.error(field, Problem::NotANumber(text)))
+    }
+
+    /// A finite number, or a default if it is absent.
+    pub fn number_or(&self, index: usize, field: &str, default: f64) -> Result<f64, InputError> {
+        if self.text(index, field)? == ABSENT {
+            Ok(default)
+        } else {
+            self.number(index, field)
+        }
+    }
+
+    /// A duration or time, stated in milliseconds.
+    pub fn micros(&self, index: usize, field: &str) -> Result<Micros, InputError> {
+        self.number(index, field).map(millis)
+    }
+
+    /// 0 or 1; absent is 0.
+    pub fn flag(&self, index: usize, field: &str) -> Result<bool, InputError> {
+        match self.text(index, field)? {
+            "1" => Ok(true),
+            "0" | ABSENT => Ok(false),
+            other => Err(self.error(field, Problem::NotAFlag(other))),
+        }
+    }
+
+    /// Hex digits; absent is 0.
+    pub fn hex(&self, index: usize, field: &str) -> Result<u64, InputError> {
+        let text = self.text(index, field)?;
+        if text == ABSENT {
+            return Ok(0);
+        }
+        u64::from_str_radix(text, 16).map_err(|_| self.error(field, Problem::NotHex(text)))
+    }
+
+    /// The index of a name among those that the settings state.
+    pub fn name_index(
+        &self,
+        index: usize,
+        field: &str,
+        names: &[String],
+    ) -> Result<usize, InputError> {
+        let text = self.text(index, field)?;
+        let found = names.iter().position(|name| name == text);
+        found.ok_or_else(|| self.error(field, Problem::UnknownName(text)))
+    }
+
+    /// A request's id.
+    pub fn request_id(&self, index: usize, field: &str) -> Result<RequestId, InputError> {
+        self.text(index, field)
+            .map(|text| RequestId(Arc::from(text)))
+    }
+
+    /// A host's id.
+    pub fn host_id(&self, index: usize, field: &str) -> Result<HostId, InputError> {
+        self.text(index, field).map(|text| HostId(Arc::from(text)))
+    }
+
+    /// The number of an attempt, which the wire calls `copy`.
+    pub fn attempt(&self, index: usize) -> Result<u32, InputError> {
+        let number = self.unsigned(index, "copy")?;
+        u32::try_from(number).map_err(|_| self.error("copy", Problem::TooLarge))
+    }
+
+    /// The values of a load report; none if it is absent.
+    pub fn load_report(&self, index: usize, field: &str) -> Result<Vec<f64>, InputError> {
+        let text = self.text(index, field)?;
+        if text == ABSENT {
+            return Ok(Vec::new());
+        }
+        let values = text.split(',').map(|value| match value {
+            ABSENT => Some(0.0),
+            value => parse_number(value),
+        });
+        let values: Option<Vec<f64>> = values.collect();
+        values.ok_or_else(|| self.error(field, Problem::NotNumbers(text)))
+    }
+
+    /// How an attempt ended.
+    pub fn outcome(&self, index: usize) -> Result<Outcome, InputError> {
+        match self.unsigned(index, "how")? {
+            100 => Ok(Outcome::Completed),
+            301 => Ok(Outcome::Error),
+            302 => Ok(Outcome::Rejected),
+            303 => Ok(Outcome::Timeout),
+            304 => Ok(Outcome::ConnectFailed),
+            305 => Ok(Outcome::Reset),
+            306 => Ok(Outcome::Cancelled),
+            307 => Ok(Outcome::NotSent),
+            other => Err(self.error("how", Problem::UnknownOutcome(other))),
+        }
+    }
+
+    /// Why an attempt ended so; numbers that are not known say nothing.
+    pub fn outcome_detail(&self, index: usize) -> Result<OutcomeDetail, InputError> {
+        if self.text(index, "detail")? == ABSENT {
+            return Ok(OutcomeDetail::Unknown);
+        }
+        Ok(match self.unsigned(index, "detail")? {
+            1 => OutcomeDetail::NoCores,
+            2 => OutcomeDetail::NoMemory,
+            3 => OutcomeDetail::QueueFull,
+            4 => OutcomeDetail::NotEligible,
+            5 => OutcomeDetail::Evicted,
+            6 => OutcomeDetail::Preempted,
+            7 => OutcomeDetail::Drained,
+            _ => OutcomeDetail::Unknown,
+        })
+    }
+}
