--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -25,7 +25,7 @@
 
 /// One placer of the fleet: a module that may be killed, with its clock off by so much.
 struct Instance {
-    bench: Bench,
+    placer: TestPlacer,
     settings: Settings,
     skew: Micros,
     asked: usize,
@@ -33,18 +33,18 @@
 
 impl Instance {
     fn start(settings: &Settings, skew: Micros, at: Micros, ready_at: Micros) -> Instance {
-        let mut bench = Bench::new(settings.clone());
-        bench.now = at + skew;
+        let mut placer = TestPlacer::new(settings.clone());
+        placer.now = at + skew;
         let cold = Endpoint {
             started_at: ready_at,
-            ..entry(0, EndpointState::Up)
+            ..endpoint(0, EndpointState::Up)
         };
-        bench.give(Event::EndpointsChanged {
+        placer.handle(Event::EndpointsChanged {
             kind: UpdateKind::Cached,
             endpoints: vec![cold],
         });
         Instance {
-            bench,
+            placer,
             settings: settings.clone(),
             skew,
             asked: 0,
@@ -55,22 +55,22 @@
     fn step(&mut self, step: Micros) -> usize {
         self.asked += 1;
         let n = self.asked;
-        let mut sent = sends(&self.bench.ask(Task {
+        let mut sent = sent_hosts(&self.placer.request(Task {
             time_budget: step / 2,
             ..task(n, n as u64)
         }));
-        sent.extend(sends(&untimed(self.bench.pass(0))));
+        sent.extend(sent_hosts(&without_times(self.placer.advance(0))));
         for at in &sent {
-            self.bench
+            self.placer
                 .end(n, 0, at, Outcome::Rejected, OutcomeDetail::NotEligible);
-            self.bench.give(Event::HealthCheckEnded {
+            self.placer.handle(Event::HealthCheckEnded {
                 host: at.clone(),
                 outcome: Outcome::Completed,
                 elapsed: MS,
                 load_report: Vec::new(),
             });
         }
-        self.bench.pass(step);
+        self.placer.advance(step);
         sent.len()
     }
 }
@@ -126,7 +126,7 @@
 
 // A process that has just started has forgotten what it sent, and many start again at once.
 #[test]
-fn what_a_fleet_sends_a_cold_machine_is_borne_through_restarts_and_is_not_nothing() {
+fn fleet_keeps_the_slow_start_budget_through_restarts_and_uses_it() {
     for placers in [3, 20, 30] {
         for borne in [22.0, 100.0] {
             let quiet = play(placers, borne, 8 * SECOND, &[], 0, &[0.0]);
@@ -165,7 +165,7 @@
 
 // Calls to a host that does not answer take as long as the settings allow, and what waited leaves together.
 #[test]
-fn offers_that_waited_for_a_connection_and_leave_together_are_borne() {
+fn attempts_that_waited_for_a_connection_keep_the_slow_start_budget() {
     // The first part of the budget waits as long as it may, and the next comes at once.
     let delays = [[1.0; 78].as_slice(), &[0.0; 400]].concat();
     for wait in [SECOND / 4, SECOND, 2 * SECOND] {
@@ -196,7 +196,7 @@
 
 // The clocks of machines differ: one that starts may seem to start later than now.
 #[test]
-fn a_machine_that_starts_in_the_future_by_our_clock_is_as_cold_as_others() {
+fn host_that_starts_in_the_future_by_our_clock_is_warming_up_like_others() {
     let settings = Settings {
         placer_count: 30,
         slow_start_attempts: 15.0,
@@ -243,7 +243,7 @@
 
 // Real processes: all are killed once they have sent their part, and start again at once.
 #[test]
-fn processes_that_are_killed_and_start_again_send_a_cold_host_no_more_than_it_bears() {
+fn restarted_processes_keep_the_slow_start_budget() {
     let borne = 30.0;
     let mut feeds: Vec<Feed> = (0..3).map(|_| Feed::new()).collect();
     let host = Host::new("h0", "north");
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -7,18 +7,18 @@
 pub const MS: Micros = 1_000;
 pub const SECOND: Micros = 1_000_000;
 
-pub fn host(n: usize) -> HostId {
+pub fn host_id(n: usize) -> HostId {
     HostId(Arc::from(format!("m{n}")))
 }
 
-pub fn req(n: usize) -> RequestId {
+pub fn request_id(n: usize) -> RequestId {
     RequestId(Arc::from(format!("r{n}")))
 }
 
 /// A warm, empty machine; machine `n` sits in zone and cell `n % 2`.
-pub fn entry(n: usize, state: EndpointState) -> Endpoint {
+pub fn endpoint(n: usize, state: EndpointState) -> Endpoint {
     Endpoint {
-        host: host(n),
+        host: host_id(n),
         zone: ZoneId(n % 2),
         cell: CellId((n % 2) as u64),
         kind: KindId(0),
@@ -29,8 +29,8 @@
     }
 }
 
-pub fn full_list(count: usize) -> Event {
-    let entries = (0..count).map(|n| entry(n, EndpointState::Up)).collect();
+pub fn complete_list(count: usize) -> Event {
+    let entries = (0..count).map(|n| endpoint(n, EndpointState::Up)).collect();
     Event::EndpointsChanged {
         kind: UpdateKind::Complete,
         endpoints: entries,
@@ -39,7 +39,7 @@
 
 pub fn task(n: usize, service: u64) -> Task {
     Task {
-        id: req(n),
+        id: request_id(n),
         class: ClassId(0),
         service: ServiceId(service),
         key: TaskKey(n as u64),
@@ -56,29 +56,29 @@
 }
 
 /// A placer under test, with its pending timers.
-pub struct Bench {
+pub struct TestPlacer {
     pub placer: Placer,
     pub now: Micros,
     timers: Vec<(Micros, TimerToken)>,
 }
 
-impl Bench {
-    pub fn new(settings: Settings) -> Bench {
-        Bench {
+impl TestPlacer {
+    pub fn new(settings: Settings) -> TestPlacer {
+        TestPlacer {
             placer: Placer::new(settings, 1),
             now: 100 * SECOND,
             timers: Vec::new(),
         }
     }
 
-    pub fn with(settings: Settings, machines: usize) -> Bench {
-        let mut bench = Bench::new(settings);
-        bench.give(full_list(machines));
-        bench
+    pub fn with(settings: Settings, machines: usize) -> TestPlacer {
+        let mut placer = TestPlacer::new(settings);
+        placer.handle(complete_list(machines));
+        placer
     }
 
     /// Hands over one event; answers all actions but timers.
-    pub fn give(&mut self, event: Event) -> Vec<Action> {
+    pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.placer.handle(self.now, &event, &mut out);
         for action in &out {
@@ -92,7 +92,7 @@
     }
 
     /// Lets time pass, firing timers in order; answers what was done and when.
-    pub fn pass(&mut self, span: Micros) -> Vec<(Micros, Action)> {
+    pub fn advance(&mut self, span: Micros) -> Vec<(Micros, Action)> {
         let end = self.now + span;
         let mut done = Vec::new();
         loop {
@@ -102,7 +102,7 @@
                     self.timers.remove(0);
                     self.now = self.now.max(at);
                     done.extend(
-                        self.give(Event::TimerFired(token))
+                        self.handle(Event::TimerFired(token))
                             .into_iter()
                             .map(|a| (at, a)),
                     );
@@ -114,13 +114,13 @@
         done
     }
 
-    pub fn ask(&mut self, task: Task) -> Vec<Action> {
-        self.give(Event::TaskRequested(task))
+    pub fn request(&mut self, task: Task) -> Vec<Action> {
+        self.handle(Event::TaskRequested(task))
     }
 
-    pub fn first(&mut self, n: usize, attempt: u32, at: &HostId) -> Vec<Action> {
-        self.give(Event::AttemptStarted {
-            id: req(n),
+    pub fn start(&mut self, n: usize, attempt: u32, at: &HostId) -> Vec<Action> {
+        self.handle(Event::AttemptStarted {
+            id: request_id(n),
             attempt,
             host: at.clone(),
             elapsed: MS,
@@ -148,8 +148,8 @@
         detail: OutcomeDetail,
         done: bool,
     ) -> Vec<Action> {
-        self.give(Event::AttemptEnded {
-            id: req(n),
+        self.handle(Event::AttemptEnded {
+            id: request_id(n),
             attempt,
             host: at.clone(),
             outcome,
@@ -162,7 +162,7 @@
 }
 
 /// The hosts of the sends among these actions.
-pub fn sends(actions: &[Action]) -> Vec<HostId> {
+pub fn sent_hosts(actions: &[Action]) -> Vec<HostId> {
     actions
         .iter()
         .filter_map(|a| match a {
@@ -172,14 +172,14 @@
         .collect()
 }
 
-pub fn untimed(actions: Vec<(Micros, Action)>) -> Vec<Action> {
+pub fn without_times(actions: Vec<(Micros, Action)>) -> Vec<Action> {
     actions.into_iter().map(|(_, a)| a).collect()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub fn contains_rejection(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Reject { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub fn contains_failure(actions: &[Action]) -> bool {
     actions.iter().any(|a| matches!(a, Action::Fail { .. }))
 }
--- /dev/null
+++ b/tests/decision_rules/spread.rs
@@ -0,0 +1,54 @@
+//! Spread over failure domains.
+
+use super::*;
+
+#[test]
+fn spread_counts_attempts_and_running_tasks_until_their_outcome() {
+    let mut placer = TestPlacer::with(with_spread(SpreadDomain::Zone, 2), 4);
+    placer.handle(Event::TaskAdopted(task(90, 7), host_id(0)));
+    let mut per_zone = [1, 0];
+    let mut at_of = Vec::new();
+    for n in 0..6 {
+        for at in sent_hosts(&placer.request(task(n, 7))) {
+            per_zone[at.0[1..].parse::<usize>().unwrap() % 2] += 1;
+            at_of.push((n, at));
+        }
+    }
+    assert_eq!(per_zone, [2, 2]);
+    // Placed or not, it counts until its outcome; then one more may go there.
+    let (n, at) = at_of[0].clone();
+    placer.start(n, 0, &at);
+    assert!(sent_hosts(&without_times(placer.advance(SECOND))).is_empty());
+    placer.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
+    assert_eq!(sent_hosts(&without_times(placer.advance(SECOND))).len(), 1);
+}
+
+#[test]
+fn spread_over_hosts_and_cells() {
+    for (spread, places) in [(SpreadDomain::Host, 4), (SpreadDomain::Cell, 2)] {
+        let mut placer = TestPlacer::with(with_spread(spread, 1), 4);
+        let count: usize = (0..9)
+            .map(|n| sent_hosts(&placer.request(task(n, 7))).len())
+            .sum();
+        assert_eq!(count, places, "{spread:?}");
+    }
+}
+
+#[test]
+fn adopted_tasks_count_for_spread_after_a_restart() {
+    let mut placer = TestPlacer::with(with_spread(SpreadDomain::Host, 1), 1);
+    placer.handle(Event::TaskAdopted(task(90, 7), host_id(0)));
+    assert!(sent_hosts(&placer.request(task(1, 7))).is_empty());
+    placer.end_with(
+        90,
+        0,
+        &host_id(0),
+        Outcome::Completed,
+        OutcomeDetail::Unknown,
+        true,
+    );
+    assert_eq!(
+        sent_hosts(&without_times(placer.advance(SECOND))),
+        vec![host_id(0)]
+    );
+}
--- a/tests/random_events.rs
+++ b/tests/random_events.rs
@@ -470,7 +470,7 @@
 const DIGEST_OF_ALL_ACTIONS: u64 = 0x8b9fdbbdc2c439bc;
 
 #[test]
-fn the_rules_hold_and_every_task_gets_one_answer() {
+fn rules_hold_and_every_request_gets_one_response() {
     let mut digest = 0xcbf2_9ce4_8422_2325;
     for (v, (s, count)) in variants().into_iter().enumerate() {
         for seed in 0..40 {
@@ -482,7 +482,7 @@
                 timers: Vec::new(),
                 tasks: BTreeMap::new(),
                 machines: (0..count)
-                    .map(|n| (host(n), entry(n, EndpointState::Up)))
+                    .map(|n| (host_id(n), endpoint(n, EndpointState::Up)))
                     .collect(),
                 closed_since: BTreeMap::new(),
                 offers: BTreeMap::new(),
@@ -527,11 +527,11 @@
 }
 
 #[test]
-fn the_same_events_give_the_same_actions() {
+fn same_events_give_the_same_actions() {
     let run = || {
         let mut placer = Placer::new(Settings::example(), 9);
         let mut out = Vec::new();
-        placer.handle(0, &full_list(8), &mut out);
+        placer.handle(0, &complete_list(8), &mut out);
         for n in 0..50 {
             placer.handle(
                 n as Micros * MS,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -34,7 +34,7 @@
 /// Offers `count` tasks of one class and tenant, ends each by an error at machine 0 where `bad` and well elsewhere;
 /// answers how many went to machine 0.
 fn offer(
-    b: &mut Bench,
+    placer: &mut TestPlacer,
     from: usize,
     count: usize,
     class: usize,
@@ -43,16 +43,18 @@
 ) -> usize {
     let mut there = 0;
     for n in from..from + count {
-        for at in sends(&b.ask(of(n, n as u64, class, tenant))) {
-            there += usize::from(at == host(0));
-            if at == host(0) && bad {
-                for next in sends(&b.end(n, 0, &at, Outcome::Error, OutcomeDetail::Unknown)) {
-                    b.first(n, 1, &next);
-                    b.end(n, 1, &next, Outcome::Completed, OutcomeDetail::Unknown);
+        for at in sent_hosts(&placer.request(of(n, n as u64, class, tenant))) {
+            there += usize::from(at == host_id(0));
+            if at == host_id(0) && bad {
+                for next in
+                    sent_hosts(&placer.end(n, 0, &at, Outcome::Error, OutcomeDetail::Unknown))
+                {
+                    placer.start(n, 1, &next);
+                    placer.end(n, 1, &next, Outcome::Completed, OutcomeDetail::Unknown);
                 }
             } else {
-                b.first(n, 0, &at);
-                b.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
+                placer.start(n, 0, &at);
+                placer.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
             }
         }
     }
@@ -61,70 +63,73 @@
 
 /// A machine that fails one class was shut for all, and by an answered probe open for that class again.
 #[test]
-fn a_machine_that_fails_one_class_is_shut_for_that_class_only() {
-    let mut b = Bench::with(settings(1), 2);
-    let failed = offer(&mut b, 0, 40, 0, 0, true);
+fn host_that_fails_one_class_is_ejected_for_that_class_only() {
+    let mut placer = TestPlacer::with(settings(1), 2);
+    let failed = offer(&mut placer, 0, 40, 0, 0, true);
     assert!((1..=2).contains(&failed), "{failed}");
-    b.give(Event::HealthCheckEnded {
-        host: host(0),
+    placer.handle(Event::HealthCheckEnded {
+        host: host_id(0),
         outcome: Outcome::Completed,
         elapsed: MS,
         load_report: Vec::new(),
     });
     assert_eq!(
-        offer(&mut b, 100, 40, 0, 1, true),
+        offer(&mut placer, 100, 40, 0, 1, true),
         0,
         "a probe tells nothing of a class"
     );
     assert!(
-        offer(&mut b, 200, 40, 1, 0, false) > 5,
+        offer(&mut placer, 200, 40, 1, 0, false) > 5,
         "the other class is served there"
     );
     // A second class fails there too: now it is the machine.
-    offer(&mut b, 300, 40, 1, 0, true);
-    let asked = untimed(b.pass(5 * SECOND));
+    offer(&mut placer, 300, 40, 1, 0, true);
+    let asked = without_times(placer.advance(5 * SECOND));
     assert!(
-        asked.contains(&Action::SendHealthCheck { host: host(0) }),
+        asked.contains(&Action::SendHealthCheck { host: host_id(0) }),
         "{asked:?}"
     );
 }
 
 /// A refusal that names nothing, from a machine with room in view, shut the whole machine.
 #[test]
-fn a_machine_that_turns_one_tenant_away_serves_the_other() {
-    let mut b = Bench::with(settings(1), 2);
+fn host_that_rejects_one_tenant_serves_the_other() {
+    let mut placer = TestPlacer::with(settings(1), 2);
     let mut turned_away = 0;
     for n in 0..40 {
-        for at in sends(&b.ask(of(n, n as u64, 0, 0))) {
-            if at == host(0) {
+        for at in sent_hosts(&placer.request(of(n, n as u64, 0, 0))) {
+            if at == host_id(0) {
                 turned_away += 1;
-                b.end(n, 0, &at, Outcome::Rejected, OutcomeDetail::Unknown);
+                placer.end(n, 0, &at, Outcome::Rejected, OutcomeDetail::Unknown);
             } else {
-                b.first(n, 0, &at);
-                b.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
+                placer.start(n, 0, &at);
+                placer.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
             }
         }
     }
     assert_eq!(turned_away, 1);
-    assert!(offer(&mut b, 100, 40, 0, 1, false) > 5);
-    assert!(offer(&mut b, 200, 40, 1, 0, false) > 5);
+    assert!(offer(&mut placer, 100, 40, 0, 1, false) > 5);
+    assert!(offer(&mut placer, 200, 40, 1, 0, false) > 5);
 }
 
 /// Turned away everywhere, a tenant's tasks are still tried and each gets one answer in time.
 #[test]
-fn a_class_refused_everywhere_gets_one_answer_for_each_task() {
-    let mut b = Bench::with(settings(1), 3);
+fn class_rejected_by_all_hosts_gets_one_response_for_each_request() {
+    let mut placer = TestPlacer::with(settings(1), 3);
     let (mut answers, mut tries) = (BTreeMap::new(), 0);
     for n in 0..12 {
-        let mut actions = b.ask(of(n, 7, 0, 0));
+        let mut actions = placer.request(of(n, 7, 0, 0));
         for attempt in 0.. {
-            let Some(at) = sends(&actions).first().cloned() else {
+            let Some(at) = sent_hosts(&actions).first().cloned() else {
                 break;
             };
             tries += 1;
-            actions = b.end(n, attempt, &at, Outcome::Rejected, OutcomeDetail::Unknown);
+            actions = placer.end(n, attempt, &at, Outcome::Rejected, OutcomeDetail::Unknown);
         }
-        for a in actions.into_iter().chain(untimed(b.pass(6 * SECOND))) {
+        for a in actions
+            .into_iter()
+            .chain(without_times(placer.advance(6 * SECOND)))
+        {
             if let Action::Reject { id, .. } | Action::Fail { id } = a {
                 *answers.entry(id).or_insert(0) += 1;
             }
@@ -137,7 +142,7 @@
 
 /// With more placers than the cold budget has offers, nobody offered anything for the whole cold span.
 #[test]
-fn the_cold_budget_is_shared_by_turns_and_its_sum_is_kept() {
+fn slow_start_budget_is_shared_by_turns_and_its_sum_is_kept() {
     let placers = 250;
     let mut s = settings(placers);
     (s.slow_start_attempts, s.collapse_window, s.slow_start) = (58.0, 3 * SECOND, 14 * SECOND);
@@ -145,23 +150,23 @@
     let mut offers: Vec<Micros> = Vec::new();
     for me in 0..placers {
         s.placer_index = me;
-        let mut b = Bench::new(s.clone());
-        b.now = start;
-        let mut cold = entry(0, EndpointState::Up);
+        let mut placer = TestPlacer::new(s.clone());
+        placer.now = start;
+        let mut cold = endpoint(0, EndpointState::Up);
         cold.started_at = start;
-        b.give(Event::EndpointsChanged {
+        placer.handle(Event::EndpointsChanged {
             kind: UpdateKind::Complete,
             endpoints: vec![cold],
         });
         // The worst case: every placer always has a task to offer.
         for n in 0..60 {
-            for at in sends(&b.ask(task(n, n as u64))) {
-                offers.push(b.now);
-                b.first(n, 0, &at);
-                b.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
+            for at in sent_hosts(&placer.request(task(n, n as u64))) {
+                offers.push(placer.now);
+                placer.start(n, 0, &at);
+                placer.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
             }
-            b.give(Event::TaskCancelled(req(n)));
-            b.pass(SECOND / 5);
+            placer.handle(Event::TaskCancelled(request_id(n)));
+            placer.advance(SECOND / 5);
         }
     }
     offers.sort_unstable();
@@ -181,21 +186,22 @@
 
 /// What was refused for want of room was offered again at once by every placer, and refused again.
 #[test]
-fn tasks_refused_for_room_are_held_back_while_the_fleet_is_full() {
-    let mut b = Bench::new(settings(100));
-    let mut list: Vec<Endpoint> = (0..4).map(|n| entry(n, EndpointState::Up)).collect();
+fn tasks_rejected_for_capacity_are_held_back_while_all_hosts_are_full() {
+    let mut placer = TestPlacer::new(settings(100));
+    let mut list: Vec<Endpoint> = (0..4).map(|n| endpoint(n, EndpointState::Up)).collect();
     list.iter_mut()
         .for_each(|e| (e.free_cores, e.free_memory) = (4.0, -14.0));
-    b.give(Event::EndpointsChanged {
+    placer.handle(Event::EndpointsChanged {
         kind: UpdateKind::Complete,
         endpoints: list,
     });
     let mut again = 0;
     let mut answered = BTreeSet::new();
     for n in 0..30 {
-        let actions = b.ask(task(n, n as u64));
-        for at in sends(&actions) {
-            again += sends(&b.end(n, 0, &at, Outcome::Rejected, OutcomeDetail::NoMemory)).len();
+        let actions = placer.request(task(n, n as u64));
+        for at in sent_hosts(&actions) {
+            again += sent_hosts(&placer.end(n, 0, &at, Outcome::Rejected, OutcomeDetail::NoMemory))
+                .len();
         }
     }
     assert!(again <= 3, "{again} of 30 offered again at once");
@@ -203,12 +209,14 @@
         is_returning: true,
         ..task(n, n as u64)
     };
-    let returned: usize = (100..130).map(|n| sends(&b.ask(back(n))).len()).sum();
+    let returned: usize = (100..130)
+        .map(|n| sent_hosts(&placer.request(back(n))).len())
+        .sum();
     assert!(
         returned <= 3,
         "{returned} of 30 that came back offered at once (iae28a3)"
     );
-    for a in untimed(b.pass(6 * SECOND)) {
+    for a in without_times(placer.advance(6 * SECOND)) {
         if let Action::Reject { id, .. } = a {
             assert!(answered.insert(id));
         }
@@ -218,12 +226,12 @@
 
 /// A placer that sees one arrival now and then counted it as one for each window, times all placers.
 #[test]
-fn a_is_steady_where_a_placer_sees_little_and_its_draw_leans_to_the_emptier_machine() {
+fn arrival_rate_is_steady_with_few_own_arrivals_and_the_draw_favours_the_emptier_host() {
     let mut fuller = 0;
     for seed in 0..40 {
         let mut placer = Placer::new(settings(200), seed);
         let mut out = Vec::new();
-        let mut list: Vec<Endpoint> = (0..2).map(|n| entry(n, EndpointState::Up)).collect();
+        let mut list: Vec<Endpoint> = (0..2).map(|n| endpoint(n, EndpointState::Up)).collect();
         (list[0].free_cores, list[1].free_cores) = (8.0, 16.0);
         placer.handle(
             0,
@@ -239,9 +247,9 @@
             let mut heavy = task(n, n as u64);
             (heavy.cores, heavy.memory) = (9.0, 1.0);
             placer.handle(now, &Event::TaskRequested(heavy), &mut out);
-            for at in sends(&out) {
-                fuller += usize::from(n >= 4 && at == host(0));
-                let (id, attempt, elapsed) = (req(n), 0, MS);
+            for at in sent_hosts(&out) {
+                fuller += usize::from(n >= 4 && at == host_id(0));
+                let (id, attempt, elapsed) = (request_id(n), 0, MS);
                 let first = Event::AttemptStarted {
                     id: id.clone(),
                     attempt,
@@ -272,18 +280,18 @@
 /// A stalled placer finds a backlog: each task gets at most one offer at a time and one answer, the most
 /// urgent first where they waited.
 #[test]
-fn a_backlog_after_a_stall_is_answered_once_each() {
-    let mut b = Bench::with(settings(50), 4);
-    b.pass(SECOND);
-    b.now += 2 * SECOND;
+fn backlog_after_a_stall_gets_one_response_for_each_request() {
+    let mut placer = TestPlacer::with(settings(50), 4);
+    placer.advance(SECOND);
+    placer.now += 2 * SECOND;
     let mut out = Vec::new();
     for n in 0..30 {
         let mut t = task(n, n as u64 % 5);
         t.time_budget = SECOND + n as i64 * SECOND / 10;
-        out.extend(b.ask(t));
+        out.extend(placer.request(t));
     }
-    let first: Vec<_> = sends(&out);
-    out.extend(untimed(b.pass(8 * SECOND)));
+    let first: Vec<_> = sent_hosts(&out);
+    out.extend(without_times(placer.advance(8 * SECOND)));
     assert!(!first.is_empty() && first.len() <= 30);
     let mut seen = BTreeMap::new();
     for a in &out {
@@ -298,7 +306,7 @@
     assert!(seen.values().all(|n| *n == 1), "{seen:?}");
     for n in 0..30 {
         assert!(
-            seen.contains_key(&(req(n), "answered")),
+            seen.contains_key(&(request_id(n), "answered")),
             "task {n} has no answer"
         );
     }
@@ -306,13 +314,13 @@
 
 /// Homes went to small and large machines alike, so that small ones were crowded.
 #[test]
-fn homes_are_won_by_what_a_machine_holds() {
+fn affinity_is_won_in_proportion_to_host_size() {
     let mut s = settings(1);
     s.host_kinds.push(HostKind {
         cores: 96.0,
         memory: 192.0,
     });
-    let mut list: Vec<Endpoint> = (0..2).map(|n| entry(n, EndpointState::Up)).collect();
+    let mut list: Vec<Endpoint> = (0..2).map(|n| endpoint(n, EndpointState::Up)).collect();
     (list[1].kind, list[1].free_cores, list[1].free_memory) = (KindId(1), 96.0, 192.0);
     // Enough is asked for that both are in the set.
     (list[0].free_cores, list[0].free_memory) = (8.0, 16.0);
@@ -330,7 +338,7 @@
             &mut out,
         );
         placer.handle(MS, &Event::TaskRequested(task(1, service)), &mut out);
-        large += usize::from(sends(&out) == vec![host(1)]);
+        large += usize::from(sent_hosts(&out) == vec![host_id(1)]);
     }
     assert!(
         (130..=170).contains(&large),
@@ -340,28 +348,28 @@
 
 /// Tasks pushed out before they ran shut the machine for all, in the very overload that needs it (ia8ddc2).
 #[test]
-fn a_task_pushed_out_before_it_ran_is_no_fault_of_the_machine() {
-    let mut b = Bench::with(settings(1), 1);
-    let at = sends(&b.ask(of(1, 1, 0, 0)));
-    b.end(1, 0, &at[0], Outcome::Rejected, OutcomeDetail::Preempted);
-    assert_eq!(sends(&b.ask(of(2, 2, 0, 0))), at);
+fn preemption_before_the_start_is_not_held_against_the_host() {
+    let mut placer = TestPlacer::with(settings(1), 1);
+    let at = sent_hosts(&placer.request(of(1, 1, 0, 0)));
+    placer.end(1, 0, &at[0], Outcome::Rejected, OutcomeDetail::Preempted);
+    assert_eq!(sent_hosts(&placer.request(of(2, 2, 0, 0))), at);
 }
 
 /// Machines leave in waves and cold ones replace them: what comes back goes to machines that stay, nothing to
 /// those announced, to the replacements no more than this placer's part, and each task has one end.
 #[test]
-fn waves_of_drains_with_cold_replacements_are_ridden_out() {
+fn waves_of_drains_with_warming_replacements_are_survived() {
     let mut s = settings(20);
     s.slow_start_attempts = 60.0;
-    let mut b = Bench::with(s, 8);
+    let mut placer = TestPlacer::with(s, 8);
     let mut cold_offers = 0;
     let mut lost = 0;
     for wave in 0..2 {
         let mut placed = Vec::new();
         for n in 0..30 {
             let n = wave * 100 + n;
-            for at in sends(&b.ask(of(n, n as u64 % 9, 0, 0))) {
-                b.first(n, 0, &at);
+            for at in sent_hosts(&placer.request(of(n, n as u64 % 9, 0, 0))) {
+                placer.start(n, 0, &at);
                 placed.push((n, at));
             }
         }
@@ -369,26 +377,26 @@
         let leaving: Vec<usize> = (wave * 3..wave * 3 + 3).collect();
         let drained = leaving
             .iter()
-            .map(|n| entry(*n, EndpointState::Draining))
+            .map(|n| endpoint(*n, EndpointState::Draining))
             .collect();
-        b.give(Event::EndpointsChanged {
+        placer.handle(Event::EndpointsChanged {
             kind: UpdateKind::Delta,
             endpoints: drained,
         });
         let new = leaving
             .iter()
             .map(|n| Endpoint {
-                started_at: b.now,
-                ..entry(n + 20, EndpointState::Up)
+                started_at: placer.now,
+                ..endpoint(n + 20, EndpointState::Up)
             })
             .collect();
-        b.give(Event::EndpointsChanged {
+        placer.handle(Event::EndpointsChanged {
             kind: UpdateKind::Delta,
             endpoints: new,
         });
         for (n, at) in placed {
-            let gone = leaving.iter().any(|m| host(*m) == at);
-            b.end_with(
+            let gone = leaving.iter().any(|m| host_id(*m) == at);
+            placer.end_with(
                 n,
                 0,
                 &at,
@@ -406,14 +414,14 @@
                     is_returning: true,
                     ..of(n + 50, n as u64 % 9, 0, 0)
                 };
-                for to in sends(&b.ask(back)) {
+                for to in sent_hosts(&placer.request(back)) {
                     assert!(
-                        leaving.iter().all(|m| host(*m) != to),
+                        leaving.iter().all(|m| host_id(*m) != to),
                         "an announced machine got a task"
                     );
                     cold_offers += usize::from(to.0[1..].parse::<usize>().unwrap() >= 20);
-                    b.first(n + 50, 0, &to);
-                    b.end(n + 50, 0, &to, Outcome::Completed, OutcomeDetail::Unknown);
+                    placer.start(n + 50, 0, &to);
+                    placer.end(n + 50, 0, &to, Outcome::Completed, OutcomeDetail::Unknown);
                 }
             }
         }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -70,13 +70,13 @@
 }
 
 #[test]
-fn an_empty_batch_gets_an_empty_reply_and_end_of_input_is_clean() {
+fn empty_batch_gets_an_empty_reply_and_end_of_input_is_clean() {
     assert_eq!(good("BATCH\t8412.25\nEOB\n"), "YIELD\n");
     assert_eq!(good(""), "");
 }
 
 #[test]
-fn a_task_is_offered_confirmed_noted_and_ended() {
+fn task_is_sent_started_reported_and_ended() {
     let first = good(&format!(
         "{}BATCH\t1002.0\nINSTANCE\t0\n{TASK}\nEOB\n",
         started()
@@ -138,7 +138,7 @@
 }
 
 #[test]
-fn a_reused_list_number_means_the_newer_list() {
+fn reused_list_number_means_the_newer_list() {
     let input = format!(
         "BATCH\t1000.0\nINSTANCE\t0\n{BOOT}\n{LIST}\nCATALOG\t0\t1\nM\t33\tnorth\tup\t1\tplain\t-\t0\t80\thost.z\n\
          BACKENDS_CHANGED\ttotal\t5\t0\n{TASK}\nEOB\n"
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn a_standing_task_and_a_stop_are_taken() {
+fn running_task_and_stop_are_accepted() {
     let standing = "STANDING\tc:old\tonce\tours\t91f03b7c55d20a64\t240.0\t12.0\t2b8e6401d9f37c10\t2\t1.5\t0\t0\thost.a";
     let all = good(&format!(
         "{}BATCH\t1002.0\nINSTANCE\t0\n{standing}\nSTOP\nEOB\n",
