--- a/crates/scale-test/src/audit.rs
+++ b/crates/scale-test/src/audit.rs
@@ -4,7 +4,7 @@
 use crate::identity::PlacerId;
 use crate::results::FleetTotals;
 use crate::wire::cause;
-use crate::workers::{TaskBook, WorkerBooks};
+use crate::workers::{TaskBook, WorkerAudit};
 use std::time::{Duration, Instant};
 
 /// A placer that confirms the end of a task to its worker may be killed before its word reaches the client:
@@ -21,20 +21,20 @@
 }
 
 /// Adds what became of all tasks to the totals.
-pub fn audit(totals: &mut FleetTotals, tasks: &TaskTable, books: &WorkerBooks, kills: &[Kill]) {
+pub fn audit(totals: &mut FleetTotals, tasks: &TaskTable, books: &WorkerAudit, kills: &[Kill]) {
     for (task, record) in tasks.iter() {
         let book = books.task(task);
         if record.due.is_some() {
             totals.due += 1;
             count_answer(totals, record);
         } else {
-            totals.standing += 1;
+            totals.running_at_start += 1;
         }
         totals.moved += u64::from(record.moves);
         totals.worker_refusals += u64::from(book.refusals);
         count_starts(totals, record, &book);
         match record.state {
-            TaskState::Stands(_) => count_standing(totals, record, &book, kills),
+            TaskState::Running(_) => count_running(totals, record, &book, kills),
             TaskState::Over(cause) => count_over(totals, record, &book, cause),
             _ => {}
         }
@@ -48,7 +48,7 @@
 /// How the set-up of a task that was due was answered.
 fn count_answer(totals: &mut FleetTotals, record: &TaskRecord) {
     let count = match record.state {
-        TaskState::Stands(_) | TaskState::Over(_) => &mut totals.started,
+        TaskState::Running(_) | TaskState::Over(_) => &mut totals.started,
         TaskState::Refused => &mut totals.refused,
         TaskState::Failed => &mut totals.failed,
         TaskState::Cut => &mut totals.cut,
@@ -65,17 +65,17 @@
     if more && record.class.once() {
         totals.started_twice += 1;
     } else if more {
-        totals.started_again += 1;
+        totals.restarted += 1;
     }
-    let answered = matches!(record.state, TaskState::Stands(_) | TaskState::Over(_));
+    let answered = matches!(record.state, TaskState::Running(_) | TaskState::Over(_));
     if answered && book.starts == 0 {
         totals.never_started += 1;
     }
 }
 
 /// A task that stands as far as its client knows: a worker has to hold it.
-fn count_standing(totals: &mut FleetTotals, record: &TaskRecord, book: &TaskBook, kills: &[Kill]) {
-    if book.held > 0 || book.starts == 0 {
+fn count_running(totals: &mut FleetTotals, record: &TaskRecord, book: &TaskBook, kills: &[Kill]) {
+    if book.active_copies > 0 || book.starts == 0 {
         return;
     }
     let taken_along = |kill: &Kill| {
@@ -99,7 +99,7 @@
     // Of a task that was started again elsewhere, what a worker still holds is what is left of it there.
     let once = u32::from(book.starts) <= 1 + u32::from(record.moves);
     let made_up = cause == cause::NORMAL && book.ended == 0;
-    if once && (book.held > 0 || made_up) {
+    if once && (book.active_copies > 0 || made_up) {
         totals.ended_wrongly += 1;
     }
 }
--- a/crates/scale-test/src/audit/tests.rs
+++ b/crates/scale-test/src/audit/tests.rs
@@ -32,7 +32,7 @@
             Word::Release(cause) => drop(tasks.released(id, *cause)),
         }
     }
-    let mut books = WorkerBooks::default();
+    let mut books = WorkerAudit::default();
     books.note(TASK, note);
     let mut totals = FleetTotals::default();
     audit(&mut totals, &tasks, &books, kills);
@@ -46,7 +46,7 @@
 
 #[test]
 fn a_task_that_stands_or_is_over_at_both_ends_breaks_no_rule() {
-    let stands = |book: &mut TaskBook| (book.starts, book.held) = (1, 1);
+    let stands = |book: &mut TaskBook| (book.starts, book.active_copies) = (1, 1);
     let found = totals(true, &[Word::Answer], stands, &[]);
     assert_eq!((found.due, found.started, found.rules_broken()), (1, 1, 0));
     let ended = |book: &mut TaskBook| (book.starts, book.ended) = (1, 1);
@@ -95,23 +95,19 @@
 
 #[test]
 fn two_starts_break_a_rule_only_where_a_task_must_not_start_twice() {
-    let twice = |book: &mut TaskBook| (book.starts, book.held) = (2, 1);
+    let twice = |book: &mut TaskBook| (book.starts, book.active_copies) = (2, 1);
     let found = totals(true, &[Word::Answer], twice, &[]);
-    assert_eq!((found.started_twice, found.started_again), (1, 0));
+    assert_eq!((found.started_twice, found.restarted), (1, 0));
     let found = totals(false, &[Word::Answer], twice, &[]);
     assert_eq!(
-        (
-            found.started_twice,
-            found.started_again,
-            found.rules_broken()
-        ),
+        (found.started_twice, found.restarted, found.rules_broken()),
         (0, 1, 0)
     );
 }
 
 #[test]
 fn an_end_that_did_not_happen_and_a_start_that_did_not_are_found() {
-    let held = |book: &mut TaskBook| (book.starts, book.held) = (1, 1);
+    let held = |book: &mut TaskBook| (book.starts, book.active_copies) = (1, 1);
     assert_eq!(
         totals(false, &[Word::Answer, Word::Release(41)], held, &[]).ended_wrongly,
         1
--- a/crates/scale-test/src/budget.rs
+++ b/crates/scale-test/src/budget.rs
@@ -17,7 +17,7 @@
 mod tests;
 
 /// The most processes of a run, this one included.
-pub const MOST_PROCESSES: u64 = 300;
+pub const MAX_PROCESSES: u64 = 300;
 
 /// The part of the machine's memory that a run may need is one over this. The rest is for the system, its
 /// cache, and what the allowances miss.
@@ -40,7 +40,7 @@
 const MEMORY_KB_LISTED_WORKER: u64 = 4;
 
 /// Memory of a standing task, in its placer, its worker and its client together.
-const MEMORY_KB_STANDING: u64 = 8;
+const MEMORY_KB_RUNNING_TASK: u64 = 8;
 
 /// Memory of a connection: the buffers of the programs at both ends and of the system's two sockets.
 const MEMORY_KB_CONNECTION: u64 = 64;
@@ -72,7 +72,7 @@
     /// Placers, a process each.
     pub placers: u64,
     /// Tasks that stand at a time, over all placers.
-    pub standing: u64,
+    pub running_tasks: u64,
     /// Connections of clients, over all placers.
     pub connections: u64,
     /// The most connections that a placer holds, by its configuration.
@@ -99,7 +99,7 @@
         RunSize {
             workers: u64::from(settings.workers),
             placers,
-            standing: u64::from(settings.standing),
+            running_tasks: u64::from(settings.running_tasks),
             connections: placers * u64::from(settings.client_connections),
             placer_sockets: settings.placer_sockets,
         }
@@ -144,7 +144,7 @@
         size.placers.saturating_mul(MEMORY_KB_PLACER),
         size.workers.saturating_mul(MEMORY_KB_WORKER),
         listed_workers.saturating_mul(MEMORY_KB_LISTED_WORKER),
-        size.standing.saturating_mul(MEMORY_KB_STANDING),
+        size.running_tasks.saturating_mul(MEMORY_KB_RUNNING_TASK),
         connections.saturating_mul(MEMORY_KB_CONNECTION),
     ])
 }
@@ -225,7 +225,7 @@
         allowed: u64,
     },
     /// Processes.
-    #[error("needs {needed} processes, a run may have {MOST_PROCESSES}: fewer placers")]
+    #[error("needs {needed} processes, a run may have {MAX_PROCESSES}: fewer placers")]
     Processes {
         /// What the run needs.
         needed: u64,
@@ -286,7 +286,7 @@
 
 fn processes_excess(need: &Need) -> Option<Excess> {
     let needed = need.processes;
-    (needed > MOST_PROCESSES).then_some(Excess::Processes { needed })
+    (needed > MAX_PROCESSES).then_some(Excess::Processes { needed })
 }
 
 /// Memory in kilobytes, shown in GiB.
--- a/crates/scale-test/src/budget/tests.rs
+++ b/crates/scale-test/src/budget/tests.rs
@@ -1,4 +1,4 @@
-use super::{BudgetError, Excess, MOST_PROCESSES, Machine, Need, RunSize, check};
+use super::{BudgetError, Excess, MAX_PROCESSES, Machine, Need, RunSize, check};
 use crate::settings::Settings;
 
 const GIB_IN_KB: u64 = 1024 * 1024;
@@ -19,7 +19,7 @@
 const NOTHING: RunSize = RunSize {
     workers: 0,
     placers: 0,
-    standing: 0,
+    running_tasks: 0,
     connections: 0,
     placer_sockets: 1024,
 };
@@ -84,7 +84,7 @@
         ),
         (
             Need {
-                processes: MOST_PROCESSES,
+                processes: MAX_PROCESSES,
                 ..SMALL
             },
             vec![],
@@ -153,7 +153,7 @@
     let base = RunSize {
         workers: 10,
         placers: 2,
-        standing: 100,
+        running_tasks: 100,
         connections: 4,
         placer_sockets: 1024,
     };
@@ -173,7 +173,7 @@
     assert_eq!(more_placers.processes, need.processes + 1);
     assert!(more_placers.memory_kb > need.memory_kb);
     let more_standing = Need::of(&RunSize {
-        standing: 101,
+        running_tasks: 101,
         ..base
     });
     assert!(more_standing.memory_kb > need.memory_kb);
@@ -232,7 +232,7 @@
     let size = RunSize {
         workers: most,
         placers: most,
-        standing: most,
+        running_tasks: most,
         connections: most,
         placer_sockets: most,
     };
@@ -274,13 +274,13 @@
     let settings = Settings {
         workers: 70,
         placers: 5,
-        standing: 90,
+        running_tasks: 90,
         ..Settings::default()
     };
     let size = RunSize {
         workers: 70,
         placers: 5,
-        standing: 90,
+        running_tasks: 90,
         connections: 20,
         placer_sockets: 1_024,
     };
--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -165,7 +165,10 @@
     let settings = admitted(args)?;
     print!("{}", settings.to_toml());
     println!("# placers stated: {}", settings.stated_placers());
-    println!("# room of a worker: {} tasks", settings.room());
+    println!(
+        "# room of a worker: {} tasks",
+        settings.max_tasks_per_worker()
+    );
     println!(
         "# descriptors needed: at most {} of the {} of this process",
         settings.descriptors_needed(),
@@ -183,7 +186,7 @@
     let result = result?;
     print!("{}", results::print(&result));
     write_json(args.json.as_deref(), &result)?;
-    Ok(ExitCode::from(verdict(&result)))
+    Ok(ExitCode::from(exit_code(&result)))
 }
 
 /// Writes a result to a file, if one is named.
@@ -198,7 +201,7 @@
 }
 
 /// The exit code of a result.
-fn verdict(result: &RunResult) -> u8 {
+fn exit_code(result: &RunResult) -> u8 {
     if result.fleet.rules_broken() > 0 {
         RULE_BROKEN
     } else if !result.usable {
--- a/crates/scale-test/src/cli/sweep.rs
+++ b/crates/scale-test/src/cli/sweep.rs
@@ -122,7 +122,7 @@
         Ok(report) => {
             print!("{report}");
             write_json(json, &report)?;
-            Ok(ExitCode::from(verdict(&report)))
+            Ok(ExitCode::from(exit_code(&report)))
         }
         Err(error) => {
             if let SweepError::Run { before, .. } = &error {
@@ -157,7 +157,7 @@
 }
 
 /// The exit code of a report: figures are of no use where an axis has too few usable runs for any fit.
-fn verdict(report: &SweepReport) -> u8 {
+fn exit_code(report: &SweepReport) -> u8 {
     if report.axes.iter().all(|axis| axis.is_fitted()) {
         0
     } else {
--- a/crates/scale-test/src/cli/terminal.rs
+++ b/crates/scale-test/src/cli/terminal.rs
@@ -51,7 +51,7 @@
             total,
             step,
         } = progress;
-        let again = if matches!(step, sweep::Step::Again { .. }) {
+        let again = if matches!(step, sweep::Step::Repeated { .. }) {
             " again"
         } else {
             ""
@@ -82,7 +82,7 @@
             started,
             refused,
             waiting,
-            held,
+            active_tasks: held,
             connections,
         } = progress;
         let label = self.label.borrow();
--- a/crates/scale-test/src/clients.rs
+++ b/crates/scale-test/src/clients.rs
@@ -9,7 +9,7 @@
 mod tasks;
 mod thread;
 
-pub use arrivals::{Arrival, Arrivals, standing_tasks};
+pub use arrivals::{Arrival, Arrivals, running_tasks};
 pub use tasks::{TaskRecord, TaskState, TaskTable};
 
 use crate::deployment::Class;
@@ -19,7 +19,7 @@
 use crate::settings::Settings;
 use crate::timing::Times;
 use crate::traffic::PlacerCounters;
-use crate::workers::StandingTask;
+use crate::workers::RunningTask;
 use mio::Poll;
 use std::io;
 use std::net::SocketAddr;
@@ -75,7 +75,7 @@
 }
 
 /// What the clients noted.
-pub struct ClientBooks {
+pub struct ClientAudit {
     /// What became of each task.
     pub tasks: TaskTable,
     /// Times of the tasks that count.
@@ -91,14 +91,14 @@
     orders: Sender<ClientOrder>,
     state: Arc<Mutex<ClientState>>,
     doomed: Arc<[AtomicBool]>,
-    thread: PeerThread<ClientBooks>,
+    thread: PeerThread<ClientAudit>,
 }
 
 impl Clients {
     /// Starts them, with the tasks that stand.
     pub fn start(
         settings: &Settings,
-        standing: &[StandingTask],
+        running_tasks: &[RunningTask],
         counters: Vec<Arc<PlacerCounters>>,
     ) -> io::Result<Clients> {
         let poll = Poll::new()?;
@@ -108,7 +108,7 @@
             ..ClientState::default()
         }));
         let arrivals = Arrivals::new(settings);
-        let tasks = TaskTable::new(standing, &arrivals);
+        let tasks = TaskTable::new(running_tasks, &arrivals);
         let doomed: Arc<[AtomicBool]> = counters.iter().map(|_| AtomicBool::new(false)).collect();
         let shared = thread::Shared {
             counters,
@@ -152,7 +152,7 @@
     }
 
     /// Ends them; their books.
-    pub fn stop(mut self) -> io::Result<ClientBooks> {
+    pub fn stop(mut self) -> io::Result<ClientAudit> {
         self.orders.send(ClientOrder::Stop);
         self.thread.join()
     }
--- a/crates/scale-test/src/clients/arrivals.rs
+++ b/crates/scale-test/src/clients/arrivals.rs
@@ -4,14 +4,14 @@
 use crate::identity::{PlacerId, TaskIndex, WorkerId};
 use crate::settings::Settings;
 use crate::wire::description::TaskShape;
-use crate::workers::StandingTask;
+use crate::workers::RunningTask;
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
 use std::time::Duration;
 
 /// Sets the draws of what stands at the start apart from those of what arrives.
-const STANDING_STREAM: u64 = 0x7374_616e_6469_6e67;
+const RUNNING_TASKS_STREAM: u64 = 0x7374_616e_6469_6e67;
 /// The shortest life: a worker tells an answer and an end apart.
 const SHORTEST_LIFE: Duration = Duration::from_millis(1);
 
@@ -122,8 +122,8 @@
 
 /// The tasks that stand at the start: dealt out to the workers in turn, and to the placers in turn round by
 /// round. What is left of an exponential life is exponential, too.
-pub fn standing_tasks(settings: &Settings) -> Vec<StandingTask> {
-    let seed = settings.seed ^ STANDING_STREAM;
+pub fn running_tasks(settings: &Settings) -> Vec<RunningTask> {
+    let seed = settings.seed ^ RUNNING_TASKS_STREAM;
     let mut arrivals = Arrivals {
         draws: ChaCha8Rng::seed_from_u64(seed),
         ..Arrivals::new(settings)
@@ -131,19 +131,19 @@
     let (workers, placers) = (settings.workers.max(1), u32::from(settings.placers.max(1)));
     let task = |index: u32| {
         let placer = (index / workers + index) % placers;
-        StandingTask {
+        RunningTask {
             task: TaskIndex(index),
             worker: WorkerId(index % workers),
             placer: PlacerId(u16::try_from(placer).unwrap_or(0)),
             shape: arrivals.shape(Class::Standard),
         }
     };
-    (0..settings.standing).map(task).collect()
+    (0..settings.running_tasks).map(task).collect()
 }
 
 impl Arrivals {
     /// The tenant and the service of a task that stands at the start.
-    pub fn of_standing(&self, task: TaskIndex) -> (u32, u32) {
+    pub fn of_running_tasks(&self, task: TaskIndex) -> (u32, u32) {
         (task.0 % self.tenants, task.0 % self.services)
     }
 }
--- a/crates/scale-test/src/clients/arrivals/tests.rs
+++ b/crates/scale-test/src/clients/arrivals/tests.rs
@@ -67,10 +67,10 @@
     let settings = Settings {
         workers: 300,
         placers: 3,
-        standing: 4_000,
+        running_tasks: 4_000,
         ..settings()
     };
-    let all = standing_tasks(&settings);
+    let all = running_tasks(&settings);
     assert_eq!(all.len(), 4_000);
     let (mut by_worker, mut by_placer) = (BTreeMap::new(), BTreeMap::new());
     for task in &all {
--- a/crates/scale-test/src/clients/link.rs
+++ b/crates/scale-test/src/clients/link.rs
@@ -28,7 +28,7 @@
     /// Which.
     pub id: SetupId,
     /// It has crossed the end of a connection before.
-    pub again: bool,
+    pub is_resent: bool,
 }
 
 /// One connection to a placer.
--- a/crates/scale-test/src/clients/tasks.rs
+++ b/crates/scale-test/src/clients/tasks.rs
@@ -5,7 +5,7 @@
 use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId};
 use crate::wire::cause;
 use crate::wire::description::TaskShape;
-use crate::workers::StandingTask;
+use crate::workers::RunningTask;
 use std::time::Instant;
 
 /// How a task is.
@@ -17,7 +17,7 @@
         sent: Instant,
     },
     /// It stands at a worker.
-    Stands(WorkerId),
+    Running(WorkerId),
     /// It stood, and the placer has told that it is over, with this cause.
     Over(u8),
     /// Refused: trying again would have been harmless.
@@ -88,9 +88,9 @@
 
 impl TaskTable {
     /// A table with what stands at the start.
-    pub fn new(standing: &[StandingTask], arrivals: &Arrivals) -> TaskTable {
-        let record = |task: &StandingTask| {
-            let (tenant, service) = arrivals.of_standing(task.task);
+    pub fn new(standing: &[RunningTask], arrivals: &Arrivals) -> TaskTable {
+        let record = |task: &RunningTask| {
+            let (tenant, service) = arrivals.of_running_tasks(task.task);
             TaskRecord {
                 due: None,
                 class: Class::Standard,
@@ -101,7 +101,7 @@
                 attempt: 0,
                 moves: 0,
                 measured: false,
-                state: TaskState::Stands(task.worker),
+                state: TaskState::Running(task.worker),
             }
         };
         TaskTable {
@@ -160,13 +160,13 @@
         };
         match record.state {
             TaskState::Waiting { .. } => {
-                record.state = TaskState::Stands(worker);
+                record.state = TaskState::Running(worker);
                 AnswerEffect::First
             }
             TaskState::Unanswered | TaskState::Broken | TaskState::Cut | TaskState::NoPlacer => {
                 AnswerEffect::Stale
             }
-            TaskState::Stands(_) | TaskState::Over(_) | TaskState::Refused | TaskState::Failed => {
+            TaskState::Running(_) | TaskState::Over(_) | TaskState::Refused | TaskState::Failed => {
                 AnswerEffect::Second
             }
         }
@@ -179,7 +179,7 @@
         };
         match record.state {
             TaskState::Waiting { .. } => {
-                let refused = matches!(cause, cause::FULL | cause::REFUSED | cause::MOOT);
+                let refused = matches!(cause, cause::FULL | cause::REFUSED | cause::NOT_SENT);
                 record.state = if refused {
                     TaskState::Refused
                 } else {
@@ -187,7 +187,7 @@
                 };
                 ReleaseEffect::Final
             }
-            TaskState::Stands(_) => {
+            TaskState::Running(_) => {
                 record.state = TaskState::Over(cause);
                 ReleaseEffect::Ended
             }
@@ -199,7 +199,7 @@
     pub fn moved(&mut self, id: SetupId) -> Option<TaskIndex> {
         let record = self
             .latest(id)
-            .filter(|record| matches!(record.state, TaskState::Stands(_)))?;
+            .filter(|record| matches!(record.state, TaskState::Running(_)))?;
         record.attempt = record.attempt.checked_add(1)?;
         record.moves = record.moves.saturating_add(1);
         record.state = TaskState::NoPlacer;
@@ -231,14 +231,14 @@
     }
 
     /// The tasks that stand and belong to a placer, with their ids and their workers.
-    pub fn standing_at(
+    pub fn running_at(
         &self,
         placer: PlacerId,
     ) -> impl Iterator<Item = (SetupId, &TaskRecord, WorkerId)> {
         self.iter()
             .filter(move |(_, record)| record.placer == placer)
             .filter_map(|(task, record)| {
-                let TaskState::Stands(worker) = record.state else {
+                let TaskState::Running(worker) = record.state else {
                     return None;
                 };
                 Some((SetupId::new(task, record.attempt), record, worker))
--- a/crates/scale-test/src/clients/tasks/tests.rs
+++ b/crates/scale-test/src/clients/tasks/tests.rs
@@ -28,8 +28,8 @@
     assert!(table.waits_since(id).is_some());
     assert_eq!(table.answered(id, WORKER), AnswerEffect::First);
     assert_eq!(table.answered(id, WORKER), AnswerEffect::Second);
-    assert_eq!(table.standing_at(PLACER).count(), 1);
-    assert_eq!(table.standing_at(PlacerId(0)).count(), 0);
+    assert_eq!(table.running_at(PLACER).count(), 1);
+    assert_eq!(table.running_at(PlacerId(0)).count(), 0);
     assert_eq!(table.released(id, cause::NORMAL), ReleaseEffect::Ended);
     assert_eq!(
         table.released(id, cause::NORMAL),
@@ -45,7 +45,7 @@
     for (cause, expected) in [
         (cause::FULL, TaskState::Refused),
         (cause::REFUSED, TaskState::Refused),
-        (cause::MOOT, TaskState::Refused),
+        (cause::NOT_SENT, TaskState::Refused),
         (cause::FAILED, TaskState::Failed),
     ] {
         let (mut table, id) = waiting();
@@ -92,7 +92,7 @@
         life: Duration::from_secs(3),
         once: false,
     };
-    let standing = StandingTask {
+    let standing = RunningTask {
         task: TaskIndex(0),
         worker: WORKER,
         placer: PLACER,
@@ -100,7 +100,7 @@
     };
     let table = TaskTable::new(&[standing], &Arrivals::new(&settings));
     let told: Vec<(SetupId, WorkerId)> = table
-        .standing_at(PLACER)
+        .running_at(PLACER)
         .map(|(id, _, worker)| (id, worker))
         .collect();
     assert_eq!(told, [(SetupId::new(TaskIndex(0), 0), WORKER)]);
--- a/crates/scale-test/src/clients/thread.rs
+++ b/crates/scale-test/src/clients/thread.rs
@@ -3,7 +3,7 @@
 use super::arrivals::{Arrival, Arrivals};
 use super::link::{FIRST_CONNECTION, Links, OpenSetup};
 use super::tasks::{AnswerEffect, ReleaseEffect, TaskRecord, TaskState, TaskTable};
-use super::{ArrivalWindow, ClientBooks, ClientOrder, ClientState, Timings};
+use super::{ArrivalWindow, ClientAudit, ClientOrder, ClientState, Timings};
 use crate::deployment::Class;
 use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId};
 use crate::mailbox::Receiver;
@@ -110,7 +110,7 @@
     }
 
     /// Runs until it is stopped; the books.
-    pub fn run(mut self) -> io::Result<ClientBooks> {
+    pub fn run(mut self) -> io::Result<ClientAudit> {
         let mut events = Events::with_capacity(EVENTS);
         while !self.stopped {
             let wait = self.timers.wait(Instant::now(), LONGEST_WAIT);
@@ -126,7 +126,7 @@
                 }
             }
             self.obey()?;
-            self.tell();
+            self.publish_progress();
         }
         let ClientThread {
             tasks,
@@ -135,7 +135,7 @@
             bad_messages,
             ..
         } = self;
-        Ok(ClientBooks {
+        Ok(ClientAudit {
             tasks,
             timings,
             second_answers,
@@ -143,7 +143,7 @@
         })
     }
 
-    fn tell(&mut self) {
+    fn publish_progress(&mut self) {
         self.state.queued = self
             .links
             .connections()
@@ -252,7 +252,13 @@
         self.timers
             .add(now + wait + ANSWER_GRACE, Due::Overdue(id, now));
         self.state.waiting += 1;
-        self.send_set_up(OpenSetup { id, again: false }, placer)
+        self.send_set_up(
+            OpenSetup {
+                id,
+                is_resent: false,
+            },
+            placer,
+        )
     }
 
     /// Sends the set-up of a task that waits.
@@ -322,14 +328,14 @@
         if let Some(ready) = self.state.ready.get_mut(placer.index()) {
             *ready = Some(Instant::now());
         }
-        self.tell_standing(placer)
+        self.announce_running_tasks(placer)
     }
 
     /// Tells a placer that starts of the tasks that stand.
-    fn tell_standing(&mut self, placer: PlacerId) -> io::Result<()> {
+    fn announce_running_tasks(&mut self, placer: PlacerId) -> io::Result<()> {
         let mut bytes = Vec::new();
         let mut messages = 0;
-        for (id, record, worker) in self.tasks.standing_at(placer) {
+        for (id, record, worker) in self.tasks.running_at(placer) {
             write_set_up(&mut bytes, id, record, Some(worker), &self.tenant_names);
             messages += 1;
         }
@@ -395,14 +401,24 @@
             .doomed
             .get(placer.index())
             .is_some_and(|doomed| doomed.load(Ordering::SeqCst));
-        for OpenSetup { id, again } in closed.open {
+        for OpenSetup {
+            id,
+            is_resent: again,
+        } in closed.open
+        {
             let Some(sent) = self.tasks.waits_since(id) else {
                 continue;
             };
             if !there || doomed {
                 self.ends_unanswered(id, TaskState::Cut);
             } else if !again && sent.elapsed() <= CROSSED {
-                self.send_set_up(OpenSetup { id, again: true }, placer)?;
+                self.send_set_up(
+                    OpenSetup {
+                        id,
+                        is_resent: true,
+                    },
+                    placer,
+                )?;
             } else {
                 self.ends_unanswered(id, TaskState::Broken);
             }
--- a/crates/scale-test/src/deployment.rs
+++ b/crates/scale-test/src/deployment.rs
@@ -34,7 +34,7 @@
     }
 
     /// The time to an answer that is aimed for, in milliseconds.
-    pub fn aim_ms(self) -> u64 {
+    pub fn latency_objective_ms(self) -> u64 {
         match self {
             Class::Standard | Class::Once => 4_000,
             Class::Urgent => 1_700,
@@ -60,7 +60,7 @@
 
     fn as_setting(self) -> Value {
         json!({
-            "name": self.name(), "aim": self.aim_ms(), "hard_limit": self.wait_ms(),
+            "name": self.name(), "aim": self.latency_objective_ms(), "hard_limit": self.wait_ms(),
             "semantics": self.semantics(), "group": "all", "worth": 1.0, "late_share": 0.2,
             "memory_span": 5000.0, "long_lived": true
         })
--- a/crates/scale-test/src/feeds.rs
+++ b/crates/scale-test/src/feeds.rs
@@ -25,7 +25,7 @@
 
 /// The room of a worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Room {
+pub struct FreeResources {
     /// Whose.
     pub worker: WorkerId,
     /// Cores that nobody has asked for.
@@ -39,7 +39,7 @@
     /// The ports at which a placer reaches the workers of each zone.
     Ports(PlacerId, Vec<u16>),
     /// The rooms of workers have changed.
-    Rooms(Vec<Room>),
+    Rooms(Vec<FreeResources>),
     /// The workers of a zone were removed.
     Remove(ZoneId),
     /// They are up again, as processes that started at this Unix millisecond.
--- a/crates/scale-test/src/feeds/journal.rs
+++ b/crates/scale-test/src/feeds/journal.rs
@@ -1,13 +1,13 @@
 //! The state of all workers as the feeds tell it, and how far one placer has been told. Without I/O.
 
-use super::Room;
+use super::FreeResources;
 use crate::identity::{WorkerId, ZoneId};
 use crate::settings::FeedRule;
 use crate::traffic::FeedCounts;
 use crate::wire::feed::{self, Entry, ListedWorker};
 
 /// Entries of one event at the most, so that its line stays far below the longest that placers take.
-const MOST_ENTRIES: usize = 2_000;
+const MAX_ENTRIES: usize = 2_000;
 
 /// All workers, as the feeds tell them.
 pub struct ListedWorkers {
@@ -53,7 +53,7 @@
     }
 
     /// Takes over the room of a worker.
-    pub fn set_room(&mut self, room: Room) {
+    pub fn set_free_resources(&mut self, room: FreeResources) {
         if let Some(listed) = self.workers.get_mut(room.worker.index()) {
             (listed.free_cores, listed.free_memory) = (room.free_cores, room.free_memory);
         }
@@ -98,7 +98,7 @@
 #[derive(Default)]
 pub struct Journal {
     /// The number of the last event.
-    last: u64,
+    last_number: u64,
     /// At which port the placer reaches the workers of each zone.
     ports: Vec<u16>,
     /// The workers of which it has yet to be told.
@@ -115,7 +115,7 @@
 
     /// The placer starts: its first event holds all workers that are up.
     pub fn start(&mut self, workers: &ListedWorkers) -> String {
-        self.last = 1;
+        self.last_number = 1;
         self.clear();
         let mut event = Vec::new();
         let up = workers.ids().filter(|worker| workers.is_up(*worker));
@@ -156,17 +156,17 @@
     /// The placer subscribes from an event on. What it was told after that has been lost on its way, and it
     /// knows none of the later numbers: they are used again.
     pub fn subscribe(&mut self, from: u64, workers: &ListedWorkers) {
-        if from != self.last {
-            self.last = from;
+        if from != self.last_number {
+            self.last_number = from;
             workers.ids().for_each(|worker| self.mark(worker));
         }
     }
 
     /// Tells all changes: each in an event of its own, or in as few events as may be.
-    pub fn tell(&mut self, rule: FeedRule, workers: &ListedWorkers, lines: &mut Lines) {
+    pub fn write_changes(&mut self, rule: FeedRule, workers: &ListedWorkers, lines: &mut Lines) {
         let in_one = match rule {
             FeedRule::EachChange => 1,
-            FeedRule::Gathered => MOST_ENTRIES,
+            FeedRule::Gathered => MAX_ENTRIES,
         };
         let stale = std::mem::take(&mut self.stale);
         stale
@@ -176,12 +176,12 @@
     }
 
     /// Tells the entry of one worker again.
-    pub fn tell_again(&mut self, worker: WorkerId, workers: &ListedWorkers, lines: &mut Lines) {
+    pub fn write_repeat(&mut self, worker: WorkerId, workers: &ListedWorkers, lines: &mut Lines) {
         self.event(workers, &[worker], false, lines);
     }
 
     /// Tells the whole list.
-    pub fn tell_whole(&mut self, workers: &ListedWorkers, lines: &mut Lines) {
+    pub fn write_complete_list(&mut self, workers: &ListedWorkers, lines: &mut Lines) {
         self.clear();
         let up: Vec<WorkerId> = workers
             .ids()
@@ -191,8 +191,8 @@
     }
 
     /// Tells the number of the last event.
-    pub fn tell_number(&self, lines: &mut Lines) {
-        feed::number(&mut lines.bytes, self.last);
+    pub fn write_number(&self, lines: &mut Lines) {
+        feed::number(&mut lines.bytes, self.last_number);
         lines.bytes.push(b'\n');
         lines.messages += 1;
         lines.counts.number_lines += 1;
@@ -201,20 +201,23 @@
     fn event(
         &mut self,
         workers: &ListedWorkers,
-        told: &[WorkerId],
+        changed: &[WorkerId],
         whole: bool,
         lines: &mut Lines,
     ) {
-        self.last += 1;
-        let entries = told
+        self.last_number += 1;
+        let entries = changed
             .iter()
             .filter_map(|worker| workers.entry(*worker, &self.ports));
-        feed::event(&mut lines.bytes, self.last, whole, entries);
+        feed::event(&mut lines.bytes, self.last_number, whole, entries);
         lines.bytes.push(b'\n');
         lines.messages += 1;
-        let up = told.iter().filter(|worker| workers.is_up(**worker)).count() as u64;
+        let up = changed
+            .iter()
+            .filter(|worker| workers.is_up(**worker))
+            .count() as u64;
         lines.counts.entries_up += up;
-        lines.counts.entries_removed += told.len() as u64 - up;
+        lines.counts.entries_removed += changed.len() as u64 - up;
         if whole {
             lines.counts.whole_events += 1;
         } else {
--- a/crates/scale-test/src/feeds/journal/tests.rs
+++ b/crates/scale-test/src/feeds/journal/tests.rs
@@ -66,7 +66,7 @@
 fn numbers_follow_each_other_under_both_rules_and_a_change_is_told_once() {
     let mut workers = workers();
     let mut journal = journal(&workers);
-    workers.set_room(Room {
+    workers.set_free_resources(FreeResources {
         worker: WorkerId(1),
         free_cores: 1.0,
         free_memory: 2.0,
@@ -75,11 +75,11 @@
         journal.mark(WorkerId(worker));
     }
     let mut lines = Lines::default();
-    journal.tell(FeedRule::EachChange, &workers, &mut lines);
-    journal.tell_number(&mut lines);
+    journal.write_changes(FeedRule::EachChange, &workers, &mut lines);
+    journal.write_number(&mut lines);
     journal.mark(WorkerId(0));
     journal.mark(WorkerId(2));
-    journal.tell(FeedRule::Gathered, &workers, &mut lines);
+    journal.write_changes(FeedRule::Gathered, &workers, &mut lines);
     assert!(!journal.is_behind());
     let found = told(&lines);
     let numbers: Vec<u64> = found.iter().map(|(n, _, _)| *n).collect();
@@ -99,12 +99,12 @@
     let workers = workers();
     let mut journal = journal(&workers);
     journal.mark(WorkerId(1));
-    journal.tell(FeedRule::EachChange, &workers, &mut Lines::default());
+    journal.write_changes(FeedRule::EachChange, &workers, &mut Lines::default());
     journal.subscribe(2, &workers);
     assert!(!journal.is_behind(), "nothing was lost");
     journal.subscribe(1, &workers);
     let mut lines = Lines::default();
-    journal.tell(FeedRule::Gathered, &workers, &mut lines);
+    journal.write_changes(FeedRule::Gathered, &workers, &mut lines);
     let found = told(&lines);
     assert_eq!((found.len(), found[0].0, found[0].2.len()), (1, 2, 5));
 }
@@ -118,8 +118,8 @@
         journal.mark(worker);
     }
     let mut lines = Lines::default();
-    journal.tell(FeedRule::Gathered, &workers, &mut lines);
-    journal.tell_whole(&workers, &mut lines);
+    journal.write_changes(FeedRule::Gathered, &workers, &mut lines);
+    journal.write_complete_list(&workers, &mut lines);
     let found = told(&lines);
     assert_eq!(
         found[0].2,
--- a/crates/scale-test/src/feeds/thread.rs
+++ b/crates/scale-test/src/feeds/thread.rs
@@ -1,7 +1,7 @@
 //! The event loop of the control feeds.
 
 use super::journal::{Journal, Lines, ListedWorkers};
-use super::{FeedOrder, Room};
+use super::{FeedOrder, FreeResources};
 use crate::identity::{WorkerId, ZoneId};
 use crate::mailbox::Receiver;
 use crate::settings::{FeedRule, Settings};
@@ -30,7 +30,7 @@
 /// How often a line with just the number is told (the protocol's figure).
 const NUMBER_PERIOD: Duration = Duration::from_secs(1);
 /// With so many bytes waiting for a placer that reads slowly, changes are gathered until it has read them.
-const MOST_QUEUED: usize = 4 * 1024 * 1024;
+const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
 /// The longest line that a placer says.
 const LONGEST_SUBSCRIPTION: usize = 64;
 /// Sets the draws of extra events apart from all other draws of a run.
@@ -63,7 +63,7 @@
             && self
                 .connection
                 .as_ref()
-                .is_some_and(|found| found.queued() < MOST_QUEUED)
+                .is_some_and(|found| found.queued() < MAX_QUEUED_BYTES)
     }
 
     fn send(&mut self, lines: &Lines) {
@@ -170,7 +170,7 @@
             self.obey();
             self.do_what_is_due();
             if self.rule == FeedRule::EachChange {
-                self.tell_changes();
+                self.write_changes();
             }
         }
         Ok(())
@@ -199,7 +199,9 @@
                         feed.journal.set_ports(ports);
                     }
                 }
-                FeedOrder::Rooms(rooms) => rooms.into_iter().for_each(|room| self.set_room(room)),
+                FeedOrder::Rooms(rooms) => rooms
+                    .into_iter()
+                    .for_each(|room| self.set_free_resources(room)),
                 FeedOrder::Remove(zone) => self.set_zone(zone, false, 0),
                 FeedOrder::Return(zone, born_ms) => self.set_zone(zone, true, born_ms),
                 FeedOrder::Start(placer, reply) => {
@@ -220,8 +222,8 @@
             .for_each(|feed| feed.journal.mark(worker));
     }
 
-    fn set_room(&mut self, room: Room) {
-        self.workers.set_room(room);
+    fn set_free_resources(&mut self, room: FreeResources) {
+        self.workers.set_free_resources(room);
         self.mark(room.worker);
     }
 
@@ -282,8 +284,9 @@
         feed.subscribed = true;
         feed.journal.subscribe(number, &self.workers);
         let mut lines = Lines::default();
-        feed.journal.tell(self.rule, &self.workers, &mut lines);
-        feed.journal.tell_number(&mut lines);
+        feed.journal
+            .write_changes(self.rule, &self.workers, &mut lines);
+        feed.journal.write_number(&mut lines);
         feed.send(&lines);
     }
 
@@ -294,19 +297,19 @@
         while let Some((at, due)) = self.timers.pop_due(now) {
             let next = match due {
                 Due::Gathered => {
-                    self.tell_changes();
+                    self.write_changes();
                     at + self.period
                 }
                 Due::Numbers => {
-                    self.tell_all(|journal, _, lines| journal.tell_number(lines));
+                    self.write_to_all(|journal, _, lines| journal.write_number(lines));
                     at + NUMBER_PERIOD
                 }
                 Due::Whole => {
-                    self.tell_all(Journal::tell_whole);
+                    self.write_to_all(Journal::write_complete_list);
                     at + self.whole_every
                 }
                 Due::Extra => {
-                    self.tell_extra();
+                    self.write_extra();
                     at + self.extra_gap.unwrap_or(NUMBER_PERIOD)
                 }
             };
@@ -314,7 +317,7 @@
         }
     }
 
-    fn tell_all(&mut self, tell: impl Fn(&mut Journal, &ListedWorkers, &mut Lines)) {
+    fn write_to_all(&mut self, tell: impl Fn(&mut Journal, &ListedWorkers, &mut Lines)) {
         for feed in self.feeds.iter_mut().filter(|feed| feed.takes_more()) {
             let mut lines = Lines::default();
             tell(&mut feed.journal, &self.workers, &mut lines);
@@ -322,7 +325,7 @@
         }
     }
 
-    fn tell_changes(&mut self) {
+    fn write_changes(&mut self) {
         let rule = self.rule;
         for feed in self
             .feeds
@@ -330,15 +333,15 @@
             .filter(|feed| feed.journal.is_behind() && feed.takes_more())
         {
             let mut lines = Lines::default();
-            feed.journal.tell(rule, &self.workers, &mut lines);
+            feed.journal.write_changes(rule, &self.workers, &mut lines);
             feed.send(&lines);
         }
     }
 
-    fn tell_extra(&mut self) {
+    fn write_extra(&mut self) {
         let count = self.workers.ids().count();
         let drawn = self.draws.random_range(0..count.max(1));
         let worker = WorkerId(u32::try_from(drawn).unwrap_or(0));
-        self.tell_all(|journal, workers, lines| journal.tell_again(worker, workers, lines));
+        self.write_to_all(|journal, workers, lines| journal.write_repeat(worker, workers, lines));
     }
 }
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -19,7 +19,7 @@
 
 /// Distinct sizes without which nothing is fitted. A curve has three coefficients (scale, exponent,
 /// offset); a fourth size is the first that can speak against it.
-pub const LEAST_SIZES: usize = 4;
+pub const MIN_SIZES: usize = 4;
 
 /// The part of a projection by which a measurement may differ from it.
 pub const PROJECTION_TOLERANCE: f64 = 0.2;
@@ -49,7 +49,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FitError {
     /// The points have fewer than [`LEAST_SIZES`] distinct sizes.
-    #[error("{found} distinct sizes, and a fit needs at least {LEAST_SIZES}")]
+    #[error("{found} distinct sizes, and a fit needs at least {MIN_SIZES}")]
     TooFewSizes {
         /// Distinct sizes among the points.
         found: usize,
@@ -72,7 +72,7 @@
         check_numbers(points)?;
         let points = sorted(points);
         let sizes = distinct_sizes(&points);
-        if sizes < LEAST_SIZES {
+        if sizes < MIN_SIZES {
             return Err(FitError::TooFewSizes { found: sizes });
         }
         let line = Line::through(&points);
--- a/crates/scale-test/src/fit/tests.rs
+++ b/crates/scale-test/src/fit/tests.rs
@@ -1,8 +1,7 @@
 use proptest::prelude::*;
 
 use super::{
-    FLAT_SPREAD, Fit, FitError, LEAST_SIZES, PROJECTION_TOLERANCE, STRAIGHT_EXPONENTS, Shape,
-    compare,
+    FLAT_SPREAD, Fit, FitError, MIN_SIZES, PROJECTION_TOLERANCE, STRAIGHT_EXPONENTS, Shape, compare,
 };
 
 /// Sizes of a sweep over workers.
@@ -24,7 +23,7 @@
 
 /// Four to eight distinct sizes between 50 and about 20,000, each 1.4 to 2 times the one before.
 fn sizes() -> impl Strategy<Value = Vec<f64>> {
-    let steps = proptest::collection::vec(1.4..2.0_f64, LEAST_SIZES - 1..8);
+    let steps = proptest::collection::vec(1.4..2.0_f64, MIN_SIZES - 1..8);
     (50.0..200.0_f64, steps).prop_map(|(first, steps)| {
         let mut sizes = vec![first];
         for step in steps {
--- a/crates/scale-test/src/identity.rs
+++ b/crates/scale-test/src/identity.rs
@@ -7,7 +7,7 @@
 /// The address of worker 0, 127.16.0.0; the others follow it within 127.0.0.0/8.
 const FIRST_ADDRESS: u32 = 0x7f10_0000;
 /// The most workers of a run: what a run's figures were made for.
-pub const MOST_WORKERS: u32 = 16_384;
+pub const MAX_WORKERS: u32 = 16_384;
 /// The bits of a task's id on the wire that hold its index; the attempt stands above them.
 const INDEX_BITS: u32 = 40;
 /// What is added to a task's index for its key, so that keys and ids differ.
--- a/crates/scale-test/src/identity/tests.rs
+++ b/crates/scale-test/src/identity/tests.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn a_worker_is_found_by_its_address_and_its_name() {
-    for index in [0, 1, 255, 256, 7_299, MOST_WORKERS - 1] {
+    for index in [0, 1, 255, 256, 7_299, MAX_WORKERS - 1] {
         let worker = WorkerId(index);
         assert_eq!(
-            WorkerId::at(IpAddr::V4(worker.address()), MOST_WORKERS),
+            WorkerId::at(IpAddr::V4(worker.address()), MAX_WORKERS),
             Some(worker)
         );
         assert_eq!(WorkerId::named(&worker.to_string()), Some(worker));
--- a/crates/scale-test/src/placer_process.rs
+++ b/crates/scale-test/src/placer_process.rs
@@ -46,12 +46,12 @@
             child: None,
             started: Instant::now(),
         };
-        process.start_again(configuration)?;
+        process.restart(configuration)?;
         Ok(process)
     }
 
     /// Starts it in its place, on another configuration.
-    pub fn start_again(&mut self, configuration: &str) -> Result<(), RunError> {
+    pub fn restart(&mut self, configuration: &str) -> Result<(), RunError> {
         self.kill();
         let config = self
             .launch
--- a/crates/scale-test/src/results.rs
+++ b/crates/scale-test/src/results.rs
@@ -45,7 +45,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetTotals {
     /// Tasks that stood at the start.
-    pub standing: u64,
+    #[serde(rename = "standing")]
+    pub running_at_start: u64,
     /// Tasks that were due, over the whole run.
     pub due: u64,
     /// Of these, tasks that were answered: they stood.
@@ -72,7 +73,8 @@
     /// Of the class that must not start twice: started more often than they were set up.
     pub started_twice: u64,
     /// Of the classes that may: started again at another worker.
-    pub started_again: u64,
+    #[serde(rename = "started_again")]
+    pub restarted: u64,
     /// Moved by their placer.
     pub moved: u64,
     /// Ended by themselves, and told so.
--- a/crates/scale-test/src/results/table.rs
+++ b/crates/scale-test/src/results/table.rs
@@ -21,7 +21,7 @@
         settings.placers,
         settings.stated_placers(),
         settings.rate,
-        settings.standing,
+        settings.running_tasks,
         result.duration_s,
     )?;
     match &result.reason {
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -14,7 +14,7 @@
 
 use crate::audit::{Kill, audit};
 use crate::budget::{self, Machine, Need};
-use crate::clients::{ArrivalWindow, ClientBooks, ClientOrder};
+use crate::clients::{ArrivalWindow, ClientAudit, ClientOrder};
 use crate::deployment::Class;
 use crate::error::RunError;
 use crate::process_sample::Sampler;
@@ -60,7 +60,7 @@
     /// Set-ups that wait.
     pub waiting: u64,
     /// Tasks at workers.
-    pub held: usize,
+    pub active_tasks: usize,
     /// Connections of placers to workers.
     pub connections: usize,
 }
@@ -140,7 +140,7 @@
             started: clients.started,
             refused: clients.refused,
             waiting: clients.waiting,
-            held: workers.held,
+            active_tasks: workers.active_tasks,
             connections: workers.connections,
         });
     }
@@ -247,7 +247,7 @@
             let (clients, workers) = stage.states();
             Instant::now() >= quiet
                 && clients.waiting == 0
-                && workers.unheard == 0
+                && workers.unacknowledged == 0
                 && stage.all_ready()
         })?;
         Ok(())
@@ -291,12 +291,12 @@
 
 fn fleet_totals(
     settings: &Settings,
-    clients: &ClientBooks,
+    clients: &ClientAudit,
     workers: &WorkerReport,
     kills: &[Kill],
 ) -> Result<FleetTotals, RunError> {
     let mut totals = FleetTotals::default();
-    audit(&mut totals, &clients.tasks, &workers.books, kills);
+    audit(&mut totals, &clients.tasks, &workers.audit, kills);
     totals.answered_twice = clients.second_answers;
     totals.bad_messages += clients.bad_messages;
     totals.lateness = Percentiles::of(&clients.timings.lateness);
--- a/crates/scale-test/src/run/meter.rs
+++ b/crates/scale-test/src/run/meter.rs
@@ -28,7 +28,7 @@
     counters: Vec<Arc<PlacerCounters>>,
     placers: Vec<Seen>,
     measured_from: Instant,
-    last: Instant,
+    last_sample_at: Instant,
     second: u32,
     memory: MemoryTotals,
     /// The machine's time at the start and at the end of the rows that count.
@@ -50,7 +50,7 @@
             placers: counters.iter().map(seen).collect(),
             counters,
             measured_from,
-            last: Instant::now(),
+            last_sample_at: Instant::now(),
             second: 0,
             memory: MemoryTotals::default(),
             machine: None,
@@ -59,7 +59,7 @@
 
     /// The first row begins.
     pub fn begin(&mut self, stage: &Stage, sampler: &mut dyn Sampler) {
-        self.last = Instant::now();
+        self.last_sample_at = Instant::now();
         self.begin_measured();
         for ((seen, counters), process) in self
             .placers
@@ -74,8 +74,8 @@
 
     /// A row ends, and the next begins.
     pub fn row(&mut self, stage: &Stage, sampler: &mut dyn Sampler) {
-        let start = std::mem::replace(&mut self.last, Instant::now());
-        let length = self.last.saturating_duration_since(start);
+        let start = std::mem::replace(&mut self.last_sample_at, Instant::now());
+        let length = self.last_sample_at.saturating_duration_since(start);
         let measured = counts(start, self.measured_from);
         match &mut self.machine {
             Some((_, end)) if measured => *end = MachineTime::now(),
@@ -110,7 +110,7 @@
 
     /// The rows that count begin, if this is their time and they have not begun.
     fn begin_measured(&mut self) {
-        if self.machine.is_none() && counts(self.last, self.measured_from) {
+        if self.machine.is_none() && counts(self.last_sample_at, self.measured_from) {
             let now = MachineTime::now();
             self.machine = Some((now, now));
         }
--- a/crates/scale-test/src/run/schedule.rs
+++ b/crates/scale-test/src/run/schedule.rs
@@ -10,7 +10,7 @@
     /// The workers of a zone vanish.
     ZoneVanishes(ZoneId),
     /// The feeds tell that they were removed.
-    ZoneIsTold(ZoneId),
+    ZoneIsReportedRemoved(ZoneId),
     /// They are back cold, and the feeds tell so.
     ZoneReturns(ZoneId),
     /// A placer is killed.
@@ -57,7 +57,7 @@
         Fault::Zone {
             at,
             zone,
-            told_after,
+            reported_after: told_after,
             back_after,
         } => {
             let Some(zone) = settings.zone(zone) else {
@@ -65,7 +65,7 @@
             };
             vec![
                 (*at, Action::ZoneVanishes(zone)),
-                (*at + *told_after, Action::ZoneIsTold(zone)),
+                (*at + *told_after, Action::ZoneIsReportedRemoved(zone)),
                 (*at + *back_after, Action::ZoneReturns(zone)),
             ]
         }
--- a/crates/scale-test/src/run/schedule/tests.rs
+++ b/crates/scale-test/src/run/schedule/tests.rs
@@ -10,7 +10,7 @@
             Fault::Zone {
                 at: second(2),
                 zone: "z1".into(),
-                told_after: second(2),
+                reported_after: second(2),
                 back_after: second(6),
             },
             Fault::Placer {
@@ -37,7 +37,7 @@
     let expected = [
         (1, Action::PlacerIsKilled(PlacerId(2))),
         (2, Action::ZoneVanishes(ZoneId(1))),
-        (4, Action::ZoneIsTold(ZoneId(1))),
+        (4, Action::ZoneIsReportedRemoved(ZoneId(1))),
         (4, Action::Garbage(3)),
         (5, Action::PlacerReturns(PlacerId(2))),
         (8, Action::ZoneReturns(ZoneId(1))),
--- a/crates/scale-test/src/run/stage.rs
+++ b/crates/scale-test/src/run/stage.rs
@@ -2,7 +2,7 @@
 
 use super::schedule::Action;
 use crate::audit::Kill;
-use crate::clients::{ClientBooks, ClientOrder, ClientState, Clients, standing_tasks};
+use crate::clients::{ClientAudit, ClientOrder, ClientState, Clients, running_tasks};
 use crate::deployment::{Place, configuration};
 use crate::error::RunError;
 use crate::feeds::{FeedOrder, Feeds};
@@ -38,7 +38,7 @@
 /// What is left when all has ended.
 pub struct Ended {
     /// What the clients noted.
-    pub clients: ClientBooks,
+    pub clients: ClientAudit,
     /// What the workers noted.
     pub workers: WorkerReport,
     /// From each start of each placer to its first passed test, in milliseconds.
@@ -104,7 +104,7 @@
         let counters: Vec<Arc<PlacerCounters>> =
             (0..settings.placers).map(|_| Arc::default()).collect();
         let peers = |peers| move |source| RunError::Peers { peers, source };
-        let standing = standing_tasks(settings);
+        let standing = running_tasks(settings);
         let feeds = Feeds::start(settings, counters.clone()).map_err(peers("feeds"))?;
         let workers = Workers::start(
             &WorkerSetup::of(settings),
@@ -283,7 +283,9 @@
     pub fn act(&mut self, action: Action, kills: &mut Vec<Kill>) -> Result<(), RunError> {
         match action {
             Action::ZoneVanishes(zone) => self.workers.order(WorkerOrder::Vanish(zone)),
-            Action::ZoneIsTold(zone) => self.feeds.orders().send(FeedOrder::Remove(zone)),
+            Action::ZoneIsReportedRemoved(zone) => {
+                self.feeds.orders().send(FeedOrder::Remove(zone))
+            }
             Action::ZoneReturns(zone) => {
                 self.workers.order(WorkerOrder::Return(zone));
                 self.feeds
@@ -301,13 +303,13 @@
                 }
                 self.clients.order(ClientOrder::Killed(placer));
             }
-            Action::PlacerReturns(placer) => self.start_again(placer)?,
+            Action::PlacerReturns(placer) => self.restart(placer)?,
             Action::Garbage(workers) => self.workers.order(WorkerOrder::Garbage(workers)),
         }
         Ok(())
     }
 
-    fn start_again(&mut self, placer: PlacerId) -> Result<(), RunError> {
+    fn restart(&mut self, placer: PlacerId) -> Result<(), RunError> {
         let Some(member) = self.members.get_mut(placer.index()) else {
             return Ok(());
         };
@@ -316,7 +318,7 @@
         let (restarts, address) = (member.restarts, member.process.address());
         let text = self.configuration(placer, restarts, address)?;
         if let Some(member) = self.members.get_mut(placer.index()) {
-            member.process.start_again(&text)?;
+            member.process.restart(&text)?;
         }
         self.clients.doom(placer, false);
         self.clients.order(ClientOrder::Started(placer, address));
--- a/crates/scale-test/src/settings.rs
+++ b/crates/scale-test/src/settings.rs
@@ -85,7 +85,8 @@
     #[serde(with = "humantime_serde")]
     pub start_time: Duration,
     /// Tasks that stand at the start, over all placers that really run.
-    pub standing: u32,
+    #[serde(rename = "standing")]
+    pub running_tasks: u32,
     /// Tenants.
     pub tenants: u32,
     /// Services that tasks belong to.
@@ -149,7 +150,7 @@
             once_share: 0.0,
             life: Duration::from_secs(20),
             start_time: Duration::from_millis(200),
-            standing: 400,
+            running_tasks: 400,
             tenants: 5,
             services: 200,
             warm_up: Duration::from_secs(3),
@@ -226,7 +227,7 @@
     }
 
     /// Tasks that one worker can hold.
-    pub fn room(&self) -> u32 {
+    pub fn max_tasks_per_worker(&self) -> u32 {
         let cores = self.worker_cores / self.task_cores;
         let memory = self.worker_memory / self.task_memory;
         // More than a worker ever has; a cast from a number out of range gives the nearest.
--- a/crates/scale-test/src/settings/check.rs
+++ b/crates/scale-test/src/settings/check.rs
@@ -1,7 +1,7 @@
 //! The checks of settings: each value by itself, then what they say together.
 
 use super::{Fault, FeedRule, Settings, SettingsError};
-use crate::identity::MOST_WORKERS;
+use crate::identity::MAX_WORKERS;
 use std::fmt::Display;
 use std::ops::RangeInclusive;
 use std::time::Duration;
@@ -11,11 +11,11 @@
 /// Connections beside those kept to each placer: its test, its feed, and listeners that are counted apart.
 const EACH_PLACER: u64 = 3;
 /// The fewest descriptors with which a placer serves anyone.
-const FEWEST_SOCKETS: u64 = 64;
+const MIN_SOCKETS: u64 = 64;
 /// The longest time that a setting may name.
 const DAY: Duration = Duration::from_secs(86_400);
 /// The most processes of a run.
-const MOST_PLACERS: u16 = 299;
+const MAX_PLACERS: u16 = 299;
 
 type Checked = Result<(), SettingsError>;
 
@@ -33,10 +33,10 @@
     }
 
     fn check_values(&self) -> Checked {
-        within("workers", self.workers, 1..=MOST_WORKERS)?;
+        within("workers", self.workers, 1..=MAX_WORKERS)?;
         within("zones", self.zones, 1..=self.workers.min(256))?;
         within("regions", self.regions, 1..=self.zones)?;
-        within("placers", self.placers, 0..=MOST_PLACERS)?;
+        within("placers", self.placers, 0..=MAX_PLACERS)?;
         within("tenants", self.tenants, 1..=1_000)?;
         within("services", self.services, 1..=1_000_000)?;
         within("rate", self.rate, 0.0..=100_000.0)?;
@@ -48,7 +48,7 @@
         within(
             "placer-sockets",
             self.placer_sockets,
-            FEWEST_SOCKETS..=1_048_576,
+            MIN_SOCKETS..=1_048_576,
         )?;
         within("client-connections", self.client_connections, 1..=256)?;
         within("worker-cores", self.worker_cores, 0.1..=100_000.0)?;
@@ -108,14 +108,14 @@
             let expected = format!("0, or at least placers = {}", self.placers);
             return Err(SettingsError::new("instances", expected, self.instances));
         }
-        let hold = u64::from(self.workers) * u64::from(self.room());
-        if u64::from(self.standing) > hold {
+        let hold = u64::from(self.workers) * u64::from(self.max_tasks_per_worker());
+        if u64::from(self.running_tasks) > hold {
             let expected = format!(
                 "at most the {hold} that {} workers of {} tasks hold",
                 self.workers,
-                self.room()
+                self.max_tasks_per_worker()
             );
-            return Err(SettingsError::new("standing", expected, self.standing));
+            return Err(SettingsError::new("standing", expected, self.running_tasks));
         }
         Ok(())
     }
@@ -136,7 +136,7 @@
         match fault {
             Fault::Zone {
                 zone,
-                told_after,
+                reported_after: told_after,
                 back_after,
                 ..
             } => {
--- a/crates/scale-test/src/settings/fault.rs
+++ b/crates/scale-test/src/settings/fault.rs
@@ -21,7 +21,8 @@
         zone: String,
         /// How long until the feed tells that they were removed.
         #[serde(with = "humantime_serde", default = "usual_telling")]
-        told_after: Duration,
+        #[serde(rename = "told-after")]
+        reported_after: Duration,
         /// How long until they are back, holding nothing.
         #[serde(with = "humantime_serde")]
         back_after: Duration,
--- a/crates/scale-test/src/settings/flags.rs
+++ b/crates/scale-test/src/settings/flags.rs
@@ -122,7 +122,7 @@
         "rate" => number(&mut settings.rate, name, text),
         "urgent-share" => number(&mut settings.urgent_share, name, text),
         "once-share" => number(&mut settings.once_share, name, text),
-        "standing" => number(&mut settings.standing, name, text),
+        "standing" => number(&mut settings.running_tasks, name, text),
         "tenants" => number(&mut settings.tenants, name, text),
         "services" => number(&mut settings.services, name, text),
         "placer-memory-mb" => number(&mut settings.placer_memory_mb, name, text),
@@ -145,8 +145,10 @@
             settings.keep_files = Some(PathBuf::from(text));
             Ok(())
         }
-        "feed" => word::<FeedRule>(&mut settings.feed, name, "each-change or gathered", text),
-        "connect" => word::<Connect>(&mut settings.connect, name, "on-demand or all", text),
+        "feed" => {
+            parsed_word::<FeedRule>(&mut settings.feed, name, "each-change or gathered", text)
+        }
+        "connect" => parsed_word::<Connect>(&mut settings.connect, name, "on-demand or all", text),
         _ => Err(SettingsError::new(
             name,
             "the name of a setting",
@@ -172,7 +174,7 @@
     Ok(())
 }
 
-fn word<T: DeserializeOwned>(
+fn parsed_word<T: DeserializeOwned>(
     place: &mut T,
     name: &str,
     expected: &str,
--- a/crates/scale-test/src/socket.rs
+++ b/crates/scale-test/src/socket.rs
@@ -13,7 +13,7 @@
 /// An empty buffer above this is given back: thousands of connections are idle at a time.
 const KEPT_CAPACITY: usize = 1_024;
 /// Bytes that may wait for a placer that reads slowly. The standing tasks of a start are the most.
-const MOST_QUEUED: usize = 64 * 1024 * 1024;
+const MAX_QUEUED_BYTES: usize = 64 * 1024 * 1024;
 
 /// Whether a connection goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -158,7 +158,7 @@
         }
         self.count(Direction::ToPlacer, Volume { bytes: 0, messages });
         self.outbox.extend_from_slice(bytes);
-        if self.queued() > MOST_QUEUED {
+        if self.queued() > MAX_QUEUED_BYTES {
             self.ended = true;
         }
         self.flush()
--- a/crates/scale-test/src/sweep.rs
+++ b/crates/scale-test/src/sweep.rs
@@ -17,8 +17,8 @@
 
 pub use axis::Axis;
 pub use metric::Metric;
-pub use plan::{AxisPlan, Base, LEAST_REPEATS, PlanError, SweepPlan};
-pub use report::{AxisReport, MetricReport, Point, SweepReport, UnusableRun, Verdict};
+pub use plan::{AxisPlan, Base, MIN_REPEATS, PlanError, SweepPlan};
+pub use report::{AxisReport, FitResult, MetricReport, Point, SweepReport, UnusableRun};
 
 /// Attempts at a run: one that is unusable is made once more.
 const ATTEMPTS: usize = 2;
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Measured {
     /// The figures that the run has.
-    pub figures: BTreeMap<Metric, f64>,
+    pub metrics: BTreeMap<Metric, f64>,
     /// Why the run cannot be used, where it cannot: its own load was late, a process died, and the like.
     pub unusable: Option<String>,
 }
@@ -45,7 +45,7 @@
 impl Measured {
     /// Why the run is left out, if it is. Figures that are not finite make it unusable too.
     fn fault(&self) -> Option<String> {
-        let odd = || self.figures.iter().find(|(_, figure)| !figure.is_finite());
+        let odd = || self.metrics.iter().find(|(_, figure)| !figure.is_finite());
         self.unusable
             .clone()
             .or_else(|| odd().map(|(metric, figure)| format!("{metric} is {figure}")))
@@ -97,7 +97,7 @@
     /// A run starts.
     Starts,
     /// It was unusable, and is made again.
-    Again {
+    Repeated {
         /// Why it was unusable.
         reason: String,
     },
@@ -122,7 +122,7 @@
 struct Outcome {
     run: PlannedRun,
     /// None where every attempt was unusable.
-    figures: Option<BTreeMap<Metric, f64>>,
+    metrics: Option<BTreeMap<Metric, f64>>,
     /// Why attempts were unusable.
     reasons: Vec<String>,
 }
@@ -150,7 +150,7 @@
                 value,
                 repeat,
             } = run;
-            let mut tell = |step| {
+            let mut notify = |step| {
                 progress(&Progress {
                     axis: varied,
                     value,
@@ -160,7 +160,7 @@
                     step,
                 })
             };
-            match attempt(run, runner, &mut tell) {
+            match attempt(run, runner, &mut notify) {
                 Ok(outcome) => outcomes.push(outcome),
                 Err(source) => {
                     report.partial = true;
@@ -203,7 +203,7 @@
 fn attempt<R: Runner>(
     run: PlannedRun,
     runner: &mut R,
-    tell: &mut dyn FnMut(Step),
+    notify: &mut dyn FnMut(Step),
 ) -> Result<Outcome, R::Error> {
     let PlannedRun {
         axis,
@@ -211,26 +211,26 @@
         repeat,
     } = run;
     let mut reasons = Vec::new();
-    tell(Step::Starts);
+    notify(Step::Starts);
     loop {
         let measured = runner.run(axis, value, repeat)?;
         let Some(reason) = measured.fault() else {
-            tell(Step::Measured);
+            notify(Step::Measured);
             return Ok(Outcome {
                 run,
-                figures: Some(measured.figures),
+                metrics: Some(measured.metrics),
                 reasons,
             });
         };
         reasons.push(reason.clone());
         if reasons.len() == ATTEMPTS {
-            tell(Step::LeftOut { reason });
+            notify(Step::LeftOut { reason });
             return Ok(Outcome {
                 run,
-                figures: None,
+                metrics: None,
                 reasons,
             });
         }
-        tell(Step::Again { reason });
+        notify(Step::Repeated { reason });
     }
 }
--- a/crates/scale-test/src/sweep/axis.rs
+++ b/crates/scale-test/src/sweep/axis.rs
@@ -25,7 +25,9 @@
     /// Workers on the list.
     Workers,
     /// Tasks that stand.
-    Standing,
+    #[serde(rename = "standing")]
+    #[strum(serialize = "standing")]
+    RunningTasks,
     /// Starts a second.
     Rate,
     /// Events a second on the list of workers.
@@ -37,7 +39,7 @@
     pub fn unit(self) -> &'static str {
         match self {
             Axis::Workers => "workers",
-            Axis::Standing => "standing tasks",
+            Axis::RunningTasks => "standing tasks",
             Axis::Rate => "starts a second",
             Axis::Events => "list events a second",
         }
@@ -48,7 +50,7 @@
     pub fn default_values(self) -> &'static [f64] {
         match self {
             Axis::Workers => &[100.0, 1_000.0, 2_500.0, 5_000.0, 7_300.0],
-            Axis::Standing => &[0.0, 10_000.0, 40_000.0, 80_000.0, 120_000.0],
+            Axis::RunningTasks => &[0.0, 10_000.0, 40_000.0, 80_000.0, 120_000.0],
             Axis::Rate => &[20.0, 60.0, 120.0, 240.0],
             Axis::Events => &[0.0, 50.0, 200.0, 800.0],
         }
--- a/crates/scale-test/src/sweep/plan.rs
+++ b/crates/scale-test/src/sweep/plan.rs
@@ -4,10 +4,10 @@
 use thiserror::Error;
 
 use super::Axis;
-use crate::fit::LEAST_SIZES;
+use crate::fit::MIN_SIZES;
 
 /// Repeats of each value without which its noise is not known.
-pub const LEAST_REPEATS: u32 = 3;
+pub const MIN_REPEATS: u32 = 3;
 
 /// The point at which all axes stay but the one that is varied.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
@@ -17,7 +17,8 @@
     /// Workers on the list.
     pub workers: f64,
     /// Tasks that stand.
-    pub standing: f64,
+    #[serde(rename = "standing")]
+    pub running_tasks: f64,
     /// Starts a second.
     pub rate: f64,
     /// Events a second on the list of workers.
@@ -84,7 +85,7 @@
         axis: Axis,
     },
     /// An axis has too few values for a fit.
-    #[error("{axis}: {found} distinct values, and a fit needs at least {LEAST_SIZES}")]
+    #[error("{axis}: {found} distinct values, and a fit needs at least {MIN_SIZES}")]
     TooFewValues {
         /// The axis.
         axis: Axis,
@@ -108,7 +109,7 @@
         value: f64,
     },
     /// Too few repeats to know the noise.
-    #[error("{found} repeats, and a sweep needs at least {LEAST_REPEATS}")]
+    #[error("{found} repeats, and a sweep needs at least {MIN_REPEATS}")]
     TooFewRepeats {
         /// Repeats asked for.
         found: u32,
@@ -118,7 +119,7 @@
 impl SweepPlan {
     /// Whether it can be swept; names the first thing that keeps it from that.
     pub fn check(&self) -> Result<(), PlanError> {
-        if self.repeats < LEAST_REPEATS {
+        if self.repeats < MIN_REPEATS {
             return Err(PlanError::TooFewRepeats {
                 found: self.repeats,
             });
@@ -158,7 +159,7 @@
         let mut sorted = self.values.clone();
         sorted.sort_by(f64::total_cmp);
         let distinct = sorted.chunk_by(|a, b| a == b).count();
-        if distinct < LEAST_SIZES {
+        if distinct < MIN_SIZES {
             return Err(PlanError::TooFewValues {
                 axis,
                 found: distinct,
--- a/crates/scale-test/src/sweep/report.rs
+++ b/crates/scale-test/src/sweep/report.rs
@@ -39,7 +39,8 @@
     /// Every usable run that had the figure.
     pub points: Vec<Point>,
     /// What they follow.
-    pub verdict: Verdict,
+    #[serde(rename = "verdict")]
+    pub result: FitResult,
 }
 
 /// A figure of one run.
@@ -56,7 +57,7 @@
 /// The fit of a figure, or why there is none.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Verdict {
+pub enum FitResult {
     /// The line, and the shape of the points.
     Fitted(Fit),
     /// Too few usable runs had the figure.
@@ -96,14 +97,14 @@
     pub fn is_fitted(&self) -> bool {
         self.metrics
             .values()
-            .any(|report| matches!(report.verdict, Verdict::Fitted(_)))
+            .any(|report| matches!(report.result, FitResult::Fitted(_)))
     }
 
     /// Gathers and fits the outcomes of an axis's runs.
     pub(super) fn of(plan: &AxisPlan, outcomes: &[Outcome]) -> AxisReport {
         let metrics: BTreeSet<Metric> = outcomes
             .iter()
-            .flat_map(|outcome| &outcome.figures)
+            .flat_map(|outcome| &outcome.metrics)
             .flat_map(BTreeMap::keys)
             .copied()
             .collect();
@@ -130,12 +131,15 @@
             .map(|point| (point.value, point.measured))
             .collect();
         let verdict = match Fit::line(&pairs) {
-            Ok(fit) => Verdict::Fitted(fit),
-            Err(error) => Verdict::NotFitted {
+            Ok(fit) => FitResult::Fitted(fit),
+            Err(error) => FitResult::NotFitted {
                 reason: error.to_string(),
             },
         };
-        MetricReport { points, verdict }
+        MetricReport {
+            points,
+            result: verdict,
+        }
     }
 
     /// The median of the repeats at a value; none where no usable run had the figure.
@@ -151,7 +155,7 @@
 
 impl Point {
     fn of(metric: Metric, outcome: &Outcome) -> Option<Point> {
-        let measured = *outcome.figures.as_ref()?.get(&metric)?;
+        let measured = *outcome.metrics.as_ref()?.get(&metric)?;
         Some(Point {
             value: outcome.run.value,
             repeat: outcome.run.repeat,
@@ -169,7 +173,7 @@
             value: outcome.run.value,
             repeat: outcome.run.repeat,
             reasons: outcome.reasons.clone(),
-            replaced: outcome.figures.is_some(),
+            replaced: outcome.metrics.is_some(),
         })
     }
 }
--- a/crates/scale-test/src/sweep/table.rs
+++ b/crates/scale-test/src/sweep/table.rs
@@ -4,7 +4,7 @@
 
 use comfy_table::{CellAlignment, Table, presets};
 
-use super::{AxisReport, Metric, MetricReport, SweepReport, UnusableRun, Verdict};
+use super::{AxisReport, FitResult, Metric, MetricReport, SweepReport, UnusableRun};
 use crate::fit::Fit;
 
 /// Stands where there is no figure.
@@ -22,7 +22,12 @@
         writeln!(
             f,
             "base: {} ({} workers, {} standing, {} starts/s, {} list events/s), {} repeats",
-            base.description, base.workers, base.standing, base.rate, base.events, self.repeats
+            base.description,
+            base.workers,
+            base.running_tasks,
+            base.rate,
+            base.events,
+            self.repeats
         )?;
         if self.partial {
             writeln!(f, "partial: a run has failed, and ended the sweep")?;
@@ -92,9 +97,9 @@
     let medians = values
         .iter()
         .map(|value| report.median(*value).map_or(NONE.to_string(), number));
-    let verdict = match &report.verdict {
-        Verdict::Fitted(fit) => fitted(fit),
-        Verdict::NotFitted { reason } => [NONE, NONE, NONE, NONE, reason].map(String::from),
+    let verdict = match &report.result {
+        FitResult::Fitted(fit) => fitted(fit),
+        FitResult::NotFitted { reason } => [NONE, NONE, NONE, NONE, reason].map(String::from),
     };
     labels.into_iter().chain(medians).chain(verdict).collect()
 }
--- a/crates/scale-test/src/sweep/tests.rs
+++ b/crates/scale-test/src/sweep/tests.rs
@@ -3,10 +3,10 @@
 use strum::IntoEnumIterator;
 
 use super::{
-    Axis, AxisPlan, Base, Measured, Metric, MetricReport, PlanError, Progress, Runner, Step,
-    SweepError, SweepPlan, SweepReport, Verdict, sweep,
+    Axis, AxisPlan, Base, FitResult, Measured, Metric, MetricReport, PlanError, Progress, Runner,
+    Step, SweepError, SweepPlan, SweepReport, sweep,
 };
-use crate::fit::{Fit, LEAST_SIZES, Shape};
+use crate::fit::{Fit, MIN_SIZES, Shape};
 
 /// Answers from a function, and notes what it was asked.
 struct FakeRunner<F> {
@@ -34,7 +34,7 @@
 
 fn usable(figures: &[(Metric, f64)]) -> Measured {
     Measured {
-        figures: figures.iter().copied().collect(),
+        metrics: figures.iter().copied().collect(),
         unusable: None,
     }
 }
@@ -55,7 +55,7 @@
     Base {
         description,
         workers: 400.0,
-        standing: 100.0,
+        running_tasks: 100.0,
         rate: 10.0,
         events: 1.0,
     }
@@ -88,9 +88,9 @@
 }
 
 fn fit(report: &MetricReport) -> &Fit {
-    match &report.verdict {
-        Verdict::Fitted(fit) => fit,
-        Verdict::NotFitted { reason } => panic!("not fitted: {reason}"),
+    match &report.result {
+        FitResult::Fitted(fit) => fit,
+        FitResult::NotFitted { reason } => panic!("not fitted: {reason}"),
     }
 }
 
@@ -134,7 +134,7 @@
     };
     let plan = SweepPlan {
         base: base(),
-        axes: vec![axis(Axis::Rate), axis(Axis::Standing)],
+        axes: vec![axis(Axis::Rate), axis(Axis::RunningTasks)],
         repeats: 3,
     };
     let mut runner = FakeRunner::new(cpu_of_size);
@@ -147,11 +147,11 @@
     assert!(
         runner.asked[12..]
             .iter()
-            .all(|(axis, ..)| *axis == Axis::Standing)
+            .all(|(axis, ..)| *axis == Axis::RunningTasks)
     );
     assert_eq!(runner.asked.len(), plan.runs());
     let axes: Vec<Axis> = report.axes.iter().map(|axis| axis.axis).collect();
-    assert_eq!(axes, [Axis::Rate, Axis::Standing]);
+    assert_eq!(axes, [Axis::Rate, Axis::RunningTasks]);
 }
 
 #[test]
@@ -291,7 +291,7 @@
     let report = swept(&plan(&[1.0, 2.0, 3.0, 4.0], 3), never);
     let cpu = &report.axes[0].metrics[&Metric::CpuShare];
     let reason = "3 distinct sizes, and a fit needs at least 4".to_string();
-    assert_eq!(cpu.verdict, Verdict::NotFitted { reason });
+    assert_eq!(cpu.result, FitResult::NotFitted { reason });
     assert_eq!(cpu.median(4.0), None);
     assert_eq!(report.axes[0].unusable.len(), 3);
 }
@@ -319,7 +319,7 @@
     let figures = |axis, value, repeat| {
         let mut measured = cpu_of_size(axis, value, repeat);
         if repeat > 0 {
-            measured.figures.insert(Metric::ControlCpu, 2.0 * value);
+            measured.metrics.insert(Metric::ControlCpu, 2.0 * value);
         }
         measured
     };
@@ -374,7 +374,7 @@
         .metrics
         .get_mut(&Metric::CpuShare)
         .expect("a figure");
-    cpu.verdict = Verdict::NotFitted {
+    cpu.result = FitResult::NotFitted {
         reason: "too few".to_string(),
     };
     let json = report.to_json().expect("JSON");
@@ -405,7 +405,7 @@
         first,
         [
             &Step::Starts,
-            &Step::Again { reason },
+            &Step::Repeated { reason },
             &Step::Measured,
             &Step::Starts
         ]
@@ -489,7 +489,7 @@
 fn default_values_can_be_swept() {
     for axis in Axis::iter() {
         let values = axis.default_values();
-        assert!(values.len() >= LEAST_SIZES);
+        assert!(values.len() >= MIN_SIZES);
         assert_eq!(plan(values, 3).check(), Ok(()), "{axis}");
     }
 }
--- a/crates/scale-test/src/sweep_runner.rs
+++ b/crates/scale-test/src/sweep_runner.rs
@@ -8,15 +8,15 @@
 use crate::sweep::{Axis, AxisPlan, Base, Measured, Runner, SweepPlan};
 use std::path::PathBuf;
 
-mod figures;
+mod metrics;
 #[cfg(test)]
 mod tests;
 
-pub use figures::figures;
+pub use metrics::metrics;
 
 /// The part of the workers' room that the default values of the standing axis fill at most; the target fills just
 /// over half. Where workers are nearly full, what is measured is the search for room.
-const FILLED_AT_MOST: f64 = 0.6;
+const MAX_FILL: f64 = 0.6;
 
 /// Why a run of a sweep gave no figures.
 #[derive(Debug, thiserror::Error)]
@@ -92,7 +92,7 @@
     let no_reason = || "no reason is stated".to_string();
     let unusable = (!result.usable).then(|| result.reason.clone().unwrap_or_else(no_reason));
     Ok(Measured {
-        figures: figures(result),
+        metrics: metrics(result),
         unusable,
     })
 }
@@ -102,7 +102,7 @@
     let mut settings = base.clone();
     match axis {
         Axis::Workers => settings.workers = whole(axis, value)?,
-        Axis::Standing => settings.standing = whole(axis, value)?,
+        Axis::RunningTasks => settings.running_tasks = whole(axis, value)?,
         Axis::Rate => settings.rate = value,
         Axis::Events => settings.events = value,
     }
@@ -122,7 +122,7 @@
     Base {
         description: description.to_string(),
         workers: f64::from(settings.workers),
-        standing: f64::from(settings.standing),
+        running_tasks: f64::from(settings.running_tasks),
         rate: settings.rate,
         events: settings.events,
     }
@@ -132,9 +132,9 @@
 /// for.
 pub fn default_axis(base: &Settings, axis: Axis) -> AxisPlan {
     match axis {
-        Axis::Standing => {
-            let room = f64::from(base.workers) * f64::from(base.room());
-            AxisPlan::with_default_values_up_to(axis, FILLED_AT_MOST * room)
+        Axis::RunningTasks => {
+            let room = f64::from(base.workers) * f64::from(base.max_tasks_per_worker());
+            AxisPlan::with_default_values_up_to(axis, MAX_FILL * room)
         }
         Axis::Workers | Axis::Rate | Axis::Events => AxisPlan::with_default_values(axis),
     }
--- a/crates/scale-test/src/sweep_runner/figures.rs
+++ b/crates/scale-test/src/sweep_runner/metrics.rs
@@ -10,9 +10,9 @@
 
 /// The figures of a run: means over its placers, but times to start, which are of the fleet. A figure that the run
 /// does not have is missing. [`Metric::ControlCpu`] always is: a run can't part it from the rest.
-pub fn figures(result: &RunResult) -> BTreeMap<Metric, f64> {
+pub fn metrics(result: &RunResult) -> BTreeMap<Metric, f64> {
     let mut figures = BTreeMap::new();
-    for (metric, figure) in PLACER_FIGURES {
+    for (metric, figure) in PLACER_METRICS {
         if let Some(mean) = mean(result.placers.iter().filter_map(figure)) {
             figures.insert(metric, mean);
         }
@@ -25,7 +25,7 @@
 type PlacerFigure = fn(&PlacerResult) -> Option<f64>;
 
 /// How each figure of a placer is read from its result.
-const PLACER_FIGURES: [(Metric, PlacerFigure); 11] = [
+const PLACER_METRICS: [(Metric, PlacerFigure); 11] = [
     (Metric::CpuShare, |placer| {
         Some(PERCENT * placer.totals.cpu_share)
     }),
--- a/crates/scale-test/src/sweep_runner/tests.rs
+++ b/crates/scale-test/src/sweep_runner/tests.rs
@@ -67,8 +67,8 @@
                 workers: 120,
                 ..base.clone()
             },
-            Axis::Standing => Settings {
-                standing: 120,
+            Axis::RunningTasks => Settings {
+                running_tasks: 120,
                 ..base.clone()
             },
             Axis::Rate => Settings {
@@ -108,7 +108,7 @@
         placer(0.1, 10.0, vec![30.0, 900.0]),
         placer(0.3, 30.0, vec![50.0]),
     ];
-    let figures = figures(&result(placers, fleet()));
+    let figures = metrics(&result(placers, fleet()));
     let figure = |metric| *figures.get(&metric).expect("a figure");
     let close =
         |metric, expected: f64| assert!((figure(metric) - expected).abs() < 1e-9, "{metric}");
@@ -129,7 +129,7 @@
 
 #[test]
 fn a_figure_that_a_run_does_not_have_is_missing_and_not_0() {
-    let figures = figures(&result(
+    let figures = metrics(&result(
         vec![placer(0.1, 0.0, Vec::new())],
         FleetTotals::default(),
     ));
@@ -181,7 +181,7 @@
 #[test]
 fn default_values_hold_at_a_small_base_too() {
     let base = Settings::default();
-    let standing = default_axis(&base, Axis::Standing);
+    let standing = default_axis(&base, Axis::RunningTasks);
     // Up to six tenths of what 300 workers of 32 tasks hold.
     assert_eq!(standing.values, [0.0, 480.0, 1_920.0, 3_840.0, 5_760.0]);
     let large = Settings {
@@ -189,15 +189,15 @@
         ..base
     };
     assert_eq!(
-        default_axis(&large, Axis::Standing).values,
-        Axis::Standing.default_values()
+        default_axis(&large, Axis::RunningTasks).values,
+        Axis::RunningTasks.default_values()
     );
 }
 
 #[test]
 fn a_point_that_can_not_be_meant_is_named_before_any_run() {
     let base = Settings {
-        standing: 9_000,
+        running_tasks: 9_000,
         ..Settings::default()
     };
     let axes = vec![AxisPlan {
--- a/crates/scale-test/src/wire.rs
+++ b/crates/scale-test/src/wire.rs
@@ -7,7 +7,7 @@
 pub mod lines;
 
 /// No message of clients or workers holds more.
-pub const MOST_MESSAGE_BYTES: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// What makes bytes no message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
@@ -39,7 +39,7 @@
     /// An error.
     pub const FAILED: u8 = 47;
     /// The set-up never left.
-    pub const MOOT: u8 = 102;
+    pub const NOT_SENT: u8 = 102;
 }
 
 #[cfg(test)]
--- a/crates/scale-test/src/wire/binary.rs
+++ b/crates/scale-test/src/wire/binary.rs
@@ -1,7 +1,7 @@
 //! The binary messages of clients: `length:2 type:1 task:8 parameters`, each parameter
 //! `code:1 length:2 value`, all big-endian.
 
-use super::{MOST_MESSAGE_BYTES, WireError, cause};
+use super::{MAX_MESSAGE_BYTES, WireError, cause};
 use crate::identity::{SetupId, WorkerId};
 
 mod kind {
@@ -19,7 +19,7 @@
     pub const WAIT: u8 = 132;
     pub const TENANT: u8 = 135;
     pub const KEY: u8 = 141;
-    pub const FIGURES: u8 = 144;
+    pub const RESOURCES: u8 = 144;
     pub const CAUSE: u8 = 171;
     pub const DESCRIPTION: u8 = 174;
 }
@@ -29,7 +29,7 @@
 /// The bytes of a message's length.
 const LENGTH_BYTES: usize = 2;
 /// The fewest bytes of a message after its length: its type and its task.
-const FEWEST_BYTES: usize = 9;
+const MIN_BYTES: usize = 9;
 
 /// What a placer says to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -93,7 +93,7 @@
         (code::WAIT, wait.as_bytes()),
         (code::TENANT, set_up.tenant.as_bytes()),
         (code::KEY, key.as_bytes()),
-        (code::FIGURES, figures.as_bytes()),
+        (code::RESOURCES, figures.as_bytes()),
         (code::DESCRIPTION, set_up.description.as_bytes()),
     ];
     message(out, kind::SET_UP, set_up.id.0, &parameters);
@@ -115,7 +115,7 @@
 }
 
 fn message(out: &mut Vec<u8>, kind: u8, id: u64, parameters: &[(u8, &[u8])]) {
-    let length = FEWEST_BYTES
+    let length = MIN_BYTES
         + parameters
             .iter()
             .map(|(_, value)| 3 + value.len())
@@ -141,10 +141,10 @@
         return Ok(None);
     };
     let length = usize::from(u16::from_be_bytes(*length));
-    if length + LENGTH_BYTES > MOST_MESSAGE_BYTES {
+    if length + LENGTH_BYTES > MAX_MESSAGE_BYTES {
         return Err(WireError::TooLong);
     }
-    if length < FEWEST_BYTES {
+    if length < MIN_BYTES {
         return Err(WireError::BadLength);
     }
     let Some(body) = rest.get(..length) else {
--- a/crates/scale-test/src/wire/lines.rs
+++ b/crates/scale-test/src/wire/lines.rs
@@ -1,6 +1,6 @@
 //! The JSON lines that placers and workers exchange.
 
-use super::{MOST_MESSAGE_BYTES, WireError};
+use super::{MAX_MESSAGE_BYTES, WireError};
 use crate::identity::SetupId;
 use serde::Deserialize;
 use std::borrow::Cow;
@@ -43,18 +43,18 @@
 
 /// Why a worker refuses.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoRoom {
+pub enum NoCapacity {
     /// Not enough cores.
     Cores,
     /// Not enough memory.
     Memory,
 }
 
-impl NoRoom {
+impl NoCapacity {
     fn note(self) -> &'static str {
         match self {
-            NoRoom::Cores => "nc",
-            NoRoom::Memory => "nm",
+            NoCapacity::Cores => "nc",
+            NoCapacity::Memory => "nm",
         }
     }
 }
@@ -104,8 +104,8 @@
 /// The end of the first line of these bytes, if it has come whole.
 pub fn line_end(bytes: &[u8]) -> Result<Option<usize>, WireError> {
     match bytes.iter().position(|byte| *byte == b'\n') {
-        Some(end) if end < MOST_MESSAGE_BYTES => Ok(Some(end)),
-        None if bytes.len() < MOST_MESSAGE_BYTES => Ok(None),
+        Some(end) if end < MAX_MESSAGE_BYTES => Ok(Some(end)),
+        None if bytes.len() < MAX_MESSAGE_BYTES => Ok(None),
         _ => Err(WireError::TooLong),
     }
 }
@@ -119,7 +119,7 @@
 }
 
 /// Writes that a worker is full.
-pub fn full(out: &mut Vec<u8>, id: SetupId, why: NoRoom) {
+pub fn full(out: &mut Vec<u8>, id: SetupId, why: NoCapacity) {
     let (note, cause) = (why.note(), super::cause::FULL);
     line(
         out,
--- a/crates/scale-test/src/wire/tests.rs
+++ b/crates/scale-test/src/wire/tests.rs
@@ -5,7 +5,7 @@
 use binary::PlacerMessage;
 use description::TaskShape;
 use feed::{Entry, ListedWorker};
-use lines::{NoRoom, Offer, PlacerLine};
+use lines::{NoCapacity, Offer, PlacerLine};
 use std::time::Duration;
 
 fn id() -> SetupId {
@@ -91,7 +91,7 @@
         lines::read(br#"{"t":"ack","ref":"1"}"#),
         Err(WireError::BadField("ref"))
     );
-    let long = vec![b'a'; MOST_MESSAGE_BYTES];
+    let long = vec![b'a'; MAX_MESSAGE_BYTES];
     assert_eq!(lines::line_end(&long), Err(WireError::TooLong));
     assert_eq!(lines::line_end(b"abc"), Ok(None));
     assert_eq!(lines::line_end(b"abc\ndef\n"), Ok(Some(3)));
@@ -112,7 +112,7 @@
     assert_eq!(lines::read(heard), Ok(PlacerLine::Heard { id: id() }));
     let mut out = Vec::new();
     lines::up(&mut out, id(), &description::write_answer(WorkerId(9)));
-    lines::full(&mut out, id(), NoRoom::Memory);
+    lines::full(&mut out, id(), NoCapacity::Memory);
     lines::down(&mut out, id(), cause::NORMAL);
     lines::test_passed(&mut out, id());
     let text = String::from_utf8(out).expect("text");
--- a/crates/scale-test/src/workers.rs
+++ b/crates/scale-test/src/workers.rs
@@ -6,12 +6,12 @@
 //! messages between it and the connections. Zones share nothing, so that each thread has the workers of some
 //! zones to itself.
 
-mod audit_book;
+mod audit;
 mod connections;
 pub mod fleet;
 mod thread;
 
-pub use audit_book::{TaskBook, WorkerBooks};
+pub use audit::{TaskBook, WorkerAudit};
 
 use crate::feeds::FeedOrder;
 use crate::identity::{PlacerId, TaskIndex, WorkerId, ZoneId};
@@ -29,7 +29,7 @@
 
 /// A task that stands at the start.
 #[derive(Debug, Clone, Copy)]
-pub struct StandingTask {
+pub struct RunningTask {
     /// Which.
     pub task: TaskIndex,
     /// Where.
@@ -61,9 +61,9 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerState {
     /// Tasks that stand or start.
-    pub held: usize,
+    pub active_tasks: usize,
     /// Ends that placers have not confirmed.
-    pub unheard: usize,
+    pub unacknowledged: usize,
     /// Connections of placers.
     pub connections: usize,
 }
@@ -71,7 +71,7 @@
 /// What the workers noted, and how well they did.
 pub struct WorkerReport {
     /// What they noted.
-    pub books: WorkerBooks,
+    pub audit: WorkerAudit,
     /// From when an answer was due to when it was sent.
     pub lateness: Times,
 }
@@ -105,7 +105,7 @@
 }
 
 /// Threads at the most: with more, placers on the same machine have less of it.
-const MOST_THREADS: usize = 4;
+const MAX_THREADS: usize = 4;
 
 /// One thread with the workers of some zones.
 struct Group {
@@ -124,7 +124,7 @@
     /// Starts them, with the tasks that stand.
     pub fn start(
         setup: &WorkerSetup,
-        standing: &[StandingTask],
+        running_tasks: &[RunningTask],
         counters: &[Arc<PlacerCounters>],
         feeds: &Sender<FeedOrder>,
     ) -> io::Result<Workers> {
@@ -133,7 +133,7 @@
             .iter()
             .map(|zones| zones.iter().map(LoopbackListener::port).collect())
             .collect();
-        let count = MOST_THREADS.min(setup.zones as usize).max(1);
+        let count = MAX_THREADS.min(setup.zones as usize).max(1);
         let mut dealt: Vec<Vec<ZoneListener>> = (0..count).map(|_| Vec::new()).collect();
         for (placer, zones) in (0_u16..).map(PlacerId).zip(listeners) {
             for (zone, socket) in (0_u32..).map(ZoneId).zip(zones) {
@@ -149,14 +149,15 @@
         let mut groups = Vec::new();
         for (number, listeners) in dealt.into_iter().enumerate() {
             let here =
-                |task: &&StandingTask| group_of(task.worker.zone(setup.zones), count) == number;
-            let standing: Vec<StandingTask> = standing.iter().filter(here).copied().collect();
+                |task: &&RunningTask| group_of(task.worker.zone(setup.zones), count) == number;
+            let running_tasks: Vec<RunningTask> =
+                running_tasks.iter().filter(here).copied().collect();
             let shared = GroupParts {
                 counters: counters.to_vec(),
                 feeds: feeds.clone(),
                 listeners,
             };
-            groups.push(Group::start(number, setup, &standing, shared)?);
+            groups.push(Group::start(number, setup, &running_tasks, shared)?);
         }
         Ok(Workers { groups, ports })
     }
@@ -188,8 +189,8 @@
         let mut all = WorkerState::default();
         for group in &self.groups {
             let state = *group.state.lock().unwrap_or_else(PoisonError::into_inner);
-            all.held += state.held;
-            all.unheard += state.unheard;
+            all.active_tasks += state.active_tasks;
+            all.unacknowledged += state.unacknowledged;
             all.connections += state.connections;
         }
         all
@@ -206,12 +207,12 @@
     pub fn stop(mut self) -> io::Result<WorkerReport> {
         self.order(WorkerOrder::Stop);
         let mut all = WorkerReport {
-            books: WorkerBooks::default(),
+            audit: WorkerAudit::default(),
             lateness: Times::new()?,
         };
         for group in &mut self.groups {
             let report = group.thread.join()?;
-            all.books.add(&report.books);
+            all.audit.add(&report.audit);
             all.lateness.merge(&report.lateness);
         }
         Ok(all)
@@ -239,7 +240,7 @@
     fn start(
         number: usize,
         setup: &WorkerSetup,
-        standing: &[StandingTask],
+        running_tasks: &[RunningTask],
         parts: GroupParts,
     ) -> io::Result<Group> {
         let GroupParts {
@@ -250,7 +251,7 @@
         let poll = Poll::new()?;
         let (orders, taken) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
         let state = Arc::default();
-        let mut fleet = fleet::Fleet::new(setup.clone(), standing);
+        let mut fleet = fleet::Fleet::new(setup.clone(), running_tasks);
         // Before any placer starts: its configuration shows what stands.
         feeds.send(FeedOrder::Rooms(fleet.take_changed_rooms()));
         let shared = thread::Shared {
--- a/crates/scale-test/src/workers/audit_book.rs
+++ b/crates/scale-test/src/workers/audit.rs
@@ -17,19 +17,19 @@
     /// How often it went with its worker.
     pub vanished: u8,
     /// Whether it stands or starts at this time.
-    pub held: u8,
+    pub active_copies: u8,
     /// When a placer last confirmed its end.
     pub heard: Option<Instant>,
 }
 
 /// What the workers noted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct WorkerBooks {
+pub struct WorkerAudit {
     tasks: Vec<TaskBook>,
     /// Offers of tasks that no client has set up, or that can't be read.
     pub bad_offers: u64,
     /// Ends that placers have not confirmed, at the end.
-    pub unheard: u64,
+    pub unacknowledged: u64,
     /// Connections on which bytes that are no message were sent.
     pub garbage_sent: u64,
     /// Those of them that the placer has closed.
@@ -40,7 +40,7 @@
     pub starts_after_return: u64,
 }
 
-impl WorkerBooks {
+impl WorkerAudit {
     /// What became of a task.
     pub fn task(&self, task: TaskIndex) -> TaskBook {
         self.tasks.get(task.index()).copied().unwrap_or_default()
@@ -57,14 +57,14 @@
     }
 
     /// Adds what others noted.
-    pub fn add(&mut self, others: &WorkerBooks) {
+    pub fn add(&mut self, others: &WorkerAudit) {
         for (task, other) in (0..).map(TaskIndex).zip(&others.tasks) {
             if *other != TaskBook::default() {
                 self.note(task, |book| book.add(other));
             }
         }
         self.bad_offers += others.bad_offers;
-        self.unheard += others.unheard;
+        self.unacknowledged += others.unacknowledged;
         self.garbage_sent += others.garbage_sent;
         self.garbage_dropped += others.garbage_dropped;
         self.bad_messages += others.bad_messages;
@@ -79,7 +79,7 @@
         self.ended = self.ended.saturating_add(other.ended);
         self.cut = self.cut.saturating_add(other.cut);
         self.vanished = self.vanished.saturating_add(other.vanished);
-        self.held = self.held.saturating_add(other.held);
+        self.active_copies = self.active_copies.saturating_add(other.active_copies);
         self.heard = self.heard.max(other.heard);
     }
 }
--- a/crates/scale-test/src/workers/fleet/tests.rs
+++ b/crates/scale-test/src/workers/fleet/tests.rs
@@ -37,7 +37,7 @@
     }
 }
 
-fn id(index: u32) -> HeldId {
+fn id(index: u32) -> ActiveTaskId {
     (WORKER, SetupId::new(TaskIndex(index), 0))
 }
 
@@ -57,7 +57,7 @@
 fn a_task_starts_stands_ends_and_its_end_is_kept_until_it_is_heard() {
     let mut fleet = fleet();
     stands(&mut fleet, 0);
-    let room = Room {
+    let room = FreeResources {
         worker: WORKER,
         free_cores: 1.0,
         free_memory: 6.0,
@@ -65,19 +65,22 @@
     assert_eq!(fleet.take_changed_rooms(), [room]);
     assert_eq!(fleet.end(id(0)), Some(PLACER));
     assert_eq!(fleet.end(id(0)), None, "it ends once");
-    assert_eq!(fleet.unheard(WORKER, PLACER), [(id(0).1, cause::NORMAL)]);
+    assert_eq!(
+        fleet.unacknowledged(WORKER, PLACER),
+        [(id(0).1, cause::NORMAL)]
+    );
     assert_eq!(
         fleet.take_changed_rooms(),
-        [Room {
+        [FreeResources {
             free_cores: 2.0,
             free_memory: 8.0,
             ..room
         }]
     );
     fleet.heard(id(0), Instant::now());
-    assert_eq!((fleet.unheard_count(), fleet.in_hand()), (0, 0));
-    let book = fleet.books.task(TaskIndex(0));
-    assert_eq!((book.starts, book.ended, book.held), (1, 1, 0));
+    assert_eq!((fleet.unacknowledged_count(), fleet.in_hand()), (0, 0));
+    let book = fleet.audit.task(TaskIndex(0));
+    assert_eq!((book.starts, book.ended, book.active_copies), (1, 1, 0));
     assert!(book.heard.is_some());
 }
 
@@ -95,11 +98,11 @@
     let full = |why| OfferReply::Full(why);
     assert_eq!(
         fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))),
-        full(NoRoom::Cores)
+        full(NoCapacity::Cores)
     );
     assert_eq!(
         fleet.offer(WORKER, PLACER, &offer(2, shape(0.0, 1.0))),
-        full(NoRoom::Memory)
+        full(NoCapacity::Memory)
     );
     assert_eq!(fleet.release(id(1)), ReleaseReply::Nothing);
     assert_eq!(fleet.answer(id(1)), None, "it was given up");
@@ -107,7 +110,7 @@
         fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))),
         starts
     );
-    assert_eq!(fleet.books.task(TaskIndex(2)).refusals, 2);
+    assert_eq!(fleet.audit.task(TaskIndex(2)).refusals, 2);
 }
 
 #[test]
@@ -116,8 +119,8 @@
     stands(&mut fleet, 0);
     let cut = ReleaseReply::Ended(cause::CANCELLED);
     assert_eq!([fleet.release(id(0)), fleet.release(id(0))], [cut, cut]);
-    assert_eq!(fleet.unheard_count(), 1);
-    assert_eq!(fleet.books.task(TaskIndex(0)).cut, 1);
+    assert_eq!(fleet.unacknowledged_count(), 1);
+    assert_eq!(fleet.audit.task(TaskIndex(0)).cut, 1);
 }
 
 #[test]
@@ -129,7 +132,7 @@
     let zone = WORKER.zone(2);
     fleet.take_changed_rooms();
     fleet.vanish(zone);
-    assert_eq!((fleet.in_hand(), fleet.unheard_count()), (0, 0));
+    assert_eq!((fleet.in_hand(), fleet.unacknowledged_count()), (0, 0));
     assert!(fleet.gone(WORKER) && !fleet.gone(WorkerId(0)));
     assert_eq!(fleet.take_changed_rooms(), [], "nobody sees it");
     assert_eq!(
@@ -145,11 +148,11 @@
             .iter()
             .all(|room| room.free_cores == 2.0 && room.free_memory == 8.0)
     );
-    assert_eq!(fleet.books.starts_after_return, 0);
+    assert_eq!(fleet.audit.starts_after_return, 0);
     stands(&mut fleet, 3);
-    assert_eq!(fleet.books.starts_after_return, 1);
-    let book = fleet.books.task(TaskIndex(0));
-    assert_eq!((book.vanished, book.held), (1, 0));
+    assert_eq!(fleet.audit.starts_after_return, 1);
+    let book = fleet.audit.task(TaskIndex(0));
+    assert_eq!((book.vanished, book.active_copies), (1, 0));
 }
 
 #[test]
@@ -176,7 +179,7 @@
         fleet.offer(WORKER, PLACER, &offer(0, shape(1.0, 1.0))),
         OfferReply::Silent
     );
-    assert_eq!(fleet.books.bad_offers, 3);
+    assert_eq!(fleet.audit.bad_offers, 3);
     assert_eq!(
         fleet.offer(WorkerId(99), PLACER, &offer(1, shape(1.0, 1.0))),
         OfferReply::Silent
--- a/crates/scale-test/src/workers/thread.rs
+++ b/crates/scale-test/src/workers/thread.rs
@@ -2,7 +2,7 @@
 //! has changed.
 
 use super::connections::{ConnectionId, Connections};
-use super::fleet::{Fleet, HeldId, OfferReply, ReleaseReply, Step};
+use super::fleet::{ActiveTaskId, Fleet, OfferReply, ReleaseReply, Step};
 use super::{WorkerOrder, WorkerReport, WorkerState, ZoneListener};
 use crate::feeds::FeedOrder;
 use crate::identity::{PlacerId, SetupId, WorkerId, ZoneId};
@@ -53,7 +53,7 @@
 /// What is due at a time.
 enum Due {
     /// A step of a task, and the connection that its offer came on.
-    Step(Step, HeldId, Option<ConnectionId>),
+    Step(Step, ActiveTaskId, Option<ConnectionId>),
     /// Accepting is tried again.
     Accept(usize),
 }
@@ -127,24 +127,24 @@
             }
             self.obey()?;
             self.do_what_is_due()?;
-            self.tell();
+            self.publish_state();
         }
-        self.fleet.books.unheard = self.fleet.unheard_count() as u64;
+        self.fleet.audit.unacknowledged = self.fleet.unacknowledged_count() as u64;
         Ok(WorkerReport {
-            books: self.fleet.books,
+            audit: self.fleet.audit,
             lateness: self.lateness,
         })
     }
 
     /// Tells the feeds what has changed, and the run what is in hand.
-    fn tell(&mut self) {
+    fn publish_state(&mut self) {
         let rooms = self.fleet.take_changed_rooms();
         if !rooms.is_empty() {
             self.shared.feeds.send(FeedOrder::Rooms(rooms));
         }
         let state = WorkerState {
-            held: self.fleet.in_hand(),
-            unheard: self.fleet.unheard_count(),
+            active_tasks: self.fleet.in_hand(),
+            unacknowledged: self.fleet.unacknowledged_count(),
             connections: self.connections.len(),
         };
         *self
@@ -232,7 +232,7 @@
             };
             if chosen.contains(&found.worker) {
                 found.garbage = true;
-                self.fleet.books.garbage_sent += 1;
+                self.fleet.audit.garbage_sent += 1;
                 self.send(place, GARBAGE, 1);
             }
         }
@@ -311,7 +311,7 @@
 
     /// A new connection begins with the ends that its placer has not confirmed.
     fn repeat_ends(&mut self, place: usize, worker: WorkerId, placer: PlacerId) {
-        let ends = self.fleet.unheard(worker, placer);
+        let ends = self.fleet.unacknowledged(worker, placer);
         let mut bytes = Vec::new();
         ends.iter()
             .for_each(|(id, cause)| lines::down(&mut bytes, *id, *cause));
@@ -336,7 +336,7 @@
             return;
         };
         if closed.garbage {
-            self.fleet.books.garbage_dropped += 1;
+            self.fleet.audit.garbage_dropped += 1;
         }
         // A closed connection gives up the offers on it.
         closed
@@ -360,7 +360,7 @@
                 .into_iter()
                 .for_each(|line| self.take_line(place, worker, placer, line, &mut replies)),
             Err(_) => {
-                self.fleet.books.bad_messages += 1;
+                self.fleet.audit.bad_messages += 1;
                 return self.close(place);
             }
         }
@@ -441,7 +441,7 @@
         Ok(())
     }
 
-    fn answer(&mut self, at: Instant, id: HeldId, on: Option<ConnectionId>) {
+    fn answer(&mut self, at: Instant, id: ActiveTaskId, on: Option<ConnectionId>) {
         let Some(life) = self.fleet.answer(id) else {
             return;
         };
@@ -455,7 +455,7 @@
         self.send(on.place, &bytes, 1);
     }
 
-    fn end(&mut self, id: HeldId, on: Option<ConnectionId>) {
+    fn end(&mut self, id: ActiveTaskId, on: Option<ConnectionId>) {
         let Some(placer) = self.fleet.end(id) else {
             return;
         };
--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -42,7 +42,7 @@
     assert!(result.usable, "{:?}", result.reason);
 
     // Every task that was due has one end.
-    assert_eq!(fleet.standing, u64::from(settings.standing));
+    assert_eq!(fleet.running_at_start, u64::from(settings.running_tasks));
     let answered = fleet.started + fleet.refused + fleet.failed + fleet.cut;
     assert_eq!((answered, fleet.no_placer), (fleet.due, 0));
     assert!(fleet.started > 0 && fleet.due > 500, "{fleet:?}");
@@ -124,7 +124,7 @@
         placers: 2,
         zones: 4,
         regions: 2,
-        standing: 60,
+        running_tasks: 60,
         rate: 20.0,
         warm_up: Duration::ZERO,
         duration: Duration::from_secs(2),
@@ -183,13 +183,13 @@
     };
     let measured = runner.run(Axis::Events, 50.0, 0).expect("a run");
     assert_eq!(measured.unusable, None);
-    let found: Vec<Metric> = measured.figures.keys().copied().collect();
+    let found: Vec<Metric> = measured.metrics.keys().copied().collect();
     let expected: Vec<Metric> = Metric::iter()
         .filter(|metric| *metric != Metric::ControlCpu)
         .collect();
     assert_eq!(found, expected);
     assert!(
-        measured.figures.values().all(|figure| figure.is_finite()),
+        measured.metrics.values().all(|figure| figure.is_finite()),
         "{measured:?}"
     );
 }
