--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench --bench fleet`; `TASK_PLACER_BIN` names another version's program to hold against it.
 
-use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
 use emulator::{Ask, Launch, deployment, until};
 use simd_json::{OwnedValue, json};
 use std::net::{TcpListener, TcpStream};
--- a/benches/health_polls.rs
+++ b/benches/health_polls.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench --bench health_polls [-- SECONDS]`
 
-use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
 use emulator::{Ask, Launch, Program, deployment, free_address, until};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/benches/standing.rs
+++ b/benches/standing.rs
@@ -3,7 +3,7 @@
 //!
 //! `cargo bench --bench standing`
 
-use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
 use emulator::{Ask, Launch, deployment, until};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/crates/emulator/src/site.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -3,10 +3,10 @@
 //! Each host is a [`Machine`] behind a listener; each placer has a feed of its own, which tells it of all
 //! hosts, late by a drawn time. Orders come through a channel, so that faults are lines of a plan.
 
-use crate::audit::{Listed, Note, Said};
-use crate::live::Habits;
-use crate::machine::{Cut, Fault, Machine, Micros, Offer, Spec, Word};
-use crate::notes::{Notes, Running, fingerprint};
+use crate::event_log::{Notes, Running, fingerprint};
+use crate::host_emulator::Habits;
+use crate::host_model::{Cut, Fault, Machine, Micros, Offer, Spec, Word};
+use crate::rule_check::{Listed, Note, Said};
 use async_channel::{Receiver, Sender};
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
--- a/crates/emulator/src/notes.rs
+++ b/crates/emulator/src/event_log.rs
@@ -1,7 +1,7 @@
 //! Where everybody writes down what they sent and saw.
 
-use crate::audit::Note;
-use crate::machine::Micros;
+use crate::host_model::Micros;
+use crate::rule_check::Note;
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::Instant;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -4,25 +4,24 @@
 
 #![recursion_limit = "256"]
 
-mod arrived;
-pub mod audit;
-pub mod balance;
+pub mod admin_socket;
 mod client;
-mod config;
+pub mod cluster;
+mod deployment_config;
+pub mod event_log;
+pub mod fault_proxy;
 mod feed;
-pub mod front;
 mod host;
-pub mod keeper;
-pub mod link;
-pub mod live;
-pub mod machine;
-pub mod notes;
-pub mod operator;
+pub mod host_emulator;
+pub mod host_model;
+pub mod load_balancer;
 mod program;
-pub mod site;
+pub mod rule_check;
+pub mod supervisor;
+mod tcp_delivery;
 
 pub use client::{Ask, Client, Message, ONCE, QUICK, bytes, set_up};
-pub use config::{config, deployment};
+pub use deployment_config::{config, deployment};
 pub use feed::{Feed, event};
 pub use host::{Host, HostConn, OutOfReach};
 pub use program::{Launch, Program, binary, refuses, scratch};
--- a/crates/emulator/src/front.rs
+++ b/crates/emulator/src/load_balancer/clients.rs
@@ -4,7 +4,7 @@
 //! clients arrive open-loop: each at its time, whatever became of those before. Every client writes down
 //! what it was told, so that a test can check each task.
 
-use crate::balance::{Admin, Balancer, read_agent};
+use crate::load_balancer::{Admin, Balancer, read_agent};
 use crate::{Ask, Client, LIMIT};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/emulator/src/balance.rs
+++ b/crates/emulator/src/load_balancer/mod.rs
@@ -1,6 +1,8 @@
 //! What a common balancer does with what its checks tell: pure state, so that a model of a whole
 //! installation and a balancer on sockets act alike.
 
+pub mod clients;
+
 use std::time::Duration;
 
 /// What an agent check has told: absent parts change nothing.
--- a/crates/emulator/src/program.rs
+++ b/crates/emulator/src/program.rs
@@ -1,6 +1,6 @@
 //! The program under test.
 
-use crate::{Client, LIMIT, arrived, keeper, until};
+use crate::{Client, LIMIT, supervisor, tcp_delivery, until};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use std::fs::File;
@@ -218,17 +218,17 @@
 
     /// Descriptors that it holds.
     pub fn descriptors(&self) -> usize {
-        keeper::descriptors(self.id())
+        supervisor::descriptors(self.id())
     }
 
     /// Memory that it holds, in kB.
     pub fn memory_kb(&self) -> u64 {
-        keeper::resident_kb(self.id())
+        supervisor::resident_kb(self.id())
     }
 
     /// Time that it has spent on a core.
     pub fn cpu(&self) -> Duration {
-        keeper::cpu(self.id())
+        supervisor::cpu(self.id())
     }
 
     /// The same for each of so many that `act` does, in microseconds.
@@ -267,7 +267,7 @@
         });
         act();
         until("what was sent has arrived", || {
-            arrived::all(self.id()).then_some(())
+            tcp_delivery::all_delivered(self.id()).then_some(())
         });
         self.signal("-CONT");
     }
--- a/crates/emulator/src/audit.rs
+++ b/crates/emulator/src/rule_check/mod.rs
@@ -3,7 +3,7 @@
 //! Each party notes what it sent and saw with the time of the one clock. After a run [`check`] joins the
 //! notes task by task and names each broken rule with the notes that show it. It looks at nothing else.
 
-use crate::machine::Micros;
+use crate::host_model::Micros;
 use std::collections::{BTreeMap, HashMap};
 use std::fmt;
 
--- a/crates/emulator/src/keeper.rs
+++ b/crates/emulator/src/supervisor.rs
@@ -1,8 +1,8 @@
 //! Real placers as processes: started, killed, stopped, ended, and started again in their places.
 
-use crate::audit::{Life, Note};
-use crate::notes::Notes;
-use crate::site::Site;
+use crate::cluster::Site;
+use crate::event_log::Notes;
+use crate::rule_check::{Life, Note};
 use rustix::process::{Pid, Resource, Rlimit, Signal, kill_process};
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
--- a/crates/emulator/src/arrived.rs
+++ b/crates/emulator/src/tcp_delivery.rs
@@ -25,7 +25,7 @@
 
 /// Whether all that was sent to a process has reached its sockets, closes too: the other ends of its connections
 /// wait for nothing to be confirmed. A connection that it has not accepted yet shows by its listener's address.
-pub(crate) fn all(pid: u32) -> bool {
+pub(crate) fn all_delivered(pid: u32) -> bool {
     let Ok(folder) = std::fs::read_dir(format!("/proc/{pid}/fd")) else {
         return true;
     };
--- a/crates/load-test/src/director.rs
+++ b/crates/load-test/src/director.rs
@@ -5,9 +5,9 @@
 use crate::network::Network;
 use crate::plan::{FaultKind, Plan};
 use crate::shape::Micros;
-use emulator::keeper::Keeper;
-use emulator::notes::Notes;
-use emulator::site::{FeedFault, HostFault, Order, Site};
+use emulator::cluster::{FeedFault, HostFault, Order, Site};
+use emulator::event_log::Notes;
+use emulator::supervisor::Keeper;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
--- a/crates/load-test/src/front.rs
+++ b/crates/load-test/src/front.rs
@@ -4,7 +4,7 @@
 //! It spreads clients over the placers of their room, takes a placer in once it passes its first test, takes
 //! one out at once where a test says so, and notices a dead one only after some tests have failed.
 
-use emulator::balance::{Advice, Balancer};
+use emulator::load_balancer::{Advice, Balancer};
 
 /// Failed tests in a row that take a placer out.
 const FALL: u32 = 3;
@@ -107,7 +107,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use emulator::balance::Admin;
+    use emulator::load_balancer::Admin;
 
     #[test]
     fn placers_come_in_by_a_passed_test_and_go_out_late_or_at_once() {
--- a/crates/load-test/src/harm.rs
+++ b/crates/load-test/src/harm.rs
@@ -6,7 +6,7 @@
 
 use crate::plan::{FaultKind, Plan};
 use crate::shape::Micros;
-use emulator::audit::{Note, Said};
+use emulator::rule_check::{Note, Said};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 const SECOND: Micros = 1_000_000;
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -258,7 +258,7 @@
         Command::Guard {
             program,
             descriptors,
-        } => Err(emulator::keeper::guard(&program, descriptors).to_string()),
+        } => Err(emulator::supervisor::guard(&program, descriptors).to_string()),
     }
 }
 
--- a/crates/load-test/src/network.rs
+++ b/crates/load-test/src/network.rs
@@ -7,11 +7,11 @@
 //! whoever calls.
 
 use crate::plan::{Fault, FaultKind, Plan, Which};
-use emulator::audit::{Note, Peer};
-use emulator::keeper::Keeper;
-use emulator::link::{self, End, Links};
-use emulator::notes::Notes;
-use emulator::site::Site;
+use emulator::cluster::Site;
+use emulator::event_log::Notes;
+use emulator::fault_proxy::{self, End, Links};
+use emulator::rule_check::{Note, Peer};
+use emulator::supervisor::Keeper;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -178,15 +178,15 @@
 }
 
 /// What a fault does to its links; none where it is no fault of links.
-pub fn fault(fault: &Fault) -> Option<link::Fault> {
+pub fn fault(fault: &Fault) -> Option<fault_proxy::Fault> {
     Some(match fault.kind {
-        FaultKind::LinkCut => link::Fault::Cut,
-        FaultKind::LinkCutTo => link::Fault::CutTo,
-        FaultKind::LinkCutFrom => link::Fault::CutFrom,
-        FaultKind::LinkStall => link::Fault::Stall,
-        FaultKind::LinkSlow => link::Fault::Slow(fault.by),
-        FaultKind::LinkReset => link::Fault::Reset,
-        FaultKind::LinkBlackHole => link::Fault::BlackHole,
+        FaultKind::LinkCut => fault_proxy::Fault::Cut,
+        FaultKind::LinkCutTo => fault_proxy::Fault::CutTo,
+        FaultKind::LinkCutFrom => fault_proxy::Fault::CutFrom,
+        FaultKind::LinkStall => fault_proxy::Fault::Stall,
+        FaultKind::LinkSlow => fault_proxy::Fault::Slow(fault.by),
+        FaultKind::LinkReset => fault_proxy::Fault::Reset,
+        FaultKind::LinkBlackHole => fault_proxy::Fault::BlackHole,
         _ => return None,
     })
 }
@@ -206,7 +206,7 @@
 
 /// A fault of links.
 struct Strike {
-    does: link::Fault,
+    does: fault_proxy::Fault,
     between: [BTreeSet<End>; 2],
     links: BTreeSet<Link>,
 }
@@ -303,7 +303,11 @@
         else {
             return;
         };
-        let does = if begins { *does } else { link::Fault::None };
+        let does = if begins {
+            *does
+        } else {
+            fault_proxy::Fault::None
+        };
         // What is held back counts from before it is, until after it no longer is.
         let note = || {
             for (placer, peer) in links {
--- a/crates/load-test/src/results.rs
+++ b/crates/load-test/src/results.rs
@@ -3,7 +3,7 @@
 use crate::clients::Fate;
 use crate::run::{Outcome, Task};
 use crate::shape::Micros;
-use emulator::audit::Rule;
+use emulator::rule_check::Rule;
 use hdrhistogram::Histogram;
 use hdrhistogram::serialization::V2DeflateSerializer;
 use hdrhistogram::serialization::interval_log::{IntervalLogWriterBuilder, Tag};
--- a/crates/load-test/src/run/connections.rs
+++ b/crates/load-test/src/run/connections.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use emulator::Message;
-use emulator::audit::Note;
+use emulator::rule_check::Note;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Shutdown, TcpStream};
--- a/crates/load-test/src/run/deployment.rs
+++ b/crates/load-test/src/run/deployment.rs
@@ -2,7 +2,7 @@
 
 use super::micros;
 use crate::plan::Plan;
-use emulator::machine::Spec;
+use emulator::host_model::Spec;
 use simd_json::{OwnedValue, json};
 use std::time::Duration;
 
--- a/crates/load-test/src/run/probes.rs
+++ b/crates/load-test/src/run/probes.rs
@@ -5,7 +5,7 @@
 use crate::front::Tested;
 use crate::plan::Spread;
 use async_io::{Async, Timer};
-use emulator::balance::read_agent;
+use emulator::load_balancer::read_agent;
 use emulator::{Message, bytes};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::net::TcpStream;
--- a/crates/load-test/tests/rehearsal.rs
+++ b/crates/load-test/tests/rehearsal.rs
@@ -1,7 +1,7 @@
 //! Rehearsals on loopback with the real placer, short enough for CI.
 
-use emulator::machine::{Micros, Offer};
-use emulator::site::describe;
+use emulator::cluster::describe;
+use emulator::host_model::{Micros, Offer};
 use emulator::{Message, bytes};
 use load_test::plan::Plan;
 use load_test::results::{findings, summarize};
--- a/src/net/health/agent.rs
+++ b/src/net/health/agent.rs
@@ -66,7 +66,7 @@
 #[cfg(test)]
 pub mod tests {
     use super::*;
-    use emulator::balance::{Admin, Advice, read_agent};
+    use emulator::load_balancer::{Admin, Advice, read_agent};
     use task_placer::health::{Code, Health, Settings};
 
     /// A report of this state and weight.
--- a/tests/balancers.rs
+++ b/tests/balancers.rs
@@ -1,8 +1,8 @@
 //! Whole installations on loopback: three placers behind a balancer that polls them, hosts and feeds that
 //! run by themselves, clients that arrive whatever became of those before. Every task is checked.
 
-use emulator::front::{Clients, Front, Record, ask_agent};
-use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
+use emulator::load_balancer::clients::{Clients, Front, Record, ask_agent};
 use emulator::{Launch, Program, deployment, free_address, until};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The program among fleets that are large against what it may hold.
 
-use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
 use emulator::*;
 use simd_json::{OwnedValue, json};
 use std::io::{ErrorKind, Write};
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -1,7 +1,7 @@
 //! One placer's fronts for balancers and operators, on real sockets, with peers that misbehave.
 
-use emulator::front::ask_agent;
-use emulator::live::{Books, Habits, LiveFeed, LiveHost};
+use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
+use emulator::load_balancer::clients::ask_agent;
 use emulator::{
     Client, Feed, Host, HostConn, Launch, Program, QUICK, binary, config, free_address, hex,
     scratch, until,
--- a/tests/health_loop.rs
+++ b/tests/health_loop.rs
@@ -4,7 +4,7 @@
 //! serve waits, and a loop with work left does not come round. Beside the engine stands the naive rule,
 //! weight = 100 - load, in the same run.
 
-use emulator::balance::{Advice, Balancer};
+use emulator::load_balancer::{Advice, Balancer};
 use std::collections::VecDeque;
 use task_placer::health::{Change, Event, Gauges, Health, Settings, State};
 use task_placer::{Detail, Micros, Outcome};
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -1,6 +1,6 @@
 //! The real program as operators and the platform run it day by day: calls, figures, drains.
 
-use emulator::operator::Calls;
+use emulator::admin_socket::Calls;
 use emulator::*;
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
--- a/tests/overload/model.rs
+++ b/tests/overload/model.rs
@@ -2,7 +2,7 @@
 //! and a late list, joined by one queue of events. No socket, no clock, no thread; the same seed gives the
 //! same run. What a day of it shows is compared, never asserted to the digit.
 
-use emulator::machine::{Cut, Machine, Offer, Spec, Word};
+use emulator::host_model::{Cut, Machine, Offer, Spec, Word};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::cmp::Reverse;
