--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo bench --bench fleet`; `TASK_PLACER_BIN` names another version's program to hold against it.
 
-use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
-use emulator::{Ask, Launch, deployment, until};
+use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
+use emulator::{Launch, TaskRequest, placer_config, wait_for};
 use simd_json::{OwnedValue, json};
 use std::net::{TcpListener, TcpStream};
 use std::sync::{Arc, Mutex};
@@ -35,53 +35,54 @@
         "hosts", "memory", "a connection", "a task", "an event"
     );
     for count in [10, 100, 400, 1_000] {
-        let books: Arc<Mutex<Books>> = Arc::default();
-        let habits = Habits {
-            start: Duration::from_millis(1),
-            life: Duration::from_secs(2),
-            room: 100_000,
+        let books: Arc<Mutex<HostRecords>> = Arc::default();
+        let habits = HostBehavior {
+            start_time: Duration::from_millis(1),
+            run_time: Duration::from_secs(2),
+            capacity: 100_000,
         };
-        let live =
-            |n: usize| LiveHost::start(&format!("h{n}"), "north", habits.clone(), books.clone());
-        let hosts: Vec<LiveHost> = (0..ROOMY).map(live).collect();
-        let feed = LiveFeed::start();
+        let live = |n: usize| {
+            EmulatedHost::start(&format!("h{n}"), "north", habits.clone(), books.clone())
+        };
+        let hosts: Vec<EmulatedHost> = (0..ROOMY).map(live).collect();
+        let feed = EmulatedFeed::start();
         let entries = hosts.iter().map(|host| host.entry("up"));
         let entries = entries
             .chain((ROOMY..count).map(|n| full(n, &address, -40)))
             .collect();
-        let mut config = deployment("n0", 0, 1, &feed.address(), entries);
+        let mut config = placer_config("n0", 0, 1, &feed.address(), entries);
         config["limits"] = json!({ "cores": 1.0, "memory_mb": 192, "sockets": 8_192 });
         let program = Launch::new(&config).descriptors(8_192).start();
         let mut client = program.client();
-        assert!(client.test());
+        assert!(client.health_check());
         std::thread::sleep(Duration::from_secs(2));
-        let connection = program.cpu_each(TIMES, || {
-            (0..TIMES).for_each(|_| assert!(program.client().test()));
+        let connection = program.cpu_micros_per_action(TIMES, || {
+            (0..TIMES).for_each(|_| assert!(program.client().health_check()));
         });
-        let task = program.cpu_each(TIMES, || {
+        let task = program.cpu_micros_per_action(TIMES, || {
             for id in 1..=u64::from(TIMES) {
-                client.set_up(
+                client.request_task(
                     id,
-                    &Ask {
+                    &TaskRequest {
                         class: "quick",
                         wait_ms: 6_000,
                         service: id,
-                        at: None,
+                        running_at: None,
                     },
                 );
                 loop {
-                    let message = client.read();
+                    let message = client.expect_message();
                     match (message.kind, message.id == id) {
                         (9, true) => break,
-                        (12, _) => client.heard(message.id),
+                        (12, _) => client.acknowledge_end(message.id),
                         other => panic!("{other:?}"),
                     }
                 }
             }
         });
-        until("the tasks have ended", || {
+        wait_for("the tasks have ended", || {
             while let Ok(Some(message)) = client.message_within(Duration::from_millis(5)) {
-                client.heard(message.id);
+                client.acknowledge_end(message.id);
             }
             let books = books.lock().expect("books");
             books
@@ -90,9 +91,9 @@
                 .is_none_or(|last| last.at.elapsed() > Duration::from_secs(4))
                 .then_some(())
         });
-        let event = program.cpu_each(EVENTS, || {
+        let event = program.cpu_micros_per_action(EVENTS, || {
             for n in 0..EVENTS {
-                feed.tell(vec![full(
+                feed.send_update(vec![full(
                     ROOMY + n as usize % (count - ROOMY),
                     &address,
                     -40 - (n % 7) as i32,
--- a/benches/health_polls.rs
+++ b/benches/health_polls.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo bench --bench health_polls [-- SECONDS]`
 
-use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
-use emulator::{Ask, Launch, Program, deployment, free_address, until};
+use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
+use emulator::{Launch, Program, TaskRequest, free_address, placer_config, wait_for};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -88,27 +88,27 @@
     );
     let pollers = poll(load, &stop, &done);
     std::thread::sleep(Duration::from_millis(500));
-    let (cpu, begun, mut waits) = (program.cpu(), Instant::now(), Vec::new());
+    let (cpu, begun, mut waits) = (program.cpu_time(), Instant::now(), Vec::new());
     done.store(0, Ordering::Relaxed);
     let mut client = program.client();
     while begun.elapsed() < span {
         let due = begun + Duration::from_millis(20 * waits.len() as u64);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         *first_id += 1;
-        client.set_up(
+        client.request_task(
             *first_id,
-            &Ask {
+            &TaskRequest {
                 class: "quick",
                 wait_ms: 6_000,
                 service: *first_id,
-                at: None,
+                running_at: None,
             },
         );
         loop {
-            let message = client.read();
+            let message = client.expect_message();
             match (message.kind, message.id == *first_id) {
                 (9, true) => break,
-                (12, false) => client.heard(message.id),
+                (12, false) => client.acknowledge_end(message.id),
                 other => panic!("{other:?}"),
             }
         }
@@ -116,7 +116,7 @@
     }
     let (passed, used) = (
         begun.elapsed().as_secs_f64(),
-        (program.cpu() - cpu).as_secs_f64(),
+        (program.cpu_time() - cpu).as_secs_f64(),
     );
     let polls = done.load(Ordering::Relaxed) as f64 / passed;
     stop.store(true, Ordering::Relaxed);
@@ -138,17 +138,17 @@
         .next()
         .unwrap_or(10);
     let span = Duration::from_secs(seconds);
-    let books: Arc<Mutex<Books>> = Arc::default();
-    let habits = Habits {
-        start: Duration::from_millis(5),
-        life: Duration::from_secs(1),
-        room: 10_000,
+    let books: Arc<Mutex<HostRecords>> = Arc::default();
+    let habits = HostBehavior {
+        start_time: Duration::from_millis(5),
+        run_time: Duration::from_secs(1),
+        capacity: 10_000,
     };
-    let hosts: Vec<LiveHost> = (0..4)
-        .map(|n| LiveHost::start(&format!("h{n}"), "north", habits.clone(), books.clone()))
+    let hosts: Vec<EmulatedHost> = (0..4)
+        .map(|n| EmulatedHost::start(&format!("h{n}"), "north", habits.clone(), books.clone()))
         .collect();
-    let feed = LiveFeed::start();
-    let config = deployment(
+    let feed = EmulatedFeed::start();
+    let config = placer_config(
         "n0",
         0,
         1,
@@ -157,8 +157,8 @@
     );
     let (agent, http) = (free_address(), free_address());
     let operator = format!("[health]\nagent = [\"{agent}\"]\nhttp = [\"{http}\"]\n");
-    let program = Launch::new(&config).operator(&operator).start();
-    until("it answers", || agent_poll(agent));
+    let program = Launch::new(&config).operator_file(&operator).start();
+    wait_for("it answers", || agent_poll(agent));
     let mut id = 0;
     let mut base = None;
     println!(
--- a/benches/standing.rs
+++ b/benches/standing.rs
@@ -3,8 +3,8 @@
 //!
 //! `cargo bench --bench standing`
 
-use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
-use emulator::{Ask, Launch, deployment, until};
+use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
+use emulator::{Launch, TaskRequest, placer_config, wait_for};
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
@@ -12,17 +12,17 @@
 const TASKS: u32 = 3_000;
 
 fn main() {
-    let books: Arc<Mutex<Books>> = Arc::default();
-    let habits = Habits {
-        start: Duration::from_millis(1),
-        life: Duration::from_secs(2),
-        room: 100_000,
+    let books: Arc<Mutex<HostRecords>> = Arc::default();
+    let habits = HostBehavior {
+        start_time: Duration::from_millis(1),
+        run_time: Duration::from_secs(2),
+        capacity: 100_000,
     };
-    let hosts: Vec<LiveHost> = (0..4)
-        .map(|n| LiveHost::start(&format!("h{n}"), "north", habits.clone(), books.clone()))
+    let hosts: Vec<EmulatedHost> = (0..4)
+        .map(|n| EmulatedHost::start(&format!("h{n}"), "north", habits.clone(), books.clone()))
         .collect();
-    let feed = LiveFeed::start();
-    let config = deployment(
+    let feed = EmulatedFeed::start();
+    let config = placer_config(
         "n0",
         0,
         1,
@@ -31,7 +31,7 @@
     );
     let program = Launch::new(&config).start();
     let mut client = program.client();
-    assert!(client.test());
+    assert!(client.health_check());
     let (mut stand, mut id) = (0u64, 1u64 << 32);
     println!(
         "{:>9} {:>10} {:>16} {:>12}",
@@ -40,40 +40,40 @@
     for target in [10, 1_000, 10_000] {
         while stand < target {
             stand += 1;
-            client.set_up(
+            client.request_task(
                 stand,
-                &Ask {
+                &TaskRequest {
                     class: "quick",
                     wait_ms: 0,
                     service: stand,
-                    at: Some("h0"),
+                    running_at: Some("h0"),
                 },
             );
         }
-        assert!(client.test());
-        let connection = program.cpu_each(CONNECTIONS, || {
+        assert!(client.health_check());
+        let connection = program.cpu_micros_per_action(CONNECTIONS, || {
             (0..CONNECTIONS).for_each(|_| {
                 let mut client = program.client();
-                assert!(client.test());
+                assert!(client.health_check());
             })
         });
-        let task = program.cpu_each(TASKS, || {
+        let task = program.cpu_micros_per_action(TASKS, || {
             (0..TASKS).for_each(|_| {
                 id += 1;
-                client.set_up(
+                client.request_task(
                     id,
-                    &Ask {
+                    &TaskRequest {
                         class: "quick",
                         wait_ms: 6_000,
                         service: id,
-                        at: None,
+                        running_at: None,
                     },
                 );
                 loop {
-                    let message = client.read();
+                    let message = client.expect_message();
                     match (message.kind, message.id == id) {
                         (9, true) => break,
-                        (12, _) => client.heard(message.id),
+                        (12, _) => client.acknowledge_end(message.id),
                         other => panic!("{other:?}"),
                     }
                 }
@@ -84,10 +84,10 @@
             "{target:>9} {:>7} kB {connection:>13.0} us {task:>9.0} us",
             memory
         );
-        until("the tasks of the measurement have ended", || {
+        wait_for("the tasks of the measurement have ended", || {
             std::thread::sleep(Duration::from_millis(100));
             while let Ok(Some(message)) = client.message_within(Duration::from_millis(5)) {
-                client.heard(message.id);
+                client.acknowledge_end(message.id);
             }
             let books = books.lock().expect("books");
             books
--- a/crates/emulator/src/admin_socket.rs
+++ b/crates/emulator/src/admin_socket.rs
@@ -1,49 +1,51 @@
-//! Operators and the platform, who call a placer where it takes calls.
+//! The admin socket of a placer, as operators and the platform use it.
 
-use crate::{LIMIT, until};
+use crate::{TEST_TIMEOUT, wait_for};
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, to_owned_value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// Where one process of a placer takes calls.
+/// The address of the admin socket of one process.
 #[derive(Debug, Clone, Copy)]
-pub struct Calls(pub SocketAddr);
+pub struct AdminSocket(pub SocketAddr);
 
-impl Calls {
-    /// A connection, made as soon as it listens.
+impl AdminSocket {
+    /// Connects as soon as it listens.
     pub fn connect(&self) -> TcpStream {
-        let stream = until("it takes calls", || TcpStream::connect(self.0).ok());
+        let stream = wait_for("the admin socket listens", || {
+            TcpStream::connect(self.0).ok()
+        });
         stream
-            .set_read_timeout(Some(LIMIT))
+            .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a socket option");
         stream
     }
 
-    /// The whole reply to a line.
-    pub fn call(&self, line: &str) -> String {
+    /// Sends a command and returns the complete reply.
+    pub fn request(&self, line: &str) -> String {
         let mut stream = self.connect();
         stream
             .write_all(format!("{line}\n").as_bytes())
-            .expect("it reads");
+            .expect("the placer reads");
         let mut reply = String::new();
         stream.read_to_string(&mut reply).expect("a reply");
         reply
     }
 
-    /// Whether it says yes.
-    pub fn check(&self) -> bool {
-        match self.call("check") {
-            yes if yes.starts_with("ok") => true,
-            no if no.starts_with("fail") => false,
-            other => panic!("neither yes nor no: {other:?}"),
+    /// Returns the result of the health check `check`.
+    pub fn is_healthy(&self) -> bool {
+        match self.request("check") {
+            reply if reply.starts_with("ok") => true,
+            reply if reply.starts_with("fail") => false,
+            other => panic!("neither ok nor fail: {other:?}"),
         }
     }
 
-    /// The figures.
-    pub fn figures(&self) -> OwnedValue {
+    /// Returns the metrics that `vars` reports.
+    pub fn metrics(&self) -> OwnedValue {
         let mut stream = self.connect();
-        stream.write_all(b"vars\n").expect("it reads");
+        stream.write_all(b"vars\n").expect("the placer reads");
         let lines: Vec<String> = BufReader::new(stream)
             .lines()
             .map(|line| line.expect("text"))
@@ -55,14 +57,14 @@
         to_owned_value(json.clone().into_bytes().as_mut()).expect("JSON")
     }
 
-    /// A count of a class.
-    pub fn count(&self, class: &str, what: &str) -> u64 {
-        let figures = self.figures();
-        let counts = figures
+    /// Returns a request counter of a class.
+    pub fn request_count(&self, class: &str, counter: &str) -> u64 {
+        let metrics = self.metrics();
+        let counts = metrics
             .get("requests")
             .and_then(|requests| requests.get(class));
         counts
-            .and_then(|counts| counts.get_u64(what))
+            .and_then(|counts| counts.get_u64(counter))
             .expect("a count")
     }
 }
--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -1,6 +1,6 @@
-//! A client of the placer: asks for tasks on a connection, and reads what it is told of them.
+//! A scripted client: requests tasks on a connection, and reads the messages of the placer.
 
-use crate::LIMIT;
+use crate::TEST_TIMEOUT;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
@@ -8,23 +8,23 @@
 /// A message to a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Message {
-    /// Its type.
+    /// Its type on the wire.
     pub kind: u8,
-    /// Its task.
+    /// The id of its task.
     pub id: u64,
-    /// Its parameters.
+    /// Its parameters: code and value.
     pub parameters: Vec<(u8, Vec<u8>)>,
 }
 
 impl Message {
-    /// Reads the first message of `bytes`: itself and its length, or none if more must come or none is there.
-    pub fn read(bytes: &[u8]) -> Option<(Message, usize)> {
+    /// Decodes the first message of `bytes`, and returns it with its length; none if it is incomplete.
+    pub fn decode(bytes: &[u8]) -> Option<(Message, usize)> {
         let (length, rest) = bytes.split_first_chunk::<2>()?;
         let length = usize::from(u16::from_be_bytes(*length));
-        Some((Message::read_body(rest.get(..length)?)?, length + 2))
+        Some((Message::decode_body(rest.get(..length)?)?, length + 2))
     }
 
-    fn read_body(body: &[u8]) -> Option<Message> {
+    fn decode_body(body: &[u8]) -> Option<Message> {
         let (kind, rest) = body.split_first()?;
         let (id, mut rest) = rest.split_first_chunk::<8>()?;
         let mut parameters = Vec::new();
@@ -41,7 +41,7 @@
         })
     }
 
-    /// A parameter.
+    /// Returns a parameter.
     pub fn get(&self, code: u8) -> Option<&[u8]> {
         self.parameters
             .iter()
@@ -49,13 +49,13 @@
             .map(|(_, value)| value.as_slice())
     }
 
-    /// A parameter as text.
+    /// Returns a parameter as text.
     pub fn text(&self, code: u8) -> Option<&str> {
         self.get(code)
             .map(|value| std::str::from_utf8(value).expect("text"))
     }
 
-    /// The cause, which must be there.
+    /// Returns the cause, which must be there.
     pub fn cause(&self) -> u8 {
         match self.get(171) {
             Some([cause]) => *cause,
@@ -67,35 +67,35 @@
 /// A connection of a client.
 pub struct Client(pub TcpStream);
 
-/// A set-up as a client writes it.
-pub struct Ask<'a> {
-    /// Its class.
+/// A request for a task.
+pub struct TaskRequest<'a> {
+    /// The class of the task.
     pub class: &'a str,
-    /// How long the client waits.
+    /// How long the client waits, in milliseconds.
     pub wait_ms: u64,
     /// Its service.
     pub service: u64,
-    /// The host that holds it already.
-    pub at: Option<&'a str>,
+    /// The host that runs it already, for a client that reconnects.
+    pub running_at: Option<&'a str>,
 }
 
-/// A safe task.
-pub const QUICK: Ask<'_> = Ask {
+/// A request for an idempotent task.
+pub const IDEMPOTENT_TASK: TaskRequest<'_> = TaskRequest {
     class: "quick",
     wait_ms: 6_000,
     service: 7,
-    at: None,
+    running_at: None,
 };
-/// A task that must not start twice.
-pub const ONCE: Ask<'_> = Ask {
+/// A request for a task that must not start twice.
+pub const NON_IDEMPOTENT_TASK: TaskRequest<'_> = TaskRequest {
     class: "once",
     wait_ms: 6_000,
     service: 9,
-    at: None,
+    running_at: None,
 };
 
-/// A message as bytes.
-pub fn bytes(kind: u8, id: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
+/// Encodes a message.
+pub fn encode_message(kind: u8, id: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
     let mut body = vec![kind];
     body.extend(id.to_be_bytes());
     for (code, value) in parameters {
@@ -108,18 +108,18 @@
     all
 }
 
-/// A set-up as bytes.
-pub fn set_up(id: u64, ask: &Ask<'_>, description: &str) -> Vec<u8> {
-    let mut figures = format!("cores:1;memory:2;service:{:016x}", ask.service);
-    if let Some(host) = ask.at {
+/// Encodes a request for a task.
+pub fn encode_task_request(id: u64, request: &TaskRequest<'_>, description: &str) -> Vec<u8> {
+    let mut figures = format!("cores:1;memory:2;service:{:016x}", request.service);
+    if let Some(host) = request.running_at {
         figures.push_str(&format!(";at:{host}"));
     }
-    let (wait, key) = (ask.wait_ms.to_string(), format!("{:016x}", id + 0xabc0));
-    bytes(
+    let (wait, key) = (request.wait_ms.to_string(), format!("{:016x}", id + 0xabc0));
+    encode_message(
         1,
         id,
         &[
-            (129, ask.class.as_bytes()),
+            (129, request.class.as_bytes()),
             (132, wait.as_bytes()),
             (135, b"ours"),
             (141, key.as_bytes()),
@@ -131,40 +131,44 @@
 
 impl Client {
     /// Sends bytes.
-    pub fn say(&mut self, bytes: &[u8]) {
-        self.0.write_all(bytes).expect("it reads");
+    pub fn send(&mut self, bytes: &[u8]) {
+        self.0.write_all(bytes).expect("the placer reads");
     }
 
-    /// Asks for a task to be placed.
-    pub fn set_up(&mut self, id: u64, ask: &Ask<'_>) {
-        self.say(&set_up(id, ask, &format!("c=IN {id}\r\n")));
+    /// Requests a task.
+    pub fn request_task(&mut self, id: u64, request: &TaskRequest<'_>) {
+        self.send(&encode_task_request(id, request, &format!("c=IN {id}\r\n")));
     }
 
-    /// The same with this description.
-    pub fn set_up_with(&mut self, id: u64, ask: &Ask<'_>, description: &str) {
-        self.say(&set_up(id, ask, description));
+    /// Requests a task with this description.
+    pub fn request_task_with(&mut self, id: u64, request: &TaskRequest<'_>, description: &str) {
+        self.send(&encode_task_request(id, request, description));
     }
 
-    /// Gives a set-up up, or ends a task.
+    /// Gives a request up, or ends a task.
     pub fn release(&mut self, id: u64, cause: u8) {
-        self.say(&bytes(12, id, &[(171, &[cause])]));
+        self.send(&encode_message(12, id, &[(171, &[cause])]));
     }
 
-    /// Sends a test and answers whether it passed.
-    pub fn test(&mut self) -> bool {
-        self.say(&bytes(52, 0xfe, &[(171, &[0])]));
-        let result = self.read();
+    /// Sends a health check and returns whether it passed.
+    pub fn health_check(&mut self) -> bool {
+        self.send(&encode_message(52, 0xfe, &[(171, &[0])]));
+        let result = self.expect_message();
         assert_eq!((result.kind, result.id), (53, 0xfe));
         result.cause() == 1
     }
 
-    /// The next message, or none where the connection ends.
+    /// Reads the next message; none where the connection ends.
     pub fn next_message(&mut self) -> Option<Message> {
         self.try_message()
-            .unwrap_or_else(|e| panic!("nothing comes: {e}"))
+            .unwrap_or_else(|e| panic!("no message: {e}"))
     }
 
-    /// The next message, none where the connection ends, an error where nothing comes in time.
+    /// Reads the next message; none where the connection ends.
+    ///
+    /// # Errors
+    ///
+    /// No message comes in time, or the connection fails.
     pub fn try_message(&mut self) -> std::io::Result<Option<Message>> {
         let mut length = [0; 2];
         match self.0.read_exact(&mut length) {
@@ -181,14 +185,18 @@
         }
         let mut body = vec![0; usize::from(u16::from_be_bytes(length))];
         self.0.read_exact(&mut body)?;
-        Ok(Message::read_body(&body))
+        Ok(Message::decode_body(&body))
     }
 
-    /// The next message, none where the connection ends, an error where none begins in time.
+    /// Reads the next message; none where the connection ends.
+    ///
+    /// # Errors
+    ///
+    /// No message begins within the limit, or the connection fails.
     pub fn message_within(&mut self, limit: Duration) -> std::io::Result<Option<Message>> {
         self.0.set_read_timeout(Some(limit))?;
         let begun = self.0.peek(&mut [0; 2]);
-        self.0.set_read_timeout(Some(LIMIT))?;
+        self.0.set_read_timeout(Some(TEST_TIMEOUT))?;
         match begun {
             Err(e) if e.kind() == ErrorKind::ConnectionReset => Ok(None),
             Err(e) => Err(e),
@@ -196,19 +204,21 @@
         }
     }
 
-    /// Closes the connection now. Where it is only dropped, a process that another test just starts may hold a
-    /// copy of it, until it runs its program.
-    pub fn leave(self) {
-        self.0.shutdown(Shutdown::Write).expect("it is open");
+    /// Closes the connection now. If it were only dropped, a process that another test is just forking could keep
+    /// a copy open until it executes its program.
+    pub fn close(self) {
+        self.0
+            .shutdown(Shutdown::Write)
+            .expect("an open connection");
     }
 
-    /// Says that the end of a task was heard.
-    pub fn heard(&mut self, id: u64) {
-        let _ = self.0.write_all(&bytes(16, id, &[]));
+    /// Acknowledges the end of a task.
+    pub fn acknowledge_end(&mut self, id: u64) {
+        let _ = self.0.write_all(&encode_message(16, id, &[]));
     }
 
-    /// The next message, which must come.
-    pub fn read(&mut self) -> Message {
+    /// Reads the next message, which must come.
+    pub fn expect_message(&mut self) -> Message {
         self.next_message().expect("a message")
     }
 }
--- a/crates/emulator/src/deployment_config.rs
+++ b/crates/emulator/src/deployment_config.rs
@@ -1,18 +1,18 @@
-//! A small deployment's configuration.
+//! Configurations of placers in a small deployment.
 
-use crate::{Feed, event, free_address};
+use crate::{Feed, UpdateKind, endpoint_event, free_address};
 use simd_json::{OwnedValue, json};
 
-/// The configuration of a placer with these hosts: `quick` is safe and spread (2 in a zone), `once`
-/// must never start twice, and a cold host bears 3 offers a second.
-pub fn config(feed: &Feed, hosts: Vec<OwnedValue>) -> OwnedValue {
-    deployment("n1", 0, 1, &feed.address(), hosts)
+/// Returns the configuration of the only placer of a deployment. Class `quick` is idempotent and limited to 2 tasks
+/// of a service in a zone; class `once` is not idempotent; a cold host tolerates 3 offers a second.
+pub fn single_placer_config(feed: &Feed, hosts: Vec<OwnedValue>) -> OwnedValue {
+    placer_config("n1", 0, 1, &feed.address(), hosts)
 }
 
-/// The same for placer `me` of so many.
-pub fn deployment(
+/// Returns the configuration of one of several placers.
+pub fn placer_config(
     name: &str,
-    me: u64,
+    index: u64,
     placers: u64,
     feed: &str,
     hosts: Vec<OwnedValue>,
@@ -27,9 +27,9 @@
     json!({
         "name": name, "listen": listen, "seed": "8c1f30d27a5be964", "feed": feed,
         "limits": { "cores": 1.0, "memory_mb": 192, "sockets": 1024 },
-        "known": { "n": 1, "events": [event(1, true, hosts)] },
+        "known": { "n": 1, "events": [endpoint_event(1, UpdateKind::Complete, hosts)] },
         "settings": {
-            "me": me, "n_instances": placers, "locality": "north", "zones": ["north", "south"], "step": 2.0,
+            "me": index, "n_instances": placers, "locality": "north", "zones": ["north", "south"], "step": 2.0,
             "models": ["plain"], "membership_mode": "subscribe", "over_share_worth": 0.1,
             "services": [class("quick", "safe"), class("once", "unsafe")],
             "realms": [{ "name": "ours", "portion": 1.0, "allowance_per_s": 1000.0 }],
--- /dev/null
+++ b/crates/emulator/src/fault_proxy/proxy.rs
@@ -0,0 +1,207 @@
+//! One proxy: accepts connections in place of its target, and forwards or withholds their bytes.
+
+use super::{Direction, LinkFault, Party, TrafficTotals};
+use async_channel::Sender;
+use async_executor::LocalExecutor;
+use async_io::{Async, Timer};
+use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt, future};
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeSet;
+use std::io;
+use std::net::{Ipv4Addr, Shutdown, SocketAddr, TcpListener, TcpStream};
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+/// How often a proxy that withholds bytes checks whether it still has to.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
+/// Length of the accept queue while connections are accepted.
+const ACCEPT_QUEUE_LENGTH: i32 = 1_024;
+/// How long a connection that fills the accept queue may take to come up.
+const FILL_TIMEOUT: Duration = Duration::from_millis(50);
+/// Connections that fill an accept queue of length 0: one more than its length, by the kernel's count.
+const QUEUE_FILLERS: usize = 2;
+const BUFFER_BYTES: usize = 16 * 1024;
+
+/// A proxy for the connections of one party to another.
+pub(super) struct FaultProxy {
+    pub(super) from: Party,
+    pub(super) to: Party,
+    pub(super) target: Cell<SocketAddr>,
+    /// Where it listens.
+    pub(super) address: SocketAddr,
+    fault: Cell<LinkFault>,
+    /// Connections that keep the accept queue full.
+    queue_fillers: RefCell<Vec<TcpStream>>,
+    /// The local addresses of fillers that are still to be accepted.
+    filler_addresses: RefCell<BTreeSet<SocketAddr>>,
+    listener: Async<TcpListener>,
+    /// Resets the open connections.
+    open_connections: RefCell<Vec<Sender<()>>>,
+    traffic: Rc<Cell<TrafficTotals>>,
+}
+
+/// How a direction of a connection ended.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Ending {
+    /// The sender shut it down.
+    Clean,
+    /// A side failed.
+    Failed,
+}
+
+impl FaultProxy {
+    /// Listens for connections to the target.
+    pub(super) fn open(
+        from: Party,
+        to: Party,
+        target: SocketAddr,
+        traffic: Rc<Cell<TrafficTotals>>,
+    ) -> io::Result<FaultProxy> {
+        let listener = Async::<TcpListener>::bind((Ipv4Addr::LOCALHOST, 0))?;
+        let address = listener.get_ref().local_addr()?;
+        rustix::net::listen(&listener, ACCEPT_QUEUE_LENGTH)?;
+        Ok(FaultProxy {
+            from,
+            to,
+            target: Cell::new(target),
+            address,
+            fault: Cell::default(),
+            queue_fillers: RefCell::default(),
+            filler_addresses: RefCell::default(),
+            listener,
+            open_connections: RefCell::default(),
+            traffic,
+        })
+    }
+
+    /// Sets or clears its fault.
+    pub(super) fn set_fault(&self, fault: LinkFault) {
+        let before = self.fault.replace(fault);
+        if fault.blocks_connections() && !before.blocks_connections() {
+            self.fill_accept_queue();
+        } else if before.blocks_connections() && !fault.blocks_connections() {
+            self.queue_fillers.borrow_mut().clear();
+            let _ = rustix::net::listen(&self.listener, ACCEPT_QUEUE_LENGTH);
+        }
+        if fault == LinkFault::Reset {
+            for stop in self.open_connections.borrow_mut().drain(..) {
+                let _ = stop.try_send(());
+            }
+        }
+    }
+
+    fn fill_accept_queue(&self) {
+        let _ = rustix::net::listen(&self.listener, 0);
+        let fill = || TcpStream::connect_timeout(&self.address, FILL_TIMEOUT).ok();
+        let fillers: Vec<TcpStream> = (0..QUEUE_FILLERS).filter_map(|_| fill()).collect();
+        let addresses = fillers.iter().filter_map(|filler| filler.local_addr().ok());
+        self.filler_addresses.borrow_mut().extend(addresses);
+        *self.queue_fillers.borrow_mut() = fillers;
+    }
+
+    /// Accepts connections for ever, except while a fault blocks them.
+    pub(super) async fn accept(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>) {
+        loop {
+            while self.fault.get().blocks_connections() {
+                Timer::after(POLL_INTERVAL).await;
+            }
+            // The fault is checked between readiness and accept: once it is set, nothing is accepted.
+            if self.listener.readable().await.is_err() || self.fault.get().blocks_connections() {
+                continue;
+            }
+            let Ok((stream, peer)) = self.listener.get_ref().accept() else {
+                continue;
+            };
+            let Ok(stream) = Async::new(stream) else {
+                continue;
+            };
+            if self.filler_addresses.borrow_mut().remove(&peer) {
+                continue;
+            }
+            executor.spawn(self.clone().forward(stream)).detach();
+        }
+    }
+
+    /// Forwards one connection until both directions end, or it is reset.
+    async fn forward(self: Rc<Self>, caller: Async<TcpStream>) {
+        let _ = caller.get_ref().set_nodelay(true);
+        let set_reset = |stream: &Async<TcpStream>| {
+            let _ = rustix::net::sockopt::set_socket_linger(stream.get_ref(), Some(Duration::ZERO));
+        };
+        if self.fault.get() == LinkFault::Reset {
+            return set_reset(&caller);
+        }
+        let Ok(callee) = Async::<TcpStream>::connect(self.target.get()).await else {
+            return set_reset(&caller);
+        };
+        let _ = callee.get_ref().set_nodelay(true);
+        let (stop, stop_requested) = async_channel::bounded(1);
+        self.open_connections
+            .borrow_mut()
+            .retain(|stop| !stop.is_closed());
+        self.open_connections.borrow_mut().push(stop);
+        self.count(1, 0);
+        let both = async {
+            let forward = self.forward_one_way(&caller, &callee, Direction::Forward);
+            let backward = self.forward_one_way(&callee, &caller, Direction::Backward);
+            // Each direction ends by itself: a half-closed connection still carries the other one.
+            let (forward, backward) = future::zip(forward, backward).await;
+            forward == Ending::Failed || backward == Ending::Failed
+        };
+        let stopped = async {
+            let _ = stop_requested.recv().await;
+            true
+        };
+        if both.or(stopped).await {
+            set_reset(&caller);
+            set_reset(&callee);
+        }
+    }
+
+    /// Forwards one direction to its end.
+    async fn forward_one_way(
+        &self,
+        from: &Async<TcpStream>,
+        to: &Async<TcpStream>,
+        direction: Direction,
+    ) -> Ending {
+        let (mut reader, mut writer) = (from, to);
+        let mut buffer = vec![0; BUFFER_BYTES];
+        loop {
+            let Ok(count) = reader.read(&mut buffer).await else {
+                return Ending::Failed;
+            };
+            let read_at = Instant::now();
+            if let Some(delay) = self.fault.get().delay() {
+                Timer::at(read_at + delay).await;
+            }
+            while self.fault.get().withholds(direction) {
+                Timer::after(POLL_INTERVAL).await;
+            }
+            if count == 0 {
+                return match writer.get_ref().shutdown(Shutdown::Write) {
+                    Ok(()) => Ending::Clean,
+                    Err(_) => Ending::Failed,
+                };
+            }
+            if writer
+                .write_all(buffer.get(..count).unwrap_or_default())
+                .await
+                .is_err()
+            {
+                // The sender is to notice that nobody reads any more.
+                let _ = from.get_ref().shutdown(Shutdown::Both);
+                return Ending::Failed;
+            }
+            self.count(0, count as u64);
+        }
+    }
+
+    fn count(&self, connections: u64, bytes: u64) {
+        let before = self.traffic.get();
+        self.traffic.set(TrafficTotals {
+            connections: before.connections + connections,
+            bytes: before.bytes + bytes,
+        });
+    }
+}
--- a/crates/emulator/src/feed.rs
+++ b/crates/emulator/src/feed.rs
@@ -1,35 +1,35 @@
-//! The control feed.
+//! A scripted service discovery feed.
 
-use crate::{Host, LIMIT, OutOfReach, accept, listen};
+use crate::{Host, TEST_TIMEOUT, Unreachable, accept, listen};
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 
-/// The control feed: a listener, and the subscription once there is one.
+/// A listener, and the subscription once there is one.
 pub struct Feed {
     listener: TcpListener,
-    stream: Option<TcpStream>,
+    subscription: Option<TcpStream>,
 }
 
 impl Feed {
-    /// One that listens.
+    /// Returns a feed that listens at a free port.
     pub fn new() -> Feed {
         Feed {
             listener: listen(),
-            stream: None,
+            subscription: None,
         }
     }
 
-    /// One that listens there.
-    pub fn at(address: SocketAddr) -> Feed {
+    /// Returns a feed that listens at an address.
+    pub fn bind(address: SocketAddr) -> Feed {
         Feed {
             listener: TcpListener::bind(address).expect("a free port"),
-            stream: None,
+            subscription: None,
         }
     }
 
-    /// Where it listens.
+    /// Returns where it listens.
     pub fn address(&self) -> String {
         self.listener.local_addr().expect("an address").to_string()
     }
@@ -38,48 +38,61 @@
         self.listener
     }
 
-    /// Waits for a subscription and answers its number.
-    pub fn subscribed(&mut self) -> u64 {
-        let stream = accept(&self.listener, LIMIT).expect("a subscription");
+    /// Waits for a subscription and returns the number of its first event.
+    pub fn accept_subscription(&mut self) -> u64 {
+        let subscription = accept(&self.listener, TEST_TIMEOUT).expect("a subscription");
         let mut line = String::new();
-        BufReader::new(&stream)
+        BufReader::new(&subscription)
             .read_line(&mut line)
             .expect("a line");
-        self.stream = Some(stream);
+        self.subscription = Some(subscription);
         line.strip_prefix("SUB ")
             .and_then(|n| n.trim_end().parse().ok())
             .expect("SUB N")
     }
 
-    /// From now on no connection to it comes up, and none is refused.
-    pub fn vanish(&self) -> OutOfReach {
-        OutOfReach::of(&self.listener)
+    /// Makes it unreachable: new connections neither come up nor are refused.
+    pub fn make_unreachable(&self) -> Unreachable {
+        Unreachable::of(&self.listener)
     }
 
-    /// Breaks the subscription off when dropped.
-    pub fn stream_taken(&mut self) -> Option<TcpStream> {
-        self.stream.take()
+    /// Takes the subscription, which ends when dropped.
+    pub fn take_subscription(&mut self) -> Option<TcpStream> {
+        self.subscription.take()
     }
 
-    /// Says a line.
-    pub fn tell(&mut self, line: &OwnedValue) {
+    /// Sends a line.
+    pub fn send(&mut self, line: &OwnedValue) {
         let text = format!("{}\n", line.encode());
-        self.stream
+        self.subscription
             .as_mut()
             .expect("a subscription")
             .write_all(text.as_bytes())
-            .expect("it reads");
+            .expect("the placer reads");
     }
 
-    /// Event `n`: one host is in this state.
-    pub fn event(&mut self, n: u64, host: &Host, state: &str) {
-        self.tell(&event(n, false, vec![host.entry(state, 0)]));
+    /// Sends event `n`: one host is in this state.
+    pub fn send_host_state(&mut self, n: u64, host: &Host, state: &str) {
+        self.send(&endpoint_event(
+            n,
+            UpdateKind::Delta,
+            vec![host.entry(state, 0)],
+        ));
     }
 }
 
-/// A numbered event of the feed.
-pub fn event(n: u64, whole: bool, hosts: Vec<OwnedValue>) -> OwnedValue {
-    json!({ "n": n, "members": { "seq": n, "whole": whole, "hosts": hosts } })
+/// Whether an event replaces the endpoint list or changes it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum UpdateKind {
+    /// The complete list.
+    Complete,
+    /// Only the endpoints that changed.
+    Delta,
+}
+
+/// Returns event `n` of a feed with these endpoints.
+pub fn endpoint_event(n: u64, kind: UpdateKind, hosts: Vec<OwnedValue>) -> OwnedValue {
+    json!({ "n": n, "members": { "seq": n, "whole": kind == UpdateKind::Complete, "hosts": hosts } })
 }
 
 impl Default for Feed {
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -1,16 +1,16 @@
-//! Hosts.
+//! A scripted host and its connections.
 
-use crate::{LIMIT, accept, listen};
+use crate::{TEST_TIMEOUT, accept, listen};
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A connection that has not come up by then does not.
-const VANISHED: Duration = Duration::from_millis(100);
+/// A connection that is not up by then will not come up.
+const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A host and its connections.
+/// A listener under the name of a host.
 pub struct Host {
     /// Its name.
     pub name: String,
@@ -20,7 +20,7 @@
 }
 
 impl Host {
-    /// A host that listens.
+    /// Returns a host that listens at a free port.
     pub fn new(name: &str, zone: &'static str) -> Host {
         Host {
             name: name.to_string(),
@@ -29,20 +29,20 @@
         }
     }
 
-    /// The same, whose system takes little that it has not read.
-    pub fn narrow(name: &str, zone: &'static str) -> Host {
+    /// The same with a small receive buffer, so that a connection that is not read soon blocks.
+    pub fn with_small_receive_buffer(name: &str, zone: &'static str) -> Host {
         let host = Host::new(name, zone);
         rustix::net::sockopt::set_socket_recv_buffer_size(&host.listener, 4_096)
             .expect("a socket option");
         host
     }
 
-    /// Its listener, for a host that runs by itself.
+    /// Returns its listener, for a host that runs by itself.
     pub(crate) fn listener(&self) -> TcpListener {
         self.listener.try_clone().expect("a socket")
     }
 
-    /// Its entry in the list.
+    /// Returns its entry in the endpoint list.
     pub fn entry(&self, state: &str, born_ms: u64) -> OwnedValue {
         let address = self.listener.local_addr().expect("an address").to_string();
         json!({
@@ -51,61 +51,62 @@
         })
     }
 
-    /// The next connection to it.
-    pub fn accept(&self) -> HostConn {
-        let stream = accept(&self.listener, LIMIT).expect("a connection");
-        HostConn {
+    /// Waits for the next connection, which must come.
+    pub fn accept(&self) -> HostConnection {
+        let stream = accept(&self.listener, TEST_TIMEOUT).expect("a connection");
+        HostConnection {
             reader: BufReader::new(stream),
         }
     }
 
-    /// The next connection to it, or none within the limit.
-    pub fn accept_within(&self, limit: Duration) -> Option<HostConn> {
-        accept(&self.listener, limit).map(|stream| HostConn {
+    /// Waits for the next connection; none if there is none within the limit.
+    pub fn accept_within(&self, limit: Duration) -> Option<HostConnection> {
+        accept(&self.listener, limit).map(|stream| HostConnection {
             reader: BufReader::new(stream),
         })
     }
 }
 
-/// What keeps a host out of reach: connections that fill its accept queue.
-pub struct OutOfReach(Vec<TcpStream>);
+/// Connections that fill an accept queue, and so keep its listener out of reach.
+pub struct Unreachable(Vec<TcpStream>);
 
-impl OutOfReach {
-    /// What listens here is out of reach.
-    pub(crate) fn of(listener: &TcpListener) -> OutOfReach {
+impl Unreachable {
+    /// Fills the accept queue of a listener.
+    pub(crate) fn of(listener: &TcpListener) -> Unreachable {
         rustix::net::listen(listener, 0).expect("a listener");
         let address = listener.local_addr().expect("an address");
-        // One more than the queue takes, by the system's own count.
-        OutOfReach(
+        // One more than the length of the queue, by the kernel's count.
+        Unreachable(
             (0..2)
-                .filter_map(|_| TcpStream::connect_timeout(&address, VANISHED).ok())
+                .filter_map(|_| TcpStream::connect_timeout(&address, UNREACHABLE_TIMEOUT).ok())
                 .collect(),
         )
     }
 }
 
 impl Host {
-    /// From now on no connection to it comes up, and none is refused.
-    pub fn vanish(&self) -> OutOfReach {
-        OutOfReach::of(&self.listener)
+    /// Makes it unreachable: new connections neither come up nor are refused.
+    pub fn make_unreachable(&self) -> Unreachable {
+        Unreachable::of(&self.listener)
     }
 
-    /// It is there again.
-    pub fn come_back(&self, held: OutOfReach) {
+    /// Makes it reachable again.
+    pub fn make_reachable(&self, unreachable: Unreachable) {
         rustix::net::listen(&self.listener, 128).expect("a listener");
-        held.0
+        unreachable
+            .0
             .iter()
-            .for_each(|_| drop(accept(&self.listener, LIMIT)));
+            .for_each(|_| drop(accept(&self.listener, TEST_TIMEOUT)));
     }
 }
 
-/// One connection at a host.
-pub struct HostConn {
+/// A connection of a placer to a host.
+pub struct HostConnection {
     reader: BufReader<TcpStream>,
 }
 
-impl HostConn {
-    /// The next message, or none within the limit.
+impl HostConnection {
+    /// Reads the next message; none if there is none within the limit.
     pub fn read_within(&mut self, limit: Duration) -> Option<OwnedValue> {
         self.reader
             .get_ref()
@@ -118,11 +119,11 @@
         }
     }
 
-    /// Waits for the program to end the connection, whatever it still says.
-    pub fn ended(&mut self) -> bool {
+    /// Waits for the placer to close the connection, whatever it still sends. Returns whether it did.
+    pub fn wait_closed(&mut self) -> bool {
         self.reader
             .get_ref()
-            .set_read_timeout(Some(LIMIT))
+            .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a socket option");
         let mut line = Vec::new();
         loop {
@@ -135,49 +136,52 @@
         }
     }
 
-    /// Closes the connection now. Where it is only dropped, a process that another test just starts may hold a
-    /// copy of it, until it runs its program.
-    pub fn leave(self) {
+    /// Closes the connection now. If it were only dropped, a process that another test is just forking could keep
+    /// a copy open until it executes its program.
+    pub fn close(self) {
         self.reader
             .get_ref()
             .shutdown(Shutdown::Write)
-            .expect("it is open");
+            .expect("an open connection");
     }
 
-    /// The next message of a type, which must come.
+    /// Reads the next message, which must come and be of this type.
     pub fn expect(&mut self, kind: &str) -> OwnedValue {
         let message = self
-            .read_within(LIMIT)
+            .read_within(TEST_TIMEOUT)
             .unwrap_or_else(|| panic!("no {kind} comes"));
         assert_eq!(message.get_str("t"), Some(kind), "{message}");
         message
     }
 
-    /// The id of the next offer.
-    pub fn offer(&mut self) -> String {
+    /// Reads the next message, which must be an offer, and returns its id.
+    pub fn expect_offer(&mut self) -> String {
         self.expect("new")
             .get_str("ref")
             .expect("an id")
             .to_string()
     }
 
-    /// Says a message.
-    pub fn say(&mut self, line: &OwnedValue) {
-        self.raw(format!("{}\n", line.encode()).as_bytes());
+    /// Sends a message.
+    pub fn send(&mut self, line: &OwnedValue) {
+        self.send_bytes(format!("{}\n", line.encode()).as_bytes());
     }
 
     /// Sends bytes as they are.
-    pub fn raw(&mut self, bytes: &[u8]) {
-        self.reader.get_ref().write_all(bytes).expect("it reads");
+    pub fn send_bytes(&mut self, bytes: &[u8]) {
+        self.reader
+            .get_ref()
+            .write_all(bytes)
+            .expect("the placer reads");
     }
 
-    /// Answers that the task stands.
-    pub fn up(&mut self, id: &str) {
-        self.say(&json!({ "t": "up", "ref": id, "f": {}, "d": format!("stands {id}\r\n") }));
+    /// Reports that the task is running.
+    pub fn report_running(&mut self, id: &str) {
+        self.send(&json!({ "t": "up", "ref": id, "f": {}, "d": format!("stands {id}\r\n") }));
     }
 
-    /// Refuses or releases a task.
-    pub fn down(&mut self, id: &str, cause: u8, note: &str) {
-        self.say(&json!({ "t": "down", "ref": id, "f": { "note": note }, "c": cause }));
+    /// Rejects an offer or reports the end of a task.
+    pub fn report_ended(&mut self, id: &str, cause: u8, note: &str) {
+        self.send(&json!({ "t": "down", "ref": id, "f": { "note": note }, "c": cause }));
     }
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,6 +1,10 @@
-//! Scripted peers of the placer on loopback: the program under test, a control feed, hosts, clients and
-//! balancers. A peer does what its test says, one step at a time, and waits with a limit that only a
-//! failure reaches. What a peer can't do as told ends its test: these are not for use in a program.
+//! Emulated peers of the placer on loopback, for tests, benches and load tests.
+//!
+//! - The program under test as a process ([`Program`], [`supervisor`]).
+//! - Scripted peers that act one step at a time: [`Feed`], [`Host`], [`Client`]. A peer that can't act as scripted
+//!   panics, which fails its test: these are not for use in a program.
+//! - Peers that run by themselves: [`host_emulator`], [`cluster`], [`load_balancer`], [`fault_proxy`].
+//! - The record of a run and the check of the rules on it: [`event_log`], [`rule_check`].
 
 #![recursion_limit = "256"]
 
@@ -20,11 +24,14 @@
 pub mod supervisor;
 mod tcp_delivery;
 
-pub use client::{Ask, Client, Message, ONCE, QUICK, bytes, set_up};
-pub use deployment_config::{config, deployment};
-pub use feed::{Feed, event};
-pub use host::{Host, HostConn, OutOfReach};
-pub use program::{Launch, Program, binary, refuses, scratch};
+pub use client::{
+    Client, IDEMPOTENT_TASK, Message, NON_IDEMPOTENT_TASK, TaskRequest, encode_message,
+    encode_task_request,
+};
+pub use deployment_config::{placer_config, single_placer_config};
+pub use feed::{Feed, UpdateKind, endpoint_event};
+pub use host::{Host, HostConnection, Unreachable};
+pub use program::{Launch, Program, binary, run_with_invalid_config, temp_path};
 
 use simd_json::json;
 use simd_json::prelude::*;
@@ -33,22 +40,22 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Only a failing test waits so long.
-pub const LIMIT: Duration = Duration::from_secs(20);
+/// How long a test waits for what must come; only a failing test waits so long.
+pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Waits until something comes, looking every 5 ms. Only a failure reaches the limit.
-pub fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + LIMIT;
+/// Polls every 5 ms until there is something, and returns it. Panics after [`TEST_TIMEOUT`].
+pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < end, "in vain: {what}");
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// Milliseconds of the Unix clock.
+/// Returns the Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -60,32 +67,32 @@
     TcpListener::bind("127.0.0.1:0").expect("a free port")
 }
 
-/// An address for the program: on a loopback address of its own, so that no other socket of the tests
-/// takes its port before the program does.
+/// Returns a free address for the program. It is on a loopback network of its own, so that no other socket of the
+/// tests takes the port before the program does.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    let own = NEXT.fetch_add(1, Ordering::Relaxed) % 100;
-    let ip = Ipv4Addr::new(127, 100 + own as u8, high, low);
+    let network = NEXT.fetch_add(1, Ordering::Relaxed) % 100;
+    let ip = Ipv4Addr::new(127, 100 + network as u8, high, low);
     TcpListener::bind((ip, 0))
         .and_then(|l| l.local_addr())
         .expect("a free port")
 }
 
-/// Accepts within the limit.
+/// Accepts a connection; none if there is none within the limit.
 pub(crate) fn accept(listener: &TcpListener, limit: Duration) -> Option<TcpStream> {
     listener.set_nonblocking(true).expect("a socket option");
-    let end = Instant::now() + limit;
+    let deadline = Instant::now() + limit;
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
                 stream.set_nonblocking(false).expect("a socket option");
                 stream
-                    .set_read_timeout(Some(LIMIT))
+                    .set_read_timeout(Some(TEST_TIMEOUT))
                     .expect("a socket option");
                 return Some(stream);
             }
-            Err(e) if e.kind() == ErrorKind::WouldBlock && Instant::now() < end => {
+            Err(e) if e.kind() == ErrorKind::WouldBlock && Instant::now() < deadline => {
                 std::thread::sleep(Duration::from_millis(2));
             }
             Err(_) => return None,
@@ -93,40 +100,40 @@
     }
 }
 
-/// Long enough for what must not come: many times what it takes to come.
-pub const QUIET: Duration = Duration::from_millis(400);
+/// How long a test waits for what must not come: many times what it takes to come.
+pub const QUIET_PERIOD: Duration = Duration::from_millis(400);
 
-/// A program with up hosts `h0`, `h1` and so on, each with its connection.
-pub fn start(hosts: usize) -> (Program, Feed, Vec<Host>, Vec<HostConn>) {
+/// Starts the program with hosts `h0`, `h1` and so on, all up, and returns it with their connections.
+pub fn start_with_hosts(count: usize) -> (Program, Feed, Vec<Host>, Vec<HostConnection>) {
     let mut feed = Feed::new();
-    let hosts: Vec<Host> = (0..hosts)
+    let hosts: Vec<Host> = (0..count)
         .map(|n| Host::new(&format!("h{n}"), "north"))
         .collect();
-    let program = Program::start(&config(
+    let program = Program::start(&single_placer_config(
         &feed,
-        hosts.iter().map(|h| h.entry("up", 0)).collect(),
+        hosts.iter().map(|host| host.entry("up", 0)).collect(),
     ));
-    assert_eq!(feed.subscribed(), 1);
-    feed.tell(&json!({ "n": 1 }));
-    let conns = hosts.iter().map(Host::accept).collect();
-    (program, feed, hosts, conns)
+    assert_eq!(feed.accept_subscription(), 1);
+    feed.send(&json!({ "n": 1 }));
+    let connections = hosts.iter().map(Host::accept).collect();
+    (program, feed, hosts, connections)
 }
 
-/// An id as hosts write it.
+/// Returns an id as hosts write it.
 pub fn hex(id: u64) -> String {
     format!("{id:016x}")
 }
 
-/// The connection on which the next offer comes, and its id.
-pub fn offered(conns: &mut [HostConn]) -> (usize, String) {
-    let end = Instant::now() + LIMIT;
-    while Instant::now() < end {
-        for (n, conn) in conns.iter_mut().enumerate() {
-            if let Some(message) = conn.read_within(Duration::from_millis(20)) {
+/// Returns the index of the connection on which the next offer comes, and its id.
+pub fn next_offer(connections: &mut [HostConnection]) -> (usize, String) {
+    let deadline = Instant::now() + TEST_TIMEOUT;
+    while Instant::now() < deadline {
+        for (n, connection) in connections.iter_mut().enumerate() {
+            if let Some(message) = connection.read_within(Duration::from_millis(20)) {
                 assert_eq!(message.get_str("t"), Some("new"), "{message}");
                 return (n, message.get_str("ref").expect("an id").to_string());
             }
         }
     }
-    panic!("no offer comes");
+    panic!("no offer");
 }
--- a/crates/emulator/src/program.rs
+++ b/crates/emulator/src/program.rs
@@ -1,6 +1,6 @@
-//! The program under test.
+//! The program under test as a process: how it is launched, signalled and watched.
 
-use crate::{Client, LIMIT, supervisor, tcp_delivery, until};
+use crate::{Client, TEST_TIMEOUT, supervisor, tcp_delivery, wait_for};
 use simd_json::OwnedValue;
 use simd_json::prelude::*;
 use std::fs::File;
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// The binary under test: `TASK_PLACER_BIN`, or the one beside the test that runs.
+/// Returns the path of the program under test: `TASK_PLACER_BIN`, or the one built with the running test.
 pub fn binary() -> PathBuf {
     if let Some(named) = std::env::var_os("TASK_PLACER_BIN") {
         return PathBuf::from(named);
@@ -24,8 +24,8 @@
     folder.join("task-placer")
 }
 
-/// A path for a file of a test, used once.
-pub fn scratch(ending: &str) -> PathBuf {
+/// Returns a new path for a temporary file of a test.
+pub fn temp_path(ending: &str) -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!(
         "task-placer-{}-{}.{ending}",
@@ -35,7 +35,7 @@
     std::env::temp_dir().join(name)
 }
 
-/// How a program is started.
+/// How the program is launched.
 pub struct Launch {
     config: PathBuf,
     address: Option<SocketAddr>,
@@ -48,18 +48,18 @@
 }
 
 impl Launch {
-    /// On this configuration.
+    /// Launches it on this configuration.
     pub fn new(config: &OwnedValue) -> Launch {
-        let mut launch = Launch::text(&config.encode());
+        let mut launch = Launch::from_text(&config.encode());
         launch.address = config
             .get_str("listen")
             .and_then(|listen| listen.parse().ok());
         launch
     }
 
-    /// On a configuration of this text.
-    pub fn text(config: &str) -> Launch {
-        let path = scratch("json");
+    /// Launches it on a configuration of this text.
+    pub fn from_text(config: &str) -> Launch {
+        let path = temp_path("json");
         std::fs::write(&path, config).expect("a temporary file");
         let files = vec![path.clone()];
         let (args, env, log, inherited) = (Vec::new(), Vec::new(), None, None);
@@ -75,15 +75,15 @@
         }
     }
 
-    /// With so many descriptors.
+    /// Limits its descriptors.
     pub fn descriptors(mut self, descriptors: u32) -> Launch {
         self.descriptors = descriptors;
         self
     }
 
-    /// With an operator's file of this text.
-    pub fn operator(mut self, text: &str) -> Launch {
-        let path = scratch("toml");
+    /// Gives it an operator's file of this text.
+    pub fn operator_file(mut self, text: &str) -> Launch {
+        let path = temp_path("toml");
         std::fs::write(&path, text).expect("a temporary file");
         self.env.push((
             "TASK_PLACER_OPERATOR".into(),
@@ -93,25 +93,25 @@
         self
     }
 
-    /// With these arguments.
+    /// Adds command-line arguments.
     pub fn args(mut self, args: &[&str]) -> Launch {
         self.args.extend(args.iter().map(ToString::to_string));
         self
     }
 
-    /// With this in its environment.
+    /// Adds a variable to its environment.
     pub fn env(mut self, name: &str, value: &str) -> Launch {
         self.env.push((name.to_string(), value.to_string()));
         self
     }
 
-    /// With this listening socket as its descriptor 5, as the platform hands it to every process of a placer.
-    pub fn inherits(mut self, listener: &TcpListener) -> Launch {
+    /// Gives it this listener as descriptor 5, as the platform does for every process of a placer.
+    pub fn inherit_listener(mut self, listener: &TcpListener) -> Launch {
         self.inherited = Some(listener.try_clone().expect("a descriptor"));
         self.env("LB_ACCEPT_FD", "5")
     }
 
-    /// With its log going there instead of to a file of the test.
+    /// Sends its log elsewhere than to a file of the test.
     pub fn log_to(mut self, log: Stdio) -> Launch {
         self.log = Some(log);
         self
@@ -140,7 +140,7 @@
         command
     }
 
-    /// Runs it to its end.
+    /// Runs it to its end, or until the timeout of tests.
     pub fn output(self) -> Output {
         let pipes = self
             .command()
@@ -148,8 +148,8 @@
             .stderr(Stdio::piped())
             .spawn();
         let mut child = pipes.expect("the program starts");
-        let end = Instant::now() + LIMIT;
-        // One that does not end is a failure of its own, and must not hold the test up.
+        let end = Instant::now() + TEST_TIMEOUT;
+        // A program that does not end fails the test, and must not block it.
         while child.try_wait().expect("a child").is_none() {
             if Instant::now() > end {
                 let _ = child.kill();
@@ -163,9 +163,9 @@
         output
     }
 
-    /// Starts it.
+    /// Starts it and returns at once.
     pub fn start(mut self) -> Program {
-        let log = scratch("log");
+        let log = temp_path("log");
         let file = File::create(&log).expect("a temporary file");
         let stderr = self.log.take().unwrap_or_else(|| Stdio::from(file));
         let child = self
@@ -185,7 +185,7 @@
     }
 }
 
-/// The program under test; ended with its test.
+/// The program under test; it is killed when dropped.
 pub struct Program {
     child: Child,
     config: PathBuf,
@@ -202,50 +202,50 @@
     }
 
     /// Starts it with so many descriptors.
-    pub fn start_with(config: &OwnedValue, descriptors: u32) -> Program {
+    pub fn start_with_descriptors(config: &OwnedValue, descriptors: u32) -> Program {
         Launch::new(config).descriptors(descriptors).start()
     }
 
-    /// A new connection, made as soon as it listens.
+    /// Connects as soon as it listens.
     pub fn client(&self) -> Client {
-        until("it listens", || Client::connect(self.address))
+        wait_for("the placer listens", || Client::connect(self.address))
     }
 
-    /// Its number among the system's processes.
-    pub fn id(&self) -> u32 {
+    /// Returns its process id.
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    /// Descriptors that it holds.
+    /// Returns the number of its open descriptors.
     pub fn descriptors(&self) -> usize {
-        supervisor::descriptors(self.id())
+        supervisor::open_descriptors(self.pid())
     }
 
-    /// Memory that it holds, in kB.
+    /// Returns its resident memory in kB.
     pub fn memory_kb(&self) -> u64 {
-        supervisor::resident_kb(self.id())
+        supervisor::resident_kb(self.pid())
     }
 
-    /// Time that it has spent on a core.
-    pub fn cpu(&self) -> Duration {
-        supervisor::cpu(self.id())
+    /// Returns the processor time that it has spent.
+    pub fn cpu_time(&self) -> Duration {
+        supervisor::cpu_time(self.pid())
     }
 
-    /// The same for each of so many that `act` does, in microseconds.
-    pub fn cpu_each(&self, count: u32, act: impl FnOnce()) -> f64 {
-        let before = self.cpu();
+    /// Returns the processor time per action while `act` does so many of them, in microseconds.
+    pub fn cpu_micros_per_action(&self, count: u32, act: impl FnOnce()) -> f64 {
+        let before = self.cpu_time();
         act();
-        (self.cpu() - before).as_secs_f64() * 1e6 / f64::from(count)
+        (self.cpu_time() - before).as_secs_f64() * 1e6 / f64::from(count)
     }
 
-    /// What it has logged so far.
+    /// Returns its log so far.
     pub fn log(&self) -> String {
         std::fs::read_to_string(&self.log).unwrap_or_default()
     }
 
-    /// Waits until it has logged this.
-    pub fn logged(&self, text: &str) {
-        until(text, || self.log().contains(text).then_some(()));
+    /// Waits until its log contains a text.
+    pub fn wait_for_log(&self, text: &str) {
+        wait_for(text, || self.log().contains(text).then_some(()));
     }
 
     /// Sends a signal by its name, such as `-TERM`.
@@ -256,51 +256,55 @@
         assert!(sent.expect("kill runs").success());
     }
 
-    /// Does this while the program is stopped: when it goes on, all that came meanwhile is there at once. The
-    /// system may hand over late what was sent, and is waited for.
-    pub fn stopped(&self, act: impl FnOnce()) {
+    /// Acts while the program is stopped by a signal: once it continues, everything sent meanwhile is there at
+    /// once. Waits for the kernel to deliver what was sent.
+    pub fn while_stopped(&self, act: impl FnOnce()) {
         self.signal("-STOP");
         let stat =
-            || std::fs::read_to_string(format!("/proc/{}/stat", self.id())).expect("it lives");
-        until("it stops", || {
+            || std::fs::read_to_string(format!("/proc/{}/stat", self.pid())).expect("a process");
+        wait_for("the placer stops", || {
             stat().rsplit(") ").next()?.starts_with('T').then_some(())
         });
         act();
-        until("what was sent has arrived", || {
-            tcp_delivery::all_delivered(self.id()).then_some(())
+        wait_for("delivery of what was sent", || {
+            tcp_delivery::all_delivered(self.pid()).then_some(())
         });
         self.signal("-CONT");
     }
 
-    /// Asks it to end.
+    /// Requests its graceful shutdown.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration and has it read again.
+    /// Replaces its configuration and has it reload.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).expect("a temporary file");
         self.signal("-HUP");
     }
 
-    /// Whether it still runs.
-    pub fn runs(&mut self) -> bool {
+    /// Whether it is still running.
+    pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_none()
     }
 
-    /// Waits for its end.
-    pub fn exit(&mut self) -> ExitStatus {
-        self.exit_within(LIMIT)
+    /// Waits until it exits.
+    pub fn wait_exit(&mut self) -> ExitStatus {
+        self.wait_exit_within(TEST_TIMEOUT)
     }
 
-    /// Waits for its end so long.
-    pub fn exit_within(&mut self, limit: Duration) -> ExitStatus {
+    /// Waits until it exits, at most so long.
+    pub fn wait_exit_within(&mut self, limit: Duration) -> ExitStatus {
         let end = Instant::now() + limit;
         loop {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status;
             }
-            assert!(Instant::now() < end, "it does not end: {}", self.log());
+            assert!(
+                Instant::now() < end,
+                "the placer does not exit: {}",
+                self.log()
+            );
             std::thread::sleep(Duration::from_millis(5));
         }
     }
@@ -316,9 +320,9 @@
     }
 }
 
-/// Runs it on a configuration that it must not accept: whether it failed, and what it said.
-pub fn refuses(config: &str) -> (bool, String) {
-    let out = Launch::text(config).output();
+/// Runs it on a configuration that it must reject, and returns whether it failed and its standard error.
+pub fn run_with_invalid_config(config: &str) -> (bool, String) {
+    let out = Launch::from_text(config).output();
     (
         !out.status.success(),
         String::from_utf8(out.stderr).expect("text"),
@@ -326,11 +330,11 @@
 }
 
 impl Client {
-    /// A connection, if something listens there.
+    /// Connects, if something listens there.
     pub fn connect(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
         stream
-            .set_read_timeout(Some(LIMIT))
+            .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a socket option");
         stream.set_nodelay(true).expect("a socket option");
         Some(Client(stream))
--- a/crates/emulator/src/rule_check/tests.rs
+++ b/crates/emulator/src/rule_check/tests.rs
@@ -1,20 +1,32 @@
-//! Tests of the audit.
+//! Tests of the rule checker.
 
+use super::rule::MILLISECOND;
 use super::*;
+use crate::event_log::{ClientNotice, Event, HostReport, ListedState, Peer, ProcessChange};
+use std::collections::BTreeSet;
 
 const ID: u64 = 7;
-const SECOND: Micros = 1_000 * MS;
+const SECOND: Micros = 1_000 * MILLISECOND;
 
-fn rules() -> Rules {
-    Rules {
-        classes: vec![(false, Some(2)), (true, None)],
-        rooms: vec![0, 0, 1],
-        ..Rules::default()
+fn settings() -> RuleSettings {
+    RuleSettings {
+        classes: vec![
+            ClassRules {
+                non_idempotent: false,
+                max_per_zone: Some(2),
+            },
+            ClassRules {
+                non_idempotent: true,
+                max_per_zone: None,
+            },
+        ],
+        host_zones: vec![0, 0, 1],
+        ..RuleSettings::default()
     }
 }
 
-fn sent(id: u64, class: usize, key: u64) -> Note {
-    Note::Sent {
+fn requested(id: u64, class: usize, key: u64) -> Event {
+    Event::TaskRequested {
         id,
         key,
         class,
@@ -22,52 +34,72 @@
         placer: 0,
         wait: 6 * SECOND,
         description: 11,
-        at: None,
+        running_at: None,
     }
 }
 
-fn offered(id: u64, host: usize) -> Note {
-    Note::Offered {
+fn offered(id: u64, host: usize) -> Event {
+    Event::OfferReceived {
         id,
         host,
         description: 11,
     }
 }
 
-/// A run of two tasks in which everything is as it should be.
-fn good() -> Vec<(Micros, Note)> {
-    let mut notes = vec![(0, Note::Placer(0, Life::Started))];
-    notes.extend(
+fn notified(id: u64, notice: ClientNotice) -> Event {
+    Event::ClientNotified { id, notice }
+}
+
+fn reported(id: u64, host: usize, report: HostReport) -> Event {
+    Event::HostReported { id, host, report }
+}
+
+fn stopped(id: u64, host: usize) -> Event {
+    Event::AttemptStopped { id, host }
+}
+
+fn placer_changed(change: ProcessChange) -> Event {
+    Event::PlacerChanged { placer: 0, change }
+}
+
+/// A run of three requests that keeps all rules.
+fn correct_run() -> Vec<TimedEvent> {
+    let mut events = vec![(0, placer_changed(ProcessChange::Started))];
+    events.extend(
         [
-            sent(ID, 1, 1),
+            requested(ID, 1, 1),
             offered(ID, 0),
-            Note::Said(ID, 0, Said::Down(34)),
+            reported(ID, 0, HostReport::Ended(34)),
             offered(ID, 1),
-            Note::Said(ID, 1, Said::Up(22)),
-            Note::Told(ID, Told::Placed(22)),
-            Note::Said(ID, 1, Said::Down(16)),
-            Note::Told(ID, Told::Released(16)),
-            sent(8, 0, 2),
+            reported(ID, 1, HostReport::Running(22)),
+            notified(ID, ClientNotice::Placed(22)),
+            reported(ID, 1, HostReport::Ended(16)),
+            notified(ID, ClientNotice::Released(16)),
+            requested(8, 0, 2),
             offered(8, 2),
-            Note::Stopped(8, 2),
+            stopped(8, 2),
             offered(8, 1),
-            Note::Said(8, 1, Said::Up(23)),
-            Note::Told(8, Told::Placed(23)),
-            Note::Said(8, 1, Said::Down(41)),
-            Note::Told(8, Told::Released(41)),
-            Note::Listed(0, 0, Listed::Draining),
-            sent(9, 0, 3),
-            Note::Told(9, Told::Released(42)),
+            reported(8, 1, HostReport::Running(23)),
+            notified(8, ClientNotice::Placed(23)),
+            reported(8, 1, HostReport::Ended(41)),
+            notified(8, ClientNotice::Released(41)),
+            Event::HostListed {
+                placer: 0,
+                host: 0,
+                state: ListedState::Draining,
+            },
+            requested(9, 0, 3),
+            notified(9, ClientNotice::Released(42)),
         ]
         .into_iter()
         .enumerate()
-        .map(|(n, note)| ((n as Micros + 1) * 100 * MS, note)),
+        .map(|(n, event)| ((n as Micros + 1) * 100 * MILLISECOND, event)),
     );
-    notes
+    events
 }
 
-fn broken(notes: &[(Micros, Note)]) -> Vec<Rule> {
-    let mut rules: Vec<Rule> = check(notes, &rules(), 60 * SECOND)
+fn violated_rules(events: &[TimedEvent]) -> Vec<Rule> {
+    let mut rules: Vec<Rule> = check(events, &settings(), 60 * SECOND)
         .into_iter()
         .map(|f| f.rule)
         .collect();
@@ -76,67 +108,76 @@
 }
 
 #[test]
-fn a_run_as_it_should_be_has_no_findings() {
-    assert_eq!(check(&good(), &rules(), 60 * SECOND), []);
+fn correct_run_has_no_findings() {
+    assert_eq!(check(&correct_run(), &settings(), 60 * SECOND), []);
 }
 
-/// Takes out what matches, and puts something in.
-fn planted(out: impl Fn(&Note) -> bool, put: Vec<(Micros, Note)>) -> Vec<(Micros, Note)> {
-    let mut notes = good();
-    notes.retain(|(_, note)| !out(note));
-    notes.extend(put);
-    notes.sort_by_key(|(at, _)| *at);
-    notes
+/// The correct run without the events that match, and with others.
+fn altered_run(remove: impl Fn(&Event) -> bool, add: Vec<TimedEvent>) -> Vec<TimedEvent> {
+    let mut events = correct_run();
+    events.retain(|(_, event)| !remove(event));
+    events.extend(add);
+    events.sort_by_key(|(at, _)| *at);
+    events
 }
 
 #[test]
-fn each_planted_violation_is_found_and_only_it() {
-    let none = |_: &Note| false;
+fn each_violation_is_found_and_nothing_else() {
+    let none = |_: &Event| false;
     let late = 40 * SECOND;
-    let cases: Vec<(Rule, Vec<(Micros, Note)>)> = vec![
+    let cases: Vec<(Rule, Vec<TimedEvent>)> = vec![
         (
-            Rule::NoAnswer,
-            planted(|n| *n == Note::Told(9, Told::Released(42)), vec![]),
+            Rule::Answer,
+            altered_run(|n| *n == notified(9, ClientNotice::Released(42)), vec![]),
         ),
         (
-            Rule::NoAnswer,
-            planted(
-                |n| *n == Note::Told(9, Told::Released(42)),
-                vec![(8 * SECOND, Note::GaveUp(9))],
+            Rule::Answer,
+            altered_run(
+                |n| *n == notified(9, ClientNotice::Released(42)),
+                vec![(8 * SECOND, Event::ClientGaveUp { id: 9 })],
             ),
         ),
         (
-            Rule::LateAnswer,
-            planted(
-                |n| *n == Note::Told(9, Told::Released(42)),
-                vec![(1_800 * MS + 6_060 * MS, Note::Told(9, Told::Released(42)))],
+            Rule::PromptAnswer,
+            altered_run(
+                |n| *n == notified(9, ClientNotice::Released(42)),
+                vec![(
+                    1_800 * MILLISECOND + 6_060 * MILLISECOND,
+                    notified(9, ClientNotice::Released(42)),
+                )],
             ),
         ),
         (
-            Rule::SecondAnswer,
-            planted(none, vec![(3 * SECOND, Note::Told(9, Told::Released(42)))]),
+            Rule::SingleAnswer,
+            altered_run(
+                none,
+                vec![(3 * SECOND, notified(9, ClientNotice::Released(42)))],
+            ),
         ),
         (
-            Rule::SecondAnswer,
-            planted(none, vec![(3 * SECOND, Note::Told(ID, Told::Placed(22)))]),
+            Rule::SingleAnswer,
+            altered_run(
+                none,
+                vec![(3 * SECOND, notified(ID, ClientNotice::Placed(22)))],
+            ),
         ),
         (
-            Rule::Invented,
-            planted(
+            Rule::ConfirmedPlacement,
+            altered_run(
                 none,
                 vec![
-                    (late, sent(20, 0, 20)),
-                    (late + MS, Note::Told(20, Told::Placed(1))),
+                    (late, requested(20, 0, 20)),
+                    (late + MILLISECOND, notified(20, ClientNotice::Placed(1))),
                 ],
             ),
         ),
         (
-            Rule::Changed,
-            planted(
+            Rule::UnchangedDescription,
+            altered_run(
                 |n| *n == offered(8, 1),
                 vec![(
-                    1_200 * MS,
-                    Note::Offered {
+                    1_200 * MILLISECOND,
+                    Event::OfferReceived {
                         id: 8,
                         host: 1,
                         description: 12,
@@ -145,286 +186,337 @@
             ),
         ),
         (
-            Rule::Changed,
-            planted(
-                |n| *n == Note::Told(8, Told::Placed(23)),
-                vec![(1_400 * MS, Note::Told(8, Told::Placed(24)))],
+            Rule::UnchangedDescription,
+            altered_run(
+                |n| *n == notified(8, ClientNotice::Placed(23)),
+                vec![(1_400 * MILLISECOND, notified(8, ClientNotice::Placed(24)))],
             ),
         ),
-        // A reset may have run: no second attempt of a task that must not start twice.
+        // A reset attempt may have run: a non-idempotent task is not retried.
         (
-            Rule::SentAgain,
-            planted(
-                |n| *n == Note::Said(ID, 0, Said::Down(34)),
-                vec![(300 * MS, Note::Said(ID, 0, Said::Down(41)))],
+            Rule::SafeRetry,
+            altered_run(
+                |n| *n == reported(ID, 0, HostReport::Ended(34)),
+                vec![(300 * MILLISECOND, reported(ID, 0, HostReport::Ended(41)))],
             ),
         ),
         (
-            Rule::SentAgain,
-            planted(
-                |n| *n == Note::Said(ID, 0, Said::Down(34)),
-                vec![(300 * MS, Note::Closed(ID, 0))],
+            Rule::SafeRetry,
+            altered_run(
+                |n| *n == reported(ID, 0, HostReport::Ended(34)),
+                vec![(
+                    300 * MILLISECOND,
+                    Event::OfferConnectionClosed { id: ID, host: 0 },
+                )],
             ),
         ),
         (
-            Rule::RanTwice,
-            planted(
+            Rule::SingleRun,
+            altered_run(
                 none,
                 vec![
-                    (550 * MS, sent(30, 1, 1)),
-                    (560 * MS, offered(30, 2)),
-                    (570 * MS, Note::Said(30, 2, Said::Up(9))),
-                    (580 * MS, Note::Told(30, Told::Placed(9))),
-                    (5 * SECOND, Note::Said(30, 2, Said::Down(16))),
-                    (5 * SECOND + MS, Note::Told(30, Told::Released(16))),
+                    (550 * MILLISECOND, requested(30, 1, 1)),
+                    (560 * MILLISECOND, offered(30, 2)),
+                    (570 * MILLISECOND, reported(30, 2, HostReport::Running(9))),
+                    (580 * MILLISECOND, notified(30, ClientNotice::Placed(9))),
+                    (5 * SECOND, reported(30, 2, HostReport::Ended(16))),
+                    (
+                        5 * SECOND + MILLISECOND,
+                        notified(30, ClientNotice::Released(16)),
+                    ),
                 ],
             ),
         ),
         (
-            Rule::TwoAtOnce,
-            planted(
-                |n| *n == Note::Stopped(8, 2),
-                vec![(1_300 * MS, Note::Stopped(8, 2))],
+            Rule::SingleAttempt,
+            altered_run(
+                |n| *n == stopped(8, 2),
+                vec![(1_300 * MILLISECOND, stopped(8, 2))],
             ),
         ),
         (
-            Rule::TwoAtOnce,
-            planted(|n| *n == Note::Stopped(8, 2), vec![]),
+            Rule::SingleAttempt,
+            altered_run(|n| *n == stopped(8, 2), vec![]),
         ),
         (
-            Rule::Drain,
-            planted(
+            Rule::RespectDrain,
+            altered_run(
                 none,
                 vec![
-                    (late, sent(40, 0, 40)),
+                    (late, requested(40, 0, 40)),
                     (late, offered(40, 0)),
-                    (late + MS, Note::Said(40, 0, Said::Down(34))),
-                    (late + 2 * MS, Note::Told(40, Told::Released(42))),
+                    (late + MILLISECOND, reported(40, 0, HostReport::Ended(34))),
+                    (
+                        late + 2 * MILLISECOND,
+                        notified(40, ClientNotice::Released(42)),
+                    ),
                 ],
             ),
         ),
         (
-            Rule::Spread,
-            planted(
+            Rule::ZoneLimit,
+            altered_run(
                 none,
                 (50..53)
                     .flat_map(|id| {
-                        let at = late + (id as Micros - 50) * 10 * MS;
+                        let at = late + (id as Micros - 50) * 10 * MILLISECOND;
                         [
-                            (at, sent(id, 0, id)),
-                            (at + MS, offered(id, 1)),
-                            (at + 2 * MS, Note::Said(id, 1, Said::Up(1))),
-                            (at + 3 * MS, Note::Told(id, Told::Placed(1))),
+                            (at, requested(id, 0, id)),
+                            (at + MILLISECOND, offered(id, 1)),
+                            (
+                                at + 2 * MILLISECOND,
+                                reported(id, 1, HostReport::Running(1)),
+                            ),
+                            (at + 3 * MILLISECOND, notified(id, ClientNotice::Placed(1))),
                         ]
                     })
                     .collect(),
             ),
         ),
-        (Rule::PushedOver, planted(none, vec![(late, Note::Fell(1))])),
         (
-            Rule::EndUntold,
-            planted(|n| *n == Note::Told(8, Told::Released(41)), vec![]),
+            Rule::SlowStart,
+            altered_run(none, vec![(late, Event::HostOverloaded { host: 1 })]),
         ),
         (
-            Rule::EndUntold,
-            planted(
-                |n| *n == Note::Told(8, Told::Released(41)),
-                vec![(5 * SECOND, Note::Told(8, Told::Released(41)))],
+            Rule::EndNotice,
+            altered_run(|n| *n == notified(8, ClientNotice::Released(41)), vec![]),
+        ),
+        (
+            Rule::EndNotice,
+            altered_run(
+                |n| *n == notified(8, ClientNotice::Released(41)),
+                vec![(5 * SECOND, notified(8, ClientNotice::Released(41)))],
             ),
         ),
         (
-            Rule::EndUntold,
-            planted(
+            Rule::EndNotice,
+            altered_run(
                 |n| {
                     matches!(
                         n,
-                        Note::Said(8, _, Said::Down(_)) | Note::Told(8, Told::Released(41))
+                        Event::HostReported {
+                            id: 8,
+                            report: HostReport::Ended(_),
+                            ..
+                        } | Event::ClientNotified {
+                            id: 8,
+                            notice: ClientNotice::Released(41)
+                        }
                     )
                 },
                 vec![
-                    (4 * SECOND, Note::Said(8, 1, Said::Unsent(41))),
-                    (13 * SECOND, Note::Told(8, Told::Released(41))),
+                    (4 * SECOND, reported(8, 1, HostReport::EndedUndelivered(41))),
+                    (13 * SECOND, notified(8, ClientNotice::Released(41))),
                 ],
             ),
         ),
         (
-            Rule::Crash,
-            planted(none, vec![(50 * SECOND, Note::Placer(0, Life::Ended(101)))]),
+            Rule::CleanExit,
+            altered_run(
+                none,
+                vec![(50 * SECOND, placer_changed(ProcessChange::Exited(101)))],
+            ),
         ),
     ];
-    for (rule, notes) in &cases {
+    for (rule, events) in &cases {
         assert_eq!(
-            broken(notes),
+            violated_rules(events),
             [*rule],
             "{:#?}",
-            check(notes, &rules(), 60 * SECOND)
+            check(events, &settings(), 60 * SECOND)
         );
     }
-    let planted: std::collections::BTreeSet<Rule> = cases.iter().map(|(rule, _)| *rule).collect();
-    assert_eq!(
-        planted.len(),
-        Rule::ALL.len(),
-        "every rule has a planted violation"
-    );
+    let covered: BTreeSet<Rule> = cases.iter().map(|(rule, _)| *rule).collect();
+    assert_eq!(covered.len(), Rule::ALL.len(), "every rule has a violation");
 }
 
 #[test]
-fn what_a_placer_can_not_be_blamed_for_is_no_finding() {
-    let untold = |n: &Note| *n == Note::Told(9, Told::Released(42));
-    for (why, notes) in [
+fn placer_is_excused_for_what_it_could_not_do() {
+    let unanswered = |n: &Event| *n == notified(9, ClientNotice::Released(42));
+    for (why, events) in [
         (
             "killed",
-            planted(untold, vec![(1_850 * MS, Note::Placer(0, Life::Killed))]),
+            altered_run(
+                unanswered,
+                vec![(1_850 * MILLISECOND, placer_changed(ProcessChange::Killed))],
+            ),
         ),
         (
-            "stopped",
-            planted(
-                untold,
+            "paused",
+            altered_run(
+                unanswered,
                 vec![
-                    (1_850 * MS, Note::Placer(0, Life::Stopped)),
-                    (9 * SECOND, Note::Placer(0, Life::Went)),
+                    (1_850 * MILLISECOND, placer_changed(ProcessChange::Paused)),
+                    (9 * SECOND, placer_changed(ProcessChange::Resumed)),
                 ],
             ),
         ),
         (
-            "its connection broke",
-            planted(untold, vec![(2 * SECOND, Note::Broken(9))]),
+            "client disconnected",
+            altered_run(
+                unanswered,
+                vec![(2 * SECOND, Event::ClientDisconnected { id: 9 })],
+            ),
         ),
         (
-            "its client gave up early",
-            planted(untold, vec![(2 * SECOND, Note::GaveUp(9))]),
+            "client gave up early",
+            altered_run(
+                unanswered,
+                vec![(2 * SECOND, Event::ClientGaveUp { id: 9 })],
+            ),
         ),
         (
-            "told to end",
-            planted(
+            "termination requested",
+            altered_run(
                 |_| false,
                 vec![
-                    (50 * SECOND, Note::Placer(0, Life::Told)),
-                    (51 * SECOND, Note::Placer(0, Life::Ended(0))),
+                    (
+                        50 * SECOND,
+                        placer_changed(ProcessChange::TerminationRequested),
+                    ),
+                    (51 * SECOND, placer_changed(ProcessChange::Exited(0))),
                 ],
             ),
         ),
         (
-            "a copy elsewhere ended, whose start nobody heard",
-            planted(
+            "an unconfirmed start elsewhere ended",
+            altered_run(
                 |_| false,
                 vec![
-                    (1_050 * MS, Note::Said(8, 2, Said::Up(29))),
-                    (1_550 * MS, Note::Said(8, 2, Said::Down(16))),
+                    (1_050 * MILLISECOND, reported(8, 2, HostReport::Running(29))),
+                    (1_550 * MILLISECOND, reported(8, 2, HostReport::Ended(16))),
                 ],
             ),
         ),
         (
-            "told again",
-            planted(
+            "end notice repeated",
+            altered_run(
                 |_| false,
-                vec![(3 * SECOND, Note::Told(8, Told::Released(41)))],
+                vec![(3 * SECOND, notified(8, ClientNotice::Released(41)))],
             ),
         ),
     ] {
-        assert_eq!(check(&notes, &rules(), 60 * SECOND), [], "{why}");
+        assert_eq!(check(&events, &settings(), 60 * SECOND), [], "{why}");
     }
-    // A task that must not start twice may start again once the first is gone.
-    let again = planted(
+    // A non-idempotent task may run again once its first run has ended.
+    let again = altered_run(
         |_| false,
         vec![
-            (late(0), sent(60, 1, 1)),
+            (late(0), requested(60, 1, 1)),
             (late(1), offered(60, 2)),
-            (late(2), Note::Said(60, 2, Said::Up(1))),
-            (late(3), Note::Told(60, Told::Placed(1))),
+            (late(2), reported(60, 2, HostReport::Running(1))),
+            (late(3), notified(60, ClientNotice::Placed(1))),
         ],
     );
-    assert_eq!(check(&again, &rules(), 60 * SECOND), []);
+    assert_eq!(check(&again, &settings(), 60 * SECOND), []);
 }
 
-/// A link that is not whole from then to then.
-fn bad(placer: usize, peer: Peer, from: Micros, to: Micros) -> [(Micros, Note); 2] {
+/// A link that is impaired for a span.
+fn outage(placer: usize, peer: Peer, from: Micros, to: Micros) -> [TimedEvent; 2] {
     [
         (
             from,
-            Note::Link {
+            Event::LinkChanged {
                 placer,
                 peer,
-                whole: false,
+                intact: false,
             },
         ),
         (
             to,
-            Note::Link {
+            Event::LinkChanged {
                 placer,
                 peer,
-                whole: true,
+                intact: true,
             },
         ),
     ]
 }
 
 #[test]
-fn what_a_bad_link_held_back_is_no_finding_and_what_another_did_is_one() {
-    // By rule: its planted violation, when it shows, and the link that could be the cause.
-    type Case = (Rule, Vec<(Micros, Note)>, Micros, Peer);
+fn only_an_outage_of_the_link_concerned_excuses_a_violation() {
+    // A rule, a run that violates it, when it shows, and the link that could be the cause.
+    type Case = (Rule, Vec<TimedEvent>, Micros, Peer);
     let cases: Vec<Case> = vec![
         (
-            Rule::NoAnswer,
-            planted(|n| *n == Note::Told(9, Told::Released(42)), vec![]),
+            Rule::Answer,
+            altered_run(|n| *n == notified(9, ClientNotice::Released(42)), vec![]),
             2 * SECOND,
             Peer::Clients,
         ),
         (
-            Rule::TwoAtOnce,
-            planted(|n| *n == Note::Stopped(8, 2), vec![]),
-            1_150 * MS,
+            Rule::SingleAttempt,
+            altered_run(|n| *n == stopped(8, 2), vec![]),
+            1_150 * MILLISECOND,
             Peer::Host(4),
         ),
         (
-            Rule::EndUntold,
-            planted(|n| *n == Note::Told(8, Told::Released(41)), vec![]),
-            1_600 * MS,
+            Rule::EndNotice,
+            altered_run(|n| *n == notified(8, ClientNotice::Released(41)), vec![]),
+            1_600 * MILLISECOND,
             Peer::Host(3),
         ),
         (
-            Rule::EndUntold,
-            planted(|n| *n == Note::Told(8, Told::Released(41)), vec![]),
-            1_600 * MS,
+            Rule::EndNotice,
+            altered_run(|n| *n == notified(8, ClientNotice::Released(41)), vec![]),
+            1_600 * MILLISECOND,
             Peer::Clients,
         ),
         (
-            Rule::Drain,
-            planted(
+            Rule::RespectDrain,
+            altered_run(
                 |_| false,
-                vec![(late(0), sent(60, 0, 9)), (late(1), offered(60, 0))],
+                vec![(late(0), requested(60, 0, 9)), (late(1), offered(60, 0))],
             ),
             5 * SECOND,
             Peer::Feed,
         ),
     ];
-    let rules = Rules {
-        places: vec![2, 3, 4],
-        ..rules()
+    let settings = RuleSettings {
+        host_slots: vec![2, 3, 4],
+        ..settings()
     };
-    for (rule, notes, at, peer) in cases {
-        let of = |more: [(Micros, Note); 2]| -> bool {
-            let notes: Vec<_> = notes.iter().cloned().chain(more).collect();
-            check(&notes, &rules, 60 * SECOND)
+    for (rule, events, at, peer) in cases {
+        let is_found = |more: [TimedEvent; 2]| -> bool {
+            let events: Vec<_> = events.iter().cloned().chain(more).collect();
+            check(&events, &settings, 60 * SECOND)
                 .iter()
                 .any(|f| f.rule == rule)
         };
         assert!(
-            !of(bad(0, peer, at - 10 * MS, at + 10 * MS)),
-            "{rule:?}: {peer:?} held it back"
+            !is_found(outage(
+                0,
+                peer,
+                at - 10 * MILLISECOND,
+                at + 10 * MILLISECOND
+            )),
+            "{rule:?}: {peer:?} was impaired"
         );
         assert!(
-            of(bad(1, peer, at - 10 * MS, at + 10 * MS)),
+            is_found(outage(
+                1,
+                peer,
+                at - 10 * MILLISECOND,
+                at + 10 * MILLISECOND
+            )),
             "{rule:?}: a link of another placer"
         );
         assert!(
-            of(bad(0, Peer::Host(9), at - 10 * MS, at + 10 * MS)),
+            is_found(outage(
+                0,
+                Peer::Host(9),
+                at - 10 * MILLISECOND,
+                at + 10 * MILLISECOND
+            )),
             "{rule:?}: another link"
         );
-        assert!(of(bad(0, peer, 0, 10 * MS)), "{rule:?}: {peer:?} before");
+        assert!(
+            is_found(outage(0, peer, 0, 10 * MILLISECOND)),
+            "{rule:?}: {peer:?} before"
+        );
     }
 }
 
 fn late(n: Micros) -> Micros {
-    40 * SECOND + n * MS
+    40 * SECOND + n * MILLISECOND
 }
--- a/crates/emulator/src/tcp_delivery.rs
+++ b/crates/emulator/src/tcp_delivery.rs
@@ -1,41 +1,42 @@
-//! What the system still carries to a process, by its own table of connections.
+//! Whether the kernel has delivered everything that was sent to a process, by its table of TCP connections.
 
 use std::collections::BTreeSet;
 
-/// A connection as one of its ends knows it.
-struct End<'a> {
+/// One end of a connection in the kernel's table.
+struct TcpEndpoint<'a> {
     local: &'a str,
     remote: &'a str,
-    /// Bytes that the other end has not confirmed, and one for a close.
-    unconfirmed: &'a str,
+    /// Bytes that the other end has not acknowledged, and one for a close.
+    unacknowledged: &'a str,
     inode: &'a str,
 }
 
-fn end(line: &str) -> Option<End<'_>> {
-    let mut words = line.split_whitespace();
-    let (local, remote) = (words.nth(1)?, words.next()?);
-    let (unconfirmed, _) = words.nth(1)?.split_once(':')?;
-    Some(End {
+fn parse_endpoint(line: &str) -> Option<TcpEndpoint<'_>> {
+    let mut fields = line.split_whitespace();
+    let (local, remote) = (fields.nth(1)?, fields.next()?);
+    let (unacknowledged, _) = fields.nth(1)?.split_once(':')?;
+    Some(TcpEndpoint {
         local,
         remote,
-        unconfirmed,
-        inode: words.nth(4)?,
+        unacknowledged,
+        inode: fields.nth(4)?,
     })
 }
 
-/// Whether all that was sent to a process has reached its sockets, closes too: the other ends of its connections
-/// wait for nothing to be confirmed. A connection that it has not accepted yet shows by its listener's address.
+/// Whether everything sent to a process has reached its sockets, closes included: the other endpoints of its
+/// connections wait for no acknowledgement. A connection not yet accepted shows by its listener's address.
 pub(crate) fn all_delivered(pid: u32) -> bool {
-    let Ok(folder) = std::fs::read_dir(format!("/proc/{pid}/fd")) else {
+    let Ok(descriptors) = std::fs::read_dir(format!("/proc/{pid}/fd")) else {
         return true;
     };
-    let names = folder
+    let targets = descriptors
         .flatten()
         .filter_map(|entry| std::fs::read_link(entry.path()).ok());
-    let own: BTreeSet<String> = names
-        .filter_map(|name| {
+    let own_sockets: BTreeSet<String> = targets
+        .filter_map(|target| {
             Some(
-                name.to_str()?
+                target
+                    .to_str()?
                     .strip_prefix("socket:[")?
                     .strip_suffix(']')?
                     .to_string(),
@@ -43,13 +44,15 @@
         })
         .collect();
     let table = std::fs::read_to_string("/proc/net/tcp").expect("a table of connections");
-    let ends: Vec<End<'_>> = table.lines().skip(1).filter_map(end).collect();
-    let at: BTreeSet<&str> = ends
+    let endpoints: Vec<TcpEndpoint<'_>> =
+        table.lines().skip(1).filter_map(parse_endpoint).collect();
+    let own_addresses: BTreeSet<&str> = endpoints
         .iter()
-        .filter(|end| own.contains(end.inode))
-        .map(|end| end.local)
+        .filter(|endpoint| own_sockets.contains(endpoint.inode))
+        .map(|endpoint| endpoint.local)
         .collect();
-    ends.iter()
-        .filter(|end| at.contains(end.remote))
-        .all(|end| end.unconfirmed.bytes().all(|b| b == b'0'))
+    endpoints
+        .iter()
+        .filter(|endpoint| own_addresses.contains(endpoint.remote))
+        .all(|endpoint| endpoint.unacknowledged.bytes().all(|b| b == b'0'))
 }
--- a/crates/load-test/src/director.rs
+++ b/crates/load-test/src/director.rs
@@ -5,9 +5,9 @@
 use crate::network::Network;
 use crate::plan::{FaultKind, Plan};
 use crate::shape::Micros;
-use emulator::cluster::{FeedFault, HostFault, Order, Site};
-use emulator::event_log::Notes;
-use emulator::supervisor::Keeper;
+use emulator::cluster::{Cluster, ClusterCommand, FeedFault, HostFault};
+use emulator::event_log::EventLog;
+use emulator::supervisor::Supervisor;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Act {
     /// An order to the installation.
-    Site(Order),
+    Cluster(ClusterCommand),
     /// A placer is killed.
     Kill(usize),
     /// It is stopped.
@@ -63,45 +63,54 @@
 /// What a fault begins with, and what ends it.
 fn both(kind: FaultKind, n: usize, number: usize, plan: &Plan) -> Vec<(Act, Option<Act>)> {
     let host = |kind| {
-        let (set, clear) = (Order::Host(n, kind), Order::Host(n, HostFault::None));
-        vec![(Act::Site(set), Some(Act::Site(clear)))]
+        let (set, clear) = (
+            ClusterCommand::SetHostFault(n, kind),
+            ClusterCommand::SetHostFault(n, HostFault::None),
+        );
+        vec![(Act::Cluster(set), Some(Act::Cluster(clear)))]
     };
     let feed = |kind| {
-        let (set, clear) = (Order::Feed(n, kind), Order::Feed(n, FeedFault::None));
-        vec![(Act::Site(set), Some(Act::Site(clear)))]
+        let (set, clear) = (
+            ClusterCommand::SetFeedFault(n, kind),
+            ClusterCommand::SetFeedFault(n, FeedFault::None),
+        );
+        vec![(Act::Cluster(set), Some(Act::Cluster(clear)))]
     };
     match kind {
         FaultKind::PlacerKill => vec![(Act::Kill(n), Some(Act::Launch(n)))],
         FaultKind::PlacerStop => vec![(Act::Pause(n), Some(Act::Resume(n)))],
         FaultKind::PlacerRestart => vec![(Act::Terminate(n), Some(Act::Launch(n)))],
-        FaultKind::HostDie => vec![(Act::Site(Order::Die(n)), Some(Act::Site(Order::Rise(n))))],
+        FaultKind::HostDie => vec![(
+            Act::Cluster(ClusterCommand::KillHost(n)),
+            Some(Act::Cluster(ClusterCommand::StartHost(n))),
+        )],
         FaultKind::RackDie => {
             let rack = plan.hosts.rack.max(1);
             let hosts = (n * rack..(n + 1) * rack).filter(|host| *host < plan.hosts.count);
             hosts
                 .map(|host| {
                     (
-                        Act::Site(Order::Die(host)),
-                        Some(Act::Site(Order::Rise(host))),
+                        Act::Cluster(ClusterCommand::KillHost(host)),
+                        Some(Act::Cluster(ClusterCommand::StartHost(host))),
                     )
                 })
                 .collect()
         }
         FaultKind::HostSilent => host(HostFault::Silent),
-        FaultKind::HostRefuse => host(HostFault::Refuse),
-        FaultKind::HostResetBefore => host(HostFault::ResetBefore),
-        FaultKind::HostResetAfter => host(HostFault::ResetAfter),
-        FaultKind::HostSpoilt => host(HostFault::Spoilt),
+        FaultKind::HostRefuse => host(HostFault::Reject),
+        FaultKind::HostResetBefore => host(HostFault::ResetBeforeRead),
+        FaultKind::HostResetAfter => host(HostFault::ResetAfterRead),
+        FaultKind::HostSpoilt => host(HostFault::MalformedReports),
         FaultKind::HostSlow => host(HostFault::Slow),
         FaultKind::HostDrain => {
             vec![(
-                Act::Site(Order::Drain(n, true)),
-                Some(Act::Site(Order::Drain(n, false))),
+                Act::Cluster(ClusterCommand::StartDraining(n)),
+                Some(Act::Cluster(ClusterCommand::StopDraining(n))),
             )]
         }
-        FaultKind::FeedCut => feed(FeedFault::Cut),
+        FaultKind::FeedCut => feed(FeedFault::Disconnected),
         FaultKind::FeedSilent => feed(FeedFault::Silent),
-        FaultKind::FeedDoubled => feed(FeedFault::Doubled),
+        FaultKind::FeedDoubled => feed(FeedFault::Duplicated),
         FaultKind::FeedMoved => vec![(Act::MoveFeed(n), None)],
         FaultKind::LinkCut
         | FaultKind::LinkCutTo
@@ -121,63 +130,62 @@
 /// How long placers may take to end at the end of a run.
 const FINISH: Duration = Duration::from_secs(10);
 
-/// Carries the acts out until told to stop, ends the placers, and gives their keeper back. The thread that
+/// Carries the acts out until told to stop, ends the placers, and gives their supervisor back. The thread that
 /// has started a placer must outlive it: the system ends a guarded process with that thread.
 pub fn direct(
     acts: Vec<(Micros, Act)>,
     begun: Micros,
-    mut keeper: Keeper,
-    site: Arc<Site>,
+    mut supervisor: Supervisor,
+    cluster: Arc<Cluster>,
     network: Option<Network>,
-    notes: Notes,
+    log: EventLog,
     stop: Arc<AtomicBool>,
-) -> std::thread::JoinHandle<Keeper> {
+) -> std::thread::JoinHandle<Supervisor> {
     std::thread::spawn(move || {
         let mut acts = acts.into_iter().peekable();
         // Placers that are to be started once their place is free.
         let mut waiting: Vec<usize> = Vec::new();
         while !stop.load(Ordering::Relaxed) {
-            keeper.look();
+            supervisor.poll();
             waiting.retain(|n| {
-                if keeper.runs(*n) {
+                if supervisor.is_running(*n) {
                     return true;
                 }
                 // A placer that can't be started is missed by the audit and the report.
-                let _ = keeper.launch(*n, &site);
+                let _ = supervisor.launch(*n, &cluster);
                 false
             });
-            while let Some((_, act)) = acts.next_if(|(at, _)| begun + at <= notes.now()) {
+            while let Some((_, act)) = acts.next_if(|(at, _)| begun + at <= log.now()) {
                 match act {
-                    Act::Site(order) => site.order(order),
-                    Act::Kill(n) => keeper.kill(n),
-                    Act::Pause(n) => keeper.pause(n),
-                    Act::Resume(n) => keeper.resume(n),
-                    Act::Terminate(n) => keeper.terminate(n),
+                    Act::Cluster(order) => cluster.command(order),
+                    Act::Kill(n) => supervisor.kill(n),
+                    Act::Pause(n) => supervisor.pause(n),
+                    Act::Resume(n) => supervisor.resume(n),
+                    Act::Terminate(n) => supervisor.terminate(n),
                     Act::Launch(n) => waiting.push(n),
                     Act::Link(n, begins) => {
                         network.iter().for_each(|network| network.strike(n, begins))
                     }
                     Act::MoveFeed(n) => {
-                        let before = site.feed(n);
-                        site.order(Order::MoveFeed(n));
+                        let before = cluster.feed_address(n);
+                        cluster.command(ClusterCommand::MoveFeed(n));
                         for _ in 0..100 {
-                            if site.feed(n) != before {
+                            if cluster.feed_address(n) != before {
                                 break;
                             }
                             std::thread::sleep(Duration::from_millis(1));
                         }
-                        let _ = keeper.reload(n, &site);
+                        let _ = supervisor.reload(n, &cluster);
                     }
                 }
             }
             let next = acts.peek().map_or(LOOK, |(at, _)| {
-                Duration::from_micros(u64::try_from(begun + at - notes.now()).unwrap_or(0))
-                    .min(LOOK)
+                Duration::from_micros(u64::try_from(begun + at - log.now()).unwrap_or(0)).min(LOOK)
             });
             std::thread::sleep(next);
         }
-        keeper.finish(FINISH);
-        keeper
+        supervisor.finish(FINISH);
+        supervisor
     })
 }
 
@@ -201,9 +209,9 @@
             (1_000, Act::Pause(1)),
             (2_000, Act::Kill(0)),
             (2_000, Act::MoveFeed(0)),
-            (3_000, Act::Site(Order::Die(4))),
+            (3_000, Act::Cluster(ClusterCommand::KillHost(4))),
             (4_000, Act::Resume(1)),
-            (5_000, Act::Site(Order::Rise(4))),
+            (5_000, Act::Cluster(ClusterCommand::StartHost(4))),
         ];
         assert_eq!(acts, expected, "the last rack has one host");
     }
--- a/crates/load-test/src/front.rs
+++ b/crates/load-test/src/front.rs
@@ -4,7 +4,7 @@
 //! It spreads clients over the placers of their room, takes a placer in once it passes its first test, takes
 //! one out at once where a test says so, and notices a dead one only after some tests have failed.
 
-use emulator::load_balancer::{Advice, Balancer};
+use emulator::load_balancer::{AgentReport, LoadBalancer};
 
 /// Failed tests in a row that take a placer out.
 const FALL: u32 = 3;
@@ -27,14 +27,14 @@
     up: Vec<bool>,
     failures: Vec<u32>,
     /// One for each room, and one for all.
-    balancers: Vec<Balancer>,
+    balancers: Vec<LoadBalancer>,
 }
 
 impl Front {
     /// Over so many placers, spread over the rooms in turn; none has passed a test yet.
     pub fn new(placers: usize, rooms: usize) -> Front {
         let rooms = rooms.max(1);
-        let balancer = || Balancer::new(placers, 1, 1);
+        let balancer = || LoadBalancer::new(placers, 1, 1);
         let mut front = Front {
             rooms,
             up: vec![false; placers],
@@ -68,10 +68,10 @@
     }
 
     /// Takes what an agent has told.
-    pub fn advised(&mut self, placer: usize, advice: Advice) {
+    pub fn advised(&mut self, placer: usize, advice: AgentReport) {
         self.balancers
             .iter_mut()
-            .for_each(|balancer| balancer.advised(placer, advice));
+            .for_each(|balancer| balancer.apply_report(placer, advice));
     }
 
     /// Whether any placer is in.
@@ -87,8 +87,8 @@
     /// The placer for a client of a room: one of its room, else any that is in, else none.
     pub fn pick(&mut self, room: usize) -> Option<usize> {
         let room = room % self.rooms;
-        let own = self.balancers.get_mut(room).and_then(Balancer::pick);
-        own.or_else(|| self.balancers.last_mut().and_then(Balancer::pick))
+        let own = self.balancers.get_mut(room).and_then(LoadBalancer::pick);
+        own.or_else(|| self.balancers.last_mut().and_then(LoadBalancer::pick))
     }
 
     /// Has the balancers know whether a placer is in.
@@ -107,7 +107,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use emulator::load_balancer::Admin;
+    use emulator::load_balancer::AdminState;
 
     #[test]
     fn placers_come_in_by_a_passed_test_and_go_out_late_or_at_once() {
@@ -141,18 +141,18 @@
         (0..2).for_each(|n| assert!(front.tested(n, Tested::Passed)));
         front.advised(
             0,
-            Advice {
+            AgentReport {
                 weight: Some(25),
-                ..Advice::default()
+                ..AgentReport::default()
             },
         );
         let picks: Vec<usize> = (0..10).filter_map(|_| front.pick(0)).collect();
         assert_eq!(picks.iter().filter(|n| **n == 0).count(), 2);
         front.advised(
             1,
-            Advice {
-                admin: Some(Admin::Drain),
-                ..Advice::default()
+            AgentReport {
+                admin: Some(AdminState::Drain),
+                ..AgentReport::default()
             },
         );
         assert_eq!(front.pick(0), Some(0));
--- a/crates/load-test/src/harm.rs
+++ b/crates/load-test/src/harm.rs
@@ -1,4 +1,4 @@
-//! What a fleet of placers does to its hosts, counted over all placers together from the notes of a run.
+//! What a fleet of placers does to its hosts, counted over all placers together from the log of a run.
 //!
 //! What is sensible in one placer shows its harm only in the sum: offers that hosts refuse or throw away,
 //! clients that come again, calls, and trials at a host that is in trouble. Growth of these with the number of
@@ -6,7 +6,7 @@
 
 use crate::plan::{FaultKind, Plan};
 use crate::shape::Micros;
-use emulator::rule_check::{Note, Said};
+use emulator::event_log::{Event as LogEvent, HostReport};
 use std::collections::{BTreeMap, HashMap, HashSet};
 
 const SECOND: Micros = 1_000_000;
@@ -152,7 +152,7 @@
     /// Counts the harm of a run that began then; `place` is the place of a host's process.
     pub fn of(
         plan: &Plan,
-        notes: &[(Micros, Note)],
+        log: &[(Micros, LogEvent)],
         begun: Micros,
         ended: Micros,
         place: impl Fn(usize) -> Option<usize>,
@@ -169,20 +169,23 @@
         let mut open: HashMap<(u64, usize), Micros> = HashMap::new();
         let mut set_up: HashMap<u64, (Micros, bool)> = HashMap::new();
         let mut troubled: BTreeMap<(usize, usize), u32> = BTreeMap::new();
-        for (at, note) in notes.iter().filter(|(at, _)| *at >= begun) {
+        for (at, note) in log.iter().filter(|(at, _)| *at >= begun) {
             let second = ((at - begun) / SECOND) as usize;
             let Some(sums) = harm.seconds.get_mut(second) else {
                 continue;
             };
             match note {
-                Note::Sent {
-                    id, key, at: None, ..
+                LogEvent::TaskRequested {
+                    id,
+                    key,
+                    running_at: None,
+                    ..
                 } => {
                     let again = !tasks.insert(*key);
                     sums.returns += u32::from(again);
                     set_up.insert(*id, (*at, again));
                 }
-                Note::Offered { id, host, .. } => {
+                LogEvent::OfferReceived { id, host, .. } => {
                     sums.offers += 1;
                     open.insert((*id, *host), *at);
                     sums.repeated += u32::from(set_up.get(id).is_some_and(|(_, again)| *again));
@@ -197,7 +200,11 @@
                         *troubled.entry((place, second)).or_default() += 1;
                     }
                 }
-                Note::Said(id, host, Said::Up(_)) => {
+                LogEvent::HostReported {
+                    id,
+                    host,
+                    report: HostReport::Running(_),
+                } => {
                     let Some(offered) = open.remove(&(*id, *host)) else {
                         continue;
                     };
@@ -210,15 +217,23 @@
                         sums.held_ms += ms(offered - sent);
                     }
                 }
-                Note::Said(id, host, Said::Down(_) | Said::Unsent(_)) => {
+                LogEvent::HostReported {
+                    id,
+                    host,
+                    report: HostReport::Ended(_) | HostReport::EndedUndelivered(_),
+                } => {
                     sums.refused += u32::from(open.remove(&(*id, *host)).is_some());
                 }
-                Note::Stopped(id, host)
-                | Note::Closed(id, host)
-                | Note::Said(id, host, Said::Cut) => {
+                LogEvent::AttemptStopped { id, host }
+                | LogEvent::OfferConnectionClosed { id, host }
+                | LogEvent::HostReported {
+                    id,
+                    host,
+                    report: HostReport::ConnectionReset,
+                } => {
                     sums.in_vain += u32::from(open.remove(&(*id, *host)).is_some());
                 }
-                Note::Called(host) => {
+                LogEvent::HostConnected { host } => {
                     sums.calls += 1;
                     let place = place(*host);
                     let line = place.and_then(|place| harm.called.get_mut(place));
@@ -260,7 +275,7 @@
             "[hosts]\ncount = 2\n[[fault]]\nat = \"1s\"\nlength = \"1s\"\nkind = \"host-silent\"\nwhich = 1\n",
         )
         .expect("a plan");
-        let sent = |id, key| Note::Sent {
+        let sent = |id, key| LogEvent::TaskRequested {
             id,
             key,
             class: 0,
@@ -268,34 +283,35 @@
             placer: id as usize % 2,
             wait: SECOND,
             description: 0,
-            at: None,
+            running_at: None,
         };
-        let offered = |id, host| Note::Offered {
+        let offered = |id, host| LogEvent::OfferReceived {
             id,
             host,
             description: 0,
         };
+        let reported = |id, host, report| LogEvent::HostReported { id, host, report };
         let begun = 5 * SECOND;
-        let notes: Vec<(Micros, Note)> = [
+        let log: Vec<(Micros, LogEvent)> = [
             (-100, sent(9, 9)),
-            (0, Note::Called(0)),
+            (0, LogEvent::HostConnected { host: 0 }),
             (10, sent(1, 1)),
             (20, offered(1, 0)),
-            (30, Note::Said(1, 0, Said::Down(34))),
+            (30, reported(1, 0, HostReport::Ended(34))),
             (40, offered(1, 1)),
-            (50, Note::Said(1, 1, Said::Up(0))),
+            (50, reported(1, 1, HostReport::Running(0))),
             // The end of a task that ran is no refusal.
-            (900, Note::Said(1, 1, Said::Down(16))),
+            (900, reported(1, 1, HostReport::Ended(16))),
             (1_100, sent(2, 2)),
             (1_200, offered(2, 1)),
-            (1_700, Note::Stopped(2, 1)),
+            (1_700, LogEvent::AttemptStopped { id: 2, host: 1 }),
             (1_800, sent(3, 2)),
             (1_900, offered(3, 1)),
-            (1_950, Note::Closed(3, 1)),
+            (1_950, LogEvent::OfferConnectionClosed { id: 3, host: 1 }),
         ]
         .map(|(at, note)| (begun + at * 1_000, note))
         .to_vec();
-        let harm = Harm::of(&plan, &notes, begun, begun + 3 * SECOND, Some);
+        let harm = Harm::of(&plan, &log, begun, begun + 3 * SECOND, Some);
         let zero = Second::default();
         let expected = [
             Second {
--- a/crates/load-test/src/network.rs
+++ b/crates/load-test/src/network.rs
@@ -1,4 +1,4 @@
-//! Links between the parties of a rehearsal: which of them a plan strikes, their relays, and what is wrong
+//! FaultProxies between the parties of a rehearsal: which of them a plan strikes, their relays, and what is wrong
 //! with them when.
 //!
 //! Only links that a fault of the plan names get a relay; all others are as without. Parties are written as
@@ -7,11 +7,11 @@
 //! whoever calls.
 
 use crate::plan::{Fault, FaultKind, Plan, Which};
-use emulator::cluster::Site;
-use emulator::event_log::Notes;
-use emulator::fault_proxy::{self, End, Links};
-use emulator::rule_check::{Note, Peer};
-use emulator::supervisor::Keeper;
+use emulator::cluster::Cluster;
+use emulator::event_log::EventLog;
+use emulator::event_log::{Event as LogEvent, Peer};
+use emulator::fault_proxy::{FaultProxies, LinkFault, Party};
+use emulator::supervisor::Supervisor;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -117,7 +117,7 @@
     }
 
     /// The ends that are meant; an error names what is not there.
-    pub fn ends(&self, plan: &Plan) -> Result<BTreeSet<End>, String> {
+    pub fn ends(&self, plan: &Plan) -> Result<BTreeSet<Party>, String> {
         let (placers, hosts) = (plan.placers.count, plan.hosts.count);
         let (rooms, rack) = (plan.rooms.len().max(1), plan.hosts.rack.max(1));
         let mut ends = BTreeSet::new();
@@ -140,16 +140,16 @@
             }
             for n in all {
                 match kind {
-                    Kind::Clients => drop(ends.insert(End::Clients)),
-                    Kind::Placers => drop(ends.insert(End::Placer(n))),
-                    Kind::Hosts => drop(ends.insert(End::Host(n))),
-                    Kind::Feeds => drop(ends.insert(End::Feed(n))),
+                    Kind::Clients => drop(ends.insert(Party::Clients)),
+                    Kind::Placers => drop(ends.insert(Party::Placer(n))),
+                    Kind::Hosts => drop(ends.insert(Party::Host(n))),
+                    Kind::Feeds => drop(ends.insert(Party::Feed(n))),
                     Kind::Racks => {
-                        ends.extend((n * rack..hosts.min((n + 1) * rack)).map(End::Host))
+                        ends.extend((n * rack..hosts.min((n + 1) * rack)).map(Party::Host))
                     }
                     Kind::Rooms => {
-                        ends.extend((n..hosts).step_by(rooms).map(End::Host));
-                        ends.extend((n..placers).step_by(rooms).map(End::Placer));
+                        ends.extend((n..hosts).step_by(rooms).map(Party::Host));
+                        ends.extend((n..placers).step_by(rooms).map(Party::Placer));
                     }
                 }
             }
@@ -162,14 +162,20 @@
 type Link = (usize, Peer);
 
 /// The links between two sets of ends. Clients call placers; placers call hosts, and their own feed.
-fn between(one: &BTreeSet<End>, other: &BTreeSet<End>) -> BTreeSet<Link> {
+fn between(one: &BTreeSet<Party>, other: &BTreeSet<Party>) -> BTreeSet<Link> {
     let mut links = BTreeSet::new();
     for (from, to) in [(one, other), (other, one)] {
         for (a, b) in from.iter().flat_map(|a| to.iter().map(move |b| (a, b))) {
             match (a, b) {
-                (End::Clients, End::Placer(n)) => drop(links.insert((*n, Peer::Clients))),
-                (End::Placer(n), End::Host(place)) => drop(links.insert((*n, Peer::Host(*place)))),
-                (End::Placer(n), End::Feed(of)) if n == of => drop(links.insert((*n, Peer::Feed))),
+                (Party::Clients, Party::Placer(n)) => {
+                    links.insert((*n, Peer::Clients));
+                }
+                (Party::Placer(n), Party::Host(place)) => {
+                    links.insert((*n, Peer::Host(*place)));
+                }
+                (Party::Placer(n), Party::Feed(of)) if n == of => {
+                    links.insert((*n, Peer::Feed));
+                }
                 _ => {}
             }
         }
@@ -178,15 +184,15 @@
 }
 
 /// What a fault does to its links; none where it is no fault of links.
-pub fn fault(fault: &Fault) -> Option<fault_proxy::Fault> {
+pub fn fault(fault: &Fault) -> Option<LinkFault> {
     Some(match fault.kind {
-        FaultKind::LinkCut => fault_proxy::Fault::Cut,
-        FaultKind::LinkCutTo => fault_proxy::Fault::CutTo,
-        FaultKind::LinkCutFrom => fault_proxy::Fault::CutFrom,
-        FaultKind::LinkStall => fault_proxy::Fault::Stall,
-        FaultKind::LinkSlow => fault_proxy::Fault::Slow(fault.by),
-        FaultKind::LinkReset => fault_proxy::Fault::Reset,
-        FaultKind::LinkBlackHole => fault_proxy::Fault::BlackHole,
+        FaultKind::LinkCut => LinkFault::Cut,
+        FaultKind::LinkCutTo => LinkFault::CutForward,
+        FaultKind::LinkCutFrom => LinkFault::CutBackward,
+        FaultKind::LinkStall => LinkFault::Stall,
+        FaultKind::LinkSlow => LinkFault::Delay(fault.by),
+        FaultKind::LinkReset => LinkFault::Reset,
+        FaultKind::LinkBlackHole => LinkFault::BlackHole,
         _ => return None,
     })
 }
@@ -206,25 +212,25 @@
 
 /// A fault of links.
 struct Strike {
-    does: fault_proxy::Fault,
-    between: [BTreeSet<End>; 2],
+    does: LinkFault,
+    between: [BTreeSet<Party>; 2],
     links: BTreeSet<Link>,
 }
 
 /// The relays of a rehearsal.
 pub struct Network {
-    links: Links,
+    links: FaultProxies,
     /// All links that have a relay.
     relayed: BTreeSet<Link>,
     /// By number of the fault.
     faults: BTreeMap<usize, Strike>,
-    notes: Notes,
+    log: EventLog,
 }
 
 impl Network {
     /// Relays for the links that a plan strikes, to the hosts and feeds of an installation; none where it
     /// strikes none. Placers that start from now on call through them.
-    pub fn open(plan: &Plan, site: &Site, notes: Notes) -> io::Result<Option<Network>> {
+    pub fn open(plan: &Plan, cluster: &Cluster, log: EventLog) -> io::Result<Option<Network>> {
         let mut faults = BTreeMap::new();
         for (n, struck_by) in plan.faults.iter().enumerate() {
             let Some(does) = fault(struck_by) else {
@@ -249,47 +255,54 @@
             .values()
             .flat_map(|strike| strike.links.iter().copied())
             .collect();
-        let links = Links::start()?;
+        let links = FaultProxies::start()?;
         let (mut hosts, mut feeds) = (BTreeMap::new(), BTreeMap::new());
         for (placer, peer) in &relayed {
-            let from = End::Placer(*placer);
+            let from = Party::Placer(*placer);
             match peer {
                 Peer::Clients => {}
                 Peer::Host(place) => {
-                    let address = site.address(*placer, *place);
+                    let address = cluster.host_address(*placer, *place);
                     let address = address.ok_or_else(|| io::Error::other("no such host"))?;
                     hosts.insert(
                         (*placer, *place),
-                        links.relay(from, End::Host(*place), address)?,
+                        links.add_proxy(from, Party::Host(*place), address)?,
                     );
                 }
                 Peer::Feed => {
-                    let address = site
-                        .feed(*placer)
+                    let address = cluster
+                        .feed_address(*placer)
                         .ok_or_else(|| io::Error::other("no such feed"))?;
-                    feeds.insert(*placer, links.relay(from, End::Feed(*placer), address)?);
+                    feeds.insert(
+                        *placer,
+                        links.add_proxy(from, Party::Feed(*placer), address)?,
+                    );
                 }
             }
         }
-        site.route(hosts, feeds);
+        cluster.set_routes(hosts, feeds);
         Ok(Some(Network {
             links,
             relayed,
             faults,
-            notes,
+            log,
         }))
     }
 
     /// Where clients call a placer: its relay, if that link has one.
-    pub fn clients_call(&self, placer: usize, keeper: &Keeper) -> io::Result<Option<SocketAddr>> {
-        let Some(listen) = keeper.listen(placer) else {
+    pub fn clients_call(
+        &self,
+        placer: usize,
+        supervisor: &Supervisor,
+    ) -> io::Result<Option<SocketAddr>> {
+        let Some(listen) = supervisor.client_address(placer) else {
             return Ok(None);
         };
         if !self.relayed.contains(&(placer, Peer::Clients)) {
             return Ok(Some(listen));
         }
         self.links
-            .relay(End::Clients, End::Placer(placer), listen)
+            .add_proxy(Party::Clients, Party::Placer(placer), listen)
             .map(Some)
     }
 
@@ -303,25 +316,21 @@
         else {
             return;
         };
-        let does = if begins {
-            *does
-        } else {
-            fault_proxy::Fault::None
-        };
+        let does = if begins { *does } else { LinkFault::None };
         // What is held back counts from before it is, until after it no longer is.
         let note = || {
             for (placer, peer) in links {
-                self.notes.add(Note::Link {
+                self.log.record(LogEvent::LinkChanged {
                     placer: *placer,
                     peer: *peer,
-                    whole: !begins,
+                    intact: !begins,
                 });
             }
         };
         if begins {
             note();
         }
-        let _ = self.links.fault(one, other, does);
+        let _ = self.links.set_fault(one, other, does);
         if !begins {
             note();
         }
--- a/crates/load-test/src/plan.rs
+++ b/crates/load-test/src/plan.rs
@@ -4,7 +4,7 @@
 use crate::clients::Policy;
 use crate::network::{self, MOST_LINKS, Parties};
 use crate::shape::{self, Shape};
-use emulator::rule_check::Peer;
+use emulator::event_log::Peer;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use std::fmt;
--- a/crates/load-test/src/results.rs
+++ b/crates/load-test/src/results.rs
@@ -275,7 +275,7 @@
         if self.broken.is_empty() {
             text.push_str(&format!(
                 "audit: no rule is broken, by {} notes\n",
-                outcome.notes
+                outcome.event_count
             ));
         } else {
             let list: Vec<String> = self
@@ -398,7 +398,7 @@
             counts: Counts::default(),
             findings: Vec::new(),
             harm: crate::harm::Harm::default(),
-            notes: 0,
+            event_count: 0,
             looks: Vec::new(),
             memory_kb: vec![9_000],
             descriptors: vec![40],
--- a/crates/load-test/src/run.rs
+++ b/crates/load-test/src/run.rs
@@ -20,10 +20,11 @@
 use async_io::Timer;
 use async_signal::{Signal, Signals};
 use deployment::{settings, spec};
-use emulator::cluster::{Layout, Look, Site};
-use emulator::event_log::Notes;
-use emulator::rule_check::{Finding, Note, Rules, check};
-use emulator::supervisor::{Keeper, Start};
+use emulator::cluster::{Cluster, ClusterConfig, LoadSample};
+use emulator::event_log::Event as LogEvent;
+use emulator::event_log::EventLog;
+use emulator::rule_check::{ClassRules, Finding, RuleSettings, check};
+use emulator::supervisor::{LaunchConfig, Supervisor};
 use futures_lite::{FutureExt, StreamExt, future};
 use generator::{Inner, World};
 use hdrhistogram::Histogram;
@@ -86,7 +87,7 @@
     pub shape: Shape,
     /// Every task that was due, in order.
     pub tasks: Vec<Task>,
-    /// When the plan began, on the clock of the notes.
+    /// When the plan began, on the clock of the event log.
     pub begun: Micros,
     /// When clients stopped.
     pub ended: Micros,
@@ -98,10 +99,10 @@
     pub findings: Vec<Finding>,
     /// What the placers together did to the hosts.
     pub harm: Harm,
-    /// Notes that were taken.
-    pub notes: usize,
+    /// EventLog that were taken.
+    pub event_count: usize,
     /// How the hosts stood.
-    pub looks: Vec<Look>,
+    pub looks: Vec<LoadSample>,
     /// The most memory that each placer held, in kB.
     pub memory_kb: Vec<u64>,
     /// The most descriptors.
@@ -154,46 +155,47 @@
     due: Vec<Arrival>,
     options: &Options,
 ) -> Result<Outcome, RunError> {
-    let notes = Notes::default();
-    let layout = Layout {
-        rooms: plan.rooms.clone(),
+    let log = EventLog::default();
+    let layout = ClusterConfig {
+        zones: plan.rooms.clone(),
         hosts: plan.hosts.count,
-        rack: plan.hosts.rack,
-        spec: spec(plan),
+        rack_size: plan.hosts.rack,
+        host_spec: spec(plan),
         placers: plan.placers.count,
-        late: (micros(plan.feed.late_from), micros(plan.feed.late_to)),
-        refresh: micros(plan.feed.refresh),
+        min_feed_delay: micros(plan.feed.late_from),
+        max_feed_delay: micros(plan.feed.late_to),
+        refresh_interval: micros(plan.feed.refresh),
         seed: plan.seed,
     };
-    let site = Arc::new(Site::start(layout, notes.clone()).map_err(error("the installation"))?);
-    let network = Network::open(plan, &site, notes.clone()).map_err(error("the links"))?;
-    let start = Start {
+    let cluster = Arc::new(Cluster::start(layout, log.clone()).map_err(error("the installation"))?);
+    let network = Network::open(plan, &cluster, log.clone()).map_err(error("the links"))?;
+    let launch = LaunchConfig {
         binary: options.placer.clone(),
         guard: options.guard.clone(),
         folder: options.folder.clone(),
         settings: settings(plan),
-        rooms: plan.rooms.clone(),
+        zones: plan.rooms.clone(),
         limits: json!({ "cores": 1.0, "memory_mb": (plan.placers.memory_mb), "sockets": (plan.placers.sockets) }),
-        operator: plan.placers.operator.clone(),
+        operator_file: plan.placers.operator.clone(),
         seed: plan.seed,
     };
     let what = format!("placers ({})", options.placer.display());
-    let keeper =
-        Keeper::start(start, plan.placers.count, &site, notes.clone()).map_err(error(&what))?;
+    let supervisor = Supervisor::start(launch, plan.placers.count, &cluster, log.clone())
+        .map_err(error(&what))?;
     let mut placers: Vec<(SocketAddr, SocketAddr)> = Vec::new();
-    for n in 0..keeper.count() {
+    for n in 0..supervisor.count() {
         let called = match &network {
             Some(network) => network
-                .clients_call(n, &keeper)
+                .clients_call(n, &supervisor)
                 .map_err(error("the links"))?,
-            None => keeper.listen(n),
+            None => supervisor.client_address(n),
         };
-        placers.extend(called.zip(keeper.agent(n)));
+        placers.extend(called.zip(supervisor.agent_address(n)));
     }
 
     let executor = Rc::new(LocalExecutor::new());
     let world = Rc::new(World {
-        notes: notes.clone(),
+        log: log.clone(),
         plan: plan.clone(),
         executor: executor.clone(),
         placers,
@@ -205,7 +207,7 @@
     let stop = Arc::new(AtomicBool::new(false));
     let acts = director::line(plan);
     let lasts = due.last().map_or(0, |a| a.due).max(shape.length());
-    let (began, ended, keeper, interrupted) = future::block_on(executor.run(async {
+    let (began, ended, supervisor, interrupted) = future::block_on(executor.run(async {
         world.clone().test_all();
         let ready = async {
             while !world.inner.borrow().front.all() {
@@ -223,15 +225,15 @@
                 options.folder.display()
             )));
         }
-        let begun = notes.now() + 100 * MILLI;
+        let begun = log.now() + 100 * MILLI;
         world.begun.set(begun);
         let directing = director::direct(
             acts.clone(),
             begun,
-            keeper,
-            site.clone(),
+            supervisor,
+            cluster.clone(),
             network,
-            notes.clone(),
+            log.clone(),
             stop.clone(),
         );
         let ticking = world.clone();
@@ -247,7 +249,7 @@
         }
         let whole = async {
             world.pace(begun, &due, &shape).await;
-            let end = notes.instant(begun + lasts + micros(plan.clients.drain));
+            let end = log.instant(begun + lasts + micros(plan.clients.drain));
             while Instant::now() < end && world.inner.borrow().clients.open() > 0 {
                 Timer::after(Duration::from_millis(20)).await;
             }
@@ -258,43 +260,52 @@
             true
         };
         let interrupted = whole.or(signalled).await;
-        let ended = notes.now();
+        let ended = log.now();
         world.stop.set(true);
         stop.store(true, Ordering::Relaxed);
-        let keeper = directing
+        let supervisor = directing
             .join()
             .map_err(|_| RunError("the director ended".into()))?;
-        Ok((begun, ended, keeper, interrupted))
+        Ok((begun, ended, supervisor, interrupted))
     }))?;
     if options.progress {
         eprintln!();
     }
-    let memory_kb = (0..keeper.count()).map(|n| keeper.peak_kb(n)).collect();
-    let descriptors = (0..keeper.count())
-        .map(|n| keeper.peak_descriptors(n))
+    let memory_kb = (0..supervisor.count())
+        .map(|n| supervisor.peak_memory_kb(n))
         .collect();
-    let (looks, rooms, places) = (site.looks(), site.rooms(), site.places());
-    drop(site);
-    let all = notes.all();
+    let descriptors = (0..supervisor.count())
+        .map(|n| supervisor.peak_descriptors(n))
+        .collect();
+    let (looks, rooms, places) = (
+        cluster.load_samples(),
+        cluster.host_zones(),
+        cluster.host_slots(),
+    );
+    drop(cluster);
+    let all = log.events();
     // What came after clients had stopped is nobody's to hear; how placers ended counts all the same.
-    let kept: Vec<(Micros, Note)> = all
+    let kept: Vec<(Micros, LogEvent)> = all
         .into_iter()
-        .filter(|(at, note)| *at <= ended || matches!(note, Note::Placer(..)))
+        .filter(|(at, note)| *at <= ended || matches!(note, LogEvent::PlacerChanged { .. }))
         .collect();
     let inner = world.inner.borrow();
     // A generator that was late itself has seen all answers late.
     let own = Micros::try_from(inner.lateness.max()).unwrap_or(0);
     let bound = |most: u32| (most > 0).then_some(most);
-    let rules = Rules {
+    let rules = RuleSettings {
         classes: plan
             .classes
             .iter()
-            .map(|c| (c.once, bound(c.most_in_room)))
+            .map(|class| ClassRules {
+                non_idempotent: class.once,
+                max_per_zone: bound(class.most_in_room),
+            })
             .collect(),
-        rooms,
-        places: places.clone(),
-        slack: Rules::default().slack + own,
-        ..Rules::default()
+        host_zones: rooms,
+        host_slots: places.clone(),
+        time_tolerance: RuleSettings::default().time_tolerance + own,
+        ..RuleSettings::default()
     };
     let findings = check(&kept, &rules, ended);
     let harm = Harm::of(plan, &kept, began, ended, |host| places.get(host).copied());
@@ -310,7 +321,7 @@
         counts: inner.clients.counts(),
         findings,
         harm,
-        notes: kept.len(),
+        event_count: kept.len(),
         looks,
         memory_kb,
         descriptors,
@@ -336,15 +347,15 @@
             std::thread::spawn(move || std::io::copy(&mut stream, &mut std::io::sink()));
         }
     });
-    let notes = Notes::default();
+    let log = EventLog::default();
     let executor = Rc::new(LocalExecutor::new());
     let world = Rc::new(World {
-        notes: notes.clone(),
+        log: log.clone(),
         plan: plan.clone(),
         executor: executor.clone(),
         placers: vec![(address, address)],
         inner: RefCell::new(Inner::new(&plan)),
-        begun: Cell::new(notes.now()),
+        begun: Cell::new(log.now()),
         stop: Cell::new(false),
     });
     world.inner.borrow_mut().front.tested(0, Tested::Passed);
@@ -352,7 +363,7 @@
     executor
         .spawn(async move { ticking.tick_on().await })
         .detach();
-    let begun = notes.now() + 100 * MILLI;
+    let begun = log.now() + 100 * MILLI;
     world.begun.set(begun);
     future::block_on(executor.run(world.pace(begun, &due, &shape)));
     world.stop.set(true);
--- a/crates/load-test/src/run/connections.rs
+++ b/crates/load-test/src/run/connections.rs
@@ -8,7 +8,7 @@
 use async_channel::{Receiver, Sender};
 use async_io::{Async, Timer};
 use emulator::Message;
-use emulator::rule_check::Note;
+use emulator::event_log::Event as LogEvent;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::{Shutdown, TcpStream};
@@ -161,7 +161,8 @@
                 Err(_) => return false,
             }
             let mut read = 0;
-            while let Some((message, length)) = Message::read(inbox.get(read..).unwrap_or_default())
+            while let Some((message, length)) =
+                Message::decode(inbox.get(read..).unwrap_or_default())
             {
                 read += length;
                 self.word(n, placer, &message);
@@ -170,7 +171,7 @@
         }
     }
 
-    /// Writes what is queued, and notes the set-ups that are written whole. Ends where nothing has happened
+    /// Writes what is queued, and log the set-ups that are written whole. Ends where nothing has happened
     /// for a while.
     async fn write(
         self: &Rc<Self>,
@@ -210,7 +211,7 @@
             let Ok(count) = out.write(&chunk).await else {
                 return false;
             };
-            let now = self.notes.now();
+            let now = self.log.now();
             let mut inner = self.inner.borrow_mut();
             let mut written = Vec::new();
             if let Some(conn) = inner.conns.get_mut(&n) {
@@ -229,7 +230,7 @@
             }
             for id in written {
                 if let Some(sent) = inner.sent.get(&id) {
-                    self.notes.add_at(now, sent.note.clone());
+                    self.log.record_at(now, sent.note.clone());
                 }
             }
         }
@@ -237,7 +238,7 @@
 
     /// A connection has ended. What was written whole may have been taken; what was not has not.
     fn ended(self: &Rc<Self>, n: u64, placer: usize, polite: bool) {
-        let now = self.notes.now();
+        let now = self.log.now();
         let Some(conn) = self.inner.borrow_mut().conns.remove(&n) else {
             return;
         };
@@ -263,7 +264,7 @@
             match again {
                 Some(words) => drop(self.send(now, placer, Some(id), &words)),
                 None => {
-                    self.notes.add(Note::Broken(id));
+                    self.log.record(LogEvent::ClientDisconnected { id });
                     self.tell(now, Event::Broken(id), None);
                 }
             }
--- a/crates/load-test/src/run/deployment.rs
+++ b/crates/load-test/src/run/deployment.rs
@@ -2,28 +2,28 @@
 
 use super::micros;
 use crate::plan::Plan;
-use emulator::host_model::Spec;
+use emulator::host_model::HostSpec;
 use simd_json::{OwnedValue, json};
 use std::time::Duration;
 
 /// Hosts as the plan has them.
-pub(super) fn spec(plan: &Plan) -> Spec {
+pub(super) fn spec(plan: &Plan) -> HostSpec {
     let hosts = &plan.hosts;
-    Spec {
+    HostSpec {
         cores: hosts.cores,
         memory: hosts.memory,
-        look: micros(hosts.look),
-        queue: hosts.queue,
-        starts: hosts.starts,
-        start: micros(hosts.start),
-        cold_start: hosts.cold_start,
-        kept: hosts.kept,
+        admission_time: micros(hosts.look),
+        max_queued_offers: hosts.queue,
+        max_concurrent_starts: hosts.starts,
+        warm_start: micros(hosts.start),
+        cold_start_factor: hosts.cold_start,
+        max_cached_programs: hosts.kept,
         preempts: hosts.preempts,
-        cold: micros(hosts.cold),
-        cold_from: hosts.cold_from,
-        overload: 4.0,
-        bears: YOUNG,
-        drain_pace: micros(hosts.drain_pace),
+        slow_start: micros(hosts.cold),
+        slow_start_floor: hosts.cold_from,
+        overload_factor: 4.0,
+        always_tolerated_offers: YOUNG,
+        drain_interval: micros(hosts.drain_pace),
     }
 }
 
--- a/crates/load-test/src/run/generator.rs
+++ b/crates/load-test/src/run/generator.rs
@@ -11,10 +11,10 @@
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use emulator::cluster::describe;
-use emulator::event_log::{Notes, fingerprint};
+use emulator::event_log::{ClientNotice, Event as LogEvent};
+use emulator::event_log::{EventLog, fingerprint};
 use emulator::host_model::Offer;
-use emulator::rule_check::{Note, Told};
-use emulator::{Message, bytes};
+use emulator::{Message, encode_message};
 use futures_lite::future;
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
@@ -33,7 +33,7 @@
 pub(super) struct Sent {
     key: u64,
     pub(super) bytes: Vec<u8>,
-    pub(super) note: Note,
+    pub(super) note: LogEvent,
     pub(super) again: bool,
 }
 
@@ -93,7 +93,7 @@
 
 /// The generator: all that its tasks share.
 pub(super) struct World {
-    pub(super) notes: Notes,
+    pub(super) log: EventLog,
     pub(super) plan: Plan,
     pub(super) executor: Rc<LocalExecutor<'static>>,
     /// Where each placer listens, and where its agent check is.
@@ -109,10 +109,10 @@
     pub(super) async fn pace(self: &Rc<Self>, begun: Micros, due: &[Arrival], shape: &Shape) {
         for (n, arrival) in due.iter().enumerate() {
             let at = begun + arrival.due;
-            if self.notes.now() < at {
-                Timer::at(self.notes.instant(at)).await;
+            if self.log.now() < at {
+                Timer::at(self.log.instant(at)).await;
             }
-            let now = self.notes.now();
+            let now = self.log.now();
             let late = u64::try_from(now - at).unwrap_or(0);
             let phase = shape
                 .phases
@@ -167,8 +167,8 @@
                     again,
                 } => self.ask(now, key, id, wait, again),
                 Effect::GiveUp(id) => {
-                    self.notes.add(Note::GaveUp(id));
-                    self.say_where_sent(id, &bytes(12, id, &[(171, &[16])]));
+                    self.log.record(LogEvent::ClientGaveUp { id });
+                    self.say_where_sent(id, &encode_message(12, id, &[(171, &[16])]));
                 }
                 Effect::Present { key, id } => self.present(now, key, id, to),
                 // It goes out with the answer's reader.
@@ -194,7 +194,7 @@
             at,
             now,
         } = attempt;
-        let life = self.life_left(task, now);
+        let run_time = self.life_left(task, now);
         let class = self.plan.classes.get(task.arrival.class);
         let tenant = self.plan.tenants.get(task.arrival.tenant);
         let offer = Offer {
@@ -203,15 +203,15 @@
             cores: task.arrival.cores,
             memory: task.arrival.memory,
             priority: class.map_or(0, |c| c.priority),
-            life,
-            left: 0,
+            run_time,
+            time_left: 0,
         };
         let description = describe(&offer, task.key);
         let mut figures = format!(
             "cores:{};memory:{};service:{:016x}",
             offer.cores, offer.memory, offer.service
         );
-        if let Some(name) = at.and_then(|host| self.notes.host_name(host)) {
+        if let Some(name) = at.and_then(|host| self.log.host_name(host)) {
             figures.push_str(&format!(";at:{name}"));
         }
         let (wait_ms, key) = ((wait / MILLI).to_string(), format!("{:016x}", task.key));
@@ -228,7 +228,7 @@
             (144, figures.as_bytes()),
             (174, description.as_bytes()),
         ]);
-        let note = Note::Sent {
+        let note = LogEvent::TaskRequested {
             id,
             key: task.key,
             class: task.arrival.class,
@@ -236,11 +236,11 @@
             placer,
             wait: wait / MILLI * MILLI,
             description: fingerprint(&description),
-            at,
+            running_at: at,
         };
         Sent {
             key: task.key,
-            bytes: bytes(1, id, &parameters),
+            bytes: encode_message(1, id, &parameters),
             note,
             again: false,
         }
@@ -287,7 +287,11 @@
 
     /// Names a standing task to a placer.
     pub(super) fn present(self: &Rc<Self>, now: Micros, key: u64, id: u64, to: Option<usize>) {
-        let Some(running) = self.notes.running(key).filter(|running| running.id == id) else {
+        let Some(running) = self
+            .log
+            .running_task(key)
+            .filter(|running| running.id == id)
+        else {
             return self.tell(now, Event::Word(id, Word::Lost), None);
         };
         let picked = {
@@ -309,7 +313,7 @@
                 now,
             },
         );
-        self.notes.add(sent.note.clone());
+        self.log.record(sent.note.clone());
         self.inner.borrow_mut().clients.sent_to(id, placer);
         let on = self.send(now, placer, None, &sent.bytes);
         if let Some(conn) = self.inner.borrow_mut().conns.get_mut(&on) {
@@ -319,13 +323,13 @@
 
     /// A word of a placer.
     pub(super) fn word(self: &Rc<Self>, n: u64, placer: usize, message: &Message) {
-        let now = self.notes.now();
+        let now = self.log.now();
         let id = message.id;
         let cause = message
             .get(171)
             .and_then(|cause| cause.first().copied())
             .unwrap_or(0);
-        let (told, open) = {
+        let (notice, open) = {
             let mut inner = self.inner.borrow_mut();
             let open = inner.clients.is_open(id);
             if let Some(conn) = inner.conns.get_mut(&n) {
@@ -340,10 +344,10 @@
                     conn.stands.remove(&id);
                 });
             }
-            let told = match message.kind {
-                9 => Told::Placed(fingerprint(message.text(174).unwrap_or_default())),
-                12 => Told::Released(cause),
-                51 => Told::Moved,
+            let notice = match message.kind {
+                9 => ClientNotice::Placed(fingerprint(message.text(174).unwrap_or_default())),
+                12 => ClientNotice::Released(cause),
+                51 => ClientNotice::Migrated,
                 _ => return,
             };
             if open {
@@ -353,27 +357,28 @@
                     let after = now - begun - task.arrival.due;
                     task.answered = task.answered.or(Some(after));
                     task.placer = Some(placer);
-                    match told {
-                        Told::Placed(_) => task.started = task.started.or(Some(after)),
-                        Told::Released(34 | 42 | 102) => task.refused += 1,
+                    match notice {
+                        ClientNotice::Placed(_) => task.started = task.started.or(Some(after)),
+                        ClientNotice::Released(34 | 42 | 102) => task.refused += 1,
                         _ => {}
                     }
                 }
             }
-            (told, open)
+            (notice, open)
         };
-        self.notes.add_at(now, Note::Told(id, told));
+        self.log
+            .record_at(now, LogEvent::ClientNotified { id, notice });
         let away = message
             .text(147)
             .and_then(|ms| ms.parse::<i64>().ok())
             .map(|ms| ms * MILLI);
-        let word = match (told, open) {
-            (Told::Placed(_), _) => Word::Placed,
-            (Told::Moved, _) => Word::Moved,
-            (Told::Released(34 | 42 | 102), true) => Word::Refused(away),
-            (Told::Released(16), _) => Word::Ended,
-            (Told::Released(_), true) => Word::Failed,
-            (Told::Released(_), false) => Word::Lost,
+        let word = match (notice, open) {
+            (ClientNotice::Placed(_), _) => Word::Placed,
+            (ClientNotice::Migrated, _) => Word::Moved,
+            (ClientNotice::Released(34 | 42 | 102), true) => Word::Refused(away),
+            (ClientNotice::Released(16), _) => Word::Ended,
+            (ClientNotice::Released(_), true) => Word::Failed,
+            (ClientNotice::Released(_), false) => Word::Lost,
         };
         self.tell(now, Event::Word(id, word), None);
         if word == Word::Placed {
@@ -382,7 +387,7 @@
         if !open && message.kind == 12 {
             let mut inner = self.inner.borrow_mut();
             if let Some(conn) = inner.conns.get_mut(&n) {
-                conn.push(&bytes(16, id, &[]));
+                conn.push(&encode_message(16, id, &[]));
             }
         }
     }
@@ -391,14 +396,14 @@
     pub(super) async fn tick_on(self: Rc<Self>) {
         let mut looked = 0;
         loop {
-            let now = self.notes.now();
+            let now = self.log.now();
             let effects = self.inner.borrow_mut().clients.tick(now);
             self.act(now, effects, None);
             if now - looked > 100 * MILLI {
                 looked = now;
                 let settling = self.inner.borrow().clients.settling();
                 for key in settling {
-                    if let Some(running) = self.notes.running(key) {
+                    if let Some(running) = self.log.running_task(key) {
                         self.tell(
                             now,
                             Event::Found {
@@ -417,7 +422,7 @@
                 .next()
                 .unwrap_or(now + SECOND)
                 .min(now + 20 * MILLI);
-            Timer::at(self.notes.instant(next.max(now + MILLI))).await;
+            Timer::at(self.log.instant(next.max(now + MILLI))).await;
         }
     }
 
@@ -432,7 +437,7 @@
                 .filter(|task| task.started.is_some())
                 .count();
             let (due, open) = (inner.tasks.len(), inner.clients.open());
-            let at = (self.notes.now() - begun).max(0) / SECOND;
+            let at = (self.log.now() - begun).max(0) / SECOND;
             let late = inner.lateness.value_at_quantile(0.99) as f64 / 1_000.0;
             eprint!(
                 "\r{at:>4} of {} s  {due}/{total} due  {placed} started  {open} open  own lateness p99 {late:.1} ms   ",
--- a/crates/load-test/src/run/probes.rs
+++ b/crates/load-test/src/run/probes.rs
@@ -5,8 +5,8 @@
 use crate::front::Tested;
 use crate::plan::Spread;
 use async_io::{Async, Timer};
-use emulator::load_balancer::read_agent;
-use emulator::{Message, bytes};
+use emulator::load_balancer::parse_agent_report;
+use emulator::{Message, encode_message};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
 use std::net::TcpStream;
 use std::rc::Rc;
@@ -52,7 +52,7 @@
                 let mut open = open;
                 let mut inbox = Vec::new();
                 if open
-                    .write_all(&bytes(52, 0xfe, &[(171, &[0])]))
+                    .write_all(&encode_message(52, 0xfe, &[(171, &[0])]))
                     .await
                     .is_err()
                 {
@@ -60,7 +60,7 @@
                     return Tested::Failed;
                 }
                 loop {
-                    if let Some((message, length)) = Message::read(&inbox) {
+                    if let Some((message, length)) = Message::decode(&inbox) {
                         inbox.drain(..length);
                         match message.kind {
                             53 if message.get(171) == Some(&[1]) => return Tested::Passed,
@@ -69,7 +69,8 @@
                             _ => {
                                 self.word(u64::MAX, n, &message);
                                 if message.kind == 12 {
-                                    let _ = open.write_all(&bytes(16, message.id, &[])).await;
+                                    let _ =
+                                        open.write_all(&encode_message(16, message.id, &[])).await;
                                 }
                                 continue;
                             }
@@ -95,7 +96,7 @@
             self.inner.borrow_mut().front.tested(n, tested);
             if tested == Tested::Passed {
                 if was_in && renewed {
-                    let now = self.notes.now();
+                    let now = self.log.now();
                     self.tell(now, Event::Restarted(n), Some(n));
                 }
                 (was_in, renewed) = (true, false);
@@ -119,7 +120,7 @@
                 stream.write_all(b"rehearsal\n").await.ok()?;
                 let mut answer = String::new();
                 stream.read_to_string(&mut answer).await.ok()?;
-                read_agent(&answer).ok()
+                parse_agent_report(&answer).ok()
             };
             let limit = async {
                 Timer::after(TEST_LIMIT).await;
--- a/crates/load-test/tests/rehearsal.rs
+++ b/crates/load-test/tests/rehearsal.rs
@@ -2,7 +2,7 @@
 
 use emulator::cluster::describe;
 use emulator::host_model::{Micros, Offer};
-use emulator::{Message, bytes};
+use emulator::{Message, encode_message};
 use load_test::plan::Plan;
 use load_test::results::{findings, summarize};
 use load_test::run::{Options, Outcome, run};
@@ -265,14 +265,14 @@
     )
     .expect("a line");
     let path = PathBuf::from(format!("/proc/{}/comm", line.trim()));
-    emulator::until("it runs", || {
+    emulator::wait_for("it runs", || {
         std::fs::read_to_string(&path)
             .ok()
             .filter(|name| name.trim() == "yes")
     });
     keeper.kill().expect("a child");
     keeper.wait().expect("a child");
-    emulator::until("it has ended", || (!path.exists()).then_some(()));
+    emulator::wait_for("it has ended", || (!path.exists()).then_some(()));
 }
 
 /// A placer of the test's own, in a few lines: it answers each set-up after 30 ms, on threads, and counts
@@ -300,17 +300,17 @@
             cores: 1.0,
             memory: 1.0,
             priority: 0,
-            life: 1,
-            left: 0,
+            run_time: 1,
+            time_left: 0,
         };
         let description = describe(&offer, id);
         sent.insert(id, Instant::now());
         stream
-            .write_all(&bytes(1, id, &[(174, description.as_bytes())]))
+            .write_all(&encode_message(1, id, &[(174, description.as_bytes())]))
             .expect("it reads");
         let mut inbox = Vec::new();
         let message = loop {
-            if let Some((message, _)) = Message::read(&inbox) {
+            if let Some((message, _)) = Message::decode(&inbox) {
                 break message;
             }
             let mut chunk = [0; 512];
@@ -338,14 +338,14 @@
             return;
         }
         inbox.extend_from_slice(&chunk[..n]);
-        while let Some((message, length)) = Message::read(&inbox) {
+        while let Some((message, length)) = Message::decode(&inbox) {
             inbox.drain(..length);
             let came = Instant::now();
             std::thread::sleep(Duration::from_millis(30));
             seen.lock()
                 .expect("a lock")
                 .insert(message.id, (came, Instant::now()));
-            let _ = stream.write_all(&bytes(9, message.id, &[(174, b"stands")]));
+            let _ = stream.write_all(&encode_message(9, message.id, &[(174, b"stands")]));
         }
     }
 }
--- a/src/net/health/agent.rs
+++ b/src/net/health/agent.rs
@@ -66,7 +66,7 @@
 #[cfg(test)]
 pub mod tests {
     use super::*;
-    use emulator::load_balancer::{Admin, Advice, read_agent};
+    use emulator::load_balancer::{AdminState, AgentReport, parse_agent_report};
     use task_placer::health::{Code, Health, Settings};
 
     /// A report of this state and weight.
@@ -118,14 +118,14 @@
         for (state, weight, cause, maxconn, line) in cases {
             let answer = answer(&report(state, weight, cause), maxconn);
             assert_eq!(answer, line);
-            let advice = read_agent(&answer).expect("a strict reader takes it");
+            let advice = parse_agent_report(&answer).expect("a strict reader takes it");
             let admin = match state {
-                State::Drain => Some(Admin::Drain),
-                State::Maint => Some(Admin::Maint),
+                State::Drain => Some(AdminState::Drain),
+                State::Maint => Some(AdminState::Maintenance),
                 State::Stopped => None,
-                _ => Some(Admin::Ready),
+                _ => Some(AdminState::Ready),
             };
-            let expected = Advice { admin, ..advice };
+            let expected = AgentReport { admin, ..advice };
             assert_eq!(advice, expected, "{line}");
             assert_eq!(advice.weight.is_some(), state.serves(), "{line}");
         }
--- a/tests/balancers.rs
+++ b/tests/balancers.rs
@@ -1,9 +1,10 @@
 //! Whole installations on loopback: three placers behind a balancer that polls them, hosts and feeds that
 //! run by themselves, clients that arrive whatever became of those before. Every task is checked.
 
-use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
-use emulator::load_balancer::clients::{Clients, Front, Record, ask_agent};
-use emulator::{Launch, Program, deployment, free_address, until};
+use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
+use emulator::load_balancer::clients::{ClientPopulation, TaskRecord};
+use emulator::load_balancer::polling::{PollingLoadBalancer, ServerAddresses, query_agent};
+use emulator::{Launch, Program, free_address, placer_config, wait_for};
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
@@ -24,49 +25,52 @@
 "#;
 
 struct Site {
-    books: Arc<Mutex<Books>>,
-    hosts: Vec<LiveHost>,
-    feeds: Vec<LiveFeed>,
+    books: Arc<Mutex<HostRecords>>,
+    hosts: Vec<EmulatedHost>,
+    feeds: Vec<EmulatedFeed>,
     placers: Vec<Program>,
     agents: Vec<SocketAddr>,
-    front: Arc<Front>,
+    front: Arc<PollingLoadBalancer>,
 }
 
 impl Site {
     /// Three placers over six hosts in two zones, polled each 500 ms.
-    fn start(habits: &Habits) -> Site {
-        let books: Arc<Mutex<Books>> = Arc::default();
+    fn start(habits: &HostBehavior) -> Site {
+        let books: Arc<Mutex<HostRecords>> = Arc::default();
         let host = |n: usize| {
             let zone = if n.is_multiple_of(2) {
                 "north"
             } else {
                 "south"
             };
-            LiveHost::start(&format!("h{n}"), zone, habits.clone(), books.clone())
+            EmulatedHost::start(&format!("h{n}"), zone, habits.clone(), books.clone())
         };
-        let hosts: Vec<LiveHost> = (0..6).map(host).collect();
-        let feeds: Vec<LiveFeed> = (0..3).map(|_| LiveFeed::start()).collect();
+        let hosts: Vec<EmulatedHost> = (0..6).map(host).collect();
+        let feeds: Vec<EmulatedFeed> = (0..3).map(|_| EmulatedFeed::start()).collect();
         let agents: Vec<SocketAddr> = (0..3).map(|_| free_address()).collect();
-        let placer = |(n, feed): (usize, &LiveFeed)| {
+        let placer = |(n, feed): (usize, &EmulatedFeed)| {
             let entries = hosts.iter().map(|host| host.entry("up")).collect();
-            let config = deployment(&format!("n{n}"), n as u64, 3, &feed.address(), entries);
+            let config = placer_config(&format!("n{n}"), n as u64, 3, &feed.address(), entries);
             Launch::new(&config)
-                .operator(&format!("[health]\nagent = [\"{}\"]\n{BRISK}", agents[n]))
+                .operator_file(&format!("[health]\nagent = [\"{}\"]\n{BRISK}", agents[n]))
                 .start()
         };
         let placers: Vec<Program> = feeds.iter().enumerate().map(placer).collect();
-        let pairs: Vec<(SocketAddr, SocketAddr)> = placers
+        let servers: Vec<ServerAddresses> = placers
             .iter()
             .zip(&agents)
-            .map(|(placer, agent)| (placer.address, *agent))
+            .map(|(placer, agent)| ServerAddresses {
+                clients: placer.address,
+                agent: *agent,
+            })
             .collect();
         for (placer, agent) in placers.iter().zip(&agents) {
             drop(placer.client());
-            until("full weight", || {
+            wait_for("full weight", || {
                 weight(*agent).filter(|weight| *weight == 100)
             });
         }
-        let front = Arc::new(Front::start(&pairs, MS(500), MS(1_500)));
+        let front = Arc::new(PollingLoadBalancer::start(&servers, MS(500), MS(1_500)));
         let site = Site {
             books,
             hosts,
@@ -75,14 +79,17 @@
             agents,
             front,
         };
-        until("polls", || (site.front.polls().len() >= 3).then_some(()));
+        wait_for("polls", || (site.front.polls().len() >= 3).then_some(()));
         site
     }
 
     /// No task that must not start twice did.
     fn nothing_started_twice(&self) {
         assert_eq!(
-            self.books.lock().expect("books").twice("once"),
+            self.books
+                .lock()
+                .expect("books")
+                .started_more_than_once("once"),
             Vec::<String>::new()
         );
     }
@@ -90,30 +97,30 @@
 
 /// The weight that an agent tells.
 fn weight(agent: SocketAddr) -> Option<u32> {
-    let line = ask_agent(agent, "test\n", Duration::from_secs(2))?;
+    let line = query_agent(agent, "test\n", Duration::from_secs(2))?;
     line.split([' ', '\n'])
         .find_map(|word| word.strip_suffix('%')?.parse().ok())
 }
 
-fn habits() -> Habits {
-    Habits {
-        start: MS(20),
-        life: MS(800),
-        room: 1_000,
+fn habits() -> HostBehavior {
+    HostBehavior {
+        start_time: MS(20),
+        run_time: MS(800),
+        capacity: 1_000,
     }
 }
 
 /// The share of the arrivals of the last while that came to a server.
-fn share(clients: &Clients, server: usize, last: Duration) -> f64 {
-    let counts = clients.came(3, Instant::now() - last);
+fn share(clients: &ClientPopulation, server: usize, last: Duration) -> f64 {
+    let counts = clients.tasks_per_server(3, Instant::now() - last);
     counts[server] as f64 / counts.iter().sum::<usize>().max(1) as f64
 }
 
 /// Each got exactly one answer.
-fn all_answered(records: &[Record]) {
-    let bad: Vec<&Record> = records
+fn all_answered(records: &[TaskRecord]) {
+    let bad: Vec<&TaskRecord> = records
         .iter()
-        .filter(|r| r.answer.is_none() || r.more_answers > 0)
+        .filter(|r| r.answer.is_none() || r.extra_answers > 0)
         .collect();
     assert!(
         bad.is_empty(),
@@ -126,7 +133,7 @@
 #[test]
 fn a_placer_that_is_stopped_in_a_rhythm_loses_its_portion_and_gets_it_back() {
     let site = Site::start(&habits());
-    let clients = Clients::start(&site.front, 24.0, 1);
+    let clients = ClientPopulation::start(&site.front, 24.0, 1);
     std::thread::sleep(Duration::from_secs(3));
     let before = share(&clients, 0, Duration::from_secs(3));
     let begun = Instant::now();
@@ -142,7 +149,7 @@
     }
     let low = share(&clients, 0, Duration::from_secs(3));
     let ended = Instant::now();
-    until("its portion is back", || {
+    wait_for("its portion is back", || {
         (share(&clients, 0, Duration::from_secs(3)) > 0.75 * before).then_some(())
     });
     let back = ended.elapsed();
@@ -157,7 +164,7 @@
     assert!(low < 0.5 * before, "{low} of {before}");
     all_answered(&records);
     // The others' aims hold all the while.
-    let others: Vec<&Record> = records.iter().filter(|r| r.server != Some(0)).collect();
+    let others: Vec<&TaskRecord> = records.iter().filter(|r| r.server != Some(0)).collect();
     let late = others
         .iter()
         .filter(|r| r.wait().is_none_or(|wait| wait > Duration::from_secs(1)))
@@ -169,10 +176,10 @@
 #[test]
 fn a_silent_feed_lowers_the_weight_and_where_all_are_silent_every_task_is_still_answered() {
     let site = Site::start(&habits());
-    let clients = Clients::start(&site.front, 8.0, 1);
-    site.feeds[0].silence(true);
+    let clients = ClientPopulation::start(&site.front, 8.0, 1);
+    site.feeds[0].silence();
     let begun = Instant::now();
-    let after = until("less than all", || {
+    let after = wait_for("less than all", || {
         weight(site.agents[0])
             .filter(|w| *w < 100)
             .map(|_| begun.elapsed())
@@ -184,14 +191,14 @@
         (weight(site.agents[1]), weight(site.agents[2])),
         (Some(100), Some(100))
     );
-    site.feeds.iter().for_each(|feed| feed.silence(true));
+    site.feeds.iter().for_each(|feed| feed.silence());
     for agent in &site.agents {
-        until("less than all", || weight(*agent).filter(|w| *w < 100));
+        wait_for("less than all", || weight(*agent).filter(|w| *w < 100));
     }
     std::thread::sleep(Duration::from_secs(3));
     let records = clients.finish();
     all_answered(&records);
-    let placed = records.iter().filter(|r| r.placed()).count();
+    let placed = records.iter().filter(|r| r.is_placed()).count();
     assert!(
         placed * 100 >= records.len() * 95,
         "{placed} of {}",
@@ -204,20 +211,20 @@
 
 #[test]
 fn at_sigterm_balancers_are_told_no_task_is_lost_and_every_standing_tasks_end_is_told() {
-    let mut site = Site::start(&Habits {
-        life: MS(5_000),
+    let mut site = Site::start(&HostBehavior {
+        run_time: MS(5_000),
         ..habits()
     });
-    let clients = Clients::start(&site.front, 8.0, 1);
+    let clients = ClientPopulation::start(&site.front, 8.0, 1);
     std::thread::sleep(Duration::from_secs(3));
     let signalled = Instant::now();
     site.placers[0].terminate();
     // Within a poll, and the time of the poll itself.
-    until("the balancer has it", || {
+    wait_for("the balancer has it", || {
         (site.front.weight(0) == 0).then_some(())
     });
     let seen = signalled.elapsed();
-    let status = site.placers[0].exit();
+    let status = site.placers[0].wait_exit();
     let over = signalled.elapsed();
     std::thread::sleep(Duration::from_secs(1));
     let records = clients.finish();
@@ -228,9 +235,9 @@
     assert!(seen <= MS(900), "{seen:?}");
     assert_eq!(status.code(), Some(0), "{}", site.placers[0].log());
     all_answered(&records);
-    let untold: Vec<&Record> = records
+    let untold: Vec<&TaskRecord> = records
         .iter()
-        .filter(|r| r.placed() && r.end.is_none())
+        .filter(|r| r.is_placed() && r.ended_at.is_none())
         .collect();
     assert!(untold.is_empty(), "{untold:#?}");
     // Nothing new came to it once the balancer had seen it.
@@ -256,8 +263,8 @@
 #[test]
 fn where_all_hosts_are_full_weights_do_not_collapse_and_no_placer_is_emptied() {
     let site = Site::start(&habits());
-    site.hosts.iter().for_each(|host| host.set_room(1));
-    let clients = Clients::start(&site.front, 30.0, 1);
+    site.hosts.iter().for_each(|host| host.set_free_capacity(1));
+    let clients = ClientPopulation::start(&site.front, 30.0, 1);
     let (begun, mut least) = (Instant::now(), 100);
     while begun.elapsed() < Duration::from_secs(10) {
         least = site
@@ -269,11 +276,11 @@
             .min(least);
         std::thread::sleep(MS(250));
     }
-    let counts = clients.came(3, begun + Duration::from_secs(4));
+    let counts = clients.tasks_per_server(3, begun + Duration::from_secs(4));
     let records = clients.finish();
     let refused = records
         .iter()
-        .filter(|r| r.answer.is_some() && !r.placed())
+        .filter(|r| r.answer.is_some() && !r.is_placed())
         .count();
     eprintln!(
         "least weight {least}, {counts:?} came, {refused} of {} refused",
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::*;
-use emulator::{Ask, Feed, Host, HostConn, Program, QUICK, deployment, unix_ms};
+use emulator::{
+    Feed, Host, HostConnection, IDEMPOTENT_TASK, Program, TaskRequest, placer_config, unix_ms,
+};
 use proptest::prelude::*;
 use simd_json::json;
 use simd_json::prelude::*;
@@ -162,7 +164,7 @@
     }
 }
 
-// Calls to a host that does not answer take as long as the settings allow, and what waited leaves together.
+// AdminSocket to a host that does not answer take as long as the settings allow, and what waited leaves together.
 #[test]
 fn offers_that_waited_for_a_connection_and_leave_together_are_borne() {
     // The first part of the budget waits as long as it may, and the next comes at once.
@@ -221,7 +223,7 @@
 /// All offers that come to a host, and when; each is answered at once.
 fn collect(
     host: &Host,
-    conns: &mut Vec<HostConn>,
+    conns: &mut Vec<HostConnection>,
     times: &mut Vec<Micros>,
     start: Instant,
     span: Duration,
@@ -233,7 +235,7 @@
             while let Some(message) = conn.read_within(Duration::from_millis(1)) {
                 if message.get_str("t") == Some("new") {
                     times.push(start.elapsed().as_micros() as Micros);
-                    conn.up(message.get_str("ref").expect("an id"));
+                    conn.report_running(message.get_str("ref").expect("an id"));
                 }
             }
         }
@@ -251,7 +253,7 @@
     for life in 0..2 {
         let mut programs = Vec::new();
         for (me, feed) in feeds.iter_mut().enumerate() {
-            let mut config = deployment(
+            let mut config = placer_config(
                 &format!("n{me}"),
                 me as u64,
                 3,
@@ -262,24 +264,28 @@
             // A cold host starts so many; none waits for its fellows of a service.
             config["settings"]["family_info"]["class_most"] = json!([50, 50]);
             let program = Program::start(&config);
-            feed.subscribed();
+            feed.accept_subscription();
             programs.push(program);
         }
         if life == 0 {
             born = unix_ms();
             for feed in &mut feeds {
-                feed.tell(&emulator::event(2, false, vec![host.entry("up", born)]));
+                feed.send(&emulator::endpoint_event(
+                    2,
+                    emulator::UpdateKind::Delta,
+                    vec![host.entry("up", born)],
+                ));
             }
         }
         let mut clients: Vec<_> = programs.iter().map(Program::client).collect();
         for client in &mut clients {
-            assert!(client.test());
+            assert!(client.health_check());
             for n in 1..=20 {
-                client.set_up(
+                client.request_task(
                     life * 100 + n,
-                    &Ask {
+                    &TaskRequest {
                         service: n,
-                        ..QUICK
+                        ..IDEMPOTENT_TASK
                     },
                 );
             }
