--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -16,17 +16,17 @@
 const LAST: u64 = 0x7fff;
 
 /// A set-up of a service of its own.
-fn ask(id: u64) -> Ask<'static> {
-    Ask {
+fn ask(id: u64) -> TaskRequest<'static> {
+    TaskRequest {
         service: id + 100,
-        ..QUICK
+        ..IDEMPOTENT_TASK
     }
 }
 
 /// A connection that has been read before: what is said on it next is read at once.
 fn known(program: &Program) -> Client {
     let mut client = program.client();
-    assert!(client.test());
+    assert!(client.health_check());
     client
 }
 
@@ -39,17 +39,21 @@
 fn clog(program: &Program) -> Client {
     let mut client = known(program);
     let wide = "w".repeat(15_000);
-    (1..=WIDE).for_each(|id| client.set_up_with(id, &ask(id), &wide));
-    assert!(client.test(), "the set-ups were taken in");
+    (1..=WIDE).for_each(|id| client.request_task_with(id, &ask(id), &wide));
+    assert!(client.health_check(), "the set-ups were taken in");
     client
 }
 
 /// The ids offered to these hosts, on these connections and on those that are made, until the last request is.
-fn offered_until_last(program: &Program, hosts: &[Host], conns: &mut Vec<HostConn>) -> Vec<String> {
+fn offered_until_last(
+    program: &Program,
+    hosts: &[Host],
+    conns: &mut Vec<HostConnection>,
+) -> Vec<String> {
     let mut client = known(program);
-    client.set_up(LAST, &ask(LAST));
+    client.request_task(LAST, &ask(LAST));
     let mut ids = Vec::new();
-    let end = Instant::now() + LIMIT;
+    let end = Instant::now() + TEST_TIMEOUT;
     loop {
         assert!(
             Instant::now() < end,
@@ -82,12 +86,12 @@
 // While the program is stopped, all that a client does is there at once when it goes on.
 #[test]
 fn a_set_up_whose_client_has_closed_the_connection_is_not_offered() {
-    let (program, _feed, hosts, mut conns) = start(1);
+    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
     for id in 1..=5 {
         let mut client = known(&program);
-        program.stopped(|| {
-            client.set_up(id, &ask(id));
-            client.leave();
+        program.while_stopped(|| {
+            client.request_task(id, &ask(id));
+            client.close();
         });
     }
     assert_eq!(offered_until_last(&program, &hosts, &mut conns), NONE);
@@ -95,44 +99,44 @@
 
 #[test]
 fn a_set_up_that_is_cancelled_in_the_same_read_is_not_offered() {
-    let (program, _feed, hosts, mut conns) = start(1);
+    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
     let mut client = known(&program);
-    program.stopped(|| {
+    program.while_stopped(|| {
         for id in 1..=5 {
-            client.set_up(id, &ask(id));
+            client.request_task(id, &ask(id));
             client.release(id, 16);
         }
     });
     assert_eq!(offered_until_last(&program, &hosts, &mut conns), NONE);
-    assert!(client.test(), "and its connection goes on");
+    assert!(client.health_check(), "and its connection goes on");
 }
 
 // Hundreds of set-ups, taken back at once: their cancels are several reads behind.
 #[test]
 fn set_ups_that_are_cancelled_some_reads_later_are_not_offered() {
-    let (program, _feed, hosts, mut conns) = start(1);
+    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
     let mut client = known(&program);
-    program.stopped(|| {
-        (1..=300).for_each(|id| client.set_up(id, &ask(id)));
+    program.while_stopped(|| {
+        (1..=300).for_each(|id| client.request_task(id, &ask(id)));
         (1..=300).for_each(|id| client.release(id, 16));
     });
     assert_eq!(offered_until_last(&program, &hosts, &mut conns), NONE);
-    assert!(client.test());
+    assert!(client.health_check());
 }
 
 // The host's refusal is heard before the client's close.
 #[test]
 fn no_further_attempt_begins_for_a_client_that_has_left() {
     for (kind, leaves) in [("close", true), ("cancel", false)] {
-        let (program, _feed, hosts, mut conns) = start(2);
+        let (program, _feed, hosts, mut conns) = start_with_hosts(2);
         let mut client = known(&program);
-        client.set_up(1, &ask(1));
-        let (at, id) = offered(&mut conns);
+        client.request_task(1, &ask(1));
+        let (at, id) = next_offer(&mut conns);
         let mut held = Some(client);
-        program.stopped(|| {
-            conns[at].down(&id, 34, "nq");
+        program.while_stopped(|| {
+            conns[at].report_ended(&id, 34, "nq");
             if leaves {
-                held.take().into_iter().for_each(Client::leave);
+                held.take().into_iter().for_each(Client::close);
             } else {
                 held.iter_mut().for_each(|client| client.release(1, 16));
             }
@@ -150,26 +154,26 @@
 fn no_attempt_elsewhere_begins_for_a_client_that_left_while_a_host_was_called() {
     let mut feed = Feed::new();
     let hosts = [Host::new("h0", "north"), Host::new("h1", "north")];
-    let mut config = config(
+    let mut config = single_placer_config(
         &feed,
         hosts.iter().map(|host| host.entry("up", 0)).collect(),
     );
     config["settings"]["prices"] = json!({ "handshake": 0.05 });
-    let held: Vec<OutOfReach> = hosts.iter().map(Host::vanish).collect();
+    let held: Vec<Unreachable> = hosts.iter().map(Host::make_unreachable).collect();
     let program = Program::start(&config);
-    feed.subscribed();
+    feed.accept_subscription();
     let mut client = known(&program);
-    client.set_up(1, &ask(1));
-    assert!(client.test(), "the set-up was taken in");
-    program.stopped(|| {
+    client.request_task(1, &ask(1));
+    assert!(client.health_check(), "the set-up was taken in");
+    program.while_stopped(|| {
         hosts
             .iter()
             .zip(held)
-            .for_each(|(host, held)| host.come_back(held));
-        client.leave();
+            .for_each(|(host, held)| host.make_reachable(held));
+        client.close();
         std::thread::sleep(Duration::from_millis(300));
     });
-    program.logged("connection ended peer=\"client\"");
+    program.wait_for_log("connection ended peer=\"client\"");
     assert_eq!(
         offered_until_last(&program, &hosts, &mut Vec::new()),
         NONE,
@@ -182,23 +186,23 @@
 fn a_client_that_left_while_it_waited_to_be_accepted_gets_no_attempt() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
-    let mut config = config(&feed, vec![host.entry("up", 0)]);
+    let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     config["limits"] = json!({ "cores": 1.0, "memory_mb": 32, "sockets": 36 });
-    let program = Program::start_with(&config, 1_024);
-    feed.subscribed();
+    let program = Program::start_with_descriptors(&config, 1_024);
+    feed.accept_subscription();
     let mut conns = vec![host.accept()];
     // All that may be held are busy, so that the next connection waits.
     let mut busy: Vec<Client> = Vec::new();
     while !program.log().contains("connection waits") {
         let id = busy.len() as u64 + 1;
         let mut client = program.client();
-        client.set_up(id, &ask(id));
+        client.request_task(id, &ask(id));
         busy.push(client);
         std::thread::sleep(Duration::from_millis(10));
     }
     let mut late = program.client();
-    late.set_up(0x99, &ask(0x99));
-    late.leave();
+    late.request_task(0x99, &ask(0x99));
+    late.close();
     busy.clear();
     let offered = offered_until_last(&program, &[host], &mut conns);
     assert!(!offered.contains(&hex(0x99)), "{offered:?}");
@@ -208,26 +212,29 @@
 #[test]
 fn an_offer_that_a_slow_host_has_not_taken_is_not_sent_once_its_client_has_left() {
     let mut feed = Feed::new();
-    let hosts = [Host::narrow("h0", "north")];
-    let mut config = config(&feed, vec![hosts[0].entry("up", 0)]);
+    let hosts = [Host::with_small_receive_buffer("h0", "north")];
+    let mut config = single_placer_config(&feed, vec![hosts[0].entry("up", 0)]);
     // No other connection to the host is tried in the time of the test.
     config["settings"]["caps"]["connect_timeout"] = json!(20_000.0);
     let program = Program::start(&config);
-    feed.subscribed();
+    feed.accept_subscription();
     let mut conns = vec![hosts[0].accept()];
     let (mut closes, mut cancels) = (known(&program), known(&program));
     let mut wide = clog(&program);
     // A host that speaks is not called again.
-    conns[0].up(&hex(1));
-    assert_eq!(wide.read().kind, 9);
+    conns[0].report_running(&hex(1));
+    assert_eq!(wide.expect_message().kind, 9);
     // One closes its connection and one cancels.
-    closes.set_up(0x990, &ask(0x990));
-    cancels.set_up(0x991, &ask(0x991));
-    assert!(closes.test() && cancels.test(), "the set-ups were taken in");
-    closes.leave();
+    closes.request_task(0x990, &ask(0x990));
+    cancels.request_task(0x991, &ask(0x991));
+    assert!(
+        closes.health_check() && cancels.health_check(),
+        "the set-ups were taken in"
+    );
+    closes.close();
     cancels.release(0x991, 16);
-    program.logged("reason=closed");
-    assert!(cancels.test(), "the cancel was taken in");
+    program.wait_for_log("reason=closed");
+    assert!(cancels.health_check(), "the cancel was taken in");
     let offered = offered_until_last(&program, &hosts, &mut conns);
     assert!(offered.contains(&hex(1)), "{offered:?}");
     assert!(
@@ -240,29 +247,32 @@
 #[test]
 fn an_offer_that_a_host_does_not_take_goes_elsewhere_soon() {
     let mut feed = Feed::new();
-    let hosts = [Host::narrow("h0", "north"), Host::new("h1", "north")];
+    let hosts = [
+        Host::with_small_receive_buffer("h0", "north"),
+        Host::new("h1", "north"),
+    ];
     let known_hosts = vec![hosts[0].entry("up", 0), hosts[1].entry("draining", 0)];
-    let program = Program::start(&config(&feed, known_hosts));
-    feed.subscribed();
+    let program = Program::start(&single_placer_config(&feed, known_hosts));
+    feed.accept_subscription();
     let mut reads_nothing = hosts[0].accept();
     // Nor does it take another connection.
-    let _held = hosts[0].vanish();
+    let _held = hosts[0].make_unreachable();
     let mut client = known(&program);
     let _wide = clog(&program);
-    client.set_up(0x990, &ask(0x990));
-    assert!(client.test(), "the set-up was taken in");
-    feed.event(2, &hosts[1], "up");
+    client.request_task(0x990, &ask(0x990));
+    assert!(client.health_check(), "the set-up was taken in");
+    feed.send_host_state(2, &hosts[1], "up");
     let start = Instant::now();
     let mut conn = hosts[1].accept();
     // What waited before it goes there, too.
-    while conn.offer() != hex(0x990) {}
+    while conn.expect_offer() != hex(0x990) {}
     assert!(
         start.elapsed() < Duration::from_secs(1),
         "{:?}",
         start.elapsed()
     );
-    conn.up(&hex(0x990));
-    let answer = client.read();
+    conn.report_running(&hex(0x990));
+    let answer = client.expect_message();
     assert_eq!((answer.kind, answer.id), (9, 0x990));
     // Nothing of it has left to the other.
     while let Some(message) = reads_nothing.read_within(Duration::from_millis(20)) {
@@ -278,50 +288,52 @@
 fn an_offer_that_waits_for_its_connection_is_not_sent_once_its_client_has_left() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
-    let mut config = config(&feed, vec![host.entry("up", 0)]);
+    let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     // As long as the system takes to try again.
     config["settings"]["caps"]["connect_timeout"] = json!(3_000.0);
-    let held = host.vanish();
+    let held = host.make_unreachable();
     let program = Program::start(&config);
-    feed.subscribed();
+    feed.accept_subscription();
     for leaves in [true, false] {
         let mut client = known(&program);
-        client.set_up(1 + u64::from(leaves), &ask(1));
-        assert!(client.test());
+        client.request_task(1 + u64::from(leaves), &ask(1));
+        assert!(client.health_check());
         if !leaves {
             client.release(1, 16);
-            assert!(client.test());
+            assert!(client.health_check());
         }
     }
-    host.come_back(held);
+    host.make_reachable(held);
     assert_eq!(offered_until_last(&program, &[host], &mut Vec::new()), NONE);
 }
 
 // A client that goes on talking is still there: what it says later does not hold its offer up.
 #[test]
 fn a_client_that_never_pauses_gets_its_attempt() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = known(&program);
     let mut talks = Client(client.0.try_clone().expect("a socket"));
-    let flood: Vec<u8> = (0..1_000).flat_map(|_| bytes(16, 77, &[])).collect();
+    let flood: Vec<u8> = (0..1_000)
+        .flat_map(|_| encode_message(16, 77, &[]))
+        .collect();
     let over = Arc::new(AtomicBool::new(false));
     let told = over.clone();
     let thread = std::thread::spawn(move || {
         for id in 1..=5 {
-            talks.set_up(id, &ask(id));
-            talks.say(&flood);
+            talks.request_task(id, &ask(id));
+            talks.send(&flood);
         }
         while !told.load(Ordering::Relaxed) {
-            talks.say(&flood);
+            talks.send(&flood);
         }
     });
-    let mut ids: Vec<String> = (0..5).map(|_| conns[0].offer()).collect();
+    let mut ids: Vec<String> = (0..5).map(|_| conns[0].expect_offer()).collect();
     over.store(true, Ordering::Relaxed);
     thread.join().expect("it wrote");
     ids.sort();
     assert_eq!(ids, (1..=5).map(hex).collect::<Vec<_>>());
-    ids.iter().for_each(|id| conns[0].up(id));
-    (1..=5).for_each(|_| assert_eq!(client.read().kind, 9));
+    ids.iter().for_each(|id| conns[0].report_running(id));
+    (1..=5).for_each(|_| assert_eq!(client.expect_message().kind, 9));
 }
 
 // ---- Hosts ----
@@ -332,39 +344,43 @@
     for change in ["draining", "gone", "born", "moved"] {
         let mut feed = Feed::new();
         let host = Host::new("h0", "north");
-        let mut config = config(&feed, vec![host.entry("up", 0)]);
+        let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
         config["settings"]["caps"]["connect_timeout"] = json!(3_000.0);
         // A process that has just started bears nothing.
         config["settings"]["family_info"]["young_limit"] = json!(0.0);
-        let held = host.vanish();
+        let held = host.make_unreachable();
         let program = Program::start(&config);
-        feed.subscribed();
+        feed.accept_subscription();
         let mut client = known(&program);
-        client.set_up(1, &ask(1));
-        assert!(client.test(), "the offer waits");
+        client.request_task(1, &ask(1));
+        assert!(client.health_check(), "the offer waits");
         let mut entry = host.entry("up", 0);
         match change {
-            "draining" => feed.event(2, &host, "draining"),
+            "draining" => feed.send_host_state(2, &host, "draining"),
             "gone" => {
                 let mut other = host.entry("draining", 0);
                 other["host"] = json!("h1");
                 entry["health"] = json!("removed");
-                feed.tell(&event(2, false, vec![entry, other]));
+                feed.send(&endpoint_event(2, UpdateKind::Delta, vec![entry, other]));
             }
-            "born" => feed.tell(&event(2, false, vec![host.entry("up", unix_ms())])),
+            "born" => feed.send(&endpoint_event(
+                2,
+                UpdateKind::Delta,
+                vec![host.entry("up", unix_ms())],
+            )),
             _ => {
                 entry["dial"] = json!("127.0.0.1:9");
-                feed.tell(&event(2, false, vec![entry]));
+                feed.send(&endpoint_event(2, UpdateKind::Delta, vec![entry]));
             }
         }
-        feed.tell(&json!({ "n": 2 }));
-        assert!(client.test());
+        feed.send(&json!({ "n": 2 }));
+        assert!(client.health_check());
         // Nor what is offered to it from now on, where it has another address.
-        client.set_up(2, &ask(2));
-        assert!(client.test());
-        host.come_back(held);
+        client.request_task(2, &ask(2));
+        assert!(client.health_check());
+        host.make_reachable(held);
         if let Some(mut conn) = host.accept_within(Duration::from_millis(1_500)) {
-            assert!(conn.read_within(QUIET).is_none(), "{change}");
+            assert!(conn.read_within(QUIET_PERIOD).is_none(), "{change}");
         }
     }
 }
@@ -372,16 +388,16 @@
 // The host closes an idle connection just before an offer is decided for it.
 #[test]
 fn an_offer_is_not_written_to_a_connection_that_its_host_has_closed() {
-    let (program, _feed, hosts, mut conns) = start(1);
+    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
     let mut client = known(&program);
-    program.stopped(|| {
-        client.set_up(1, &ONCE);
-        conns.drain(..).for_each(HostConn::leave);
+    program.while_stopped(|| {
+        client.request_task(1, &NON_IDEMPOTENT_TASK);
+        conns.drain(..).for_each(HostConnection::close);
     });
     let mut conn = hosts[0].accept();
-    assert_eq!(conn.offer(), hex(1));
-    conn.up(&hex(1));
-    assert_eq!(client.read().kind, 9);
+    assert_eq!(conn.expect_offer(), hex(1));
+    conn.report_running(&hex(1));
+    assert_eq!(client.expect_message().kind, 9);
 }
 
 // Words of a host that come in one read, in every order that could be taken for something else.
@@ -426,53 +442,53 @@
         ),
     ];
     for (what, said, words, again) in cases {
-        let (program, _feed, _hosts, mut conns) = start(2);
+        let (program, _feed, _hosts, mut conns) = start_with_hosts(2);
         let mut client = known(&program);
-        client.set_up(1, &ask(1));
-        let (at, offer) = offered(&mut conns);
+        client.request_task(1, &ask(1));
+        let (at, offer) = next_offer(&mut conns);
         assert_eq!(offer, id);
         // It has closed the connection, too, before a word of it is read.
         let mut conn = conns.remove(at);
-        program.stopped(|| {
-            conn.raw(said.as_bytes());
-            conn.leave();
+        program.while_stopped(|| {
+            conn.send_bytes(said.as_bytes());
+            conn.close();
         });
         if again {
-            assert_eq!(conns[0].offer(), id, "{what}");
-            conns[0].up(&id);
-            assert_eq!(client.read().kind, 9, "{what}");
+            assert_eq!(conns[0].expect_offer(), id, "{what}");
+            conns[0].report_running(&id);
+            assert_eq!(client.expect_message().kind, 9, "{what}");
         }
         for (kind, cause) in words {
-            let word = client.read();
+            let word = client.expect_message();
             assert_eq!(
                 (word.kind, if word.kind == 12 { word.cause() } else { 0 }),
                 (kind, cause),
                 "{what}"
             );
         }
-        assert!(client.test(), "nothing else was said: {what}");
+        assert!(client.health_check(), "nothing else was said: {what}");
     }
 }
 
 // The host's answer has come and the client's time is over when both are read.
 #[test]
 fn an_answer_and_the_time_out_in_one_turn_give_one_final_answer() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = known(&program);
-    client.set_up(
+    client.request_task(
         1,
-        &Ask {
+        &TaskRequest {
             wait_ms: 300,
             ..ask(1)
         },
     );
-    let id = conns[0].offer();
-    program.stopped(|| {
-        conns[0].up(&id);
+    let id = conns[0].expect_offer();
+    program.while_stopped(|| {
+        conns[0].report_running(&id);
         std::thread::sleep(Duration::from_millis(350));
     });
-    let answer = client.read();
-    assert!(client.test(), "one answer");
+    let answer = client.expect_message();
+    assert!(client.health_check(), "one answer");
     // What was answered as failed does not stand on.
     if answer.kind == 12 {
         assert_eq!(conns[0].expect("down").get_str("ref"), Some(id.as_str()));
@@ -483,47 +499,48 @@
 
 #[test]
 fn a_whole_list_that_no_longer_names_a_host_ends_what_is_out_there() {
-    let (program, mut feed, hosts, mut conns) = start(2);
+    let (program, mut feed, hosts, mut conns) = start_with_hosts(2);
     let mut client = known(&program);
-    client.set_up(1, &ask(1));
-    let (at, id) = offered(&mut conns);
-    client.set_up(
+    client.request_task(1, &ask(1));
+    let (at, id) = next_offer(&mut conns);
+    client.request_task(
         2,
-        &Ask {
+        &TaskRequest {
             service: 102,
-            ..ONCE
+            ..NON_IDEMPOTENT_TASK
         },
     );
-    let (other, once) = offered(&mut conns);
+    let (other, once) = next_offer(&mut conns);
     // Twice, and the second tells nothing new.
     let rest: Vec<_> = (0..2)
         .filter(|n| *n != at)
         .map(|n| hosts[n].entry("up", 0))
         .collect();
-    feed.tell(&event(2, true, rest.clone()));
-    feed.tell(&event(2, true, rest));
-    assert!(conns[at].ended());
+    feed.send(&endpoint_event(2, UpdateKind::Complete, rest.clone()));
+    feed.send(&endpoint_event(2, UpdateKind::Complete, rest));
+    assert!(conns[at].wait_closed());
     let left = 1 - at;
     assert_eq!(
         conns[left]
-            .read_within(LIMIT)
+            .read_within(TEST_TIMEOUT)
             .and_then(|m| m.get_str("ref").map(str::to_string)),
         Some(id.clone())
     );
-    conns[left].up(&id);
+    conns[left].report_running(&id);
     if other == at {
         // It may have run there.
-        let words = [client.read(), client.read()].map(|word| (word.id, word.kind));
+        let words =
+            [client.expect_message(), client.expect_message()].map(|word| (word.id, word.kind));
         assert!(
             words.contains(&(1, 9)) && words.contains(&(2, 12)),
             "{words:?}"
         );
     } else {
-        assert_eq!(client.read().kind, 9);
-        conns[left].up(&once);
-        assert_eq!(client.read().kind, 9);
+        assert_eq!(client.expect_message().kind, 9);
+        conns[left].report_running(&once);
+        assert_eq!(client.expect_message().kind, 9);
     }
-    assert!(client.test());
+    assert!(client.health_check());
 }
 
 // ---- The subscription ----
@@ -532,48 +549,48 @@
 fn a_feed_that_leaves_a_gap_each_time_is_not_called_without_a_pause() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
-    let program = Program::start(&config(&feed, vec![host.entry("up", 0)]));
+    let program = Program::start(&single_placer_config(&feed, vec![host.entry("up", 0)]));
     let mut calls = 0;
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(1) {
-        assert_eq!(feed.subscribed(), 1);
-        feed.event(9, &host, "draining");
+        assert_eq!(feed.accept_subscription(), 1);
+        feed.send_host_state(9, &host, "draining");
         calls += 1;
     }
     assert!((2..=9).contains(&calls), "{calls} calls in a second");
-    assert!(known(&program).test());
+    assert!(known(&program).health_check());
 }
 
 // The address that is called does not answer, and the configuration names another.
 #[test]
 fn a_feed_that_moves_while_a_call_to_it_hangs_is_followed_at_once() {
-    let (program, mut feed, hosts, mut conns) = start(1);
+    let (program, mut feed, hosts, mut conns) = start_with_hosts(1);
     let second = Feed::new();
-    let mut config = config(&second, vec![hosts[0].entry("up", 0)]);
+    let mut config = single_placer_config(&second, vec![hosts[0].entry("up", 0)]);
     config["listen"] = program.address.to_string().into();
-    let held = feed.vanish();
-    drop(feed.stream_taken());
-    program.logged("connection ended peer=\"feed\"");
+    let held = feed.make_unreachable();
+    drop(feed.take_subscription());
+    program.wait_for_log("connection ended peer=\"feed\"");
     let mut second = second;
     let moved = Instant::now();
     program.reload(&config.encode());
-    assert_eq!(second.subscribed(), 1);
+    assert_eq!(second.accept_subscription(), 1);
     assert!(
         moved.elapsed() < Duration::from_millis(500),
         "{:?}",
         moved.elapsed()
     );
-    second.event(2, &hosts[0], "draining");
-    second.tell(&json!({ "n": 2 }));
+    second.send_host_state(2, &hosts[0], "draining");
+    second.send(&json!({ "n": 2 }));
     let mut client = known(&program);
-    client.set_up(
+    client.request_task(
         1,
-        &Ask {
+        &TaskRequest {
             wait_ms: 300,
             ..ask(1)
         },
     );
-    assert_eq!(client.read().kind, 12);
+    assert_eq!(client.expect_message().kind, 12);
     assert!(conns[0].read_within(Duration::from_millis(20)).is_none());
     drop(held);
 }
@@ -583,20 +600,20 @@
 fn idle_clients_at_the_limit_keep_neither_the_feed_nor_hosts_nor_others_out() {
     let sockets = 160;
     let address = free_address();
-    let mut feed = Feed::at(address);
+    let mut feed = Feed::bind(address);
     let first = Host::new("h0", "north");
-    let mut config = config(&feed, vec![first.entry("up", 0)]);
+    let mut config = single_placer_config(&feed, vec![first.entry("up", 0)]);
     config["limits"] = json!({ "cores": 1.0, "memory_mb": 32, "sockets": sockets });
-    let program = Program::start_with(&config, sockets);
-    feed.subscribed();
+    let program = Program::start_with_descriptors(&config, sockets);
+    feed.accept_subscription();
     let mut conn = first.accept();
-    drop(feed.stream_taken());
+    drop(feed.take_subscription());
     // Discovery is away, and each that has said something once stays.
     drop(feed);
     let mut idle: Vec<Client> = Vec::new();
     for _ in 0..sockets {
         let mut client = program.client();
-        if client.test() {
+        if client.health_check() {
             idle.push(client);
         }
     }
@@ -605,15 +622,15 @@
         "{}",
         program.descriptors()
     );
-    let mut feed = Feed::at(address);
-    feed.subscribed();
+    let mut feed = Feed::bind(address);
+    feed.accept_subscription();
     let hosts: Vec<Host> = (1..40)
         .map(|n| Host::new(&format!("h{n}"), "south"))
         .collect();
     let mut entries: Vec<_> = hosts.iter().map(|host| host.entry("up", 0)).collect();
     entries.push(first.entry("draining", 0));
-    feed.tell(&event(2, true, entries));
-    let mut conns: Vec<HostConn> = hosts.iter().map(Host::accept).collect();
+    feed.send(&endpoint_event(2, UpdateKind::Complete, entries));
+    let mut conns: Vec<HostConnection> = hosts.iter().map(Host::accept).collect();
     assert!(
         program.descriptors() < sockets as usize,
         "{}",
@@ -625,10 +642,10 @@
         program.log()
     );
     let mut client = known(&program);
-    client.set_up(1, &ask(1));
-    let (at, id) = offered(&mut conns);
-    conns[at].up(&id);
-    assert_eq!(client.read().kind, 9);
+    client.request_task(1, &ask(1));
+    let (at, id) = next_offer(&mut conns);
+    conns[at].report_running(&id);
+    assert_eq!(client.expect_message().kind, 9);
     assert!(conn.read_within(Duration::from_millis(20)).is_none());
 }
 
@@ -636,45 +653,45 @@
 
 #[test]
 fn a_set_up_that_is_half_read_when_the_process_is_to_end_is_answered() {
-    let (mut program, _feed, _hosts, mut conns) = start(1);
+    let (mut program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = known(&program);
-    let whole = set_up(1, &ask(1), "half");
+    let whole = encode_task_request(1, &ask(1), "half");
     let (half, rest) = whole.split_at(whole.len() / 2);
-    client.say(half);
-    assert!(known(&program).test());
+    client.send(half);
+    assert!(known(&program).health_check());
     program.terminate();
-    program.logged("closing");
-    client.say(rest);
-    assert_eq!(conns[0].offer(), hex(1));
-    conns[0].up(&hex(1));
-    assert_eq!(client.read().kind, 9);
+    program.wait_for_log("closing");
+    client.send(rest);
+    assert_eq!(conns[0].expect_offer(), hex(1));
+    conns[0].report_running(&hex(1));
+    assert_eq!(client.expect_message().kind, 9);
     // Told a second time, and with a configuration that can't be read, it ends as it would have.
     program.terminate();
     program.reload("{");
-    program.logged("configuration not read again");
-    assert!(program.exit().success());
+    program.wait_for_log("configuration not read again");
+    assert!(program.wait_exit().success());
 }
 
 // The end of a task is heard while the process ends, and told before it has.
 #[test]
 fn the_end_of_a_task_that_comes_while_the_process_ends_is_told() {
-    let (mut program, _feed, _hosts, mut conns) = start(1);
+    let (mut program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = known(&program);
-    client.set_up(1, &ask(1));
-    let id = conns[0].offer();
-    conns[0].up(&id);
-    assert_eq!(client.read().kind, 9);
+    client.request_task(1, &ask(1));
+    let id = conns[0].expect_offer();
+    conns[0].report_running(&id);
+    assert_eq!(client.expect_message().kind, 9);
     program.terminate();
-    program.logged("closing");
-    program.stopped(|| conns[0].down(&id, 16, ""));
-    let end = client.read();
+    program.wait_for_log("closing");
+    program.while_stopped(|| conns[0].report_ended(&id, 16, ""));
+    let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 16));
-    assert!(program.exit().success());
+    assert!(program.wait_exit().success());
 }
 
 /// A program whose configuration is a pipe: it has begun to read it once the pipe can be opened for writing.
 fn start_on_a_pipe(config: &simd_json::OwnedValue) -> (Program, std::path::PathBuf) {
-    let pipe = scratch("pipe");
+    let pipe = temp_path("pipe");
     let made = std::process::Command::new("mkfifo").arg(&pipe).status();
     assert!(made.expect("mkfifo runs").success());
     (
@@ -690,7 +707,7 @@
 fn a_process_that_is_to_end_while_it_starts_ends_in_order() {
     let feed = Feed::new();
     let host = Host::new("h0", "north");
-    let config = config(&feed, vec![host.entry("up", 0)]);
+    let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     let (mut program, pipe) = start_on_a_pipe(&config);
     let mut file = OpenOptions::new()
         .write(true)
@@ -702,12 +719,12 @@
     drop(file);
     // Who connects meanwhile is answered.
     let mut client = program.client();
-    client.set_up(1, &ask(1));
+    client.request_task(1, &ask(1));
     let mut conn = host.accept();
-    let id = conn.offer();
-    conn.up(&id);
-    assert_eq!(client.read().kind, 9);
-    assert!(program.exit().success());
+    let id = conn.expect_offer();
+    conn.report_running(&id);
+    assert_eq!(client.expect_message().kind, 9);
+    assert!(program.wait_exit().success());
     let _ = std::fs::remove_file(&pipe);
 }
 
@@ -716,9 +733,9 @@
 fn in_a_flood_every_set_up_gets_its_one_answer_in_time() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
-    let config = config(&feed, vec![host.entry("up", 0)]);
+    let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     let program = Program::start(&config);
-    feed.subscribed();
+    feed.accept_subscription();
     let _conn = host.accept();
     let mut good: Vec<Client> = (0..20).map(|_| known(&program)).collect();
     let mut bad: Vec<Client> = (0..20).map(|_| known(&program)).collect();
@@ -727,9 +744,9 @@
     for n in 0..30 {
         for (at, client) in good.iter_mut().enumerate() {
             let id = 1 + at as u64 * 100 + n;
-            client.set_up(
+            client.request_task(
                 id,
-                &Ask {
+                &TaskRequest {
                     wait_ms: 900,
                     ..ask(id)
                 },
@@ -741,7 +758,7 @@
     }
     let sent = start.elapsed();
     for client in &mut good {
-        let mut ids: Vec<u64> = (0..30).map(|_| client.read().id).collect();
+        let mut ids: Vec<u64> = (0..30).map(|_| client.expect_message().id).collect();
         ids.sort_unstable();
         ids.dedup();
         assert_eq!(ids.len(), 30);
@@ -750,7 +767,7 @@
             "{:?} {sent:?}",
             start.elapsed()
         );
-        assert!(client.test());
+        assert!(client.health_check());
     }
 }
 
@@ -759,26 +776,29 @@
 fn where_clients_wait_for_a_short_time_the_process_ends_soon() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
-    let mut config = config(&feed, vec![host.entry("up", 0)]);
+    let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     for class in 0..2 {
         config["settings"]["services"][class]["hard_limit"] = json!(200.0);
         config["settings"]["services"][class]["aim"] = json!(100.0);
     }
     let mut program = Program::start(&config);
-    feed.subscribed();
+    feed.accept_subscription();
     let mut client = known(&program);
     let told = Instant::now();
     program.terminate();
-    program.logged("closing");
-    client.set_up(
+    program.wait_for_log("closing");
+    client.request_task(
         1,
-        &Ask {
+        &TaskRequest {
             wait_ms: 200,
             ..ask(1)
         },
     );
-    assert_eq!((client.read().kind, client.next_message()), (12, None));
-    assert!(program.exit().success());
+    assert_eq!(
+        (client.expect_message().kind, client.next_message()),
+        (12, None)
+    );
+    assert!(program.wait_exit().success());
     assert!(
         told.elapsed() < Duration::from_millis(900),
         "{:?}",
@@ -791,7 +811,7 @@
 fn a_signal_to_read_the_configuration_again_does_not_end_a_process_that_starts() {
     let feed = Feed::new();
     let host = Host::new("h0", "north");
-    let config = config(&feed, vec![host.entry("up", 0)]);
+    let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     let (mut program, pipe) = start_on_a_pipe(&config);
     let write = |file: std::io::Result<std::fs::File>| {
         file.and_then(|mut file| file.write_all(config.encode().as_bytes()))
@@ -804,7 +824,7 @@
     // Once it listens it has read the file, and what it has to read again waits for a writer.
     let mut client = program.client();
     write(open());
-    program.logged("configuration read again");
-    assert!(client.test() && program.runs());
+    program.wait_for_log("configuration read again");
+    assert!(client.health_check() && program.is_running());
     let _ = std::fs::remove_file(&pipe);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,6 +1,6 @@
 //! The program among fleets that are large against what it may hold.
 
-use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
+use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
 use emulator::*;
 use simd_json::{OwnedValue, json};
 use std::io::{ErrorKind, Write};
@@ -11,29 +11,29 @@
 /// A placer among hosts that run by themselves.
 struct Fleet {
     program: Program,
-    _feed: LiveFeed,
-    _hosts: Vec<LiveHost>,
-    _books: Arc<Mutex<Books>>,
+    _feed: EmulatedFeed,
+    _hosts: Vec<EmulatedHost>,
+    _books: Arc<Mutex<HostRecords>>,
 }
 
 impl Fleet {
     /// With so many hosts and descriptors; the system holds the program to them, too.
-    fn start(hosts: usize, sockets: u32, habits: &Habits) -> Fleet {
-        let books: Arc<Mutex<Books>> = Arc::default();
+    fn start(hosts: usize, sockets: u32, habits: &HostBehavior) -> Fleet {
+        let books: Arc<Mutex<HostRecords>> = Arc::default();
         let host = |n: usize| {
-            LiveHost::start(
+            EmulatedHost::start(
                 &format!("h{n}"),
                 ["north", "south"][n % 2],
                 habits.clone(),
                 books.clone(),
             )
         };
-        let hosts: Vec<LiveHost> = (0..hosts).map(host).collect();
-        let feed = LiveFeed::start();
+        let hosts: Vec<EmulatedHost> = (0..hosts).map(host).collect();
+        let feed = EmulatedFeed::start();
         let entries = hosts.iter().map(|host| host.entry("up")).collect();
-        let mut config = deployment("n1", 0, 1, &feed.address(), entries);
+        let mut config = placer_config("n1", 0, 1, &feed.address(), entries);
         config["limits"] = json!({ "cores": 1.0, "memory_mb": 32, "sockets": sockets });
-        let program = Program::start_with(&config, sockets);
+        let program = Program::start_with_descriptors(&config, sockets);
         Fleet {
             program,
             _feed: feed,
@@ -47,24 +47,24 @@
 // closed with their set-ups unread.
 #[test]
 fn clients_may_hold_their_third_of_the_descriptors_whatever_the_fleet() {
-    let habits = Habits {
-        start: Duration::from_millis(300),
-        life: Duration::from_secs(60),
-        room: 1_000,
+    let habits = HostBehavior {
+        start_time: Duration::from_millis(300),
+        run_time: Duration::from_secs(60),
+        capacity: 1_000,
     };
     let fleet = Fleet::start(40, 160, &habits);
     let mut clients: Vec<Client> = (0..53).map(|_| fleet.program.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
-        client.set_up(
+        client.request_task(
             n as u64 + 1,
-            &Ask {
+            &TaskRequest {
                 service: n as u64,
-                ..QUICK
+                ..IDEMPOTENT_TASK
             },
         );
     }
     for client in &mut clients {
-        assert_eq!(client.read().kind, 9);
+        assert_eq!(client.expect_message().kind, 9);
     }
     assert!(fleet.program.descriptors() < 160);
 }
@@ -72,38 +72,38 @@
 // One that comes while all others are busy has sent its set-up already: closed unread, that is lost.
 #[test]
 fn a_connection_beyond_the_budget_waits_for_one_that_is_answered() {
-    let habits = Habits {
-        start: Duration::from_millis(300),
-        life: Duration::from_secs(60),
-        room: 1_000,
+    let habits = HostBehavior {
+        start_time: Duration::from_millis(300),
+        run_time: Duration::from_secs(60),
+        capacity: 1_000,
     };
     let fleet = Fleet::start(1, 40, &habits);
     let busy = |n: u64| {
         let mut client = fleet.program.client();
-        client.set_up(
+        client.request_task(
             n + 1,
-            &Ask {
+            &TaskRequest {
                 service: n,
-                ..QUICK
+                ..IDEMPOTENT_TASK
             },
         );
         client
     };
     let mut clients: Vec<Client> = (0..16).map(busy).collect();
     for client in &mut clients {
-        assert_eq!(client.read().kind, 9);
+        assert_eq!(client.expect_message().kind, 9);
     }
-    fleet.program.logged("connection waits");
+    fleet.program.wait_for_log("connection waits");
 }
 
 // Seven in ten placers that come back at once meet all clients at once. While the program is stopped the
 // connections wait in the system's queue, whose length is the program's to ask for.
 #[test]
 fn hundreds_that_come_at_once_are_all_taken_and_answered() {
-    let habits = Habits {
-        start: Duration::from_millis(20),
-        life: Duration::from_secs(60),
-        room: 1_000,
+    let habits = HostBehavior {
+        start_time: Duration::from_millis(20),
+        run_time: Duration::from_secs(60),
+        capacity: 1_000,
     };
     let fleet = Fleet::start(40, 1_024, &habits);
     drop(fleet.program.client());
@@ -113,13 +113,13 @@
         let mut client = Client(stream.expect("it waits in the queue"));
         client
             .0
-            .set_read_timeout(Some(LIMIT))
+            .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("a socket option");
-        client.set_up(
+        client.request_task(
             n + 1,
-            &Ask {
+            &TaskRequest {
                 service: n,
-                ..QUICK
+                ..IDEMPOTENT_TASK
             },
         );
         client
@@ -127,7 +127,7 @@
     let mut clients: Vec<Client> = (0..400).map(comes).collect();
     fleet.program.signal("-CONT");
     for client in &mut clients {
-        assert_eq!(client.read().kind, 9);
+        assert_eq!(client.expect_message().kind, 9);
     }
 }
 
@@ -135,42 +135,44 @@
 // after the process could end, and those that were beyond the budget until then are still there.
 #[test]
 fn at_the_end_nothing_is_left_in_the_accept_queue() {
-    let habits = Habits {
-        start: Duration::from_millis(1_100),
-        life: Duration::from_secs(60),
-        room: 1_000,
+    let habits = HostBehavior {
+        start_time: Duration::from_millis(1_100),
+        run_time: Duration::from_secs(60),
+        capacity: 1_000,
     };
     let mut fleet = Fleet::start(3, 36, &habits);
     let mut waiting: Vec<Client> = (0..12).map(|_| fleet.program.client()).collect();
     // The first eight fill the budget, and their set-ups come together.
     for (n, client) in waiting.iter_mut().enumerate() {
-        client.set_up(
+        client.request_task(
             n as u64 + 1,
-            &Ask {
+            &TaskRequest {
                 service: n as u64,
-                ..QUICK
+                ..IDEMPOTENT_TASK
             },
         );
     }
     fleet.program.terminate();
     for client in &mut waiting {
-        assert_eq!(client.read().kind, 9);
+        assert_eq!(client.expect_message().kind, 9);
     }
-    assert!(fleet.program.exit().success());
+    assert!(fleet.program.wait_exit().success());
 }
 
 // A process that ends with unread input resets the connection, and an answer on its way may go with it.
 #[test]
 fn at_the_end_connections_are_closed_and_not_reset() {
-    let habits = Habits {
-        start: Duration::from_millis(20),
-        life: Duration::from_secs(60),
-        room: 1_000,
+    let habits = HostBehavior {
+        start_time: Duration::from_millis(20),
+        run_time: Duration::from_secs(60),
+        capacity: 1_000,
     };
     let mut fleet = Fleet::start(1, 256, &habits);
     let mut clients: Vec<Client> = (0..20).map(|_| fleet.program.client()).collect();
-    assert!(clients.iter_mut().all(Client::test));
-    let flood: Vec<u8> = (0..2_000).flat_map(|_| bytes(16, 77, &[])).collect();
+    assert!(clients.iter_mut().all(Client::health_check));
+    let flood: Vec<u8> = (0..2_000)
+        .flat_map(|_| encode_message(16, 77, &[]))
+        .collect();
     clients
         .iter()
         .for_each(|client| client.0.set_nonblocking(true).expect("a socket option"));
@@ -190,7 +192,7 @@
             !ended
         });
     }
-    assert!(fleet.program.exit().success());
+    assert!(fleet.program.wait_exit().success());
 }
 
 // Hundreds of placers that call all hosts at their start, and again whenever one is lost, make more
@@ -199,31 +201,33 @@
 fn where_connections_have_a_price_a_host_is_called_for_what_it_is_offered() {
     let mut feed = Feed::new();
     let hosts = [Host::new("h0", "north"), Host::new("h1", "south")];
-    let mut config = config(
+    let mut config = single_placer_config(
         &feed,
         hosts.iter().map(|host| host.entry("up", 0)).collect(),
     );
     config["settings"]["prices"] = json!({ "fleet": 0.15, "moves": 0.07, "handshake": 0.05 });
     let program = Program::start(&config);
-    feed.subscribed();
+    feed.accept_subscription();
     let mut client = program.client();
-    assert!(client.test());
+    assert!(client.health_check());
     assert!(
         hosts
             .iter()
-            .all(|host| host.accept_within(QUIET / 2).is_none())
+            .all(|host| host.accept_within(QUIET_PERIOD / 2).is_none())
     );
-    client.set_up(1, &QUICK);
-    let mut conn = until("a call", || {
-        hosts.iter().find_map(|host| host.accept_within(QUIET / 20))
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let mut conn = wait_for("a call", || {
+        hosts
+            .iter()
+            .find_map(|host| host.accept_within(QUIET_PERIOD / 20))
     });
-    assert_eq!(conn.offer(), hex(1));
-    conn.up(&hex(1));
-    assert_eq!(client.read().kind, 9);
+    assert_eq!(conn.expect_offer(), hex(1));
+    conn.report_running(&hex(1));
+    assert_eq!(client.expect_message().kind, 9);
     assert!(
         hosts
             .iter()
-            .all(|host| host.accept_within(QUIET / 2).is_none())
+            .all(|host| host.accept_within(QUIET_PERIOD / 2).is_none())
     );
 }
 
@@ -244,17 +248,17 @@
     hosts
         .push(json!({ "host": "odd", "dial": "nowhere", "site": "north", "class": "plain", "health": "up" }));
     hosts.push(real.entry("up", 0));
-    let mut config = deployment("n1023", 1_023, 1_024, &feed.address(), hosts);
+    let mut config = placer_config("n1023", 1_023, 1_024, &feed.address(), hosts);
     config["settings"]["prices"] = json!({ "handshake": 0.05 });
     config["limits"] = json!({ "cores": 1.0, "memory_mb": 48, "sockets": 256 });
-    let program = Program::start_with(&config, 256);
+    let program = Program::start_with_descriptors(&config, 256);
     let mut client = program.client();
-    assert!(client.test());
+    assert!(client.health_check());
     // Only the last host has room.
-    client.set_up(1, &QUICK);
+    client.request_task(1, &IDEMPOTENT_TASK);
     let mut conn = real.accept();
-    assert_eq!(conn.offer(), hex(1));
-    conn.up(&hex(1));
-    assert_eq!(client.read().kind, 9);
-    program.logged("entry set aside host=\"odd\" reason=bad-field:dial");
+    assert_eq!(conn.expect_offer(), hex(1));
+    conn.report_running(&hex(1));
+    assert_eq!(client.expect_message().kind, 9);
+    program.wait_for_log("entry set aside host=\"odd\" reason=bad-field:dial");
 }
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -1,10 +1,10 @@
 //! One placer's fronts for balancers and operators, on real sockets, with peers that misbehave.
 
-use emulator::host_emulator::{Books, Habits, LiveFeed, LiveHost};
-use emulator::load_balancer::clients::ask_agent;
+use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
+use emulator::load_balancer::polling::query_agent;
 use emulator::{
-    Client, Feed, Host, HostConn, Launch, Program, QUICK, binary, config, free_address, hex,
-    scratch, until,
+    Client, Feed, Host, HostConnection, IDEMPOTENT_TASK, Launch, Program, binary, free_address,
+    hex, single_placer_config, temp_path, wait_for,
 };
 use simd_json::prelude::*;
 use std::io::{Read, Write};
@@ -21,7 +21,7 @@
     program: Program,
     feed: Feed,
     hosts: Vec<Host>,
-    conns: Vec<HostConn>,
+    conns: Vec<HostConnection>,
     agent: SocketAddr,
     http: SocketAddr,
     socket: PathBuf,
@@ -31,18 +31,18 @@
 fn start(drain: &str) -> Fronts {
     let mut feed = Feed::new();
     let hosts = vec![Host::new("h0", "north")];
-    let (agent, http, socket) = (free_address(), free_address(), scratch("sock"));
+    let (agent, http, socket) = (free_address(), free_address(), temp_path("sock"));
     let operator = format!(
         "[health]\nagent = [\"{agent}\"]\nhttp = [\"{http}\"]\n[health.weight]\nslow-start = \"200ms\"\nrise = \"1s\"\n\
          [drain]\nenabled = true\n{drain}\n[ctl]\nsocket = \"{}\"\n",
         socket.display()
     );
     let entries = hosts.iter().map(|host| host.entry("up", 0)).collect();
-    let program = Launch::new(&config(&feed, entries))
-        .operator(&operator)
+    let program = Launch::new(&single_placer_config(&feed, entries))
+        .operator_file(&operator)
         .start();
-    assert_eq!(feed.subscribed(), 1);
-    feed.tell(&simd_json::json!({ "n": 1 }));
+    assert_eq!(feed.accept_subscription(), 1);
+    feed.send(&simd_json::json!({ "n": 1 }));
     let conns = hosts.iter().map(Host::accept).collect();
     Fronts {
         program,
@@ -56,7 +56,7 @@
 }
 
 fn agent(address: SocketAddr) -> String {
-    ask_agent(address, "t\n", 5 * SECOND).unwrap_or_default()
+    query_agent(address, "t\n", 5 * SECOND).unwrap_or_default()
 }
 
 /// Sends bytes and reads to the end, or until nothing comes.
@@ -99,7 +99,7 @@
 #[test]
 fn agents_and_http_checks_follow_the_state_from_start_to_drain_and_back() {
     let mut fronts = start("");
-    until("it is up", || {
+    wait_for("it is up", || {
         agent(fronts.agent)
             .starts_with("up ready 100%")
             .then_some(())
@@ -112,7 +112,7 @@
         "{health}"
     );
     let mut client = fronts.program.client();
-    assert!(client.test());
+    assert!(client.health_check());
     let (done, said) = ctl(&fronts.socket, &["drain"]);
     assert!(done && said.starts_with("drain"), "{said}");
     assert_eq!(agent(fronts.agent), "up drain # finishing what was taken\n");
@@ -125,18 +125,18 @@
         get(fronts.http, "/livez").starts_with("HTTP/1.1 200"),
         "it lives, and must not be killed for draining"
     );
-    assert!(!client.test(), "nor do clients' tests pass");
+    assert!(!client.health_check(), "nor do clients' tests pass");
     // New work that still comes is placed.
-    client.set_up(1, &QUICK);
-    assert_eq!(fronts.conns[0].offer(), hex(1));
-    fronts.conns[0].up(&hex(1));
-    assert_eq!(client.read().kind, 9);
+    client.request_task(1, &IDEMPOTENT_TASK);
+    assert_eq!(fronts.conns[0].expect_offer(), hex(1));
+    fronts.conns[0].report_running(&hex(1));
+    assert_eq!(client.expect_message().kind, 9);
     assert!(ctl(&fronts.socket, &["ready"]).0);
     assert!(
         agent(fronts.agent).starts_with("up ready "),
         "taken back by name"
     );
-    assert!(client.test());
+    assert!(client.health_check());
     assert!(ctl(&fronts.socket, &["maint"]).0);
     assert_eq!(agent(fronts.agent), "maint # by order\n");
     assert!(ctl(&fronts.socket, &["ready"]).0);
@@ -155,7 +155,7 @@
         history.ends_with(&["told-drain", "told-ready", "told-maint", "told-ready"]),
         "{history:?}"
     );
-    assert!(fronts.program.runs() && fronts.feed.address() != fronts.hosts[0].name);
+    assert!(fronts.program.is_running() && fronts.feed.address() != fronts.hosts[0].name);
 }
 
 #[test]
@@ -208,14 +208,14 @@
         0,
         "closed with no answer"
     );
-    fronts.program.logged("reason=late");
+    fronts.program.wait_for_log("reason=late");
 }
 
 #[test]
 fn an_agents_balancer_may_say_a_line_first_or_nothing_and_may_not_say_much() {
     let fronts = start("");
     for line in ["", "front/p1\n", "front/p1\r\n"] {
-        let answer = ask_agent(fronts.agent, line, 5 * SECOND).unwrap_or_default();
+        let answer = query_agent(fronts.agent, line, 5 * SECOND).unwrap_or_default();
         assert!(answer.starts_with("up ready "), "{line:?}: {answer:?}");
     }
     for bad in [&[0xff, b'\n'][..], &[b'x'; 600]] {
@@ -228,7 +228,7 @@
         let _ = stream.read_to_end(&mut answer);
         assert!(answer.is_empty(), "{bad:?}");
     }
-    fronts.program.logged("reason=malformed");
+    fronts.program.wait_for_log("reason=malformed");
 }
 
 #[test]
@@ -251,12 +251,12 @@
     assert!(held <= before + 40, "{before} to {held}");
     let mut client = fronts.program.client();
     let begun = Instant::now();
-    client.set_up(1, &QUICK);
-    assert_eq!(fronts.conns[0].offer(), hex(1));
-    fronts.conns[0].up(&hex(1));
-    assert_eq!(client.read().kind, 9);
+    client.request_task(1, &IDEMPOTENT_TASK);
+    assert_eq!(fronts.conns[0].expect_offer(), hex(1));
+    fronts.conns[0].report_running(&hex(1));
+    assert_eq!(client.expect_message().kind, 9);
     assert!(begun.elapsed() < SECOND, "{:?}", begun.elapsed());
-    fronts.program.logged("reason=shed");
+    fronts.program.wait_for_log("reason=shed");
     drop(silent);
 }
 
@@ -267,7 +267,7 @@
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address");
     let feed = Feed::new();
-    let config = config(&feed, vec![]);
+    let config = single_placer_config(&feed, vec![]);
     for (operator, says) in [
         (
             format!("[health]\nagent = [\"{address}\"]\n"),
@@ -293,7 +293,7 @@
             "is where clients connect",
         ),
     ] {
-        let out = Launch::new(&config).operator(&operator).output();
+        let out = Launch::new(&config).operator_file(&operator).output();
         let said = String::from_utf8(out.stderr).expect("text");
         assert!(
             !out.status.success() && said.contains(says),
@@ -305,9 +305,9 @@
 #[test]
 fn check_prints_what_holds_and_where_it_came_from_or_every_error() {
     let feed = Feed::new();
-    let good = config(&feed, vec![]);
+    let good = single_placer_config(&feed, vec![]);
     let out = Launch::new(&good)
-        .operator("[drain]\nenabled = true\nnotice = \"3s\"\n")
+        .operator_file("[drain]\nenabled = true\nnotice = \"3s\"\n")
         .args(&["check"])
         .output();
     let said = String::from_utf8(out.stdout).expect("text");
@@ -324,7 +324,10 @@
         "{said}"
     );
     let bad = "[drain]\nnotice = 5\nsettel = \"1s\"\n[log]\nlevel = \"loud\"\n";
-    let out = Launch::text("{}").operator(bad).args(&["check"]).output();
+    let out = Launch::from_text("{}")
+        .operator_file(bad)
+        .args(&["check"])
+        .output();
     let said = String::from_utf8(out.stderr).expect("text");
     assert_eq!(out.status.code(), Some(2));
     assert_eq!(said.lines().count(), 4, "{said}");
@@ -341,13 +344,13 @@
 #[test]
 fn the_socket_for_orders_is_its_owners_alone_and_one_left_behind_is_replaced() {
     use std::os::unix::fs::PermissionsExt;
-    let socket = scratch("sock");
+    let socket = temp_path("sock");
     // What a killed process leaves.
     drop(std::os::unix::net::UnixListener::bind(&socket).expect("a socket"));
     let feed = Feed::new();
     let operator = format!("[ctl]\nsocket = \"{}\"\n", socket.display());
-    let mut program = Launch::new(&config(&feed, vec![]))
-        .operator(&operator)
+    let mut program = Launch::new(&single_placer_config(&feed, vec![]))
+        .operator_file(&operator)
         .start();
     drop(program.client());
     let mode = std::fs::metadata(&socket)
@@ -356,8 +359,8 @@
         .mode();
     assert_eq!(mode & 0o777, 0o600);
     // A second placer does not take it away.
-    let out = Launch::new(&config(&feed, vec![]))
-        .operator(&operator)
+    let out = Launch::new(&single_placer_config(&feed, vec![]))
+        .operator_file(&operator)
         .output();
     assert!(String::from_utf8_lossy(&out.stderr).contains("another process answers there"));
     assert!(ctl(&socket, &["state"]).0);
@@ -388,7 +391,7 @@
     );
     // Without [drain] SIGTERM ends it as without a file, and the socket goes with it.
     program.terminate();
-    assert_eq!(program.exit().code(), Some(0));
+    assert_eq!(program.wait_exit().code(), Some(0));
     assert!(!socket.exists());
 }
 
@@ -397,61 +400,61 @@
 #[test]
 fn a_second_signal_ends_a_drain_as_sigterm_does_without_one() {
     let mut fronts = start("notice = \"60s\"\nsettle = \"1s\"");
-    until("polled", || {
+    wait_for("polled", || {
         agent(fronts.agent)
             .starts_with("up ready 100%")
             .then_some(())
     });
     let mut client = fronts.program.client();
-    client.set_up(1, &QUICK);
-    let id = fronts.conns[0].offer();
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let id = fronts.conns[0].expect_offer();
     fronts.program.terminate();
-    until("draining", || {
+    wait_for("draining", || {
         agent(fronts.agent).starts_with("up drain").then_some(())
     });
     fronts.program.terminate();
     // The host never answers: the module gives the ask up in time for the end.
-    let answer = client.read();
+    let answer = client.expect_message();
     assert_eq!((answer.kind, answer.id, answer.cause()), (12, 1, 42));
     assert_eq!(
         fronts.conns[0].expect("down").get_str("ref"),
         Some(id.as_str())
     );
-    assert_eq!(fronts.program.exit_within(8 * SECOND).code(), Some(0));
+    assert_eq!(fronts.program.wait_exit_within(8 * SECOND).code(), Some(0));
     assert!(fronts.program.log().contains("reason=\"second-signal\""));
 }
 
 #[test]
 fn a_drain_is_taken_back_by_ready_also_after_sigterm_and_goes_on_where_it_is_not() {
     let mut fronts = start("notice = \"60s\"\nsettle = \"30s\"");
-    until("polled", || {
+    wait_for("polled", || {
         agent(fronts.agent)
             .starts_with("up ready 100%")
             .then_some(())
     });
     fronts.program.terminate();
-    until("draining", || {
+    wait_for("draining", || {
         agent(fronts.agent).starts_with("up drain").then_some(())
     });
     assert!(ctl(&fronts.socket, &["ready"]).0);
     assert!(agent(fronts.agent).starts_with("up ready"));
     // Well beyond where a drain with nobody polling would have ended.
     std::thread::sleep(3 * SECOND);
-    assert!(fronts.program.runs());
+    assert!(fronts.program.is_running());
     let mut client = fronts.program.client();
-    client.set_up(1, &QUICK);
-    assert_eq!(fronts.conns[0].offer(), hex(1));
-    fronts.conns[0].up(&hex(1));
-    assert_eq!(client.read().kind, 9);
+    client.request_task(1, &IDEMPOTENT_TASK);
+    assert_eq!(fronts.conns[0].expect_offer(), hex(1));
+    fronts.conns[0].report_running(&hex(1));
+    assert_eq!(client.expect_message().kind, 9);
 }
 
 #[test]
 fn a_drain_during_the_start_or_with_the_feed_down_ends_all_the_same() {
     let mut fronts = start("settle = \"100ms\"\nquiet = \"300ms\"");
-    drop(fronts.feed.stream_taken());
+    drop(fronts.feed.take_subscription());
     drop(fronts.feed);
     fronts.program.terminate();
-    assert_eq!(fronts.program.exit().code(), Some(0));
+    assert_eq!(fronts.program.wait_exit().code(), Some(0));
     let log = fronts.program.log();
     assert!(
         log.contains("from=starting to=drain") && log.contains("from=drain to=stopped"),
@@ -467,29 +470,29 @@
         fronts.program.client(),
         fronts.program.client(),
     );
-    assert!(idle.test());
+    assert!(idle.health_check());
     for (client, id) in [(&mut standing, 1), (&mut busy, 2)] {
-        client.set_up(id, &QUICK);
-        assert_eq!(fronts.conns[0].offer(), hex(id));
+        client.request_task(id, &IDEMPOTENT_TASK);
+        assert_eq!(fronts.conns[0].expect_offer(), hex(id));
     }
-    fronts.conns[0].up(&hex(1));
-    assert_eq!(standing.read().kind, 9);
+    fronts.conns[0].report_running(&hex(1));
+    assert_eq!(standing.expect_message().kind, 9);
     fronts.program.terminate();
     assert_eq!(idle.next_message(), None, "closed politely");
     // What was taken is still answered, and its end told on the connection that is kept for it.
-    fronts.conns[0].up(&hex(2));
-    assert_eq!(busy.read().kind, 9);
+    fronts.conns[0].report_running(&hex(2));
+    assert_eq!(busy.expect_message().kind, 9);
     // Two that came later are closed before it: sweeps have passed that left it.
     for _ in 0..2 {
         let mut later = fronts.program.client();
-        assert!(!later.test(), "a placer that drains passes no test");
+        assert!(!later.health_check(), "a placer that drains passes no test");
         assert_eq!(later.next_message(), None);
     }
-    fronts.conns[0].down(&hex(2), 16, "");
-    let end = busy.read();
+    fronts.conns[0].report_ended(&hex(2), 16, "");
+    let end = busy.expect_message();
     assert_eq!((end.id, end.cause()), (2, 16));
-    busy.heard(2);
-    assert_eq!(fronts.program.exit().code(), Some(0));
+    busy.acknowledge_end(2);
+    assert_eq!(fronts.program.wait_exit().code(), Some(0));
     let log = fronts.program.log();
     assert!(
         log.contains(&format!("left standing task={}", hex(1)))
@@ -504,7 +507,7 @@
     let mut fronts = start("settle = \"100ms\"\nquiet = \"300ms\"\nstanding = \"3s\"");
     let mut deaf = fronts.program.client();
     // Answers to tests fill its connection until nothing more goes.
-    let test = emulator::bytes(52, 0xfe, &[(171, &[0])]);
+    let test = emulator::encode_message(52, 0xfe, &[(171, &[0])]);
     deaf.0.set_nonblocking(true).expect("a socket option");
     let begun = Instant::now();
     while begun.elapsed() < 2 * SECOND {
@@ -514,7 +517,7 @@
     }
     fronts.program.terminate();
     assert_eq!(
-        fronts.program.exit_within(20 * SECOND).code(),
+        fronts.program.wait_exit_within(20 * SECOND).code(),
         Some(0),
         "{}",
         fronts.program.log()
@@ -527,7 +530,7 @@
 fn chatter(program: &Program, lines: usize) {
     for _ in 0..lines {
         let mut client = Client::connect(program.address).expect("it listens");
-        client.say(&[0, 1, 0]);
+        client.send(&[0, 1, 0]);
         let _ = client.next_message();
     }
 }
@@ -535,15 +538,15 @@
 #[test]
 fn a_log_that_nobody_reads_or_that_is_closed_stops_nothing() {
     for closed in [false, true] {
-        let books: Arc<Mutex<Books>> = Arc::default();
-        let habits = Habits {
-            start: Duration::from_millis(5),
-            life: SECOND,
-            room: 100,
+        let books: Arc<Mutex<HostRecords>> = Arc::default();
+        let habits = HostBehavior {
+            start_time: Duration::from_millis(5),
+            run_time: SECOND,
+            capacity: 100,
         };
-        let host = LiveHost::start("h0", "north", habits, books);
-        let feed = LiveFeed::start();
-        let config = emulator::deployment("n0", 0, 1, &feed.address(), vec![host.entry("up")]);
+        let host = EmulatedHost::start("h0", "north", habits, books);
+        let feed = EmulatedFeed::start();
+        let config = emulator::placer_config("n0", 0, 1, &feed.address(), vec![host.entry("up")]);
         let (reader, writer) = std::io::pipe().expect("a pipe");
         let reader = if closed {
             drop(reader);
@@ -552,16 +555,16 @@
             Some(reader)
         };
         let mut program = Launch::new(&config)
-            .operator("[log]\nqueue-bytes = 4096\n")
+            .operator_file("[log]\nqueue-bytes = 4096\n")
             .log_to(Stdio::from(writer))
             .start();
         drop(program.client());
         // More than the pipe and the queue hold.
         chatter(&program, 1_500);
         let mut client = program.client();
-        client.set_up(1, &QUICK);
-        assert_eq!(client.read().kind, 9);
-        assert!(client.test());
+        client.request_task(1, &IDEMPOTENT_TASK);
+        assert_eq!(client.expect_message().kind, 9);
+        assert!(client.health_check());
         if let Some(mut reader) = reader {
             // Once it is read again, what was dropped is told.
             let told = std::thread::spawn(move || {
@@ -581,19 +584,19 @@
             );
         }
         program.terminate();
-        assert_eq!(program.exit().code(), Some(0));
+        assert_eq!(program.wait_exit().code(), Some(0));
     }
 }
 
 #[test]
 fn lines_can_be_json() {
     let feed = Feed::new();
-    let mut program = Launch::new(&config(&feed, vec![]))
+    let mut program = Launch::new(&single_placer_config(&feed, vec![]))
         .args(&["serve", "--log-format", "json"])
         .start();
     chatter(program_ready(&program), 1);
     program.terminate();
-    assert_eq!(program.exit().code(), Some(0));
+    assert_eq!(program.wait_exit().code(), Some(0));
     let log = program.log();
     let lines: Vec<simd_json::OwnedValue> = log
         .lines()
--- a/tests/health_loop.rs
+++ b/tests/health_loop.rs
@@ -4,7 +4,7 @@
 //! serve waits, and a loop with work left does not come round. Beside the engine stands the naive rule,
 //! weight = 100 - load, in the same run.
 
-use emulator::load_balancer::{Advice, Balancer};
+use emulator::load_balancer::{AgentReport, LoadBalancer};
 use std::collections::VecDeque;
 use task_placer::health::{Change, Event, Gauges, Health, Settings, State};
 use task_placer::{Detail, Micros, Outcome};
@@ -41,7 +41,7 @@
     rule: Rule,
     now: Micros,
     placers: Vec<Placer>,
-    balancer: Balancer,
+    balancer: LoadBalancer,
     interval: Micros,
     delay: Micros,
     /// Answers on their way into force: when, of which placer, and the weight.
@@ -70,7 +70,7 @@
             rule,
             now,
             placers: (0..placers).map(|_| placer()).collect(),
-            balancer: Balancer::new(placers, 2, 3),
+            balancer: LoadBalancer::new(placers, 2, 3),
             interval,
             delay: 300_000,
             acts: VecDeque::new(),
@@ -129,11 +129,11 @@
             let Some((_, n, weight)) = self.acts.pop_front() else {
                 break;
             };
-            self.balancer.advised(
+            self.balancer.apply_report(
                 n,
-                Advice {
+                AgentReport {
                     weight: Some(weight),
-                    ..Advice::default()
+                    ..AgentReport::default()
                 },
             );
         }
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -1,6 +1,9 @@
 //! Lists of thousands of hosts, and floods of the feed: what matters in them is acted on at once.
 
-use emulator::{Feed, Host, HostConn, LIMIT, Program, QUIET, config, event, hex, until};
+use emulator::{
+    Feed, Host, HostConnection, Program, QUIET_PERIOD, TEST_TIMEOUT, UpdateKind, endpoint_event,
+    hex, single_placer_config, wait_for,
+};
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
 use std::io::{BufRead, BufReader, Write};
@@ -24,7 +27,7 @@
 /// How many hosts the program says that it knows.
 fn hosts_known(admin: &str) -> Option<u64> {
     let mut stream = TcpStream::connect(admin).ok()?;
-    stream.set_read_timeout(Some(LIMIT)).ok()?;
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
     stream.write_all(b"vars\n").ok()?;
     let mut line = String::new();
     let mut reader = BufReader::new(stream);
@@ -41,39 +44,39 @@
 }
 
 /// A program that may be called, with one host that takes tasks and a feed that it follows.
-fn start() -> (Program, Feed, Host, HostConn, String) {
+fn start() -> (Program, Feed, Host, HostConnection, String) {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
-    let mut config = config(&feed, vec![host.entry("up", 0)]);
+    let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     let admin = emulator::free_address().to_string();
     config.insert("admin", admin.as_str()).expect("an object");
     // Hosts are called when something is wanted of them.
     config["settings"]["prices"] = json!({ "fleet": 0.15, "moves": 0.07, "handshake": 0.01 });
     config["limits"]["sockets"] = json!(256);
     let program = Program::start(&config);
-    assert_eq!(feed.subscribed(), 1);
-    feed.tell(&json!({ "n": 1 }));
+    assert_eq!(feed.accept_subscription(), 1);
+    feed.send(&json!({ "n": 1 }));
     let mut client = program.client();
-    assert!(client.test());
+    assert!(client.health_check());
     let conn = place(&program, &host, 1);
     (program, feed, host, conn, admin)
 }
 
-fn place(program: &Program, host: &Host, id: u64) -> HostConn {
+fn place(program: &Program, host: &Host, id: u64) -> HostConnection {
     let mut client = program.client();
-    client.set_up(
+    client.request_task(
         id,
-        &emulator::Ask {
+        &emulator::TaskRequest {
             class: "quick",
             wait_ms: 6_000,
             service: id,
-            at: None,
+            running_at: None,
         },
     );
     let mut conn = host.accept();
-    assert_eq!(conn.offer(), hex(id));
-    conn.up(&hex(id));
-    assert_eq!(client.read().kind, 9);
+    assert_eq!(conn.expect_offer(), hex(id));
+    conn.report_running(&hex(id));
+    assert_eq!(client.expect_message().kind, 9);
     conn
 }
 
@@ -85,13 +88,13 @@
         let (program, mut feed, host, _conn, admin) = start();
         let mut hosts: Vec<OwnedValue> = (0..count - 1).map(|n| full(n, "up", -40)).collect();
         hosts.push(host.entry("up", 0));
-        let line = event(2, true, hosts);
+        let line = endpoint_event(2, UpdateKind::Complete, hosts);
         assert!(
             line.encode().len() > 1_048_576,
             "the case needs a long line"
         );
-        feed.tell(&line);
-        until("all are known", || {
+        feed.send(&line);
+        wait_for("all are known", || {
             assert!(!program.log().contains("too-long"), "{}", program.log());
             (hosts_known(&admin) == Some(count as u64)).then_some(())
         });
@@ -102,32 +105,36 @@
 #[test]
 fn a_thousand_entries_in_one_line_and_a_thousand_lines_of_one_entry_come_to_the_same() {
     let (program, mut feed, _host, mut conn, admin) = start();
-    feed.tell(&event(
+    feed.send(&endpoint_event(
         2,
-        false,
+        UpdateKind::Delta,
         (0..1_000).map(|n| full(n, "up", -40)).collect(),
     ));
-    until("all are known", || {
+    wait_for("all are known", || {
         (hosts_known(&admin) == Some(1_001)).then_some(())
     });
     for n in 0..1_000 {
-        feed.tell(&event(3 + n as u64, false, vec![full(n, "removed", -40)]));
+        feed.send(&endpoint_event(
+            3 + n as u64,
+            UpdateKind::Delta,
+            vec![full(n, "removed", -40)],
+        ));
     }
-    until("all are gone", || {
+    wait_for("all are gone", || {
         (hosts_known(&admin) == Some(1)).then_some(())
     });
     let mut client = program.client();
-    client.set_up(
+    client.request_task(
         7,
-        &emulator::Ask {
+        &emulator::TaskRequest {
             class: "quick",
             wait_ms: 6_000,
             service: 7,
-            at: None,
+            running_at: None,
         },
     );
     assert_eq!(
-        conn.offer(),
+        conn.expect_offer(),
         hex(7),
         "the host that was not named is as it was"
     );
@@ -140,44 +147,44 @@
     let (program, mut feed, first, mut conn, _admin) = start();
     let second = Host::new("h1", "south");
     let mut number = 1;
-    let mut tell = |feed: &mut Feed, whole: bool, hosts: Vec<OwnedValue>| {
+    let mut send_update = |feed: &mut Feed, kind: UpdateKind, hosts: Vec<OwnedValue>| {
         number += 1;
-        feed.tell(&event(number, whole, hosts));
+        feed.send(&endpoint_event(number, kind, hosts));
     };
     for n in 0..1_500 {
-        tell(&mut feed, false, vec![full(n, "up", -40)]);
+        send_update(&mut feed, UpdateKind::Delta, vec![full(n, "up", -40)]);
     }
     let mut all: Vec<OwnedValue> = (0..1_500).map(|n| full(n, "up", -40)).collect();
     all.push(second.entry("up", 0));
     all.push(first.entry("draining", 0));
-    tell(&mut feed, true, all);
+    send_update(&mut feed, UpdateKind::Complete, all);
     for n in 0..1_500 {
-        tell(&mut feed, false, vec![full(n, "up", -41)]);
+        send_update(&mut feed, UpdateKind::Delta, vec![full(n, "up", -41)]);
     }
     // The grace of a drain is 2 s in these settings; this is far less, and far more than the flood takes.
     std::thread::sleep(Duration::from_millis(1_500));
     let mut client = program.client();
     for id in 100..108 {
-        client.set_up(
+        client.request_task(
             id,
-            &emulator::Ask {
+            &emulator::TaskRequest {
                 class: "once",
                 wait_ms: 6_000,
                 service: id,
-                at: None,
+                running_at: None,
             },
         );
     }
     let mut there = second.accept();
     for id in 100..108 {
         assert_eq!(
-            there.offer(),
+            there.expect_offer(),
             hex(id),
             "offers go to the host that is up, in order"
         );
     }
     assert!(
-        conn.read_within(QUIET)
+        conn.read_within(QUIET_PERIOD)
             .is_none_or(|m| m.get_str("t") != Some("new")),
         "nothing goes to the other"
     );
--- a/tests/overload/model.rs
+++ b/tests/overload/model.rs
@@ -2,7 +2,9 @@
 //! and a late list, joined by one queue of events. No socket, no clock, no thread; the same seed gives the
 //! same run. What a day of it shows is compared, never asserted to the digit.
 
-use emulator::host_model::{Cut, Machine, Offer, Spec, Word};
+use emulator::host_model::{
+    EndReason, HostModel, HostSpec, Offer, Resources, StopOutcome, TaskUpdate, Warmth,
+};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 use std::cmp::Reverse;
@@ -150,7 +152,7 @@
         placer: usize,
         id: u64,
         host: usize,
-        word: Word,
+        word: TaskUpdate,
     },
     Timeout {
         placer: usize,
@@ -200,13 +202,13 @@
 }
 
 struct Host {
-    machine: Machine,
+    machine: HostModel,
     /// Counts the processes in this place; whether one is there, and when it came.
     life: usize,
     dead: bool,
     born: Micros,
     silent: bool,
-    held: Vec<(u64, Word)>,
+    held: Vec<(u64, TaskUpdate)>,
     /// The placer of each offer here.
     of: HashMap<u64, usize>,
     due: Option<Micros>,
@@ -226,22 +228,22 @@
     out: Outcome,
 }
 
-fn spec() -> Spec {
-    Spec {
+fn spec() -> HostSpec {
+    HostSpec {
         cores: 200.0,
         memory: 400.0,
-        look: 8 * MS,
-        queue: 16,
-        starts: 2,
-        start: 60 * MS,
-        cold_start: 1.0,
-        kept: 8,
+        admission_time: 8 * MS,
+        max_queued_offers: 16,
+        max_concurrent_starts: 2,
+        warm_start: 60 * MS,
+        cold_start_factor: 1.0,
+        max_cached_programs: 8,
         preempts: true,
-        cold: 17 * SECOND,
-        cold_from: 0.22,
-        overload: 4.0,
-        bears: 22,
-        drain_pace: 500 * MS,
+        slow_start: 17 * SECOND,
+        slow_start_floor: 0.22,
+        overload_factor: 4.0,
+        always_tolerated_offers: 22,
+        drain_interval: 500 * MS,
     }
 }
 
@@ -341,7 +343,7 @@
             day,
         };
         for _ in 0..model.day.hosts {
-            let machine = Machine::new(spec(), START, false);
+            let machine = HostModel::new(spec(), START, Warmth::Warm);
             model.hosts.push(Host {
                 machine,
                 life: 0,
@@ -397,7 +399,10 @@
 
     fn entries(&self) -> Vec<Entry> {
         let entry = |n: usize| {
-            let [free_cores, free_memory] = self.hosts[n].machine.free();
+            let Resources {
+                cores: free_cores,
+                memory: free_memory,
+            } = self.hosts[n].machine.free();
             let cell = n / self.day.cell.max(1);
             Entry {
                 host: self.host_id(n),
@@ -448,7 +453,7 @@
             } => self.arrives(host, id, placer, offer),
             Ev::Stop { host, id, placer } => {
                 if !self.cut.contains(&(placer, host))
-                    && self.hosts[host].machine.stop(id) == Cut::Running
+                    && self.hosts[host].machine.stop(id) == StopOutcome::Running
                 {
                     self.hosts[host].of.remove(&id);
                 }
@@ -667,8 +672,8 @@
                         cores: 0.5,
                         memory: 0.5,
                         priority: 0,
-                        life: 8 * SECOND,
-                        left: timeout,
+                        run_time: 8 * SECOND,
+                        time_left: timeout,
                     };
                     self.out.offers += 1;
                     self.second(now).offers += 1;
@@ -771,7 +776,7 @@
         }
     }
 
-    fn heard(&mut self, n: usize, id: u64, host: usize, word: Word) -> Option<News> {
+    fn heard(&mut self, n: usize, id: u64, host: usize, word: TaskUpdate) -> Option<News> {
         let ticket = id & 0xff_ffff_ffff;
         let (now, place) = (self.now, self.host_id(host));
         let r = self.placers[n].requests.get_mut(&ticket)?;
@@ -785,7 +790,7 @@
             elapsed,
         };
         match (word, r.out, r.standing) {
-            (Word::Up, Some((at, since)), None) if at == host => {
+            (TaskUpdate::Running, Some((at, since)), None) if at == host => {
                 (r.out, r.standing) = (None, Some(host));
                 let task = r.task;
                 self.at(
@@ -803,23 +808,23 @@
                     elapsed: now - since,
                 })
             }
-            (Word::Down(cause, note), Some((at, since)), None) if at == host => {
+            (TaskUpdate::Ended(reason), Some((at, since)), None) if at == host => {
                 r.out = None;
-                let detail = match note {
+                let detail = match reason.note() {
                     "nc" => Detail::NoCores,
                     "nm" => Detail::NoMemory,
                     "nq" => Detail::Busy,
                     "nh" => Detail::NotHere,
                     _ => Detail::None,
                 };
-                let outcome = if cause == 34 {
+                let outcome = if reason.cause() == 34 {
                     Outcome_::Full
                 } else {
                     Outcome_::Reset
                 };
                 Some(ended(outcome, detail, now - since))
             }
-            (Word::Down(..), None, Some(at)) if at == host => {
+            (TaskUpdate::Ended(_), None, Some(at)) if at == host => {
                 let news = ended(Outcome_::Ok, Detail::None, 0);
                 self.placers[n].requests.remove(&ticket);
                 Some(news)
@@ -845,7 +850,7 @@
         self.say(host, said);
     }
 
-    fn say(&mut self, host: usize, said: Vec<(u64, Word)>) {
+    fn say(&mut self, host: usize, said: Vec<(u64, TaskUpdate)>) {
         if self.hosts[host].silent {
             self.hosts[host].held.extend(said);
         } else {
@@ -853,7 +858,7 @@
                 let Some(placer) = self.hosts[host].of.get(&id).copied() else {
                     continue;
                 };
-                if matches!(word, Word::Down(..)) {
+                if matches!(word, TaskUpdate::Ended(_)) {
                     self.hosts[host].of.remove(&id);
                 }
                 if !self.cut.contains(&(placer, host)) {
@@ -869,7 +874,7 @@
                 }
             }
         }
-        if let Some(next) = self.hosts[host].machine.next()
+        if let Some(next) = self.hosts[host].machine.next_due()
             && self.hosts[host].due.is_none_or(|due| next < due)
         {
             self.hosts[host].due = Some(next);
@@ -932,11 +937,12 @@
             Fault::Die(hosts) => {
                 for host in hosts {
                     let here = &mut self.hosts[host];
-                    (here.dead, here.machine) = (true, Machine::new(spec(), self.now, false));
+                    (here.dead, here.machine) =
+                        (true, HostModel::new(spec(), self.now, Warmth::Warm));
                     // What ran or was out there ends with the connections.
                     let of: Vec<(u64, usize)> = here.of.drain().collect();
                     for (id, placer) in of {
-                        let word = Word::Down(43, "");
+                        let word = TaskUpdate::Ended(EndReason::HostLost);
                         self.at(
                             self.now + NET,
                             Ev::Heard {
@@ -954,7 +960,7 @@
                 for host in hosts {
                     let here = &mut self.hosts[host];
                     (here.dead, here.life, here.born) = (false, here.life + 1, self.now);
-                    here.machine = Machine::new(spec(), self.now, true);
+                    here.machine = HostModel::new(spec(), self.now, Warmth::Cold);
                 }
                 self.list_soon();
             }
--- a/tests/placer.rs
+++ b/tests/placer.rs
@@ -10,9 +10,9 @@
 
 #[test]
 fn an_offer_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
-    client.set_up(0x51, &QUICK);
+    client.request_task(0x51, &IDEMPOTENT_TASK);
     let offer = conns[0].expect("new");
     let field = |name| offer.get("f").and_then(|f| f.get_str(name));
     assert_eq!(
@@ -27,60 +27,60 @@
         .and_then(|ms| ms.parse().ok())
         .expect("a time");
     assert!(left > 1_000 && left < 6_000, "{left}");
-    conns[0].up(&hex(0x51));
+    conns[0].report_running(&hex(0x51));
     // A host's second word is no second answer.
-    conns[0].up(&hex(0x51));
-    let answer = client.read();
+    conns[0].report_running(&hex(0x51));
+    let answer = client.expect_message();
     assert_eq!(
         (answer.kind, answer.id, answer.text(174)),
         (9, 0x51, Some("stands 0000000000000051\r\n"))
     );
     assert!(
-        client.test(),
+        client.health_check(),
         "nothing else was written before the test's result"
     );
     // The end of the task is told, with its cause.
-    conns[0].down(&hex(0x51), 16, "");
-    let end = client.read();
+    conns[0].report_ended(&hex(0x51), 16, "");
+    let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 0x51, 16));
     conns[0].expect("ack");
 }
 
 #[test]
 fn a_refused_offer_goes_to_another_host_and_late_words_of_the_first_are_not_passed_on() {
-    let (program, _feed, _hosts, mut conns) = start(2);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(2);
     let mut client = program.client();
-    client.set_up(1, &ONCE);
-    let (first, id) = offered(&mut conns);
-    conns[first].down(&id, 34, "nc");
-    let (second, again) = offered(&mut conns);
+    client.request_task(1, &NON_IDEMPOTENT_TASK);
+    let (first, id) = next_offer(&mut conns);
+    conns[first].report_ended(&id, 34, "nc");
+    let (second, again) = next_offer(&mut conns);
     assert_eq!(
         (again.as_str(), second),
         (id.as_str(), 1 - first),
         "a retry carries the same id"
     );
-    conns[first].up(&id);
-    conns[first].down(&id, 16, "");
-    conns[second].up(&id);
-    assert_eq!(client.read().kind, 9);
-    assert!(client.test(), "one answer only");
+    conns[first].report_running(&id);
+    conns[first].report_ended(&id, 16, "");
+    conns[second].report_running(&id);
+    assert_eq!(client.expect_message().kind, 9);
+    assert!(client.health_check(), "one answer only");
 }
 
 #[test]
 fn with_no_room_a_task_is_refused_in_time_with_a_time_to_come_back() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
     let start = Instant::now();
-    client.set_up(
+    client.request_task(
         1,
-        &Ask {
+        &TaskRequest {
             wait_ms: 900,
-            ..QUICK
+            ..IDEMPOTENT_TASK
         },
     );
-    let id = conns[0].offer();
-    conns[0].down(&id, 34, "nc");
-    let answer = client.read();
+    let id = conns[0].expect_offer();
+    conns[0].report_ended(&id, 34, "nc");
+    let answer = client.expect_message();
     assert_eq!((answer.kind, answer.cause()), (12, 42));
     assert!(
         start.elapsed() < Duration::from_millis(950),
@@ -96,30 +96,33 @@
 
 #[test]
 fn a_set_up_sent_again_on_another_connection_is_answered_there() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let (mut first, mut second) = (program.client(), program.client());
-    first.set_up(1, &QUICK);
-    let id = conns[0].offer();
-    second.set_up(1, &QUICK);
-    assert!(second.test());
+    first.request_task(1, &IDEMPOTENT_TASK);
+    let id = conns[0].expect_offer();
+    second.request_task(1, &IDEMPOTENT_TASK);
+    assert!(second.health_check());
     drop(first);
-    assert!(second.test());
-    conns[0].up(&id);
-    assert_eq!((second.read().kind, second.test()), (9, true));
+    assert!(second.health_check());
+    conns[0].report_running(&id);
+    assert_eq!(
+        (second.expect_message().kind, second.health_check()),
+        (9, true)
+    );
 }
 
 #[test]
 fn a_client_that_gives_up_or_goes_away_is_owed_nothing_and_its_host_is_told() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
-    client.set_up(1, &QUICK);
-    let id = conns[0].offer();
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let id = conns[0].expect_offer();
     client.release(1, 16);
     assert_eq!(conns[0].expect("down").get_u64("c"), Some(16));
-    conns[0].up(&id);
-    assert!(client.test());
-    client.set_up(2, &QUICK);
-    conns[0].offer();
+    conns[0].report_running(&id);
+    assert!(client.health_check());
+    client.request_task(2, &IDEMPOTENT_TASK);
+    conns[0].expect_offer();
     drop(client);
     assert_eq!(
         conns[0].expect("down").get_str("ref"),
@@ -131,96 +134,103 @@
 // connection, where its client read it before the answer.
 #[test]
 fn the_end_of_a_task_is_told_after_its_answer_on_the_same_connection() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let (mut first, mut other) = (program.client(), program.client());
     for (id, client) in [(1, &mut other), (2, &mut first)] {
-        client.set_up(id, &QUICK);
-        conns[0].offer();
+        client.request_task(id, &IDEMPOTENT_TASK);
+        conns[0].expect_offer();
         // The other has had a task placed, and is heard last.
         if id == 1 {
-            conns[0].up(&hex(1));
-            assert_eq!(client.read().kind, 9);
+            conns[0].report_running(&hex(1));
+            assert_eq!(client.expect_message().kind, 9);
         }
     }
-    assert!(other.test());
+    assert!(other.health_check());
     let (up, down) = (hex(2), hex(2));
     let lines = format!(
         "{{\"t\":\"up\",\"ref\":\"{up}\",\"f\":{{}},\"d\":\"stands\"}}\n{{\"t\":\"down\",\"ref\":\"{down}\",\"f\":{{}},\"c\":16}}\n"
     );
-    conns[0].raw(lines.as_bytes());
-    let words = [first.read(), first.read()].map(|message| (message.kind, message.id));
+    conns[0].send_bytes(lines.as_bytes());
+    let words =
+        [first.expect_message(), first.expect_message()].map(|message| (message.kind, message.id));
     assert_eq!(words, [(9, 2), (12, 2)]);
-    assert!(other.test(), "nothing of it went there");
+    assert!(other.health_check(), "nothing of it went there");
 }
 
 // Found on fleet days: such a task was offered to every host in turn, and each was held for broken.
 #[test]
 fn a_task_whose_time_is_over_is_not_offered_again() {
-    let (program, _feed, _hosts, mut conns) = start(2);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(2);
     let mut client = program.client();
-    client.set_up(1, &QUICK);
-    let (at, id) = offered(&mut conns);
-    conns[at].down(&id, 16, "");
-    let answer = client.read();
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let (at, id) = next_offer(&mut conns);
+    conns[at].report_ended(&id, 16, "");
+    let answer = client.expect_message();
     assert_eq!((answer.kind, answer.cause()), (12, 16));
-    assert!(conns[1 - at].read_within(QUIET).is_none());
+    assert!(conns[1 - at].read_within(QUIET_PERIOD).is_none());
 }
 
 // ---- Rule 2: no duplicate start ----
 
 #[test]
 fn a_task_that_must_not_start_twice_fails_once_it_may_have_run() {
-    let (program, _feed, _hosts, mut conns) = start(2);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(2);
     let mut client = program.client();
-    client.set_up(1, &ONCE);
-    let (first, _) = offered(&mut conns);
+    client.request_task(1, &NON_IDEMPOTENT_TASK);
+    let (first, _) = next_offer(&mut conns);
     drop(conns.remove(first));
-    let answer = client.read();
+    let answer = client.expect_message();
     assert_eq!((answer.kind, answer.cause()), (12, 47));
-    assert!(conns[0].read_within(QUIET).is_none(), "no second offer");
+    assert!(
+        conns[0].read_within(QUIET_PERIOD).is_none(),
+        "no second offer"
+    );
 }
 
 #[test]
 fn an_attempt_that_timed_out_is_given_up_and_a_late_answer_is_not_passed_on() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
-    client.set_up(
+    client.request_task(
         1,
-        &Ask {
+        &TaskRequest {
             wait_ms: 800,
-            ..QUICK
+            ..IDEMPOTENT_TASK
         },
     );
-    let id = conns[0].offer();
+    let id = conns[0].expect_offer();
     let down = conns[0].expect("down");
     assert_eq!(
         (down.get_str("ref"), down.get_u64("c")),
         (Some(id.as_str()), Some(16))
     );
-    conns[0].up(&id);
-    assert_eq!((client.read().kind, client.test()), (12, true));
+    conns[0].report_running(&id);
+    assert_eq!(
+        (client.expect_message().kind, client.health_check()),
+        (12, true)
+    );
 }
 
 // ---- Rules 3 to 5 ----
 
 #[test]
 fn a_draining_host_gets_nothing_new() {
-    let (program, mut feed, hosts, mut conns) = start(2);
-    feed.event(2, &hosts[0], "draining");
+    let (program, mut feed, hosts, mut conns) = start_with_hosts(2);
+    feed.send_host_state(2, &hosts[0], "draining");
     let mut client = program.client();
     std::thread::sleep(Duration::from_secs(2));
     for id in 1..20 {
-        client.set_up(
+        client.request_task(
             id,
-            &Ask {
+            &TaskRequest {
                 service: id,
-                ..QUICK
+                ..IDEMPOTENT_TASK
             },
         );
-        let (at, offer) = offered(&mut conns);
+        let (at, offer) = next_offer(&mut conns);
         assert_eq!(at, 1, "offered after the grace");
-        conns[at].down(&offer, 16, "");
-        assert_eq!(client.read().kind, 12);
+        conns[at].report_ended(&offer, 16, "");
+        assert_eq!(client.expect_message().kind, 12);
     }
 }
 
@@ -228,24 +238,27 @@
 fn a_cold_host_gets_no_more_than_it_always_bears() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
-    let program = Program::start(&config(&feed, vec![host.entry("up", unix_ms())]));
-    feed.subscribed();
+    let program = Program::start(&single_placer_config(
+        &feed,
+        vec![host.entry("up", unix_ms())],
+    ));
+    feed.accept_subscription();
     let mut conn = host.accept();
     let mut client = program.client();
     (1..=12).for_each(|id| {
-        client.set_up(
+        client.request_task(
             id,
-            &Ask {
+            &TaskRequest {
                 service: id,
-                ..QUICK
+                ..IDEMPOTENT_TASK
             },
         )
     });
     let times: Vec<Instant> = (0..5)
         .map(|_| {
-            let id = conn.offer();
+            let id = conn.expect_offer();
             let now = Instant::now();
-            conn.up(&id);
+            conn.report_running(&id);
             now
         })
         .collect();
@@ -260,129 +273,130 @@
 
 #[test]
 fn a_service_is_spread_over_zones() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
-    (1..=3).for_each(|id| client.set_up(id, &QUICK));
-    let placed = [conns[0].offer(), conns[0].offer()];
-    placed.iter().for_each(|id| conns[0].up(id));
+    (1..=3).for_each(|id| client.request_task(id, &IDEMPOTENT_TASK));
+    let placed = [conns[0].expect_offer(), conns[0].expect_offer()];
+    placed.iter().for_each(|id| conns[0].report_running(id));
     assert!(
-        conns[0].read_within(QUIET).is_none(),
+        conns[0].read_within(QUIET_PERIOD).is_none(),
         "two stand, a third is held"
     );
-    conns[0].down(&placed[0], 16, "");
+    conns[0].report_ended(&placed[0], 16, "");
     conns[0].expect("ack");
-    conns[0].offer();
+    conns[0].expect_offer();
 }
 
 // ---- Tasks that stand ----
 
 #[test]
 fn a_standing_task_belongs_to_no_connection() {
-    let (program, _feed, hosts, mut conns) = start(1);
+    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
     for id in [1, 2] {
-        client.set_up(
+        client.request_task(
             id,
-            &Ask {
+            &TaskRequest {
                 service: id,
-                ..QUICK
+                ..IDEMPOTENT_TASK
             },
         );
-        let offer = conns[0].offer();
-        conns[0].up(&offer);
-        client.read();
+        let offer = conns[0].expect_offer();
+        conns[0].report_running(&offer);
+        client.expect_message();
     }
     drop(client);
     // The host closes its connection: the tasks stand on, and it is called again.
     drop(conns.remove(0));
     let mut conn = hosts[0].accept();
-    conn.down(&hex(1), 41, "ev");
-    conn.down(&hex(1), 41, "ev");
+    conn.report_ended(&hex(1), 41, "ev");
+    conn.report_ended(&hex(1), 41, "ev");
     conn.expect("ack");
     conn.expect("ack");
     // With no client connected the end waits for the next one that asks for anything, and comes once.
     // A client may end a task on any connection; the host's word then goes no further.
     let mut client = program.client();
     client.release(2, 31);
-    let end = client.read();
+    let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
-    assert_eq!(client.read().kind, 16);
+    assert_eq!(client.expect_message().kind, 16);
     assert_eq!(conn.expect("down").get_u64("c"), Some(31));
-    conn.down(&hex(2), 31, "");
+    conn.report_ended(&hex(2), 31, "");
     conn.expect("ack");
-    assert!(client.test());
+    assert!(client.health_check());
 }
 
 #[test]
 fn what_stood_at_a_dead_process_is_lost_at_once() {
-    let (program, _feed, mut hosts, mut conns) = start(1);
+    let (program, _feed, mut hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
-    client.set_up(1, &QUICK);
-    let id = conns[0].offer();
-    conns[0].up(&id);
-    client.read();
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let id = conns[0].expect_offer();
+    conns[0].report_running(&id);
+    client.expect_message();
     hosts.clear();
     conns.clear();
-    let end = client.read();
+    let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
 }
 
 // Found on fleet days: of machines that died together, one with no offer out was missed until the feed told.
 #[test]
 fn when_a_process_is_gone_the_others_of_its_cell_are_called_again() {
-    let (program, _feed, mut hosts, mut conns) = start(2);
+    let (program, _feed, mut hosts, mut conns) = start_with_hosts(2);
     let mut client = program.client();
     for (id, host) in [(1, "h0"), (2, "h1")] {
-        client.set_up(
+        client.request_task(
             id,
-            &Ask {
-                at: Some(host),
-                ..QUICK
+            &TaskRequest {
+                running_at: Some(host),
+                ..IDEMPOTENT_TASK
             },
         );
     }
-    assert!(client.test());
+    assert!(client.health_check());
     // Nothing listens any more, but only the first connection shows it.
     hosts.clear();
     drop(conns.remove(0));
-    let mut lost = [client.read(), client.read()].map(|end| (end.id, end.cause()));
+    let mut lost =
+        [client.expect_message(), client.expect_message()].map(|end| (end.id, end.cause()));
     lost.sort_unstable();
     assert_eq!(lost, [(1, 41), (2, 41)]);
 }
 
 #[test]
 fn a_release_that_comes_before_the_client_tells_of_the_task_is_kept_for_it() {
-    let (program, _feed, _hosts, mut conns) = start(1);
-    conns[0].down(&hex(1), 16, "");
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+    conns[0].report_ended(&hex(1), 16, "");
     conns[0].expect("ack");
     let mut client = program.client();
-    client.set_up(
+    client.request_task(
         1,
-        &Ask {
-            at: Some("h0"),
-            ..QUICK
+        &TaskRequest {
+            running_at: Some("h0"),
+            ..IDEMPOTENT_TASK
         },
     );
-    client.set_up(
+    client.request_task(
         2,
-        &Ask {
-            at: Some("h0"),
-            ..QUICK
+        &TaskRequest {
+            running_at: Some("h0"),
+            ..IDEMPOTENT_TASK
         },
     );
     // It may be named again, which changes nothing.
-    client.set_up(
+    client.request_task(
         2,
-        &Ask {
-            at: Some("h0"),
-            ..QUICK
+        &TaskRequest {
+            running_at: Some("h0"),
+            ..IDEMPOTENT_TASK
         },
     );
-    let end = client.read();
+    let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 16));
-    conns[0].down(&hex(2), 16, "");
-    assert_eq!(client.read().id, 2);
-    assert!(client.test());
+    conns[0].report_ended(&hex(2), 16, "");
+    assert_eq!(client.expect_message().id, 2);
+    assert!(client.health_check());
 }
 
 // ---- Peers that fail ----
@@ -390,40 +404,51 @@
 // Found on fleet days: a vanished host kept its open connection and swallowed offer after offer.
 #[test]
 fn a_connection_silent_while_an_offer_is_out_is_replaced() {
-    let (program, _feed, hosts, mut conns) = start(1);
+    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
-    client.set_up(1, &QUICK);
-    let id = conns[0].offer();
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let id = conns[0].expect_offer();
     let mut second = hosts[0].accept();
-    client.set_up(2, &QUICK);
-    assert_eq!(second.offer(), hex(2));
+    client.request_task(2, &IDEMPOTENT_TASK);
+    assert_eq!(second.expect_offer(), hex(2));
     // The first is still heard.
-    conns[0].up(&id);
-    assert_eq!((client.read().id, client.0.peer_addr().is_ok()), (1, true));
+    conns[0].report_running(&id);
+    assert_eq!(
+        (client.expect_message().id, client.0.peer_addr().is_ok()),
+        (1, true)
+    );
 }
 
 /// Two hosts, one of which holds a task and has vanished with another offered to it: that one comes again on
 /// a new connection of the other, which is of the same cell, and is placed there.
-fn one_vanishes() -> (Program, Feed, Client, Vec<Host>, usize, OutOfReach, Instant) {
-    let (program, feed, hosts, mut conns) = start(2);
+fn one_vanishes() -> (
+    Program,
+    Feed,
+    Client,
+    Vec<Host>,
+    usize,
+    Unreachable,
+    Instant,
+) {
+    let (program, feed, hosts, mut conns) = start_with_hosts(2);
     let mut client = program.client();
-    client.set_up(1, &QUICK);
-    let (at, id) = offered(&mut conns);
-    conns[at].up(&id);
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let (at, id) = next_offer(&mut conns);
+    conns[at].report_running(&id);
     let heard = Instant::now();
-    assert_eq!(client.read().kind, 9);
-    let held = hosts[at].vanish();
-    client.set_up(2, &QUICK);
-    assert_eq!(conns[at].offer(), hex(2));
+    assert_eq!(client.expect_message().kind, 9);
+    let held = hosts[at].make_unreachable();
+    client.request_task(2, &IDEMPOTENT_TASK);
+    assert_eq!(conns[at].expect_offer(), hex(2));
     let since = Instant::now();
     let mut beside = hosts[1 - at].accept();
-    assert_eq!(beside.offer(), hex(2));
+    assert_eq!(beside.expect_offer(), hex(2));
     assert!(
         since.elapsed() < Duration::from_secs(3),
         "well before its client gives up"
     );
-    beside.up(&hex(2));
-    assert_eq!(client.read().kind, 9);
+    beside.report_running(&hex(2));
+    assert_eq!(client.expect_message().kind, 9);
     (program, feed, client, hosts, at, held, heard)
 }
 
@@ -435,17 +460,17 @@
     // Out of reach for longer than a lost task needs to be told, less than it may go untold.
     let told = client.message_within(Duration::from_secs(4));
     assert!(told.is_err(), "{told:?}");
-    hosts[at].come_back(held);
+    hosts[at].make_reachable(held);
     let mut back = hosts[at].accept();
-    back.down(&hex(1), 16, "");
-    let end = client.read();
+    back.report_ended(&hex(1), 16, "");
+    let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 16));
 }
 
 #[test]
 fn what_stood_at_a_host_that_does_not_come_back_is_lost_in_time() {
     let (_program, _feed, mut client, _hosts, _at, _held, heard) = one_vanishes();
-    let end = client.read();
+    let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
     assert!(
         heard.elapsed() < Duration::from_millis(8_050),
@@ -458,19 +483,22 @@
 fn out_of_descriptors_idle_connections_make_room() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
-    let program = Program::start_with(&config(&feed, vec![host.entry("up", 0)]), 32);
-    feed.subscribed();
+    let program = Program::start_with_descriptors(
+        &single_placer_config(&feed, vec![host.entry("up", 0)]),
+        32,
+    );
+    feed.accept_subscription();
     let mut conn = host.accept();
     let mut busy = program.client();
-    busy.set_up(1, &QUICK);
-    let id = conn.offer();
+    busy.request_task(1, &IDEMPOTENT_TASK);
+    let id = conn.expect_offer();
     let idle: Vec<Client> = (0..60).map(|_| program.client()).collect();
     let mut last = program.client();
-    last.set_up(2, &QUICK);
-    assert_eq!(conn.offer(), hex(2));
-    conn.up(&id);
+    last.request_task(2, &IDEMPOTENT_TASK);
+    assert_eq!(conn.expect_offer(), hex(2));
+    conn.report_running(&id);
     assert_eq!(
-        (busy.read().kind, idle.len()),
+        (busy.expect_message().kind, idle.len()),
         (9, 60),
         "one with an open set-up stays"
     );
@@ -478,48 +506,54 @@
 
 #[test]
 fn bad_clients_end_alone() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut good = program.client();
     for bad in [
         &[0xff, 0xff, 1][..],
         &[0, 3, 1, 2, 3],
-        &bytes(12, 1, &[]),
+        &encode_message(12, 1, &[]),
         &[0, 10, 1, 0, 0, 0, 0, 0, 0, 0, 1, 9],
     ] {
         let mut client = program.client();
-        client.say(bad);
+        client.send(bad);
         assert_eq!(client.next_message(), None, "{bad:?}");
     }
     // A set-up of an unknown class, and one with nothing in it, fail; the connection goes on.
-    good.set_up(
+    good.request_task(
         1,
-        &Ask {
+        &TaskRequest {
             class: "unheard",
-            ..QUICK
+            ..IDEMPOTENT_TASK
         },
     );
-    assert_eq!((good.read().cause(), good.test()), (47, true));
-    good.say(&bytes(1, 2, &[]));
-    assert_eq!((good.read().cause(), good.test()), (47, true));
+    assert_eq!(
+        (good.expect_message().cause(), good.health_check()),
+        (47, true)
+    );
+    good.send(&encode_message(1, 2, &[]));
+    assert_eq!(
+        (good.expect_message().cause(), good.health_check()),
+        (47, true)
+    );
     // A host that talks nonsense loses its connection only.
-    conns[0].raw(b"{\"t\":\"up\"\n");
-    assert!(conns[0].read_within(LIMIT).is_none());
-    assert!(good.test());
+    conns[0].send_bytes(b"{\"t\":\"up\"\n");
+    assert!(conns[0].read_within(TEST_TIMEOUT).is_none());
+    assert!(good.health_check());
 }
 
 #[test]
 fn a_feed_that_breaks_or_falls_silent_is_asked_again_from_its_last_event() {
-    let (program, mut feed, hosts, mut conns) = start(1);
-    feed.event(2, &hosts[0], "up");
-    feed.event(2, &hosts[0], "removed");
-    feed.event(3, &hosts[0], "up");
-    drop(feed.stream_taken());
-    assert_eq!(feed.subscribed(), 3, "after a break");
-    assert_eq!(feed.subscribed(), 3, "after a silence");
+    let (program, mut feed, hosts, mut conns) = start_with_hosts(1);
+    feed.send_host_state(2, &hosts[0], "up");
+    feed.send_host_state(2, &hosts[0], "removed");
+    feed.send_host_state(3, &hosts[0], "up");
+    drop(feed.take_subscription());
+    assert_eq!(feed.accept_subscription(), 3, "after a break");
+    assert_eq!(feed.accept_subscription(), 3, "after a silence");
     let mut client = program.client();
-    client.set_up(1, &QUICK);
+    client.request_task(1, &IDEMPOTENT_TASK);
     assert_eq!(
-        conns[0].offer(),
+        conns[0].expect_offer(),
         hex(1),
         "an event that comes twice counts once"
     );
@@ -529,7 +563,7 @@
 
 #[test]
 fn a_bad_configuration_is_named_in_one_line() {
-    let good = config(&Feed::new(), vec![]).encode();
+    let good = single_placer_config(&Feed::new(), vec![]).encode();
     let cases = [
         ("{", "LB_CONFIG"),
         ("[]", "LB_CONFIG"),
@@ -550,7 +584,7 @@
         ),
     ];
     for (text, field) in cases {
-        let (failed, said) = refuses(text);
+        let (failed, said) = run_with_invalid_config(text);
         assert!(
             failed && said.lines().count() == 1 && said.contains(field),
             "{field}: {said}"
@@ -560,25 +594,28 @@
 
 #[test]
 fn at_sigterm_new_work_is_still_taken_and_all_is_answered() {
-    let (mut program, _feed, _hosts, mut conns) = start(1);
+    let (mut program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
-    client.set_up(1, &QUICK);
-    let held = conns[0].offer();
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let held = conns[0].expect_offer();
     program.terminate();
-    while client.test() {}
+    while client.health_check() {}
     let mut late = program.client();
-    late.set_up(
+    late.request_task(
         2,
-        &Ask {
+        &TaskRequest {
             service: 2,
-            ..QUICK
+            ..IDEMPOTENT_TASK
         },
     );
-    let id = conns[0].offer();
-    conns[0].up(&id);
-    assert_eq!((late.read().id, program.exit().code()), (2, Some(0)));
+    let id = conns[0].expect_offer();
+    conns[0].report_running(&id);
+    assert_eq!(
+        (late.expect_message().id, program.wait_exit().code()),
+        (2, Some(0))
+    );
     // The host never answered the first: its client was told before the end.
-    let answer = client.read();
+    let answer = client.expect_message();
     assert_eq!((answer.kind, answer.id, answer.cause()), (12, 1, 42));
     assert_eq!(conns[0].expect("down").get_str("ref"), Some(held.as_str()));
 }
--- a/tests/rough.rs
+++ b/tests/rough.rs
@@ -34,7 +34,7 @@
 // answer errors to others, for which they were held for broken.
 #[test]
 fn asks_that_cannot_be_right_are_answered_at_once_and_reach_no_host() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
     let good = "cores:1;memory:2;service:7";
     let cases = [
@@ -48,8 +48,8 @@
         (8, "6000", "ours", "cores:NaN;memory:2;service:7"),
     ];
     for (id, wait, tenant, figures) in cases {
-        client.say(&bytes(1, id, &parameters(wait, tenant, figures)));
-        let answer = client.read();
+        client.send(&encode_message(1, id, &parameters(wait, tenant, figures)));
+        let answer = client.expect_message();
         assert_eq!(
             (answer.kind, answer.id, answer.cause()),
             (12, id, 47),
@@ -57,33 +57,36 @@
         );
     }
     // An id that is over is not used again.
-    client.set_up(9, &QUICK);
-    assert_eq!(conns[0].offer(), hex(9));
-    conns[0].down(&hex(9), 16, "");
-    assert_eq!(client.read().cause(), 16);
-    client.set_up(9, &ONCE);
-    assert_eq!((client.read().cause(), client.test()), (47, true));
-    assert!(conns[0].read_within(QUIET).is_none());
+    client.request_task(9, &IDEMPOTENT_TASK);
+    assert_eq!(conns[0].expect_offer(), hex(9));
+    conns[0].report_ended(&hex(9), 16, "");
+    assert_eq!(client.expect_message().cause(), 16);
+    client.request_task(9, &NON_IDEMPOTENT_TASK);
+    assert_eq!(
+        (client.expect_message().cause(), client.health_check()),
+        (47, true)
+    );
+    assert!(conns[0].read_within(QUIET_PERIOD).is_none());
 }
 
 // Found there too: a bad client took an open id over and got the answer that another was owed.
 #[test]
 fn an_id_that_is_open_is_not_taken_over() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
-    client.set_up(1, &QUICK);
-    let id = conns[0].offer();
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let id = conns[0].expect_offer();
     let mut other = program.client();
-    other.set_up(
+    other.request_task(
         1,
-        &Ask {
+        &TaskRequest {
             service: 8,
-            ..QUICK
+            ..IDEMPOTENT_TASK
         },
     );
     assert_eq!(other.next_message(), None, "the second connection ends");
     let mut other = program.client();
-    other.say(&bytes(1, 1, &[]));
+    other.send(&encode_message(1, 1, &[]));
     assert_eq!(
         other.next_message(),
         None,
@@ -92,23 +95,26 @@
     // Given up from elsewhere it is still owed.
     let mut other = program.client();
     other.release(1, 16);
-    assert_eq!(other.read().kind, 16);
-    conns[0].up(&id);
-    assert_eq!((client.read().kind, client.test()), (9, true));
+    assert_eq!(other.expect_message().kind, 16);
+    conns[0].report_running(&id);
+    assert_eq!(
+        (client.expect_message().kind, client.health_check()),
+        (9, true)
+    );
     // Two set-ups under one number end their connection, and the offer is given up.
-    other.set_up(
+    other.request_task(
         2,
-        &Ask {
+        &TaskRequest {
             service: 8,
-            ..QUICK
+            ..IDEMPOTENT_TASK
         },
     );
-    assert_eq!(conns[0].offer(), hex(2));
-    other.set_up(
+    assert_eq!(conns[0].expect_offer(), hex(2));
+    other.request_task(
         2,
-        &Ask {
+        &TaskRequest {
             service: 8,
-            ..QUICK
+            ..IDEMPOTENT_TASK
         },
     );
     assert_eq!(other.next_message(), None);
@@ -120,40 +126,40 @@
 
 #[test]
 fn who_says_nothing_or_half_a_message_is_closed_and_who_asked_once_stays() {
-    let (program, _feed, _hosts, _conns) = start(1);
+    let (program, _feed, _hosts, _conns) = start_with_hosts(1);
     let started = Instant::now();
     let mut silent = program.client();
     let mut half = program.client();
-    half.say(&[0, 200, 1, 0, 0]);
+    half.send(&[0, 200, 1, 0, 0]);
     let mut after = program.client();
-    assert!(after.test());
-    after.say(&[0]);
+    assert!(after.health_check());
+    after.send(&[0]);
     let mut once = program.client();
-    assert!(once.test());
+    assert!(once.health_check());
     for client in [&mut silent, &mut half, &mut after] {
         assert_eq!(client.next_message(), None);
     }
     assert!(started.elapsed() < OWED, "{:?}", started.elapsed());
-    assert!(once.test());
+    assert!(once.health_check());
 }
 
 #[test]
 fn what_is_no_use_gets_a_word_or_a_close() {
-    let (program, _feed, _hosts, _conns) = start(1);
+    let (program, _feed, _hosts, _conns) = start_with_hosts(1);
     let mut client = program.client();
     client.release(77, 16);
     assert_eq!(
-        (client.read().kind, client.test()),
+        (client.expect_message().kind, client.health_check()),
         (16, true),
         "of a task that is not known"
     );
-    client.say(&bytes(99, 5, &[]));
+    client.send(&encode_message(99, 5, &[]));
     assert_eq!(client.next_message(), None, "of an unknown type");
     // The word comes before the end, though more is under way that nobody reads.
     let mut client = program.client();
-    client.say(&bytes(1, 4, &parameters("6000", "nobody", "")));
-    client.say(&[0xff; 300_000]);
-    assert_eq!(client.read().cause(), 47);
+    client.send(&encode_message(1, 4, &parameters("6000", "nobody", "")));
+    client.send(&[0xff; 300_000]);
+    assert_eq!(client.expect_message().cause(), 47);
     assert_eq!(client.next_message(), None);
 }
 
@@ -163,61 +169,72 @@
 fn clients_stay_within_a_budget_of_descriptors_and_the_busy_are_kept() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
-    let mut config = config(&feed, vec![host.entry("up", 0)]);
+    let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     config["limits"] = json!({ "cores": 1.0, "memory_mb": 32, "sockets": 64 });
     let program = Program::start(&config);
-    feed.subscribed();
+    feed.accept_subscription();
     let mut conn = host.accept();
     let mut busy = program.client();
-    busy.set_up(1, &QUICK);
-    let id = conn.offer();
+    busy.request_task(1, &IDEMPOTENT_TASK);
+    let id = conn.expect_offer();
     let mut stayed: Vec<Client> = (0..64).map(|_| program.client()).collect();
-    assert!(stayed.last_mut().is_some_and(Client::test));
+    assert!(stayed.last_mut().is_some_and(Client::health_check));
     let descriptors = program.descriptors();
     assert!(descriptors < 64, "{descriptors}");
-    conn.up(&id);
-    assert_eq!(busy.read().kind, 9);
+    conn.report_running(&id);
+    assert_eq!(busy.expect_message().kind, 9);
 }
 
 #[test]
 fn the_end_of_a_task_goes_to_a_client_and_is_told_again_where_it_was_not_heard() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
-    client.set_up(1, &QUICK);
-    let id = conns[0].offer();
-    conns[0].up(&id);
-    assert_eq!(client.read().kind, 9);
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let id = conns[0].expect_offer();
+    conns[0].report_running(&id);
+    assert_eq!(client.expect_message().kind, 9);
     let mut stranger = program.client();
     stranger.release(9, 31);
-    assert_eq!(stranger.read().kind, 16, "heard last, and has no task");
-    conns[0].down(&id, 16, "");
-    assert_eq!(client.read().id, 1);
+    assert_eq!(
+        stranger.expect_message().kind,
+        16,
+        "heard last, and has no task"
+    );
+    conns[0].report_ended(&id, 16, "");
+    assert_eq!(client.expect_message().id, 1);
     drop(client);
-    assert_eq!(stranger.read().id, 1, "not heard there, so told again");
-    stranger.say(&bytes(16, 1, &[]));
-    assert!(stranger.test());
+    assert_eq!(
+        stranger.expect_message().id,
+        1,
+        "not heard there, so told again"
+    );
+    stranger.send(&encode_message(16, 1, &[]));
+    assert!(stranger.health_check());
 }
 
 #[test]
 fn a_task_at_a_host_that_no_list_knows_does_not_stand_for_ever() {
-    let (program, _feed, _hosts, _conns) = start(1);
+    let (program, _feed, _hosts, _conns) = start_with_hosts(1);
     let mut client = program.client();
-    client.set_up(
+    client.request_task(
         1,
-        &Ask {
-            at: Some("h9"),
-            ..QUICK
+        &TaskRequest {
+            running_at: Some("h9"),
+            ..IDEMPOTENT_TASK
         },
     );
-    client.set_up(
+    client.request_task(
         2,
-        &Ask {
-            at: Some("h0"),
-            ..QUICK
+        &TaskRequest {
+            running_at: Some("h0"),
+            ..IDEMPOTENT_TASK
         },
     );
     let started = Instant::now();
-    assert_eq!((client.read().id, client.test()), (1, true));
+    assert_eq!(
+        (client.expect_message().id, client.health_check()),
+        (1, true)
+    );
     assert!(started.elapsed() < OWED, "{:?}", started.elapsed());
 }
 
@@ -228,42 +245,45 @@
 fn at_sighup_the_feed_moves_and_goes_on_from_the_last_event_while_requests_go_on() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
-    let mut config = config(&feed, vec![host.entry("up", 0)]);
+    let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     let program = Program::start(&config);
-    assert_eq!(feed.subscribed(), 1);
-    feed.event(2, &host, "up");
+    assert_eq!(feed.accept_subscription(), 1);
+    feed.send_host_state(2, &host, "up");
     let mut conn = host.accept();
     let mut client = program.client();
-    client.set_up(1, &QUICK);
-    let id = conn.offer();
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let id = conn.expect_offer();
     for n in 3..5 {
         // A file that can't be read leaves the one before in force.
         program.reload("{\"feed\":");
-        feed.event(n, &host, "up");
-        assert!(client.test());
+        feed.send_host_state(n, &host, "up");
+        assert!(client.health_check());
         feed = Feed::new();
         config["feed"] = feed.address().into();
         program.reload(&config.encode());
-        assert_eq!(feed.subscribed(), n);
+        assert_eq!(feed.accept_subscription(), n);
     }
-    conn.up(&id);
-    assert_eq!((client.read().kind, client.test()), (9, true));
+    conn.report_running(&id);
+    assert_eq!(
+        (client.expect_message().kind, client.health_check()),
+        (9, true)
+    );
 }
 
 #[test]
 fn a_feed_cut_inside_an_event_or_gone_silent_is_asked_again_soon() {
-    let (_program, mut feed, hosts, _conns) = start(1);
-    let text = event(2, false, vec![hosts[0].entry("draining", 0)]).encode();
+    let (_program, mut feed, hosts, _conns) = start_with_hosts(1);
+    let text = endpoint_event(2, UpdateKind::Delta, vec![hosts[0].entry("draining", 0)]).encode();
     for spoilt in [
         &text[..text.len() / 2],
         "{\"n\":2,\"members\":7}\n",
         "\u{1}\u{2}\n",
     ] {
-        let mut stream = feed.stream_taken().expect("a subscription");
+        let mut stream = feed.take_subscription().expect("a subscription");
         std::io::Write::write_all(&mut stream, spoilt.as_bytes()).expect("it reads");
         let broken = Instant::now();
         drop(stream);
-        assert_eq!(feed.subscribed(), 1, "{spoilt}");
+        assert_eq!(feed.accept_subscription(), 1, "{spoilt}");
         assert!(
             broken.elapsed() < Duration::from_secs(2),
             "{:?}",
@@ -271,7 +291,11 @@
         );
     }
     let stopped = Instant::now();
-    assert_eq!(feed.subscribed(), 1, "it stays open and tells nothing");
+    assert_eq!(
+        feed.accept_subscription(),
+        1,
+        "it stays open and tells nothing"
+    );
     assert!(
         stopped.elapsed() < Duration::from_secs(4),
         "{:?}",
@@ -283,7 +307,7 @@
 
 #[test]
 fn a_spoilt_answer_ends_its_connection_and_what_may_be_repeated_goes_elsewhere() {
-    let (program, _feed, hosts, mut conns) = start(2);
+    let (program, _feed, hosts, mut conns) = start_with_hosts(2);
     let mut client = program.client();
     let up = |rest: &str| format!("{{\"t\":\"up\",\"ref\":\"{}\"{rest}", hex(1));
     // Noise, no description, a line that never ends, one that stops short.
@@ -295,39 +319,53 @@
     ];
     for (n, bytes) in spoilt.iter().enumerate() {
         let id = 1 + n as u64;
-        client.set_up(
+        client.request_task(
             id,
-            &Ask {
+            &TaskRequest {
                 service: 20 + id,
-                ..QUICK
+                ..IDEMPOTENT_TASK
             },
         );
-        let (at, _) = offered(&mut conns);
-        conns[at].raw(bytes.as_bytes());
-        assert!(conns[at].ended(), "{n}");
+        let (at, _) = next_offer(&mut conns);
+        conns[at].send_bytes(bytes.as_bytes());
+        assert!(conns[at].wait_closed(), "{n}");
         conns[at] = hosts[at].accept();
-        let (again, offer) = offered(&mut conns);
+        let (again, offer) = next_offer(&mut conns);
         assert_eq!((again, offer.as_str()), (1 - at, hex(id).as_str()), "{n}");
-        conns[again].up(&offer);
-        assert_eq!((client.read().kind, client.test()), (9, true), "{n}");
+        conns[again].report_running(&offer);
+        assert_eq!(
+            (client.expect_message().kind, client.health_check()),
+            (9, true),
+            "{n}"
+        );
     }
     // What must not start twice fails.
-    client.set_up(9, &ONCE);
-    let (at, _) = offered(&mut conns);
-    conns[at].raw(spoilt[1].as_bytes());
-    assert_eq!((client.read().cause(), client.test()), (47, true));
+    client.request_task(9, &NON_IDEMPOTENT_TASK);
+    let (at, _) = next_offer(&mut conns);
+    conns[at].send_bytes(spoilt[1].as_bytes());
+    assert_eq!(
+        (client.expect_message().cause(), client.health_check()),
+        (47, true)
+    );
 }
 
 #[test]
 fn a_good_answer_that_brings_more_than_belongs_to_it_is_taken_once() {
-    let (program, _feed, _hosts, mut conns) = start(1);
+    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
     let mut client = program.client();
-    client.set_up(1, &QUICK);
-    let id = conns[0].offer();
-    conns[0].up("00000000000000ff");
-    conns[0].up(&id);
-    conns[0].up(&id);
-    assert_eq!((client.read().id, client.test()), (1, true));
-    client.set_up(2, &QUICK);
-    assert_eq!(conns[0].offer(), hex(2), "the connection is still good");
+    client.request_task(1, &IDEMPOTENT_TASK);
+    let id = conns[0].expect_offer();
+    conns[0].report_running("00000000000000ff");
+    conns[0].report_running(&id);
+    conns[0].report_running(&id);
+    assert_eq!(
+        (client.expect_message().id, client.health_check()),
+        (1, true)
+    );
+    client.request_task(2, &IDEMPOTENT_TASK);
+    assert_eq!(
+        conns[0].expect_offer(),
+        hex(2),
+        "the connection is still good"
+    );
 }
