--- /dev/null
+++ b/crates/emulator/src/load_balancer/clients.rs
@@ -0,0 +1,204 @@
+//! Clients that connect through the load balancer. They arrive in an open loop, each at its time, whatever became
+//! of those before. Every client records what it is notified of, so that a test can check each task.
+
+use super::polling::PollingLoadBalancer;
+use crate::{Client, Message, TEST_TIMEOUT, TaskRequest};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::thread::JoinHandle;
+use std::time::{Duration, Instant};
+
+/// One in so many requests asks for a non-idempotent task.
+const NON_IDEMPOTENT_EVERY: u64 = 16;
+const CLIENT_WAIT_MS: u64 = 6_000;
+const READ_INTERVAL: Duration = Duration::from_millis(20);
+/// Message types of the protocol.
+const PLACED: u8 = 9;
+const RELEASED: u8 = 12;
+
+/// The first answer to a request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Answer {
+    /// The task was placed.
+    Placed,
+    /// The request was released with this cause.
+    Released(u8),
+}
+
+/// What became of a client's task.
+#[derive(Debug, Clone)]
+pub struct TaskRecord {
+    /// Its id.
+    pub id: u64,
+    /// Its class.
+    pub class: String,
+    /// When it was due to be requested.
+    pub due: Instant,
+    /// The placer that the load balancer picked.
+    pub server: Option<usize>,
+    /// The first answer, and when it came.
+    pub answer: Option<(Instant, Answer)>,
+    /// Answers beyond the first.
+    pub extra_answers: usize,
+    /// When the client was notified of the end of the task.
+    pub ended_at: Option<Instant>,
+}
+
+impl TaskRecord {
+    /// Returns the time from when it was due until it was answered.
+    pub fn wait(&self) -> Option<Duration> {
+        self.answer
+            .map(|(at, _)| at.saturating_duration_since(self.due))
+    }
+
+    /// Whether it was placed.
+    pub fn is_placed(&self) -> bool {
+        matches!(self.answer, Some((_, Answer::Placed)))
+    }
+
+    /// Whether its client expects nothing more.
+    fn is_complete(&self) -> bool {
+        self.ended_at.is_some() || (self.answer.is_some() && !self.is_placed())
+    }
+
+    /// Applies a message; returns whether it is the end of the task, which the client acknowledges.
+    fn apply(&mut self, message: &Message, now: Instant) -> bool {
+        match (message.kind, self.answer) {
+            (PLACED, None) => self.answer = Some((now, Answer::Placed)),
+            (RELEASED, None) => self.answer = Some((now, Answer::Released(message.cause()))),
+            (RELEASED, Some((_, Answer::Placed))) => {
+                self.ended_at = Some(now);
+                return true;
+            }
+            _ => self.extra_answers += 1,
+        }
+        false
+    }
+}
+
+type Records = Mutex<Vec<TaskRecord>>;
+
+fn lock(records: &Records) -> MutexGuard<'_, Vec<TaskRecord>> {
+    records.lock().expect("no client has panicked")
+}
+
+/// Clients that arrive at a steady rate.
+pub struct ClientPopulation {
+    records: Arc<Records>,
+    stop: Arc<AtomicBool>,
+    arrivals: Option<JoinHandle<Vec<JoinHandle<()>>>>,
+}
+
+impl ClientPopulation {
+    /// Starts arrivals at a rate per second.
+    pub fn start(
+        balancer: &Arc<PollingLoadBalancer>,
+        rate: f64,
+        first_id: u64,
+    ) -> ClientPopulation {
+        let records: Arc<Records> = Arc::default();
+        let stop = Arc::new(AtomicBool::new(false));
+        let (balancer, arrival_records, stopped) =
+            (balancer.clone(), records.clone(), stop.clone());
+        let arrivals = std::thread::spawn(move || {
+            let start = Instant::now();
+            let mut clients = Vec::new();
+            for n in 0u64.. {
+                let due = start + Duration::from_secs_f64(n as f64 / rate);
+                std::thread::sleep(due.saturating_duration_since(Instant::now()));
+                if stopped.load(Ordering::Relaxed) {
+                    break;
+                }
+                let (balancer, records) = (balancer.clone(), arrival_records.clone());
+                let id = first_id + n;
+                clients.push(std::thread::spawn(move || {
+                    run_client(&balancer, id, due, &records);
+                }));
+            }
+            clients
+        });
+        ClientPopulation {
+            records,
+            stop,
+            arrivals: Some(arrivals),
+        }
+    }
+
+    /// Returns what became of all tasks so far.
+    pub fn records(&self) -> Vec<TaskRecord> {
+        lock(&self.records).clone()
+    }
+
+    /// Ends the arrivals, and waits until every client is done.
+    pub fn finish(mut self) -> Vec<TaskRecord> {
+        self.stop.store(true, Ordering::Relaxed);
+        if let Some(arrivals) = self.arrivals.take() {
+            for client in arrivals.join().expect("arrivals do not panic") {
+                client.join().expect("no client has panicked");
+            }
+        }
+        self.records()
+    }
+
+    /// Returns how many tasks that were due since then went to each server.
+    pub fn tasks_per_server(&self, servers: usize, since: Instant) -> Vec<usize> {
+        let mut counts = vec![0; servers];
+        for record in self.records().iter().filter(|record| record.due >= since) {
+            if let Some(server) = record.server {
+                counts[server] += 1;
+            }
+        }
+        counts
+    }
+}
+
+/// One client: requests a task once, and stays until it has ended or the time is up. The end of a task may be
+/// notified on the connection of any client, so each one reads for all.
+fn run_client(balancer: &PollingLoadBalancer, id: u64, due: Instant, records: &Records) {
+    let class = if id.is_multiple_of(NON_IDEMPOTENT_EVERY) {
+        "once"
+    } else {
+        "quick"
+    };
+    let server = balancer.pick();
+    lock(records).push(TaskRecord {
+        id,
+        class: class.into(),
+        due,
+        server,
+        answer: None,
+        extra_answers: 0,
+        ended_at: None,
+    });
+    let client = server.and_then(|server| Client::connect(balancer.client_address(server)));
+    let Some(mut client) = client else {
+        return;
+    };
+    let request = TaskRequest {
+        class,
+        wait_ms: CLIENT_WAIT_MS,
+        service: id,
+        running_at: None,
+    };
+    client.request_task(id, &request);
+    let deadline = due + TEST_TIMEOUT;
+    while Instant::now() < deadline {
+        match client.message_within(READ_INTERVAL) {
+            Ok(Some(message)) => {
+                let mut records = lock(records);
+                let record = records.iter_mut().find(|record| record.id == message.id);
+                let Some(record) = record else { continue };
+                if record.apply(&message, Instant::now()) {
+                    client.acknowledge_end(message.id);
+                }
+            }
+            Ok(None) => return,
+            Err(_) => {}
+        }
+        let records = lock(records);
+        let own = records.iter().find(|record| record.id == id);
+        if own.is_some_and(TaskRecord::is_complete) {
+            return;
+        }
+    }
+}
