--- a/src/cli.rs
+++ b/src/cli.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
-use task_placer::operation::calls::Call;
+use task_placer::operation::admin::Call;
 
 /// Exit code of `check` for files with errors, as of `clap` for words that can't be read.
 const BAD_INPUT: u8 = 2;
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -6,7 +6,7 @@
 //! and answers its requests for the host list from the state of the feed.
 
 use crate::interface::*;
-use crate::operation::company::Share;
+use crate::operation::process_group::Share;
 use crate::overload::{self, Overload, Parts};
 use crate::policy::Placer;
 use crate::settings::Names;
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -14,9 +14,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use task_placer::Micros;
-use task_placer::operation::calls::{self, Call};
-use task_placer::operation::duty;
-use task_placer::operation::tally::Counts;
+use task_placer::operation::admin::{self as calls, Call};
+use task_placer::operation::counters::Counts;
+use task_placer::operation::lifecycle as duty;
 use tracing::{debug, info};
 
 /// How long a caller may take for its line, and to read its reply and close.
--- a/src/net/dispatch/answers.rs
+++ b/src/net/dispatch/answers.rs
@@ -15,7 +15,7 @@
 use crate::net::codec::{TaskId, binary, cause};
 use task_placer::facade::{News, Ticket};
 use task_placer::health::Event;
-use task_placer::operation::tally::Ended as Told;
+use task_placer::operation::counters::Ended as Told;
 use task_placer::{Micros, Outcome};
 
 impl Dispatch {
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -11,8 +11,8 @@
 use crate::net::conn::{Conn, End};
 use std::rc::Rc;
 use task_placer::facade::{News, Ticket, Unfit};
-use task_placer::operation::duty;
-use task_placer::operation::tally::Ended as Told;
+use task_placer::operation::counters::Ended as Told;
+use task_placer::operation::lifecycle as duty;
 use task_placer::{Micros, Outcome};
 use tracing::info;
 
--- a/src/net/dispatch/operating.rs
+++ b/src/net/dispatch/operating.rs
@@ -7,7 +7,7 @@
 use crate::net::health::watch::{Refused, Watch};
 use simd_json::OwnedValue;
 use task_placer::Micros;
-use task_placer::operation::duty::{Effect, Event};
+use task_placer::operation::lifecycle::{Effect, Event};
 use tracing::info;
 
 impl Dispatch {
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -7,7 +7,7 @@
 use task_placer::Micros;
 use task_placer::facade::News;
 use task_placer::health::drain::Hand;
-use task_placer::operation::duty;
+use task_placer::operation::lifecycle as duty;
 use tracing::{info, warn};
 
 /// After SIGTERM the platform ends the process no sooner than after the longest wait of a client, counted as this
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -7,7 +7,7 @@
 use crate::net::hosts::{DialError, Link, Phase, Round};
 use task_placer::facade::Ticket;
 use task_placer::health::Event;
-use task_placer::operation::duty;
+use task_placer::operation::lifecycle as duty;
 use task_placer::{Detail, HostId, Micros, Outcome};
 
 /// How often connections are looked through.
--- a/src/operation/calls/tests.rs
+++ b/src/operation/admin/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `calls.rs`.
+//! Tests of `admin.rs`.
 
 use super::*;
 
--- a/src/operation/tally/tests.rs
+++ b/src/operation/counters/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `tally.rs`.
+//! Tests of `counters.rs`.
 
 use super::*;
 
--- a/src/operation/duty/tests.rs
+++ b/src/operation/lifecycle/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `duty.rs`.
+//! Tests of `lifecycle.rs`.
 
 use super::*;
 
--- a/src/operation/company/tests.rs
+++ b/src/operation/process_group/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `company.rs`.
+//! Tests of `process_group.rs`.
 
 use super::*;
 
