--- a/src/cli.rs
+++ b/src/cli.rs
@@ -11,7 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 use std::time::Duration;
-use task_placer::operation::admin::Call;
+use task_placer::operation::admin::AdminCommand;
 
 /// Exit code of `check` for files with errors, as of `clap` for words that can't be read.
 const BAD_INPUT: u8 = 2;
@@ -89,7 +89,7 @@
         #[arg(long, value_name = "ADDRESS", env = "LB_ADMIN")]
         at: SocketAddr,
         /// The call
-        #[arg(value_parser = PossibleValuesParser::new(Call::ALL.map(|(word, _)| word)))]
+        #[arg(value_parser = PossibleValuesParser::new(AdminCommand::ALL.map(|(word, _)| word)))]
         call: String,
     },
     /// Print completions for a shell
--- a/src/facade.rs
+++ b/src/facade.rs
@@ -6,7 +6,7 @@
 //! and answers its requests for the host list from the state of the feed.
 
 use crate::interface::*;
-use crate::operation::process_group::Share;
+use crate::operation::process_group::BudgetShare;
 use crate::overload::{self, Overload, Parts};
 use crate::policy::Placer;
 use crate::settings::Names;
@@ -236,12 +236,12 @@
     }
 
     /// So many processes act as this placer from now on, and this is one of them.
-    pub fn share(&mut self, now: Micros, share: Share) -> Vec<Verdict> {
+    pub fn share(&mut self, now: Micros, share: BudgetShare) -> Vec<Verdict> {
         self.give(
             now,
             Event::Bounds(vec![Bound::Processes {
-                of: share.of,
-                me: share.me,
+                of: share.process_count,
+                me: share.process_index,
             }]),
         )
     }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -14,9 +14,9 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use task_placer::Micros;
-use task_placer::operation::admin::{self as calls, Call};
-use task_placer::operation::counters::Counts;
-use task_placer::operation::lifecycle as duty;
+use task_placer::operation::admin::{self, AdminCommand, AdminError};
+use task_placer::operation::counters::ClassCounters;
+use task_placer::operation::lifecycle;
 use tracing::{debug, info};
 
 /// How long a caller may take for its line, and to read its reply and close.
@@ -81,11 +81,11 @@
 }
 
 async fn call(mut stream: &Async<TcpStream>, shared: &Shared) -> &'static str {
-    let (mut inbox, mut scratch) = (Vec::new(), [0; calls::MOST_CALL]);
+    let (mut inbox, mut scratch) = (Vec::new(), [0; admin::MAX_COMMAND_BYTES]);
     loop {
-        let (reply, reason) = match codec::next_line(&mut inbox, calls::MOST_CALL) {
+        let (reply, reason) = match codec::next_line(&mut inbox, admin::MAX_COMMAND_BYTES) {
             Ok(Some(line)) => (shared.borrow_mut().called(&line), "answered"),
-            Err(_) => (calls::reply(Err("longer than any call")), "too-long"),
+            Err(_) => (admin::encode_reply(Err(AdminError::TooLong)), "too-long"),
             Ok(None) => match stream.read(&mut scratch).await {
                 Ok(0) => return "closed",
                 Ok(n) => {
@@ -107,38 +107,38 @@
     /// The reply to a call.
     fn called(&mut self, line: &[u8]) -> Vec<u8> {
         let now = self.clock.now();
-        let call = match Call::read(line) {
-            Ok(call) => call,
-            Err(why) => return calls::reply(Err(why)),
+        let command = match AdminCommand::parse(line) {
+            Ok(command) => command,
+            Err(error) => return admin::encode_reply(Err(error)),
         };
-        match call {
-            Call::Vars => return calls::figures(&self.figures().encode()),
-            Call::Check => {
+        match command {
+            AdminCommand::Vars => return admin::encode_vars_reply(&self.figures().encode()),
+            AdminCommand::Check => {
                 let serves = self.serves();
-                self.on_duty(now, duty::Event::Asked);
-                return calls::reply(if serves {
+                self.on_duty(now, lifecycle::Event::Checked);
+                return admin::encode_reply(if serves {
                     Ok(())
                 } else {
-                    Err("takes no requests")
+                    Err(AdminError::NotServing)
                 });
             }
             // Nothing takes back what the module has been told to give up.
-            Call::DrainOn | Call::DrainOff if self.ends() => {
-                return calls::reply(Err("the process ends"));
+            AdminCommand::DrainOn | AdminCommand::DrainOff if self.ends() => {
+                return admin::encode_reply(Err(AdminError::ShuttingDown));
             }
-            Call::DrainOn => self.on_duty(now, duty::Event::DrainOn),
-            Call::DrainOff => self.on_duty(now, duty::Event::DrainOff),
+            AdminCommand::DrainOn => self.on_duty(now, lifecycle::Event::DrainRequested),
+            AdminCommand::DrainOff => self.on_duty(now, lifecycle::Event::DrainCancelled),
         }
-        calls::reply(Ok(()))
+        admin::encode_reply(Ok(()))
     }
 
     /// What this process has done, and has in hand.
     fn figures(&self) -> OwnedValue {
-        let counts = |c: &Counts| json!({ "served": c.served, "refused": c.refused, "failed": c.failed, "attempts": c.attempts });
-        let classes = self.names().classes.iter().zip(self.tally.classes());
+        let counts = |c: &ClassCounters| json!({ "served": c.started, "refused": c.rejected, "failed": c.failed, "attempts": c.attempts });
+        let classes = self.names().classes.iter().zip(self.counters.by_class());
         let requests: simd_json::owned::Object =
             classes.map(|(name, c)| (name.clone(), counts(c))).collect();
-        let attempts: u64 = self.tally.classes().iter().map(|c| c.attempts).sum();
+        let attempts: u64 = self.counters.by_class().iter().map(|c| c.attempts).sum();
         let mut figures = json!({
             "attempts": attempts,
             "in_flight": self.in_hand(),
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -52,9 +52,9 @@
 use std::rc::{Rc, Weak};
 use task_placer::descriptors::Pool;
 use task_placer::facade::{Facade, News, Ticket};
-use task_placer::operation::counters::Tally;
-use task_placer::operation::lifecycle::Duty;
-use task_placer::operation::process_group::Company;
+use task_placer::operation::counters::RequestCounters;
+use task_placer::operation::lifecycle::Lifecycle;
+use task_placer::operation::process_group::ProcessGroup;
 use task_placer::settings::Names;
 use task_placer::{HostId, Micros};
 use timers::{Due, SWEEP};
@@ -125,12 +125,12 @@
     /// A drain is over.
     drained: bool,
     /// Whether this process takes requests, by the platform's orders.
-    duty: Duty,
+    lifecycle: Lifecycle,
     /// What it has done.
-    pub(super) tally: Tally,
+    pub(super) counters: RequestCounters,
     /// What the placer may hold, and which other processes of it there are.
     limits: Limits,
-    company: Company,
+    process_group: ProcessGroup,
     /// The listening socket is the platform's, and other processes of this placer accept from it.
     pub(super) inherits: bool,
     /// Balancers' drain, or maintenance, wants connections closed that carry no task.
@@ -163,8 +163,9 @@
         };
         let apart = listeners + polls + calls + if operator.ctl.is_some() { 6 } else { 0 };
         // What a cold host was sent is looked back on for that time, and counted by clocks that differ.
-        let company = Company::new(2 * config.settings.fall.max(config.settings.connect_timeout));
-        let tally = Tally::new(config.names.classes.len());
+        let process_group =
+            ProcessGroup::new(2 * config.settings.fall.max(config.settings.connect_timeout));
+        let counters = RequestCounters::new(config.names.classes.len());
         conn::bound_queues(config.limits.memory / QUEUES);
         Dispatch {
             clock,
@@ -197,10 +198,10 @@
             watch,
             gate: Rc::new(Gate::new(operator.health.connections)),
             orders: Vec::new(),
-            duty: Duty::default(),
-            tally,
+            lifecycle: Lifecycle::default(),
+            counters,
             limits: config.limits,
-            company,
+            process_group,
             inherits: false,
             closes_idle: false,
             listens: false,
@@ -237,7 +238,7 @@
     /// Takes over what the process may hold.
     pub fn limit(&mut self, limits: Limits) {
         self.limits = limits;
-        let processes = 1 + self.company.others() as usize;
+        let processes = 1 + self.process_group.live_peers() as usize;
         self.clients.limit(limits.sockets / processes);
         self.share_out();
         conn::bound_queues(limits.memory / QUEUES / processes);
--- a/src/net/dispatch/answers.rs
+++ b/src/net/dispatch/answers.rs
@@ -15,7 +15,7 @@
 use crate::net::codec::{TaskId, binary, cause};
 use task_placer::facade::{News, Ticket};
 use task_placer::health::Event;
-use task_placer::operation::counters::Ended as Told;
+use task_placer::operation::counters::RequestOutcome;
 use task_placer::{Micros, Outcome};
 
 impl Dispatch {
@@ -37,11 +37,11 @@
             let request = self.remove(ticket)?;
             if let Some(client) = request.client {
                 let how = if cause == cause::REFUSED {
-                    Told::Refused
+                    RequestOutcome::Rejected
                 } else {
-                    Told::Failed
+                    RequestOutcome::Failed
                 };
-                self.tally.ended(request.class, how);
+                self.counters.record_response(request.class, how);
                 self.clients
                     .send(now, client, &binary::release(request.id, cause, away));
                 self.clients.settled(client, ticket);
@@ -60,7 +60,8 @@
         id: TaskId,
         description: &str,
     ) {
-        self.tally.ended(class, Told::Served);
+        self.counters
+            .record_response(class, RequestOutcome::Started);
         self.clients
             .send(now, client, &binary::answer(id, description));
         self.clients.settled(client, ticket);
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -11,8 +11,8 @@
 use crate::net::conn::{Conn, End};
 use std::rc::Rc;
 use task_placer::facade::{News, Ticket, Unfit};
-use task_placer::operation::counters::Ended as Told;
-use task_placer::operation::lifecycle as duty;
+use task_placer::operation::counters::RequestOutcome;
+use task_placer::operation::lifecycle;
 use task_placer::{Micros, Outcome};
 use tracing::info;
 
@@ -87,7 +87,7 @@
             ClientWord::Test => {
                 let passes = self.placer_serves();
                 self.clients.send(now, client, &binary::tested(id, passes));
-                self.on_duty(now, duty::Event::Asked);
+                self.on_duty(now, lifecycle::Event::Checked);
             }
             ClientWord::Heard => self.clients.heard_end(id),
             ClientWord::Other => self
@@ -132,8 +132,8 @@
         };
         if let Some(why) = unfit {
             info!(task = %id, reason = why, "not placed");
-            self.tally
-                .ended(self.facade.class(&ask.class), Told::Failed);
+            self.counters
+                .record_response(self.facade.class(&ask.class), RequestOutcome::Failed);
             return self.answer_unfit(now, client, id);
         }
         let ticket = self.admit(now, id, client, &ask.class, State::Held);
--- a/src/net/dispatch/offers.rs
+++ b/src/net/dispatch/offers.rs
@@ -118,7 +118,7 @@
                         continue;
                     };
                     if conn.send(now, &line) {
-                        self.tally.offered(request.class);
+                        self.counters.record_attempt(request.class);
                         *round = Some(link.round);
                         self.wheel.add(now + DOUBT, Due::Doubt(ticket, attempt));
                         continue;
--- a/src/net/dispatch/operating.rs
+++ b/src/net/dispatch/operating.rs
@@ -8,6 +8,7 @@
 use simd_json::OwnedValue;
 use task_placer::Micros;
 use task_placer::operation::lifecycle::{Effect, Event};
+use task_placer::operation::process_group::PeerAge;
 use tracing::info;
 
 impl Dispatch {
@@ -15,7 +16,7 @@
     pub fn serves(&self) -> bool {
         self.listens
             && !self.ends()
-            && self.duty.serves()
+            && self.lifecycle.is_serving()
             && self.watch.as_ref().is_none_or(Watch::serves)
     }
 
@@ -27,37 +28,40 @@
     /// Closes connections that carry no task for as long as balancers' drain or maintenance or this duty wants it.
     pub(super) fn close_idle(&mut self) {
         self.clients
-            .close_idle(self.closes_idle || self.duty.empties());
+            .close_idle(self.closes_idle || self.lifecycle.closes_idle_connections());
     }
 
     /// Whether clients' tests pass: the placer serves, if not this process.
     pub fn placer_serves(&self) -> bool {
-        self.duty.leaves() || self.serves()
+        self.lifecycle.is_shutting_down() || self.serves()
     }
 
     /// Whether this process takes connections that wait to be accepted.
     pub fn accepts(&self) -> bool {
-        !self.duty.leaves()
+        !self.lifecycle.is_shutting_down()
     }
 
-    /// Another process of this placer lives, which was there `first` or came later: they count as one, and share
+    /// Another process of this placer is running: they count as one, and share
     /// what one may hold and do.
-    pub fn met(&mut self, first: bool) {
+    pub fn peer_joined(&mut self, age: PeerAge) {
         let now = self.clock.now();
-        let share = self.company.met(first);
+        let share = self.process_group.peer_joined(age);
         let verdicts = self.facade.share(now, share);
         self.carry_out(now, verdicts);
         self.share_limits();
     }
 
     /// One of them has ended.
-    pub fn left(&mut self) {
-        self.company.left(self.clock.now());
+    pub fn peer_exited(&mut self) {
+        self.process_group.peer_exited(self.clock.now());
         self.share_limits();
     }
 
     fn share_limits(&mut self) {
-        info!(others = self.company.others(), "processes of this placer");
+        info!(
+            others = self.process_group.live_peers(),
+            "processes of this placer"
+        );
         self.limit(self.limits);
     }
 
@@ -104,22 +108,22 @@
 
     /// Something has happened that concerns whether this process takes requests.
     pub fn on_duty(&mut self, now: Micros, event: Event) {
-        let before = self.duty.phase();
-        match self.duty.handle(now, event) {
-            Some(Effect::Empty(_)) => self.close_idle(),
-            Some(Effect::Leave(within)) => {
+        let before = self.lifecycle.phase();
+        match self.lifecycle.handle(now, event) {
+            Some(Effect::StartClosingIdle | Effect::StopClosingIdle) => self.close_idle(),
+            Some(Effect::ShutDown { answer_within }) => {
                 self.close_idle();
-                self.close_down(now, within);
+                self.close_down(now, answer_within);
             }
             None => {}
         }
-        if self.duty.phase() != before {
-            info!(phase = self.duty.phase().as_str(), "duty");
+        if self.lifecycle.phase() != before {
+            info!(phase = self.lifecycle.phase().as_str(), "lifecycle");
         }
-        if self.duty.empties() {
+        if self.lifecycle.closes_idle_connections() {
             self.clients.close_spare(now);
         }
-        if let Some(share) = self.company.look(now) {
+        if let Some(share) = self.process_group.refresh(now) {
             let verdicts = self.facade.share(now, share);
             self.carry_out(now, verdicts);
         }
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -7,7 +7,7 @@
 use task_placer::Micros;
 use task_placer::facade::News;
 use task_placer::health::drain::Hand;
-use task_placer::operation::lifecycle as duty;
+use task_placer::operation::lifecycle;
 use tracing::{info, warn};
 
 /// After SIGTERM the platform ends the process no sooner than after the longest wait of a client, counted as this
@@ -25,7 +25,12 @@
         let now = self.clock.now();
         match self.watch.as_mut().and_then(|watch| watch.terminate(now)) {
             Some(tasks) => self.follow(now, tasks),
-            None if self.inherits => self.on_duty(now, duty::Event::Leave(self.facade.longest())),
+            None if self.inherits => self.on_duty(
+                now,
+                lifecycle::Event::ShutdownRequested {
+                    longest_client_wait: self.facade.longest(),
+                },
+            ),
             None => self.close_down(now, self.closing_wait() + CLOSE_ANSWER),
         }
     }
@@ -92,8 +97,8 @@
         let now = self.clock.now();
         let end = self.closing_wait() + CLOSE_END;
         let ends = |since| {
-            if self.duty.leaves() {
-                self.duty.overdue(now)
+            if self.lifecycle.is_shutting_down() {
+                self.lifecycle.exit_is_overdue(now)
             } else {
                 now - since >= end
             }
@@ -115,8 +120,8 @@
             return false;
         }
         let clear = !self.requests.values().any(Request::awaits_answer) && self.clients.flushed();
-        if self.duty.leaves() {
-            return (clear && self.clients.at_rest(now)) || self.duty.overdue(now);
+        if self.lifecycle.is_shutting_down() {
+            return (clear && self.clients.at_rest(now)) || self.lifecycle.exit_is_overdue(now);
         }
         let end = self.closing_wait() + CLOSE_END;
         now - since >= end || (now - since >= CLOSE_OPEN.min(end) && clear)
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -7,7 +7,7 @@
 use crate::net::hosts::{DialError, Link, Phase, Round};
 use task_placer::facade::Ticket;
 use task_placer::health::Event;
-use task_placer::operation::lifecycle as duty;
+use task_placer::operation::lifecycle;
 use task_placer::{Detail, HostId, Micros, Outcome};
 
 /// How often connections are looked through.
@@ -35,7 +35,7 @@
     pub fn tick(&mut self) {
         let now = self.clock.now();
         self.watch(now, Event::Turn);
-        self.on_duty(now, duty::Event::Look);
+        self.on_duty(now, lifecycle::Event::Tick);
         for host in std::mem::take(&mut self.clogged) {
             self.send_waiting(now, &host);
         }
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -18,6 +18,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
+use task_placer::operation::process_group::PeerAge;
 use tracing::warn;
 
 /// Names the inherited descriptor.
@@ -66,7 +67,7 @@
     loop {
         let problem = match Async::<UnixStream>::connect(&path).await {
             Ok(first) => {
-                beside(first, true, &shared).await;
+                beside(first, PeerAge::Older, &shared).await;
                 continue;
             }
             Err(e) => match bind(&path, &e) {
@@ -101,7 +102,7 @@
                 shared
                     .borrow()
                     .tasks
-                    .spawn(async move { beside(stream, false, &with).await });
+                    .spawn(async move { beside(stream, PeerAge::Younger, &with).await });
             }
             Err(e) => AcceptFailed::pause(shared, &e).await,
         }
@@ -110,8 +111,8 @@
 }
 
 /// Another process lives for as long as this connection does.
-async fn beside(mut stream: Async<UnixStream>, first: bool, shared: &Shared) {
-    shared.borrow_mut().met(first);
+async fn beside(mut stream: Async<UnixStream>, age: PeerAge, shared: &Shared) {
+    shared.borrow_mut().peer_joined(age);
     while let Ok(1..) = stream.read(&mut [0; 64]).await {}
-    shared.borrow_mut().left();
+    shared.borrow_mut().peer_exited();
 }
--- a/src/operation/admin.rs
+++ b/src/operation/admin.rs
@@ -1,53 +1,79 @@
-//! The calls of operators and of the platform, one line each, and the replies.
+//! The admin protocol: one command per line, and its reply.
 //!
-//! A reply is a line that begins with `ok` or `fail`; to `vars` it is the figures, one line of JSON, and a
-//! line `eof`.
+//! A reply is one line that begins with `ok` or `fail`. The reply to `vars` is one line of JSON followed by a
+//! line `eof`. This module parses and encodes; it executes nothing.
 
-/// No call is longer.
-pub const MOST_CALL: usize = 256;
+/// The maximum length of a command line, in bytes.
+pub const MAX_COMMAND_BYTES: usize = 256;
 
-/// What is asked.
+/// A command of an operator or of the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Call {
-    /// Whether this process can serve.
+pub enum AdminCommand {
+    /// `check`: whether this process serves.
     Check,
-    /// The figures.
+    /// `vars`: the request counters and gauges.
     Vars,
-    /// Empty the placer.
+    /// `drain-on`: start draining the placer.
     DrainOn,
-    /// Back to work.
+    /// `drain-off`: stop draining and serve again.
     DrainOff,
 }
 
-impl Call {
-    /// Every call, by its word.
-    pub const ALL: [(&'static str, Call); 4] = [
-        ("check", Call::Check),
-        ("vars", Call::Vars),
-        ("drain-on", Call::DrainOn),
-        ("drain-off", Call::DrainOff),
+/// Why a command failed. The text follows `fail` in the reply.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum AdminError {
+    /// The line is not UTF-8.
+    #[error("not text")]
+    NotText,
+    /// No command has this name.
+    #[error("unknown call: known are check, vars, drain-on, drain-off")]
+    UnknownCommand,
+    /// The line exceeds [`MAX_COMMAND_BYTES`].
+    #[error("longer than any call")]
+    TooLong,
+    /// `check` found that the process does not accept requests.
+    #[error("takes no requests")]
+    NotServing,
+    /// The process is shutting down, so its lifecycle can no longer change.
+    #[error("the process ends")]
+    ShuttingDown,
+}
+
+impl AdminCommand {
+    /// Every command with its name on the wire.
+    pub const ALL: [(&'static str, AdminCommand); 4] = [
+        ("check", AdminCommand::Check),
+        ("vars", AdminCommand::Vars),
+        ("drain-on", AdminCommand::DrainOn),
+        ("drain-off", AdminCommand::DrainOff),
     ];
 
-    /// Reads a line without its line feed, or says what is wrong with it.
-    pub fn read(line: &[u8]) -> Result<Call, &'static str> {
-        let word = std::str::from_utf8(line).map_err(|_| "not text")?.trim();
-        let found = Call::ALL.iter().find(|(name, _)| *name == word);
-        found
-            .map(|(_, call)| *call)
-            .ok_or("unknown call: known are check, vars, drain-on, drain-off")
+    /// Parses a line without its line feed. Surrounding white space is ignored.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`AdminError::NotText`] or [`AdminError::UnknownCommand`].
+    pub fn parse(line: &[u8]) -> Result<AdminCommand, AdminError> {
+        let text = std::str::from_utf8(line).map_err(|_| AdminError::NotText)?;
+        let name = text.trim();
+        AdminCommand::ALL
+            .iter()
+            .find(|(known, _)| *known == name)
+            .map(|(_, command)| *command)
+            .ok_or(AdminError::UnknownCommand)
     }
 }
 
-/// A reply without figures: done, or what went wrong.
-pub fn reply(done: Result<(), &str>) -> Vec<u8> {
-    match done {
+/// Encodes the reply to a command that returns no data.
+pub fn encode_reply(result: Result<(), AdminError>) -> Vec<u8> {
+    match result {
         Ok(()) => b"ok\n".to_vec(),
-        Err(why) => format!("fail {why}\n").into_bytes(),
+        Err(error) => format!("fail {error}\n").into_bytes(),
     }
 }
 
-/// The reply to `vars`.
-pub fn figures(json: &str) -> Vec<u8> {
+/// Encodes the reply to `vars` from one line of JSON.
+pub fn encode_vars_reply(json: &str) -> Vec<u8> {
     format!("{json}\neof\n").into_bytes()
 }
 
--- a/src/operation/admin/tests.rs
+++ b/src/operation/admin/tests.rs
@@ -1,14 +1,22 @@
-//! Tests of `admin.rs`.
+//! Tests of the admin protocol.
 
 use super::*;
 
 #[test]
-fn calls_are_read_by_their_words_alone() {
-    for (word, call) in Call::ALL {
-        for line in [word.to_string(), format!("{word}\r"), format!(" {word} ")] {
-            assert_eq!(Call::read(line.as_bytes()), Ok(call), "{line:?}");
+fn a_command_is_parsed_with_or_without_surrounding_white_space() {
+    for (name, command) in AdminCommand::ALL {
+        for line in [name.to_string(), format!("{name}\r"), format!(" {name} ")] {
+            assert_eq!(
+                AdminCommand::parse(line.as_bytes()),
+                Ok(command),
+                "{line:?}"
+            );
         }
     }
+}
+
+#[test]
+fn anything_but_a_command_name_is_rejected() {
     for line in [
         &b""[..],
         b"Check",
@@ -17,13 +25,29 @@
         b"\xff\xfe",
         b"GET / HTTP/1.1",
     ] {
-        assert!(Call::read(line).is_err(), "{line:?}");
+        assert!(AdminCommand::parse(line).is_err(), "{line:?}");
+    }
+}
+
+#[test]
+fn a_reply_begins_with_ok_or_fail() {
+    assert_eq!(encode_reply(Ok(())), b"ok\n");
+
+    for (error, reply) in [
+        (AdminError::NotText, "fail not text\n"),
+        (
+            AdminError::UnknownCommand,
+            "fail unknown call: known are check, vars, drain-on, drain-off\n",
+        ),
+        (AdminError::TooLong, "fail longer than any call\n"),
+        (AdminError::NotServing, "fail takes no requests\n"),
+        (AdminError::ShuttingDown, "fail the process ends\n"),
+    ] {
+        assert_eq!(encode_reply(Err(error)), reply.as_bytes());
     }
 }
 
 #[test]
-fn replies_begin_with_ok_or_fail_and_figures_end_with_eof() {
-    assert_eq!(reply(Ok(())), b"ok\n");
-    assert_eq!(reply(Err("draining")), b"fail draining\n");
-    assert_eq!(figures("{}"), b"{}\neof\n");
+fn the_vars_reply_ends_with_eof() {
+    assert_eq!(encode_vars_reply("{}"), b"{}\neof\n");
 }
--- a/src/operation/counters.rs
+++ b/src/operation/counters.rs
@@ -1,61 +1,71 @@
-//! What this process has done since its start, by class.
+//! Request counters of one process since its start, by task class.
 
-/// How a request ended, as its client was told.
+/// How a request ended, as its client was notified.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum RequestOutcome {
     /// A host has started the task.
-    Served,
-    /// Turned away; trying again is harmless.
-    Refused,
-    /// Nothing is promised.
+    Started,
+    /// Rejected with a promise of no effect, so a retry is harmless.
+    Rejected,
+    /// Failed with nothing promised.
     Failed,
 }
 
-/// The counts of one class.
+/// The counters of one class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
-    /// Requests answered with a host's start.
-    pub served: u64,
-    /// Requests refused.
-    pub refused: u64,
+pub struct ClassCounters {
+    /// Requests whose task a host has started.
+    pub started: u64,
+    /// Requests rejected.
+    pub rejected: u64,
     /// Requests failed.
     pub failed: u64,
-    /// Offers that were handed whole to a host's connection.
+    /// Attempts written completely to a host's connection.
     pub attempts: u64,
 }
 
-/// The counts of all classes, in the order in which the settings state them.
+/// The counters of all classes, in the order of the settings.
+///
+/// Methods take the index of the class; requests of a class that the settings do not define are not counted.
 #[derive(Debug, Clone, Default)]
-pub struct Tally(Vec<Counts>);
+pub struct RequestCounters {
+    by_class: Vec<ClassCounters>,
+}
 
-impl Tally {
-    /// Nothing yet, for so many classes.
-    pub fn new(classes: usize) -> Tally {
-        Tally(vec![Counts::default(); classes])
+impl RequestCounters {
+    /// Creates zeroed counters for `class_count` classes.
+    pub fn new(class_count: usize) -> RequestCounters {
+        RequestCounters {
+            by_class: vec![ClassCounters::default(); class_count],
+        }
     }
 
-    /// A request of this class was answered. One of a class that the settings do not state counts nowhere.
-    pub fn ended(&mut self, class: Option<usize>, how: Ended) {
-        let Some(counts) = class.and_then(|class| self.0.get_mut(class)) else {
+    /// Counts the final response to a request.
+    pub fn record_response(&mut self, class: Option<usize>, outcome: RequestOutcome) {
+        let Some(counters) = self.class_mut(class) else {
             return;
         };
-        match how {
-            Ended::Served => counts.served += 1,
-            Ended::Refused => counts.refused += 1,
-            Ended::Failed => counts.failed += 1,
+        match outcome {
+            RequestOutcome::Started => counters.started += 1,
+            RequestOutcome::Rejected => counters.rejected += 1,
+            RequestOutcome::Failed => counters.failed += 1,
         }
     }
 
-    /// An offer of this class has left.
-    pub fn offered(&mut self, class: Option<usize>) {
-        if let Some(counts) = class.and_then(|class| self.0.get_mut(class)) {
-            counts.attempts += 1;
+    /// Counts an attempt that was sent to a host.
+    pub fn record_attempt(&mut self, class: Option<usize>) {
+        if let Some(counters) = self.class_mut(class) {
+            counters.attempts += 1;
         }
     }
 
-    /// The counts by class.
-    pub fn classes(&self) -> &[Counts] {
-        &self.0
+    /// Returns the counters by class.
+    pub fn by_class(&self) -> &[ClassCounters] {
+        &self.by_class
+    }
+
+    fn class_mut(&mut self, class: Option<usize>) -> Option<&mut ClassCounters> {
+        self.by_class.get_mut(class?)
     }
 }
 
--- a/src/operation/counters/tests.rs
+++ b/src/operation/counters/tests.rs
@@ -1,33 +1,34 @@
-//! Tests of `counters.rs`.
+//! Tests of the request counters.
 
 use super::*;
 
 #[test]
-fn each_end_counts_once_for_its_class_and_strangers_count_nowhere() {
-    let mut tally = Tally::new(2);
-    for (class, how) in [
-        (Some(0), Ended::Served),
-        (Some(1), Ended::Served),
-        (Some(1), Ended::Refused),
-        (Some(1), Ended::Failed),
-        (Some(2), Ended::Served),
-        (None, Ended::Failed),
+fn each_response_counts_once_for_its_class_and_unknown_classes_are_not_counted() {
+    let mut counters = RequestCounters::new(2);
+
+    for (class, outcome) in [
+        (Some(0), RequestOutcome::Started),
+        (Some(1), RequestOutcome::Started),
+        (Some(1), RequestOutcome::Rejected),
+        (Some(1), RequestOutcome::Failed),
+        (Some(2), RequestOutcome::Started),
+        (None, RequestOutcome::Failed),
     ] {
-        tally.ended(class, how);
+        counters.record_response(class, outcome);
     }
-    tally.offered(Some(1));
-    tally.offered(None);
-    let first = Counts {
-        served: 1,
-        ..Counts::default()
-    };
+    counters.record_attempt(Some(1));
+    counters.record_attempt(None);
+
     assert_eq!(
-        tally.classes(),
+        counters.by_class(),
         [
-            first,
-            Counts {
-                served: 1,
-                refused: 1,
+            ClassCounters {
+                started: 1,
+                ..ClassCounters::default()
+            },
+            ClassCounters {
+                started: 1,
+                rejected: 1,
                 failed: 1,
                 attempts: 1
             }
--- a/src/operation/lifecycle.rs
+++ b/src/operation/lifecycle.rs
@@ -1,169 +1,203 @@
-//! Whether this process takes requests, and which connections of clients it gives up.
+//! Whether this process accepts requests, and when it closes the connections of its clients.
 //!
 //! ```text
-//!              drain-on                  the front has heard the no, and
-//!                                        what it may still send has come
-//!  ┌─────────┐           ┌──────────┐                        ┌──────────┐
-//!  │ serving ├──────────▶│ refusing ├───────────────────────▶│ emptying │
-//!  └─▲──┬────┘           └────┬─┬───┘                        └───┬─┬────┘
-//!    │  │      drain-off      │ │                                │ │
-//!    ◀──│─────────────────────┴─│────────────────────────────────┘ │
-//!       │ SIGTERM, and another process accepts                     │
-//!       │                 ┌─────▼───┐                              │
-//!       └────────────────▶│ leaving │◀─────────────────────────────┘
-//!                         └─────────┘
+//!             drain-on               load balancer has seen the failed check,
+//!                                    and requests already on their way arrived
+//!  ┌─────────┐        ┌───────────┐                               ┌──────────┐
+//!  │ serving ├───────▶│ not ready ├──────────────────────────────▶│ draining │
+//!  └─▲──┬────┘        └─────┬─┬───┘                               └───┬─┬────┘
+//!    │  │     drain-off     │ │                                       │ │
+//!    ◀──│───────────────────┴─│───────────────────────────────────────┘ │
+//!       │ SIGTERM while another process accepts                         │
+//!       │             ┌───────▼───────┐                                 │
+//!       └────────────▶│ shutting down │◀────────────────────────────────┘
+//!                     └───────────────┘
 //! ```
 //!
-//! *refusing*: every test fails; connections are kept, since for as long as the front may not have heard,
-//! clients whose connection closes come again on a new one. *emptying*: each connection is closed as soon as
-//! it carries no task: no set-up is open on it, nothing waits to be read, and of the tasks that were placed on
-//! it none stands, so that the end of each can be told. What has come is answered in every phase: nothing is
-//! turned away, and tasks stand on. *leaving*: as emptying, but what waits to be accepted is the other
-//! process's. Clients' tests pass, since the placer serves; operators are told that this process does not.
+//! - *not ready*: every health check fails. Connections are kept, because clients whose connection closes
+//!   reconnect through a load balancer that may not have noticed yet.
+//! - *draining*: each connection is closed once it is idle: no request is open on it, nothing is waiting to be
+//!   read, and no task that was placed over it is running, so the end of each task can still be reported.
+//! - *shutting down*: as draining, but new connections are left to the other process of this placer. Health
+//!   checks of clients pass, since the placer serves; operators learn that this process does not.
+//!
+//! Requests that have arrived are answered in every phase, and running tasks are never stopped from here. Pure:
+//! time is an argument, and there is no I/O.
 
 use crate::Micros;
 
-const MILLI: Micros = 1_000;
-/// The platform asks every 100 ms, and new connections come for 200 ms after the first no.
-const CROSSING: Micros = 250 * MILLI;
-/// Nobody may be asking: then the order itself counts as heard after so long.
-const UNASKED: Micros = 600 * MILLI;
-/// The platform ends a process that leaves after the longest wait of a client, counted as this at the most,
-/// and 700 ms more. What is owed is answered within the first, and the process ends within the second.
-const MOST_WAIT: Micros = 5_000 * MILLI;
-const LEAVE_ANSWER: Micros = 350 * MILLI;
-const LEAVE_END: Micros = 550 * MILLI;
-
-/// What happens.
+const MILLISECOND: Micros = 1_000;
+/// How long after the first failed check requests may still arrive: the platform checks every 100 ms and
+/// sends new connections for another 200 ms.
+const CHECK_PROPAGATION: Micros = 250 * MILLISECOND;
+/// Without any check, how long after `drain-on` it counts as noticed.
+const UNCHECKED_NOTICE: Micros = 600 * MILLISECOND;
+/// The platform kills a process 700 ms after the longest wait of a client, which it caps at this. Pending
+/// responses are sent `SHUTDOWN_ANSWER_MARGIN` after that wait, and the process exits `SHUTDOWN_EXIT_MARGIN`
+/// after it.
+const MAX_CLIENT_WAIT: Micros = 5_000 * MILLISECOND;
+const SHUTDOWN_ANSWER_MARGIN: Micros = 350 * MILLISECOND;
+const SHUTDOWN_EXIT_MARGIN: Micros = 550 * MILLISECOND;
+
+/// An event that may change the phase.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Event {
-    /// An operator wants the placer emptied.
-    DrainOn,
-    /// An operator wants it back at work.
-    DrainOff,
-    /// The process is to end, and another accepts in its place. The longest wait of a client.
-    Leave(Micros),
-    /// Somebody asked whether this process serves, and was told.
-    Asked,
+    /// An operator or the platform sent `drain-on`.
+    DrainRequested,
+    /// An operator or the platform sent `drain-off`.
+    DrainCancelled,
+    /// SIGTERM arrived, and another process accepts connections for this placer.
+    ShutdownRequested {
+        /// The longest that any client waits for a response.
+        longest_client_wait: Micros,
+    },
+    /// A health check was answered.
+    Checked,
     /// Time has passed.
-    Look,
+    Tick,
 }
 
-/// What is to be done.
+/// What the program must do after an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// Close connections that carry no task, from now on or no more.
-    Empty(bool),
-    /// Accept nothing more, close connections that carry no task, and answer all that is owed within this time.
-    Leave(Micros),
+    /// Close each connection as soon as it is idle, from now on.
+    StartClosingIdle,
+    /// Keep idle connections open again.
+    StopClosingIdle,
+    /// Accept no more connections, close idle ones, and send every pending response in time.
+    ShutDown {
+        /// How long pending responses may take.
+        answer_within: Micros,
+    },
 }
 
-/// How far this process is.
+/// The phase of this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes requests.
+    /// Accepts requests.
     Serving,
-    /// It says no.
-    Refusing,
-    /// It gives up connections.
-    Emptying,
-    /// It ends.
-    Leaving,
+    /// Fails health checks and keeps connections.
+    NotReady,
+    /// Closes idle connections.
+    Draining,
+    /// Exits once all responses are sent.
+    ShuttingDown,
 }
 
 impl Phase {
-    /// Its name in the log.
+    /// Returns the name used in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             Phase::Serving => "serving",
-            Phase::Refusing => "refusing",
-            Phase::Emptying => "emptying",
-            Phase::Leaving => "leaving",
+            Phase::NotReady => "not-ready",
+            Phase::Draining => "draining",
+            Phase::ShuttingDown => "shutting-down",
         }
     }
 }
 
-/// The duty of one process.
+/// The lifecycle of one process.
 #[derive(Debug, Clone)]
-pub struct Duty {
+pub struct Lifecycle {
     phase: Phase,
-    since: Micros,
-    /// When somebody was first told no.
-    heard: Option<Micros>,
-    /// How long it may take to leave.
-    until: Micros,
+    phase_since: Micros,
+    /// When a health check first failed in the current drain.
+    first_failed_check: Option<Micros>,
+    exit_deadline: Micros,
 }
 
-impl Default for Duty {
-    fn default() -> Duty {
-        Duty {
+impl Default for Lifecycle {
+    fn default() -> Lifecycle {
+        Lifecycle {
             phase: Phase::Serving,
-            since: 0,
-            heard: None,
-            until: Micros::MAX,
+            phase_since: 0,
+            first_failed_check: None,
+            exit_deadline: Micros::MAX,
         }
     }
 }
 
-impl Duty {
-    /// How far it is.
+impl Lifecycle {
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether this process takes requests.
-    pub fn serves(&self) -> bool {
+    /// Returns whether this process accepts requests.
+    pub fn is_serving(&self) -> bool {
         self.phase == Phase::Serving
     }
 
-    /// Whether another process accepts in its place.
-    pub fn leaves(&self) -> bool {
-        self.phase == Phase::Leaving
+    /// Returns whether this process is shutting down while another accepts in its place.
+    pub fn is_shutting_down(&self) -> bool {
+        self.phase == Phase::ShuttingDown
     }
 
-    /// Whether connections that carry no task are closed.
-    pub fn empties(&self) -> bool {
-        matches!(self.phase, Phase::Emptying | Phase::Leaving)
+    /// Returns whether idle connections are closed.
+    pub fn closes_idle_connections(&self) -> bool {
+        matches!(self.phase, Phase::Draining | Phase::ShuttingDown)
     }
 
-    /// Whether a process that leaves has to end, whatever is left.
-    pub fn overdue(&self, now: Micros) -> bool {
-        now >= self.until
+    /// Returns whether a process that is shutting down must exit now, whatever is left.
+    pub fn exit_is_overdue(&self, now: Micros) -> bool {
+        now >= self.exit_deadline
     }
 
-    /// Takes an event. Orders given twice change nothing.
+    /// Applies an event and returns what must be done. Repeated requests have no further effect.
     pub fn handle(&mut self, now: Micros, event: Event) -> Option<Effect> {
         match (event, self.phase) {
-            (Event::DrainOn, Phase::Serving) => {
-                (self.phase, self.since, self.heard) = (Phase::Refusing, now, None);
+            (Event::DrainRequested, Phase::Serving) => {
+                self.enter(now, Phase::NotReady);
+                self.first_failed_check = None;
                 None
             }
-            (Event::DrainOff, Phase::Refusing | Phase::Emptying) => {
-                let emptied = self.phase == Phase::Emptying;
-                (self.phase, self.since) = (Phase::Serving, now);
-                emptied.then_some(Effect::Empty(false))
-            }
-            (Event::Asked, Phase::Refusing) => {
-                self.heard.get_or_insert(now);
+            (Event::DrainCancelled, Phase::NotReady) => {
+                self.enter(now, Phase::Serving);
                 None
             }
-            (Event::Look, Phase::Refusing) => {
-                let heard = self.heard.is_some_and(|at| now - at >= CROSSING);
-                if !heard && now - self.since < UNASKED {
-                    return None;
-                }
-                (self.phase, self.since) = (Phase::Emptying, now);
-                Some(Effect::Empty(true))
+            (Event::DrainCancelled, Phase::Draining) => {
+                self.enter(now, Phase::Serving);
+                Some(Effect::StopClosingIdle)
             }
-            (Event::Leave(longest), Phase::Serving | Phase::Refusing | Phase::Emptying) => {
-                let wait = longest.clamp(0, MOST_WAIT);
-                (self.phase, self.since, self.until) =
-                    (Phase::Leaving, now, now + wait + LEAVE_END);
-                Some(Effect::Leave(wait + LEAVE_ANSWER))
+            (Event::Checked, Phase::NotReady) => {
+                self.first_failed_check.get_or_insert(now);
+                None
+            }
+            (Event::Tick, Phase::NotReady) if self.drain_was_noticed(now) => {
+                self.enter(now, Phase::Draining);
+                Some(Effect::StartClosingIdle)
             }
+            (
+                Event::ShutdownRequested {
+                    longest_client_wait,
+                },
+                Phase::Serving | Phase::NotReady | Phase::Draining,
+            ) => Some(self.shut_down(now, longest_client_wait)),
             _ => None,
         }
     }
+
+    fn shut_down(&mut self, now: Micros, longest_client_wait: Micros) -> Effect {
+        let client_wait = longest_client_wait.clamp(0, MAX_CLIENT_WAIT);
+        self.enter(now, Phase::ShuttingDown);
+        self.exit_deadline = now + client_wait + SHUTDOWN_EXIT_MARGIN;
+        Effect::ShutDown {
+            answer_within: client_wait + SHUTDOWN_ANSWER_MARGIN,
+        }
+    }
+
+    fn enter(&mut self, now: Micros, phase: Phase) {
+        self.phase = phase;
+        self.phase_since = now;
+    }
+
+    /// Whether the load balancer has seen a failed check, or would have if it checked at all.
+    fn drain_was_noticed(&self, now: Micros) -> bool {
+        let check_was_seen = self
+            .first_failed_check
+            .is_some_and(|at| now - at >= CHECK_PROPAGATION);
+        check_was_seen || now - self.phase_since >= UNCHECKED_NOTICE
+    }
 }
 
 #[cfg(test)]
--- a/src/operation/lifecycle/tests.rs
+++ b/src/operation/lifecycle/tests.rs
@@ -1,21 +1,32 @@
-//! Tests of `lifecycle.rs`.
+//! Tests of the lifecycle.
 
 use super::*;
 
-/// Plays events at their times (ms) with a look each 50 ms: the effects and when they came.
-fn play(events: &[(Micros, Event)], until: Micros) -> Vec<(Micros, Effect)> {
-    let (mut duty, mut effects) = (Duty::default(), Vec::new());
-    for at in (0..=until).step_by(50) {
+/// How often [`play`] ticks.
+const TICK_MS: usize = 50;
+
+fn shutdown(longest_client_wait: Micros) -> Event {
+    Event::ShutdownRequested {
+        longest_client_wait,
+    }
+}
+
+/// Plays events at their times (ms) with a tick every 50 ms, and returns the effects with their times.
+fn play(events: &[(Micros, Event)], end_ms: Micros) -> Vec<(Micros, Effect)> {
+    let mut lifecycle = Lifecycle::default();
+    let mut effects = Vec::new();
+    for at in (0..=end_ms).step_by(TICK_MS) {
         let due = events
             .iter()
             .filter(|(when, _)| *when == at)
             .map(|(_, event)| *event);
-        for event in due.chain([Event::Look]) {
-            let serving = duty.serves();
-            effects.extend(duty.handle(at * MILLI, event).map(|effect| (at, effect)));
+        for event in due.chain([Event::Tick]) {
+            let was_serving = lifecycle.is_serving();
+            let effect = lifecycle.handle(at * MILLISECOND, event);
+            effects.extend(effect.map(|effect| (at, effect)));
             assert!(
-                event != Event::Asked || duty.serves() == serving,
-                "a question changes nothing"
+                event != Event::Checked || lifecycle.is_serving() == was_serving,
+                "a check changes nothing"
             );
         }
     }
@@ -23,86 +34,142 @@
 }
 
 #[test]
-fn connections_go_once_the_front_has_heard_and_what_crossed_has_come() {
-    let heard = [
-        (100, Event::DrainOn),
-        (150, Event::Asked),
-        (250, Event::Asked),
+fn draining_starts_once_the_first_failed_check_has_propagated() {
+    let events = [
+        (100, Event::DrainRequested),
+        (150, Event::Checked),
+        (250, Event::Checked),
     ];
+
+    let effects = play(&events, 2_000);
+
     assert_eq!(
-        play(&heard, 2_000),
-        [(400, Effect::Empty(true))],
-        "the first no counts"
-    );
-    assert_eq!(
-        play(&[(100, Event::DrainOn)], 2_000),
-        [(700, Effect::Empty(true))],
-        "nobody asks"
+        effects,
+        [(400, Effect::StartClosingIdle)],
+        "the first failed check counts"
     );
-    let back = [
-        (100, Event::DrainOn),
-        (150, Event::Asked),
-        (1_000, Event::DrainOff),
+}
+
+#[test]
+fn draining_starts_without_any_check_after_the_notice_time() {
+    let effects = play(&[(100, Event::DrainRequested)], 2_000);
+
+    assert_eq!(effects, [(700, Effect::StartClosingIdle)], "nobody checks");
+}
+
+#[test]
+fn cancelling_a_drain_stops_closing_idle_connections() {
+    let events = [
+        (100, Event::DrainRequested),
+        (150, Event::Checked),
+        (1_000, Event::DrainCancelled),
     ];
+
+    let effects = play(&events, 2_000);
+
     assert_eq!(
-        play(&back, 2_000),
-        [(400, Effect::Empty(true)), (1_000, Effect::Empty(false))]
+        effects,
+        [
+            (400, Effect::StartClosingIdle),
+            (1_000, Effect::StopClosingIdle)
+        ]
     );
 }
 
 #[test]
-fn a_process_that_leaves_gives_every_client_its_time_and_is_over_before_the_platform_ends_it() {
-    for (longest, answer, end) in [
+fn shutdown_gives_every_client_its_wait_and_exits_before_the_platform_kills_the_process() {
+    for (longest_wait, answer_within, exit_after) in [
         (2_000, 2_350, 2_550),
         (5_000, 5_350, 5_550),
         (60_000, 5_350, 5_550),
     ] {
-        let mut duty = Duty::default();
-        let effect = duty.handle(MILLI, Event::Leave(longest * MILLI));
-        assert_eq!(effect, Some(Effect::Leave(answer * MILLI)));
-        assert!(answer >= longest.min(5_000) && end < longest.min(5_000) + 700);
-        assert!(!duty.overdue(end * MILLI) && duty.overdue((end + 1) * MILLI));
+        let mut lifecycle = Lifecycle::default();
+
+        let effect = lifecycle.handle(MILLISECOND, shutdown(longest_wait * MILLISECOND));
+
+        assert_eq!(
+            effect,
+            Some(Effect::ShutDown {
+                answer_within: answer_within * MILLISECOND
+            })
+        );
+        let counted_wait = longest_wait.min(5_000);
+        assert!(answer_within >= counted_wait && exit_after < counted_wait + 700);
+        assert!(!lifecycle.exit_is_overdue(exit_after * MILLISECOND));
+        assert!(lifecycle.exit_is_overdue((exit_after + 1) * MILLISECOND));
+    }
+}
+
+#[test]
+fn nothing_takes_back_a_shutdown() {
+    for longest_wait in [2_000, 5_000, 60_000] {
+        let mut lifecycle = Lifecycle::default();
+        lifecycle.handle(MILLISECOND, shutdown(longest_wait * MILLISECOND));
+
         for event in [
-            Event::DrainOn,
-            Event::DrainOff,
-            Event::Look,
-            Event::Leave(0),
+            Event::DrainRequested,
+            Event::DrainCancelled,
+            Event::Tick,
+            shutdown(0),
         ] {
-            assert_eq!(duty.handle(9_000 * MILLI, event), None, "{event:?}");
-            assert!(duty.leaves() && !duty.serves() && duty.empties());
+            let effect = lifecycle.handle(9_000 * MILLISECOND, event);
+
+            assert_eq!(effect, None, "{event:?}");
+            assert!(lifecycle.is_shutting_down() && !lifecycle.is_serving());
+            assert!(lifecycle.closes_idle_connections());
         }
     }
-    for before in [Event::DrainOn, Event::Asked, Event::DrainOff] {
-        let mut duty = Duty::default();
-        duty.handle(0, before);
+}
+
+#[test]
+fn shutdown_is_accepted_whatever_happened_before() {
+    for before in [Event::DrainRequested, Event::Checked, Event::DrainCancelled] {
+        let mut lifecycle = Lifecycle::default();
+        lifecycle.handle(0, before);
+
+        let effect = lifecycle.handle(1, shutdown(0));
+
         assert!(
-            duty.handle(1, Event::Leave(0)).is_some() && duty.leaves(),
+            effect.is_some() && lifecycle.is_shutting_down(),
             "{before:?}"
         );
     }
 }
 
 #[test]
-fn orders_given_twice_or_taken_back_early_change_nothing_more() {
-    let twice = [
-        (0, Event::DrainOn),
-        (50, Event::Asked),
-        (300, Event::DrainOn),
-        (500, Event::DrainOn),
+fn repeated_drain_requests_have_no_further_effect() {
+    let events = [
+        (0, Event::DrainRequested),
+        (50, Event::Checked),
+        (300, Event::DrainRequested),
+        (500, Event::DrainRequested),
     ];
-    assert_eq!(play(&twice, 2_000), [(300, Effect::Empty(true))]);
-    assert_eq!(
-        play(&[(0, Event::DrainOn), (50, Event::DrainOff)], 2_000),
-        []
-    );
-    assert_eq!(play(&[(0, Event::DrainOff), (50, Event::Asked)], 2_000), []);
-    // A no of an earlier drain is no no of this one.
-    let again = [
-        (0, Event::DrainOn),
-        (0, Event::Asked),
-        (50, Event::DrainOff),
-        (1_000, Event::DrainOn),
-        (1_500, Event::Asked),
+
+    let effects = play(&events, 2_000);
+
+    assert_eq!(effects, [(300, Effect::StartClosingIdle)]);
+}
+
+#[test]
+fn drain_cancelled_early_or_without_a_request_has_no_effect() {
+    let cancelled_early = [(0, Event::DrainRequested), (50, Event::DrainCancelled)];
+    assert_eq!(play(&cancelled_early, 2_000), []);
+
+    let never_requested = [(0, Event::DrainCancelled), (50, Event::Checked)];
+    assert_eq!(play(&never_requested, 2_000), []);
+}
+
+#[test]
+fn failed_check_of_an_earlier_drain_does_not_count() {
+    let events = [
+        (0, Event::DrainRequested),
+        (0, Event::Checked),
+        (50, Event::DrainCancelled),
+        (1_000, Event::DrainRequested),
+        (1_500, Event::Checked),
     ];
-    assert_eq!(play(&again, 3_000), [(1_600, Effect::Empty(true))]);
+
+    let effects = play(&events, 3_000);
+
+    assert_eq!(effects, [(1_600, Effect::StartClosingIdle)]);
 }
--- a/src/operation/mod.rs
+++ b/src/operation/mod.rs
@@ -1,5 +1,7 @@
-//! What the people who run a placer day by day ask of it: how it is and what it has done, to be emptied and
-//! taken back, and to hand over to the process that takes its place. Without I/O.
+//! The operating state of one placer process: admin commands, lifecycle, peer processes and request counters.
+//!
+//! Everything here is pure: time is an argument, and there is no I/O. The sockets that carry admin commands and
+//! the connections that a drain closes belong to the program (`net`).
 
 pub mod admin;
 pub mod counters;
--- a/src/operation/process_group.rs
+++ b/src/operation/process_group.rs
@@ -1,86 +1,108 @@
-//! The processes of one placer that live at the same time, as in an upgrade. The rules see a single placer, so
-//! what counts over a span is shared out: offers to cold hosts, whose sum over all placers is bounded.
+//! Splits the slow-start budget among the processes of one placer.
 //!
-//! The process that was there first is number 0, one that finds it there is number 1. When the other has ended,
-//! what it offered still counts for as long as the rule looks back, so the share is whole again only after that.
+//! During a rolling upgrade an old and a new process serve under one name. Limits apply to the placer as a
+//! whole, so each process may use only its part. The part grows back once the attempts of a process that has
+//! exited no longer count against the limit.
+//!
+//! The process that was running first has index 0, one that finds it running has index 1. Pure: time is an
+//! argument, and there is no I/O.
 
 use crate::Micros;
 
-/// A process's part of what the placer may do.
+/// The part of a placer-wide limit that one process may use: `1 / process_count`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Share {
-    /// Processes that count.
-    pub of: u32,
-    /// The number of this one among them.
-    pub me: u32,
+pub struct BudgetShare {
+    /// Processes whose attempts count against the limit.
+    pub process_count: u32,
+    /// The index of this process among them.
+    pub process_index: u32,
+}
+
+impl BudgetShare {
+    /// The whole limit, for a process without peers.
+    pub const WHOLE: BudgetShare = BudgetShare {
+        process_count: 1,
+        process_index: 0,
+    };
 }
 
-impl Share {
-    /// All of it.
-    pub const WHOLE: Share = Share { of: 1, me: 0 };
+/// Whether a peer process was running before this one started.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum PeerAge {
+    /// It was running before.
+    Older,
+    /// It started later.
+    Younger,
 }
 
-/// Who else is there.
+/// The peer processes of this one, and the share that results.
 #[derive(Debug, Clone)]
-pub struct Company {
-    /// How long what a process has offered counts.
-    span: Micros,
-    /// Others that live.
-    others: u32,
-    /// The share in force, and when it may grow again.
-    share: Share,
-    grows_at: Micros,
+pub struct ProcessGroup {
+    /// How long an attempt counts against the slow-start budget.
+    accounting_window: Micros,
+    live_peers: u32,
+    share: BudgetShare,
+    share_may_grow_at: Micros,
 }
 
-impl Company {
-    /// Nobody yet; what is offered counts for so long.
-    pub fn new(span: Micros) -> Company {
-        Company {
-            span: span.max(0),
-            others: 0,
-            share: Share::WHOLE,
-            grows_at: 0,
+impl ProcessGroup {
+    /// Creates a group without peers, whose share is whole.
+    pub fn new(accounting_window: Micros) -> ProcessGroup {
+        ProcessGroup {
+            accounting_window: accounting_window.max(0),
+            live_peers: 0,
+            share: BudgetShare::WHOLE,
+            share_may_grow_at: 0,
         }
     }
 
-    /// Others that live.
-    pub fn others(&self) -> u32 {
-        self.others
+    /// Returns the number of peer processes that are running.
+    pub fn live_peers(&self) -> u32 {
+        self.live_peers
     }
 
-    /// Another process is there, which was there `first` or came later. Answers the share from now on.
-    pub fn met(&mut self, first: bool) -> Share {
-        self.others = self.others.saturating_add(1);
-        let of = self.share.of.max(self.others.saturating_add(1));
-        self.share = Share {
-            of,
-            me: if first { 1 } else { self.share.me.min(of - 1) },
+    /// Registers a peer process and returns the reduced share, which applies at once.
+    pub fn peer_joined(&mut self, age: PeerAge) -> BudgetShare {
+        self.live_peers = self.live_peers.saturating_add(1);
+        let process_count = self.share.process_count.max(self.live_processes());
+        let process_index = match age {
+            PeerAge::Older => 1,
+            PeerAge::Younger => self.share.process_index.min(process_count - 1),
+        };
+        self.share = BudgetShare {
+            process_count,
+            process_index,
         };
         self.share
     }
 
-    /// One of them has ended.
-    pub fn left(&mut self, now: Micros) {
-        self.others = self.others.saturating_sub(1);
-        self.grows_at = now.saturating_add(self.span);
+    /// Records that a peer exited. Its past attempts keep counting for the accounting window.
+    pub fn peer_exited(&mut self, now: Micros) {
+        self.live_peers = self.live_peers.saturating_sub(1);
+        self.share_may_grow_at = now.saturating_add(self.accounting_window);
     }
 
-    /// Time has passed: the share, where it has changed.
-    pub fn look(&mut self, now: Micros) -> Option<Share> {
-        let of = self.others.saturating_add(1);
-        if of >= self.share.of || now < self.grows_at {
+    /// Returns the new share if it has grown since the last call.
+    pub fn refresh(&mut self, now: Micros) -> Option<BudgetShare> {
+        let process_count = self.live_processes();
+        if process_count >= self.share.process_count || now < self.share_may_grow_at {
             return None;
         }
-        self.share = if of == 1 {
-            Share::WHOLE
+        self.share = if process_count == 1 {
+            BudgetShare::WHOLE
         } else {
-            Share {
-                of,
-                me: self.share.me.min(of - 1),
+            BudgetShare {
+                process_count,
+                process_index: self.share.process_index.min(process_count - 1),
             }
         };
         Some(self.share)
     }
+
+    /// Peers and this process.
+    fn live_processes(&self) -> u32 {
+        self.live_peers.saturating_add(1)
+    }
 }
 
 #[cfg(test)]
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -241,7 +241,7 @@
     assert_eq!(late.read().cause(), 16);
     // Those that carry nothing end, the others do not.
     assert_eq!((idle.next_message(), late.next_message()), (None, None));
-    program.logged("phase=\"emptying\"");
+    program.logged("phase=\"draining\"");
     conns[0].up(&open);
     assert_eq!(busy.read().kind, 9);
     conns[0].down(&open, 16, "");
@@ -339,7 +339,7 @@
     old.logged("others=1");
     new.logged("others=1");
     old.terminate();
-    old.logged("phase=\"leaving\"");
+    old.logged("phase=\"shutting-down\"");
     assert_eq!(idle.next_message(), None, "it carries no task");
     assert!(stood.test(), "the placer serves");
     assert!(!calls.check() && second.check(), "this process does not");
