--- a/src/net/dispatch/operating.rs
+++ b/src/net/dispatch/operating.rs
@@ -46,7 +46,7 @@
     pub fn peer_joined(&mut self, age: PeerAge) {
         let now = self.clock.now();
         let share = self.process_group.peer_joined(age);
-        let verdicts = self.facade.share(now, share);
+        let verdicts = self.facade.set_share(now, share);
         self.carry_out(now, verdicts);
         self.share_limits();
     }
@@ -80,7 +80,7 @@
 
     /// Listed hosts that get no offers now.
     pub fn hosts_avoided(&self) -> usize {
-        self.facade.avoided()
+        self.facade.unavailable_hosts()
     }
 
     /// An order of an operator: what to answer.
@@ -124,7 +124,7 @@
             self.clients.close_spare(now);
         }
         if let Some(share) = self.process_group.refresh(now) {
-            let verdicts = self.facade.share(now, share);
+            let verdicts = self.facade.set_share(now, share);
             self.carry_out(now, verdicts);
         }
     }
