--- a/src/descriptors/pool.rs
+++ b/src/descriptors/pool.rs
@@ -1,226 +1,239 @@
-//! Which hosts have a connection, where there may be fewer connections than hosts. Without I/O.
+//! Decides which hosts have a connection when there are fewer descriptors than hosts.
 //!
-//! A connection holds a slot from the call on until its descriptor is given back. While slots are left,
-//! every call gets one. With none left a call that is needed closes the connection that is needed least
-//! and waits for its slot:
+//! A connection holds a slot from its first connect call until its descriptor is closed. While slots are free,
+//! every request for a connection gets one. When none is free, a request that is needed evicts the connection
+//! with the lowest priority and waits for its slot:
 //!
 //! ```text
-//!               needed least                                                    never closed
-//! connections   Spare (replaced, nothing out) < Idle < Stands (tasks stand)   < Busy (an offer is out)
-//!               and of the same rank the one that was used least recently
+//!              evicted first                                                        never evicted
+//! connections  Replaced (nothing in flight) < Idle < HasRunningTasks              < Busy (attempt in flight)
+//!              and within a priority the least recently used
 //!
-//!               waits last                                                      served first
-//! calls         Warm (it may be of use)       < Visit  < Release (to be told) < Offer
-//!               and of the same want the one that has waited longest
+//!              served last                                                          served first
+//! requests     Prewarm < ReadTaskEnds < ReportRelease                             < SendAttempt
+//!              and within a purpose the one that has waited longest
 //! ```
 //!
-//! A warm call closes nothing and does not wait. A visit is for a host where tasks stand, whose ends are
-//! told on a connection only: it closes another such host's connection only after [`DWELL`], so that all
-//! of them get their turn.
+//! A prewarm evicts nothing and does not wait. `ReadTaskEnds` is for a host with running tasks, whose ends are
+//! reported over a connection only: it evicts the connection of another such host only after
+//! [`MIN_RESIDENCE`], so that all of them get their turn.
+//!
+//! The pool opens and closes no connection: its caller does, and reports it.
 
-use crate::placement::Micros;
+use crate::Micros;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How long a connection where tasks stand is left to its host, which has ends to tell on it, before
-/// another host's visit may take its slot.
-pub const DWELL: Micros = 250_000;
-/// Of the slots, one in so many is left for calls that are needed: a warm one does not take it.
-const KEPT: usize = 8;
+/// How long a host with running tasks keeps its connection, to report their ends, before a request to read
+/// task ends from another host may evict it.
+pub const MIN_RESIDENCE: Micros = 250_000;
+/// One in so many slots is kept free for requests that are needed: a prewarm does not take it.
+const SPARE_FRACTION_DIVISOR: usize = 8;
 
-/// What a connection is needed for.
+/// What a connection is used for. The lowest priority is evicted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
-    /// Another has taken its place, and nothing is out on it.
-    Spare,
-    /// Nothing stands at its host.
+pub enum ConnectionPriority {
+    /// Another connection to its host has replaced it, and nothing is in flight on it.
+    Replaced,
+    /// No task runs at its host.
     Idle,
-    /// Tasks stand at its host.
-    Stands,
-    /// An offer is out on it.
+    /// Tasks run at its host.
+    HasRunningTasks,
+    /// An attempt is in flight on it.
     Busy,
 }
 
-/// What a call is for.
+/// What a new connection is needed for. The highest purpose is served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Want {
-    /// The host may be of use.
-    Warm,
-    /// Tasks stand there.
-    Visit,
-    /// The end of a task is to be told there.
-    Release,
-    /// An offer waits.
-    Offer,
+pub enum ConnectPurpose {
+    /// The host may be needed soon.
+    Prewarm,
+    /// Tasks run at the host, and it may have ends to report.
+    ReadTaskEnds,
+    /// The host must be notified that a task was released.
+    ReportRelease,
+    /// An attempt is waiting.
+    SendAttempt,
 }
 
-/// What becomes of a call.
+/// The answer to a request for a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Answer {
-    /// It has a slot: call.
-    Call,
-    /// It waits; [`Pool::make_way`] tells what to close for it.
+pub enum SlotDecision {
+    /// A slot is free: connect now.
+    Connect,
+    /// The request waits; [`ConnectionPool::evict`] returns what to close for it.
     Wait,
-    /// It was not worth waiting for.
-    No,
+    /// No slot is free, and the request does not wait.
+    Skip,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Slot {
-    rank: Rank,
-    used: Micros,
-    /// It was told to close, and is no longer in the order.
+    priority: ConnectionPriority,
+    last_used: Micros,
+    /// It is being closed, and is no eviction candidate any more.
     closing: bool,
 }
 
-/// The slots, and the calls that wait for one. `H` names a host, `C` one connection to it.
+/// The slots, and the requests that wait for one. `H` names a host, `C` one connection to it.
 #[derive(Debug)]
-pub struct Pool<H, C> {
-    most: usize,
+pub struct ConnectionPool<H, C> {
+    capacity: usize,
     slots: BTreeMap<C, Slot>,
-    /// Connections that may be closed, the one needed least in front.
-    order: BTreeSet<(Rank, Micros, C)>,
-    closing: usize,
-    waiting: BTreeMap<H, (Want, Micros)>,
-    /// The same, the one served next in front.
-    queue: BTreeSet<(Reverse<Want>, Micros, H)>,
+    /// Connections that may be closed, the next to evict first.
+    eviction_candidates: BTreeSet<(ConnectionPriority, Micros, C)>,
+    closing_slots: usize,
+    waiting: BTreeMap<H, (ConnectPurpose, Micros)>,
+    /// The waiting requests, the next to serve first.
+    queue: BTreeSet<(Reverse<ConnectPurpose>, Micros, H)>,
 }
 
-impl<H: Ord + Clone, C: Ord + Clone> Pool<H, C> {
-    /// With so many slots.
-    pub fn new(most: usize) -> Pool<H, C> {
-        let (slots, order) = (BTreeMap::new(), BTreeSet::new());
-        Pool {
-            most,
-            slots,
-            order,
-            closing: 0,
+impl<H: Ord + Clone, C: Ord + Clone> ConnectionPool<H, C> {
+    /// Creates a pool of `capacity` slots.
+    pub fn new(capacity: usize) -> ConnectionPool<H, C> {
+        ConnectionPool {
+            capacity,
+            slots: BTreeMap::new(),
+            eviction_candidates: BTreeSet::new(),
+            closing_slots: 0,
             waiting: BTreeMap::new(),
             queue: BTreeSet::new(),
         }
     }
 
-    /// Sets the number of slots. What is held beyond it is closed as [`Pool::make_way`] tells.
-    pub fn resize(&mut self, most: usize) {
-        self.most = most;
+    /// Sets the number of slots. [`ConnectionPool::evict`] returns the connections in excess.
+    pub fn set_capacity(&mut self, capacity: usize) {
+        self.capacity = capacity;
     }
 
-    /// Slots held, with those that are being given back.
-    pub fn held(&self) -> usize {
+    /// Returns the number of slots in use, including those of connections that are closing.
+    pub fn slots_in_use(&self) -> usize {
         self.slots.len()
     }
 
-    /// Calls that wait.
-    pub fn waiting(&self) -> usize {
+    /// Returns the number of requests that wait for a slot.
+    pub fn waiting_requests(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether a warm call would get a slot.
-    pub fn spacious(&self) -> bool {
-        self.waiting.is_empty() && self.slots.len() < self.most - self.most / KEPT
+    /// Returns whether a prewarm would get a slot.
+    pub fn has_spare_capacity(&self) -> bool {
+        let spare = self.capacity / SPARE_FRACTION_DIVISOR;
+        self.waiting.is_empty() && self.slots.len() < self.capacity - spare
     }
 
-    /// A call to a host is wanted. One that waits already keeps its place, and goes up with its want.
-    pub fn ask(&mut self, now: Micros, host: H, want: Want) -> Answer {
-        if want == Want::Warm {
-            return if self.spacious() {
-                Answer::Call
+    /// Requests a connection to a host. A request that waits already keeps its age, and its purpose is raised.
+    pub fn request_slot(&mut self, now: Micros, host: H, purpose: ConnectPurpose) -> SlotDecision {
+        if purpose == ConnectPurpose::Prewarm {
+            return if self.has_spare_capacity() {
+                SlotDecision::Connect
             } else {
-                Answer::No
+                SlotDecision::Skip
             };
         }
-        if self.waiting.is_empty() && self.slots.len() < self.most {
-            return Answer::Call;
+        if self.waiting.is_empty() && self.slots.len() < self.capacity {
+            return SlotDecision::Connect;
         }
-        let (before, since) = self.waiting.get(&host).copied().unwrap_or((want, now));
-        self.forget(&host);
-        let want = want.max(before);
-        self.waiting.insert(host.clone(), (want, since));
-        self.queue.insert((Reverse(want), since, host));
-        Answer::Wait
+        let (earlier_purpose, since) = self.waiting.get(&host).copied().unwrap_or((purpose, now));
+        self.cancel_request(&host);
+        let purpose = purpose.max(earlier_purpose);
+        self.waiting.insert(host.clone(), (purpose, since));
+        self.queue.insert((Reverse(purpose), since, host));
+        SlotDecision::Wait
     }
 
-    /// A connection to close: for a call that waits and has no slot coming, or because more are held than
-    /// there are slots. To be asked again until it tells of none, whenever a call waits or a rank falls.
-    pub fn make_way(&mut self, now: Micros) -> Option<C> {
-        let open = self.slots.len().saturating_sub(self.closing);
-        // The first calls that wait have slots that are free or coming.
-        let want = match self.most.checked_sub(open) {
-            Some(coming) => self.queue.iter().nth(coming)?.0.0,
-            None => Want::Offer,
+    /// Picks a connection to close, if a waiting request has no slot coming or the capacity is exceeded.
+    ///
+    /// To be called until it returns `None`, whenever a request waits or a priority falls.
+    pub fn evict(&mut self, now: Micros) -> Option<C> {
+        let open = self.slots.len().saturating_sub(self.closing_slots);
+        // The first waiting requests have slots that are free or about to be.
+        let purpose = match self.capacity.checked_sub(open) {
+            Some(available) => self.queue.iter().nth(available)?.0.0,
+            None => ConnectPurpose::SendAttempt,
         };
-        let (rank, used, conn) = self.order.first().cloned()?;
-        let yields = match rank {
-            Rank::Spare | Rank::Idle => true,
-            Rank::Stands => want > Want::Visit || now - used >= DWELL,
-            Rank::Busy => false,
+        let (priority, last_used, conn) = self.eviction_candidates.first().cloned()?;
+        let may_evict = match priority {
+            ConnectionPriority::Replaced | ConnectionPriority::Idle => true,
+            ConnectionPriority::HasRunningTasks => {
+                purpose > ConnectPurpose::ReadTaskEnds || now - last_used >= MIN_RESIDENCE
+            }
+            ConnectionPriority::Busy => false,
         };
-        yields.then(|| {
-            self.close(&conn);
+        may_evict.then(|| {
+            self.mark_closing(&conn);
             conn
         })
     }
 
-    /// The call is not wanted any more.
-    pub fn forget(&mut self, host: &H) {
-        if let Some((want, since)) = self.waiting.remove(host) {
-            self.queue.remove(&(Reverse(want), since, host.clone()));
+    /// Withdraws the waiting request for a host.
+    pub fn cancel_request(&mut self, host: &H) {
+        if let Some((purpose, since)) = self.waiting.remove(host) {
+            self.queue.remove(&(Reverse(purpose), since, host.clone()));
         }
     }
 
-    /// The host to call next, if a slot is there for it.
-    pub fn call_next(&mut self) -> Option<H> {
-        if self.slots.len() >= self.most {
+    /// Takes the next waiting request for which a slot is free, and returns the host to connect to.
+    pub fn next_to_connect(&mut self) -> Option<H> {
+        if self.slots.len() >= self.capacity {
             return None;
         }
         let (_, _, host) = self.queue.first().cloned()?;
-        self.forget(&host);
+        self.cancel_request(&host);
         Some(host)
     }
 
-    /// A connection holds a slot from now on. Until it is up it is as busy as one with an offer out.
-    pub fn taken(&mut self, now: Micros, conn: C) {
-        self.order.insert((Rank::Busy, now, conn.clone()));
-        self.slots.insert(
-            conn,
-            Slot {
-                rank: Rank::Busy,
-                used: now,
-                closing: false,
-            },
-        );
+    /// Records that a connection holds a slot. Until it is established it counts as busy.
+    pub fn occupy(&mut self, now: Micros, conn: C) {
+        let slot = Slot {
+            priority: ConnectionPriority::Busy,
+            last_used: now,
+            closing: false,
+        };
+        self.eviction_candidates
+            .insert((slot.priority, slot.last_used, conn.clone()));
+        self.slots.insert(conn, slot);
     }
 
-    /// What a connection is needed for now; `used` where it was just used for that.
-    pub fn rank(&mut self, conn: &C, rank: Rank, used: Option<Micros>) {
+    /// Sets the priority of a connection, and the time of its last use if it has just been used.
+    pub fn set_priority(
+        &mut self,
+        conn: &C,
+        priority: ConnectionPriority,
+        used_at: Option<Micros>,
+    ) {
         let Some(slot) = self.slots.get_mut(conn) else {
             return;
         };
-        let at = used.unwrap_or(slot.used);
-        if slot.closing || (slot.rank, slot.used) == (rank, at) {
+        let last_used = used_at.unwrap_or(slot.last_used);
+        if slot.closing || (slot.priority, slot.last_used) == (priority, last_used) {
             return;
         }
-        self.order.remove(&(slot.rank, slot.used, conn.clone()));
-        (slot.rank, slot.used) = (rank, at);
-        self.order.insert((rank, at, conn.clone()));
+        self.eviction_candidates
+            .remove(&(slot.priority, slot.last_used, conn.clone()));
+        (slot.priority, slot.last_used) = (priority, last_used);
+        self.eviction_candidates
+            .insert((priority, last_used, conn.clone()));
     }
 
-    /// A connection was told to close; its slot is given back later.
-    pub fn close(&mut self, conn: &C) {
+    /// Records that a connection is being closed; its slot is released later.
+    pub fn mark_closing(&mut self, conn: &C) {
         if let Some(slot) = self.slots.get_mut(conn).filter(|slot| !slot.closing) {
             slot.closing = true;
-            self.closing += 1;
-            self.order.remove(&(slot.rank, slot.used, conn.clone()));
+            self.closing_slots += 1;
+            self.eviction_candidates
+                .remove(&(slot.priority, slot.last_used, conn.clone()));
         }
     }
 
-    /// A connection's descriptor has been given back.
-    pub fn freed(&mut self, conn: &C) {
+    /// Records that a connection's descriptor was closed.
+    pub fn release(&mut self, conn: &C) {
         if let Some(slot) = self.slots.remove(conn) {
             if slot.closing {
-                self.closing -= 1;
+                self.closing_slots -= 1;
             } else {
-                self.order.remove(&(slot.rank, slot.used, conn.clone()));
+                self.eviction_candidates
+                    .remove(&(slot.priority, slot.last_used, conn.clone()));
             }
         }
     }
--- a/src/descriptors/pool/tests.rs
+++ b/src/descriptors/pool/tests.rs
@@ -1,152 +1,213 @@
-//! Tests of `pool.rs`.
+//! Tests of the connection pool.
 
 use super::*;
 use proptest::prelude::*;
 
-const MS: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 
-fn held(most: usize, ranks: &[Rank]) -> Pool<u32, u32> {
-    let mut pool = Pool::new(most);
-    for (conn, rank) in ranks.iter().enumerate() {
-        pool.taken(0, conn as u32);
-        pool.rank(&(conn as u32), *rank, Some(conn as Micros));
+/// A pool whose connections 0, 1, ... have these priorities and were used in this order.
+fn pool_with(capacity: usize, priorities: &[ConnectionPriority]) -> ConnectionPool<u32, u32> {
+    let mut pool = ConnectionPool::new(capacity);
+    for (conn, priority) in priorities.iter().enumerate() {
+        pool.occupy(0, conn as u32);
+        pool.set_priority(&(conn as u32), *priority, Some(conn as Micros));
     }
     pool
 }
 
 #[test]
-fn what_is_needed_least_makes_way_and_what_is_busy_never_does() {
-    use Rank::*;
-    for (ranks, want, now, closed) in [
-        (&[Busy, Stands, Idle, Spare], Want::Visit, 0, Some(3)),
-        (&[Busy, Stands, Idle, Idle], Want::Visit, 0, Some(2)),
-        (&[Busy, Stands, Stands, Busy], Want::Offer, 0, Some(1)),
-        (&[Busy, Stands, Stands, Busy], Want::Release, 0, Some(1)),
-        (&[Busy, Stands, Stands, Busy], Want::Visit, 200 * MS, None),
+fn lowest_priority_is_evicted_first_and_busy_connections_never() {
+    use ConnectPurpose::{ReadTaskEnds, ReportRelease, SendAttempt};
+    use ConnectionPriority::{Busy, HasRunningTasks as Running, Idle, Replaced};
+    for (priorities, purpose, now, evicted) in [
+        (&[Busy, Running, Idle, Replaced], ReadTaskEnds, 0, Some(3)),
+        (&[Busy, Running, Idle, Idle], ReadTaskEnds, 0, Some(2)),
+        (&[Busy, Running, Running, Busy], SendAttempt, 0, Some(1)),
+        (&[Busy, Running, Running, Busy], ReportRelease, 0, Some(1)),
         (
-            &[Busy, Stands, Stands, Busy],
-            Want::Visit,
-            300 * MS,
+            &[Busy, Running, Running, Busy],
+            ReadTaskEnds,
+            200 * MILLISECOND,
+            None,
+        ),
+        (
+            &[Busy, Running, Running, Busy],
+            ReadTaskEnds,
+            300 * MILLISECOND,
             Some(1),
         ),
-        (&[Busy, Busy, Busy, Busy], Want::Offer, 900 * MS, None),
+        (
+            &[Busy, Busy, Busy, Busy],
+            SendAttempt,
+            900 * MILLISECOND,
+            None,
+        ),
     ] {
-        let mut pool = held(4, ranks);
-        assert_eq!(pool.ask(now, 9, want), Answer::Wait);
-        assert_eq!(pool.make_way(now), closed, "{ranks:?} {want:?} {now}");
+        let mut pool = pool_with(4, priorities);
+
+        assert_eq!(pool.request_slot(now, 9, purpose), SlotDecision::Wait);
+
+        assert_eq!(pool.evict(now), evicted, "{priorities:?} {purpose:?} {now}");
     }
+}
+
+#[test]
+fn prewarm_neither_evicts_nor_waits() {
+    use ConnectionPriority::{Busy, Idle, Replaced};
+    let mut pool = pool_with(4, &[Busy, Idle, Replaced, Replaced]);
+
+    let decision = pool.request_slot(0, 9, ConnectPurpose::Prewarm);
+
+    assert_eq!(decision, SlotDecision::Skip);
+}
+
+#[test]
+fn free_slots_are_given_at_once_and_one_in_eight_is_kept_from_prewarming() {
+    let busy = [ConnectionPriority::Busy; 7];
+    assert_eq!(
+        pool_with(8, &busy[..4]).request_slot(0, 9, ConnectPurpose::Prewarm),
+        SlotDecision::Connect
+    );
     assert_eq!(
-        held(4, &[Busy, Idle, Spare, Spare]).ask(0, 9, Want::Warm),
-        Answer::No
+        pool_with(5, &busy[..4]).request_slot(0, 9, ConnectPurpose::ReadTaskEnds),
+        SlotDecision::Connect
     );
-    assert_eq!(held(8, &[Busy; 4]).ask(0, 9, Want::Warm), Answer::Call);
-    assert_eq!(held(5, &[Busy; 4]).ask(0, 9, Want::Visit), Answer::Call);
     assert_eq!(
-        held(8, &[Busy; 7]).ask(0, 9, Want::Warm),
-        Answer::No,
+        pool_with(8, &busy).request_slot(0, 9, ConnectPurpose::Prewarm),
+        SlotDecision::Skip,
         "one in eight is kept"
     );
 }
 
 #[test]
-fn calls_are_served_by_want_and_then_by_age() {
-    let mut pool = held(1, &[Rank::Busy]);
-    for (now, host, want) in [
-        (1, 1, Want::Visit),
-        (2, 2, Want::Offer),
-        (3, 3, Want::Release),
-        (4, 4, Want::Offer),
+fn waiting_requests_are_served_by_purpose_and_then_by_age() {
+    let mut pool = pool_with(1, &[ConnectionPriority::Busy]);
+    for (now, host, purpose) in [
+        (1, 1, ConnectPurpose::ReadTaskEnds),
+        (2, 2, ConnectPurpose::SendAttempt),
+        (3, 3, ConnectPurpose::ReportRelease),
+        (4, 4, ConnectPurpose::SendAttempt),
     ] {
-        assert_eq!(pool.ask(now, host, want), Answer::Wait);
+        assert_eq!(pool.request_slot(now, host, purpose), SlotDecision::Wait);
     }
-    // It goes up with its want and keeps its age.
-    assert_eq!(pool.ask(5, 1, Want::Offer), Answer::Wait);
-    assert_eq!((pool.call_next(), pool.waiting()), (None, 4));
-    pool.freed(&0);
-    let served: Vec<u32> = std::iter::from_fn(|| pool.call_next()).collect();
+    // A higher purpose moves the request up, and it keeps its age.
+    assert_eq!(
+        pool.request_slot(5, 1, ConnectPurpose::SendAttempt),
+        SlotDecision::Wait
+    );
+    assert_eq!((pool.next_to_connect(), pool.waiting_requests()), (None, 4));
+
+    pool.release(&0);
+
+    let served: Vec<u32> = std::iter::from_fn(|| pool.next_to_connect()).collect();
     assert_eq!(served, [1, 2, 4, 3]);
 }
 
 #[test]
-fn one_connection_makes_way_for_one_call() {
-    let mut pool = held(3, &[Rank::Idle; 3]);
-    pool.ask(1, 7, Want::Offer);
-    assert_eq!(
-        (pool.make_way(1), pool.make_way(1)),
-        (Some(0), None),
-        "its slot is coming"
-    );
-    pool.ask(1, 7, Want::Offer);
-    assert_eq!(pool.make_way(1), None, "it is the same call");
-    pool.ask(1, 8, Want::Offer);
-    assert_eq!((pool.make_way(1), pool.make_way(1)), (Some(1), None));
-    // With fewer slots all the rest is in excess.
-    pool.resize(0);
-    assert_eq!((pool.make_way(1), pool.make_way(1)), (Some(2), None));
+fn one_connection_is_evicted_for_one_request() {
+    let mut pool = pool_with(3, &[ConnectionPriority::Idle; 3]);
+
+    pool.request_slot(1, 7, ConnectPurpose::SendAttempt);
+    assert_eq!(pool.evict(1), Some(0));
+    assert_eq!(pool.evict(1), None, "its slot is about to be free");
+
+    pool.request_slot(1, 7, ConnectPurpose::SendAttempt);
+    assert_eq!(pool.evict(1), None, "it is the same request");
+
+    pool.request_slot(1, 8, ConnectPurpose::SendAttempt);
+    assert_eq!((pool.evict(1), pool.evict(1)), (Some(1), None));
+}
+
+#[test]
+fn connections_beyond_a_reduced_capacity_are_evicted() {
+    let mut pool = pool_with(3, &[ConnectionPriority::Idle; 3]);
+    pool.request_slot(1, 7, ConnectPurpose::SendAttempt);
+    pool.request_slot(1, 8, ConnectPurpose::SendAttempt);
+    assert_eq!((pool.evict(1), pool.evict(1)), (Some(0), Some(1)));
+
+    pool.set_capacity(0);
+
+    assert_eq!((pool.evict(1), pool.evict(1)), (Some(2), None));
 }
 
 #[test]
-fn a_call_that_found_all_busy_gets_the_first_that_is_not() {
-    let mut pool = held(2, &[Rank::Busy; 2]);
-    pool.ask(1, 7, Want::Offer);
-    assert_eq!(pool.make_way(1), None);
-    pool.rank(&1, Rank::Stands, Some(2));
-    assert_eq!(pool.make_way(2), Some(1));
+fn waiting_request_evicts_the_first_connection_that_stops_being_busy() {
+    let mut pool = pool_with(2, &[ConnectionPriority::Busy; 2]);
+    pool.request_slot(1, 7, ConnectPurpose::SendAttempt);
+    assert_eq!(pool.evict(1), None);
+
+    pool.set_priority(&1, ConnectionPriority::HasRunningTasks, Some(2));
+
+    assert_eq!(pool.evict(2), Some(1));
 }
 
 proptest! {
-    /// Whatever comes, no more connections are called than there are slots, what is busy is never
-    /// closed, and a call that waits is served once slots are given back.
+    /// Whatever happens, no more connections are opened than there are slots, a busy one is never evicted,
+    /// and a waiting request is served once slots are released.
     #[test]
-    fn the_slots_are_kept(most in 1usize..6, steps in prop::collection::vec((0u8..5, 0u32..8), 1..200)) {
-        let mut pool: Pool<u32, u32> = Pool::new(most);
-        let (mut live, mut next): (BTreeMap<u32, Rank>, u32) = (BTreeMap::new(), 100);
+    fn capacity_is_kept_and_every_waiting_request_is_served(
+        capacity in 1usize..6,
+        steps in prop::collection::vec((0u8..5, 0u32..8), 1..200),
+    ) {
+        let mut pool: ConnectionPool<u32, u32> = ConnectionPool::new(capacity);
+        let mut live: BTreeMap<u32, ConnectionPriority> = BTreeMap::new();
         let mut closing: BTreeSet<u32> = BTreeSet::new();
+        let mut next_conn: u32 = 100;
         for (now, (step, n)) in steps.into_iter().enumerate() {
-            let now = now as Micros * 100 * MS;
+            let now = now as Micros * 100 * MILLISECOND;
             let conn = live.keys().nth(n as usize % live.len().max(1)).copied();
-            let mut call = |pool: &mut Pool<u32, u32>, live: &mut BTreeMap<u32, Rank>| {
-                pool.taken(now, next);
-                live.insert(next, Rank::Busy);
-                next += 1;
+            let mut connect = |pool: &mut ConnectionPool<u32, u32>, live: &mut BTreeMap<u32, ConnectionPriority>| {
+                pool.occupy(now, next_conn);
+                live.insert(next_conn, ConnectionPriority::Busy);
+                next_conn += 1;
             };
             match (step, conn) {
                 (0 | 1, _) => {
-                    let want = [Want::Warm, Want::Visit, Want::Release, Want::Offer][n as usize % 4];
-                    match pool.ask(now, n, want) {
-                        Answer::Call => call(&mut pool, &mut live),
-                        Answer::Wait | Answer::No => {}
+                    let purpose = [
+                        ConnectPurpose::Prewarm,
+                        ConnectPurpose::ReadTaskEnds,
+                        ConnectPurpose::ReportRelease,
+                        ConnectPurpose::SendAttempt,
+                    ][n as usize % 4];
+                    match pool.request_slot(now, n, purpose) {
+                        SlotDecision::Connect => connect(&mut pool, &mut live),
+                        SlotDecision::Wait | SlotDecision::Skip => {}
                     }
-                    while let Some(conn) = pool.make_way(now) {
-                        prop_assert!(live[&conn] != Rank::Busy && closing.insert(conn));
+                    while let Some(conn) = pool.evict(now) {
+                        prop_assert!(live[&conn] != ConnectionPriority::Busy && closing.insert(conn));
                     }
                 }
                 (2, Some(conn)) => {
-                    let rank = [Rank::Spare, Rank::Idle, Rank::Stands, Rank::Busy][n as usize % 4];
-                    pool.rank(&conn, rank, Some(now));
+                    let priority = [
+                        ConnectionPriority::Replaced,
+                        ConnectionPriority::Idle,
+                        ConnectionPriority::HasRunningTasks,
+                        ConnectionPriority::Busy,
+                    ][n as usize % 4];
+                    pool.set_priority(&conn, priority, Some(now));
                     if !closing.contains(&conn) {
-                        live.insert(conn, rank);
+                        live.insert(conn, priority);
                     }
                 }
                 (3, Some(conn)) => {
-                    pool.freed(&conn);
+                    pool.release(&conn);
                     closing.remove(&conn);
                     live.remove(&conn);
                 }
                 (4, _) => {
-                    while pool.call_next().is_some() {
-                        call(&mut pool, &mut live);
+                    while pool.next_to_connect().is_some() {
+                        connect(&mut pool, &mut live);
                     }
                 }
                 _ => {}
             }
-            prop_assert!(live.len() <= most && pool.held() == live.len());
+            prop_assert!(live.len() <= capacity && pool.slots_in_use() == live.len());
         }
         for conn in live.into_keys() {
-            pool.freed(&conn);
+            pool.release(&conn);
         }
-        let waiting = pool.waiting();
-        let served = std::iter::from_fn(|| pool.call_next()).count();
-        prop_assert_eq!((served, pool.waiting()), (waiting, 0));
+        let waiting = pool.waiting_requests();
+        let served = std::iter::from_fn(|| pool.next_to_connect()).count();
+        prop_assert_eq!((served, pool.waiting_requests()), (waiting, 0));
     }
 }
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -10,7 +10,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::Duration;
-use task_placer::descriptors::Shares;
+use task_placer::descriptors::DescriptorQuotas;
 use task_placer::facade::Ticket;
 use task_placer::health::Event;
 use task_placer::{HostId, Micros};
@@ -472,8 +472,8 @@
     }
 
     /// How the descriptors are shared out with so many hosts listed.
-    pub fn shares(&self, hosts: usize) -> Shares {
-        Shares::of(self.sockets, self.apart, hosts)
+    pub fn shares(&self, hosts: usize) -> DescriptorQuotas {
+        DescriptorQuotas::split(self.sockets, self.apart, hosts)
     }
 
     /// How many connections there may be then.
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use task_placer::Settings;
-use task_placer::descriptors::FEWEST_SOCKETS;
+use task_placer::descriptors::MIN_DESCRIPTORS;
 use task_placer::settings::{self, Names};
 
 /// What a placer is told at its start.
@@ -162,9 +162,9 @@
         .get_u64("n")
         .ok_or_else(|| error("known.n", "missing"))?;
     let limits = Limits::read(value.get("limits"));
-    if limits.sockets < FEWEST_SOCKETS {
+    if limits.sockets < MIN_DESCRIPTORS {
         let what = format!(
-            "{}, and {FEWEST_SOCKETS} are the fewest that serve anyone",
+            "{}, and {MIN_DESCRIPTORS} are the fewest that serve anyone",
             limits.sockets
         );
         return Err(error("limits.sockets", what));
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -51,7 +51,7 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::{Rc, Weak};
-use task_placer::descriptors::Pool;
+use task_placer::descriptors::ConnectionPool;
 use task_placer::facade::{Facade, PlacementEvent, Ticket};
 use task_placer::operation::counters::RequestCounters;
 use task_placer::operation::lifecycle::Lifecycle;
@@ -103,7 +103,7 @@
     /// Hosts that are not gone.
     in_use: usize,
     /// Which of them have a connection.
-    pool: Pool<HostId, (HostId, Round)>,
+    pool: ConnectionPool<HostId, (HostId, Round)>,
     /// The requests by the host that they are at.
     at_hosts: AtHosts,
     requests: BTreeMap<Ticket, Request>,
@@ -189,7 +189,7 @@
             hosts: BTreeMap::new(),
             clogged: BTreeSet::new(),
             in_use: 0,
-            pool: Pool::new(usize::MAX),
+            pool: ConnectionPool::new(usize::MAX),
             at_hosts: AtHosts::default(),
             requests: BTreeMap::new(),
             by_id: BTreeMap::new(),
--- a/src/net/dispatch/links.rs
+++ b/src/net/dispatch/links.rs
@@ -9,7 +9,7 @@
 use crate::net::hosts::{self, DialError, Link, Phase, Round, Waiting};
 use std::rc::Rc;
 use std::time::Duration;
-use task_placer::descriptors::Want;
+use task_placer::descriptors::ConnectPurpose;
 use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
 use task_placer::{EndpointState, HostId, Micros, Outcome, OutcomeDetail};
@@ -139,7 +139,7 @@
                 link.conns().for_each(|conn| conn.stop(End::HostGone));
                 link.hang_up();
                 recalled.append(&mut link.waiting);
-                self.pool.forget(host);
+                self.pool.cancel_request(host);
             } else if matches!(link.phase, Phase::Down) && link.failures == 0 {
                 self.call(now, host);
             }
@@ -166,7 +166,7 @@
         link.round += 1;
         link.dialled = now;
         let round = link.round;
-        self.pool.taken(now, (host.clone(), round));
+        self.pool.occupy(now, (host.clone(), round));
         self.reclaim(now);
         self.wheel.add(
             now + self.connect_timeout,
@@ -335,7 +335,7 @@
             if link.state == EndpointState::Removed {
                 let waiting = std::mem::take(&mut link.waiting);
                 self.never_ran(now, waiting, Outcome::ConnectFailed);
-            } else if !made_way || self.need(host) >= Some(Want::Release) {
+            } else if !made_way || self.need(host) >= Some(ConnectPurpose::ReportRelease) {
                 self.call(now, host);
             }
         }
@@ -379,7 +379,7 @@
         };
         let unvisited = |host: &&HostId| down(host).is_some_and(|link| now - link.closed >= VISIT);
         let mut calls: Vec<HostId> = self.at_hosts.hosts().filter(unvisited).cloned().collect();
-        if self.pool.spacious() {
+        if self.pool.has_spare_capacity() {
             calls.extend(
                 self.hosts
                     .keys()
--- a/src/net/dispatch/offers.rs
+++ b/src/net/dispatch/offers.rs
@@ -248,7 +248,7 @@
         link.waiting
             .retain(|offer| (offer.ticket, offer.attempt) != (ticket, attempt));
         if self.need(&host).is_none() {
-            self.pool.forget(&host);
+            self.pool.cancel_request(&host);
         }
         if outcome == Outcome::ConnectFailed {
             self.doubt(now, &host);
--- a/src/net/dispatch/slots.rs
+++ b/src/net/dispatch/slots.rs
@@ -5,7 +5,7 @@
 use super::{Dispatch, MILLI};
 use crate::net::conn::End;
 use crate::net::hosts::{Phase, Round};
-use task_placer::descriptors::{Answer, Rank, Want};
+use task_placer::descriptors::{ConnectPurpose, ConnectionPriority, SlotDecision};
 use task_placer::facade::Ticket;
 use task_placer::{EndpointState, HostId, Micros};
 
@@ -27,7 +27,8 @@
 
     /// Shares the descriptors out anew.
     pub(super) fn share_out(&mut self) {
-        self.pool.resize(self.clients.shares(self.in_use).hosts);
+        self.pool
+            .set_capacity(self.clients.shares(self.in_use).hosts);
         self.make_way(self.clock.now());
     }
 
@@ -35,7 +36,7 @@
     /// hosts were listed, the descriptors which are the hosts' by now: calls to these would fail.
     pub(super) fn reclaim(&mut self, now: Micros) {
         let shares = self.clients.shares(self.in_use);
-        let held = self.clients.live() + self.pool.held();
+        let held = self.clients.live() + self.pool.slots_in_use();
         self.clients
             .shed(now, held.saturating_sub(shares.clients + shares.hosts));
     }
@@ -43,7 +44,7 @@
     /// What a connection to a host is wanted for, if one more is. Guards against hundreds of placers that
     /// call every host at their start, when each needs a few: where the settings price connections, a host
     /// is called when something is wanted of it.
-    pub(super) fn need(&self, host: &HostId) -> Option<Want> {
+    pub(super) fn need(&self, host: &HostId) -> Option<ConnectPurpose> {
         let link = self.hosts.get(host)?;
         let beside = match &link.phase {
             Phase::Connecting(_) => return None,
@@ -52,22 +53,22 @@
             Phase::Down => false,
         };
         if !link.waiting.is_empty() {
-            Some(Want::Offer)
+            Some(ConnectPurpose::SendAttempt)
         } else if link.state == EndpointState::Removed {
             None
         } else if !link.unsent.is_empty() || beside {
-            Some(Want::Release)
+            Some(ConnectPurpose::ReportRelease)
         } else if self.at_hosts.standing(host).next().is_some() {
-            Some(Want::Visit)
+            Some(ConnectPurpose::ReadTaskEnds)
         } else {
-            (link.state == EndpointState::Up && self.warm).then_some(Want::Warm)
+            (link.state == EndpointState::Up && self.warm).then_some(ConnectPurpose::Prewarm)
         }
     }
 
     /// Calls a host, if a connection is wanted, as soon as there is a slot for it.
     pub(super) fn call(&mut self, now: Micros, host: &HostId) {
         let Some(want) = self.need(host) else { return };
-        if self.pool.ask(now, host.clone(), want) == Answer::Call {
+        if self.pool.request_slot(now, host.clone(), want) == SlotDecision::Connect {
             self.dial(now, host);
         }
         self.make_way(now);
@@ -90,7 +91,7 @@
 
     /// Closes connections that others need more, and calls what has a slot now.
     pub(super) fn make_way(&mut self, now: Micros) {
-        while let Some((host, round)) = self.pool.make_way(now) {
+        while let Some((host, round)) = self.pool.evict(now) {
             let Some(link) = self.hosts.get_mut(&host) else {
                 continue;
             };
@@ -108,7 +109,7 @@
                 conn.stop(End::Shed);
             }
         }
-        while let Some(host) = self.pool.call_next() {
+        while let Some(host) = self.pool.next_to_connect() {
             if self.need(&host).is_some() {
                 self.dial(now, &host);
             }
@@ -117,7 +118,7 @@
 
     /// The descriptor of a connection has been given back.
     pub fn slot_freed(&mut self, host: &HostId, round: Round) {
-        self.pool.freed(&(host.clone(), round));
+        self.pool.release(&(host.clone(), round));
         self.make_way(self.clock.now());
     }
 
@@ -134,24 +135,24 @@
         };
         if let Phase::Up(_) = &link.phase {
             let rank = if out_on(link.round) {
-                Rank::Busy
+                ConnectionPriority::Busy
             } else if self.at_hosts.standing(host).next().is_some() {
-                Rank::Stands
+                ConnectionPriority::HasRunningTasks
             } else {
-                Rank::Idle
+                ConnectionPriority::Idle
             };
             self.pool
-                .rank(&(host.clone(), link.round), rank, used.then_some(now));
+                .set_priority(&(host.clone(), link.round), rank, used.then_some(now));
         }
         for (round, _) in &link.doubted {
             let rank = if out_on(*round) {
-                Rank::Busy
+                ConnectionPriority::Busy
             } else {
-                Rank::Spare
+                ConnectionPriority::Replaced
             };
-            self.pool.rank(&(host.clone(), *round), rank, None);
+            self.pool.set_priority(&(host.clone(), *round), rank, None);
         }
-        if self.pool.waiting() > 0 {
+        if self.pool.waiting_requests() > 0 {
             self.make_way(now);
         }
     }
