--- a/src/facade/mod.rs
+++ b/src/facade/mod.rs
@@ -12,7 +12,7 @@
 pub use request::{InvalidRequest, PlacementRequest, RequestKind, Ticket};
 
 use crate::operation::process_group::BudgetShare;
-use crate::overload::{self, Overload, Parts};
+use crate::overload::{self, Features, OverloadController, RequestEnd};
 use crate::placement::{
     Action, ClassId, Event, HostId, Limit, Micros, Outcome, Placer, RequestId, Resources,
     ServiceId, Settings, Task, TaskKey, TenantId, TimerToken, UpdateKind,
@@ -45,7 +45,7 @@
     /// The module has subscribed to the endpoint list, and service discovery was down.
     subscription_pending: bool,
     /// The limits that the fleet of placers imposes, if an operator's file enables any.
-    overload: Option<Overload>,
+    overload: Option<OverloadController>,
 }
 
 impl Facade {
@@ -77,12 +77,12 @@
         settings: Settings,
         names: Names,
         seed: u64,
-        parts: Parts,
+        features: Features,
         wall_clock: Micros,
     ) -> Facade {
-        let overload = parts
+        let overload = features
             .any()
-            .then(|| Overload::new(parts, &settings, wall_clock, seed));
+            .then(|| OverloadController::new(features, &settings, wall_clock, seed));
         Facade {
             overload,
             ..Facade::new(settings, names, seed)
@@ -90,7 +90,7 @@
     }
 
     /// The overload engine, if any of its features is enabled.
-    pub fn overload(&self) -> Option<&Overload> {
+    pub fn overload(&self) -> Option<&OverloadController> {
         self.overload.as_ref()
     }
 
@@ -148,9 +148,9 @@
     ) -> Result<Vec<Decision>, InvalidRequest> {
         let mut task = self.task(ticket, request)?;
         if let Some(overload) = &mut self.overload {
-            let admission = overload.ask(now, &task);
-            task.shed_rank = admission.order;
-            task.retry_after = admission.away;
+            let admission = overload.admit(now, &task);
+            task.shed_rank = admission.shed_rank;
+            task.retry_after = admission.retry_after;
         }
         Ok(self.handle_event(now, Event::TaskRequested(task)))
     }
@@ -276,7 +276,7 @@
         decisions
     }
 
-    /// The module's actions for one event. Limits that the overload engine derives from the event and from the
+    /// The module's actions for one event. Limits that the overload controller derives from the event and from the
     /// actions are appended.
     fn actions(&mut self, now: Micros, event: &Event, limits: &mut Vec<Limit>) -> Vec<Action> {
         let mut actions = Vec::new();
@@ -334,32 +334,32 @@
         }
     }
 
-    /// Notifies the overload engine of an event.
+    /// Notifies the overload controller of an event.
     fn limit_by_event(&mut self, now: Micros, event: &Event, limits: &mut Vec<Limit>) {
         let Some(overload) = &mut self.overload else {
             return;
         };
         let event = match event {
             Event::EndpointsChanged { kind, endpoints } if *kind != UpdateKind::Failed => {
-                overload::Event::Listed {
-                    whole: *kind != UpdateKind::Delta,
-                    entries: endpoints,
+                overload::Event::EndpointsChanged {
+                    kind: *kind,
+                    endpoints,
                 }
             }
-            Event::AttemptStarted { id, .. } => overload::Event::Started { id },
+            Event::AttemptStarted { id, .. } => overload::Event::AttemptStarted { id },
             Event::AttemptEnded {
                 id,
                 outcome,
                 detail,
                 ..
-            } => overload::Event::Ended {
+            } => overload::Event::AttemptEnded {
                 id,
                 outcome: *outcome,
                 detail: *detail,
             },
-            Event::TaskCancelled(id) => overload::Event::Over {
+            Event::TaskCancelled(id) => overload::Event::RequestEnded {
                 id,
-                given_up: false,
+                end: RequestEnd::Cancelled,
             },
             _ => return,
         };
@@ -367,13 +367,19 @@
     }
 }
 
-/// Notifies the overload engine of an action of the module.
-fn limit_by_action(overload: &mut Overload, now: Micros, action: &Action, limits: &mut Vec<Limit>) {
+/// Notifies the overload controller of an action of the module.
+fn limit_by_action(
+    overload: &mut OverloadController,
+    now: Micros,
+    action: &Action,
+    limits: &mut Vec<Limit>,
+) {
     let event = match action {
-        Action::SendAttempt { id, host, .. } => overload::Event::Offered { id, host },
-        Action::Reject { id, .. } | Action::Fail { id } => {
-            overload::Event::Over { id, given_up: true }
-        }
+        Action::SendAttempt { id, host, .. } => overload::Event::AttemptSent { id, host },
+        Action::Reject { id, .. } | Action::Fail { id } => overload::Event::RequestEnded {
+            id,
+            end: RequestEnd::GivenUp,
+        },
         _ => return,
     };
     overload.handle(now, event, limits);
--- a/src/net/dispatch/bounds.rs
+++ b/src/net/dispatch/bounds.rs
@@ -25,9 +25,9 @@
         let Some(overload) = self.facade.overload() else {
             return;
         };
-        let (step, counters) = (overload.step(), overload.counters());
+        let (step, counters) = (overload.shed_level(), overload.counters());
         if step != self.logged.step {
-            let through = task_placer::overload::gate::through(step);
+            let through = task_placer::overload::admission::admitted_fraction(step);
             info!(
                 reason = "overload-step",
                 from = self.logged.step,
@@ -66,18 +66,18 @@
         let overload = self.facade.overload();
         let overload = overload.ok_or("nothing of [overload] is on here")?;
         let Report {
-            step,
-            through,
-            left,
-            away,
+            shed_level,
+            admitted_fraction,
+            retries_left,
+            backed_off_clients,
             counters,
             hosts,
         } = overload.report(now);
         let seconds = |span: Micros| span as f64 / 1e6;
-        let hosts = hosts.into_iter().map(|host| match host.turn {
-            Some(turn) => json!({ "host": &*host.host.0, "turn": seconds(turn), "out": host.out }),
+        let hosts = hosts.into_iter().map(|host| match host.next_turn_in {
+            Some(turn) => json!({ "host": &*host.host.0, "turn": seconds(turn), "out": host.in_flight }),
             None => json!({
-                "host": &*host.host.0, "window": host.window, "out": host.out, "delay": seconds(host.delay)
+                "host": &*host.host.0, "window": host.window, "out": host.in_flight, "delay": seconds(host.mean_delay)
             }),
         });
         let mut counted = OwnedValue::object();
@@ -86,9 +86,9 @@
         }
         let hosts: Vec<OwnedValue> = hosts.collect();
         let mut told = json!({
-            "step": step, "through": through, "away": away, "counters": counted, "hosts": hosts
+            "step": shed_level, "through": admitted_fraction, "away": backed_off_clients, "counters": counted, "hosts": hosts
         });
-        if let Some(left) = left {
+        if let Some(left) = retries_left {
             let _ = told.insert("attempts-left", left);
         }
         Ok(told)
--- a/src/net/dispatch/links.rs
+++ b/src/net/dispatch/links.rs
@@ -40,7 +40,7 @@
         }
         self.facade
             .overload()
-            .and_then(|overload| overload.call_in(now, host))
+            .and_then(|overload| overload.wait_for_turn(now, host))
             .unwrap_or(0)
     }
 
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,6 +1,7 @@
 //! The operator's file: TOML, named by `--operator` or `TASK_PLACER_OPERATOR`. Without one nothing in it
 //! is on, and the program is what the platform runs.
 
+mod overload;
 mod reader;
 
 pub use reader::{InForce, Problem};
@@ -12,7 +13,7 @@
 use task_placer::Micros;
 use task_placer::health::drain::Bounds;
 use task_placer::health::{Code, Pace, Settings};
-use task_placer::overload::{Parts, attempts, gate, line, turns};
+use task_placer::overload::Features;
 use toml::de::DeTable;
 
 /// How lines of the log look.
@@ -130,7 +131,7 @@
     /// `[ctl]`: the socket for orders.
     pub ctl: Option<PathBuf>,
     /// `[overload]`: what the fleet sheds, repeats and tries as one.
-    pub overload: Parts,
+    pub overload: Features,
 }
 
 impl Operator {
@@ -181,7 +182,7 @@
             health: health(&mut reader, &mut root),
             drain: drain(&mut reader, &mut root),
             ctl: ctl(&mut reader, &mut root),
-            overload: overload(&mut reader, &mut root),
+            overload: overload::read(&mut reader, &mut root),
         };
         reader.close(&root);
     }
@@ -470,170 +471,5 @@
     socket
 }
 
-fn overload(reader: &mut Reader<'_>, root: &mut Section<'_>) -> Parts {
-    let mut section = reader.section(root, "overload");
-    let part = |most: f64| move |v: &f64| *v > 0.0 && *v <= most;
-    let mut sub = reader.section(&mut section, "line");
-    let default = line::Settings::default();
-    let line_on = reader.value(&mut sub, "enabled", false);
-    let line = line::Settings {
-        target: reader.checked(
-            &mut sub,
-            "target",
-            default.target,
-            part(0.9),
-            "more than 0, at most 0.9",
-        ),
-        most_target: reader.checked(
-            &mut sub,
-            "most-target",
-            default.most_target,
-            part(1.0),
-            "more than 0, at most 1",
-        ),
-        first: reader.checked(
-            &mut sub,
-            "first",
-            default.first,
-            part(1_024.0),
-            "more than 0, at most 1024",
-        ),
-        most: reader.checked(
-            &mut sub,
-            "most",
-            default.most,
-            |v| (1.0..=1_024.0).contains(v),
-            "1 to 1024",
-        ),
-    };
-    if line.most_target < line.target {
-        reader.wrong(
-            &sub,
-            "most-target",
-            format!("{} is less than target, {}", line.most_target, line.target),
-        );
-    }
-    reader.close(&sub);
-    let mut sub = reader.section(&mut section, "shed");
-    let default = gate::Settings::default();
-    let shed_on = reader.value(&mut sub, "enabled", false);
-    let epoch = reader.checked(
-        &mut sub,
-        "epoch",
-        span(default.epoch),
-        |d| !d.is_zero(),
-        "more than 0s",
-    );
-    let shed = gate::Settings {
-        high: reader.checked(
-            &mut sub,
-            "high",
-            default.high,
-            part(10.0),
-            "more than 0, at most 10",
-        ),
-        low: reader.checked(
-            &mut sub,
-            "low",
-            default.low,
-            part(10.0),
-            "more than 0, at most 10",
-        ),
-        hopeless: reader.checked(
-            &mut sub,
-            "hopeless",
-            default.hopeless,
-            part(10.0),
-            "more than 0, at most 10",
-        ),
-        epoch: micros(epoch),
-    };
-    if shed.low >= shed.high {
-        reader.wrong(
-            &sub,
-            "low",
-            format!("{} is no less than high, {}", shed.low, shed.high),
-        );
-    }
-    reader.close(&sub);
-    let mut sub = reader.section(&mut section, "attempts");
-    let default = attempts::Settings::default();
-    let attempts_on = reader.value(&mut sub, "enabled", false);
-    let attempts = attempts::Settings {
-        ratio: reader.checked(
-            &mut sub,
-            "ratio",
-            default.ratio,
-            part(10.0),
-            "more than 0, at most 10",
-        ),
-        pressed: reader.checked(
-            &mut sub,
-            "pressed",
-            default.pressed,
-            part(10.0),
-            "more than 0, at most 10",
-        ),
-        domain: reader.checked(
-            &mut sub,
-            "domain",
-            default.domain,
-            part(10.0),
-            "more than 0, at most 10",
-        ),
-        stock: reader.checked(
-            &mut sub,
-            "stock",
-            default.stock,
-            part(65_536.0),
-            "more than 0, at most 65536",
-        ),
-    };
-    if attempts.pressed > attempts.ratio {
-        reader.wrong(
-            &sub,
-            "pressed",
-            format!(
-                "{} is more than ratio, {}",
-                attempts.pressed, attempts.ratio
-            ),
-        );
-    }
-    reader.close(&sub);
-    let mut sub = reader.section(&mut section, "returns");
-    let returns = reader.value(&mut sub, "enabled", false);
-    reader.close(&sub);
-    let mut sub = reader.section(&mut section, "turns");
-    let default = turns::Settings::default();
-    let turns_on = reader.value(&mut sub, "enabled", false);
-    let callers = reader.checked(
-        &mut sub,
-        "callers",
-        default.callers as u64,
-        |n| (1..=1_024).contains(n),
-        "1 to 1024",
-    );
-    let step = reader.checked(
-        &mut sub,
-        "step",
-        span(default.step),
-        |d| *d >= Duration::from_millis(10) && *d <= Duration::from_secs(10),
-        "10ms to 10s",
-    );
-    let turns = turns::Settings {
-        callers: usize::try_from(callers).unwrap_or(default.callers),
-        step: micros(step),
-    };
-    reader.close(&sub);
-    reader.close(&section);
-    Parts {
-        line: line_on.then_some(line),
-        gate: shed_on.then_some(shed),
-        attempts: attempts_on.then_some(attempts),
-        returns,
-        turns: turns_on.then_some(turns),
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/src/overload/host.rs
@@ -0,0 +1,91 @@
+//! One host of the endpoint list with its concurrency limit.
+
+use super::concurrency_limit::{ConcurrencyLimit, Delivery, HostResponse};
+use super::health_check_schedule::Turn;
+use crate::{CellId, Micros, Outcome, OutcomeDetail, ZoneId};
+
+/// One host.
+#[derive(Debug, Clone)]
+pub(super) struct Host {
+    pub hash: u64,
+    pub cell: CellId,
+    pub zone: ZoneId,
+    pub started_at: Micros,
+    pub is_up: bool,
+    pub limit: ConcurrencyLimit,
+    /// While suspect: it is this placer's turn, and the health check of the turn was allowed.
+    pub turn_is_used: bool,
+    /// Consecutive health checks that failed.
+    pub failed_checks: u32,
+    /// The limit that the module was last notified of, if any.
+    pub notified: Option<Option<u32>>,
+    pub refresh_at: Option<Micros>,
+    /// The host's part of the table's totals.
+    pub counted: Totals,
+}
+
+/// Windows and attempts in flight, of one host or of all.
+#[derive(Debug, Clone, Copy, Default)]
+pub(super) struct Totals {
+    pub windows: f64,
+    pub in_flight: u32,
+}
+
+/// The limit of one host, and when to look at it again.
+pub(super) struct HostLimit {
+    pub max_in_flight: Option<u32>,
+    pub health_check: bool,
+    pub refresh_at: Option<Micros>,
+}
+
+impl Host {
+    /// Records how an attempt ended without a start.
+    pub fn record_outcome(
+        &mut self,
+        now: Micros,
+        sent_at: Micros,
+        outcome: Outcome,
+        detail: OutcomeDetail,
+    ) {
+        let limit = &mut self.limit;
+        match (outcome, detail) {
+            (Outcome::Rejected, OutcomeDetail::QueueFull) => limit.queue_full(now, sent_at),
+            (Outcome::Timeout, _) => limit.attempt_lost(now, sent_at, Delivery::Delivered),
+            (Outcome::ConnectFailed, _) | (Outcome::Reset, OutcomeDetail::Unknown) => {
+                limit.attempt_lost(now, sent_at, Delivery::Unknown);
+            }
+            // An attempt that was cancelled, or never sent, says nothing about the host.
+            (Outcome::Cancelled | Outcome::NotSent, _) => limit.attempt_ended(HostResponse::None),
+            _ => limit.attempt_ended(HostResponse::Answered),
+        }
+    }
+
+    /// A suspect host gets one attempt as a health check in each turn of this placer.
+    pub fn limit_while_suspect(
+        &mut self,
+        now: Micros,
+        turn: Turn,
+        turn_length: Micros,
+        wall_clock_offset: Micros,
+    ) -> HostLimit {
+        let health_check = turn.is_active && !self.turn_is_used && self.limit.in_flight() == 0;
+        self.turn_is_used = turn.is_active;
+        let max_in_flight = if health_check {
+            1
+        } else if turn.is_active {
+            self.notified.flatten().unwrap_or(0)
+        } else {
+            0
+        };
+        HostLimit {
+            max_in_flight: Some(max_in_flight),
+            health_check,
+            // The end of an active turn comes before the next one.
+            refresh_at: Some(if turn.is_active {
+                now + turn_length
+            } else {
+                turn.next_starts_at - wall_clock_offset
+            }),
+        }
+    }
+}
--- /dev/null
+++ b/src/overload/tenants.rs
@@ -0,0 +1,54 @@
+//! How much of each tenant's load is within its quota, as far as one placer sees.
+
+use crate::health::window::Window;
+use crate::{Micros, Settings, TenantId};
+
+/// How long a tenant's requests are observed, in multiples of the shortest latency objective.
+const WINDOW_OBJECTIVES: Micros = 4;
+const MICROS_PER_SECOND: f64 = 1e6;
+
+/// One tenant.
+#[derive(Debug, Clone)]
+struct TenantUsage {
+    /// New tasks per second over all placers; 0 is no limit.
+    quota_per_second: f64,
+    /// Recent requests at this placer.
+    requests: Window,
+}
+
+/// The recent requests of all tenants.
+#[derive(Debug, Clone)]
+pub(super) struct TenantUsages {
+    tenants: Vec<TenantUsage>,
+    placer_count: usize,
+}
+
+impl TenantUsages {
+    pub fn new(settings: &Settings, latency_objective: Micros) -> TenantUsages {
+        let tenants = settings.tenants.iter().map(|tenant| TenantUsage {
+            quota_per_second: tenant.quota_tasks_per_second,
+            requests: Window::new(WINDOW_OBJECTIVES * latency_objective),
+        });
+        TenantUsages {
+            tenants: tenants.collect(),
+            placer_count: settings.placer_count.max(1),
+        }
+    }
+
+    /// Counts a request and returns the fraction of its tenant's requests that is within the quota. The load at
+    /// the other placers is assumed to be the same as here.
+    pub fn record_request(&mut self, now: Micros, tenant: Option<TenantId>) -> f64 {
+        let Some(usage) = tenant.and_then(|TenantId(index)| self.tenants.get_mut(index)) else {
+            return 1.0;
+        };
+        usage.requests.add(now, 1.0, 0.0);
+        let own_per_second =
+            usage.requests.sums(now).0 * MICROS_PER_SECOND / usage.requests.length() as f64;
+        let per_second = own_per_second * self.placer_count as f64;
+        if usage.quota_per_second > 0.0 && per_second > usage.quota_per_second {
+            usage.quota_per_second / per_second
+        } else {
+            1.0
+        }
+    }
+}
--- a/tests/overload/main.rs
+++ b/tests/overload/main.rs
@@ -1,23 +1,23 @@
 //! What a fleet of placers does in an overload and after a loss, in simulated time: the hard cases of
-//! `docs/design/overload.md` by their letters, and properties of the engine's parts.
+//! `docs/design/overload.md` by their letters, and properties of the engine's features.
 
 mod model;
 
 use model::{Day, Fault, MS, Model, Outcome, SECOND};
 use task_placer::Micros;
-use task_placer::overload::{Parts, turns};
+use task_placer::overload::{Features, health_check_schedule};
 
 #[test]
 #[ignore = "a table for people: cargo test --release --test overload table -- --ignored --nocapture"]
 fn table() {
-    for parts in [Parts::default(), Parts::all()] {
+    for features in [Features::default(), Features::all()] {
         for placers in [1, 3, 12, 30] {
             let mut line = format!(
                 "{} {placers:>3}",
-                if parts.any() { "as one" } else { "before" }
+                if features.any() { "as one" } else { "before" }
             );
             for seed in 1..=3 {
-                let out = Model::play(Day::crowd(placers, 1.8, parts.clone(), seed));
+                let out = Model::play(Day::crowd(placers, 1.8, features.clone(), seed));
                 line.push_str(&format!(
                     "   {:.1} % {:.1} % {:.2}",
                     100.0 * out.whole(),
@@ -31,11 +31,11 @@
     }
 }
 
-fn day(placers: usize, parts: Parts) -> Day {
+fn day(placers: usize, features: Features) -> Day {
     Day {
         load: vec![(0, 0.6)],
         length: 16 * SECOND,
-        ..Day::crowd(placers, 1.0, parts, 1)
+        ..Day::crowd(placers, 1.0, features, 1)
     }
 }
 
@@ -45,11 +45,11 @@
 fn cases() {
     for (name, make) in CASES {
         for placers in [3, 12, 30] {
-            for parts in [Parts::default(), Parts::all()] {
-                let out = Model::play(make(placers, parts.clone()));
+            for features in [Features::default(), Features::all()] {
+                let out = Model::play(make(placers, features.clone()));
                 println!(
                     "{name:<12} {placers:>2} {:<7} whole {:>5.1} % end {:>5.1} % offers {:.2} trials at most {} a quarter, {} in all; unanswered {}",
-                    if parts.any() { "as one" } else { "before" },
+                    if features.any() { "as one" } else { "before" },
                     100.0 * out.whole(),
                     100.0 * out.in_aim(12, 16),
                     out.offers_a_task(),
@@ -64,10 +64,10 @@
 
 /// Plays a case with 3, 12 and 30 placers, and with 12 without what is under test: `with` holds for each of the
 /// first and not for the last.
-fn shown(name: &str, without: &Parts, with: impl Fn(usize, &Outcome) -> bool) {
+fn shown(name: &str, without: &Features, with: impl Fn(usize, &Outcome) -> bool) {
     let make = CASES.iter().find(|(n, _)| *n == name).expect("a case").1;
     for placers in [3, 12, 30] {
-        let out = Model::play(make(placers, Parts::all()));
+        let out = Model::play(make(placers, Features::all()));
         let told = format!(
             "{:.3} {:.3} {:.2} {:?}",
             out.whole(),
@@ -102,35 +102,35 @@
 
 #[test]
 fn a_crowd_of_three_times_what_hosts_start_is_met_alike_by_three_placers_and_by_thirty() {
-    shown("a crowd x3", &Parts::default(), |_, out| {
+    shown("a crowd x3", &Features::default(), |_, out| {
         out.whole() > 0.32 && out.offers_a_task() < 0.6
     });
 }
 
 #[test]
 fn b_a_room_lost_at_load_and_back_cold_leaves_no_overload_behind() {
-    shown("b room", &Parts::default(), |_, out| {
+    shown("b room", &Features::default(), |_, out| {
         out.whole() > 0.93 && out.in_aim(12, 16) > 0.95
     });
 }
 
 #[test]
 fn c_placers_killed_in_a_crowd_and_back_do_not_bring_it_back() {
-    shown("c killed", &Parts::default(), |_, out| {
+    shown("c killed", &Features::default(), |_, out| {
         out.whole() > 0.52 && out.in_aim(12, 16) > 0.95
     });
 }
 
 #[test]
 fn c_placers_stalled_in_a_crowd_do_not_either() {
-    shown("c stalled", &Parts::default(), |_, out| {
+    shown("c stalled", &Features::default(), |_, out| {
         out.whole() > 0.49 && out.in_aim(12, 16) > 0.95
     });
 }
 
 #[test]
 fn d_one_placer_with_bad_links_is_not_taken_for_the_fleet() {
-    shown("d one link", &Parts::default(), |_, out| {
+    shown("d one link", &Features::default(), |_, out| {
         out.whole() > 0.97 && out.in_aim(12, 16) > 0.98
     });
 }
@@ -138,15 +138,15 @@
 #[test]
 fn e_a_cell_out_of_reach_of_all_is_tried_by_turns_whatever_the_number_of_placers() {
     // Turns of two groups may fall into one quarter of the clock.
-    let bound = 2 * turns::Settings::default().callers as u32;
-    shown("e cell", &Parts::default(), |_, out| {
+    let bound = 2 * health_check_schedule::Settings::default().concurrent_placers as u32;
+    shown("e cell", &Features::default(), |_, out| {
         out.whole() > 0.9 && trials(out, 6 * SECOND) <= bound
     });
 }
 
 #[test]
 fn f_a_list_ten_seconds_late_does_not_make_an_overload_worse() {
-    shown("f late list", &Parts::default(), |_, out| {
+    shown("f late list", &Features::default(), |_, out| {
         out.whole() > 0.56 && out.in_aim(12, 16) > 0.95
     });
 }
@@ -156,9 +156,9 @@
     // Half of them; without the line and the order it is all one.
     shown(
         "g clients",
-        &Parts {
-            returns: true,
-            ..Parts::default()
+        &Features {
+            retry_after: true,
+            ..Features::default()
         },
         |_, out| out.whole() > 0.55 && out.in_aim(12, 16) > 0.95,
     );
@@ -166,88 +166,88 @@
 
 #[test]
 fn h_a_placer_with_seven_tenths_of_the_traffic_gets_its_part_of_the_hosts() {
-    shown("h uneven", &Parts::default(), |_, out| {
+    shown("h uneven", &Features::default(), |_, out| {
         out.whole() > 0.53 && out.offers_a_task() < 0.95
     });
 }
 
 #[test]
 fn i_placers_that_restart_in_a_crowd_know_nothing_and_do_not_open_the_gate() {
-    shown("i restart", &Parts::default(), |_, out| {
+    shown("i restart", &Features::default(), |_, out| {
         out.whole() > 0.54 && out.in_aim(12, 16) > 0.95
     });
 }
 
 #[test]
 fn k_hosts_that_flap_do_not_take_the_others_down() {
-    shown("k flap", &Parts::default(), |_, out| {
+    shown("k flap", &Features::default(), |_, out| {
         out.whole() > 0.95 && out.in_aim(12, 16) > 0.97
     });
 }
 
-type Case = (&'static str, fn(usize, Parts) -> Day);
+type Case = (&'static str, fn(usize, Features) -> Day);
 
 const CASES: [Case; 11] = [
-    ("a crowd x3", |n, parts| Day {
+    ("a crowd x3", |n, features| Day {
         load: vec![(0, 0.2), (2 * SECOND, 3.0), (12 * SECOND, 0.2)],
         length: 18 * SECOND,
-        ..day(n, parts)
+        ..day(n, features)
     }),
-    ("b room", |n, parts| Day {
+    ("b room", |n, features| Day {
         load: vec![(0, 0.6)],
         faults: vec![
             (3 * SECOND, Fault::Die(vec![0, 1])),
             (8 * SECOND, Fault::Rise(vec![0, 1])),
         ],
-        ..day(n, parts)
+        ..day(n, features)
     }),
-    ("c killed", |n, parts| Day {
+    ("c killed", |n, features| Day {
         load: vec![(0, 0.2), (2 * SECOND, 1.8), (8 * SECOND, 0.2)],
         faults: vec![
             (4 * SECOND, Fault::Kill((0..n * 3 / 4).collect())),
             (5 * SECOND, Fault::Start((0..n * 3 / 4).collect())),
         ],
-        ..day(n, parts)
+        ..day(n, features)
     }),
-    ("c stalled", |n, parts| Day {
+    ("c stalled", |n, features| Day {
         load: vec![(0, 0.2), (2 * SECOND, 1.8), (8 * SECOND, 0.2)],
         faults: vec![
             (4 * SECOND, Fault::Stall((0..n * 3 / 4).collect(), true)),
             (5 * SECOND, Fault::Stall((0..n * 3 / 4).collect(), false)),
         ],
-        ..day(n, parts)
+        ..day(n, features)
     }),
-    ("d one link", |n, parts| Day {
+    ("d one link", |n, features| Day {
         faults: vec![
             (3 * SECOND, Fault::Cut(vec![0], vec![0, 1, 2], true)),
             (9 * SECOND, Fault::Cut(vec![0], vec![0, 1, 2], false)),
         ],
-        ..day(n, parts)
+        ..day(n, features)
     }),
-    ("e cell", |n, parts| Day {
+    ("e cell", |n, features| Day {
         cell: 2,
         faults: vec![
             (3 * SECOND, Fault::Cut((0..n).collect(), vec![0, 1], true)),
             (24 * SECOND, Fault::Cut((0..n).collect(), vec![0, 1], false)),
         ],
-        ..day(n, parts)
+        ..day(n, features)
     }),
-    ("f late list", |n, parts| Day {
+    ("f late list", |n, features| Day {
         load: vec![(0, 0.2), (2 * SECOND, 1.8), (8 * SECOND, 0.2)],
         late: 10 * SECOND,
-        ..day(n, parts)
+        ..day(n, features)
     }),
-    ("g clients", |n, parts| Day {
+    ("g clients", |n, features| Day {
         load: vec![(0, 0.2), (2 * SECOND, 1.8), (8 * SECOND, 0.2)],
         honour: 0.5,
-        ..day(n, parts)
+        ..day(n, features)
     }),
-    ("h uneven", |n, parts| Day {
+    ("h uneven", |n, features| Day {
         load: vec![(0, 0.2), (2 * SECOND, 1.8), (8 * SECOND, 0.2)],
         uneven: 0.7,
-        ..day(n, parts)
+        ..day(n, features)
     }),
-    ("i restart", |n, parts| Day {
+    ("i restart", |n, features| Day {
         load: vec![(0, 0.2), (2 * SECOND, 1.8), (8 * SECOND, 0.2)],
         faults: (0..n)
             .map(|p| (4 * SECOND + p as Micros * 100 * MS, p))
@@ -258,9 +258,9 @@
                 ]
             })
             .collect(),
-        ..day(n, parts)
+        ..day(n, features)
     }),
-    ("k flap", |n, parts| Day {
+    ("k flap", |n, features| Day {
         faults: (0..5)
             .flat_map(|i| {
                 [
@@ -269,6 +269,6 @@
                 ]
             })
             .collect(),
-        ..day(n, parts)
+        ..day(n, features)
     }),
 ];
--- a/tests/overload/model.rs
+++ b/tests/overload/model.rs
@@ -9,7 +9,7 @@
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
 use std::sync::Arc;
 use task_placer::facade::{Decision, Facade, PlacementEvent, PlacementRequest, Ticket};
-use task_placer::overload::Parts;
+use task_placer::overload::Features;
 use task_placer::settings::Names;
 use task_placer::*;
 
@@ -32,7 +32,7 @@
     /// Hosts of a cell, and cells of a room.
     pub cell: usize,
     pub room: usize,
-    pub parts: Parts,
+    pub features: Features,
     pub seed: u64,
     /// Tasks a second from a time on, as multiples of what the hosts can start.
     pub load: Vec<(Micros, f64)>,
@@ -67,13 +67,13 @@
 
 impl Day {
     /// Six hosts that start about 200 a second: level, then a crowd of so many times that, then level.
-    pub fn crowd(placers: usize, times: f64, parts: Parts, seed: u64) -> Day {
+    pub fn crowd(placers: usize, times: f64, features: Features, seed: u64) -> Day {
         Day {
             placers,
             hosts: 6,
             cell: 1,
             room: 2,
-            parts,
+            features,
             seed,
             load: vec![(0, 0.2), (3 * SECOND, times), (8 * SECOND, 0.2)],
             length: 18 * SECOND,
@@ -317,7 +317,7 @@
                 p.facade
                     .as_ref()
                     .and_then(|f| f.overload())
-                    .map_or(0, |o| o.step())
+                    .map_or(0, |o| o.shed_level())
             })
             .collect();
         model.out
@@ -384,7 +384,7 @@
             settings(n, self.day.placers),
             names(),
             seed,
-            self.day.parts.clone(),
+            self.day.features.clone(),
             0,
         );
         facade.report(self.now, PlacementEvent::DiscoveryUp);
--- a/tests/overload_digest.rs
+++ b/tests/overload_digest.rs
@@ -1,14 +1,14 @@
-//! Plays random events to the overload engine and checks a digest of all limits and admissions.
+//! Plays random events to the overload controller and checks a digest of all limits and admissions.
 //!
 //! The digest covers names and numbers only, so it does not depend on how the types are named. A change of it
-//! means that the engine decides differently; placers of two versions would then disagree during an upgrade.
+//! means that the controller decides differently; placers of two versions would then disagree during an upgrade.
 
 use std::fmt::Write;
 use std::sync::Arc;
-use task_placer::overload::{Event, Overload, Parts, attempts};
+use task_placer::overload::{Event, Features, OverloadController, RequestEnd, retry_budget};
 use task_placer::{
     CellId, ClassId, Endpoint, EndpointState, HostId, KindId, Limit, Micros, Outcome,
-    OutcomeDetail, RequestId, ServiceId, Settings, Task, TaskKey, ZoneId,
+    OutcomeDetail, RequestId, ServiceId, Settings, Task, TaskKey, UpdateKind, ZoneId,
 };
 
 const HOSTS: u64 = 12;
@@ -61,7 +61,7 @@
             give_up_after,
         } => write!(digest, "a {admit_below:.9} {give_up_after:?};"),
         Limit::NoRetry(id) => write!(digest, "n {};", id.0),
-        Limit::Processes { .. } => panic!("not a limit of the engine"),
+        Limit::Processes { .. } => panic!("not a limit of the controller"),
     };
     written.expect("a string takes all");
 }
@@ -73,26 +73,26 @@
     })
 }
 
-fn play(parts: Parts, seed: u64) -> u64 {
+fn play(features: Features, seed: u64) -> u64 {
     let mut settings = Settings::example();
     settings.placer_count = 5;
     settings.placer_index = 2;
-    let mut engine = Overload::new(parts, &settings, 1_000_000_000, seed);
+    let mut controller = OverloadController::new(features, &settings, 1_000_000_000, seed);
     let (mut numbers, mut digest, mut limits) = (Numbers(seed), String::new(), Vec::new());
     let all: Vec<Endpoint> = (0..HOSTS)
         .map(|n| endpoint(n, EndpointState::Up, 0))
         .collect();
-    let listed = Event::Listed {
-        whole: true,
-        entries: &all,
+    let listed = Event::EndpointsChanged {
+        kind: UpdateKind::Complete,
+        endpoints: &all,
     };
-    engine.handle(0, listed, &mut limits);
+    controller.handle(0, listed, &mut limits);
     let mut open: Vec<RequestId> = Vec::new();
     for step in 1..=STEPS {
         let now = step as Micros * STEP;
         let chosen = (!open.is_empty()).then(|| numbers.below(open.len() as u64) as usize);
         let at = host(numbers.below(HOSTS));
-        // Now and then nothing starts and many attempts fail, so that hosts and whole zones come into doubt.
+        // Now and then nothing starts and many attempts fail, so that hosts and whole zones become suspect.
         let outage = step % 4_000 > 3_000;
         match (numbers.below(16), chosen) {
             (0..=4, _) => {
@@ -105,17 +105,22 @@
                     is_returning: numbers.below(5) == 0,
                     ..Task::default()
                 };
-                let admission = engine.ask(now, &task);
-                write!(digest, "{:.9} {};", admission.order, admission.away).expect("a string");
+                let admission = controller.admit(now, &task);
+                write!(
+                    digest,
+                    "{:.9} {};",
+                    admission.shed_rank, admission.retry_after
+                )
+                .expect("a string");
                 open.push(id);
             }
             (5..=8, Some(n)) => {
                 let (id, host) = (&open[n], &at);
-                engine.handle(now, Event::Offered { id, host }, &mut limits);
+                controller.handle(now, Event::AttemptSent { id, host }, &mut limits);
             }
             (9 | 10, Some(n)) if !outage => {
                 let id = &open.swap_remove(n);
-                engine.handle(now, Event::Started { id }, &mut limits);
+                controller.handle(now, Event::AttemptStarted { id }, &mut limits);
             }
             (9..=12, Some(n)) => {
                 let kinds = if outage { 2 } else { 8 };
@@ -130,17 +135,21 @@
                     (Outcome::NotSent, OutcomeDetail::Unknown),
                 ][numbers.below(kinds) as usize];
                 let id = &open[n];
-                let ended = Event::Ended {
+                let ended = Event::AttemptEnded {
                     id,
                     outcome,
                     detail,
                 };
-                engine.handle(now, ended, &mut limits);
+                controller.handle(now, ended, &mut limits);
             }
             (13, Some(n)) => {
                 let id = &open.swap_remove(n);
-                let given_up = numbers.below(3) > 0;
-                engine.handle(now, Event::Over { id, given_up }, &mut limits);
+                let end = if numbers.below(3) > 0 {
+                    RequestEnd::GivenUp
+                } else {
+                    RequestEnd::Cancelled
+                };
+                controller.handle(now, Event::RequestEnded { id, end }, &mut limits);
             }
             (14, _) if numbers.below(40) == 0 => {
                 let state = [
@@ -149,62 +158,77 @@
                     EndpointState::Removed,
                 ][numbers.below(3) as usize];
                 let changed = [endpoint(numbers.below(HOSTS), state, now)];
-                let listed = Event::Listed {
-                    whole: false,
-                    entries: &changed,
+                let listed = Event::EndpointsChanged {
+                    kind: UpdateKind::Delta,
+                    endpoints: &changed,
                 };
-                engine.handle(now, listed, &mut limits);
+                controller.handle(now, listed, &mut limits);
             }
-            _ => engine.handle(now, Event::Tick, &mut limits),
+            _ => controller.handle(now, Event::Tick, &mut limits),
         }
         for limit in limits.drain(..) {
             render(&mut digest, &limit);
         }
     }
-    let report = engine.report(STEPS as Micros * STEP);
-    for (name, count) in engine.counters().named() {
+    let report = controller.report(STEPS as Micros * STEP);
+    for (name, count) in controller.counters().named() {
         write!(digest, "{name} {count};").expect("a string");
     }
     for host in &report.hosts {
-        let wait = engine.call_in(STEPS as Micros * STEP, &host.host);
-        write!(digest, "{} {:.9} {} ", host.host.0, host.window, host.out).expect("a string");
-        write!(digest, "{} {:?} {wait:?};", host.delay, host.turn).expect("a string");
+        let wait = controller.wait_for_turn(STEPS as Micros * STEP, &host.host);
+        write!(
+            digest,
+            "{} {:.9} {} ",
+            host.host.0, host.window, host.in_flight
+        )
+        .expect("a string");
+        write!(
+            digest,
+            "{} {:?} {wait:?};",
+            host.mean_delay, host.next_turn_in
+        )
+        .expect("a string");
     }
     write!(
         digest,
         "{} {:.9} {}",
-        report.step, report.through, report.away
+        report.shed_level, report.admitted_fraction, report.backed_off_clients
     )
     .expect("a string");
-    write!(digest, " {:?}", report.left).expect("a string");
+    write!(digest, " {:?}", report.retries_left).expect("a string");
     if std::env::var_os("SHOW_COUNTERS").is_some() {
-        println!("{seed} {:?}", engine.counters());
+        println!("{seed} {:?}", controller.counters());
     }
     hash(&digest)
 }
 
 #[test]
 fn random_events_give_the_same_limits_as_ever() {
-    let line_only = Parts {
-        line: Parts::all().line,
-        ..Parts::default()
+    let limits_only = Features {
+        concurrency_limit: Features::all().concurrency_limit,
+        ..Features::default()
     };
-    let without_line = Parts {
-        line: None,
-        ..Parts::all()
+    let without_limits = Features {
+        concurrency_limit: None,
+        ..Features::all()
     };
-    let without_gate = Parts {
-        gate: None,
-        attempts: Some(attempts::Settings {
+    let without_admission = Features {
+        admission: None,
+        retry_budget: Some(retry_budget::Settings {
             stock: 300.0,
-            ..attempts::Settings::default()
+            ..retry_budget::Settings::default()
         }),
-        ..Parts::all()
+        ..Features::all()
     };
-    let digests: Vec<u64> = [Parts::all(), line_only, without_line, without_gate]
-        .into_iter()
-        .flat_map(|parts| [1, 2, 3].map(|seed| play(parts.clone(), seed)))
-        .collect();
+    let digests: Vec<u64> = [
+        Features::all(),
+        limits_only,
+        without_limits,
+        without_admission,
+    ]
+    .into_iter()
+    .flat_map(|features| [1, 2, 3].map(|seed| play(features.clone(), seed)))
+    .collect();
     assert_eq!(digests, EXPECTED);
 }
 
