--- a/src/health/fleet.rs
+++ b/src/health/fleet_evidence.rs
@@ -12,7 +12,7 @@
 //! - *Down*: hosts can't be reached in some zones and can in others. What fails alike in every zone is
 //!   nearer to this placer than to the hosts; [`unreached`] splits the two.
 
-use super::window::Window;
+use super::sliding_window::Window;
 use crate::{Micros, Outcome, OutcomeDetail};
 
 const WINDOW: Micros = 10_000_000;
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -20,20 +20,20 @@
 //! `starting` goes to `degraded` instead of `up` where its slow start ends below 95.
 
 pub mod drain;
-mod fleet;
+mod fleet_evidence;
 mod signal;
 mod weight;
-pub(crate) mod window;
+pub(crate) mod sliding_window;
 
-pub use fleet::{Zone, unreached};
+pub use fleet_evidence::{Zone, unreached};
 pub use signal::{Code, Ramp, Reading};
 pub use weight::{Pace, Weight};
 
 use crate::{Micros, Outcome, OutcomeDetail};
-use fleet::Fleet;
+use fleet_evidence::Fleet;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
-use window::Window;
+use sliding_window::Window;
 
 const SECOND: Micros = 1_000_000;
 /// Transitions that are remembered.
--- a/src/overload/admission.rs
+++ b/src/overload/admission.rs
@@ -19,7 +19,7 @@
 
 use super::hash::hash_fraction;
 use crate::Micros;
-use crate::health::window::Window;
+use crate::health::sliding_window::Window;
 
 /// The fraction of one level's admissions that the next level admits.
 pub const LEVEL_FRACTION: f64 = 0.9;
--- a/src/overload/tenants.rs
+++ b/src/overload/tenants.rs
@@ -1,6 +1,6 @@
 //! How much of each tenant's load is within its quota, as far as one placer sees.
 
-use crate::health::window::Window;
+use crate::health::sliding_window::Window;
 use crate::{Micros, Settings, TenantId};
 
 /// How long a tenant's requests are observed, in multiples of the shortest latency objective.
