--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -12,8 +12,8 @@
 use crate::net::conn::{Conn, End};
 use std::rc::Rc;
 use task_placer::facade::{PlacementEvent, PlacementRequest, RequestKind, Ticket};
-use task_placer::operation::duty;
-use task_placer::operation::tally::Ended as Told;
+use task_placer::operation::counters::RequestOutcome;
+use task_placer::operation::lifecycle;
 use task_placer::{Micros, Outcome};
 use tracing::info;
 
@@ -88,7 +88,7 @@
             ClientWord::Test => {
                 let passes = self.placer_serves();
                 self.clients.send(now, client, &binary::tested(id, passes));
-                self.on_duty(now, duty::Event::Asked);
+                self.on_duty(now, lifecycle::Event::Checked);
             }
             ClientWord::Heard => self.clients.heard_end(id),
             ClientWord::Other => self
@@ -126,8 +126,8 @@
         ask.time_budget = (set_up.wait - CLIENT_SLACK).max(0);
         if let Err(why) = self.check_set_up(id, &set_up, &ask) {
             info!(task = %id, reason = %why, "not placed");
-            self.tally
-                .ended(self.facade.class_index(&ask.class), Told::Failed);
+            self.counters
+                .record_response(self.facade.class_index(&ask.class), RequestOutcome::Failed);
             return self.answer_unfit(now, client, id);
         }
         let ticket = self.admit(now, id, client, &ask.class, State::Held);
--- a/src/net/dispatch/offers.rs
+++ b/src/net/dispatch/offers.rs
@@ -118,7 +118,7 @@
                         continue;
                     };
                     if conn.send(now, &line) {
-                        self.tally.offered(request.class);
+                        self.counters.record_attempt(request.class);
                         *round = Some(link.round);
                         self.wheel.add(now + DOUBT, Due::Doubt(ticket, attempt));
                         continue;
@@ -248,7 +248,7 @@
         link.waiting
             .retain(|offer| (offer.ticket, offer.attempt) != (ticket, attempt));
         if self.need(&host).is_none() {
-            self.pool.forget(&host);
+            self.pool.cancel_request(&host);
         }
         if outcome == Outcome::ConnectFailed {
             self.doubt(now, &host);
