--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -2,7 +2,7 @@
 
 use super::clients::AcceptFailed;
 use super::codec;
-use super::dispatch::{Dispatch, MOST_CALLERS, Shared};
+use super::dispatch::{Dispatch, MAX_ADMIN_CONNECTIONS, Shared};
 use super::health::gate::{Gate, Place};
 use super::health::linger;
 use async_executor::LocalExecutor;
@@ -30,7 +30,7 @@
 ) -> io::Result<Rc<Gate>> {
     let bound = Async::<TcpListener>::bind(address);
     let listener = bound.map_err(|e| io::Error::new(e.kind(), format!("admin: {address}: {e}")))?;
-    let gate = Rc::new(Gate::new(MOST_CALLERS));
+    let gate = Rc::new(Gate::new(MAX_ADMIN_CONNECTIONS));
     executor
         .spawn(accept(listener, gate.clone(), shared.clone()))
         .detach();
@@ -115,7 +115,7 @@
             Call::Vars => return calls::figures(&self.figures().encode()),
             Call::Check => {
                 let serves = self.serves();
-                self.on_duty(now, duty::Event::Asked);
+                self.handle_lifecycle_event(now, duty::Event::Asked);
                 return calls::reply(if serves {
                     Ok(())
                 } else {
@@ -126,8 +126,8 @@
             Call::DrainOn | Call::DrainOff if self.ends() => {
                 return calls::reply(Err("the process ends"));
             }
-            Call::DrainOn => self.on_duty(now, duty::Event::DrainOn),
-            Call::DrainOff => self.on_duty(now, duty::Event::DrainOff),
+            Call::DrainOn => self.handle_lifecycle_event(now, duty::Event::DrainOn),
+            Call::DrainOff => self.handle_lifecycle_event(now, duty::Event::DrainOff),
         }
         calls::reply(Ok(()))
     }
@@ -135,15 +135,15 @@
     /// What this process has done, and has in hand.
     fn figures(&self) -> OwnedValue {
         let counts = |c: &Counts| json!({ "served": c.served, "refused": c.refused, "failed": c.failed, "attempts": c.attempts });
-        let classes = self.names().classes.iter().zip(self.tally.classes());
+        let classes = self.names().classes.iter().zip(self.counters.classes());
         let requests: simd_json::owned::Object =
             classes.map(|(name, c)| (name.clone(), counts(c))).collect();
-        let attempts: u64 = self.tally.classes().iter().map(|c| c.attempts).sum();
+        let attempts: u64 = self.counters.classes().iter().map(|c| c.attempts).sum();
         let mut figures = json!({
             "attempts": attempts,
-            "in_flight": self.in_hand(),
-            "hosts_known": self.hosts_in_use(),
-            "hosts_excluded": self.hosts_avoided(),
+            "in_flight": self.unfinished_requests(),
+            "hosts_known": self.active_host_count(),
+            "hosts_excluded": self.unavailable_hosts(),
         });
         let _ = figures.insert("requests", OwnedValue::from(requests));
         figures
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -1,7 +1,7 @@
 //! Connections from clients: accepting, reading, and where a task's end is told.
 
 use super::codec::{TaskId, binary};
-use super::conn::{Conn, End, STUCK, Unread};
+use super::conn::{CloseReason, Conn, STUCK, Unread};
 use super::dispatch::Shared;
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -53,7 +53,7 @@
 
 /// How far a client must be read until an offer for it may leave.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Mark {
+pub struct ReadMark {
     client: ClientId,
     bytes: u64,
     /// Whether that was all that had come in then.
@@ -64,13 +64,13 @@
 
 /// Whether a client that waits for an answer is still there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Presence {
+pub enum ClientPresence {
     /// It is, as far as it has said.
-    Here,
+    Present,
     /// It has closed its connection, or the connection is to end.
-    Left,
+    Gone,
     /// It has said something that was not read yet: it may have cancelled the request.
-    Unread(Option<Mark>),
+    UnreadInput(Option<ReadMark>),
 }
 
 struct Client {
@@ -171,7 +171,7 @@
             .filter(|(_, o)| o.stand == 0 && !o.conn.stopping())
         {
             if !told.contains(id) && !client.busy(now) {
-                client.conn.stop(End::Draining);
+                client.conn.stop(CloseReason::Draining);
             }
         }
     }
@@ -314,35 +314,40 @@
     /// after a stall of this process hosts may be heard before clients are. What the client had said by the time
     /// of the first look (`mark`) is read before the offer leaves; what it says later is not waited for, or one
     /// that never pauses would hold its own offers up.
-    pub fn presence(&mut self, id: ClientId, mark: Option<Mark>, host: &HostId) -> Presence {
+    pub fn presence(
+        &mut self,
+        id: ClientId,
+        mark: Option<ReadMark>,
+        host: &HostId,
+    ) -> ClientPresence {
         let Some(client) = self
             .all
             .get_mut(&id)
             .filter(|client| !client.conn.stopping())
         else {
-            return Presence::Left;
+            return ClientPresence::Gone;
         };
         let mark = mark.filter(|mark| mark.client == id);
         if client.reading {
             client.behind.insert(host.clone());
-            return Presence::Unread(mark);
+            return ClientPresence::UnreadInput(mark);
         }
         let reached =
-            |mark: Mark| mark.whole && client.read >= mark.bytes || client.read >= mark.most;
+            |mark: ReadMark| mark.whole && client.read >= mark.bytes || client.read >= mark.most;
         let count = match client.conn.unread() {
-            Unread::End => return Presence::Left,
-            Unread::Nothing => return Presence::Here,
-            Unread::Bytes(_) if mark.is_some_and(reached) => return Presence::Here,
+            Unread::EndOfStream => return ClientPresence::Gone,
+            Unread::Nothing => return ClientPresence::Present,
+            Unread::Bytes(_) if mark.is_some_and(reached) => return ClientPresence::Present,
             Unread::Bytes(count) => count,
         };
         client.behind.insert(host.clone());
         if mark.is_some_and(|mark| client.read < mark.bytes) {
-            return Presence::Unread(mark);
+            return ClientPresence::UnreadInput(mark);
         }
         let most = mark.map_or(client.read.saturating_add(MOST_AHEAD), |mark| mark.most);
         let bytes = client.read.saturating_add(count as u64);
         let whole = Unread::Bytes(count).whole();
-        Presence::Unread(Some(Mark {
+        ClientPresence::UnreadInput(Some(ReadMark {
             client: id,
             bytes,
             whole,
@@ -384,7 +389,7 @@
     }
 
     /// Ends one connection.
-    pub fn stop(&self, id: ClientId, end: End) {
+    pub fn stop(&self, id: ClientId, end: CloseReason) {
         if let Some(client) = self.all.get(&id) {
             client.conn.stop(end);
         }
@@ -442,14 +447,14 @@
         for client in self.all.values() {
             client.conn.end_if_stuck(now, STUCK);
             if client.open.is_empty() && now - client.heard > IDLE {
-                client.conn.stop(End::Idle);
+                client.conn.stop(CloseReason::Idle);
             }
             if client.open.is_empty()
                 && client
                     .half_since
                     .is_some_and(|since| now - since > UNSPOKEN)
             {
-                client.conn.stop(End::Unspoken);
+                client.conn.stop(CloseReason::HandshakeTimeout);
             }
         }
         self.close_spare(now);
@@ -468,7 +473,9 @@
             .collect();
         idle.sort_by_key(|o| (o.spoken, o.proven, o.heard));
         let closed = idle.into_iter().filter(|o| o.conn.quiet()).take(most);
-        closed.map(|client| client.conn.stop(End::Shed)).count()
+        closed
+            .map(|client| client.conn.stop(CloseReason::Evicted))
+            .count()
     }
 
     /// How the descriptors are shared out with so many hosts listed.
@@ -532,7 +539,7 @@
                 return;
             }
             // Room is made for one that is there, not for one that may come.
-            if turn > 0 && shared.borrow().client_crowds() {
+            if turn > 0 && shared.borrow().client_limit_reached() {
                 break;
             }
             make_room(&shared).await;
@@ -561,7 +568,7 @@
 /// Before the end of the process: whether something still waits to be taken. Guards what has been sent on
 /// a connection that waits here or came in since the last look: it counts as taken.
 pub fn last_call(listener: &Async<TcpListener>, shared: &Shared) -> bool {
-    if shared.borrow().overdue() {
+    if shared.borrow().is_overdue() {
         return false;
     }
     let accepts = shared.borrow().accepts();
@@ -585,12 +592,12 @@
 async fn make_room(shared: &Shared) {
     let mut waits = false;
     loop {
-        let crowds = shared.borrow().client_crowds();
+        let crowds = shared.borrow().client_limit_reached();
         let now = shared.borrow().clock.now();
         if !crowds || shared.borrow().clients.shed(now, 1) > 0 {
             shared
                 .borrow_mut()
-                .watch(now, Event::Connection { turned_away: waits });
+                .record_health_event(now, Event::Connection { turned_away: waits });
             if crowds {
                 // The one that was told to end gives its descriptor back first.
                 future::yield_now().await;
@@ -598,7 +605,7 @@
             return;
         }
         if !std::mem::replace(&mut waits, true) {
-            info!(peer = "client", reason = %End::Shed, "connection waits");
+            info!(peer = "client", reason = %CloseReason::Evicted, "connection waits");
         }
         Timer::after(ACCEPT_PAUSE).await;
     }
@@ -625,10 +632,11 @@
             let came = inbox.len().saturating_sub(rest);
             let mut taken = 0;
             while let Some((task, word, length)) =
-                binary::read(inbox.get(taken..).unwrap_or_default()).map_err(End::Malformed)?
+                binary::read(inbox.get(taken..).unwrap_or_default())
+                    .map_err(CloseReason::Malformed)?
             {
                 taken += length;
-                shared.borrow_mut().client_word(id, task, word);
+                shared.borrow_mut().client_message(id, task, word);
                 // Nothing more is taken from one that is to end. From one that has failed all is: what it said
                 // of tasks that stand holds.
                 if conn.dismissed() {
@@ -639,14 +647,14 @@
             rest = inbox.len();
             shared
                 .borrow_mut()
-                .client_heard(id, came, taken > 0, !inbox.is_empty());
+                .client_read(id, came, taken > 0, !inbox.is_empty());
             Ok(())
         })
         .await;
     // No word is to be queued on it from here on.
     conn.stop(end);
-    shared.borrow_mut().client_ended(id, end);
-    if matches!(end, End::Malformed(_) | End::IdInUse) {
+    shared.borrow_mut().client_closed(id, end);
+    if matches!(end, CloseReason::Malformed(_) | CloseReason::IdInUse) {
         shared.borrow_mut().clients.lingering += 1;
         conn.linger().await;
         shared.borrow_mut().clients.lingering -= 1;
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -25,13 +25,13 @@
     peer.write_all(&[0; 8 * CHUNK]).expect("it has room");
     let (mut mark, mut reads) = (None, 0);
     // As much as before waits each time that some was read.
-    while let Presence::Unread(next) = clients.presence(id, mark, &host) {
+    while let ClientPresence::UnreadInput(next) = clients.presence(id, mark, &host) {
         mark = next;
         assert_eq!(clients.read(id, CHUNK).len(), 1, "the host where it waits");
         reads += 1;
         assert!(reads <= MOST_AHEAD as usize / CHUNK, "{reads} reads");
     }
-    assert_eq!(clients.presence(id, mark, &host), Presence::Here);
+    assert_eq!(clients.presence(id, mark, &host), ClientPresence::Present);
     assert_eq!(reads, MOST_AHEAD as usize / CHUNK);
 }
 
@@ -40,29 +40,35 @@
     let (mut clients, id, mut peer) = client();
     let host = HostId(Arc::from("h0"));
     peer.write_all(&[0; 10]).expect("it has room");
-    let Presence::Unread(mark @ Some(_)) = clients.presence(id, None, &host) else {
+    let ClientPresence::UnreadInput(mark @ Some(_)) = clients.presence(id, None, &host) else {
         panic!("ten bytes wait")
     };
     assert_eq!(
         clients.presence(id, mark, &host),
-        Presence::Unread(mark),
+        ClientPresence::UnreadInput(mark),
         "nothing was read"
     );
     clients.read(id, 10);
-    assert_eq!(clients.presence(id, mark, &host), Presence::Here);
-    let other = mark.map(|mark| Mark {
+    assert_eq!(clients.presence(id, mark, &host), ClientPresence::Present);
+    let other = mark.map(|mark| ReadMark {
         client: ClientId(7),
         ..mark
     });
     assert!(matches!(
         clients.presence(id, other, &host),
-        Presence::Unread(Some(_))
+        ClientPresence::UnreadInput(Some(_))
     ));
     drop(peer);
     clients.reads(id);
     assert!(
-        matches!(clients.presence(id, mark, &host), Presence::Unread(_)),
+        matches!(
+            clients.presence(id, mark, &host),
+            ClientPresence::UnreadInput(_)
+        ),
         "its words are being gone through"
     );
-    assert_eq!(clients.presence(ClientId(9), None, &host), Presence::Left);
+    assert_eq!(
+        clients.presence(ClientId(9), None, &host),
+        ClientPresence::Gone
+    );
 }
--- a/src/net/codec/binary.rs
+++ b/src/net/codec/binary.rs
@@ -2,7 +2,7 @@
 //!
 //! `length:2 type:1 task:8 parameters`, each parameter `code:1 length:2 value`, all big-endian.
 
-use super::{MOST_BYTES, Malformed, SetUp, TaskId};
+use super::{MAX_MESSAGE_BYTES, Malformed, TaskId, TaskRequest};
 use std::sync::Arc;
 use task_placer::HostId;
 use task_placer::facade::PlacementRequest;
@@ -32,28 +32,28 @@
 
 /// What a client says.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ClientWord {
+pub enum ClientMessage {
     /// A task to place, or one that stands already.
-    SetUp(Box<SetUp>),
+    TaskRequest(Box<TaskRequest>),
     /// A set-up that can't be read; the rest of the connection can.
-    BadSetUp(Malformed),
+    InvalidTaskRequest(Malformed),
     /// It gives the set-up up, or ends the task.
     Release(u8),
     /// A test.
-    Test,
+    HealthCheck,
     /// It has heard a release.
-    Heard,
+    ReleaseAck,
     /// A message that asks for nothing.
     Other,
 }
 
 /// Reads the first message of `bytes`: its task, its word and its length, or none if more must come.
-pub fn read(bytes: &[u8]) -> Result<Option<(TaskId, ClientWord, usize)>, Malformed> {
+pub fn read(bytes: &[u8]) -> Result<Option<(TaskId, ClientMessage, usize)>, Malformed> {
     let Some((length, rest)) = bytes.split_first_chunk::<2>() else {
         return Ok(None);
     };
     let length = usize::from(u16::from_be_bytes(*length));
-    if length + 2 > MOST_BYTES {
+    if length + 2 > MAX_MESSAGE_BYTES {
         return Err(Malformed::TooLong);
     }
     if length < 9 {
@@ -70,17 +70,17 @@
     };
     let parameters = parameters(body)?;
     let word = match *kind {
-        kind::SET_UP => match set_up(&parameters) {
-            Ok(set_up) => ClientWord::SetUp(Box::new(set_up)),
-            Err(why) => ClientWord::BadSetUp(why),
+        kind::SET_UP => match task_request(&parameters) {
+            Ok(task_request) => ClientMessage::TaskRequest(Box::new(task_request)),
+            Err(why) => ClientMessage::InvalidTaskRequest(why),
         },
         kind::RELEASE => match find(&parameters, code::CAUSE) {
-            Some([cause]) => ClientWord::Release(*cause),
+            Some([cause]) => ClientMessage::Release(*cause),
             _ => return Err(Malformed::Field("cause")),
         },
-        kind::TEST => ClientWord::Test,
-        kind::HEARD => ClientWord::Heard,
-        _ => ClientWord::Other,
+        kind::TEST => ClientMessage::HealthCheck,
+        kind::HEARD => ClientMessage::ReleaseAck,
+        _ => ClientMessage::Other,
     };
     Ok(Some((TaskId(u64::from_be_bytes(*task)), word, length + 2)))
 }
@@ -104,7 +104,7 @@
         .map(|(_, value)| *value)
 }
 
-fn set_up(parameters: &[(u8, &[u8])]) -> Result<SetUp, Malformed> {
+fn task_request(parameters: &[(u8, &[u8])]) -> Result<TaskRequest, Malformed> {
     let text = |code, name| match find(parameters, code).map(std::str::from_utf8) {
         None => Ok(None),
         Some(Ok(text)) => Ok(Some(text)),
@@ -134,8 +134,8 @@
             .clamp(0.0, 86_400_000.0),
     };
     let key = need(code::KEY, "key")?;
-    Ok(SetUp {
-        ask: PlacementRequest {
+    Ok(TaskRequest {
+        placement: PlacementRequest {
             class: need(code::CLASS, "class")?.to_string(),
             tenant: text(code::TENANT, "tenant")?.map(str::to_string),
             service: hex(
--- a/src/net/codec/binary/tests.rs
+++ b/src/net/codec/binary/tests.rs
@@ -21,11 +21,13 @@
 
 #[test]
 fn a_set_up_is_read_whole() {
-    let Ok(Some((task, ClientWord::SetUp(set_up), length))) = read(&set_up_bytes(&GOOD)) else {
+    let Ok(Some((task, ClientMessage::TaskRequest(task_request), length))) =
+        read(&set_up_bytes(&GOOD))
+    else {
         panic!("not read")
     };
     assert_eq!((task, length), (TaskId(0x9b1f), set_up_bytes(&GOOD).len()));
-    let ask = PlacementRequest {
+    let placement = PlacementRequest {
         class: "batch".into(),
         tenant: Some("acme".into()),
         service: 0xb4d6_5521,
@@ -35,10 +37,10 @@
         time_budget: 1_500_000,
         is_retry: true,
     };
-    assert_eq!(set_up.ask, ask);
-    assert_eq!(set_up.at, Some(HostId(Arc::from("s-1"))));
+    assert_eq!(task_request.placement, placement);
+    assert_eq!(task_request.at, Some(HostId(Arc::from("s-1"))));
     assert_eq!(
-        (set_up.key.as_str(), set_up.description.as_str()),
+        (task_request.key.as_str(), task_request.description.as_str()),
         ("7f3a9c21e0b4d655", "c=IN IP4\r\n")
     );
 }
@@ -53,7 +55,7 @@
     assert!(matches!(read(&two), Ok(Some((TaskId(0x9b1f), _, n))) if n == whole.len()));
     assert_eq!(
         read(&two[whole.len()..]),
-        Ok(Some((TaskId(7), ClientWord::Heard, 11)))
+        Ok(Some((TaskId(7), ClientMessage::ReleaseAck, 11)))
     );
 }
 
@@ -81,11 +83,11 @@
             .expect("a whole one");
         assert_eq!(
             read.1,
-            ClientWord::BadSetUp(Malformed::Field(field)),
+            ClientMessage::InvalidTaskRequest(Malformed::Field(field)),
             "{value:?}"
         );
     }
-    let long = set_up_bytes(&[(code::DESCRIPTION, &[b'x'; MOST_BYTES])]);
+    let long = set_up_bytes(&[(code::DESCRIPTION, &[b'x'; MAX_MESSAGE_BYTES])]);
     let broken: [(&[u8], Malformed); 6] = [
         (&long, Malformed::TooLong),
         (&[0xff, 0xff], Malformed::TooLong),
--- a/src/net/codec/feed.rs
+++ b/src/net/codec/feed.rs
@@ -14,11 +14,11 @@
 /// What an entry of the list may take; most take some 170 bytes.
 const MOST_ENTRY_BYTES: usize = 512;
 /// No line of the feed holds more: the whole list may be one line.
-pub const MOST_BYTES: usize = MOST_HOSTS * MOST_ENTRY_BYTES;
+pub const MAX_MESSAGE_BYTES: usize = MOST_HOSTS * MOST_ENTRY_BYTES;
 
 /// One host of the list, and the address where it listens.
 #[derive(Debug, Clone)]
-pub struct Listed {
+pub struct DiscoveredEndpoint {
     /// What the module is told.
     pub entry: Endpoint,
     /// Where it listens; a host that is gone may have none.
@@ -27,28 +27,28 @@
 
 /// One line of the feed: its number and, unless it only shows that the feed lives, the changes.
 #[derive(Debug, Clone)]
-pub struct FeedLine {
+pub struct FeedMessage {
     /// The number of the latest event.
     pub number: u64,
     /// Whether the list is whole, and its hosts.
-    pub members: Option<(bool, Vec<Listed>)>,
+    pub members: Option<(bool, Vec<DiscoveredEndpoint>)>,
     /// Entries that can't be right, by their hosts, and why. Guards against one of them taking the event
     /// along: all others would be unknown, and a placer whose start names it would not start.
     pub aside: Vec<(String, Malformed)>,
 }
 
 /// Reads one line.
-pub fn read(line: &mut [u8], names: &Names) -> Result<FeedLine, Malformed> {
+pub fn read(line: &mut [u8], names: &Names) -> Result<FeedMessage, Malformed> {
     let value = simd_json::to_borrowed_value(line).map_err(|_| Malformed::Json)?;
     event(&value, names)
 }
 
 /// Reads one event.
-pub fn event(value: &BorrowedValue<'_>, names: &Names) -> Result<FeedLine, Malformed> {
+pub fn event(value: &BorrowedValue<'_>, names: &Names) -> Result<FeedMessage, Malformed> {
     let number = value.get_u64("n").ok_or(Malformed::Field("n"))?;
     let mut aside = Vec::new();
     let Some(members) = value.get("members") else {
-        return Ok(FeedLine {
+        return Ok(FeedMessage {
             number,
             members: None,
             aside,
@@ -65,7 +65,7 @@
             Err(why) => aside.push((entry.get_str("host").unwrap_or_default().to_string(), why)),
         }
     }
-    Ok(FeedLine {
+    Ok(FeedMessage {
         number,
         members: Some((whole, hosts)),
         aside,
@@ -89,7 +89,7 @@
     )
 }
 
-fn listed(value: &BorrowedValue<'_>, names: &Names) -> Result<Listed, Malformed> {
+fn listed(value: &BorrowedValue<'_>, names: &Names) -> Result<DiscoveredEndpoint, Malformed> {
     let host = value.get_str("host").ok_or(Malformed::Field("host"))?;
     let state = match value.get_str("health") {
         Some("up") => EndpointState::Up,
@@ -114,7 +114,7 @@
             .and_then(number)
             .unwrap_or(0.0)
     };
-    Ok(Listed {
+    Ok(DiscoveredEndpoint {
         entry: Endpoint {
             host: HostId(Arc::from(host)),
             zone: zone(value.get_str("site"), &names.zones),
--- a/src/net/codec/feed/tests.rs
+++ b/src/net/codec/feed/tests.rs
@@ -19,7 +19,7 @@
     let line = read_text(&event(host)).expect("good");
     let (whole, hosts) = line.members.expect("hosts");
     assert_eq!((line.number, whole, hosts.len()), (41, false, 1));
-    let Listed { entry, dial } = &hosts[0];
+    let DiscoveredEndpoint { entry, dial } = &hosts[0];
     assert_eq!(
         (&*entry.host.0, entry.zone, entry.kind, entry.cell),
         ("s-1", ZoneId(1), KindId(0), CellId(2))
--- a/src/net/codec/lines.rs
+++ b/src/net/codec/lines.rs
@@ -1,6 +1,6 @@
 //! The JSON lines that placers and hosts exchange.
 
-use super::{MOST_BYTES, Malformed, TaskId};
+use super::{MAX_MESSAGE_BYTES, Malformed, TaskId};
 use simd_json::prelude::*;
 use simd_json::{BorrowedValue, json};
 use task_placer::settings::parse_number;
@@ -8,19 +8,19 @@
 
 /// What a host says of a task.
 #[derive(Debug, Clone, PartialEq)]
-pub enum HostWord {
+pub enum HostMessage {
     /// The task stands; the description of the answer.
-    Up(String),
+    Started(String),
     /// Refused, ended or cut: the cause, and why.
-    Down(u8, OutcomeDetail),
+    Released(u8, OutcomeDetail),
     /// A note on a task that stands.
-    Tell(TaskReport, f64),
+    Report(TaskReport, f64),
     /// A message that asks for nothing.
     Other,
 }
 
 /// Reads one line.
-pub fn read(line: &mut [u8]) -> Result<(TaskId, HostWord), Malformed> {
+pub fn read(line: &mut [u8]) -> Result<(TaskId, HostMessage), Malformed> {
     let value = simd_json::to_borrowed_value(line).map_err(|_| Malformed::Json)?;
     if !value.is_object() {
         return Err(Malformed::Json);
@@ -35,21 +35,21 @@
     let note = field("note").and_then(|v| v.as_str());
     let word = match text("t").ok_or(Malformed::Field("t"))? {
         // Without its description it is no answer, but a spoilt one.
-        "up" => HostWord::Up(text("d").ok_or(Malformed::Field("d"))?.to_string()),
+        "up" => HostMessage::Started(text("d").ok_or(Malformed::Field("d"))?.to_string()),
         "down" => {
             let cause = value
                 .get("c")
                 .and_then(|v| v.as_u8())
                 .ok_or(Malformed::Field("c"))?;
-            HostWord::Down(cause, detail(note))
+            HostMessage::Released(cause, detail(note))
         }
         "tell" => {
             let figure = field("value")
                 .and_then(number)
                 .ok_or(Malformed::Field("value"))?;
-            HostWord::Tell(kind_of_note(note), figure)
+            HostMessage::Report(kind_of_note(note), figure)
         }
-        _ => HostWord::Other,
+        _ => HostMessage::Other,
     };
     Ok((task, word))
 }
@@ -107,7 +107,7 @@
         "d": description,
     })
     .into();
-    Some(line(&value)).filter(|line| line.len() <= MOST_BYTES)
+    Some(line(&value)).filter(|line| line.len() <= MAX_MESSAGE_BYTES)
 }
 
 /// Gives an offer up, or ends a task that stands.
--- a/src/net/codec/lines/tests.rs
+++ b/src/net/codec/lines/tests.rs
@@ -7,31 +7,31 @@
     let cases = [
         (
             r#""t":"up","f":{},"d":"a\r\nb""#,
-            HostWord::Up("a\r\nb".into()),
+            HostMessage::Started("a\r\nb".into()),
         ),
-        (r#""t":"up","d":"""#, HostWord::Up(String::new())),
+        (r#""t":"up","d":"""#, HostMessage::Started(String::new())),
         (
             r#""t":"down","f":{"note":"nc"},"c":34"#,
-            HostWord::Down(34, OutcomeDetail::NoCores),
+            HostMessage::Released(34, OutcomeDetail::NoCores),
         ),
         (
             r#""t":"down","f":{"note":"pre"},"c":41"#,
-            HostWord::Down(41, OutcomeDetail::Preempted),
+            HostMessage::Released(41, OutcomeDetail::Preempted),
         ),
         (
             r#""t":"down","f":{},"c":16"#,
-            HostWord::Down(16, OutcomeDetail::Unknown),
+            HostMessage::Released(16, OutcomeDetail::Unknown),
         ),
         (
             r#""t":"tell","f":{"note":"m","value":"1.5"}"#,
-            HostWord::Tell(TaskReport::Memory, 1.5),
+            HostMessage::Report(TaskReport::Memory, 1.5),
         ),
         (
             r#""t":"tell","f":{"note":"s","value":0.25}"#,
-            HostWord::Tell(TaskReport::ServiceLevel, 0.25),
+            HostMessage::Report(TaskReport::ServiceLevel, 0.25),
         ),
-        (r#""t":"wait","f":{}"#, HostWord::Other),
-        (r#""t":"unheard of""#, HostWord::Other),
+        (r#""t":"wait","f":{}"#, HostMessage::Other),
+        (r#""t":"unheard of""#, HostMessage::Other),
     ];
     for (rest, word) in cases {
         let mut line = format!(r#"{{"ref":"9b1f03aa5c7e2d41",{rest}}}"#).into_bytes();
@@ -45,7 +45,7 @@
 
 #[test]
 fn bad_lines_are_typed_errors() {
-    let deep = "[".repeat(MOST_BYTES);
+    let deep = "[".repeat(MAX_MESSAGE_BYTES);
     let cases = [
         ("", Malformed::Json),
         ("{", Malformed::Json),
@@ -110,7 +110,7 @@
             "batch",
             "7f3a",
             1500,
-            &"\u{1}".repeat(MOST_BYTES / 6)
+            &"\u{1}".repeat(MAX_MESSAGE_BYTES / 6)
         ),
         None
     );
--- a/src/net/codec/mod.rs
+++ b/src/net/codec/mod.rs
@@ -9,7 +9,7 @@
 use task_placer::{HostId, Micros};
 
 /// No message of clients or hosts holds more.
-pub const MOST_BYTES: usize = 16 * 1024;
+pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// A task's id on the wire: 16 hex digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -28,22 +28,22 @@
     /// Moved, or ended by its client.
     pub const CANCELLED: u8 = 31;
     /// A full host.
-    pub const FULL: u8 = 34;
+    pub const HOST_FULL: u8 = 34;
     /// Broken or cut.
     pub const RESET: u8 = 41;
     /// Refused by the placer: trying again is harmless.
-    pub const REFUSED: u8 = 42;
+    pub const REJECTED: u8 = 42;
     /// An error; nothing is promised.
     pub const FAILED: u8 = 47;
     /// Never left.
-    pub const MOOT: u8 = 102;
+    pub const NOT_SENT: u8 = 102;
 }
 
 /// A client's set-up.
 #[derive(Debug, Clone, PartialEq)]
-pub struct SetUp {
+pub struct TaskRequest {
     /// What the module decides by.
-    pub ask: PlacementRequest,
+    pub placement: PlacementRequest,
     /// How long the client waits for the answer, from when it sent the set-up.
     pub wait: Micros,
     /// The host that holds the task already.
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,6 +1,6 @@
 //! The placer's configuration: one JSON file, named by `LB_CONFIG`.
 
-use super::codec::feed::{self, FeedLine};
+use super::codec::feed::{self, FeedMessage};
 use super::codec::lines::number;
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
@@ -30,7 +30,7 @@
     /// The number of the feed's last event at the start.
     pub known_to: u64,
     /// The feed's events until then.
-    pub known: Vec<FeedLine>,
+    pub known: Vec<FeedMessage>,
     /// What the process may hold.
     pub limits: Limits,
 }
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -42,7 +42,7 @@
 
 /// Why a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum CloseReason {
     /// The peer closed it.
     Closed,
     /// The peer or its machine reset it.
@@ -52,58 +52,58 @@
     /// The peer reads too slowly: its queue is full.
     QueueFull,
     /// The peer takes nothing from its queue.
-    Stalled,
+    WriteStalled,
     /// The peer sent what is no message.
     Malformed(Malformed),
     /// Nothing happened on it.
     Idle,
     /// The host is gone or has another address.
-    HostGone,
+    HostRemoved,
     /// The peer told nothing for too long.
     Silent,
     /// Another connection to the same host has taken its place.
     Replaced,
     /// The feed's numbers leave a gap.
-    Gap,
+    SequenceGap,
     /// The peer never said a whole message, or left one unfinished.
-    Unspoken,
+    HandshakeTimeout,
     /// Its descriptor is needed for another.
-    Shed,
+    Evicted,
     /// It carries no task, and the process is taken out of service.
     Draining,
     /// A set-up under the id of another that is open.
     IdInUse,
 }
 
-impl fmt::Display for End {
+impl fmt::Display for CloseReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            End::Closed => write!(f, "closed"),
-            End::Reset => write!(f, "reset"),
-            End::Failed(kind) => write!(f, "failed:{kind}"),
-            End::QueueFull => write!(f, "queue-full"),
-            End::Stalled => write!(f, "stalled"),
-            End::Malformed(what) => write!(f, "malformed:{what}"),
-            End::Idle => write!(f, "idle"),
-            End::HostGone => write!(f, "host-gone"),
-            End::Replaced => write!(f, "replaced"),
-            End::Silent => write!(f, "silent"),
-            End::Gap => write!(f, "gap"),
-            End::Unspoken => write!(f, "unspoken"),
-            End::Shed => write!(f, "shed"),
-            End::Draining => write!(f, "draining"),
-            End::IdInUse => write!(f, "id-in-use"),
+            CloseReason::Closed => write!(f, "closed"),
+            CloseReason::Reset => write!(f, "reset"),
+            CloseReason::Failed(kind) => write!(f, "failed:{kind}"),
+            CloseReason::QueueFull => write!(f, "queue-full"),
+            CloseReason::WriteStalled => write!(f, "stalled"),
+            CloseReason::Malformed(what) => write!(f, "malformed:{what}"),
+            CloseReason::Idle => write!(f, "idle"),
+            CloseReason::HostRemoved => write!(f, "host-gone"),
+            CloseReason::Replaced => write!(f, "replaced"),
+            CloseReason::Silent => write!(f, "silent"),
+            CloseReason::SequenceGap => write!(f, "gap"),
+            CloseReason::HandshakeTimeout => write!(f, "unspoken"),
+            CloseReason::Evicted => write!(f, "shed"),
+            CloseReason::Draining => write!(f, "draining"),
+            CloseReason::IdInUse => write!(f, "id-in-use"),
         }
     }
 }
 
-impl From<io::Error> for End {
-    fn from(e: io::Error) -> End {
+impl From<io::Error> for CloseReason {
+    fn from(e: io::Error) -> CloseReason {
         match e.kind() {
             ErrorKind::ConnectionReset | ErrorKind::BrokenPipe | ErrorKind::ConnectionAborted => {
-                End::Reset
+                CloseReason::Reset
             }
-            kind => End::Failed(kind),
+            kind => CloseReason::Failed(kind),
         }
     }
 }
@@ -116,7 +116,7 @@
     /// So many bytes, or more where it is as many as one read takes.
     Bytes(usize),
     /// The peer's end of the connection, and nothing before it.
-    End,
+    EndOfStream,
 }
 
 impl Unread {
@@ -135,7 +135,7 @@
     progress: Cell<bool>,
     /// Since when half a message waits for its rest.
     half_since: Cell<Option<Instant>>,
-    end: Cell<Option<End>>,
+    end: Cell<Option<CloseReason>>,
     wake: (Sender<()>, Receiver<()>),
 }
 
@@ -180,7 +180,7 @@
         // Guards against many slow readers that each stay within their own bound.
         let all = QUEUED.get() + rest.len();
         if queue.len() + rest.len() > MOST_QUEUED || all > MOST_QUEUED_IN_ALL.get() {
-            self.stop(End::QueueFull);
+            self.stop(CloseReason::QueueFull);
             return rest.len() < bytes.len();
         }
         if queue.is_empty() {
@@ -193,7 +193,7 @@
     }
 
     /// Ends the connection.
-    pub fn stop(&self, end: End) {
+    pub fn stop(&self, end: CloseReason) {
         if self.end.get().is_none() {
             self.end.set(Some(end));
         }
@@ -214,7 +214,7 @@
     pub fn dismissed(&self) -> bool {
         self.end
             .get()
-            .is_some_and(|end| !matches!(end, End::Reset | End::Failed(_)))
+            .is_some_and(|end| !matches!(end, CloseReason::Reset | CloseReason::Failed(_)))
     }
 
     /// Whether nothing waits to be read. Guards a set-up that has come in and was not read yet against a
@@ -227,14 +227,14 @@
     /// that is read: others are read first, and the process may have been stopped.
     pub fn unread(&self) -> Unread {
         match SCRATCH.with_borrow_mut(|chunk| self.stream.get_ref().peek(chunk)) {
-            Ok(0) => Unread::End,
+            Ok(0) => Unread::EndOfStream,
             Ok(count) => Unread::Bytes(count),
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
                 Unread::Nothing
             }
             Err(e) => {
                 self.stop(e.into());
-                Unread::End
+                Unread::EndOfStream
             }
         }
     }
@@ -256,7 +256,7 @@
             self.stuck_since.set(now);
         }
         if !self.flushed() && now - self.stuck_since.get() > patience {
-            self.stop(End::Stalled);
+            self.stop(CloseReason::WriteStalled);
         }
     }
 
@@ -272,16 +272,19 @@
             .get()
             .is_some_and(|since| since.elapsed() > patience)
         {
-            self.stop(End::Unspoken);
+            self.stop(CloseReason::HandshakeTimeout);
         }
     }
 
     /// Reads and writes until it ends. `take` removes whole messages from what has come in. Guards what a peer
     /// said before it closed against a write that fails first: an answer may be among it.
-    pub async fn run(&self, mut take: impl FnMut(&mut Vec<u8>) -> Result<(), End>) -> End {
+    pub async fn run(
+        &self,
+        mut take: impl FnMut(&mut Vec<u8>) -> Result<(), CloseReason>,
+    ) -> CloseReason {
         let mut inbox = Vec::new();
         let end = future::or(self.read(&mut inbox, &mut take), self.write()).await;
-        if let End::Reset | End::Failed(_) = end {
+        if let CloseReason::Reset | CloseReason::Failed(_) = end {
             self.stop(end);
             let (before, mut count) = (inbox.len(), 1);
             while count > 0 && inbox.len() - before < MOST_LEFT {
@@ -295,11 +298,11 @@
     async fn read(
         &self,
         inbox: &mut Vec<u8>,
-        take: &mut impl FnMut(&mut Vec<u8>) -> Result<(), End>,
-    ) -> End {
+        take: &mut impl FnMut(&mut Vec<u8>) -> Result<(), CloseReason>,
+    ) -> CloseReason {
         loop {
             match self.read_some(inbox).await {
-                Ok(0) => return self.end.get().unwrap_or(End::Closed),
+                Ok(0) => return self.end.get().unwrap_or(CloseReason::Closed),
                 Ok(_) => {}
                 Err(e) => return self.end.get().unwrap_or(e.into()),
             };
@@ -370,7 +373,7 @@
         future::or(read_off, limit).await;
     }
 
-    async fn write(&self) -> End {
+    async fn write(&self) -> CloseReason {
         loop {
             if let Some(end) = self.end.get() {
                 return end;
--- a/src/net/conn/tests.rs
+++ b/src/net/conn/tests.rs
@@ -21,7 +21,7 @@
         sent += 8192;
         assert!(sent < 1 << 30, "no end");
     }
-    assert_eq!(conn.end.get(), Some(End::QueueFull));
+    assert_eq!(conn.end.get(), Some(CloseReason::QueueFull));
     assert!(conn.queue.borrow().len() <= MOST_QUEUED);
 }
 
@@ -34,7 +34,7 @@
     conn.end_if_stuck(6_000, 5_000);
     assert!(!conn.stopping());
     conn.end_if_stuck(6_001, 5_000);
-    assert_eq!(conn.end.get(), Some(End::Stalled));
+    assert_eq!(conn.end.get(), Some(CloseReason::WriteStalled));
 }
 
 /// What a host said and closed on is heard, also where a write to it fails before that is read.
@@ -55,7 +55,7 @@
         while conn.send(0, b"into the void") {}
     };
     let (end, ()) = async_io::block_on(future::zip(run, fails));
-    assert_eq!((end, heard.len()), (End::Reset, 3 * CHUNK));
+    assert_eq!((end, heard.len()), (CloseReason::Reset, 3 * CHUNK));
 }
 
 #[test]
@@ -74,5 +74,5 @@
     );
     let (conn, peer) = pair();
     drop(peer);
-    assert_eq!(conn.unread(), Unread::End);
+    assert_eq!(conn.unread(), Unread::EndOfStream);
 }
--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -99,7 +99,7 @@
             }
             continue;
         };
-        let found = ctl::read(&mut line).and_then(|order| shared.borrow_mut().ordered(order));
+        let found = ctl::read(&mut line).and_then(|order| shared.borrow_mut().run_order(order));
         if stream.write_all(&ctl::answer(found)).await.is_err() {
             return "failed";
         }
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -1,52 +1,52 @@
 //! Owns one state per request: who is owed what. Everything that happens on a socket or the wheel ends here, is told to
-//! the facade, and comes back as verdicts. It never waits, and never decides where a task goes.
+//! the facade, and comes back as decisions. It never waits, and never decides where a task goes.
 //!
 //! This is the only place that sends a final answer, and of its modules only `answers` does.
 //!
 //! ```text
-//!    client_messages ──┐                            carry_out
+//!    client_messages ──┐                            apply_decisions
 //!    host_messages ────┤  tell   ┌──────────┐ ─────────────────▶ offers, answers, standing
-//!    feed_messages ────┼───────▶ │ verdicts │                       │
+//!    feed_messages ────┼───────▶ │ decisions │                       │
 //!    links ────────────┤         └──────────┘                       │ through links (connections to hosts),
 //!    timers ───────────┘           │      ▲                         │ of which slots says how many there may be,
-//!                             news ▼      │ verdicts                ▼ and clients
+//!                             event ▼      │ decisions                ▼ and clients
 //!                                 facade::Facade                   peers
 //! ```
 //!
 //! `requests` holds the states and draws them, `at_hosts` lists them by host. `shutdown`, `operating`, `watching` and
 //! `bounds` are what the platform and operators see of the process.
 
-mod answers;
-mod at_hosts;
-mod bounds;
+mod admin_commands;
+mod attempts;
 mod client_messages;
-mod feed_messages;
+mod connection_slots;
+mod decisions;
+mod discovery;
+mod health_inputs;
+mod host_connections;
 mod host_messages;
-mod invalid_set_up;
-mod links;
-mod offers;
-mod operating;
+mod invalid_task_request;
+mod overload_report;
+mod request_index;
 mod requests;
+mod responses;
+mod running_tasks;
 mod shutdown;
-mod slots;
-mod standing;
 mod timers;
-mod verdicts;
-mod watching;
 
 use super::clients::Clients;
 use super::clock::Clock;
 use super::codec::TaskId;
-use super::codec::feed::FeedLine;
+use super::codec::feed::FeedMessage;
 use super::config::{Config, Limits};
 use super::conn;
 use super::health::gate::Gate;
 use super::health::watch::Watch;
-use super::hosts::{Link, Round};
+use super::hosts::{ConnectionId, HostLink};
 use super::wheel::Wheel;
 use crate::operator::Operator;
 use async_executor::LocalExecutor;
-use at_hosts::AtHosts;
+use request_index::RequestIndex;
 use requests::{Ended, Request};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -58,13 +58,13 @@
 use task_placer::operation::tally::Tally;
 use task_placer::settings::Names;
 use task_placer::{HostId, Micros};
-use timers::{Due, SWEEP};
+use timers::{SWEEP, TimerEvent};
 use tracing::info;
 
 const MILLI: Micros = 1_000;
 /// Operators' callers at a time. Guards the descriptors, which are set apart from the clients' and the hosts'; one
 /// that has said half a line makes room for the next.
-pub const MOST_CALLERS: usize = 8;
+pub const MAX_ADMIN_CONNECTIONS: usize = 8;
 /// The part of the memory that queues may fill.
 const QUEUES: usize = 6;
 
@@ -96,27 +96,27 @@
     pub(super) clients: Clients,
     name: String,
     facade: Facade,
-    wheel: Wheel<Due>,
-    hosts: BTreeMap<HostId, Link>,
+    wheel: Wheel<TimerEvent>,
+    hosts: BTreeMap<HostId, HostLink>,
     /// Hosts that have not taken what is queued for them, while offers wait behind it.
-    clogged: BTreeSet<HostId>,
+    backlogged_hosts: BTreeSet<HostId>,
     /// Hosts that are not gone.
-    in_use: usize,
+    active_hosts: usize,
     /// Which of them have a connection.
-    pool: Pool<HostId, (HostId, Round)>,
+    connection_pool: Pool<HostId, (HostId, ConnectionId)>,
     /// The requests by the host that they are at.
-    at_hosts: AtHosts,
+    request_index: RequestIndex,
     requests: BTreeMap<Ticket, Request>,
-    by_id: BTreeMap<TaskId, Ticket>,
-    ended: BTreeMap<TaskId, Ended>,
+    tickets_by_task: BTreeMap<TaskId, Ticket>,
+    ended_tasks: BTreeMap<TaskId, Ended>,
     next_ticket: u64,
     connect_timeout: Micros,
     /// Hosts are called before anything is wanted of them: where connections have no price.
-    warm: bool,
-    known: Vec<FeedLine>,
-    feed_up: bool,
+    preconnects: bool,
+    cached_updates: Vec<FeedMessage>,
+    is_discovery_up: bool,
     /// When the process began to close.
-    closing_since: Option<Micros>,
+    shutdown_since: Option<Micros>,
     /// What balancers are told, where an operator's file asks for it.
     pub(super) watch: Option<Watch>,
     /// The connections of balancers.
@@ -124,22 +124,22 @@
     /// And of operators.
     pub(super) orders: Vec<Rc<Gate>>,
     /// A drain is over.
-    drained: bool,
+    is_drained: bool,
     /// Whether this process takes requests, by the platform's orders.
-    duty: Duty,
+    lifecycle: Duty,
     /// What it has done.
-    pub(super) tally: Tally,
+    pub(super) counters: Tally,
     /// What the placer may hold, and which other processes of it there are.
     limits: Limits,
-    company: Company,
+    process_group: Company,
     /// The listening socket is the platform's, and other processes of this placer accept from it.
-    pub(super) inherits: bool,
+    pub(super) shares_listener: bool,
     /// Balancers' drain, or maintenance, wants connections closed that carry no task.
-    closes_idle: bool,
+    closes_idle_clients: bool,
     /// Clients can connect.
-    pub(super) listens: bool,
+    pub(super) is_listening: bool,
     /// What of the engine of overloads was logged.
-    logged: bounds::Logged,
+    overload_log: overload_report::OverloadLog,
 }
 
 impl Dispatch {
@@ -148,7 +148,7 @@
         let clock = Clock::default();
         let now = clock.now();
         let connect_timeout = config.settings.connect_timeout;
-        let warm = config.settings.price_handshake <= 0.0;
+        let preconnects = config.settings.price_handshake <= 0.0;
         let watch = operator.watches().then(|| Watch::new(operator, now));
         // The listeners, their connections, and those that are on their way out.
         let listeners = operator.health.agent.len() + operator.health.http.len();
@@ -158,19 +158,19 @@
             0
         };
         let calls = if config.admin.is_some() {
-            MOST_CALLERS + 1
+            MAX_ADMIN_CONNECTIONS + 1
         } else {
             0
         };
         let apart = listeners + polls + calls + if operator.ctl.is_some() { 6 } else { 0 };
         // What a cold host was sent is looked back on for that time, and counted by clocks that differ.
-        let company = Company::new(
+        let process_group = Company::new(
             2 * config
                 .settings
                 .collapse_window
                 .max(config.settings.connect_timeout),
         );
-        let tally = Tally::new(config.names.classes.len());
+        let counters = Tally::new(config.names.classes.len());
         conn::bound_queues(config.limits.memory / QUEUES);
         Dispatch {
             clock,
@@ -187,45 +187,48 @@
             ),
             wheel: Wheel::new(now),
             hosts: BTreeMap::new(),
-            clogged: BTreeSet::new(),
-            in_use: 0,
-            pool: Pool::new(usize::MAX),
-            at_hosts: AtHosts::default(),
+            backlogged_hosts: BTreeSet::new(),
+            active_hosts: 0,
+            connection_pool: Pool::new(usize::MAX),
+            request_index: RequestIndex::default(),
             requests: BTreeMap::new(),
-            by_id: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            tickets_by_task: BTreeMap::new(),
+            ended_tasks: BTreeMap::new(),
             next_ticket: 0,
             connect_timeout,
-            warm,
-            known: config.known,
-            feed_up: false,
-            closing_since: None,
+            preconnects,
+            cached_updates: config.known,
+            is_discovery_up: false,
+            shutdown_since: None,
             watch,
             gate: Rc::new(Gate::new(operator.health.connections)),
             orders: Vec::new(),
-            duty: Duty::default(),
-            tally,
+            lifecycle: Duty::default(),
+            counters,
             limits: config.limits,
-            company,
-            inherits: false,
-            closes_idle: false,
-            listens: false,
-            drained: false,
-            logged: bounds::Logged::default(),
+            process_group,
+            shares_listener: false,
+            closes_idle_clients: false,
+            is_listening: false,
+            is_drained: false,
+            overload_log: overload_report::OverloadLog::default(),
         }
     }
 
     /// Takes in the events that the configuration holds.
     pub fn start(&mut self) {
         let now = self.clock.now();
-        self.wheel.add(now + SWEEP, Due::Sweep);
-        for (i, event) in std::mem::take(&mut self.known).into_iter().enumerate() {
-            self.name_aside(&event.aside);
+        self.wheel.add(now + SWEEP, TimerEvent::Sweep);
+        for (i, event) in std::mem::take(&mut self.cached_updates)
+            .into_iter()
+            .enumerate()
+        {
+            self.log_rejected_endpoints(&event.aside);
             let Some((whole, hosts)) = event.members else {
                 continue;
             };
-            let (entries, _) = self.update_hosts(now, whole, hosts);
-            let news = if i == 0 {
+            let (entries, _) = self.apply_endpoint_update(now, whole, hosts);
+            let event = if i == 0 {
                 PlacementEvent::EndpointsCached(entries)
             } else {
                 PlacementEvent::EndpointsChanged {
@@ -233,12 +236,12 @@
                     endpoints: entries,
                 }
             };
-            self.tell(now, news);
+            self.report_event(now, event);
         }
         info!(
             name = self.name,
             hosts = self.hosts.len(),
-            warm = self.warm,
+            warm = self.preconnects,
             "serves"
         );
     }
@@ -246,9 +249,9 @@
     /// Takes over what the process may hold.
     pub fn limit(&mut self, limits: Limits) {
         self.limits = limits;
-        let processes = 1 + self.company.others() as usize;
+        let processes = 1 + self.process_group.others() as usize;
         self.clients.limit(limits.sockets / processes);
-        self.share_out();
+        self.split_descriptors();
         conn::bound_queues(limits.memory / QUEUES / processes);
     }
 
--- a/src/net/dispatch/offers.rs
+++ b/src/net/dispatch/attempts.rs
@@ -1,26 +1,26 @@
 //! Owns the attempts: an offer from the moment it is decided until the attempt has ended. Every offer leaves by
-//! `send_waiting`, which makes sure that its client is still there; two attempts of one request are never out at once,
-//! since `give_up` writes to the old host before the module hears of it. It never chooses a host, and never answers a
+//! `send_pending_attempts`, which makes sure that its client is still there; two attempts of one request are never out at once,
+//! since `abandon_attempt` writes to the old host before the module hears of it. It never chooses a host, and never answers a
 //! client.
 
-use super::requests::State;
-use super::timers::Due;
+use super::requests::RequestState;
+use super::timers::TimerEvent;
 use super::{Dispatch, MILLI};
-use crate::net::clients::Presence;
-use crate::net::codec::{SetUp, TaskId, cause, lines};
-use crate::net::conn::{End, Unread};
-use crate::net::hosts::{Phase, Waiting};
+use crate::net::clients::ClientPresence;
+use crate::net::codec::{TaskId, TaskRequest, cause, lines};
+use crate::net::conn::{CloseReason, Unread};
+use crate::net::hosts::{ConnectionState, PendingAttempt};
 use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
 /// How long an offer may be out on a connection on which nothing is heard.
-const DOUBT: Micros = 1_000 * MILLI;
+const SILENCE_TIMEOUT: Micros = 1_000 * MILLI;
 
 impl Dispatch {
     /// Sends an offer, or lets it wait: for the connection, which may itself wait for a descriptor, for what is
     /// queued on it, or for what its client says.
-    pub(super) fn offer(
+    pub(super) fn start_attempt(
         &mut self,
         now: Micros,
         ticket: Ticket,
@@ -31,38 +31,44 @@
         let attempt = request.attempts;
         request.attempts += 1;
         let until = now.saturating_add(timeout);
-        self.enter(
+        self.set_request_state(
             ticket,
-            State::Out {
+            RequestState::InFlight {
                 attempt,
                 host: host.clone(),
                 since: now,
                 until,
-                round: None,
+                connection_id: None,
             },
         );
-        self.wheel.add(until, Due::Attempt(ticket, attempt));
-        let link = self.hosts.get_mut(&host).filter(|link| link.dial.is_some());
+        self.wheel
+            .add(until, TimerEvent::AttemptTimeout(ticket, attempt));
+        let link = self
+            .hosts
+            .get_mut(&host)
+            .filter(|link| link.address.is_some());
         let Some(link) = link else {
             return self.end_attempt(now, ticket, Outcome::NotSent, OutcomeDetail::Unknown);
         };
-        link.waiting.push(Waiting {
+        link.pending_attempts.push(PendingAttempt {
             ticket,
             attempt,
             mark: None,
         });
-        match link.phase {
-            Phase::Up(_) => self.send_waiting(now, &host),
-            Phase::Connecting(_) => {}
-            Phase::Down => self.call(now, &host),
+        match link.connection {
+            ConnectionState::Connected(_) => self.send_pending_attempts(now, &host),
+            ConnectionState::Connecting(_) => {}
+            ConnectionState::Disconnected => self.request_connection(now, &host),
         }
         if self
             .requests
             .get(&ticket)
             .is_some_and(|request| request.state.unsent())
         {
-            self.wheel
-                .add(now + self.connect_timeout, Due::Unsent(ticket, attempt));
+            self.wheel.add(
+                now + self.connect_timeout,
+                TimerEvent::UnsentTimeout(ticket, attempt),
+            );
         }
         None
     }
@@ -71,70 +77,75 @@
     /// under the write, or that its host has closed: an offer of which nothing has left waits for the next one.
     /// Guards also against an attempt that begins when its client has gone: nothing is queued behind what the
     /// host has not taken, where it can't be taken back, and each client is looked at before its offer leaves.
-    pub(super) fn send_waiting(&mut self, now: Micros, host: &HostId) {
+    pub(super) fn send_pending_attempts(&mut self, now: Micros, host: &HostId) {
         let Some(link) = self.hosts.get_mut(host) else {
             return;
         };
-        let Phase::Up(conn) = &link.phase else { return };
-        if conn.unread() == Unread::End {
-            return conn.stop(End::Closed);
+        let ConnectionState::Connected(conn) = &link.connection else {
+            return;
+        };
+        if conn.unread() == Unread::EndOfStream {
+            return conn.stop(CloseReason::Closed);
         }
         let mut left = Vec::new();
-        for Waiting {
+        for PendingAttempt {
             ticket,
             attempt,
             mark,
-        } in std::mem::take(&mut link.waiting)
+        } in std::mem::take(&mut link.pending_attempts)
         {
             let Some(request) = self.requests.get_mut(&ticket) else {
                 continue;
             };
-            let State::Out {
+            let RequestState::InFlight {
                 attempt: n,
-                round: round @ None,
+                connection_id: sent_on @ None,
                 until,
                 ..
             } = &mut request.state
             else {
                 continue;
             };
-            let (true, Some(set_up), Some(client)) =
-                (*n == attempt, &request.set_up, request.client)
+            let (true, Some(task_request), Some(client)) =
+                (*n == attempt, &request.task_request, request.client)
             else {
                 continue;
             };
             let mark = match self.clients.presence(client, mark, host) {
-                Presence::Left => {
+                ClientPresence::Gone => {
                     left.push(ticket);
                     continue;
                 }
-                Presence::Unread(mark) => mark,
-                Presence::Here if !conn.flushed() => {
-                    self.clogged.insert(host.clone());
+                ClientPresence::UnreadInput(mark) => mark,
+                ClientPresence::Present if !conn.flushed() => {
+                    self.backlogged_hosts.insert(host.clone());
                     None
                 }
-                Presence::Here => {
-                    let Some(line) = offer_line(request.id, set_up, *until - now) else {
+                ClientPresence::Present => {
+                    let Some(line) = attempt_line(request.id, task_request, *until - now) else {
                         continue;
                     };
                     if conn.send(now, &line) {
-                        self.tally.offered(request.class);
-                        *round = Some(link.round);
-                        self.wheel.add(now + DOUBT, Due::Doubt(ticket, attempt));
+                        self.counters.offered(request.class);
+                        *sent_on = Some(link.connection_id);
+                        self.wheel.add(
+                            now + SILENCE_TIMEOUT,
+                            TimerEvent::SilenceCheck(ticket, attempt),
+                        );
                         continue;
                     }
                     None
                 }
             };
-            link.waiting.push(Waiting {
+            link.pending_attempts.push(PendingAttempt {
                 ticket,
                 attempt,
                 mark,
             });
         }
-        self.settle(now, host, true);
+        self.update_ranks(now, host, true);
         for ticket in left {
-            self.gone(now, ticket);
+            self.cancel_request(now, ticket);
         }
     }
 
@@ -147,7 +158,7 @@
         detail: OutcomeDetail,
     ) -> Option<PlacementEvent> {
         let request = self.requests.get_mut(&ticket)?;
-        let State::Out {
+        let RequestState::InFlight {
             attempt,
             host,
             since,
@@ -158,12 +169,12 @@
         };
         let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
         let aim = request.aim;
-        self.enter(ticket, State::Held);
-        self.settle(now, &host, false);
+        self.set_request_state(ticket, RequestState::Queued);
+        self.update_ranks(now, &host, false);
         let stretch = elapsed as f64 / aim as f64;
         // What its client gave up tells nothing of the host.
         if outcome != Outcome::Cancelled {
-            self.watch(
+            self.record_health_event(
                 now,
                 Event::Offer {
                     outcome,
@@ -183,7 +194,7 @@
     }
 
     /// Stops waiting for an attempt and tells its host so: two attempts are never out at once.
-    pub(super) fn give_up(
+    pub(super) fn abandon_attempt(
         &mut self,
         now: Micros,
         ticket: Ticket,
@@ -191,10 +202,10 @@
         why: Outcome,
     ) -> Option<PlacementEvent> {
         let request = self.requests.get(&ticket)?;
-        let State::Out {
+        let RequestState::InFlight {
             attempt,
             host,
-            round,
+            connection_id,
             ..
         } = &request.state
         else {
@@ -204,11 +215,13 @@
             return None;
         }
         let link = self.hosts.get(host);
-        if let Some(conn) = round.and_then(|round| link.and_then(|link| link.open(round))) {
+        if let Some(conn) = connection_id
+            .and_then(|connection_id| link.and_then(|link| link.open_connection(connection_id)))
+        {
             conn.send(now, &lines::release(request.id, cause::NORMAL));
         }
         // What has not left its queue never ran.
-        let why = if round.is_none() && why == Outcome::Timeout {
+        let why = if connection_id.is_none() && why == Outcome::Timeout {
             Outcome::ConnectFailed
         } else {
             why
@@ -221,12 +234,12 @@
     /// want of a slot, or its client was not read, nothing is held against the host. Guards what is counted as
     /// sent when it is decided (the budget of cold hosts, the time in which a repeat is dropped, the grace of a
     /// drain) against offers that leave much later.
-    pub(super) fn end_unsent(&mut self, now: Micros, ticket: Ticket, attempt: u32) {
-        let Some(State::Out {
+    pub(super) fn end_unsent_attempt(&mut self, now: Micros, ticket: Ticket, attempt: u32) {
+        let Some(RequestState::InFlight {
             attempt: n,
             host,
             since,
-            round: None,
+            connection_id: None,
             ..
         }) = self.requests.get(&ticket).map(|r| &r.state)
         else {
@@ -239,48 +252,63 @@
         let Some(link) = self.hosts.get_mut(&host) else {
             return;
         };
-        let outcome = match &link.phase {
+        let outcome = match &link.connection {
             // What becomes of a call that has had its whole time is told by its end.
-            Phase::Connecting(_) if link.dialled <= since => return,
-            Phase::Up(conn) if !conn.flushed() => Outcome::ConnectFailed,
-            Phase::Up(_) | Phase::Connecting(_) | Phase::Down => Outcome::NotSent,
+            ConnectionState::Connecting(_) if link.last_connect_at <= since => return,
+            ConnectionState::Connected(conn) if !conn.flushed() => Outcome::ConnectFailed,
+            ConnectionState::Connected(_)
+            | ConnectionState::Connecting(_)
+            | ConnectionState::Disconnected => Outcome::NotSent,
         };
-        link.waiting
+        link.pending_attempts
             .retain(|offer| (offer.ticket, offer.attempt) != (ticket, attempt));
-        if self.need(&host).is_none() {
-            self.pool.forget(&host);
+        if self.connection_need(&host).is_none() {
+            self.connection_pool.forget(&host);
         }
         if outcome == Outcome::ConnectFailed {
-            self.doubt(now, &host);
+            self.suspect_host(now, &host);
         }
-        let news = self.end_attempt(now, ticket, outcome, OutcomeDetail::Unknown);
-        news.into_iter().for_each(|news| self.tell(now, news));
+        let event = self.end_attempt(now, ticket, outcome, OutcomeDetail::Unknown);
+        event
+            .into_iter()
+            .for_each(|event| self.report_event(now, event));
     }
 
     /// Offers that waited for a connection in vain.
-    pub(super) fn never_ran(&mut self, now: Micros, waiting: Vec<Waiting>, outcome: Outcome) {
-        for Waiting {
+    pub(super) fn end_pending_attempts(
+        &mut self,
+        now: Micros,
+        waiting: Vec<PendingAttempt>,
+        outcome: Outcome,
+    ) {
+        for PendingAttempt {
             ticket, attempt, ..
         } in waiting
         {
             let request = self.requests.get(&ticket);
-            if request
-                .is_some_and(|r| matches!(r.state, State::Out { attempt: n, .. } if n == attempt))
-            {
-                let news = self.end_attempt(now, ticket, outcome, OutcomeDetail::Unknown);
-                news.into_iter().for_each(|news| self.tell(now, news));
+            if request.is_some_and(
+                |r| matches!(r.state, RequestState::InFlight { attempt: n, .. } if n == attempt),
+            ) {
+                let event = self.end_attempt(now, ticket, outcome, OutcomeDetail::Unknown);
+                event
+                    .into_iter()
+                    .for_each(|event| self.report_event(now, event));
             }
         }
     }
 }
 
 /// The line that offers a task to a host, if it can be one.
-pub(super) fn offer_line(id: TaskId, set_up: &SetUp, left: Micros) -> Option<Vec<u8>> {
+pub(super) fn attempt_line(
+    id: TaskId,
+    task_request: &TaskRequest,
+    left: Micros,
+) -> Option<Vec<u8>> {
     lines::offer(
         id,
-        &set_up.ask.class,
-        &set_up.key,
+        &task_request.placement.class,
+        &task_request.key,
         (left / MILLI).max(1),
-        &set_up.description,
+        &task_request.description,
     )
 }
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -2,14 +2,14 @@
 //! is answered, or ends its connection, or asks for nothing. It never chooses a host, and never lets an offer begin
 //! by itself: a set-up that can be right goes to the module.
 
-use super::invalid_set_up::InvalidSetUp;
-use super::offers::offer_line;
-use super::requests::State;
+use super::attempts::attempt_line;
+use super::invalid_task_request::InvalidTaskRequest;
+use super::requests::RequestState;
 use super::{Dispatch, MILLI};
 use crate::net::clients::ClientId;
-use crate::net::codec::binary::{self, ClientWord};
-use crate::net::codec::{Malformed, SetUp, TaskId};
-use crate::net::conn::{Conn, End};
+use crate::net::codec::binary::{self, ClientMessage};
+use crate::net::codec::{Malformed, TaskId, TaskRequest};
+use crate::net::conn::{CloseReason, Conn};
 use std::rc::Rc;
 use task_placer::facade::{PlacementEvent, PlacementRequest, RequestKind, Ticket};
 use task_placer::operation::duty;
@@ -22,8 +22,8 @@
 
 impl Dispatch {
     /// Whether another connection of a client is beyond the budget.
-    pub fn client_crowds(&self) -> bool {
-        self.clients.crowded(self.hosts_in_use())
+    pub fn client_limit_reached(&self) -> bool {
+        self.clients.crowded(self.active_host_count())
     }
 
     /// A connection from a client is there.
@@ -32,73 +32,75 @@
     }
 
     /// It has ended, and with it the set-ups that are open on it.
-    pub fn client_ended(&mut self, client: ClientId, end: End) {
+    pub fn client_closed(&mut self, client: ClientId, end: CloseReason) {
         let now = self.clock.now();
         let open = self.clients.ended(now, client);
         info!(peer = "client", connection = %client, reason = %end, open = open.len(), "connection ended");
         for ticket in open {
-            self.gone(now, ticket);
+            self.cancel_request(now, ticket);
         }
     }
 
     /// The client wants no answer any more.
-    pub(super) fn gone(&mut self, now: Micros, ticket: Ticket) {
-        let news = self.give_up(now, ticket, None, Outcome::Cancelled);
-        if let Some(client) = self.remove(ticket).and_then(|r| r.client) {
+    pub(super) fn cancel_request(&mut self, now: Micros, ticket: Ticket) {
+        let event = self.abandon_attempt(now, ticket, None, Outcome::Cancelled);
+        if let Some(client) = self.remove_request(ticket).and_then(|r| r.client) {
             self.clients.settled(client, ticket);
         }
-        self.tell(now, PlacementEvent::Cancelled(ticket));
-        if let Some(news) = news {
-            self.tell(now, news);
+        self.report_event(now, PlacementEvent::Cancelled(ticket));
+        if let Some(event) = event {
+            self.report_event(now, event);
         }
     }
 
     /// All that came with one read, so many bytes, was taken in: whether whole messages did, and half of another.
-    pub fn client_heard(&mut self, client: ClientId, bytes: usize, whole: bool, half: bool) {
+    pub fn client_read(&mut self, client: ClientId, bytes: usize, whole: bool, half: bool) {
         let now = self.clock.now();
         self.clients.heard(now, client, whole, half);
         for host in self.clients.read(client, bytes) {
-            self.send_waiting(now, &host);
+            self.send_pending_attempts(now, &host);
         }
     }
 
     /// A message of a client. Each is answered, or ends its connection, or asks for nothing: whoever
     /// sends what is no use is not left waiting.
-    pub fn client_word(&mut self, client: ClientId, id: TaskId, word: ClientWord) {
+    pub fn client_message(&mut self, client: ClientId, id: TaskId, word: ClientMessage) {
         let now = self.clock.now();
         self.clients.heard(now, client, true, false);
         self.clients.reads(client);
-        if !matches!(word, ClientWord::Test) {
+        if !matches!(word, ClientMessage::HealthCheck) {
             self.clients.asked(now, client);
         }
-        let held = self.by_id.get(&id).copied();
+        let held = self.tickets_by_task.get(&id).copied();
         match word {
-            ClientWord::SetUp(set_up) => match (&set_up.at, held) {
-                (Some(host), None) => self.adopt(now, client, id, &set_up, &host.clone()),
-                (None, None) => self.set_up(now, client, id, set_up),
-                (_, Some(ticket)) => self.set_up_again(client, ticket, &set_up),
+            ClientMessage::TaskRequest(task_request) => match (&task_request.at, held) {
+                (Some(host), None) => self.adopt(now, client, id, &task_request, &host.clone()),
+                (None, None) => self.handle_task_request(now, client, id, task_request),
+                (_, Some(ticket)) => self.handle_repeated_request(client, ticket, &task_request),
             },
-            ClientWord::BadSetUp(why) if held.is_none() => {
+            ClientMessage::InvalidTaskRequest(why) if held.is_none() => {
                 info!(task = %id, reason = %why, "set-up not read");
-                self.answer_unfit(now, client, id);
+                self.respond_invalid(now, client, id);
             }
             // A failure under this id could be taken for the answer to the one that is open.
-            ClientWord::BadSetUp(_) => self.clients.stop(client, End::IdInUse),
-            ClientWord::Release(cause) => self.client_release(now, client, id, cause, held),
-            ClientWord::Test => {
+            ClientMessage::InvalidTaskRequest(_) => self.clients.stop(client, CloseReason::IdInUse),
+            ClientMessage::Release(cause) => {
+                self.handle_client_release(now, client, id, cause, held)
+            }
+            ClientMessage::HealthCheck => {
                 let passes = self.placer_serves();
                 self.clients.send(now, client, &binary::tested(id, passes));
-                self.on_duty(now, duty::Event::Asked);
+                self.handle_lifecycle_event(now, duty::Event::Asked);
             }
-            ClientWord::Heard => self.clients.heard_end(id),
-            ClientWord::Other => self
+            ClientMessage::ReleaseAck => self.clients.heard_end(id),
+            ClientMessage::Other => self
                 .clients
-                .stop(client, End::Malformed(Malformed::Field("type"))),
+                .stop(client, CloseReason::Malformed(Malformed::Field("type"))),
         }
     }
 
     /// A client gives a set-up up, on its connection, or ends a task that stands, on any.
-    fn client_release(
+    fn handle_client_release(
         &mut self,
         now: Micros,
         client: ClientId,
@@ -108,10 +110,10 @@
     ) {
         let open = held
             .and_then(|ticket| self.requests.get(&ticket))
-            .filter(|r| r.awaits_answer());
+            .filter(|r| r.awaits_response());
         match (held, open.map(|r| r.client == Some(client))) {
-            (Some(ticket), Some(true)) => return self.gone(now, ticket),
-            (Some(ticket), None) => self.release_standing(now, ticket, cause),
+            (Some(ticket), Some(true)) => return self.cancel_request(now, ticket),
+            (Some(ticket), None) => self.release_running_task(now, ticket, cause),
             // Of no task here, or of another's set-up: it changes nothing.
             _ => {}
         }
@@ -121,39 +123,45 @@
     /// Guards the module and the hosts against asks that can't be right, which are answered at once:
     /// without an id, or with that of a task that is over, a host takes its connection for broken, and
     /// answers an error that makes it look so; every ask counts as load.
-    fn set_up(&mut self, now: Micros, client: ClientId, id: TaskId, set_up: Box<SetUp>) {
-        let mut ask = set_up.ask.clone();
-        ask.time_budget = (set_up.wait - CLIENT_SLACK).max(0);
-        if let Err(why) = self.check_set_up(id, &set_up, &ask) {
+    fn handle_task_request(
+        &mut self,
+        now: Micros,
+        client: ClientId,
+        id: TaskId,
+        task_request: Box<TaskRequest>,
+    ) {
+        let mut ask = task_request.placement.clone();
+        ask.time_budget = (task_request.wait - CLIENT_SLACK).max(0);
+        if let Err(why) = self.check_task_request(id, &task_request, &ask) {
             info!(task = %id, reason = %why, "not placed");
-            self.tally
+            self.counters
                 .ended(self.facade.class_index(&ask.class), Told::Failed);
-            return self.answer_unfit(now, client, id);
+            return self.respond_invalid(now, client, id);
         }
-        let ticket = self.admit(now, id, client, &ask.class, State::Held);
+        let ticket = self.insert_request(now, id, client, &ask.class, RequestState::Queued);
         self.clients.waits(client, ticket);
         if let Some(request) = self.requests.get_mut(&ticket) {
-            request.set_up = Some(set_up);
+            request.task_request = Some(task_request);
         }
-        let verdicts = self.facade.place(now, ticket, &ask).unwrap_or_default();
-        self.carry_out(now, verdicts);
+        let decisions = self.facade.place(now, ticket, &ask).unwrap_or_default();
+        self.apply_decisions(now, decisions);
     }
 
-    fn check_set_up(
+    fn check_task_request(
         &self,
         id: TaskId,
-        set_up: &SetUp,
+        task_request: &TaskRequest,
         request: &PlacementRequest,
-    ) -> Result<(), InvalidSetUp> {
+    ) -> Result<(), InvalidTaskRequest> {
         self.facade.check(request, RequestKind::Place)?;
         if id == TaskId(0) {
-            return Err(InvalidSetUp::MissingId);
+            return Err(InvalidTaskRequest::MissingId);
         }
-        if self.ended.contains_key(&id) {
-            return Err(InvalidSetUp::IdUsedBefore);
+        if self.ended_tasks.contains_key(&id) {
+            return Err(InvalidTaskRequest::IdUsedBefore);
         }
-        if offer_line(id, set_up, set_up.wait).is_none() {
-            return Err(InvalidSetUp::TooLongForHost);
+        if attempt_line(id, task_request, task_request.wait).is_none() {
+            return Err(InvalidTaskRequest::TooLongForHost);
         }
         Ok(())
     }
@@ -163,18 +171,24 @@
     /// that is owed goes to the connection heard last. Guards also against whoever sends another set-up
     /// under an id that is open, or the same twice on one connection: its connection ends, and an answer
     /// that another is owed does not go there.
-    fn set_up_again(&mut self, client: ClientId, ticket: Ticket, set_up: &SetUp) {
+    fn handle_repeated_request(
+        &mut self,
+        client: ClientId,
+        ticket: Ticket,
+        task_request: &TaskRequest,
+    ) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let known = matches!((&request.state, &set_up.at),
-            (State::Standing { host, .. } | State::Leaving { host, .. }, Some(at)) if host == at);
+        let known = matches!((&request.state, &task_request.at),
+            (RequestState::Running { host, .. } | RequestState::Releasing { host, .. }, Some(at)) if host == at);
         if known {
             return;
         }
-        let same = request.set_up.as_deref() == Some(set_up) && request.client != Some(client);
+        let same =
+            request.task_request.as_deref() == Some(task_request) && request.client != Some(client);
         if !same {
-            return self.clients.stop(client, End::IdInUse);
+            return self.clients.stop(client, CloseReason::IdInUse);
         }
         if let Some(before) = request.client.replace(client) {
             self.clients.settled(before, ticket);
--- a/src/net/dispatch/feed_messages.rs
+++ b/src/net/dispatch/discovery.rs
@@ -2,34 +2,34 @@
 
 use super::Dispatch;
 use crate::net::codec::Malformed;
-use crate::net::conn::End;
+use crate::net::conn::CloseReason;
 use task_placer::facade::PlacementEvent;
 use task_placer::health::Event;
 use tracing::{info, warn};
 
 impl Dispatch {
     /// Names the entries of an event that can't be right.
-    pub fn name_aside(&self, aside: &[(String, Malformed)]) {
+    pub fn log_rejected_endpoints(&self, aside: &[(String, Malformed)]) {
         for (host, why) in aside {
             warn!(host, reason = %why, "entry set aside");
         }
     }
 
     /// A line of the feed shows that nothing is missing.
-    pub fn feed_lives(&mut self) {
+    pub fn feed_alive(&mut self) {
         let now = self.clock.now();
-        self.watch(now, Event::Feed);
-        if !std::mem::replace(&mut self.feed_up, true) {
-            self.tell(now, PlacementEvent::DiscoveryUp);
+        self.record_health_event(now, Event::Feed);
+        if !std::mem::replace(&mut self.is_discovery_up, true) {
+            self.report_event(now, PlacementEvent::DiscoveryUp);
         }
     }
 
     /// The feed is dead; it is called again.
-    pub fn feed_ended(&mut self, last: u64, end: End) {
+    pub fn feed_closed(&mut self, last: u64, end: CloseReason) {
         let now = self.clock.now();
-        if std::mem::replace(&mut self.feed_up, false) {
+        if std::mem::replace(&mut self.is_discovery_up, false) {
             info!(peer = "feed", reason = %end, last, "connection ended");
-            self.tell(now, PlacementEvent::DiscoveryDown);
+            self.report_event(now, PlacementEvent::DiscoveryDown);
         }
     }
 }
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -3,10 +3,10 @@
 //! decides what follows: that is the module's.
 
 use super::Dispatch;
-use super::requests::{Ended, State};
-use crate::net::codec::lines::{self, HostWord};
+use super::requests::{Ended, RequestState};
+use crate::net::codec::lines::{self, HostMessage};
 use crate::net::codec::{TaskId, cause};
-use crate::net::hosts::Phase;
+use crate::net::hosts::ConnectionState;
 use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
@@ -14,17 +14,17 @@
 impl Dispatch {
     /// A message of a host. It counts only for the attempt that is out there or the task that stands
     /// there: a late word on an attempt given up is never passed on.
-    pub fn host_word(&mut self, host: &HostId, id: TaskId, word: HostWord) {
+    pub fn host_message(&mut self, host: &HostId, id: TaskId, word: HostMessage) {
         let now = self.clock.now();
         if let Some(link) = self.hosts.get_mut(host) {
-            (link.heard, link.doubt) = (now, false);
+            (link.last_message_at, link.is_suspect) = (now, false);
         }
-        let ticket = self.by_id.get(&id).copied();
+        let ticket = self.tickets_by_task.get(&id).copied();
         let known = ticket.and_then(|ticket| Some((ticket, self.requests.get(&ticket)?)));
         let Some((ticket, request)) = known else {
-            if let HostWord::Down(cause, detail) = word {
-                self.confirm_release(now, host, id);
-                self.ended.insert(
+            if let HostMessage::Released(cause, detail) = word {
+                self.acknowledge_release(now, host, id);
+                self.ended_tasks.insert(
                     id,
                     Ended {
                         by: Some((host.clone(), cause, detail)),
@@ -35,22 +35,28 @@
             return;
         };
         match &request.state {
-            State::Out { host: offered, .. } if offered == host => match word {
-                HostWord::Up(description) => self.task_started(now, ticket, &description),
-                HostWord::Down(cause::NORMAL, detail) => self.task_over(now, ticket, detail),
-                HostWord::Down(cause, detail) => {
-                    self.offer_released(now, ticket, host, cause, detail)
+            RequestState::InFlight { host: offered, .. } if offered == host => match word {
+                HostMessage::Started(description) => {
+                    self.attempt_started(now, ticket, &description)
                 }
-                HostWord::Tell(..) | HostWord::Other => {}
+                HostMessage::Released(cause::NORMAL, detail) => {
+                    self.attempt_completed(now, ticket, detail)
+                }
+                HostMessage::Released(cause, detail) => {
+                    self.attempt_released(now, ticket, host, cause, detail)
+                }
+                HostMessage::Report(..) | HostMessage::Other => {}
             },
-            State::Standing { host: at, .. } | State::Leaving { host: at, .. } if at == host => {
+            RequestState::Running { host: at, .. } | RequestState::Releasing { host: at, .. }
+                if at == host =>
+            {
                 match word {
-                    HostWord::Down(cause, detail) => {
-                        self.confirm_release(now, host, id);
-                        self.end_standing(now, ticket, cause, detail);
+                    HostMessage::Released(cause, detail) => {
+                        self.acknowledge_release(now, host, id);
+                        self.end_running_task(now, ticket, cause, detail);
                     }
-                    HostWord::Tell(note, value) => {
-                        self.tell(
+                    HostMessage::Report(note, value) => {
+                        self.report_event(
                             now,
                             PlacementEvent::TaskReported {
                                 ticket,
@@ -60,7 +66,7 @@
                             },
                         );
                     }
-                    HostWord::Up(_) | HostWord::Other => {}
+                    HostMessage::Started(_) | HostMessage::Other => {}
                 }
             }
             _ => {}
@@ -68,11 +74,11 @@
     }
 
     /// The host of the offer that is out has started the task: it stands, and its client gets the answer.
-    fn task_started(&mut self, now: Micros, ticket: Ticket, description: &str) {
+    fn attempt_started(&mut self, now: Micros, ticket: Ticket, description: &str) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let State::Out {
+        let RequestState::InFlight {
             attempt,
             host,
             since,
@@ -82,28 +88,28 @@
             return;
         };
         let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
-        request.set_up = None;
+        request.task_request = None;
         let stretch = elapsed as f64 / request.aim as f64;
         let in_aim = now - request.since <= request.aim;
         let (id, client, class) = (request.id, request.client.take(), request.class);
-        self.enter(
+        self.set_request_state(
             ticket,
-            State::Standing {
+            RequestState::Running {
                 attempt,
                 host: host.clone(),
                 since: now,
             },
         );
-        self.settle(now, &host, true);
+        self.update_ranks(now, &host, true);
         if let Some(client) = client {
-            self.answer_placed(now, ticket, client, class, id, description);
+            self.respond_placed(now, ticket, client, class, id, description);
             self.clients.prove(client);
-            self.stands_for(ticket, client);
+            self.assign_running_task(ticket, client);
         }
         if let Some(link) = self.hosts.get_mut(&host) {
-            link.full_at = None;
+            link.rejected_full_at = None;
         }
-        self.watch(
+        self.record_health_event(
             now,
             Event::Offer {
                 outcome: Outcome::Completed,
@@ -111,8 +117,8 @@
                 stretch,
             },
         );
-        self.watch(now, Event::Answered { in_aim });
-        self.tell(
+        self.record_health_event(now, Event::Answered { in_aim });
+        self.report_event(
             now,
             PlacementEvent::AttemptStarted {
                 ticket,
@@ -125,11 +131,11 @@
 
     /// The task's own time is over: hosts release it so wherever it is offered. Guards against offering it again and
     /// holding each of these hosts for broken; its client is told the cause.
-    fn task_over(&mut self, now: Micros, ticket: Ticket, detail: OutcomeDetail) {
+    fn attempt_completed(&mut self, now: Micros, ticket: Ticket, detail: OutcomeDetail) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
         };
-        let State::Out {
+        let RequestState::InFlight {
             attempt,
             host,
             since,
@@ -140,10 +146,10 @@
         };
         let (attempt, host, elapsed, outcome) =
             (*attempt, host.clone(), now - since, Outcome::Completed);
-        self.enter(ticket, State::Held);
-        self.settle(now, &host, true);
-        self.answer(now, ticket, cause::NORMAL, None);
-        self.tell(
+        self.set_request_state(ticket, RequestState::Queued);
+        self.update_ranks(now, &host, true);
+        self.respond_unplaced(now, ticket, cause::NORMAL, None);
+        self.report_event(
             now,
             PlacementEvent::AttemptEnded {
                 ticket,
@@ -157,7 +163,7 @@
     }
 
     /// The host of the offer that is out does not start the task: the attempt has ended, and the module decides on.
-    fn offer_released(
+    fn attempt_released(
         &mut self,
         now: Micros,
         ticket: Ticket,
@@ -166,24 +172,28 @@
         detail: OutcomeDetail,
     ) {
         let outcome = match cause {
-            cause::FULL => Outcome::Rejected,
+            cause::HOST_FULL => Outcome::Rejected,
             cause::FAILED => Outcome::Error,
-            cause::MOOT => Outcome::NotSent,
+            cause::NOT_SENT => Outcome::NotSent,
             _ => Outcome::Reset,
         };
         if outcome == Outcome::Rejected && detail != OutcomeDetail::NotEligible {
             self.hosts
                 .get_mut(host)
                 .into_iter()
-                .for_each(|link| link.full_at = Some(now));
+                .for_each(|link| link.rejected_full_at = Some(now));
         }
-        let news = self.end_attempt(now, ticket, outcome, detail);
-        news.into_iter().for_each(|news| self.tell(now, news));
+        let event = self.end_attempt(now, ticket, outcome, detail);
+        event
+            .into_iter()
+            .for_each(|event| self.report_event(now, event));
     }
 
     /// Tells a host that its release was heard.
-    fn confirm_release(&self, now: Micros, host: &HostId, id: TaskId) {
-        if let Some(Phase::Up(conn)) = self.hosts.get(host).map(|link| &link.phase) {
+    fn acknowledge_release(&self, now: Micros, host: &HostId, id: TaskId) {
+        if let Some(ConnectionState::Connected(conn)) =
+            self.hosts.get(host).map(|link| &link.connection)
+        {
             conn.send(now, &lines::heard(id));
         }
     }
--- a/src/net/dispatch/invalid_set_up.rs
+++ b/src/net/dispatch/invalid_task_request.rs
@@ -4,7 +4,7 @@
 
 /// A set-up that cannot be right.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub(super) enum InvalidSetUp {
+pub(super) enum InvalidTaskRequest {
     /// The settings leave no sense to it.
     #[error(transparent)]
     Request(#[from] InvalidRequest),
--- a/src/net/dispatch/bounds.rs
+++ b/src/net/dispatch/overload_report.rs
@@ -13,7 +13,7 @@
 
 /// What was logged last.
 #[derive(Default)]
-pub struct Logged {
+pub struct OverloadLog {
     at: Micros,
     counters: Counters,
     step: u8,
@@ -26,24 +26,24 @@
             return;
         };
         let (step, counters) = (overload.step(), overload.counters());
-        if step != self.logged.step {
+        if step != self.overload_log.step {
             let through = task_placer::overload::gate::through(step);
             info!(
                 reason = "overload-step",
-                from = self.logged.step,
+                from = self.overload_log.step,
                 to = step,
                 through,
                 "overload"
             );
-            self.logged.step = step;
+            self.overload_log.step = step;
         }
-        if now - self.logged.at < EVERY || counters == self.logged.counters {
+        if now - self.overload_log.at < EVERY || counters == self.overload_log.counters {
             return;
         }
         let moved: Vec<String> = counters
             .named()
             .into_iter()
-            .zip(self.logged.counters.named())
+            .zip(self.overload_log.counters.named())
             // What every task moves is no decision.
             .filter(|((name, now), (_, before))| {
                 now > before && !matches!(*name, "fresh" | "repeats" | "first")
@@ -58,11 +58,11 @@
                 "overload"
             );
         }
-        (self.logged.at, self.logged.counters) = (now, counters);
+        (self.overload_log.at, self.overload_log.counters) = (now, counters);
     }
 
     /// The answer to an operator.
-    pub(super) fn tell_overload(&self, now: Micros) -> Result<OwnedValue, String> {
+    pub(super) fn overload_report(&self, now: Micros) -> Result<OwnedValue, String> {
         let overload = self.facade.overload();
         let overload = overload.ok_or("nothing of [overload] is on here")?;
         let Report {
--- a/src/net/dispatch/requests.rs
+++ b/src/net/dispatch/requests.rs
@@ -3,53 +3,53 @@
 //! (`by_id`, `at_hosts`, `ended`) agree with it. It never decides a change, and never writes to a peer.
 //!
 //! ```text
-//!    set_up                                          adopt (a set-up with `at`)
+//!    task_request                                          adopt (a set-up with `at`)
 //!      │                                                │
-//!      ▼          offer               task_started      ▼     release_standing
+//!      ▼          offer               attempt_started      ▼     release_running_task
 //!   ┌──────┐ ───────────────▶ ┌─────┐ ────────────▶ ┌──────────┐ ───────────▶ ┌─────────┐
 //!   │ Held │                  │ Out │               │ Standing │              │ Leaving │
 //!   └──────┘ ◀─────────────── └─────┘               └──────────┘              └─────────┘
-//!      │    end_attempt, task_over                      │                         │
-//!      │                                                │ end_standing: its       │ end_standing: its
+//!      │    end_attempt, attempt_completed                      │                         │
+//!      │                                                │ end_running_task: its       │ end_running_task: its
 //!      │ answer: refused, failed, or                    │ host has released it,   │ host has released it,
-//!      │ the task's own time is over                    │ or it is lost           │ it is lost, or Due::Left
-//!      │ gone: its client gave up                       │ end_unlisted            │
+//!      │ the task's own time is over                    │ or it is lost           │ it is lost, or TimerEvent::ReleaseTimeout
+//!      │ gone: its client gave up                       │ end_task_at_unknown_host            │
 //!      ▼                                                ▼                         ▼
 //!   ═════════════════ remove: out of the table; its id is kept in `ended` ══════════════
 //! ```
 //!
-//! An answer is owed in `Held` and `Out` (`Request::awaits_answer`), and none after. Whatever ends a request that is
-//! out ends its attempt first. An offer that is out waits first (`round: None`), and has left once it has a round: see
+//! An answer is owed in `Held` and `Out` (`Request::awaits_response`), and none after. Whatever ends a request that is
+//! out ends its attempt first. An offer that is out waits first (`connection_id: None`), and has left once it has a connection_id: see
 //! `offers`.
 
 use super::{Dispatch, MILLI};
 use crate::net::clients::ClientId;
-use crate::net::codec::{SetUp, TaskId};
-use crate::net::hosts::Round;
+use crate::net::codec::{TaskId, TaskRequest};
+use crate::net::hosts::ConnectionId;
 use task_placer::facade::Ticket;
 use task_placer::{HostId, Micros, OutcomeDetail};
 
 /// Where a request is.
 #[derive(Debug, Clone, PartialEq)]
-pub(super) enum State {
+pub(super) enum RequestState {
     /// With the module; an answer is owed.
-    Held,
+    Queued,
     /// Offered; an answer is owed.
-    Out {
+    InFlight {
         attempt: u32,
         host: HostId,
         since: Micros,
         until: Micros,
-        round: Option<Round>,
+        connection_id: Option<ConnectionId>,
     },
     /// It stands.
-    Standing {
+    Running {
         attempt: u32,
         host: HostId,
         since: Micros,
     },
     /// Ended from this side; the host's word on it is awaited, and its client is owed nothing.
-    Leaving {
+    Releasing {
         attempt: u32,
         host: HostId,
         since: Micros,
@@ -61,16 +61,16 @@
     pub(super) id: TaskId,
     pub(super) client: Option<ClientId>,
     /// Dropped once the task stands.
-    pub(super) set_up: Option<Box<SetUp>>,
+    pub(super) task_request: Option<Box<TaskRequest>>,
     pub(super) attempts: u32,
-    pub(super) state: State,
+    pub(super) state: RequestState,
     /// Its class, if the settings state it.
     pub(super) class: Option<usize>,
     /// When it came, and the aim of its class.
     pub(super) since: Micros,
     pub(super) aim: Micros,
     /// Where it was set up or named, once it stands.
-    pub(super) home: Option<ClientId>,
+    pub(super) home_client: Option<ClientId>,
 }
 
 /// A task that is over: its host has released it, or it was answered. Kept for a set-up with `at` that
@@ -81,31 +81,40 @@
     pub(super) since: Micros,
 }
 
-impl State {
+impl RequestState {
     /// The host that it is at: where its offer is out, it stands, or it leaves.
     pub(super) fn at(&self) -> Option<&HostId> {
         match self {
-            State::Held => None,
-            State::Out { host, .. }
-            | State::Standing { host, .. }
-            | State::Leaving { host, .. } => Some(host),
+            RequestState::Queued => None,
+            RequestState::InFlight { host, .. }
+            | RequestState::Running { host, .. }
+            | RequestState::Releasing { host, .. } => Some(host),
         }
     }
 
     /// Whether it stands there, or leaves.
     pub(super) fn stands(&self) -> bool {
-        matches!(self, State::Standing { .. } | State::Leaving { .. })
+        matches!(
+            self,
+            RequestState::Running { .. } | RequestState::Releasing { .. }
+        )
     }
 
     /// Whether its offer has not left.
     pub(super) fn unsent(&self) -> bool {
-        matches!(self, State::Out { round: None, .. })
+        matches!(
+            self,
+            RequestState::InFlight {
+                connection_id: None,
+                ..
+            }
+        )
     }
 
     /// The connection that its offer is out on.
-    pub(super) fn out_on(&self) -> Option<Round> {
-        if let State::Out { round, .. } = self {
-            *round
+    pub(super) fn out_on(&self) -> Option<ConnectionId> {
+        if let RequestState::InFlight { connection_id, .. } = self {
+            *connection_id
         } else {
             None
         }
@@ -114,24 +123,27 @@
 
 impl Request {
     /// Whether its client waits for an answer.
-    pub(super) fn awaits_answer(&self) -> bool {
-        matches!(self.state, State::Held | State::Out { .. })
+    pub(super) fn awaits_response(&self) -> bool {
+        matches!(
+            self.state,
+            RequestState::Queued | RequestState::InFlight { .. }
+        )
     }
 }
 
 impl Dispatch {
     /// A request comes into the table, under a ticket that is never used again.
-    pub(super) fn admit(
+    pub(super) fn insert_request(
         &mut self,
         now: Micros,
         id: TaskId,
         client: ClientId,
         class: &str,
-        state: State,
+        state: RequestState,
     ) -> Ticket {
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
-        self.by_id.insert(id, ticket);
+        self.tickets_by_task.insert(id, ticket);
         let aim = self
             .facade
             .latency_objective(class)
@@ -139,53 +151,55 @@
             .max(MILLI);
         let client = Some(client);
         if let Some(host) = state.at() {
-            self.at_hosts.came(ticket, host, state.stands());
+            self.request_index.insert(ticket, host, state.stands());
         }
         let class = self.facade.class_index(class);
-        let (set_up, home) = (None, None);
+        let (task_request, home_client) = (None, None);
         let request = Request {
             id,
             client,
-            set_up,
+            task_request,
             attempts: 0,
             state,
             class,
             since: now,
             aim,
-            home,
+            home_client,
         };
         self.requests.insert(ticket, request);
         ticket
     }
 
     /// A request goes over into another state.
-    pub(super) fn enter(&mut self, ticket: Ticket, state: State) {
+    pub(super) fn set_request_state(&mut self, ticket: Ticket, state: RequestState) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
         };
         let before = std::mem::replace(&mut request.state, state);
         if let Some(host) = before.at() {
-            self.at_hosts.left(ticket, host, before.stands());
+            self.request_index.remove(ticket, host, before.stands());
         }
         if let Some(host) = request.state.at() {
-            self.at_hosts.came(ticket, host, request.state.stands());
+            self.request_index
+                .insert(ticket, host, request.state.stands());
         }
     }
 
     /// A request leaves the table: nothing of it is owed to its client, or that is told by whoever calls this.
-    pub(super) fn remove(&mut self, ticket: Ticket) -> Option<Request> {
+    pub(super) fn remove_request(&mut self, ticket: Ticket) -> Option<Request> {
         let request = self.requests.remove(&ticket)?;
         if let Some(host) = request.state.at() {
-            self.at_hosts.left(ticket, host, request.state.stands());
-            self.settle(self.clock.now(), host, false);
+            self.request_index
+                .remove(ticket, host, request.state.stands());
+            self.update_ranks(self.clock.now(), host, false);
         }
-        if let Some(home) = request.home {
+        if let Some(home) = request.home_client {
             self.clients.count_standing(home, false);
         }
-        if self.by_id.get(&request.id) == Some(&ticket) {
-            self.by_id.remove(&request.id);
+        if self.tickets_by_task.get(&request.id) == Some(&ticket) {
+            self.tickets_by_task.remove(&request.id);
             let since = self.clock.now();
-            self.ended
+            self.ended_tasks
                 .entry(request.id)
                 .or_insert(Ended { by: None, since })
                 .since = since;
--- a/src/net/dispatch/answers.rs
+++ b/src/net/dispatch/responses.rs
@@ -3,14 +3,14 @@
 //! stood (`standing` does).
 //!
 //! - `answer`: refused or failed, and the one end that a host gives a task before its answer (its own time is over).
-//! - `answer_placed`: a host has started the task; its description goes to the client unchanged.
-//! - `answer_unfit`: a set-up that can't be right, which never came into the table.
+//! - `respond_placed`: a host has started the task; its description goes to the client unchanged.
+//! - `respond_invalid`: a set-up that can't be right, which never came into the table.
 //!
 //! A set-up with `at` names a task that a host holds already: it asks for no answer, and what its client may be told at
 //! once is the end of that task (`adopt`).
 
 use super::Dispatch;
-use super::requests::State;
+use super::requests::RequestState;
 use crate::net::clients::ClientId;
 use crate::net::codec::{TaskId, binary, cause};
 use task_placer::facade::{PlacementEvent, Ticket};
@@ -20,38 +20,38 @@
 
 impl Dispatch {
     /// The final answer to a request that does not stand: the only place that gives it a refusal or a failure.
-    pub(super) fn answer(
+    pub(super) fn respond_unplaced(
         &mut self,
         now: Micros,
         ticket: Ticket,
         cause: u8,
         away: Option<u64>,
     ) -> Option<PlacementEvent> {
-        let news = self.give_up(now, ticket, None, Outcome::Cancelled);
+        let event = self.abandon_attempt(now, ticket, None, Outcome::Cancelled);
         if self
             .requests
             .get(&ticket)
-            .is_some_and(|r| r.state == State::Held)
+            .is_some_and(|r| r.state == RequestState::Queued)
         {
-            self.watch(now, Event::Answered { in_aim: false });
-            let request = self.remove(ticket)?;
+            self.record_health_event(now, Event::Answered { in_aim: false });
+            let request = self.remove_request(ticket)?;
             if let Some(client) = request.client {
-                let how = if cause == cause::REFUSED {
+                let how = if cause == cause::REJECTED {
                     Told::Refused
                 } else {
                     Told::Failed
                 };
-                self.tally.ended(request.class, how);
+                self.counters.ended(request.class, how);
                 self.clients
                     .send(now, client, &binary::release(request.id, cause, away));
                 self.clients.settled(client, ticket);
             }
         }
-        news
+        event
     }
 
     /// The final answer to a request whose task a host has started.
-    pub(super) fn answer_placed(
+    pub(super) fn respond_placed(
         &mut self,
         now: Micros,
         ticket: Ticket,
@@ -60,14 +60,14 @@
         id: TaskId,
         description: &str,
     ) {
-        self.tally.ended(class, Told::Served);
+        self.counters.ended(class, Told::Served);
         self.clients
             .send(now, client, &binary::answer(id, description));
         self.clients.settled(client, ticket);
     }
 
     /// The final answer to a set-up that neither the module nor a host hears of.
-    pub(super) fn answer_unfit(&mut self, now: Micros, client: ClientId, id: TaskId) {
+    pub(super) fn respond_invalid(&mut self, now: Micros, client: ClientId, id: TaskId) {
         self.clients
             .send(now, client, &binary::release(id, cause::FAILED, None));
     }
--- a/src/net/dispatch/standing.rs
+++ b/src/net/dispatch/running_tasks.rs
@@ -1,29 +1,34 @@
 //! Owns the tasks that stand: those a host holds, from the moment a connection is told of them until their end is told.
 //! They belong to no connection. It never offers a task again, and never gives a final answer.
 
-use super::invalid_set_up::InvalidSetUp;
-use super::requests::{Ended, State};
-use super::timers::Due;
+use super::invalid_task_request::InvalidTaskRequest;
+use super::requests::{Ended, RequestState};
+use super::timers::TimerEvent;
 use super::{Dispatch, MILLI};
 use crate::net::clients::ClientId;
-use crate::net::codec::{SetUp, TaskId, binary, cause, lines};
-use crate::net::hosts::Phase;
+use crate::net::codec::{TaskId, TaskRequest, binary, cause, lines};
+use crate::net::hosts::ConnectionState;
 use task_placer::facade::{PlacementEvent, RequestKind, Ticket};
 use task_placer::{EndpointState, HostId, Micros, Outcome, OutcomeDetail};
 use tracing::info;
 
 /// How long a host may take to confirm a release.
-const LEAVING: Micros = 3_000 * MILLI;
+const RELEASE_TIMEOUT: Micros = 3_000 * MILLI;
 /// How long the list may be late to name a host at which a task is said to stand.
-const UNLISTED: Micros = 2_000 * MILLI;
+const UNKNOWN_HOST_TIMEOUT: Micros = 2_000 * MILLI;
 /// An answer may be on its way to its client for so long.
-const ORDERED: Micros = 2_000 * MILLI;
+const RESPONSE_DELIVERY_TIME: Micros = 2_000 * MILLI;
 
 impl Dispatch {
-    fn check_adoption(&self, id: TaskId, set_up: &SetUp) -> Result<(), InvalidSetUp> {
-        self.facade.check(&set_up.ask, RequestKind::Adopt)?;
+    fn check_adoption(
+        &self,
+        id: TaskId,
+        task_request: &TaskRequest,
+    ) -> Result<(), InvalidTaskRequest> {
+        self.facade
+            .check(&task_request.placement, RequestKind::Adopt)?;
         if id == TaskId(0) {
-            return Err(InvalidSetUp::MissingId);
+            return Err(InvalidTaskRequest::MissingId);
         }
         Ok(())
     }
@@ -35,12 +40,12 @@
         now: Micros,
         client: ClientId,
         id: TaskId,
-        set_up: &SetUp,
+        task_request: &TaskRequest,
         host: &HostId,
     ) {
-        let invalid = self.check_adoption(id, set_up).err();
+        let invalid = self.check_adoption(id, task_request).err();
         // Guards against a release that came on our new connection before the client told of the task.
-        let over = match self.ended.get(&id) {
+        let over = match self.ended_tasks.get(&id) {
             Some(Ended {
                 by: Some((by, cause, _)),
                 ..
@@ -61,50 +66,53 @@
                 .clients
                 .send(now, client, &binary::release(id, cause, None));
         }
-        let state = State::Standing {
+        let state = RequestState::Running {
             attempt: 0,
             host: host.clone(),
             since: now,
         };
-        let ticket = self.admit(now, id, client, &set_up.ask.class, state);
-        self.stands_for(ticket, client);
+        let ticket = self.insert_request(now, id, client, &task_request.placement.class, state);
+        self.assign_running_task(ticket, client);
         if self.hosts.contains_key(host) {
             self.clients.prove(client);
-            self.settle(now, host, false);
-            self.call(now, host);
+            self.update_ranks(now, host, false);
+            self.request_connection(now, host);
         } else {
-            self.wheel.add(now + UNLISTED, Due::Unlisted(ticket));
+            self.wheel.add(
+                now + UNKNOWN_HOST_TIMEOUT,
+                TimerEvent::UnknownHostTimeout(ticket),
+            );
         }
-        let verdicts = self
+        let decisions = self
             .facade
-            .adopt(now, ticket, &set_up.ask, host)
+            .adopt(now, ticket, &task_request.placement, host)
             .unwrap_or_default();
-        self.carry_out(now, verdicts);
+        self.apply_decisions(now, decisions);
     }
 
     /// A task stands that was set up or named on this connection.
-    pub(super) fn stands_for(&mut self, ticket: Ticket, client: ClientId) {
+    pub(super) fn assign_running_task(&mut self, ticket: Ticket, client: ClientId) {
         if let Some(request) = self.requests.get_mut(&ticket) {
-            request.home = Some(client);
+            request.home_client = Some(client);
             self.clients.count_standing(client, true);
         }
     }
 
     /// MOVE: the task ends, also at its host, and its client comes again.
-    pub(super) fn move_away(&mut self, now: Micros, ticket: Ticket) {
+    pub(super) fn migrate_task(&mut self, now: Micros, ticket: Ticket) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
         };
-        if let State::Standing { since, .. } = request.state {
-            let (id, home) = (request.id, request.home);
-            self.tell_end(now, id, home, since, binary::moved(id));
-            self.release_standing(now, ticket, cause::CANCELLED);
+        if let RequestState::Running { since, .. } = request.state {
+            let (id, home) = (request.id, request.home_client);
+            self.notify_task_end(now, id, home, since, binary::moved(id));
+            self.release_running_task(now, ticket, cause::CANCELLED);
         }
     }
 
     /// Tells that a task which stood since then is over, or moves: in order with its answer, where that went
     /// out only just now.
-    fn tell_end(
+    fn notify_task_end(
         &mut self,
         now: Micros,
         id: TaskId,
@@ -113,17 +121,19 @@
         word: Vec<u8>,
     ) {
         match home {
-            Some(client) if now - since < ORDERED => self.clients.send_after(now, client, id, word),
+            Some(client) if now - since < RESPONSE_DELIVERY_TIME => {
+                self.clients.send_after(now, client, id, word)
+            }
             _ => self.clients.send_any(now, id, word),
         }
     }
 
     /// Releases a task that stands at its host, on any connection, or on the next to open.
-    pub(super) fn release_standing(&mut self, now: Micros, ticket: Ticket, cause: u8) {
+    pub(super) fn release_running_task(&mut self, now: Micros, ticket: Ticket, cause: u8) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let State::Standing {
+        let RequestState::Running {
             attempt,
             host,
             since,
@@ -133,31 +143,32 @@
         };
         let line = lines::release(request.id, cause);
         let host = host.clone();
-        let state = State::Leaving {
+        let state = RequestState::Releasing {
             attempt: *attempt,
             host: host.clone(),
             since: *since,
         };
         let mut sent = true;
         if let Some(link) = self.hosts.get_mut(&host) {
-            sent = matches!(&link.phase, Phase::Up(conn) if conn.send(now, &line));
+            sent = matches!(&link.connection, ConnectionState::Connected(conn) if conn.send(now, &line));
             if !sent {
-                link.unsent.push(line);
+                link.unsent_releases.push(line);
             }
         }
-        self.enter(ticket, state);
-        self.wheel.add(now + LEAVING, Due::Left(ticket));
+        self.set_request_state(ticket, state);
+        self.wheel
+            .add(now + RELEASE_TIMEOUT, TimerEvent::ReleaseTimeout(ticket));
         if !sent {
-            self.call(now, &host);
+            self.request_connection(now, &host);
         }
     }
 
     /// Guards against tasks named at hosts that no list knows: they would stand for ever.
-    pub(super) fn end_unlisted(&mut self, now: Micros, ticket: Ticket) {
+    pub(super) fn end_task_at_unknown_host(&mut self, now: Micros, ticket: Ticket) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
         };
-        let State::Standing {
+        let RequestState::Running {
             attempt,
             host,
             since,
@@ -178,8 +189,8 @@
                 &binary::release(request.id, cause::RESET, None),
             );
         }
-        self.remove(ticket);
-        self.tell(
+        self.remove_request(ticket);
+        self.report_event(
             now,
             PlacementEvent::AttemptEnded {
                 ticket,
@@ -193,24 +204,24 @@
     }
 
     /// What stood is over: its client is told, unless it ended the task itself.
-    pub(super) fn end_standing(
+    pub(super) fn end_running_task(
         &mut self,
         now: Micros,
         ticket: Ticket,
         cause: u8,
         detail: OutcomeDetail,
     ) {
-        let Some(request) = self.remove(ticket) else {
+        let Some(request) = self.remove_request(ticket) else {
             return;
         };
         let (attempt, host, since, outcome) = match request.state {
-            State::Standing {
+            RequestState::Running {
                 attempt,
                 host,
                 since,
             } => {
                 let word = binary::release(request.id, cause, None);
-                self.tell_end(now, request.id, request.home, since, word);
+                self.notify_task_end(now, request.id, request.home_client, since, word);
                 let outcome = match cause {
                     cause::NORMAL => Outcome::Completed,
                     cause::CANCELLED => Outcome::Cancelled,
@@ -218,14 +229,14 @@
                 };
                 (attempt, host, since, outcome)
             }
-            State::Leaving {
+            RequestState::Releasing {
                 attempt,
                 host,
                 since,
             } => (attempt, host, since, Outcome::Cancelled),
-            State::Held | State::Out { .. } => return,
+            RequestState::Queued | RequestState::InFlight { .. } => return,
         };
-        self.tell(
+        self.report_event(
             now,
             PlacementEvent::AttemptEnded {
                 ticket,
@@ -239,19 +250,21 @@
     }
 
     /// What stood at a host since before then is lost.
-    pub(super) fn lose(&mut self, now: Micros, host: &HostId, before: Micros) {
+    pub(super) fn end_lost_tasks(&mut self, now: Micros, host: &HostId, before: Micros) {
         let there = |ticket: &Ticket| {
             self.requests.get(ticket).is_some_and(|r| match r.state {
-                State::Standing { since, .. } | State::Leaving { since, .. } => since < before,
-                State::Held | State::Out { .. } => false,
+                RequestState::Running { since, .. } | RequestState::Releasing { since, .. } => {
+                    since < before
+                }
+                RequestState::Queued | RequestState::InFlight { .. } => false,
             })
         };
-        let lost: Vec<Ticket> = self.at_hosts.standing(host).filter(there).collect();
+        let lost: Vec<Ticket> = self.request_index.running(host).filter(there).collect();
         if !lost.is_empty() {
             info!(host = &*host.0, tasks = lost.len(), "tasks lost");
         }
         lost.into_iter().for_each(|ticket| {
-            self.end_standing(now, ticket, cause::RESET, OutcomeDetail::Unknown)
+            self.end_running_task(now, ticket, cause::RESET, OutcomeDetail::Unknown)
         });
     }
 }
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -1,7 +1,7 @@
 //! Owns the end of the process: SIGTERM, drains, and when the process may or must end. It never takes back an answer
 //! that is owed: closing makes the module answer in time.
 
-use super::requests::{Request, State};
+use super::requests::{Request, RequestState};
 use super::{Dispatch, MILLI};
 use crate::net::health::watch::{Task, Watch};
 use task_placer::Micros;
@@ -24,35 +24,35 @@
     pub fn terminate(&mut self) {
         let now = self.clock.now();
         match self.watch.as_mut().and_then(|watch| watch.terminate(now)) {
-            Some(tasks) => self.follow(now, tasks),
-            None if self.inherits => {
-                self.on_duty(now, duty::Event::Leave(self.facade.max_deadline()))
+            Some(tasks) => self.run_drain_tasks(now, tasks),
+            None if self.shares_listener => {
+                self.handle_lifecycle_event(now, duty::Event::Leave(self.facade.max_deadline()))
             }
-            None => self.close_down(now, self.closing_wait() + CLOSE_ANSWER),
+            None => self.begin_shutdown(now, self.max_client_wait() + CLOSE_ANSWER),
         }
     }
 
     /// Does what the drain asks for.
-    pub(super) fn follow(&mut self, now: Micros, tasks: Vec<Task>) {
+    pub(super) fn run_drain_tasks(&mut self, now: Micros, tasks: Vec<Task>) {
         for task in tasks {
             match task {
                 Task::CloseIdle(close) => {
-                    self.closes_idle = close;
+                    self.closes_idle_clients = close;
                     self.close_idle();
                 }
-                Task::Answer(within) => self.close_down(now, within),
+                Task::Answer(within) => self.begin_shutdown(now, within),
                 Task::Exit(left) => {
-                    self.drained = true;
-                    self.name_what_is_left(left);
+                    self.is_drained = true;
+                    self.log_unfinished_tasks(left);
                 }
             }
         }
     }
 
     /// Who is owed what, for a drain.
-    pub(super) fn hand(&self) -> Hand {
+    pub(super) fn pending_work(&self) -> Hand {
         let now = self.clock.now();
-        let owed = self.owed();
+        let owed = self.pending_responses();
         Hand {
             owed,
             standing: self.requests.len() - owed,
@@ -62,7 +62,7 @@
     }
 
     /// What a drain could not wait for, task by task.
-    fn name_what_is_left(&self, left: Hand) {
+    fn log_unfinished_tasks(&self, left: Hand) {
         info!(
             owed = left.owed,
             standing = left.standing,
@@ -70,57 +70,59 @@
             "drained"
         );
         for request in self.requests.values() {
-            if let State::Standing { host, .. } | State::Leaving { host, .. } = &request.state {
+            if let RequestState::Running { host, .. } | RequestState::Releasing { host, .. } =
+                &request.state
+            {
                 warn!(task = %request.id, host = &*host.0, "left standing");
             }
         }
     }
 
-    pub(super) fn close_down(&mut self, now: Micros, within: Micros) {
-        if self.closing_since.is_none() {
-            self.closing_since = Some(now);
+    pub(super) fn begin_shutdown(&mut self, now: Micros, within: Micros) {
+        if self.shutdown_since.is_none() {
+            self.shutdown_since = Some(now);
             info!(requests = self.requests.len(), "closing");
-            self.tell(now, PlacementEvent::ShutdownRequested(within));
+            self.report_event(now, PlacementEvent::ShutdownRequested(within));
         }
     }
 
     /// The longest wait of a client, as the platform counts it at an end of the process.
-    fn closing_wait(&self) -> Micros {
+    fn max_client_wait(&self) -> Micros {
         self.facade.max_deadline().clamp(0, CLOSE_WAIT)
     }
 
     /// Whether the process must end, whatever is left.
-    pub fn overdue(&self) -> bool {
+    pub fn is_overdue(&self) -> bool {
         let now = self.clock.now();
-        let end = self.closing_wait() + CLOSE_END;
+        let end = self.max_client_wait() + CLOSE_END;
         let ends = |since| {
-            if self.duty.leaves() {
-                self.duty.overdue(now)
+            if self.lifecycle.leaves() {
+                self.lifecycle.overdue(now)
             } else {
                 now - since >= end
             }
         };
-        self.drained || self.closing_since.is_some_and(ends)
+        self.is_drained || self.shutdown_since.is_some_and(ends)
     }
 
     /// Whether the process may end.
-    pub fn finished(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         let now = self.clock.now();
-        if self.drained {
+        if self.is_drained {
             return true;
         }
-        let Some(since) = self.closing_since else {
+        let Some(since) = self.shutdown_since else {
             return false;
         };
         // A drain that has come to this tells itself when it is over.
         if self.watch.as_ref().is_some_and(Watch::draining) {
             return false;
         }
-        let clear = !self.requests.values().any(Request::awaits_answer) && self.clients.flushed();
-        if self.duty.leaves() {
-            return (clear && self.clients.at_rest(now)) || self.duty.overdue(now);
+        let clear = !self.requests.values().any(Request::awaits_response) && self.clients.flushed();
+        if self.lifecycle.leaves() {
+            return (clear && self.clients.at_rest(now)) || self.lifecycle.overdue(now);
         }
-        let end = self.closing_wait() + CLOSE_END;
+        let end = self.max_client_wait() + CLOSE_END;
         now - since >= end || (now - since >= CLOSE_OPEN.min(end) && clear)
     }
 }
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -1,7 +1,7 @@
 //! The control feed: subscribes, follows, and subscribes again from the last event it has.
 
 use super::codec::{feed, next_line};
-use super::conn::{Conn, End};
+use super::conn::{CloseReason, Conn};
 use super::dispatch::Shared;
 use async_channel::Receiver;
 use async_io::{Async, Timer};
@@ -53,39 +53,46 @@
     let connect = async {
         Async::<TcpStream>::connect(address)
             .await
-            .map_err(End::from)
+            .map_err(CloseReason::from)
     };
     let limit = async {
         Timer::after(CONNECT).await;
-        Err(End::Silent)
+        Err(CloseReason::Silent)
     };
     let told = Cell::new(0);
     let end = match future::or(connect, limit).await {
         Ok(stream) => subscribe(Rc::new(Conn::new(stream)), last, &told, shared).await,
         Err(end) => end,
     };
-    shared.borrow_mut().feed_ended(*last, end);
+    shared.borrow_mut().feed_closed(*last, end);
     told.get() > 0
 }
 
 /// One subscription, until it ends. Guards against a feed that falls silent on an open connection,
 /// events that come twice, and gaps: each ends it, and the next one resumes after the last event.
-async fn subscribe(conn: Rc<Conn>, last: &mut u64, told: &Cell<u64>, shared: &Shared) -> End {
+async fn subscribe(
+    conn: Rc<Conn>,
+    last: &mut u64,
+    told: &Cell<u64>,
+    shared: &Shared,
+) -> CloseReason {
     let now = shared.borrow().clock.now();
     conn.send(now, format!("SUB {last}\n").as_bytes());
     let take = |inbox: &mut Vec<u8>| {
-        while let Some(mut line) = next_line(inbox, feed::MOST_BYTES).map_err(End::Malformed)? {
+        while let Some(mut line) =
+            next_line(inbox, feed::MAX_MESSAGE_BYTES).map_err(CloseReason::Malformed)?
+        {
             let mut dispatch = shared.borrow_mut();
-            let line = feed::read(&mut line, dispatch.names()).map_err(End::Malformed)?;
-            dispatch.name_aside(&line.aside);
+            let line = feed::read(&mut line, dispatch.names()).map_err(CloseReason::Malformed)?;
+            dispatch.log_rejected_endpoints(&line.aside);
             match line.members {
                 Some(_) if line.number <= *last => {}
                 Some((whole, hosts)) if whole || line.number == *last + 1 => {
                     *last = line.number;
-                    dispatch.listed(whole, hosts);
+                    dispatch.endpoints_changed(whole, hosts);
                 }
-                None if line.number <= *last => dispatch.feed_lives(),
-                _ => return Err(End::Gap),
+                None if line.number <= *last => dispatch.feed_alive(),
+                _ => return Err(CloseReason::SequenceGap),
             }
             told.set(told.get() + 1);
         }
@@ -98,7 +105,7 @@
             silent = if told.get() > seen { 0 } else { silent + 1 };
             seen = told.get();
         }
-        End::Silent
+        CloseReason::Silent
     };
     future::or(conn.run(take), silence).await
 }
--- a/src/net/health/mod.rs
+++ b/src/net/health/mod.rs
@@ -252,7 +252,10 @@
     }
 
     fn agent_polled(&mut self, poller: Poller) -> String {
-        let (now, budget) = (self.clock.now(), self.clients.budget(self.hosts_in_use()));
+        let (now, budget) = (
+            self.clock.now(),
+            self.clients.budget(self.active_host_count()),
+        );
         let Some(watch) = &mut self.watch else {
             return String::new();
         };
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -1,9 +1,9 @@
 //! Connections to hosts: one for each, kept open, made again when lost.
 
-use super::clients::Mark;
-use super::codec::feed::Listed;
-use super::codec::{MOST_BYTES, lines, next_line};
-use super::conn::{Conn, End};
+use super::clients::ReadMark;
+use super::codec::feed::DiscoveredEndpoint;
+use super::codec::{MAX_MESSAGE_BYTES, lines, next_line};
+use super::conn::{CloseReason, Conn};
 use super::dispatch::Shared;
 use async_channel::Sender;
 use async_io::Async;
@@ -23,148 +23,149 @@
 const NO_DESCRIPTOR: [i32; 2] = [Errno::MFILE.raw_os_error(), Errno::NFILE.raw_os_error()];
 
 /// Numbers the connections to one host.
-pub type Round = u64;
+pub type ConnectionId = u64;
 
 /// How far the connection is.
-pub enum Phase {
+pub enum ConnectionState {
     /// There is none.
-    Down,
+    Disconnected,
     /// It is being made; what ends the attempt.
     Connecting(Sender<()>),
     /// It is there.
-    Up(Rc<Conn>),
+    Connected(Rc<Conn>),
 }
 
 /// An offer of which nothing has left.
 #[derive(Debug, Clone, Copy)]
-pub struct Waiting {
+pub struct PendingAttempt {
     /// The request.
     pub ticket: Ticket,
     /// The attempt.
     pub attempt: u32,
     /// How far its client must have been read first, once that was looked at.
-    pub mark: Option<Mark>,
+    pub mark: Option<ReadMark>,
 }
 
 /// One host.
-pub struct Link {
+pub struct HostLink {
     /// Where it listens.
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
     /// As the list tells.
     pub state: EndpointState,
     /// Its cell: machines of a cell fail together.
     pub cell: CellId,
     /// Its zone, and the cores and memory that nobody asks for, as the list tells.
     pub zone: ZoneId,
-    pub free: Resources,
+    pub free_resources: Resources,
     /// When it last said that it is full, if it has not started a task since.
-    pub full_at: Option<Micros>,
+    pub rejected_full_at: Option<Micros>,
     /// When its process started, or 0.
-    pub born: Micros,
+    pub started_at: Micros,
     /// How far the connection is.
-    pub phase: Phase,
+    pub connection: ConnectionState,
     /// The latest connection.
-    pub round: Round,
+    pub connection_id: ConnectionId,
     /// Connections that were replaced because they fell silent; offers may still be out on them.
-    pub doubted: Vec<(Round, Rc<Conn>)>,
+    pub replaced: Vec<(ConnectionId, Rc<Conn>)>,
     /// When the host was last heard, and last called.
-    pub heard: Micros,
-    pub dialled: Micros,
+    pub last_message_at: Micros,
+    pub last_connect_at: Micros,
     /// When the latest connection ended.
-    pub closed: Micros,
+    pub last_closed_at: Micros,
     /// Another connection is to be made beside the one that is up.
-    pub doubt: bool,
+    pub is_suspect: bool,
     /// Offers of which nothing has left: they wait for the connection, for what is queued on it, or for what
     /// their clients say.
-    pub waiting: Vec<Waiting>,
+    pub pending_attempts: Vec<PendingAttempt>,
     /// Releases of tasks that stand there, for the next connection.
-    pub unsent: Vec<Vec<u8>>,
+    pub unsent_releases: Vec<Vec<u8>>,
     /// Attempts to connect that have failed in a row, and since when.
-    pub failures: u32,
+    pub connect_failures: u32,
     /// When the first of them failed.
-    pub down_since: Option<Micros>,
+    pub unreachable_since: Option<Micros>,
     /// When what stands there counts as lost, unless the host is reached before.
-    pub lost_at: Option<Micros>,
+    pub tasks_lost_at: Option<Micros>,
     /// Whether the latest was refused.
-    pub refused: bool,
+    pub was_refused: bool,
 }
 
-impl Link {
+impl HostLink {
     /// A host that was just listed.
-    pub fn new(listed: &Listed) -> Link {
-        Link {
-            dial: listed.dial,
+    pub fn new(listed: &DiscoveredEndpoint) -> HostLink {
+        HostLink {
+            address: listed.dial,
             state: listed.entry.state,
             cell: listed.entry.cell,
             zone: listed.entry.zone,
-            free: listed.entry.free(),
-            born: listed.entry.started_at,
-            full_at: None,
-            phase: Phase::Down,
-            round: 0,
-            doubted: Vec::new(),
-            heard: 0,
-            dialled: 0,
-            closed: 0,
-            doubt: false,
-            waiting: Vec::new(),
-            unsent: Vec::new(),
-            failures: 0,
-            down_since: None,
-            lost_at: None,
-            refused: false,
+            free_resources: listed.entry.free(),
+            started_at: listed.entry.started_at,
+            rejected_full_at: None,
+            connection: ConnectionState::Disconnected,
+            connection_id: 0,
+            replaced: Vec::new(),
+            last_message_at: 0,
+            last_connect_at: 0,
+            last_closed_at: 0,
+            is_suspect: false,
+            pending_attempts: Vec::new(),
+            unsent_releases: Vec::new(),
+            connect_failures: 0,
+            unreachable_since: None,
+            tasks_lost_at: None,
+            was_refused: false,
         }
     }
 
-    /// The connection of this round, if it is open.
-    pub fn open(&self, round: Round) -> Option<&Rc<Conn>> {
-        match &self.phase {
-            Phase::Up(conn) if self.round == round => Some(conn),
+    /// The connection of this connection_id, if it is open.
+    pub fn open_connection(&self, connection_id: ConnectionId) -> Option<&Rc<Conn>> {
+        match &self.connection {
+            ConnectionState::Connected(conn) if self.connection_id == connection_id => Some(conn),
             _ => self
-                .doubted
+                .replaced
                 .iter()
-                .find(|(r, _)| *r == round)
+                .find(|(r, _)| *r == connection_id)
                 .map(|(_, conn)| conn),
         }
     }
 
     /// All open connections.
-    pub fn conns(&self) -> impl Iterator<Item = &Rc<Conn>> {
-        let current = match &self.phase {
-            Phase::Up(conn) => Some(conn),
-            Phase::Down | Phase::Connecting(_) => None,
+    pub fn connections(&self) -> impl Iterator<Item = &Rc<Conn>> {
+        let current = match &self.connection {
+            ConnectionState::Connected(conn) => Some(conn),
+            ConnectionState::Disconnected | ConnectionState::Connecting(_) => None,
         };
         current
             .into_iter()
-            .chain(self.doubted.iter().map(|(_, conn)| conn))
+            .chain(self.replaced.iter().map(|(_, conn)| conn))
     }
 
     /// Gives up a connection that is being made: whether there was one.
-    pub fn hang_up(&mut self) -> bool {
-        let Phase::Connecting(stop) = &self.phase else {
+    pub fn abort_connect(&mut self) -> bool {
+        let ConnectionState::Connecting(stop) = &self.connection else {
             return false;
         };
         let _ = stop.try_send(());
-        self.phase = Phase::Down;
+        self.connection = ConnectionState::Disconnected;
         true
     }
 
     /// Whether the host is gone and nothing of it is left: a new one under its name inherits nothing.
-    pub fn over(&self) -> bool {
-        let quiet =
-            matches!(self.phase, Phase::Down) && self.doubted.is_empty() && self.waiting.is_empty();
+    pub fn can_be_forgotten(&self) -> bool {
+        let quiet = matches!(self.connection, ConnectionState::Disconnected)
+            && self.replaced.is_empty()
+            && self.pending_attempts.is_empty();
         self.state == EndpointState::Removed && quiet
     }
 
     /// Pause before the next attempt.
-    pub fn pause(&self) -> Micros {
-        (FIRST_PAUSE << self.failures.min(8)).min(LAST_PAUSE)
+    pub fn reconnect_backoff(&self) -> Micros {
+        (FIRST_PAUSE << self.connect_failures.min(8)).min(LAST_PAUSE)
     }
 }
 
 /// Why a connection was not made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DialError {
+pub enum ConnectError {
     /// Nothing listens there: proof that nothing ran, and that the process is gone.
     Refused,
     /// It never came up.
@@ -175,13 +176,13 @@
     Failed(ErrorKind),
 }
 
-impl std::fmt::Display for DialError {
+impl std::fmt::Display for ConnectError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            DialError::Refused => f.write_str("dial-failed:refused"),
-            DialError::TimedOut => f.write_str("dial-failed:timed-out"),
-            DialError::NoDescriptor => f.write_str("dial-failed:no-descriptor"),
-            DialError::Failed(kind) => write!(f, "dial-failed:{kind}"),
+            ConnectError::Refused => f.write_str("dial-failed:refused"),
+            ConnectError::TimedOut => f.write_str("dial-failed:timed-out"),
+            ConnectError::NoDescriptor => f.write_str("dial-failed:no-descriptor"),
+            ConnectError::Failed(kind) => write!(f, "dial-failed:{kind}"),
         }
     }
 }
@@ -189,18 +190,18 @@
 /// Connects to a host and serves the connection until it ends and its descriptor is given back.
 pub async fn serve(
     host: HostId,
-    round: Round,
+    connection_id: ConnectionId,
     address: SocketAddr,
     stop: async_channel::Receiver<()>,
     shared: Shared,
 ) {
-    connected(&host, round, address, stop, &shared).await;
-    shared.borrow_mut().slot_freed(&host, round);
+    connected(&host, connection_id, address, stop, &shared).await;
+    shared.borrow_mut().host_slot_freed(&host, connection_id);
 }
 
 async fn connected(
     host: &HostId,
-    round: Round,
+    connection_id: ConnectionId,
     address: SocketAddr,
     stop: async_channel::Receiver<()>,
     shared: &Shared,
@@ -215,32 +216,39 @@
         Some(Err(e)) => {
             let why = match e.kind() {
                 _ if e.raw_os_error().is_some_and(|e| NO_DESCRIPTOR.contains(&e)) => {
-                    DialError::NoDescriptor
+                    ConnectError::NoDescriptor
                 }
-                ErrorKind::ConnectionRefused => DialError::Refused,
-                ErrorKind::TimedOut | ErrorKind::HostUnreachable => DialError::TimedOut,
-                kind => DialError::Failed(kind),
+                ErrorKind::ConnectionRefused => ConnectError::Refused,
+                ErrorKind::TimedOut | ErrorKind::HostUnreachable => ConnectError::TimedOut,
+                kind => ConnectError::Failed(kind),
             };
-            return shared.borrow_mut().dial_failed(host, round, why);
+            return shared
+                .borrow_mut()
+                .host_connect_failed(host, connection_id, why);
         }
         None => return,
     };
     let conn = Rc::new(Conn::new(stream));
     conn.queue_little();
-    if !shared.borrow_mut().host_up(host, round, conn.clone()) {
+    if !shared
+        .borrow_mut()
+        .host_connected(host, connection_id, conn.clone())
+    {
         return;
     }
     let end = conn
         .run(|inbox| {
-            while let Some(mut line) = next_line(inbox, MOST_BYTES).map_err(End::Malformed)? {
-                let (task, word) = lines::read(&mut line).map_err(End::Malformed)?;
-                shared.borrow_mut().host_word(host, task, word);
+            while let Some(mut line) =
+                next_line(inbox, MAX_MESSAGE_BYTES).map_err(CloseReason::Malformed)?
+            {
+                let (task, word) = lines::read(&mut line).map_err(CloseReason::Malformed)?;
+                shared.borrow_mut().host_message(host, task, word);
             }
             Ok(())
         })
         .await;
     conn.stop(end);
-    shared.borrow_mut().host_ended(host, round, end);
+    shared.borrow_mut().host_closed(host, connection_id, end);
 }
 
 #[cfg(test)]
--- a/src/net/hosts/tests.rs
+++ b/src/net/hosts/tests.rs
@@ -16,21 +16,29 @@
         free_cores: 0.0,
         free_memory: 0.0,
     };
-    let mut link = Link::new(&Listed { entry, dial: None });
+    let mut link = HostLink::new(&DiscoveredEndpoint { entry, dial: None });
     let (stop, _stopped) = async_channel::bounded(1);
     for (state, phase, over) in [
-        (EndpointState::Up, Phase::Down, false),
-        (EndpointState::Draining, Phase::Down, false),
-        (EndpointState::Removed, Phase::Connecting(stop), false),
-        (EndpointState::Removed, Phase::Down, true),
+        (EndpointState::Up, ConnectionState::Disconnected, false),
+        (
+            EndpointState::Draining,
+            ConnectionState::Disconnected,
+            false,
+        ),
+        (
+            EndpointState::Removed,
+            ConnectionState::Connecting(stop),
+            false,
+        ),
+        (EndpointState::Removed, ConnectionState::Disconnected, true),
     ] {
-        (link.state, link.phase) = (state, phase);
-        assert_eq!(link.over(), over, "{state:?}");
+        (link.state, link.connection) = (state, phase);
+        assert_eq!(link.can_be_forgotten(), over, "{state:?}");
     }
-    link.waiting.push(Waiting {
+    link.pending_attempts.push(PendingAttempt {
         ticket: Ticket(1),
         attempt: 0,
         mark: None,
     });
-    assert!(!link.over(), "an offer still waits");
+    assert!(!link.can_be_forgotten(), "an offer still waits");
 }
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -111,7 +111,7 @@
 
 /// Another process lives for as long as this connection does.
 async fn beside(mut stream: Async<UnixStream>, first: bool, shared: &Shared) {
-    shared.borrow_mut().met(first);
+    shared.borrow_mut().peer_joined(first);
     while let Ok(1..) = stream.read(&mut [0; 64]).await {}
-    shared.borrow_mut().left();
+    shared.borrow_mut().peer_exited();
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -71,7 +71,7 @@
         // Last: whoever can connect finds all else open.
         let inherited = inherit::listener(listen)?;
         if inherited.is_some() {
-            shared.borrow_mut().inherits = true;
+            shared.borrow_mut().shares_listener = true;
             inherit::meet(&name, &executor, &shared);
         }
         let listener = match inherited {
@@ -83,7 +83,7 @@
         executor
             .spawn(clients::accept(listener.clone(), shared.clone()))
             .detach();
-        shared.borrow_mut().listens = true;
+        shared.borrow_mut().is_listening = true;
         let (moves, moved) = async_channel::unbounded();
         executor
             .spawn(feed::follow(feed, known_to, moved, shared.clone()))
@@ -104,7 +104,7 @@
             log::pump();
             let mut dispatch = shared.borrow_mut();
             dispatch.tick();
-            if dispatch.finished() {
+            if dispatch.is_finished() {
                 drop(dispatch);
                 if clients::last_call(&listener, &shared) {
                     continue;
