--- a/src/cli.rs
+++ b/src/cli.rs
@@ -133,14 +133,19 @@
         None | Some(Command::Serve) => serve(&cli),
         Some(Command::Check) => check(&cli),
         Some(Command::Ctl(command)) => {
-            let (order, target, json) = match command {
-                CtlCommand::Drain(target) => (ctl::Order::Drain, target, false),
-                CtlCommand::Ready(target) => (ctl::Order::Ready, target, false),
-                CtlCommand::Maint(target) => (ctl::Order::Maint, target, false),
-                CtlCommand::State { target, json } => (ctl::Order::State, target, *json),
-                CtlCommand::Overload { target, json } => (ctl::Order::Overload, target, *json),
+            let (command, target, json) = match command {
+                CtlCommand::Drain(target) => (ctl::Command::Drain, target, false),
+                CtlCommand::Ready(target) => (ctl::Command::Ready, target, false),
+                CtlCommand::Maint(target) => (ctl::Command::Maint, target, false),
+                CtlCommand::State { target, json } => (ctl::Command::State, target, *json),
+                CtlCommand::Overload { target, json } => (ctl::Command::Overload, target, *json),
             };
-            ctl::send(order, target, cli.files.operator.as_deref(), json)
+            let format = if json {
+                ctl::ReplyFormat::Json
+            } else {
+                ctl::ReplyFormat::Text
+            };
+            ctl::send(command, target, cli.files.operator.as_deref(), format)
         }
         Some(Command::Call { at, call }) => call_at(*at, call),
         Some(Command::Completions { shell }) => {
@@ -175,15 +180,15 @@
         }
     }
     // Clients hold at most a third of the descriptors; hosts and the placer itself need theirs.
-    let most = config.limits.sockets / 4;
+    let most = config.limits.descriptors / 4;
     if health.listens() && health.connections > most {
         let what = format!(
             "{} of limits.sockets {} is more than a quarter, {most}",
-            health.connections, config.limits.sockets
+            health.connections, config.limits.descriptors
         );
         found.push(("health.connections", what));
     }
-    let queues = config.limits.memory / 16;
+    let queues = config.limits.memory_bytes / 16;
     if operator.log.queue > queues {
         let what = format!(
             "{} is more than a sixteenth of limits.memory_mb, {queues}",
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -1,8 +1,10 @@
-//! Orders and questions of operators: the words on the socket, and the side that sends them.
+//! The commands of operators on the control socket: their form on the wire, and the side that sends them.
 //!
 //! One JSON object a line each way. `{"v":1,"do":"drain"}` is answered by `{"v":1,"ok":true,...}` or
 //! `{"v":1,"ok":false,"error":"..."}`.
 
+mod report;
+
 use crate::operator;
 use crate::terminal::complain;
 use clap::Args;
@@ -14,84 +16,118 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The version of these words.
-pub const VERSION: u64 = 1;
-/// No line holds more: of orders, and of answers.
-pub const MOST_ORDER: usize = 4 * 1024;
-const MOST_ANSWER: u64 = 256 * 1024;
-/// How long a placer may take to answer.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// The version of the form on the wire.
+pub const PROTOCOL_VERSION: u64 = 1;
+/// No line with a command is longer.
+pub const MAX_COMMAND_BYTES: usize = 4 * 1024;
+/// No line with a reply is longer.
+const MAX_REPLY_BYTES: u64 = 256 * 1024;
+/// How long a placer may take to reply.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What is asked.
+/// A command of an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
-    /// Finish, take nothing new.
+pub enum Command {
+    /// Drain: finish, and take nothing new.
     Drain,
-    /// Back into service.
+    /// Return to service.
     Ready,
-    /// Out of service.
+    /// Go out of service for maintenance.
     Maint,
-    /// How is it.
+    /// Report the state.
     State,
-    /// What is shed, repeated and tried.
+    /// Report what overload control sheds, retries and checks.
     Overload,
 }
 
-impl Order {
-    const ALL: [(&'static str, Order); 5] = [
-        ("drain", Order::Drain),
-        ("ready", Order::Ready),
-        ("maint", Order::Maint),
-        ("state", Order::State),
-        ("overload", Order::Overload),
+impl Command {
+    const ALL: [(&'static str, Command); 5] = [
+        ("drain", Command::Drain),
+        ("ready", Command::Ready),
+        ("maint", Command::Maint),
+        ("state", Command::State),
+        ("overload", Command::Overload),
     ];
 
     fn as_str(self) -> &'static str {
-        Order::ALL
-            .iter()
-            .find(|(_, order)| *order == self)
-            .map_or("", |(name, _)| name)
+        let named = Command::ALL.iter().find(|(_, command)| *command == self);
+        named.map_or("", |(name, _)| name)
+    }
+
+    fn from_name(name: &str) -> Option<Command> {
+        let named = Command::ALL.iter().find(|(known, _)| *known == name);
+        named.map(|(_, command)| *command)
     }
 }
 
-/// Reads an order from a line, or says what is wrong with it.
-pub fn read(line: &mut [u8]) -> Result<Order, String> {
-    let value = simd_json::to_borrowed_value(line).map_err(|e| format!("not JSON: {e}"))?;
+/// Why a command is not run. Its text is the `error` of the reply.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+pub enum CommandError {
+    /// The line is no JSON; the parser's text.
+    #[error("not JSON: {0}")]
+    NotJson(String),
+    /// The version is none that this program speaks.
+    #[error("version {found}: this placer speaks version {PROTOCOL_VERSION}")]
+    UnsupportedVersion {
+        /// The version stated.
+        found: u64,
+    },
+    /// The line states no version.
+    #[error("no version: expected \"v\":1")]
+    MissingVersion,
+    /// The line states no command.
+    #[error("expected \"do\" with an order")]
+    MissingCommand,
+    /// There is no such command.
+    #[error("no such order: {0}; known are drain, ready, maint, state, overload")]
+    UnknownCommand(String),
+    /// The line is longer than any command.
+    #[error("longer than any order")]
+    TooLong,
+    /// The operator's file has no overload control.
+    #[error("nothing of [overload] is on here")]
+    OverloadControlDisabled,
+    /// The operator's file has no health engine.
+    #[error("nothing is watched here")]
+    HealthDisabled,
+    /// The command can't be run in this state.
+    #[error("{0}")]
+    NotNow(String),
+}
+
+/// Reads a command from a line.
+///
+/// # Errors
+///
+/// Fails if the line is no command of this version.
+pub fn parse(line: &mut [u8]) -> Result<Command, CommandError> {
+    let value = simd_json::to_borrowed_value(line)
+        .map_err(|error| CommandError::NotJson(error.to_string()))?;
     match value.get_u64("v") {
-        Some(VERSION) => {}
-        Some(other) => {
-            return Err(format!(
-                "version {other}: this placer speaks version {VERSION}"
-            ));
-        }
-        None => return Err("no version: expected \"v\":1".to_string()),
+        Some(PROTOCOL_VERSION) => {}
+        Some(found) => return Err(CommandError::UnsupportedVersion { found }),
+        None => return Err(CommandError::MissingVersion),
     }
-    let name = value.get_str("do").ok_or("expected \"do\" with an order")?;
-    let order = Order::ALL
-        .iter()
-        .find(|(known, _)| *known == name)
-        .map(|(_, order)| *order);
-    order.ok_or_else(|| {
-        format!("no such order: {name}; known are drain, ready, maint, state, overload")
-    })
+    let name = value.get_str("do").ok_or(CommandError::MissingCommand)?;
+    Command::from_name(name).ok_or_else(|| CommandError::UnknownCommand(name.to_string()))
 }
 
-/// The answer to an order: what was found, or what went wrong.
-pub fn answer(found: Result<OwnedValue, String>) -> Vec<u8> {
-    let value = match found {
+/// Encodes the reply to a command: the fields that it returned, or why it was not run.
+pub fn encode_reply(result: Result<OwnedValue, CommandError>) -> Vec<u8> {
+    let value = match result {
         Ok(mut value) => {
-            let _ = value.insert("v", VERSION);
+            let _ = value.insert("v", PROTOCOL_VERSION);
             let _ = value.insert("ok", true);
             value
         }
-        Err(error) => json!({ "v": VERSION, "ok": false, "error": error }),
+        Err(error) => json!({ "v": PROTOCOL_VERSION, "ok": false, "error": error.to_string() }),
     };
     let mut line = value.encode().into_bytes();
     line.push(b'\n');
     line
 }
 
-/// Which placer is meant.
+/// Which placer a command is for.
 #[derive(Debug, Args)]
 pub struct Target {
     /// Its socket; else the one that the operator's file names
@@ -99,150 +135,100 @@
     socket: Option<PathBuf>,
 }
 
-/// Sends an order, prints the answer, and answers the exit code: 0 done, 1 refused or not reached.
-pub fn send(order: Order, target: &Target, file: Option<&Path>, json: bool) -> ExitCode {
-    let socket = match (&target.socket, file) {
-        (Some(socket), _) => Some(socket.clone()),
-        (None, Some(file)) => operator::load(file).operator.ctl,
-        (None, None) => None,
-    };
-    let Some(socket) = socket else {
-        complain(
-            "task-placer: no socket: name one by --socket, or an operator's file that has [ctl] socket",
-        );
-        return ExitCode::FAILURE;
-    };
-    let line = match ask(&socket, order) {
-        Ok(line) => line,
-        Err(e) => {
-            complain(&format!("task-placer: {}: {e}", socket.display()));
-            return ExitCode::FAILURE;
+impl Target {
+    fn socket(&self, operator_file: Option<&Path>) -> Result<PathBuf, SendError> {
+        let socket = match (&self.socket, operator_file) {
+            (Some(socket), _) => Some(socket.clone()),
+            (None, Some(file)) => operator::load(file).operator.ctl,
+            (None, None) => None,
+        };
+        socket.ok_or(SendError::NoSocket)
+    }
+}
+
+/// How a reply is printed.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ReplyFormat {
+    /// For people.
+    Text,
+    /// As the socket gave it.
+    Json,
+}
+
+/// Why a command was not sent, or got no reply that it was run.
+#[derive(Debug, thiserror::Error)]
+enum SendError {
+    #[error("no socket: name one by --socket, or an operator's file that has [ctl] socket")]
+    NoSocket,
+    #[error("{}: {error}", path.display())]
+    Io {
+        path: PathBuf,
+        error: std::io::Error,
+    },
+    #[error("{}: answered what is no JSON", path.display())]
+    NotJson { path: PathBuf },
+    #[error("{0}")]
+    NotRun(String),
+}
+
+/// Sends a command, prints the reply, and returns the exit code: 0 where it was run, 1 where it was not or no placer was
+/// reached.
+pub fn send(
+    command: Command,
+    target: &Target,
+    operator_file: Option<&Path>,
+    format: ReplyFormat,
+) -> ExitCode {
+    let socket = target.socket(operator_file);
+    match socket.and_then(|socket| run_remotely(command, socket, format)) {
+        Ok(text) => {
+            let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
+            ExitCode::SUCCESS
         }
+        Err(error) => {
+            complain(&format!("task-placer: {error}"));
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Sends a command, and returns the text to print for its reply.
+fn run_remotely(command: Command, path: PathBuf, format: ReplyFormat) -> Result<String, SendError> {
+    let line = match exchange(&path, command) {
+        Ok(line) => line,
+        Err(error) => return Err(SendError::Io { path, error }),
     };
     let mut bytes = line.clone().into_bytes();
     let Ok(value) = simd_json::to_owned_value(&mut bytes) else {
-        complain(&format!(
-            "task-placer: {}: answered what is no JSON",
-            socket.display()
-        ));
-        return ExitCode::FAILURE;
+        return Err(SendError::NotJson { path });
     };
     if value.get_bool("ok") != Some(true) {
-        complain(&format!(
-            "task-placer: {}",
-            value.get_str("error").unwrap_or("refused")
-        ));
-        return ExitCode::FAILURE;
+        let error = value.get_str("error").unwrap_or("refused");
+        return Err(SendError::NotRun(error.to_string()));
     }
-    let text = match order {
-        _ if json => line,
-        Order::Overload => told_overload(&value),
-        _ => told(&value),
-    };
-    let _ = writeln!(std::io::stdout(), "{}", text.trim_end());
-    ExitCode::SUCCESS
+    Ok(match (format, command) {
+        (ReplyFormat::Json, _) => line,
+        (ReplyFormat::Text, Command::Overload) => report::overload(&value),
+        (ReplyFormat::Text, _) => report::state(&value),
+    })
 }
 
-fn ask(socket: &Path, order: Order) -> std::io::Result<String> {
+/// Writes a command to the socket, and returns the line of the reply.
+fn exchange(socket: &Path, command: Command) -> std::io::Result<String> {
     let mut stream = UnixStream::connect(socket)?;
-    stream.set_read_timeout(Some(PATIENCE))?;
-    stream.set_write_timeout(Some(PATIENCE))?;
-    let mut order = json!({ "v": VERSION, "do": order.as_str() }).encode();
-    order.push('\n');
-    stream.write_all(order.as_bytes())?;
+    stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
+    stream.set_write_timeout(Some(REPLY_TIMEOUT))?;
+    let mut request = json!({ "v": PROTOCOL_VERSION, "do": command.as_str() }).encode();
+    request.push('\n');
+    stream.write_all(request.as_bytes())?;
     let mut line = String::new();
-    BufReader::new(stream.take(MOST_ANSWER)).read_line(&mut line)?;
+    BufReader::new(stream.take(MAX_REPLY_BYTES)).read_line(&mut line)?;
     if line.is_empty() {
-        return Err(std::io::Error::new(
-            std::io::ErrorKind::UnexpectedEof,
-            "closed without an answer",
-        ));
+        let error = std::io::ErrorKind::UnexpectedEof;
+        return Err(std::io::Error::new(error, "closed without an answer"));
     }
     Ok(line)
 }
 
-/// An answer for people.
-fn told(value: &OwnedValue) -> String {
-    let text = |name: &str| value.get_str(name).unwrap_or_default().to_string();
-    let number =
-        |value: &OwnedValue, name: &str| value.get(name).and_then(|v| v.cast_f64()).unwrap_or(0.0);
-    let mut lines = vec![format!("{} {}%", text("state"), number(value, "weight"))];
-    if !text("reason").is_empty() {
-        lines.push(format!("held down by {}", text("reason")));
-    }
-    if let Some(signals) = value.get_array("signals") {
-        lines.push(format!(
-            "the fleet explains {:.0}% of what goes badly",
-            100.0 * number(value, "fleet")
-        ));
-        for signal in signals {
-            let code = signal.get_str("code").unwrap_or_default();
-            lines.push(format!(
-                "  {code:<14} {:>10.3}  own {:>4.2}  leaves {:>3.0}%",
-                number(signal, "value"),
-                number(signal, "own"),
-                number(signal, "leaves")
-            ));
-        }
-    }
-    if let Some(drain) = value.get("drain") {
-        lines.push(format!(
-            "drain {}: {} of {} balancers have seen it, {} asks owed, {} tasks stand, {} ends untold",
-            drain.get_str("phase").unwrap_or_default(),
-            number(drain, "seen"),
-            number(drain, "pollers"),
-            number(drain, "owed"),
-            number(drain, "standing"),
-            number(drain, "untold")
-        ));
-    }
-    lines.join("\n")
-}
-
-/// How an overload stands, for people.
-fn told_overload(value: &OwnedValue) -> String {
-    let number = |value: &OwnedValue, name: &str| value.get(name).and_then(|v| v.cast_f64());
-    let mut first = format!(
-        "step {}: lets {:.0}% through",
-        number(value, "step").unwrap_or(0.0),
-        100.0 * number(value, "through").unwrap_or(1.0)
-    );
-    if let Some(left) = number(value, "attempts-left") {
-        first.push_str(&format!("; {left:.1} further attempts left"));
-    }
-    first.push_str(&format!(
-        "; {} clients stay away",
-        number(value, "away").unwrap_or(0.0)
-    ));
-    let mut lines = vec![first];
-    if let Some(counters) = value.get_object("counters") {
-        let mut counters: Vec<(&String, u64)> = counters
-            .iter()
-            .map(|(name, v)| (name, v.as_u64().unwrap_or(0)))
-            .collect();
-        counters.sort();
-        lines.push(
-            counters
-                .iter()
-                .map(|(name, n)| format!("{name} {n}"))
-                .collect::<Vec<_>>()
-                .join("  "),
-        );
-    }
-    for host in value.get_array("hosts").into_iter().flatten() {
-        let name = host.get_str("host").unwrap_or_default();
-        lines.push(match number(host, "turn") {
-            Some(turn) => format!("  {name}  in doubt, own turn in {turn:.2} s"),
-            None => format!(
-                "  {name}  window {:.2}  out {}  delay {:.2} s",
-                number(host, "window").unwrap_or(0.0),
-                number(host, "out").unwrap_or(0.0),
-                number(host, "delay").unwrap_or(0.0)
-            ),
-        });
-    }
-    lines.join("\n")
-}
-
 #[cfg(test)]
 mod tests;
--- a/src/ctl/tests.rs
+++ b/src/ctl/tests.rs
@@ -3,18 +3,18 @@
 use super::*;
 
 #[test]
-fn orders_are_read_and_what_is_none_is_named() {
-    for (name, order) in Order::ALL {
+fn commands_are_parsed_and_invalid_lines_are_named() {
+    for (name, command) in Command::ALL {
         assert_eq!(
-            read(
+            parse(
                 format!("{{\"v\":1,\"do\":\"{name}\"}}")
                     .as_bytes()
                     .to_vec()
                     .as_mut()
             ),
-            Ok(order)
+            Ok(command)
         );
-        assert_eq!(order.as_str(), name);
+        assert_eq!(command.as_str(), name);
     }
     for (line, says) in [
         ("{", "not JSON"),
@@ -24,24 +24,24 @@
         ("{\"v\":1}", "expected \"do\""),
         ("{\"v\":1,\"do\":\"explode\"}", "no such order: explode"),
     ] {
-        let error = read(line.as_bytes().to_vec().as_mut()).expect_err(line);
-        assert!(error.contains(says), "{line}: {error}");
+        let error = parse(line.as_bytes().to_vec().as_mut()).expect_err(line);
+        assert!(error.to_string().contains(says), "{line}: {error}");
     }
 }
 
 #[test]
-fn answers_are_lines_with_the_version() {
+fn replies_are_lines_with_the_version_and_reports_for_people() {
     assert_eq!(
-        answer(Err("no".into())),
+        encode_reply(Err(CommandError::NotNow("no".into()))),
         b"{\"v\":1,\"ok\":false,\"error\":\"no\"}\n"
     );
-    let mut line = answer(Ok(json!({ "state": "up", "weight": 100 })));
+    let mut line = encode_reply(Ok(json!({ "state": "up", "weight": 100 })));
     let value = simd_json::to_owned_value(&mut line).expect("JSON");
     assert_eq!(
         (value.get_u64("v"), value.get_bool("ok")),
         (Some(1), Some(true))
     );
-    assert_eq!(told(&value), "up 100%");
+    assert_eq!(report::state(&value), "up 100%");
     let value = json!({
         "step": 2, "through": 0.81, "attempts-left": 1.5, "away": 3, "counters": { "shed": 7, "again": 2 },
         "hosts": [{ "host": "a", "window": 0.5, "out": 1, "delay": 0.25 }, { "host": "b", "turn": 1.5 }]
@@ -52,5 +52,5 @@
         "  a  window 0.50  out 1  delay 0.25 s",
         "  b  in doubt, own turn in 1.50 s",
     ];
-    assert_eq!(told_overload(&value), lines.join("\n"));
+    assert_eq!(report::overload(&value), lines.join("\n"));
 }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,28 +1,57 @@
-//! Where operators call: one line a connection, and its reply.
+//! Owns the listener where operators and the platform connect: one command a connection, one line, and its reply. What
+//! a command does is up to dispatch.
 
-use super::clients::AcceptFailed;
+use super::clients::accept::pause_after_accept_error;
 use super::codec;
-use super::dispatch::{Dispatch, MAX_ADMIN_CONNECTIONS, Shared};
+use super::dispatch::{MAX_ADMIN_CONNECTIONS, Shared};
 use super::health::gate::{Gate, Place};
 use super::health::linger;
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use simd_json::prelude::*;
-use simd_json::{OwnedValue, json};
+use std::fmt;
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use task_placer::Micros;
-use task_placer::operation::calls::{self, Call};
-use task_placer::operation::duty;
-use task_placer::operation::tally::Counts;
+use task_placer::operation::calls;
 use tracing::{debug, info};
 
-/// How long a caller may take for its line, and to read its reply and close.
-const PATIENCE: Micros = 5_000_000;
+/// How long a peer may take for its command, and to read its reply and close.
+const CONNECTION_TIMEOUT: Micros = 5_000_000;
 
-/// Opens the listener.
+/// Why an admin connection ended, as the log names it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum EndReason {
+    /// Its command got a reply.
+    Answered,
+    /// It sent a line longer than any command.
+    TooLong,
+    /// The peer closed it before it sent a command.
+    Closed,
+    /// The socket failed.
+    Failed,
+    /// It took too long, or its descriptor is needed for another.
+    Evicted,
+}
+
+impl fmt::Display for EndReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            EndReason::Answered => "answered",
+            EndReason::TooLong => "too-long",
+            EndReason::Closed => "closed",
+            EndReason::Failed => "failed",
+            EndReason::Evicted => "evicted",
+        })
+    }
+}
+
+/// Opens the listener, and serves it for the life of the process.
+///
+/// # Errors
+///
+/// Fails if nothing can listen at the address.
 pub fn open(
     address: SocketAddr,
     executor: &Rc<LocalExecutor<'static>>,
@@ -43,18 +72,19 @@
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let dispatch = shared.borrow();
-                let place = gate.enter(dispatch.clock.now() + PATIENCE);
+                let place = gate.enter(dispatch.clock.now() + CONNECTION_TIMEOUT);
                 dispatch
                     .tasks
                     .spawn(serve(stream, peer, place, gate.clone(), shared.clone()));
             }
-            Err(e) => AcceptFailed::pause(&shared, &e).await,
+            Err(e) => pause_after_accept_error(&shared, &e).await,
         }
-        // Those that were sent away give their descriptors back before the next is taken.
+        // Evicted connections give their descriptors back before the next is accepted.
         future::yield_now().await;
     }
 }
 
+/// Serves one connection until it ends or is evicted.
 async fn serve(
     stream: Async<TcpStream>,
     peer: SocketAddr,
@@ -62,90 +92,56 @@
     gate: Rc<Gate>,
     shared: Shared,
 ) {
-    let away = async {
+    let evicted = async {
         place.away().await;
-        "sent-away"
+        EndReason::Evicted
     };
-    let called = async {
-        let reason = call(&stream, &shared).await;
+    let served = async {
+        let reason = serve_command(&stream, &shared).await;
         linger(&stream).await;
         reason
     };
-    let reason = future::or(called, away).await;
+    let reason = future::or(served, evicted).await;
     gate.leave(&place);
-    // The platform asks ten times a second.
+    // The platform checks ten times a second.
     match reason {
-        "answered" => debug!(%peer, reason, "admin connection ended"),
-        _ => info!(%peer, reason, "admin connection ended"),
+        EndReason::Answered => debug!(%peer, %reason, "admin connection ended"),
+        _ => info!(%peer, %reason, "admin connection ended"),
     }
 }
 
-async fn call(mut stream: &Async<TcpStream>, shared: &Shared) -> &'static str {
-    let (mut inbox, mut scratch) = (Vec::new(), [0; calls::MOST_CALL]);
-    loop {
-        let (reply, reason) = match codec::next_line(&mut inbox, calls::MOST_CALL) {
-            Ok(Some(line)) => (shared.borrow_mut().called(&line), "answered"),
-            Err(_) => (calls::reply(Err("longer than any call")), "too-long"),
-            Ok(None) => match stream.read(&mut scratch).await {
-                Ok(0) => return "closed",
-                Ok(n) => {
-                    inbox.extend_from_slice(scratch.get(..n).unwrap_or_default());
-                    continue;
-                }
-                Err(_) => return "failed",
-            },
-        };
-        return if stream.write_all(&reply).await.is_ok() {
-            reason
-        } else {
-            "failed"
-        };
+/// Reads one command, runs it, and writes its reply.
+async fn serve_command(mut stream: &Async<TcpStream>, shared: &Shared) -> EndReason {
+    let (reply, reason) = match read_command(stream).await {
+        Ok(Some(line)) => {
+            let reply = shared.borrow_mut().run_admin_command(&line);
+            (reply, EndReason::Answered)
+        }
+        Ok(None) => (
+            calls::reply(Err("longer than any call")),
+            EndReason::TooLong,
+        ),
+        Err(reason) => return reason,
+    };
+    match stream.write_all(&reply).await {
+        Ok(()) => reason,
+        Err(_) => EndReason::Failed,
     }
 }
 
-impl Dispatch {
-    /// The reply to a call.
-    fn called(&mut self, line: &[u8]) -> Vec<u8> {
-        let now = self.clock.now();
-        let call = match Call::read(line) {
-            Ok(call) => call,
-            Err(why) => return calls::reply(Err(why)),
-        };
-        match call {
-            Call::Vars => return calls::figures(&self.figures().encode()),
-            Call::Check => {
-                let serves = self.serves();
-                self.handle_lifecycle_event(now, duty::Event::Asked);
-                return calls::reply(if serves {
-                    Ok(())
-                } else {
-                    Err("takes no requests")
-                });
-            }
-            // Nothing takes back what the module has been told to give up.
-            Call::DrainOn | Call::DrainOff if self.ends() => {
-                return calls::reply(Err("the process ends"));
-            }
-            Call::DrainOn => self.handle_lifecycle_event(now, duty::Event::DrainOn),
-            Call::DrainOff => self.handle_lifecycle_event(now, duty::Event::DrainOff),
+/// Reads one line, or returns none if it is longer than any command.
+async fn read_command(mut stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, EndReason> {
+    let (mut inbox, mut buffer) = (Vec::new(), [0; calls::MOST_CALL]);
+    loop {
+        match codec::next_line(&mut inbox, calls::MOST_CALL) {
+            Ok(Some(line)) => return Ok(Some(line)),
+            Ok(None) => {}
+            Err(_) => return Ok(None),
+        }
+        match stream.read(&mut buffer).await {
+            Ok(0) => return Err(EndReason::Closed),
+            Ok(count) => inbox.extend_from_slice(buffer.get(..count).unwrap_or_default()),
+            Err(_) => return Err(EndReason::Failed),
         }
-        calls::reply(Ok(()))
-    }
-
-    /// What this process has done, and has in hand.
-    fn figures(&self) -> OwnedValue {
-        let counts = |c: &Counts| json!({ "served": c.served, "refused": c.refused, "failed": c.failed, "attempts": c.attempts });
-        let classes = self.names().classes.iter().zip(self.counters.classes());
-        let requests: simd_json::owned::Object =
-            classes.map(|(name, c)| (name.clone(), counts(c))).collect();
-        let attempts: u64 = self.counters.classes().iter().map(|c| c.attempts).sum();
-        let mut figures = json!({
-            "attempts": attempts,
-            "in_flight": self.unfinished_requests(),
-            "hosts_known": self.active_host_count(),
-            "hosts_excluded": self.unavailable_hosts(),
-        });
-        let _ = figures.insert("requests", OwnedValue::from(requests));
-        figures
     }
 }
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -1,11 +1,13 @@
-//! How long an offer waits for what its client says.
+//! Tests of `clients/presence.rs`: how long an attempt waits for unread input of its client.
 
+use super::presence::MAX_READ_AHEAD_BYTES;
 use super::*;
+use async_io::Async;
 use std::io::Write;
-use std::net::TcpStream;
+use std::net::{TcpListener, TcpStream};
 use std::sync::Arc;
 
-const CHUNK: usize = 16 * 1024;
+const CHUNK_BYTES: usize = 16 * 1024;
 
 /// A client, and its end of the connection.
 fn client() -> (Clients, ClientId, TcpStream) {
@@ -14,29 +16,39 @@
         TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let (stream, _) = listener.accept().expect("a connection");
     let mut clients = Clients::new(256, 0);
-    let id = clients.opened(0, Rc::new(Conn::new(Async::new(stream).expect("a socket"))));
+    let id = clients.insert(
+        0,
+        Rc::new(Connection::new(Async::new(stream).expect("a socket"))),
+    );
     (clients, id, peer)
 }
 
 #[test]
-fn a_client_that_always_has_more_to_say_is_waited_for_no_further_than_a_bound() {
+fn client_that_never_pauses_is_waited_for_up_to_a_limit() {
     let (mut clients, id, mut peer) = client();
     let host = HostId(Arc::from("h0"));
-    peer.write_all(&[0; 8 * CHUNK]).expect("it has room");
+    peer.write_all(&[0; 8 * CHUNK_BYTES]).expect("it has room");
     let (mut mark, mut reads) = (None, 0);
     // As much as before waits each time that some was read.
     while let ClientPresence::UnreadInput(next) = clients.presence(id, mark, &host) {
         mark = next;
-        assert_eq!(clients.read(id, CHUNK).len(), 1, "the host where it waits");
+        assert_eq!(
+            clients.input_processed(id, CHUNK_BYTES).len(),
+            1,
+            "the host where it waits"
+        );
         reads += 1;
-        assert!(reads <= MOST_AHEAD as usize / CHUNK, "{reads} reads");
+        assert!(
+            reads <= MAX_READ_AHEAD_BYTES as usize / CHUNK_BYTES,
+            "{reads} reads"
+        );
     }
     assert_eq!(clients.presence(id, mark, &host), ClientPresence::Present);
-    assert_eq!(reads, MOST_AHEAD as usize / CHUNK);
+    assert_eq!(reads, MAX_READ_AHEAD_BYTES as usize / CHUNK_BYTES);
 }
 
 #[test]
-fn what_came_after_the_first_look_is_not_waited_for_and_a_mark_is_one_clients_own() {
+fn later_input_is_not_waited_for_and_a_mark_belongs_to_one_client() {
     let (mut clients, id, mut peer) = client();
     let host = HostId(Arc::from("h0"));
     peer.write_all(&[0; 10]).expect("it has room");
@@ -48,7 +60,7 @@
         ClientPresence::UnreadInput(mark),
         "nothing was read"
     );
-    clients.read(id, 10);
+    clients.input_processed(id, 10);
     assert_eq!(clients.presence(id, mark, &host), ClientPresence::Present);
     let other = mark.map(|mark| ReadMark {
         client: ClientId(7),
@@ -59,13 +71,13 @@
         ClientPresence::UnreadInput(Some(_))
     ));
     drop(peer);
-    clients.reads(id);
+    clients.input_processing_started(id);
     assert!(
         matches!(
             clients.presence(id, mark, &host),
             ClientPresence::UnreadInput(_)
         ),
-        "its words are being gone through"
+        "its messages are being processed"
     );
     assert_eq!(
         clients.presence(ClientId(9), None, &host),
--- a/src/net/codec/binary.rs
+++ b/src/net/codec/binary.rs
@@ -4,166 +4,216 @@
 
 use super::{MAX_MESSAGE_BYTES, Malformed, TaskId, TaskRequest};
 use std::sync::Arc;
-use task_placer::HostId;
 use task_placer::facade::PlacementRequest;
 use task_placer::settings::{millis, parse_number};
+use task_placer::{HostId, Micros};
 
+/// Bytes of the length field, which does not count itself.
+const LENGTH_BYTES: usize = 2;
+/// Bytes of the type and the task, the least that a length may count.
+const MIN_BODY_BYTES: usize = 9;
+/// The longest wait of a client that is taken over, a day: later sums of times stay far from their limits.
+const MAX_WAIT_MS: f64 = 86_400_000.0;
+
+/// The type field, by the terms of the code.
 mod kind {
-    pub const SET_UP: u8 = 1;
-    pub const ANSWER: u8 = 9;
+    /// "set-up"
+    pub const TASK_REQUEST: u8 = 1;
+    /// "answer"
+    pub const TASK_STARTED: u8 = 9;
     pub const RELEASE: u8 = 12;
-    pub const HEARD: u8 = 16;
-    pub const MOVE: u8 = 51;
-    pub const TEST: u8 = 52;
-    pub const TESTED: u8 = 53;
+    /// "heard"
+    pub const RELEASE_ACK: u8 = 16;
+    /// "move"
+    pub const MIGRATE: u8 = 51;
+    /// "test"
+    pub const HEALTH_CHECK: u8 = 52;
+    /// "tested"
+    pub const HEALTH_CHECK_RESULT: u8 = 53;
 }
 
+/// The codes of parameters, by the terms of the code.
 mod code {
     pub const CLASS: u8 = 129;
     pub const WAIT: u8 = 132;
     pub const TENANT: u8 = 135;
     pub const RETRY: u8 = 138;
     pub const KEY: u8 = 141;
-    pub const FIGURES: u8 = 144;
-    pub const STAY_AWAY: u8 = 147;
+    /// "figures"
+    pub const ATTRIBUTES: u8 = 144;
+    /// "stay away"
+    pub const RETRY_AFTER: u8 = 147;
     pub const CAUSE: u8 = 171;
     pub const DESCRIPTION: u8 = 174;
 }
 
-/// What a client says.
+/// A message of a client.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClientMessage {
-    /// A task to place, or one that stands already.
+    /// A request to place or adopt a task ("set-up" on the wire).
     TaskRequest(Box<TaskRequest>),
-    /// A set-up that can't be read; the rest of the connection can.
+    /// Such a request that can't be read; the rest of the connection can.
     InvalidTaskRequest(Malformed),
-    /// It gives the set-up up, or ends the task.
+    /// It cancels the request, or ends the task, with this cause.
     Release(u8),
-    /// A test.
+    /// A health check ("test" on the wire).
     HealthCheck,
-    /// It has heard a release.
+    /// It acknowledges a release ("heard" on the wire).
     ReleaseAck,
-    /// A message that asks for nothing.
+    /// A message of another type.
     Other,
 }
 
-/// Reads the first message of `bytes`: its task, its word and its length, or none if more must come.
+/// Reads the first message of `bytes`, and returns its task, its content and its length, or none if more must arrive.
+///
+/// # Errors
+///
+/// Fails if no message can begin like this.
 pub fn read(bytes: &[u8]) -> Result<Option<(TaskId, ClientMessage, usize)>, Malformed> {
-    let Some((length, rest)) = bytes.split_first_chunk::<2>() else {
+    let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
     let length = usize::from(u16::from_be_bytes(*length));
-    if length + 2 > MAX_MESSAGE_BYTES {
+    if length + LENGTH_BYTES > MAX_MESSAGE_BYTES {
         return Err(Malformed::TooLong);
     }
-    if length < 9 {
+    if length < MIN_BODY_BYTES {
         return Err(Malformed::Length);
     }
     let Some(body) = rest.get(..length) else {
         return Ok(None);
     };
-    let Some((kind, body)) = body.split_first() else {
-        return Err(Malformed::Length);
-    };
-    let Some((task, body)) = body.split_first_chunk::<8>() else {
-        return Err(Malformed::Length);
-    };
-    let parameters = parameters(body)?;
-    let word = match *kind {
-        kind::SET_UP => match task_request(&parameters) {
-            Ok(task_request) => ClientMessage::TaskRequest(Box::new(task_request)),
-            Err(why) => ClientMessage::InvalidTaskRequest(why),
+    let (kind, body) = body.split_first().ok_or(Malformed::Length)?;
+    let (task, body) = body.split_first_chunk::<8>().ok_or(Malformed::Length)?;
+    let message = read_content(*kind, &Parameters::read(body)?)?;
+    let task = TaskId(u64::from_be_bytes(*task));
+    Ok(Some((task, message, length + LENGTH_BYTES)))
+}
+
+fn read_content(kind: u8, parameters: &Parameters<'_>) -> Result<ClientMessage, Malformed> {
+    Ok(match kind {
+        kind::TASK_REQUEST => match task_request(parameters) {
+            Ok(request) => ClientMessage::TaskRequest(Box::new(request)),
+            Err(reason) => ClientMessage::InvalidTaskRequest(reason),
         },
-        kind::RELEASE => match find(&parameters, code::CAUSE) {
+        kind::RELEASE => match parameters.find(code::CAUSE) {
             Some([cause]) => ClientMessage::Release(*cause),
             _ => return Err(Malformed::Field("cause")),
         },
-        kind::TEST => ClientMessage::HealthCheck,
-        kind::HEARD => ClientMessage::ReleaseAck,
+        kind::HEALTH_CHECK => ClientMessage::HealthCheck,
+        kind::RELEASE_ACK => ClientMessage::ReleaseAck,
         _ => ClientMessage::Other,
-    };
-    Ok(Some((TaskId(u64::from_be_bytes(*task)), word, length + 2)))
+    })
 }
 
-fn parameters(mut rest: &[u8]) -> Result<Vec<(u8, &[u8])>, Malformed> {
-    let mut found = Vec::new();
-    while let Some((code, after)) = rest.split_first() {
-        let (length, after) = after.split_first_chunk::<2>().ok_or(Malformed::Length)?;
-        let length = usize::from(u16::from_be_bytes(*length));
-        let (value, after) = after.split_at_checked(length).ok_or(Malformed::Length)?;
-        found.push((*code, value));
-        rest = after;
+/// The parameters of a message, in their order.
+struct Parameters<'a>(Vec<(u8, &'a [u8])>);
+
+impl<'a> Parameters<'a> {
+    fn read(mut rest: &'a [u8]) -> Result<Parameters<'a>, Malformed> {
+        let mut parameters = Vec::new();
+        while let Some((code, after)) = rest.split_first() {
+            let (length, after) = after
+                .split_first_chunk::<LENGTH_BYTES>()
+                .ok_or(Malformed::Length)?;
+            let length = usize::from(u16::from_be_bytes(*length));
+            let (value, after) = after.split_at_checked(length).ok_or(Malformed::Length)?;
+            parameters.push((*code, value));
+            rest = after;
+        }
+        Ok(Parameters(parameters))
     }
-    Ok(found)
-}
 
-fn find<'a>(parameters: &[(u8, &'a [u8])], code: u8) -> Option<&'a [u8]> {
-    parameters
-        .iter()
-        .find(|(c, _)| *c == code)
-        .map(|(_, value)| *value)
+    fn find(&self, code: u8) -> Option<&'a [u8]> {
+        let parameter = self.0.iter().find(|(found, _)| *found == code);
+        parameter.map(|(_, value)| *value)
+    }
+
+    /// Returns a parameter as text, if the message has it.
+    fn text(&self, code: u8, name: &'static str) -> Result<Option<&'a str>, Malformed> {
+        let value = self.find(code).map(std::str::from_utf8);
+        value.transpose().map_err(|_| Malformed::Field(name))
+    }
+
+    /// Returns a parameter as text that the message must have.
+    fn required_text(&self, code: u8, name: &'static str) -> Result<&'a str, Malformed> {
+        self.text(code, name)?.ok_or(Malformed::Field(name))
+    }
 }
 
-fn task_request(parameters: &[(u8, &[u8])]) -> Result<TaskRequest, Malformed> {
-    let text = |code, name| match find(parameters, code).map(std::str::from_utf8) {
-        None => Ok(None),
-        Some(Ok(text)) => Ok(Some(text)),
-        Some(Err(_)) => Err(Malformed::Field(name)),
-    };
-    let need = |code, name| text(code, name)?.ok_or(Malformed::Field(name));
-    let figures = need(code::FIGURES, "figures")?;
-    let figure = |name: &str| {
-        let pairs = figures.split(';').filter_map(|pair| pair.split_once(':'));
+/// The attributes of a task, `name:value;...` ("figures" on the wire).
+struct Attributes<'a>(&'a str);
+
+impl<'a> Attributes<'a> {
+    fn find(&self, name: &str) -> Option<&'a str> {
+        let mut pairs = self.0.split(';').filter_map(|pair| pair.split_once(':'));
         pairs
-            .into_iter()
-            .find(|(n, _)| *n == name)
+            .find(|(found, _)| *found == name)
             .map(|(_, value)| value)
+    }
+
+    /// Returns an amount of resources, at least 0.
+    fn amount(&self, name: &'static str) -> Result<f64, Malformed> {
+        let value = self.find(name).and_then(parse_number);
+        value
+            .filter(|value| *value >= 0.0)
+            .ok_or(Malformed::Field(name))
+    }
+}
+
+fn task_request(parameters: &Parameters<'_>) -> Result<TaskRequest, Malformed> {
+    let attributes = Attributes(parameters.required_text(code::ATTRIBUTES, "figures")?);
+    let running_on = attributes.find("at").map(|host| HostId(Arc::from(host)));
+    let wait = client_wait(parameters, running_on.is_some())?;
+    let key = parameters.required_text(code::KEY, "key")?;
+    let class = parameters.required_text(code::CLASS, "class")?;
+    let tenant = parameters.text(code::TENANT, "tenant")?;
+    let service = attributes
+        .find("service")
+        .ok_or(Malformed::Field("service"))?;
+    let placement = PlacementRequest {
+        class: class.to_string(),
+        tenant: tenant.map(str::to_string),
+        service: hex(service, "service")?,
+        key: hex(key, "key")?,
+        cores: attributes.amount("cores")?,
+        memory: attributes.amount("memory")?,
+        time_budget: wait,
+        is_retry: parameters
+            .text(code::RETRY, "retry")?
+            .is_some_and(|retry| retry != "0"),
     };
-    let amount = |name: &'static str| {
-        let value = figure(name).and_then(parse_number).filter(|v| *v >= 0.0);
-        value.ok_or(Malformed::Field(name))
-    };
-    let hex = |text: &str, name| u64::from_str_radix(text, 16).map_err(|_| Malformed::Field(name));
-    let at = figure("at").map(|host| HostId(Arc::from(host)));
-    let wait = match text(code::WAIT, "wait")? {
-        None if at.is_some() => 0.0,
+    let description = parameters.text(code::DESCRIPTION, "description")?;
+    Ok(TaskRequest {
+        placement,
+        wait,
+        running_on,
+        key: key.to_string(),
+        description: description.unwrap_or_default().to_string(),
+    })
+}
+
+/// Returns how long the client waits for its response; a request to adopt a running task need not state it.
+fn client_wait(parameters: &Parameters<'_>, is_adoption: bool) -> Result<Micros, Malformed> {
+    let wait_ms = match parameters.text(code::WAIT, "wait")? {
+        None if is_adoption => 0.0,
         None => return Err(Malformed::Field("wait")),
-        // A day at the most: later sums of times stay far from their limits.
         Some(text) => parse_number(text)
             .ok_or(Malformed::Field("wait"))?
-            .clamp(0.0, 86_400_000.0),
+            .clamp(0.0, MAX_WAIT_MS),
     };
-    let key = need(code::KEY, "key")?;
-    Ok(TaskRequest {
-        placement: PlacementRequest {
-            class: need(code::CLASS, "class")?.to_string(),
-            tenant: text(code::TENANT, "tenant")?.map(str::to_string),
-            service: hex(
-                figure("service").ok_or(Malformed::Field("service"))?,
-                "service",
-            )?,
-            key: hex(key, "key")?,
-            cores: amount("cores")?,
-            memory: amount("memory")?,
-            time_budget: millis(wait),
-            is_retry: text(code::RETRY, "retry")?.is_some_and(|v| v != "0"),
-        },
-        wait: millis(wait),
-        at,
-        key: key.to_string(),
-        description: text(code::DESCRIPTION, "description")?
-            .unwrap_or_default()
-            .to_string(),
-    })
+    Ok(millis(wait_ms))
+}
+
+fn hex(text: &str, name: &'static str) -> Result<u64, Malformed> {
+    u64::from_str_radix(text, 16).map_err(|_| Malformed::Field(name))
 }
 
-/// Puts a message together. Values come from messages that were short enough themselves.
+/// Encodes a message. Values come from messages that were short enough themselves.
 fn message(kind: u8, task: TaskId, parameters: &[(u8, &[u8])]) -> Vec<u8> {
-    let length = 9 + parameters
-        .iter()
-        .map(|(_, value)| 3 + value.len())
-        .sum::<usize>();
-    let mut bytes = Vec::with_capacity(2 + length);
+    let values = parameters.iter().map(|(_, value)| 3 + value.len());
+    let length = MIN_BODY_BYTES + values.sum::<usize>();
+    let mut bytes = Vec::with_capacity(LENGTH_BYTES + length);
     bytes.extend(u16::try_from(length).unwrap_or(u16::MAX).to_be_bytes());
     bytes.push(kind);
     bytes.extend(task.0.to_be_bytes());
@@ -175,36 +225,36 @@
     bytes
 }
 
-/// The task stands.
-pub fn answer(task: TaskId, description: &str) -> Vec<u8> {
-    message(
-        kind::ANSWER,
-        task,
-        &[(code::DESCRIPTION, description.as_bytes())],
-    )
+/// Encodes the response to a request whose task a host has started ("answer" on the wire).
+pub fn task_started(task: TaskId, description: &str) -> Vec<u8> {
+    let description = (code::DESCRIPTION, description.as_bytes());
+    message(kind::TASK_STARTED, task, &[description])
 }
 
-/// A refusal, a failure or the end of a task, with the time to stay away where one is given.
-pub fn release(task: TaskId, cause: u8, stay_away_ms: Option<u64>) -> Vec<u8> {
-    let away = stay_away_ms.map(|ms| ms.to_string());
+/// Encodes a rejection, a failure or the end of a task, with the time after which to retry ("stay away" on the wire)
+/// where one is given.
+pub fn release(task: TaskId, cause: u8, retry_after_ms: Option<u64>) -> Vec<u8> {
+    let retry_after = retry_after_ms.map(|ms| ms.to_string());
     let mut parameters = vec![(code::CAUSE, std::slice::from_ref(&cause))];
-    parameters.extend(away.as_ref().map(|ms| (code::STAY_AWAY, ms.as_bytes())));
+    let retry_after = retry_after.as_ref();
+    parameters.extend(retry_after.map(|ms| (code::RETRY_AFTER, ms.as_bytes())));
     message(kind::RELEASE, task, &parameters)
 }
 
-/// The client's release was heard.
-pub fn heard(task: TaskId) -> Vec<u8> {
-    message(kind::HEARD, task, &[])
+/// Encodes the acknowledgement of a client's release ("heard" on the wire).
+pub fn release_ack(task: TaskId) -> Vec<u8> {
+    message(kind::RELEASE_ACK, task, &[])
 }
 
-/// The task moves: its client comes again.
-pub fn moved(task: TaskId) -> Vec<u8> {
-    message(kind::MOVE, task, &[])
+/// Encodes that a task migrates, so that its client requests it again ("move" on the wire).
+pub fn migrate(task: TaskId) -> Vec<u8> {
+    message(kind::MIGRATE, task, &[])
 }
 
-/// A test's result.
-pub fn tested(task: TaskId, passed: bool) -> Vec<u8> {
-    message(kind::TESTED, task, &[(code::CAUSE, &[u8::from(passed)])])
+/// Encodes the result of a health check ("tested" on the wire).
+pub fn health_check_result(task: TaskId, is_healthy: bool) -> Vec<u8> {
+    let result = (code::CAUSE, &[u8::from(is_healthy)][..]);
+    message(kind::HEALTH_CHECK_RESULT, task, &[result])
 }
 
 #[cfg(test)]
--- a/src/net/codec/binary/tests.rs
+++ b/src/net/codec/binary/tests.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn set_up_bytes(parameters: &[(u8, &[u8])]) -> Vec<u8> {
-    message(kind::SET_UP, TaskId(0x9b1f), parameters)
+fn request_bytes(parameters: &[(u8, &[u8])]) -> Vec<u8> {
+    message(kind::TASK_REQUEST, TaskId(0x9b1f), parameters)
 }
 
 const GOOD: [(u8, &[u8]); 7] = [
@@ -13,20 +13,20 @@
     (code::RETRY, b"1"),
     (code::KEY, b"7f3a9c21e0b4d655"),
     (
-        code::FIGURES,
+        code::ATTRIBUTES,
         b"cores:1.5;memory:2;service:00000000b4d65521;at:s-1",
     ),
     (code::DESCRIPTION, b"c=IN IP4\r\n"),
 ];
 
 #[test]
-fn a_set_up_is_read_whole() {
+fn task_request_is_read_with_all_fields() {
     let Ok(Some((task, ClientMessage::TaskRequest(task_request), length))) =
-        read(&set_up_bytes(&GOOD))
+        read(&request_bytes(&GOOD))
     else {
         panic!("not read")
     };
-    assert_eq!((task, length), (TaskId(0x9b1f), set_up_bytes(&GOOD).len()));
+    assert_eq!((task, length), (TaskId(0x9b1f), request_bytes(&GOOD).len()));
     let placement = PlacementRequest {
         class: "batch".into(),
         tenant: Some("acme".into()),
@@ -38,7 +38,7 @@
         is_retry: true,
     };
     assert_eq!(task_request.placement, placement);
-    assert_eq!(task_request.at, Some(HostId(Arc::from("s-1"))));
+    assert_eq!(task_request.running_on, Some(HostId(Arc::from("s-1"))));
     assert_eq!(
         (task_request.key.as_str(), task_request.description.as_str()),
         ("7f3a9c21e0b4d655", "c=IN IP4\r\n")
@@ -46,12 +46,12 @@
 }
 
 #[test]
-fn what_is_cut_short_waits_for_more() {
-    let whole = set_up_bytes(&GOOD);
+fn partial_message_waits_for_its_rest() {
+    let whole = request_bytes(&GOOD);
     for end in 0..whole.len() {
         assert_eq!(read(&whole[..end]), Ok(None), "{end} bytes");
     }
-    let two = [whole.clone(), heard(TaskId(7))].concat();
+    let two = [whole.clone(), release_ack(TaskId(7))].concat();
     assert!(matches!(read(&two), Ok(Some((TaskId(0x9b1f), _, n))) if n == whole.len()));
     assert_eq!(
         read(&two[whole.len()..]),
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn bad_set_ups_are_told_from_bad_messages() {
+fn invalid_task_requests_differ_from_malformed_messages() {
     let cases: [(usize, Option<&[u8]>, &str); 9] = [
         (0, None, "class"),
         (0, Some(b"\xff"), "class"),
@@ -78,7 +78,7 @@
             Some(value) => parameters[place].1 = value,
             None => drop(parameters.remove(place)),
         }
-        let read = read(&set_up_bytes(&parameters))
+        let read = read(&request_bytes(&parameters))
             .expect("a message")
             .expect("a whole one");
         assert_eq!(
@@ -87,7 +87,7 @@
             "{value:?}"
         );
     }
-    let long = set_up_bytes(&[(code::DESCRIPTION, &[b'x'; MAX_MESSAGE_BYTES])]);
+    let long = request_bytes(&[(code::DESCRIPTION, &[b'x'; MAX_MESSAGE_BYTES])]);
     let broken: [(&[u8], Malformed); 6] = [
         (&long, Malformed::TooLong),
         (&[0xff, 0xff], Malformed::TooLong),
@@ -108,19 +108,19 @@
 }
 
 #[test]
-fn what_is_written_has_the_form_of_the_protocol() {
+fn encoded_messages_have_the_form_of_the_protocol() {
     let id = TaskId(0x0102_0304_0506_0708);
     let cases: [(Vec<u8>, u8, &[u8]); 6] = [
-        (answer(id, "d"), 9, &[174, 0, 1, b'd']),
+        (task_started(id, "d"), 9, &[174, 0, 1, b'd']),
         (release(id, 41, None), 12, &[171, 0, 1, 41]),
         (
             release(id, 42, Some(250)),
             12,
             &[171, 0, 1, 42, 147, 0, 3, b'2', b'5', b'0'],
         ),
-        (heard(id), 16, &[]),
-        (moved(id), 51, &[]),
-        (tested(id, true), 53, &[171, 0, 1, 1]),
+        (release_ack(id), 16, &[]),
+        (migrate(id), 51, &[]),
+        (health_check_result(id, true), 53, &[171, 0, 1, 1]),
     ];
     for (bytes, kind, parameters) in cases {
         let head = [0, 9 + parameters.len() as u8, kind, 1, 2, 3, 4, 5, 6, 7, 8];
--- a/src/net/codec/feed.rs
+++ b/src/net/codec/feed.rs
@@ -1,4 +1,4 @@
-//! The lines of the control feed, and the same events in the configuration.
+//! The lines of the service discovery feed, and the same events in the configuration.
 
 use super::Malformed;
 use super::lines::number;
@@ -9,130 +9,174 @@
 use task_placer::settings::{Names, millis};
 use task_placer::{CellId, Endpoint, EndpointState, HostId, KindId, ZoneId};
 
-/// The most hosts that a list may name.
-const MOST_HOSTS: usize = 16_384;
-/// What an entry of the list may take; most take some 170 bytes.
-const MOST_ENTRY_BYTES: usize = 512;
-/// No line of the feed holds more: the whole list may be one line.
-pub const MAX_MESSAGE_BYTES: usize = MOST_HOSTS * MOST_ENTRY_BYTES;
+/// Hosts that an endpoint list may name.
+const MAX_HOSTS: usize = 16_384;
+/// Bytes that an entry of the endpoint list may take; most take some 170.
+const MAX_ENTRY_BYTES: usize = 512;
+/// No line of the feed is longer: the complete list may be one line.
+pub const MAX_LINE_BYTES: usize = MAX_HOSTS * MAX_ENTRY_BYTES;
+/// The latest start of a process that is taken over: sums with it stay far from their limits.
+const MAX_STARTED_AT_MS: f64 = 1e14;
+/// Set in the ids of zones that the settings do not state.
+const UNSTATED_ZONE_BIT: usize = 1 << 31;
 
-/// One host of the list, and the address where it listens.
+/// One entry of the endpoint list, and the address where the host listens.
 #[derive(Debug, Clone)]
 pub struct DiscoveredEndpoint {
-    /// What the module is told.
-    pub entry: Endpoint,
-    /// Where it listens; a host that is gone may have none.
-    pub dial: Option<SocketAddr>,
+    /// The entry, for the decision module.
+    pub endpoint: Endpoint,
+    /// Where it listens ("dial" on the wire); a removed host may have none.
+    pub address: Option<SocketAddr>,
 }
 
-/// One line of the feed: its number and, unless it only shows that the feed lives, the changes.
+/// A change of the endpoint list ("members" on the wire).
+#[derive(Debug, Clone)]
+pub struct EndpointUpdate {
+    /// Whether it names all endpoints ("whole" on the wire), or those that changed.
+    pub is_complete: bool,
+    /// The endpoints ("hosts" on the wire).
+    pub endpoints: Vec<DiscoveredEndpoint>,
+}
+
+/// An entry of the endpoint list that cannot be right.
+#[derive(Debug, Clone)]
+pub struct RejectedEndpoint {
+    /// Its host, if it names one.
+    pub host: String,
+    /// What is wrong.
+    pub reason: Malformed,
+}
+
+/// One line of the feed: its sequence number and, unless it only shows that the feed is up, an update.
 #[derive(Debug, Clone)]
 pub struct FeedMessage {
-    /// The number of the latest event.
-    pub number: u64,
-    /// Whether the list is whole, and its hosts.
-    pub members: Option<(bool, Vec<DiscoveredEndpoint>)>,
-    /// Entries that can't be right, by their hosts, and why. Guards against one of them taking the event
-    /// along: all others would be unknown, and a placer whose start names it would not start.
-    pub aside: Vec<(String, Malformed)>,
+    /// The number of the latest event ("n" on the wire).
+    pub sequence: u64,
+    /// The update.
+    pub update: Option<EndpointUpdate>,
+    /// Entries that cannot be right. Guards against one of them taking the event along: all others would be unknown,
+    /// and a placer whose configuration names it would not start.
+    pub rejected: Vec<RejectedEndpoint>,
 }
 
 /// Reads one line.
+///
+/// # Errors
+///
+/// Fails if the line is no event.
 pub fn read(line: &mut [u8], names: &Names) -> Result<FeedMessage, Malformed> {
     let value = simd_json::to_borrowed_value(line).map_err(|_| Malformed::Json)?;
-    event(&value, names)
+    read_event(&value, names)
 }
 
-/// Reads one event.
-pub fn event(value: &BorrowedValue<'_>, names: &Names) -> Result<FeedMessage, Malformed> {
-    let number = value.get_u64("n").ok_or(Malformed::Field("n"))?;
-    let mut aside = Vec::new();
+/// Reads one event, of the feed or of the configuration.
+///
+/// # Errors
+///
+/// Fails if the value is no event. Entries that cannot be right don't fail it: see [`FeedMessage::rejected`].
+pub fn read_event(value: &BorrowedValue<'_>, names: &Names) -> Result<FeedMessage, Malformed> {
+    let sequence = value.get_u64("n").ok_or(Malformed::Field("n"))?;
+    let mut rejected = Vec::new();
     let Some(members) = value.get("members") else {
         return Ok(FeedMessage {
-            number,
-            members: None,
-            aside,
+            sequence,
+            update: None,
+            rejected,
         });
     };
-    let whole = members.get_bool("whole").ok_or(Malformed::Field("whole"))?;
+    let is_complete = members.get_bool("whole").ok_or(Malformed::Field("whole"))?;
     let entries = members
         .get_array("hosts")
         .ok_or(Malformed::Field("hosts"))?;
-    let mut hosts = Vec::with_capacity(entries.len());
+    let mut endpoints = Vec::with_capacity(entries.len());
     for entry in entries {
-        match listed(entry, names) {
-            Ok(host) => hosts.push(host),
-            Err(why) => aside.push((entry.get_str("host").unwrap_or_default().to_string(), why)),
+        match endpoint(entry, names) {
+            Ok(endpoint) => endpoints.push(endpoint),
+            Err(reason) => rejected.push(RejectedEndpoint {
+                host: entry.get_str("host").unwrap_or_default().to_string(),
+                reason,
+            }),
         }
     }
+    let update = EndpointUpdate {
+        is_complete,
+        endpoints,
+    };
     Ok(FeedMessage {
-        number,
-        members: Some((whole, hosts)),
-        aside,
+        sequence,
+        update: Some(update),
+        rejected,
     })
 }
 
-/// A zone by its name, alike at every placer. Where the settings do not state it, or the entry names none,
-/// it is a zone all the same: hosts there are apart from those of all others.
-fn zone(name: Option<&str>, names: &[String]) -> ZoneId {
-    let name = name.unwrap_or_default().replace([' ', ','], "_");
-    let hash = || {
-        name.bytes().fold(1_469_598_103, |h: usize, b| {
-            (h ^ usize::from(b)).wrapping_mul(1_099_511)
-        })
-    };
-    ZoneId(
-        names
-            .iter()
-            .position(|n| *n == name)
-            .unwrap_or_else(|| hash() | 1 << 31),
-    )
-}
-
-fn listed(value: &BorrowedValue<'_>, names: &Names) -> Result<DiscoveredEndpoint, Malformed> {
+fn endpoint(value: &BorrowedValue<'_>, names: &Names) -> Result<DiscoveredEndpoint, Malformed> {
     let host = value.get_str("host").ok_or(Malformed::Field("host"))?;
-    let state = match value.get_str("health") {
-        Some("up") => EndpointState::Up,
-        Some("draining") => EndpointState::Draining,
-        Some("removed") => EndpointState::Removed,
-        _ => return Err(Malformed::Field("health")),
-    };
-    let gone = state == EndpointState::Removed;
-    // Of a host that is gone only its name counts.
-    let kind = value
-        .get_str("class")
-        .map(|name| name.replace([' ', ','], "_"));
-    let kind = kind.and_then(|name| names.kinds.iter().position(|n| *n == name));
-    let dial = value.get_str("dial").and_then(|text| text.parse().ok());
-    if dial.is_none() && !gone {
+    let state = endpoint_state(value)?;
+    let is_removed = state == EndpointState::Removed;
+    let address = value.get_str("dial").and_then(|text| text.parse().ok());
+    if address.is_none() && !is_removed {
         return Err(Malformed::Field("dial"));
     }
-    let free = |i: usize| {
-        value
-            .get_array("unasked")
-            .and_then(|v| v.get(i))
-            .and_then(number)
-            .unwrap_or(0.0)
-    };
+    // Of a removed host only its name counts.
+    let kind = host_kind(value, names)
+        .or(is_removed.then_some(KindId(0)))
+        .ok_or(Malformed::Field("class"))?;
+    let started_at_ms = value.get("born_ms").and_then(number);
     Ok(DiscoveredEndpoint {
-        entry: Endpoint {
+        endpoint: Endpoint {
             host: HostId(Arc::from(host)),
             zone: zone(value.get_str("site"), &names.zones),
             cell: CellId(value.get_u64("block").unwrap_or(0)),
-            kind: KindId(
-                kind.or(gone.then_some(0))
-                    .ok_or(Malformed::Field("class"))?,
-            ),
+            kind,
             state,
-            // Bounded, so that sums with it stay far from their limits.
-            started_at: value
-                .get("born_ms")
-                .and_then(number)
-                .map_or(0, |ms| millis(ms.clamp(0.0, 1e14))),
-            free_cores: free(0),
-            free_memory: free(1),
+            started_at: started_at_ms.map_or(0, |ms| millis(ms.clamp(0.0, MAX_STARTED_AT_MS))),
+            free_cores: free_amount(value, 0),
+            free_memory: free_amount(value, 1),
         },
-        dial,
+        address,
+    })
+}
+
+/// The state of an endpoint ("health" on the wire).
+fn endpoint_state(value: &BorrowedValue<'_>) -> Result<EndpointState, Malformed> {
+    match value.get_str("health") {
+        Some("up") => Ok(EndpointState::Up),
+        Some("draining") => Ok(EndpointState::Draining),
+        Some("removed") => Ok(EndpointState::Removed),
+        _ => Err(Malformed::Field("health")),
+    }
+}
+
+/// The kind of a host ("class" on the wire), if the settings state it.
+fn host_kind(value: &BorrowedValue<'_>, names: &Names) -> Option<KindId> {
+    let name = normalized(value.get_str("class")?);
+    let index = names.kinds.iter().position(|kind| *kind == name)?;
+    Some(KindId(index))
+}
+
+/// One of the amounts that no task has requested ("unasked" on the wire: cores, memory).
+fn free_amount(value: &BorrowedValue<'_>, index: usize) -> f64 {
+    let amounts = value.get_array("unasked");
+    let amount = amounts.and_then(|amounts| amounts.get(index));
+    amount.and_then(number).unwrap_or(0.0)
+}
+
+/// The zone ("site" on the wire) by its name, alike at every placer. Where the settings do not state it, or the entry
+/// names none, it is a zone all the same: hosts there are apart from those of all others.
+fn zone(name: Option<&str>, stated_zones: &[String]) -> ZoneId {
+    let name = normalized(name.unwrap_or_default());
+    let stated = stated_zones.iter().position(|stated| *stated == name);
+    ZoneId(stated.unwrap_or_else(|| hash_of_name(&name) | UNSTATED_ZONE_BIT))
+}
+
+/// A name as the settings hold it, without the characters that separate names there.
+fn normalized(name: &str) -> String {
+    name.replace([' ', ','], "_")
+}
+
+fn hash_of_name(name: &str) -> usize {
+    name.bytes().fold(1_469_598_103, |hash: usize, byte| {
+        (hash ^ usize::from(byte)).wrapping_mul(1_099_511)
     })
 }
 
--- a/src/net/codec/feed/tests.rs
+++ b/src/net/codec/feed/tests.rs
@@ -11,28 +11,41 @@
 }
 
 #[test]
-fn events_are_read_and_bad_ones_are_typed_errors() {
+fn events_are_read_and_malformed_ones_are_typed_errors() {
     let host = r#"{"host":"s-1","dial":"127.0.0.1:5060","site":"east","class":"std","block":2,"health":"up","share":4,"born_ms":1500,"unasked":[3.5,-1]}"#;
     let event =
         |host: &str| format!(r#"{{"n":41,"members":{{"seq":7,"whole":false,"hosts":[{host}]}}}}"#);
     let read_text = |text: &str| read(&mut text.as_bytes().to_vec(), &names());
     let line = read_text(&event(host)).expect("good");
-    let (whole, hosts) = line.members.expect("hosts");
-    assert_eq!((line.number, whole, hosts.len()), (41, false, 1));
-    let DiscoveredEndpoint { entry, dial } = &hosts[0];
+    let update = line.update.expect("hosts");
+    let endpoints = update.endpoints;
     assert_eq!(
-        (&*entry.host.0, entry.zone, entry.kind, entry.cell),
+        (line.sequence, update.is_complete, endpoints.len()),
+        (41, false, 1)
+    );
+    let DiscoveredEndpoint { endpoint, address } = &endpoints[0];
+    assert_eq!(
+        (
+            &*endpoint.host.0,
+            endpoint.zone,
+            endpoint.kind,
+            endpoint.cell
+        ),
         ("s-1", ZoneId(1), KindId(0), CellId(2))
     );
     assert_eq!(
-        (entry.state, entry.started_at),
+        (endpoint.state, endpoint.started_at),
         (EndpointState::Up, 1_500_000)
     );
     assert_eq!(
-        (entry.free_cores, entry.free_memory, dial.map(|d| d.port())),
+        (
+            endpoint.free_cores,
+            endpoint.free_memory,
+            address.map(|address| address.port())
+        ),
         (3.5, -1.0, Some(5060))
     );
-    assert!(read_text(r#"{"n":41}"#).is_ok_and(|line| line.members.is_none()));
+    assert!(read_text(r#"{"n":41}"#).is_ok_and(|line| line.update.is_none()));
     assert!(
         read_text(&event(r#"{"host":"s-1","health":"removed"}"#)).is_ok(),
         "its name is enough"
@@ -53,7 +66,7 @@
 // An entry that can't be right was an event that can't be read, and a configuration that names one was
 // refused: the placer did not start.
 #[test]
-fn an_entry_that_cannot_be_right_is_set_aside_and_the_others_are_taken() {
+fn invalid_entry_is_rejected_and_the_others_are_taken() {
     let good =
         r#"{"host":"s-1","dial":"127.0.0.1:5060","site":"east","class":"std","health":"up"}"#;
     for (bad, why) in [
@@ -65,9 +78,16 @@
     ] {
         let text = format!(r#"{{"n":4,"members":{{"whole":true,"hosts":[{bad},{good}]}}}}"#);
         let line = read(&mut text.into_bytes(), &names()).expect("an event");
-        assert_eq!(line.members.map(|(_, hosts)| hosts.len()), Some(1), "{bad}");
         assert_eq!(
-            line.aside.iter().map(|(_, why)| *why).collect::<Vec<_>>(),
+            line.update.map(|update| update.endpoints.len()),
+            Some(1),
+            "{bad}"
+        );
+        assert_eq!(
+            line.rejected
+                .iter()
+                .map(|rejected| rejected.reason)
+                .collect::<Vec<_>>(),
             [Malformed::Field(why)]
         );
     }
@@ -75,7 +95,7 @@
 
 // Deployments may have zones that the settings do not state, or none.
 #[test]
-fn a_zone_without_a_name_in_the_settings_is_a_zone_of_its_own() {
+fn zone_that_the_settings_do_not_state_is_a_zone_of_its_own() {
     let stated = names().zones;
     let zones = ["west", "east", "north", "south", ""].map(|name| zone(Some(name), &stated));
     assert_eq!((zones[0], zones[1]), (ZoneId(0), ZoneId(1)));
--- a/src/net/codec/lines.rs
+++ b/src/net/codec/lines.rs
@@ -6,63 +6,75 @@
 use task_placer::settings::parse_number;
 use task_placer::{OutcomeDetail, TaskReport};
 
-/// What a host says of a task.
+/// Hex digits of a task's id.
+const TASK_ID_DIGITS: usize = 16;
+
+/// A message of a host about a task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HostMessage {
-    /// The task stands; the description of the answer.
+    /// The task runs ("up" on the wire); the description for its client.
     Started(String),
-    /// Refused, ended or cut: the cause, and why.
+    /// Rejected, ended or broken ("down" on the wire): the cause, and the detail.
     Released(u8, OutcomeDetail),
-    /// A note on a task that stands.
+    /// A report about a running task ("tell" on the wire), and its value.
     Report(TaskReport, f64),
-    /// A message that asks for nothing.
+    /// A message of another type.
     Other,
 }
 
 /// Reads one line.
+///
+/// # Errors
+///
+/// Fails if the line is no message of a host.
 pub fn read(line: &mut [u8]) -> Result<(TaskId, HostMessage), Malformed> {
     let value = simd_json::to_borrowed_value(line).map_err(|_| Malformed::Json)?;
     if !value.is_object() {
         return Err(Malformed::Json);
     }
-    let text = |name| value.get_str(name);
-    let task = text("ref")
-        .filter(|t| t.len() == 16)
-        .and_then(|t| u64::from_str_radix(t, 16).ok());
-    let task = TaskId(task.ok_or(Malformed::Field("ref"))?);
+    let task = task_id(&value).ok_or(Malformed::Field("ref"))?;
     let fields = value.get("f");
-    let field = |name| fields.and_then(|f| f.get(name));
-    let note = field("note").and_then(|v| v.as_str());
-    let word = match text("t").ok_or(Malformed::Field("t"))? {
-        // Without its description it is no answer, but a spoilt one.
-        "up" => HostMessage::Started(text("d").ok_or(Malformed::Field("d"))?.to_string()),
+    let note = fields.and_then(|fields| fields.get_str("note"));
+    let message = match value.get_str("t").ok_or(Malformed::Field("t"))? {
+        "up" => {
+            // Without its description the response of a host is spoilt.
+            let description = value.get_str("d").ok_or(Malformed::Field("d"))?;
+            HostMessage::Started(description.to_string())
+        }
         "down" => {
-            let cause = value
-                .get("c")
-                .and_then(|v| v.as_u8())
-                .ok_or(Malformed::Field("c"))?;
-            HostMessage::Released(cause, detail(note))
+            let cause = value.get_u8("c").ok_or(Malformed::Field("c"))?;
+            HostMessage::Released(cause, outcome_detail(note))
         }
         "tell" => {
-            let figure = field("value")
+            let reported = fields
+                .and_then(|fields| fields.get("value"))
                 .and_then(number)
                 .ok_or(Malformed::Field("value"))?;
-            HostMessage::Report(kind_of_note(note), figure)
+            HostMessage::Report(task_report(note), reported)
         }
         _ => HostMessage::Other,
     };
-    Ok((task, word))
+    Ok((task, message))
+}
+
+fn task_id(value: &BorrowedValue<'_>) -> Option<TaskId> {
+    let text = value.get_str("ref")?;
+    if text.len() != TASK_ID_DIGITS {
+        return None;
+    }
+    u64::from_str_radix(text, 16).ok().map(TaskId)
 }
 
-/// A figure, which may come as text.
+/// Reads a finite number, which may be written as text.
 pub fn number(value: &BorrowedValue<'_>) -> Option<f64> {
     match value.as_str() {
         Some(text) => parse_number(text),
-        None => value.cast_f64().filter(|v| v.is_finite()),
+        None => value.cast_f64().filter(|number| number.is_finite()),
     }
 }
 
-fn detail(note: Option<&str>) -> OutcomeDetail {
+/// The detail that the note of a release stands for.
+fn outcome_detail(note: Option<&str>) -> OutcomeDetail {
     match note {
         Some("nc") => OutcomeDetail::NoCores,
         Some("nm") => OutcomeDetail::NoMemory,
@@ -75,7 +87,8 @@
     }
 }
 
-fn kind_of_note(note: Option<&str>) -> TaskReport {
+/// What the note of a report says is reported.
+fn task_report(note: Option<&str>) -> TaskReport {
     match note {
         Some("live") => TaskReport::Running,
         Some("c") => TaskReport::Cores,
@@ -92,8 +105,9 @@
     line
 }
 
-/// An offer, or none if it does not fit in one message. `left_ms` is how long the placer waits.
-pub fn offer(
+/// Encodes an attempt to start a task ("new" on the wire), or returns none if it does not fit into one message.
+/// `left_ms` is how long the placer waits.
+pub fn start_task(
     task: TaskId,
     class: &str,
     key: &str,
@@ -110,13 +124,13 @@
     Some(line(&value)).filter(|line| line.len() <= MAX_MESSAGE_BYTES)
 }
 
-/// Gives an offer up, or ends a task that stands.
+/// Encodes that an attempt is abandoned, or a running task ended ("down" on the wire).
 pub fn release(task: TaskId, cause: u8) -> Vec<u8> {
     line(&json!({ "t": "down", "ref": task.to_string(), "f": {}, "c": cause }).into())
 }
 
-/// A host's release was heard.
-pub fn heard(task: TaskId) -> Vec<u8> {
+/// Encodes the acknowledgement of a host's release ("ack" on the wire).
+pub fn release_ack(task: TaskId) -> Vec<u8> {
     line(&json!({ "t": "ack", "ref": task.to_string(), "f": {} }).into())
 }
 
--- a/src/net/codec/lines/tests.rs
+++ b/src/net/codec/lines/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn lines_are_read_by_type() {
+fn lines_are_read_by_their_type() {
     let cases = [
         (
             r#""t":"up","f":{},"d":"a\r\nb""#,
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn bad_lines_are_typed_errors() {
+fn malformed_lines_are_typed_errors() {
     let deep = "[".repeat(MAX_MESSAGE_BYTES);
     let cases = [
         ("", Malformed::Json),
@@ -88,9 +88,9 @@
 }
 
 #[test]
-fn an_offer_carries_all_and_is_one_line() {
+fn attempt_is_encoded_with_all_fields_in_one_line() {
     let text = "a\r\n\"b\"\\\u{7}é";
-    let mut line = offer(TaskId(0x41), "batch", "7f3a", 1500, text).expect("it fits");
+    let mut line = start_task(TaskId(0x41), "batch", "7f3a", 1500, text).expect("it fits");
     assert_eq!(line.iter().filter(|b| **b == b'\n').count(), 1);
     line.pop();
     let value = simd_json::to_owned_value(&mut line).expect("JSON");
@@ -105,7 +105,7 @@
     );
     assert_eq!(value.get_str("d"), Some(text));
     assert_eq!(
-        offer(
+        start_task(
             TaskId(1),
             "batch",
             "7f3a",
--- a/src/net/codec/mod.rs
+++ b/src/net/codec/mod.rs
@@ -1,4 +1,7 @@
-//! The messages, apart from any connection: pure functions from bytes to words and back.
+//! The messages of the wire, apart from any connection: pure functions from bytes to messages and back.
+//!
+//! This is the one place where words of the wire and terms of the code meet; a comment names the wire's word where they
+//! differ. [`binary`] holds the messages of clients, [`lines`] those of hosts, and [`feed`] those of service discovery.
 
 pub mod binary;
 pub mod feed;
@@ -8,7 +11,7 @@
 use task_placer::facade::PlacementRequest;
 use task_placer::{HostId, Micros};
 
-/// No message of clients or hosts holds more.
+/// No message of clients or hosts is longer.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
 /// A task's id on the wire: 16 hex digits.
@@ -21,72 +24,69 @@
     }
 }
 
-/// The causes of releases that this program tells apart.
+/// The causes of releases that this program distinguishes.
 pub mod cause {
-    /// Given up, or the task's regular end.
+    /// Cancelled before the start, or the task's regular end.
     pub const NORMAL: u8 = 16;
-    /// Moved, or ended by its client.
+    /// Migrated, or ended by its client.
     pub const CANCELLED: u8 = 31;
-    /// A full host.
+    /// Rejected by a full host.
     pub const HOST_FULL: u8 = 34;
-    /// Broken or cut.
+    /// The task or its connection broke.
     pub const RESET: u8 = 41;
-    /// Refused by the placer: trying again is harmless.
+    /// Rejected by the placer ("refused" on the wire): a retry is harmless.
     pub const REJECTED: u8 = 42;
-    /// An error; nothing is promised.
+    /// An error; the task may have run.
     pub const FAILED: u8 = 47;
-    /// Never left.
+    /// The attempt was never sent ("moot" on the wire).
     pub const NOT_SENT: u8 = 102;
 }
 
-/// A client's set-up.
+/// A client's request to place or adopt a task ("set-up" on the wire).
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskRequest {
-    /// What the module decides by.
+    /// What the decision module decides by.
     pub placement: PlacementRequest,
-    /// How long the client waits for the answer, from when it sent the set-up.
+    /// How long the client waits for the response, from when it sent the request.
     pub wait: Micros,
-    /// The host that holds the task already.
-    pub at: Option<HostId>,
-    /// The name of the task, as it goes on.
+    /// The host that runs the task already ("at" on the wire).
+    pub running_on: Option<HostId>,
+    /// The task's key, as it is forwarded.
     pub key: String,
-    /// The description, as it goes on.
+    /// The description, as it is forwarded.
     pub description: String,
 }
 
-/// What makes bytes no message.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// Why bytes are no message.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
     /// Longer than any message may be.
+    #[error("too-long")]
     TooLong,
     /// A length that does not fit what it counts.
+    #[error("bad-length")]
     Length,
     /// Not JSON, or not an object.
+    #[error("bad-json")]
     Json,
     /// A field that is missing or can't be read.
+    #[error("bad-field:{0}")]
     Field(&'static str),
 }
 
-impl fmt::Display for Malformed {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Malformed::TooLong => write!(f, "too-long"),
-            Malformed::Length => write!(f, "bad-length"),
-            Malformed::Json => write!(f, "bad-json"),
-            Malformed::Field(name) => write!(f, "bad-field:{name}"),
-        }
-    }
-}
-
-/// Takes the next line out of what has come in, without its line feed.
-pub fn next_line(inbox: &mut Vec<u8>, most: usize) -> Result<Option<Vec<u8>>, Malformed> {
+/// Removes the next line from what has arrived, and returns it without its line feed; none if more must arrive.
+///
+/// # Errors
+///
+/// Fails if the line has `max_bytes` or more.
+pub fn next_line(inbox: &mut Vec<u8>, max_bytes: usize) -> Result<Option<Vec<u8>>, Malformed> {
     match memchr::memchr(b'\n', inbox) {
-        Some(end) if end < most => {
+        Some(end) if end < max_bytes => {
             let mut line: Vec<u8> = inbox.drain(..=end).collect();
             line.pop();
             Ok(Some(line))
         }
-        None if inbox.len() < most => Ok(None),
+        None if inbox.len() < max_bytes => Ok(None),
         _ => Err(Malformed::TooLong),
     }
 }
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,4 +1,4 @@
-//! The placer's configuration: one JSON file, named by `LB_CONFIG`.
+//! The configuration of the deployment: one JSON file, named by `--config` or `LB_CONFIG`.
 
 use super::codec::feed::{self, FeedMessage};
 use super::codec::lines::number;
@@ -11,56 +11,57 @@
 use task_placer::descriptors::FEWEST_SOCKETS;
 use task_placer::settings::{self, Names};
 
-/// What a placer is told at its start.
+const BYTES_PER_MEGABYTE: usize = 1_048_576;
+/// Descriptors of a process where the configuration states none, as on the deployment's smallest machines.
+const DEFAULT_DESCRIPTORS: f64 = 256.0;
+/// Megabytes of memory of a process where the configuration states none, as on the deployment's smallest machines.
+const DEFAULT_MEMORY_MB: f64 = 32.0;
+
+/// What the deployment states for one placer.
 pub struct Config {
-    /// Its name, for the log.
+    /// The placer's name, for the log.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
-    /// Where operators call, if anywhere.
+    /// Where operators and the platform connect, if anywhere.
     pub admin: Option<SocketAddr>,
-    /// The control feed.
+    /// The service discovery feed.
     pub feed: SocketAddr,
     /// Seed of the random numbers.
     pub seed: u64,
-    /// Settings of the decisions.
+    /// Settings of the decision module.
     pub settings: Settings,
     /// The names that they state.
     pub names: Names,
-    /// The number of the feed's last event at the start.
-    pub known_to: u64,
-    /// The feed's events until then.
-    pub known: Vec<FeedMessage>,
-    /// What the process may hold.
+    /// The sequence number of the feed's last event at the start ("known.n" in the file).
+    pub cached_sequence: u64,
+    /// The feed's events until then ("known.events" in the file).
+    pub cached_updates: Vec<FeedMessage>,
+    /// The limits of the placer.
     pub limits: Limits,
 }
 
 impl Config {
-    /// What `task-placer check` tells of it: fields and values.
+    /// Returns the fields and values in force, as `task-placer check` prints them.
     pub fn in_force(&self) -> Vec<(String, String)> {
-        let up = self
-            .known
-            .iter()
-            .filter_map(|line| line.members.as_ref())
-            .flat_map(|(_, hosts)| hosts);
+        let updates = self.cached_updates.iter();
+        let entries: usize = updates
+            .filter_map(|message| message.update.as_ref())
+            .map(|update| update.endpoints.len())
+            .sum();
         let names = |names: &[String]| names.join(",");
+        let admin = self.admin.map(|admin| admin.to_string());
+        let memory_mb = self.limits.memory_bytes / BYTES_PER_MEGABYTE;
         [
             ("name", self.name.clone()),
             ("listen", self.listen.to_string()),
-            (
-                "admin",
-                self.admin
-                    .map_or_else(|| "none".to_string(), |admin| admin.to_string()),
-            ),
+            ("admin", admin.unwrap_or_else(|| "none".to_string())),
             ("feed", self.feed.to_string()),
             ("seed", format!("{:016x}", self.seed)),
-            ("known.n", self.known_to.to_string()),
-            ("known.entries", up.count().to_string()),
-            ("limits.sockets", self.limits.sockets.to_string()),
-            (
-                "limits.memory_mb",
-                (self.limits.memory / 1_048_576).to_string(),
-            ),
+            ("known.n", self.cached_sequence.to_string()),
+            ("known.entries", entries.to_string()),
+            ("limits.sockets", self.limits.descriptors.to_string()),
+            ("limits.memory_mb", memory_mb.to_string()),
             ("settings.services", names(&self.names.classes)),
             ("settings.realms", names(&self.names.tenants)),
             ("settings.models", names(&self.names.kinds)),
@@ -71,27 +72,26 @@
     }
 }
 
-/// What the process may hold. Without a word on it, what the deployment's smallest machines have.
+/// What the processes of the placer may hold together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Descriptors.
-    pub sockets: usize,
+    /// Descriptors ("sockets" in the file).
+    pub descriptors: usize,
     /// Bytes of memory.
-    pub memory: usize,
+    pub memory_bytes: usize,
 }
 
 impl Limits {
     fn read(value: Option<&BorrowedValue<'_>>) -> Limits {
         let stated = |field: &str| {
-            value
-                .and_then(|v| v.get(field))
-                .and_then(number)
-                .filter(|v| *v >= 1.0)
+            let number = value.and_then(|limits| limits.get(field)).and_then(number);
+            number.filter(|number| *number >= 1.0)
         };
-        let megabytes = stated("memory_mb").unwrap_or(32.0);
+        let descriptors = stated("sockets").unwrap_or(DEFAULT_DESCRIPTORS);
+        let memory_mb = stated("memory_mb").unwrap_or(DEFAULT_MEMORY_MB);
         Limits {
-            sockets: stated("sockets").unwrap_or(256.0) as usize,
-            memory: (megabytes * 1_048_576.0) as usize,
+            descriptors: descriptors as usize,
+            memory_bytes: (memory_mb * BYTES_PER_MEGABYTE as f64) as usize,
         }
     }
 }
@@ -117,6 +117,10 @@
 }
 
 /// Reads the file that `--config` or `LB_CONFIG` names.
+///
+/// # Errors
+///
+/// Fails if the file can't be read, or a field of it is missing or wrong.
 pub fn load(path: Option<&Path>) -> Result<Config, ConfigError> {
     let path = path.ok_or_else(|| error("LB_CONFIG", "names no file, nor does --config"))?;
     let read = std::fs::read(path);
@@ -158,22 +162,22 @@
     let known = value
         .get("known")
         .ok_or_else(|| error("known", "missing"))?;
-    let known_to = known
+    let cached_sequence = known
         .get_u64("n")
         .ok_or_else(|| error("known.n", "missing"))?;
     let limits = Limits::read(value.get("limits"));
-    if limits.sockets < FEWEST_SOCKETS {
+    if limits.descriptors < FEWEST_SOCKETS {
         let what = format!(
             "{}, and {FEWEST_SOCKETS} are the fewest that serve anyone",
-            limits.sockets
+            limits.descriptors
         );
         return Err(error("limits.sockets", what));
     }
     let events = known
         .get_array("events")
         .ok_or_else(|| error("known.events", "missing"))?;
-    let event = |e| feed::event(e, &names).map_err(|e| error("known.events", e));
-    let known = events.iter().map(event).collect::<Result<_, _>>()?;
+    let read_event = |event| feed::read_event(event, &names).map_err(|e| error("known.events", e));
+    let cached_updates = events.iter().map(read_event).collect::<Result<_, _>>()?;
     Ok(Config {
         name: text("name")?.to_string(),
         listen: address("listen")?,
@@ -182,8 +186,8 @@
         seed: u64::from_str_radix(text("seed")?, 16).map_err(|e| error("seed", e))?,
         settings,
         names,
-        known_to,
-        known,
+        cached_sequence,
+        cached_updates,
         limits,
     })
 }
--- a/src/net/conn/tests.rs
+++ b/src/net/conn/tests.rs
@@ -1,45 +1,45 @@
-//! Writing through a bounded queue, and what is read before an end.
+//! Tests of `conn.rs`: writing through a bounded queue, and what is read before the end of a connection.
 
 use super::*;
 use std::net::TcpListener;
 
 /// A connection, and the peer's end of it, which reads nothing.
-fn pair() -> (Conn, TcpStream) {
+fn pair() -> (Connection, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let stream =
         TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
     let (peer, _) = listener.accept().expect("a connection");
-    (Conn::new(Async::new(stream).expect("a socket")), peer)
+    (Connection::new(Async::new(stream).expect("a socket")), peer)
 }
 
 #[test]
-fn a_peer_that_never_reads_is_ended_with_a_reason_and_its_queue_is_bounded() {
+fn peer_that_never_reads_is_closed_with_a_reason_and_its_queue_is_bounded() {
     let (conn, _peer) = pair();
     let mut sent = 0;
-    while !conn.stopping() {
+    while !conn.is_closing() {
         conn.send(0, &[0; 8192]);
         sent += 8192;
         assert!(sent < 1 << 30, "no end");
     }
-    assert_eq!(conn.end.get(), Some(CloseReason::QueueFull));
-    assert!(conn.queue.borrow().len() <= MOST_QUEUED);
+    assert_eq!(conn.close_reason.get(), Some(CloseReason::QueueFull));
+    assert!(conn.queue.borrow().len() <= MAX_QUEUED_BYTES);
 }
 
 #[test]
-fn a_peer_that_takes_nothing_for_too_long_is_ended() {
+fn peer_that_takes_nothing_for_too_long_is_closed() {
     let (conn, _peer) = pair();
-    while conn.flushed() {
+    while conn.is_flushed() {
         conn.send(1_000, &[0; 8192]);
     }
-    conn.end_if_stuck(6_000, 5_000);
-    assert!(!conn.stopping());
-    conn.end_if_stuck(6_001, 5_000);
-    assert_eq!(conn.end.get(), Some(CloseReason::WriteStalled));
+    conn.close_if_write_stalled(6_000, 5_000);
+    assert!(!conn.is_closing());
+    conn.close_if_write_stalled(6_001, 5_000);
+    assert_eq!(conn.close_reason.get(), Some(CloseReason::WriteStalled));
 }
 
-/// What a host said and closed on is heard, also where a write to it fails before that is read.
+/// What a host sent before it closed is read, also where a write to it fails before that.
 #[test]
-fn what_a_peer_said_before_it_closed_is_read_although_a_write_fails_first() {
+fn input_sent_before_a_close_is_read_although_a_write_fails_first() {
     let (conn, mut peer) = pair();
     // Unread input at the peer: its close resets the connection.
     assert!(conn.send(0, b"never read"));
@@ -50,27 +50,27 @@
     });
     let fails = async {
         future::yield_now().await;
-        peer.write_all(&[7; 3 * CHUNK]).expect("it has room");
+        peer.write_all(&[7; 3 * CHUNK_BYTES]).expect("it has room");
         drop(peer);
         while conn.send(0, b"into the void") {}
     };
     let (end, ()) = async_io::block_on(future::zip(run, fails));
-    assert_eq!((end, heard.len()), (CloseReason::Reset, 3 * CHUNK));
+    assert_eq!((end, heard.len()), (CloseReason::Reset, 3 * CHUNK_BYTES));
 }
 
 #[test]
-fn what_has_come_in_and_was_not_read_shows() {
+fn unread_input_is_reported() {
     let (conn, mut peer) = pair();
     assert_eq!(conn.unread(), Unread::Nothing);
     peer.write_all(&[7; 3]).expect("it has room");
     assert_eq!(
-        (conn.unread(), conn.unread().whole()),
+        (conn.unread(), conn.unread().fits_next_read()),
         (Unread::Bytes(3), true)
     );
-    peer.write_all(&[7; CHUNK]).expect("it has room");
+    peer.write_all(&[7; CHUNK_BYTES]).expect("it has room");
     assert_eq!(
-        (conn.unread(), conn.unread().whole()),
-        (Unread::Bytes(CHUNK), false)
+        (conn.unread(), conn.unread().fits_next_read()),
+        (Unread::Bytes(CHUNK_BYTES), false)
     );
     let (conn, peer) = pair();
     drop(peer);
--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -1,14 +1,17 @@
-//! The socket for orders: a Unix socket that only its client may use.
+//! Owns the control socket: a Unix socket that only its owner may use. A connection sends any number of commands, one a
+//! line, and gets a reply to each. What a command does is up to dispatch.
 
-use super::clients::AcceptFailed;
+use super::clients::accept::pause_after_accept_error;
+use super::codec;
 use super::dispatch::Shared;
 use super::health::gate::{Gate, Place};
-use crate::ctl;
+use crate::ctl::{self, CommandError};
 use async_executor::LocalExecutor;
 use async_io::Async;
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
 use rustix::fs::Mode;
 use rustix::process::umask;
+use std::fmt;
 use std::io;
 use std::os::unix::net::{UnixListener, UnixStream};
 use std::path::Path;
@@ -16,31 +19,54 @@
 use task_placer::Micros;
 use tracing::info;
 
-/// Connections at a time, and how long one may take for an order.
-const MOST: usize = 4;
-const PATIENCE: Micros = 5_000_000;
+/// Connections at a time.
+const MAX_CONNECTIONS: usize = 4;
+/// How long a connection may take for a command.
+const COMMAND_TIMEOUT: Micros = 5_000_000;
+/// Bytes that one read takes at most.
+const READ_BUFFER_BYTES: usize = 1_024;
+/// The mode bits that a new socket does not get: all but reading and writing by its owner.
+const OWNER_ONLY_UMASK: u32 = 0o177;
 
-/// Opens the socket. One that a dead process left is replaced; one that answers is another placer's.
+/// Why a connection ended, as the log names it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum EndReason {
+    /// The peer closed it.
+    Closed,
+    /// The socket failed.
+    Failed,
+    /// It sent a line longer than any command.
+    TooLong,
+    /// It took too long, or its descriptor is needed for another.
+    Late,
+}
+
+impl fmt::Display for EndReason {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.write_str(match self {
+            EndReason::Closed => "closed",
+            EndReason::Failed => "failed",
+            EndReason::TooLong => "too-long",
+            EndReason::Late => "late",
+        })
+    }
+}
+
+/// Opens the socket, and serves it for the life of the process.
+///
+/// # Errors
+///
+/// Fails if another process answers at the path, or nothing can listen there.
 pub fn open(
     path: &Path,
     executor: &Rc<LocalExecutor<'static>>,
     shared: &Shared,
 ) -> io::Result<Rc<Gate>> {
-    let named =
+    let with_path =
         |e: io::Error| io::Error::new(e.kind(), format!("ctl.socket: {}: {e}", path.display()));
-    if path.exists() {
-        if UnixStream::connect(path).is_ok() {
-            let taken = io::Error::new(io::ErrorKind::AddrInUse, "another process answers there");
-            return Err(named(taken));
-        }
-        std::fs::remove_file(path).map_err(named)?;
-    }
-    // From its first moment on nobody else may use it.
-    let before = umask(Mode::from_raw_mode(0o177));
-    let bound = Async::<UnixListener>::bind(path);
-    umask(before);
-    let listener = bound.map_err(named)?;
-    let gate = Rc::new(Gate::new(MOST));
+    remove_stale_socket(path).map_err(with_path)?;
+    let listener = bind_for_owner(path).map_err(with_path)?;
+    let gate = Rc::new(Gate::new(MAX_CONNECTIONS));
     executor
         .spawn(accept(listener, gate.clone(), shared.clone()))
         .detach();
@@ -48,61 +74,81 @@
     Ok(gate)
 }
 
+/// Removes the socket that a dead process left. One that answers is another placer's.
+fn remove_stale_socket(path: &Path) -> io::Result<()> {
+    if !path.exists() {
+        return Ok(());
+    }
+    if UnixStream::connect(path).is_ok() {
+        let reason = "another process answers there";
+        return Err(io::Error::new(io::ErrorKind::AddrInUse, reason));
+    }
+    std::fs::remove_file(path)
+}
+
+/// Binds the socket so that from its first moment on nobody but its owner may use it.
+fn bind_for_owner(path: &Path) -> io::Result<Async<UnixListener>> {
+    let before = umask(Mode::from_raw_mode(OWNER_ONLY_UMASK));
+    let bound = Async::<UnixListener>::bind(path);
+    umask(before);
+    bound
+}
+
 async fn accept(listener: Async<UnixListener>, gate: Rc<Gate>, shared: Shared) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let dispatch = shared.borrow();
-                let place = gate.enter(dispatch.clock.now() + PATIENCE);
+                let place = gate.enter(dispatch.clock.now() + COMMAND_TIMEOUT);
                 dispatch
                     .tasks
                     .spawn(serve(stream, place, gate.clone(), shared.clone()));
             }
-            Err(e) => AcceptFailed::pause(&shared, &e).await,
+            Err(e) => pause_after_accept_error(&shared, &e).await,
         }
         future::yield_now().await;
     }
 }
 
+/// Serves one connection until it ends or is evicted.
 async fn serve(stream: Async<UnixStream>, place: Place, gate: Rc<Gate>, shared: Shared) {
-    let away = async {
+    let evicted = async {
         place.away().await;
-        "late"
+        EndReason::Late
     };
-    let reason = future::or(orders(&stream, &place, &gate, &shared), away).await;
+    let served = serve_commands(&stream, &place, &gate, &shared);
+    let reason = future::or(served, evicted).await;
     gate.leave(&place);
-    info!(reason, "ctl connection ended");
+    info!(%reason, "ctl connection ended");
 }
 
-async fn orders(
+/// Reads commands, runs them, and writes their replies until the connection ends.
+async fn serve_commands(
     mut stream: &Async<UnixStream>,
     place: &Place,
     gate: &Gate,
     shared: &Shared,
-) -> &'static str {
-    let (mut inbox, mut scratch) = (Vec::new(), [0; 1_024]);
+) -> EndReason {
+    let (mut inbox, mut buffer) = (Vec::new(), [0; READ_BUFFER_BYTES]);
     loop {
-        let line = match super::codec::next_line(&mut inbox, ctl::MOST_ORDER) {
-            Ok(line) => line,
-            Err(_) => {
-                let _ = stream
-                    .write_all(&ctl::answer(Err("longer than any order".into())))
-                    .await;
-                return "too-long";
-            }
+        let Ok(line) = codec::next_line(&mut inbox, ctl::MAX_COMMAND_BYTES) else {
+            let reply = ctl::encode_reply(Err(CommandError::TooLong));
+            let _ = stream.write_all(&reply).await;
+            return EndReason::TooLong;
         };
         let Some(mut line) = line else {
-            match stream.read(&mut scratch).await {
-                Ok(0) => return "closed",
-                Ok(n) => inbox.extend_from_slice(scratch.get(..n).unwrap_or_default()),
-                Err(_) => return "failed",
+            match stream.read(&mut buffer).await {
+                Ok(0) => return EndReason::Closed,
+                Ok(count) => inbox.extend_from_slice(buffer.get(..count).unwrap_or_default()),
+                Err(_) => return EndReason::Failed,
             }
             continue;
         };
-        let found = ctl::read(&mut line).and_then(|order| shared.borrow_mut().run_order(order));
-        if stream.write_all(&ctl::answer(found)).await.is_err() {
-            return "failed";
+        let command = ctl::parse(&mut line);
+        let result = command.and_then(|command| shared.borrow_mut().run_ctl_command(command));
+        if stream.write_all(&ctl::encode_reply(result)).await.is_err() {
+            return EndReason::Failed;
         }
-        gate.stay(place, shared.borrow().clock.now() + PATIENCE);
+        gate.stay(place, shared.borrow().clock.now() + COMMAND_TIMEOUT);
     }
 }
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -1,20 +1,23 @@
-//! Owns one state per request: who is owed what. Everything that happens on a socket or the wheel ends here, is told to
-//! the facade, and comes back as decisions. It never waits, and never decides where a task goes.
+//! Owns the requests and the state of each of them, and connects the sockets and timers with the decision module. It
+//! never waits, and never decides where a task is placed.
 //!
-//! This is the only place that sends a final answer, and of its modules only `answers` does.
+//! Whatever happens on a socket or fires on the wheel arrives here, is reported to the facade, and comes back as
+//! decisions. This is the only place that sends final responses, and of its modules only `responses` does.
 //!
 //! ```text
-//!    client_messages ──┐                            apply_decisions
-//!    host_messages ────┤  tell   ┌──────────┐ ─────────────────▶ offers, answers, standing
-//!    feed_messages ────┼───────▶ │ decisions │                       │
-//!    links ────────────┤         └──────────┘                       │ through links (connections to hosts),
-//!    timers ───────────┘           │      ▲                         │ of which slots says how many there may be,
-//!                             event ▼      │ decisions                ▼ and clients
-//!                                 facade::Facade                   peers
+//!    client_messages ──────┐                               apply_decisions
+//!    host_messages ────────┤ report_event ┌───────────┐ ──────────────────▶ attempts, responses, running_tasks
+//!    discovery, endpoint_  │              │ decisions │                                  │
+//!      updates ────────────┼────────────▶ └───────────┘                                  │ host_connections (within the
+//!    host_connections ─────┤                │       ▲                                    │ slots of connection_slots),
+//!    timers ───────────────┘          event ▼       │ decisions                          ▼ clients
+//!                                       facade::Facade                                  peers
 //! ```
 //!
-//! `requests` holds the states and draws them, `at_hosts` lists them by host. `shutdown`, `operating`, `watching` and
-//! `bounds` are what the platform and operators see of the process.
+//! `request` and `timer_event` hold the data; `requests` owns the table and draws the states; `request_index` lists
+//! requests by host. `shutdown`, `admin_commands`, `health_inputs` and `overload_report` are what the platform and
+//! operators see of the process. The connection modules (`clients`, `hosts`, `feed`) know nothing of dispatch: it
+//! implements their event traits.
 
 mod admin_commands;
 mod attempts;
@@ -22,16 +25,20 @@
 mod connection_slots;
 mod decisions;
 mod discovery;
+mod endpoint_updates;
 mod health_inputs;
 mod host_connections;
 mod host_messages;
 mod invalid_task_request;
+mod overload_log;
 mod overload_report;
+mod request;
 mod request_index;
 mod requests;
 mod responses;
 mod running_tasks;
 mod shutdown;
+mod timer_event;
 mod timers;
 
 use super::clients::Clients;
@@ -40,14 +47,16 @@
 use super::codec::feed::FeedMessage;
 use super::config::{Config, Limits};
 use super::conn;
+use super::feed::FeedEvents;
 use super::health::gate::Gate;
 use super::health::watch::Watch;
 use super::hosts::{ConnectionId, HostLink};
 use super::wheel::Wheel;
 use crate::operator::Operator;
 use async_executor::LocalExecutor;
+use overload_log::OverloadLog;
+use request::{EndedTask, Request};
 use request_index::RequestIndex;
-use requests::{Ended, Request};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::{Rc, Weak};
@@ -56,34 +65,37 @@
 use task_placer::operation::company::Company;
 use task_placer::operation::duty::Duty;
 use task_placer::operation::tally::Tally;
-use task_placer::settings::Names;
-use task_placer::{HostId, Micros};
-use timers::{SWEEP, TimerEvent};
+use task_placer::{HostId, Micros, Settings};
+use timer_event::{SWEEP_INTERVAL, TimerEvent};
 use tracing::info;
 
-const MILLI: Micros = 1_000;
-/// Operators' callers at a time. Guards the descriptors, which are set apart from the clients' and the hosts'; one
-/// that has said half a line makes room for the next.
+const MILLISECOND: Micros = 1_000;
+/// Admin connections at a time. Bounds their descriptors, which are set apart from the clients' and the hosts'; one that
+/// has sent part of a line is evicted for the next.
 pub const MAX_ADMIN_CONNECTIONS: usize = 8;
-/// The part of the memory that queues may fill.
-const QUEUES: usize = 6;
+/// Descriptors of health check connections that are closing while others take their places.
+const CLOSING_HEALTH_CONNECTIONS: usize = 4;
+/// Descriptors of the control socket: its listener, its connections, and one that is closing.
+const CTL_DESCRIPTORS: usize = 6;
+/// Write queues may fill one part in this many of the memory.
+const QUEUE_MEMORY_DIVISOR: usize = 6;
 
-/// The shared dispatch.
+/// The dispatch, as its tasks share it.
 pub type Shared = Rc<RefCell<Dispatch>>;
 
-/// Starts tasks that share the dispatch.
+/// Spawns tasks that share the dispatch.
 pub struct Tasks {
     shared: Weak<RefCell<Dispatch>>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
 impl Tasks {
-    /// Tasks of this executor.
+    /// Creates a spawner of tasks on this executor.
     pub fn new(shared: Weak<RefCell<Dispatch>>, executor: Rc<LocalExecutor<'static>>) -> Tasks {
         Tasks { shared, executor }
     }
 
-    /// Starts one.
+    /// Spawns a task, which runs until it ends by itself.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
@@ -94,89 +106,70 @@
     pub(super) clock: Clock,
     pub(super) tasks: Tasks,
     pub(super) clients: Clients,
+    /// The placer's name, for the log.
     name: String,
     facade: Facade,
     wheel: Wheel<TimerEvent>,
     hosts: BTreeMap<HostId, HostLink>,
-    /// Hosts that have not taken what is queued for them, while offers wait behind it.
+    /// Hosts that have not taken what is queued for them, while attempts wait behind it.
     backlogged_hosts: BTreeSet<HostId>,
-    /// Hosts that are not gone.
+    /// The number of hosts that have not been removed.
     active_hosts: usize,
-    /// Which of them have a connection.
+    /// Decides which hosts have a connection.
     connection_pool: Pool<HostId, (HostId, ConnectionId)>,
-    /// The requests by the host that they are at.
     request_index: RequestIndex,
     requests: BTreeMap<Ticket, Request>,
     tickets_by_task: BTreeMap<TaskId, Ticket>,
-    ended_tasks: BTreeMap<TaskId, Ended>,
+    ended_tasks: BTreeMap<TaskId, EndedTask>,
     next_ticket: u64,
     connect_timeout: Micros,
-    /// Hosts are called before anything is wanted of them: where connections have no price.
+    /// Hosts are connected to before anything is needed of them: where connections have no price.
     preconnects: bool,
+    /// The feed messages that the configuration holds, until [`Dispatch::start`] takes them.
     cached_updates: Vec<FeedMessage>,
     is_discovery_up: bool,
-    /// When the process began to close.
+    /// When the shutdown began.
     shutdown_since: Option<Micros>,
-    /// What balancers are told, where an operator's file asks for it.
+    /// The health engine, where an operator's file asks for it.
     pub(super) watch: Option<Watch>,
-    /// The connections of balancers.
+    /// The connections of load balancers.
     pub(super) gate: Rc<Gate>,
-    /// And of operators.
+    /// The connections of operators and of the platform.
     pub(super) orders: Vec<Rc<Gate>>,
-    /// A drain is over.
+    /// A drain is over, and the process may exit.
     is_drained: bool,
-    /// Whether this process takes requests, by the platform's orders.
+    /// Whether this process takes requests, by the platform's commands.
     lifecycle: Duty,
-    /// What it has done.
+    /// What this process has done, by class.
     pub(super) counters: Tally,
-    /// What the placer may hold, and which other processes of it there are.
+    /// The limits of the placer, which its processes share.
     limits: Limits,
     process_group: Company,
     /// The listening socket is the platform's, and other processes of this placer accept from it.
     pub(super) shares_listener: bool,
-    /// Balancers' drain, or maintenance, wants connections closed that carry no task.
+    /// A load balancers' drain, or maintenance, requires connections without a task to be closed.
     closes_idle_clients: bool,
     /// Clients can connect.
     pub(super) is_listening: bool,
-    /// What of the engine of overloads was logged.
-    overload_log: overload_report::OverloadLog,
+    overload_log: OverloadLog,
 }
 
 impl Dispatch {
-    /// A dispatch that has yet to take in what the configuration knows.
+    /// Creates a dispatch; [`Dispatch::start`] takes in the cached endpoint list.
     pub fn new(config: Config, operator: &Operator, tasks: Tasks) -> Dispatch {
         let clock = Clock::default();
         let now = clock.now();
-        let connect_timeout = config.settings.connect_timeout;
-        let preconnects = config.settings.price_handshake <= 0.0;
-        let watch = operator.watches().then(|| Watch::new(operator, now));
-        // The listeners, their connections, and those that are on their way out.
-        let listeners = operator.health.agent.len() + operator.health.http.len();
-        let polls = if operator.health.listens() {
-            operator.health.connections + 4
-        } else {
-            0
-        };
-        let calls = if config.admin.is_some() {
-            MAX_ADMIN_CONNECTIONS + 1
-        } else {
-            0
-        };
-        let apart = listeners + polls + calls + if operator.ctl.is_some() { 6 } else { 0 };
-        // What a cold host was sent is looked back on for that time, and counted by clocks that differ.
-        let process_group = Company::new(
-            2 * config
-                .settings
-                .collapse_window
-                .max(config.settings.connect_timeout),
-        );
-        let counters = Tally::new(config.names.classes.len());
-        conn::bound_queues(config.limits.memory / QUEUES);
+        let reserved = reserved_descriptors(&config, operator);
+        let accounting_window = slow_start_accounting_window(&config.settings);
+        conn::set_max_queued_bytes(config.limits.memory_bytes / QUEUE_MEMORY_DIVISOR);
         Dispatch {
             clock,
             tasks,
-            clients: Clients::new(config.limits.sockets, apart),
+            clients: Clients::new(config.limits.descriptors, reserved),
             name: config.name,
+            connect_timeout: config.settings.connect_timeout,
+            preconnects: config.settings.price_handshake <= 0.0,
+            counters: Tally::new(config.names.classes.len()),
             facade: Facade::with_overload_control(
                 config.settings,
                 config.names,
@@ -195,45 +188,41 @@
             tickets_by_task: BTreeMap::new(),
             ended_tasks: BTreeMap::new(),
             next_ticket: 0,
-            connect_timeout,
-            preconnects,
-            cached_updates: config.known,
+            cached_updates: config.cached_updates,
             is_discovery_up: false,
             shutdown_since: None,
-            watch,
+            watch: operator.watches().then(|| Watch::new(operator, now)),
             gate: Rc::new(Gate::new(operator.health.connections)),
             orders: Vec::new(),
+            is_drained: false,
             lifecycle: Duty::default(),
-            counters,
             limits: config.limits,
-            process_group,
+            process_group: Company::new(accounting_window),
             shares_listener: false,
             closes_idle_clients: false,
             is_listening: false,
-            is_drained: false,
-            overload_log: overload_report::OverloadLog::default(),
+            overload_log: OverloadLog::default(),
         }
     }
 
-    /// Takes in the events that the configuration holds.
+    /// Starts the sweep, and takes in the endpoint list that the configuration holds.
     pub fn start(&mut self) {
         let now = self.clock.now();
-        self.wheel.add(now + SWEEP, TimerEvent::Sweep);
-        for (i, event) in std::mem::take(&mut self.cached_updates)
-            .into_iter()
-            .enumerate()
-        {
-            self.log_rejected_endpoints(&event.aside);
-            let Some((whole, hosts)) = event.members else {
+        self.wheel.add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
+        let cached_updates = std::mem::take(&mut self.cached_updates);
+        for (index, message) in cached_updates.into_iter().enumerate() {
+            self.endpoints_rejected(&message.rejected);
+            let Some(update) = message.update else {
                 continue;
             };
-            let (entries, _) = self.apply_endpoint_update(now, whole, hosts);
-            let event = if i == 0 {
-                PlacementEvent::EndpointsCached(entries)
+            let is_complete = update.is_complete;
+            let endpoints = self.apply_endpoint_update(now, update).endpoints;
+            let event = if index == 0 {
+                PlacementEvent::EndpointsCached(endpoints)
             } else {
                 PlacementEvent::EndpointsChanged {
-                    is_complete: whole,
-                    endpoints: entries,
+                    is_complete,
+                    endpoints,
                 }
             };
             self.report_event(now, event);
@@ -246,17 +235,40 @@
         );
     }
 
-    /// Takes over what the process may hold.
-    pub fn limit(&mut self, limits: Limits) {
+    /// Applies the limits of the placer, of which this process has a share beside the other processes.
+    pub fn apply_limits(&mut self, limits: Limits) {
         self.limits = limits;
         let processes = 1 + self.process_group.others() as usize;
-        self.clients.limit(limits.sockets / processes);
+        self.clients
+            .set_descriptor_limit(limits.descriptors / processes);
         self.split_descriptors();
-        conn::bound_queues(limits.memory / QUEUES / processes);
+        conn::set_max_queued_bytes(limits.memory_bytes / QUEUE_MEMORY_DIVISOR / processes);
     }
+}
 
-    /// The names that the settings state.
-    pub fn names(&self) -> &Names {
-        self.facade.names()
-    }
+/// Returns how many descriptors are set apart for load balancers, operators and the platform.
+fn reserved_descriptors(config: &Config, operator: &Operator) -> usize {
+    let health = &operator.health;
+    let health_listeners = health.agent.len() + health.http.len();
+    let health_connections = if health.listens() {
+        health.connections + CLOSING_HEALTH_CONNECTIONS
+    } else {
+        0
+    };
+    let admin = if config.admin.is_some() {
+        MAX_ADMIN_CONNECTIONS + 1
+    } else {
+        0
+    };
+    let ctl = if operator.ctl.is_some() {
+        CTL_DESCRIPTORS
+    } else {
+        0
+    };
+    health_listeners + health_connections + admin + ctl
+}
+
+/// Returns how long an attempt counts against the slow-start budget. It is counted by clocks that differ, hence twice.
+fn slow_start_accounting_window(settings: &Settings) -> Micros {
+    2 * settings.collapse_window.max(settings.connect_timeout)
 }
--- a/src/net/dispatch/attempts.rs
+++ b/src/net/dispatch/attempts.rs
@@ -1,11 +1,12 @@
-//! Owns the attempts: an offer from the moment it is decided until the attempt has ended. Every offer leaves by
-//! `send_pending_attempts`, which makes sure that its client is still there; two attempts of one request are never out at once,
-//! since `abandon_attempt` writes to the old host before the module hears of it. It never chooses a host, and never answers a
-//! client.
+//! Owns the attempts, from the moment that one is decided until it has ended. Every attempt is sent by
+//! `send_pending_attempts`, which makes sure that its client is still there. Two attempts of one request are never in
+//! flight at once: `abandon_attempt` writes to the old host before the decision module hears of it. It never chooses a
+//! host, and never sends a response to a client.
 
-use super::requests::RequestState;
-use super::timers::TimerEvent;
-use super::{Dispatch, MILLI};
+use super::connection_slots::ConnectionUse;
+use super::request::RequestState;
+use super::timer_event::TimerEvent;
+use super::{Dispatch, MILLISECOND};
 use crate::net::clients::ClientPresence;
 use crate::net::codec::{TaskId, TaskRequest, cause, lines};
 use crate::net::conn::{CloseReason, Unread};
@@ -14,12 +15,22 @@
 use task_placer::health::Event;
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
-/// How long an offer may be out on a connection on which nothing is heard.
-const SILENCE_TIMEOUT: Micros = 1_000 * MILLI;
+/// How long an attempt may be in flight on a connection on which nothing arrives.
+const SILENCE_TIMEOUT: Micros = 1_000 * MILLISECOND;
+
+/// What became of a pending attempt that was considered for sending.
+enum SendResult {
+    /// It has been sent, or has ended already.
+    Done,
+    /// It stays pending.
+    Pending(PendingAttempt),
+    /// Its client has gone.
+    ClientGone,
+}
 
 impl Dispatch {
-    /// Sends an offer, or lets it wait: for the connection, which may itself wait for a descriptor, for what is
-    /// queued on it, or for what its client says.
+    /// Starts an attempt: sends it, or keeps it pending for the connection, which may itself wait for a descriptor, for
+    /// what is queued on it, or for unread input of its client.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -30,53 +41,45 @@
         let request = self.requests.get_mut(&ticket)?;
         let attempt = request.attempts;
         request.attempts += 1;
-        let until = now.saturating_add(timeout);
-        self.set_request_state(
-            ticket,
-            RequestState::InFlight {
-                attempt,
-                host: host.clone(),
-                since: now,
-                until,
-                connection_id: None,
-            },
-        );
+        let deadline = now.saturating_add(timeout);
+        let state = RequestState::InFlight {
+            attempt,
+            host: host.clone(),
+            since: now,
+            deadline,
+            sent_on: None,
+        };
+        self.set_request_state(ticket, state);
         self.wheel
-            .add(until, TimerEvent::AttemptTimeout(ticket, attempt));
-        let link = self
-            .hosts
-            .get_mut(&host)
-            .filter(|link| link.address.is_some());
-        let Some(link) = link else {
+            .add(deadline, TimerEvent::AttemptTimeout(ticket, attempt));
+        let link = self.hosts.get_mut(&host);
+        let Some(link) = link.filter(|link| link.address.is_some()) else {
             return self.end_attempt(now, ticket, Outcome::NotSent, OutcomeDetail::Unknown);
         };
         link.pending_attempts.push(PendingAttempt {
             ticket,
             attempt,
-            mark: None,
+            read_mark: None,
         });
         match link.connection {
             ConnectionState::Connected(_) => self.send_pending_attempts(now, &host),
             ConnectionState::Connecting(_) => {}
             ConnectionState::Disconnected => self.request_connection(now, &host),
         }
-        if self
-            .requests
-            .get(&ticket)
-            .is_some_and(|request| request.state.unsent())
-        {
-            self.wheel.add(
-                now + self.connect_timeout,
-                TimerEvent::UnsentTimeout(ticket, attempt),
-            );
+        let request = self.requests.get(&ticket);
+        if request.is_some_and(|request| request.state.is_unsent()) {
+            let timer = TimerEvent::UnsentTimeout(ticket, attempt);
+            self.wheel.add(now + self.connect_timeout, timer);
         }
         None
     }
 
-    /// Sends the offers that wait for a connection which is now up. Guards against a connection that dies
-    /// under the write, or that its host has closed: an offer of which nothing has left waits for the next one.
-    /// Guards also against an attempt that begins when its client has gone: nothing is queued behind what the
-    /// host has not taken, where it can't be taken back, and each client is looked at before its offer leaves.
+    /// Sends the attempts that wait for a connection which is now up.
+    ///
+    /// Guards against a connection that dies under the write, or that its host has closed: an attempt of which nothing
+    /// has been sent waits for the next one. Guards also against an attempt that begins when its client has gone:
+    /// nothing is queued behind what the host has not taken, where it can't be taken back, and each client is looked at
+    /// before its attempt is sent.
     pub(super) fn send_pending_attempts(&mut self, now: Micros, host: &HostId) {
         let Some(link) = self.hosts.get_mut(host) else {
             return;
@@ -85,71 +88,90 @@
             return;
         };
         if conn.unread() == Unread::EndOfStream {
-            return conn.stop(CloseReason::Closed);
+            return conn.close(CloseReason::Closed);
         }
-        let mut left = Vec::new();
-        for PendingAttempt {
-            ticket,
-            attempt,
-            mark,
-        } in std::mem::take(&mut link.pending_attempts)
-        {
-            let Some(request) = self.requests.get_mut(&ticket) else {
-                continue;
-            };
-            let RequestState::InFlight {
-                attempt: n,
-                connection_id: sent_on @ None,
-                until,
-                ..
-            } = &mut request.state
-            else {
-                continue;
-            };
-            let (true, Some(task_request), Some(client)) =
-                (*n == attempt, &request.task_request, request.client)
-            else {
-                continue;
-            };
-            let mark = match self.clients.presence(client, mark, host) {
-                ClientPresence::Gone => {
-                    left.push(ticket);
-                    continue;
-                }
-                ClientPresence::UnreadInput(mark) => mark,
-                ClientPresence::Present if !conn.flushed() => {
-                    self.backlogged_hosts.insert(host.clone());
-                    None
-                }
-                ClientPresence::Present => {
-                    let Some(line) = attempt_line(request.id, task_request, *until - now) else {
-                        continue;
-                    };
-                    if conn.send(now, &line) {
-                        self.counters.offered(request.class);
-                        *sent_on = Some(link.connection_id);
-                        self.wheel.add(
-                            now + SILENCE_TIMEOUT,
-                            TimerEvent::SilenceCheck(ticket, attempt),
-                        );
-                        continue;
+        let mut without_client = Vec::new();
+        for pending in std::mem::take(&mut link.pending_attempts) {
+            let ticket = pending.ticket;
+            match self.send_pending_attempt(now, host, pending) {
+                SendResult::Done => {}
+                SendResult::Pending(pending) => {
+                    if let Some(link) = self.hosts.get_mut(host) {
+                        link.pending_attempts.push(pending);
                     }
-                    None
                 }
-            };
-            link.pending_attempts.push(PendingAttempt {
-                ticket,
-                attempt,
-                mark,
-            });
+                SendResult::ClientGone => without_client.push(ticket),
+            }
         }
-        self.update_ranks(now, host, true);
-        for ticket in left {
+        self.update_priorities(now, host, ConnectionUse::JustUsed);
+        for ticket in without_client {
             self.cancel_request(now, ticket);
         }
     }
 
-    /// An attempt that is out has ended: the request is the module's again.
+    /// Sends one attempt to a host whose connection is up, if its client is there and the connection takes it at once.
+    fn send_pending_attempt(
+        &mut self,
+        now: Micros,
+        host: &HostId,
+        pending: PendingAttempt,
+    ) -> SendResult {
+        let Some(link) = self.hosts.get(host) else {
+            return SendResult::Done;
+        };
+        let ConnectionState::Connected(conn) = &link.connection else {
+            return SendResult::Pending(pending);
+        };
+        let Some(request) = self.requests.get_mut(&pending.ticket) else {
+            return SendResult::Done;
+        };
+        let RequestState::InFlight {
+            attempt,
+            sent_on: sent_on @ None,
+            deadline,
+            ..
+        } = &mut request.state
+        else {
+            return SendResult::Done;
+        };
+        let (true, Some(message), Some(client)) = (
+            *attempt == pending.attempt,
+            &request.message,
+            request.client,
+        ) else {
+            return SendResult::Done;
+        };
+        let still_pending = |read_mark| {
+            SendResult::Pending(PendingAttempt {
+                read_mark,
+                ..pending
+            })
+        };
+        match self.clients.presence(client, pending.read_mark, host) {
+            ClientPresence::Gone => SendResult::ClientGone,
+            ClientPresence::UnreadInput(read_mark) => still_pending(read_mark),
+            ClientPresence::Present if !conn.is_flushed() => {
+                self.backlogged_hosts.insert(host.clone());
+                still_pending(None)
+            }
+            ClientPresence::Present => {
+                let Some(line) = attempt_line(request.id, message, *deadline - now) else {
+                    return SendResult::Done;
+                };
+                if !conn.send(now, &line) {
+                    return still_pending(None);
+                }
+                self.counters.offered(request.class);
+                *sent_on = Some(link.connection_id);
+                let timer = TimerEvent::SilenceCheck(pending.ticket, pending.attempt);
+                self.wheel.add(now + SILENCE_TIMEOUT, timer);
+                SendResult::Done
+            }
+        }
+    }
+
+    /// Ends the attempt that is in flight: the request is queued again at the decision module, and the returned event
+    /// is to be reported to it.
     pub(super) fn end_attempt(
         &mut self,
         now: Micros,
@@ -168,20 +190,17 @@
             return None;
         };
         let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
-        let aim = request.aim;
+        let stretch = elapsed as f64 / request.latency_objective as f64;
         self.set_request_state(ticket, RequestState::Queued);
-        self.update_ranks(now, &host, false);
-        let stretch = elapsed as f64 / aim as f64;
-        // What its client gave up tells nothing of the host.
+        self.update_priorities(now, &host, ConnectionUse::Unchanged);
+        // What its client cancelled says nothing about the host.
         if outcome != Outcome::Cancelled {
-            self.record_health_event(
-                now,
-                Event::Offer {
-                    outcome,
-                    detail,
-                    stretch,
-                },
-            );
+            let event = Event::Offer {
+                outcome,
+                detail,
+                stretch,
+            };
+            self.record_health_event(now, event);
         }
         Some(PlacementEvent::AttemptEnded {
             ticket,
@@ -193,75 +212,75 @@
         })
     }
 
-    /// Stops waiting for an attempt and tells its host so: two attempts are never out at once.
+    /// Ends the attempt that is in flight, or only the one of this number, and releases it at its host first: two
+    /// attempts are never in flight at once.
     pub(super) fn abandon_attempt(
         &mut self,
         now: Micros,
         ticket: Ticket,
         only: Option<u32>,
-        why: Outcome,
+        outcome: Outcome,
     ) -> Option<PlacementEvent> {
         let request = self.requests.get(&ticket)?;
         let RequestState::InFlight {
             attempt,
             host,
-            connection_id,
+            sent_on,
             ..
         } = &request.state
         else {
             return None;
         };
-        if only.is_some_and(|n| n != *attempt) {
+        if only.is_some_and(|number| number != *attempt) {
             return None;
         }
         let link = self.hosts.get(host);
-        if let Some(conn) = connection_id
-            .and_then(|connection_id| link.and_then(|link| link.open_connection(connection_id)))
-        {
+        if let Some(conn) = sent_on.and_then(|id| link.and_then(|link| link.open_connection(id))) {
             conn.send(now, &lines::release(request.id, cause::NORMAL));
         }
-        // What has not left its queue never ran.
-        let why = if connection_id.is_none() && why == Outcome::Timeout {
+        // What has not been sent never ran.
+        let outcome = if sent_on.is_none() && outcome == Outcome::Timeout {
             Outcome::ConnectFailed
         } else {
-            why
+            outcome
         };
-        self.end_attempt(now, ticket, why, OutcomeDetail::Unknown)
+        self.end_attempt(now, ticket, outcome, OutcomeDetail::Unknown)
     }
 
-    /// Nothing of an offer has left for as long as a connection may take to come up: it never ran. A host that
-    /// takes nothing of what is queued for it is as good as out of reach. Where the host was not even called, for
-    /// want of a slot, or its client was not read, nothing is held against the host. Guards what is counted as
-    /// sent when it is decided (the budget of cold hosts, the time in which a repeat is dropped, the grace of a
-    /// drain) against offers that leave much later.
+    /// Ends an attempt of which nothing has been sent for as long as a connection may take to come up: it never ran.
+    ///
+    /// A host that takes nothing of what is queued for it is as good as unreachable. Where the host was not even
+    /// called, for want of a connection slot, or its client was not read, nothing is held against the host. Guards what
+    /// is counted as sent when it is decided (the slow-start budget, the time in which a retry is dropped, the grace
+    /// period of a drain) against attempts that are sent much later.
     pub(super) fn end_unsent_attempt(&mut self, now: Micros, ticket: Ticket, attempt: u32) {
         let Some(RequestState::InFlight {
-            attempt: n,
+            attempt: current,
             host,
             since,
-            connection_id: None,
+            sent_on: None,
             ..
-        }) = self.requests.get(&ticket).map(|r| &r.state)
+        }) = self.requests.get(&ticket).map(|request| &request.state)
         else {
             return;
         };
         let (host, since) = (host.clone(), *since);
-        if *n != attempt {
+        if *current != attempt {
             return;
         }
         let Some(link) = self.hosts.get_mut(&host) else {
             return;
         };
         let outcome = match &link.connection {
-            // What becomes of a call that has had its whole time is told by its end.
+            // The end of a connect that has had its whole time decides on the attempt.
             ConnectionState::Connecting(_) if link.last_connect_at <= since => return,
-            ConnectionState::Connected(conn) if !conn.flushed() => Outcome::ConnectFailed,
+            ConnectionState::Connected(conn) if !conn.is_flushed() => Outcome::ConnectFailed,
             ConnectionState::Connected(_)
             | ConnectionState::Connecting(_)
             | ConnectionState::Disconnected => Outcome::NotSent,
         };
         link.pending_attempts
-            .retain(|offer| (offer.ticket, offer.attempt) != (ticket, attempt));
+            .retain(|pending| (pending.ticket, pending.attempt) != (ticket, attempt));
         if self.connection_need(&host).is_none() {
             self.connection_pool.forget(&host);
         }
@@ -269,46 +288,41 @@
             self.suspect_host(now, &host);
         }
         let event = self.end_attempt(now, ticket, outcome, OutcomeDetail::Unknown);
-        event
-            .into_iter()
-            .for_each(|event| self.report_event(now, event));
+        self.report_optional_event(now, event);
     }
 
-    /// Offers that waited for a connection in vain.
+    /// Ends attempts that waited for a connection in vain.
     pub(super) fn end_pending_attempts(
         &mut self,
         now: Micros,
-        waiting: Vec<PendingAttempt>,
+        pending_attempts: Vec<PendingAttempt>,
         outcome: Outcome,
     ) {
-        for PendingAttempt {
-            ticket, attempt, ..
-        } in waiting
-        {
-            let request = self.requests.get(&ticket);
-            if request.is_some_and(
-                |r| matches!(r.state, RequestState::InFlight { attempt: n, .. } if n == attempt),
-            ) {
-                let event = self.end_attempt(now, ticket, outcome, OutcomeDetail::Unknown);
-                event
-                    .into_iter()
-                    .for_each(|event| self.report_event(now, event));
+        for pending in pending_attempts {
+            let request = self.requests.get(&pending.ticket);
+            let is_current = request.is_some_and(|request| {
+                matches!(request.state, RequestState::InFlight { attempt, .. } if attempt == pending.attempt)
+            });
+            if is_current {
+                let detail = OutcomeDetail::Unknown;
+                let event = self.end_attempt(now, pending.ticket, outcome, detail);
+                self.report_optional_event(now, event);
             }
         }
     }
 }
 
-/// The line that offers a task to a host, if it can be one.
+/// Encodes the line that sends a task to a host, or returns none if it does not fit into one.
 pub(super) fn attempt_line(
     id: TaskId,
-    task_request: &TaskRequest,
-    left: Micros,
+    message: &TaskRequest,
+    time_left: Micros,
 ) -> Option<Vec<u8>> {
-    lines::offer(
+    lines::start_task(
         id,
-        &task_request.placement.class,
-        &task_request.key,
-        (left / MILLI).max(1),
-        &task_request.description,
+        &message.placement.class,
+        &message.key,
+        (time_left / MILLISECOND).max(1),
+        &message.description,
     )
 }
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -1,203 +1,239 @@
-//! Owns what clients say: their connections' beginnings and ends, and each of their messages. Whatever a client sends
-//! is answered, or ends its connection, or asks for nothing. It never chooses a host, and never lets an offer begin
-//! by itself: a set-up that can be right goes to the module.
+//! Owns what arrives from clients: the begin and end of their connections, and each of their messages. Whatever a client
+//! sends gets a response, or closes its connection, or requires nothing. It never chooses a host, and never starts an
+//! attempt by itself: a valid request goes to the decision module.
 
 use super::attempts::attempt_line;
 use super::invalid_task_request::InvalidTaskRequest;
-use super::requests::RequestState;
-use super::{Dispatch, MILLI};
-use crate::net::clients::ClientId;
+use super::request::RequestState;
+use super::{Dispatch, MILLISECOND};
+use crate::net::clients::{AcceptWait, ClientEvents, ClientId, Clients, ReadSummary};
 use crate::net::codec::binary::{self, ClientMessage};
 use crate::net::codec::{Malformed, TaskId, TaskRequest};
-use crate::net::conn::{CloseReason, Conn};
+use crate::net::conn::{CloseReason, Connection};
 use std::rc::Rc;
 use task_placer::facade::{PlacementEvent, PlacementRequest, RequestKind, Ticket};
+use task_placer::health::Event;
 use task_placer::operation::duty;
 use task_placer::operation::tally::Ended as Told;
 use task_placer::{Micros, Outcome};
 use tracing::info;
 
 /// A client's time runs from when it sent: what the way here, a tick and the way back may take.
-const CLIENT_SLACK: Micros = 15 * MILLI;
+const RESPONSE_TRAVEL_TIME: Micros = 15 * MILLISECOND;
 
-impl Dispatch {
-    /// Whether another connection of a client is beyond the budget.
-    pub fn client_limit_reached(&self) -> bool {
-        self.clients.crowded(self.active_host_count())
+impl ClientEvents for Dispatch {
+    fn now(&self) -> Micros {
+        self.clock.now()
     }
 
-    /// A connection from a client is there.
-    pub fn client_opened(&mut self, conn: Rc<Conn>) -> ClientId {
-        self.clients.opened(self.clock.now(), conn)
+    fn clients(&self) -> &Clients {
+        &self.clients
     }
 
-    /// It has ended, and with it the set-ups that are open on it.
-    pub fn client_closed(&mut self, client: ClientId, end: CloseReason) {
-        let now = self.clock.now();
-        let open = self.clients.ended(now, client);
-        info!(peer = "client", connection = %client, reason = %end, open = open.len(), "connection ended");
-        for ticket in open {
-            self.cancel_request(now, ticket);
-        }
+    fn clients_mut(&mut self) -> &mut Clients {
+        &mut self.clients
     }
 
-    /// The client wants no answer any more.
-    pub(super) fn cancel_request(&mut self, now: Micros, ticket: Ticket) {
-        let event = self.abandon_attempt(now, ticket, None, Outcome::Cancelled);
-        if let Some(client) = self.remove_request(ticket).and_then(|r| r.client) {
-            self.clients.settled(client, ticket);
-        }
-        self.report_event(now, PlacementEvent::Cancelled(ticket));
-        if let Some(event) = event {
-            self.report_event(now, event);
+    fn accepts_connections(&self) -> bool {
+        !self.lifecycle.leaves()
+    }
+
+    fn client_limit_reached(&self) -> bool {
+        self.clients.is_full(self.active_host_count())
+    }
+
+    fn exit_is_overdue(&self) -> bool {
+        self.is_overdue()
+    }
+
+    fn client_accepted(&mut self, now: Micros, wait: AcceptWait) {
+        let turned_away = wait == AcceptWait::Waited;
+        self.record_health_event(now, Event::Connection { turned_away });
+    }
+
+    fn client_opened(&mut self, conn: Rc<Connection>) -> ClientId {
+        self.clients.insert(self.clock.now(), conn)
+    }
+
+    fn client_message(&mut self, client: ClientId, id: TaskId, message: ClientMessage) {
+        let now = self.clock.now();
+        self.clients.message_received(now, client);
+        self.clients.input_processing_started(client);
+        if !matches!(message, ClientMessage::HealthCheck) {
+            self.clients.client_traffic_seen(now, client);
         }
+        self.handle_client_message(now, client, id, message);
     }
 
-    /// All that came with one read, so many bytes, was taken in: whether whole messages did, and half of another.
-    pub fn client_read(&mut self, client: ClientId, bytes: usize, whole: bool, half: bool) {
+    fn client_read(&mut self, client: ClientId, summary: ReadSummary) {
         let now = self.clock.now();
-        self.clients.heard(now, client, whole, half);
-        for host in self.clients.read(client, bytes) {
+        self.clients.input_read(now, client, summary);
+        for host in self.clients.input_processed(client, summary.bytes) {
             self.send_pending_attempts(now, &host);
         }
     }
 
-    /// A message of a client. Each is answered, or ends its connection, or asks for nothing: whoever
-    /// sends what is no use is not left waiting.
-    pub fn client_message(&mut self, client: ClientId, id: TaskId, word: ClientMessage) {
+    fn client_closed(&mut self, client: ClientId, reason: CloseReason) {
         let now = self.clock.now();
-        self.clients.heard(now, client, true, false);
-        self.clients.reads(client);
-        if !matches!(word, ClientMessage::HealthCheck) {
-            self.clients.asked(now, client);
+        let open = self.clients.remove(now, client);
+        info!(peer = "client", connection = %client, %reason, open = open.len(), "connection ended");
+        for ticket in open {
+            self.cancel_request(now, ticket);
         }
-        let held = self.tickets_by_task.get(&id).copied();
-        match word {
-            ClientMessage::TaskRequest(task_request) => match (&task_request.at, held) {
-                (Some(host), None) => self.adopt(now, client, id, &task_request, &host.clone()),
-                (None, None) => self.handle_task_request(now, client, id, task_request),
-                (_, Some(ticket)) => self.handle_repeated_request(client, ticket, &task_request),
+    }
+}
+
+impl Dispatch {
+    /// Handles a message of a client. Each gets a response, or closes the connection, or requires nothing: whoever
+    /// sends what is of no use is not left waiting.
+    fn handle_client_message(
+        &mut self,
+        now: Micros,
+        client: ClientId,
+        id: TaskId,
+        message: ClientMessage,
+    ) {
+        let known = self.tickets_by_task.get(&id).copied();
+        match message {
+            ClientMessage::TaskRequest(request) => match (&request.running_on, known) {
+                (Some(host), None) => self.adopt_task(now, client, id, &request, &host.clone()),
+                (None, None) => self.handle_task_request(now, client, id, request),
+                (_, Some(ticket)) => self.handle_repeated_request(client, ticket, &request),
             },
-            ClientMessage::InvalidTaskRequest(why) if held.is_none() => {
-                info!(task = %id, reason = %why, "set-up not read");
+            ClientMessage::InvalidTaskRequest(reason) if known.is_none() => {
+                info!(task = %id, %reason, "request not read");
                 self.respond_invalid(now, client, id);
             }
-            // A failure under this id could be taken for the answer to the one that is open.
-            ClientMessage::InvalidTaskRequest(_) => self.clients.stop(client, CloseReason::IdInUse),
+            // A failure under this id could be taken for the response to the open request.
+            ClientMessage::InvalidTaskRequest(_) => {
+                self.clients.close(client, CloseReason::IdInUse);
+            }
             ClientMessage::Release(cause) => {
-                self.handle_client_release(now, client, id, cause, held)
+                self.handle_client_release(now, client, id, cause, known);
             }
             ClientMessage::HealthCheck => {
-                let passes = self.placer_serves();
-                self.clients.send(now, client, &binary::tested(id, passes));
+                let is_healthy = self.placer_serves();
+                let message = binary::health_check_result(id, is_healthy);
+                self.clients.send(now, client, &message);
                 self.handle_lifecycle_event(now, duty::Event::Asked);
             }
-            ClientMessage::ReleaseAck => self.clients.heard_end(id),
-            ClientMessage::Other => self
-                .clients
-                .stop(client, CloseReason::Malformed(Malformed::Field("type"))),
+            ClientMessage::ReleaseAck => self.clients.task_end_acknowledged(id),
+            ClientMessage::Other => {
+                let reason = CloseReason::Malformed(Malformed::Field("type"));
+                self.clients.close(client, reason);
+            }
+        }
+    }
+
+    /// Cancels a request whose client wants no response any more.
+    pub(super) fn cancel_request(&mut self, now: Micros, ticket: Ticket) {
+        let event = self.abandon_attempt(now, ticket, None, Outcome::Cancelled);
+        let request = self.remove_request(ticket);
+        if let Some(client) = request.and_then(|request| request.client) {
+            self.clients.response_sent(client, ticket);
         }
+        self.report_event(now, PlacementEvent::Cancelled(ticket));
+        self.report_optional_event(now, event);
     }
 
-    /// A client gives a set-up up, on its connection, or ends a task that stands, on any.
+    /// Handles a client's release: it cancels a request, on its own connection, or ends a running task, on any.
     fn handle_client_release(
         &mut self,
         now: Micros,
         client: ClientId,
         id: TaskId,
         cause: u8,
-        held: Option<Ticket>,
+        known: Option<Ticket>,
     ) {
-        let open = held
+        let open = known
             .and_then(|ticket| self.requests.get(&ticket))
-            .filter(|r| r.awaits_response());
-        match (held, open.map(|r| r.client == Some(client))) {
+            .filter(|request| request.awaits_response());
+        let is_own = open.map(|request| request.client == Some(client));
+        match (known, is_own) {
             (Some(ticket), Some(true)) => return self.cancel_request(now, ticket),
             (Some(ticket), None) => self.release_running_task(now, ticket, cause),
-            // Of no task here, or of another's set-up: it changes nothing.
+            // No task is known by this id, or another client's request: it changes nothing.
             _ => {}
         }
-        self.clients.send(now, client, &binary::heard(id));
+        self.clients.send(now, client, &binary::release_ack(id));
     }
 
-    /// Guards the module and the hosts against asks that can't be right, which are answered at once:
-    /// without an id, or with that of a task that is over, a host takes its connection for broken, and
-    /// answers an error that makes it look so; every ask counts as load.
+    /// Handles a request to place a task. Guards the decision module and the hosts against requests that cannot be
+    /// right, which are answered at once: without an id, or with that of a task that has ended, a host takes its
+    /// connection for broken, and answers an error that makes it look so; and every request counts as load.
     fn handle_task_request(
         &mut self,
         now: Micros,
         client: ClientId,
         id: TaskId,
-        task_request: Box<TaskRequest>,
+        message: Box<TaskRequest>,
     ) {
-        let mut ask = task_request.placement.clone();
-        ask.time_budget = (task_request.wait - CLIENT_SLACK).max(0);
-        if let Err(why) = self.check_task_request(id, &task_request, &ask) {
-            info!(task = %id, reason = %why, "not placed");
-            self.counters
-                .ended(self.facade.class_index(&ask.class), Told::Failed);
+        let mut placement = message.placement.clone();
+        placement.time_budget = (message.wait - RESPONSE_TRAVEL_TIME).max(0);
+        if let Err(reason) = self.check_task_request(id, &message, &placement) {
+            info!(task = %id, %reason, "not placed");
+            let class = self.facade.class_index(&placement.class);
+            self.counters.ended(class, Told::Failed);
             return self.respond_invalid(now, client, id);
         }
-        let ticket = self.insert_request(now, id, client, &ask.class, RequestState::Queued);
-        self.clients.waits(client, ticket);
+        let ticket = self.insert_request(now, id, client, &placement.class, RequestState::Queued);
+        self.clients.response_pending(client, ticket);
         if let Some(request) = self.requests.get_mut(&ticket) {
-            request.task_request = Some(task_request);
+            request.message = Some(message);
         }
-        let decisions = self.facade.place(now, ticket, &ask).unwrap_or_default();
-        self.apply_decisions(now, decisions);
+        let decisions = self.facade.place(now, ticket, &placement);
+        self.apply_decisions(now, decisions.unwrap_or_default());
     }
 
     fn check_task_request(
         &self,
         id: TaskId,
-        task_request: &TaskRequest,
-        request: &PlacementRequest,
+        message: &TaskRequest,
+        placement: &PlacementRequest,
     ) -> Result<(), InvalidTaskRequest> {
-        self.facade.check(request, RequestKind::Place)?;
+        self.facade.check(placement, RequestKind::Place)?;
         if id == TaskId(0) {
             return Err(InvalidTaskRequest::MissingId);
         }
         if self.ended_tasks.contains_key(&id) {
             return Err(InvalidTaskRequest::IdUsedBefore);
         }
-        if attempt_line(id, task_request, task_request.wait).is_none() {
+        if attempt_line(id, message, message.wait).is_none() {
             return Err(InvalidTaskRequest::TooLongForHost);
         }
         Ok(())
     }
 
-    /// A set-up under an id that is in hand. Guards against a client that sends again because its first
-    /// connection broke, before the break is seen here: a second answer would break a rule, so the one
-    /// that is owed goes to the connection heard last. Guards also against whoever sends another set-up
-    /// under an id that is open, or the same twice on one connection: its connection ends, and an answer
-    /// that another is owed does not go there.
-    fn handle_repeated_request(
-        &mut self,
-        client: ClientId,
-        ticket: Ticket,
-        task_request: &TaskRequest,
-    ) {
+    /// Handles a request under an id that is in use.
+    ///
+    /// Guards against a client that sends again because its first connection broke, before the break is seen here: a
+    /// second response would break a rule, so the pending one goes to the connection that sent last. Guards also
+    /// against whoever sends another request under an id that is open, or the same twice on one connection: its
+    /// connection is closed, and no other client's response goes there.
+    fn handle_repeated_request(&mut self, client: ClientId, ticket: Ticket, message: &TaskRequest) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
         };
-        let known = matches!((&request.state, &task_request.at),
-            (RequestState::Running { host, .. } | RequestState::Releasing { host, .. }, Some(at)) if host == at);
-        if known {
+        let is_adopted_again = matches!(
+            (&request.state, &message.running_on),
+            (RequestState::Running { host, .. } | RequestState::Releasing { host, .. }, Some(at))
+                if host == at
+        );
+        if is_adopted_again {
             return;
         }
-        let same =
-            request.task_request.as_deref() == Some(task_request) && request.client != Some(client);
-        if !same {
-            return self.clients.stop(client, CloseReason::IdInUse);
+        let is_resent =
+            request.message.as_deref() == Some(message) && request.client != Some(client);
+        if !is_resent {
+            return self.clients.close(client, CloseReason::IdInUse);
         }
         if let Some(before) = request.client.replace(client) {
-            self.clients.settled(before, ticket);
+            self.clients.response_sent(before, ticket);
         }
-        self.clients.waits(client, ticket);
-        if let (true, Some(host)) = (request.state.unsent(), request.state.at()) {
-            self.clients.waits_behind(client, host);
+        self.clients.response_pending(client, ticket);
+        if let (true, Some((host, _))) = (request.state.is_unsent(), request.state.assignment()) {
+            self.clients.wait_for_input(client, host);
         }
-        let id = request.id;
-        info!(task = %id, "set up twice");
+        info!(task = %request.id, "request resent");
     }
 }
--- a/src/net/dispatch/connection_slots.rs
+++ b/src/net/dispatch/connection_slots.rs
@@ -1,56 +1,62 @@
-//! Owns who gets a slot: for which hosts a connection is wanted, which one makes way for another, and what the clients
-//! give back for it. It never makes a connection itself (`links` does), and never decides what is offered.
+//! Owns who gets a connection slot: for which hosts a connection is needed, which one is evicted for another, and what
+//! clients give back for it. It never makes a connection itself (`host_connections` does), and never decides which host
+//! gets an attempt.
 
-use super::timers::TimerEvent;
-use super::{Dispatch, MILLI};
+use super::timer_event::TimerEvent;
+use super::{Dispatch, MILLISECOND};
 use crate::net::conn::CloseReason;
 use crate::net::hosts::{ConnectionId, ConnectionState};
 use task_placer::descriptors::{Answer, Rank, Want};
-use task_placer::facade::Ticket;
 use task_placer::{EndpointState, HostId, Micros};
 
-/// How long what a host still says is read on a connection that makes way.
-const DRAIN_READ_TIME: Micros = 200 * MILLI;
+/// How long what a host still sends is read on an evicted connection.
+const EVICTION_READ_TIME: Micros = 200 * MILLISECOND;
+
+/// Whether the open connection to a host was just used.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum ConnectionUse {
+    /// It was used for what it is needed for.
+    JustUsed,
+    /// It was not.
+    Unchanged,
+}
 
 impl Dispatch {
-    /// The host has not closed in time.
-    pub(super) fn end_drained_connection(&self, host: &HostId, connection_id: ConnectionId) {
-        if let Some(conn) = self
-            .hosts
-            .get(host)
-            .and_then(|link| link.open_connection(connection_id))
-        {
-            conn.stop(CloseReason::Evicted);
+    /// Closes an evicted connection that its host has not closed in time.
+    pub(super) fn close_evicted_connection(&self, host: &HostId, id: ConnectionId) {
+        let link = self.hosts.get(host);
+        if let Some(conn) = link.and_then(|link| link.open_connection(id)) {
+            conn.close(CloseReason::Evicted);
         }
     }
 
-    /// Hosts that may have connections.
+    /// Returns the number of hosts that may have connections.
     pub fn active_host_count(&self) -> usize {
         self.active_hosts
     }
 
-    /// Shares the descriptors out anew.
+    /// Splits the descriptors anew between clients and hosts.
     pub(super) fn split_descriptors(&mut self) {
-        self.connection_pool
-            .resize(self.clients.shares(self.active_hosts).hosts);
+        let quotas = self.clients.descriptor_quotas(self.active_hosts);
+        self.connection_pool.resize(quotas.hosts);
         self.evict_connections(self.clock.now());
     }
 
-    /// Takes back from clients what hosts need now. Guards against idle clients that hold, from the time when few
-    /// hosts were listed, the descriptors which are the hosts' by now: calls to these would fail.
+    /// Takes back from clients what hosts need now. Guards against idle clients that hold, from the time when few hosts
+    /// were listed, the descriptors which are the hosts' by now: connections to these would fail.
     pub(super) fn reclaim_descriptors(&mut self, now: Micros) {
-        let shares = self.clients.shares(self.active_hosts);
-        let held = self.clients.live() + self.connection_pool.held();
-        self.clients
-            .shed(now, held.saturating_sub(shares.clients + shares.hosts));
+        let quotas = self.clients.descriptor_quotas(self.active_hosts);
+        let in_use = self.clients.live_connections() + self.connection_pool.held();
+        let surplus = in_use.saturating_sub(quotas.clients + quotas.hosts);
+        self.clients.evict_idle(now, surplus);
     }
 
-    /// What a connection to a host is wanted for, if one more is. Guards against hundreds of placers that
-    /// call every host at their start, when each needs a few: where the settings price connections, a host
-    /// is called when something is wanted of it.
+    /// Returns what a connection to a host is needed for, if one more is needed. Guards against hundreds of placers that
+    /// connect to every host at their start, when each needs a few: where the settings price connections, one is made
+    /// when something is needed of the host.
     pub(super) fn connection_need(&self, host: &HostId) -> Option<Want> {
         let link = self.hosts.get(host)?;
-        let beside = match &link.connection {
+        let is_second = match &link.connection {
             ConnectionState::Connecting(_) => return None,
             ConnectionState::Connected(_) if !link.is_suspect => return None,
             ConnectionState::Connected(_) => true,
@@ -60,63 +66,43 @@
             Some(Want::Offer)
         } else if link.state == EndpointState::Removed {
             None
-        } else if !link.unsent_releases.is_empty() || beside {
+        } else if !link.unsent_releases.is_empty() || is_second {
             Some(Want::Release)
-        } else if self.request_index.running(host).next().is_some() {
+        } else if self.request_index.has_running_tasks(host) {
             Some(Want::Visit)
         } else {
             (link.state == EndpointState::Up && self.preconnects).then_some(Want::Warm)
         }
     }
 
-    /// Calls a host, if a connection is wanted, as soon as there is a slot for it.
+    /// Connects to a host, if a connection is needed, as soon as there is a slot for it.
     pub(super) fn request_connection(&mut self, now: Micros, host: &HostId) {
-        let Some(want) = self.connection_need(host) else {
+        let Some(need) = self.connection_need(host) else {
             return;
         };
-        if self.connection_pool.ask(now, host.clone(), want) == Answer::Call {
+        if self.connection_pool.ask(now, host.clone(), need) == Answer::Call {
             self.connect(now, host);
         }
         self.evict_connections(now);
     }
 
-    /// Calls a host again that did not answer. Where nothing is wanted of it any more, what was found out
-    /// about it is forgotten.
+    /// Connects again to a host that did not answer. Where nothing is needed of it any more, its failures are forgotten.
     pub(super) fn reconnect(&mut self, now: Micros, host: &HostId) {
         if self.connection_need(host).is_some() {
             return self.request_connection(now, host);
         }
-        if let Some(link) = self
-            .hosts
-            .get_mut(host)
-            .filter(|link| matches!(link.connection, ConnectionState::Disconnected))
+        if let Some(link) = self.hosts.get_mut(host)
+            && matches!(link.connection, ConnectionState::Disconnected)
         {
-            (link.connect_failures, link.unreachable_since) = (0, None);
+            link.connect_failures = 0;
+            link.unreachable_since = None;
         }
     }
 
-    /// Closes connections that others need more, and calls what has a slot now.
+    /// Evicts connections whose slots are needed more elsewhere, and connects to the hosts that have a slot now.
     pub(super) fn evict_connections(&mut self, now: Micros) {
-        while let Some((host, connection_id)) = self.connection_pool.make_way(now) {
-            let Some(link) = self.hosts.get_mut(&host) else {
-                continue;
-            };
-            // Guards against the end of a task that the host says while we close: our side ends, and what it
-            // still has to say is read until it closes, too.
-            if link.connection_id == connection_id
-                && let ConnectionState::Connected(conn) =
-                    std::mem::replace(&mut link.connection, ConnectionState::Disconnected)
-            {
-                conn.finish();
-                link.last_closed_at = now;
-                link.replaced.push((connection_id, conn));
-                self.wheel.add(
-                    now + DRAIN_READ_TIME,
-                    TimerEvent::DrainReadTimeout(host.clone(), connection_id),
-                );
-            } else if let Some(conn) = link.open_connection(connection_id) {
-                conn.stop(CloseReason::Evicted);
-            }
+        while let Some((host, id)) = self.connection_pool.make_way(now) {
+            self.evict_connection(now, &host, id);
         }
         while let Some(host) = self.connection_pool.call_next() {
             if self.connection_need(&host).is_some() {
@@ -125,45 +111,56 @@
         }
     }
 
-    /// The descriptor of a connection has been given back.
-    pub fn host_slot_freed(&mut self, host: &HostId, connection_id: ConnectionId) {
-        self.connection_pool.freed(&(host.clone(), connection_id));
+    /// Evicts one connection. Guards against the end of a task that the host reports while we close: our side ends, and
+    /// what the host still sends is read until it closes, too.
+    fn evict_connection(&mut self, now: Micros, host: &HostId, id: ConnectionId) {
+        let Some(link) = self.hosts.get_mut(host) else {
+            return;
+        };
+        if link.connection_id == id
+            && let ConnectionState::Connected(conn) =
+                std::mem::replace(&mut link.connection, ConnectionState::Disconnected)
+        {
+            conn.shutdown_write();
+            link.last_closed_at = now;
+            link.replaced.push((id, conn));
+            let timer = TimerEvent::EvictionTimeout(host.clone(), id);
+            self.wheel.add(now + EVICTION_READ_TIME, timer);
+        } else if let Some(conn) = link.open_connection(id) {
+            conn.close(CloseReason::Evicted);
+        }
+    }
+
+    /// Takes back the slot of a connection whose descriptor has been closed.
+    pub(super) fn release_slot(&mut self, host: &HostId, id: ConnectionId) {
+        self.connection_pool.freed(&(host.clone(), id));
         self.evict_connections(self.clock.now());
     }
 
-    /// Tells the pool what the connections to a host are needed for, `used` where one just was.
-    pub(super) fn update_ranks(&mut self, now: Micros, host: &HostId, used: bool) {
+    /// Updates in the pool what the connections to a host are needed for.
+    pub(super) fn update_priorities(&mut self, now: Micros, host: &HostId, usage: ConnectionUse) {
         let Some(link) = self.hosts.get(host) else {
             return;
         };
-        let out_on = |connection_id| {
-            let on = |ticket: Ticket| self.requests.get(&ticket).and_then(|r| r.state.out_on());
-            self.request_index
-                .in_flight(host)
-                .any(|ticket| on(ticket) == Some(connection_id))
-        };
         if let ConnectionState::Connected(_) = &link.connection {
-            let rank = if out_on(link.connection_id) {
+            let rank = if self.has_attempt_in_flight_on(host, link.connection_id) {
                 Rank::Busy
-            } else if self.request_index.running(host).next().is_some() {
+            } else if self.request_index.has_running_tasks(host) {
                 Rank::Stands
             } else {
                 Rank::Idle
             };
-            self.connection_pool.rank(
-                &(host.clone(), link.connection_id),
-                rank,
-                used.then_some(now),
-            );
+            let used_at = (usage == ConnectionUse::JustUsed).then_some(now);
+            let connection = (host.clone(), link.connection_id);
+            self.connection_pool.rank(&connection, rank, used_at);
         }
-        for (connection_id, _) in &link.replaced {
-            let rank = if out_on(*connection_id) {
+        for (id, _) in &link.replaced {
+            let rank = if self.has_attempt_in_flight_on(host, *id) {
                 Rank::Busy
             } else {
                 Rank::Spare
             };
-            self.connection_pool
-                .rank(&(host.clone(), *connection_id), rank, None);
+            self.connection_pool.rank(&(host.clone(), *id), rank, None);
         }
         if self.connection_pool.waiting() > 0 {
             self.evict_connections(now);
--- a/src/net/dispatch/decisions.rs
+++ b/src/net/dispatch/decisions.rs
@@ -1,7 +1,7 @@
-//! Owns the way to the decision module and back: event go in by `tell`, and each decision that comes out is handed to the
-//! function that carries it out. It never decides anything itself, and never writes to a peer.
+//! Owns the way to the decision module and back: `report_event` hands it an event, and each decision that it returns is
+//! handed to the function that applies it. It never decides anything itself, and never writes to a peer.
 
-use super::{Dispatch, MILLI};
+use super::{Dispatch, MILLISECOND};
 use crate::net::codec::cause;
 use std::collections::VecDeque;
 use task_placer::facade::{Decision, PlacementEvent};
@@ -9,47 +9,58 @@
 use tracing::info;
 
 impl Dispatch {
-    /// Tells the module what has happened, and carries out what it decides.
+    /// Reports an event to the decision module, and applies what it decides.
     pub(super) fn report_event(&mut self, now: Micros, event: PlacementEvent) {
         let decisions = self.facade.report(now, event);
         self.apply_decisions(now, decisions);
     }
 
-    /// Carries out decisions, and those that their instant results bring.
+    /// Reports an event, if there is one.
+    pub(super) fn report_optional_event(&mut self, now: Micros, event: Option<PlacementEvent>) {
+        if let Some(event) = event {
+            self.report_event(now, event);
+        }
+    }
+
+    /// Applies decisions in their order, and those that follow from their immediate results.
     pub(super) fn apply_decisions(&mut self, now: Micros, decisions: Vec<Decision>) {
         let mut queue = VecDeque::from(decisions);
         while let Some(decision) = queue.pop_front() {
-            let event = match decision {
-                Decision::SendAttempt {
-                    ticket,
-                    host,
-                    timeout,
-                } => self.start_attempt(now, ticket, host, timeout),
-                Decision::Reject {
-                    ticket,
-                    retry_after,
-                } => {
-                    let away = u64::try_from(retry_after / MILLI).ok().filter(|ms| *ms > 0);
-                    self.respond_unplaced(now, ticket, cause::REJECTED, away)
-                }
-                Decision::Fail { ticket } => {
-                    self.respond_unplaced(now, ticket, cause::FAILED, None)
-                }
-                Decision::Migrate { ticket } => {
-                    self.migrate_task(now, ticket);
-                    None
-                }
-                Decision::CancelAttempt { ticket, attempt } => {
-                    self.abandon_attempt(now, ticket, Some(attempt), Outcome::Cancelled)
-                }
-                Decision::Log(text) => {
-                    info!(text, "module");
-                    None
-                }
-            };
-            if let Some(event) = event {
+            if let Some(event) = self.apply_decision(now, decision) {
                 queue.extend(self.facade.report(now, event));
             }
         }
     }
+
+    /// Applies one decision, and returns the event that it leads to at once, if any.
+    fn apply_decision(&mut self, now: Micros, decision: Decision) -> Option<PlacementEvent> {
+        match decision {
+            Decision::SendAttempt {
+                ticket,
+                host,
+                timeout,
+            } => self.start_attempt(now, ticket, host, timeout),
+            Decision::Reject {
+                ticket,
+                retry_after,
+            } => {
+                let retry_after_ms = u64::try_from(retry_after / MILLISECOND)
+                    .ok()
+                    .filter(|ms| *ms > 0);
+                self.respond_unplaced(now, ticket, cause::REJECTED, retry_after_ms)
+            }
+            Decision::Fail { ticket } => self.respond_unplaced(now, ticket, cause::FAILED, None),
+            Decision::Migrate { ticket } => {
+                self.migrate_task(now, ticket);
+                None
+            }
+            Decision::CancelAttempt { ticket, attempt } => {
+                self.abandon_attempt(now, ticket, Some(attempt), Outcome::Cancelled)
+            }
+            Decision::Log(text) => {
+                info!(text, "module");
+                None
+            }
+        }
+    }
 }
--- a/src/net/dispatch/discovery.rs
+++ b/src/net/dispatch/discovery.rs
@@ -1,22 +1,36 @@
-//! Owns whether the feed lives, and what is logged of it. It never changes the list of hosts: `links` does.
+//! Owns whether the service discovery feed is up, and what is logged of it. It never changes the endpoint list:
+//! `host_connections` does.
 
 use super::Dispatch;
-use crate::net::codec::Malformed;
+use crate::net::codec::feed::{EndpointUpdate, RejectedEndpoint};
 use crate::net::conn::CloseReason;
+use crate::net::feed::FeedEvents;
+use task_placer::Micros;
 use task_placer::facade::PlacementEvent;
 use task_placer::health::Event;
+use task_placer::settings::Names;
 use tracing::{info, warn};
 
-impl Dispatch {
-    /// Names the entries of an event that can't be right.
-    pub fn log_rejected_endpoints(&self, aside: &[(String, Malformed)]) {
-        for (host, why) in aside {
-            warn!(host, reason = %why, "entry set aside");
+impl FeedEvents for Dispatch {
+    fn now(&self) -> Micros {
+        self.clock.now()
+    }
+
+    fn names(&self) -> &Names {
+        self.facade.names()
+    }
+
+    fn endpoints_rejected(&mut self, rejected: &[RejectedEndpoint]) {
+        for endpoint in rejected {
+            warn!(host = endpoint.host, reason = %endpoint.reason, "entry set aside");
         }
     }
 
-    /// A line of the feed shows that nothing is missing.
-    pub fn feed_alive(&mut self) {
+    fn endpoints_changed(&mut self, update: EndpointUpdate) {
+        self.handle_endpoint_update(update);
+    }
+
+    fn feed_alive(&mut self) {
         let now = self.clock.now();
         self.record_health_event(now, Event::Feed);
         if !std::mem::replace(&mut self.is_discovery_up, true) {
@@ -24,11 +38,10 @@
         }
     }
 
-    /// The feed is dead; it is called again.
-    pub fn feed_closed(&mut self, last: u64, end: CloseReason) {
+    fn feed_closed(&mut self, last_sequence: u64, reason: CloseReason) {
         let now = self.clock.now();
         if std::mem::replace(&mut self.is_discovery_up, false) {
-            info!(peer = "feed", reason = %end, last, "connection ended");
+            info!(peer = "feed", %reason, last = last_sequence, "connection ended");
             self.report_event(now, PlacementEvent::DiscoveryDown);
         }
     }
--- a/src/net/dispatch/health_inputs.rs
+++ b/src/net/dispatch/health_inputs.rs
@@ -1,65 +1,85 @@
-//! Owns what the health engine is told and shown. It never judges what it shows, and has no part in placing tasks.
+//! Owns what the health engine is notified of and shown. It never judges what it shows, and has no part in placing
+//! tasks.
 
-use super::{Dispatch, MILLI};
+use super::{Dispatch, MILLISECOND};
 use crate::net::conn;
+use crate::net::hosts::HostLink;
 use std::collections::BTreeMap;
 use task_placer::health::{Event, Gauges, Zone};
-use task_placer::{EndpointState, Micros};
+use task_placer::{EndpointState, Micros, ZoneId};
 
-/// How long a host's word that it is full counts.
-const FULL: Micros = 15_000 * MILLI;
+/// How long a host counts as full after it rejected an attempt for want of capacity.
+const FULL_HOST_MEMORY: Micros = 15_000 * MILLISECOND;
+
+/// What the endpoint list and the connections show of the hosts in service.
+#[derive(Default)]
+struct HostCensus {
+    zones: BTreeMap<ZoneId, Zone>,
+    listed: u32,
+    /// Hosts on which an average task fits.
+    with_capacity: u32,
+    /// Hosts that rejected an attempt lately for want of capacity.
+    full: u32,
+}
 
 impl Dispatch {
-    /// Tells the health engine, where one runs.
+    /// Notifies the health engine, where one runs.
     pub fn record_health_event(&mut self, now: Micros, event: Event) {
         if let Some(watch) = &mut self.watch {
             watch.tell(now, event);
         }
     }
 
-    /// What the health engine looks at, and the drain.
+    /// Shows the health engine the gauges, and runs what the drain asks for.
     pub(super) fn update_health(&mut self, now: Micros) {
         if self.watch.is_none() {
             return;
         }
-        let mut zones: BTreeMap<task_placer::ZoneId, Zone> = BTreeMap::new();
-        let (mut listed, mut roomy, mut full) = (0u32, 0u32, 0u32);
-        let ordinary = self.facade.mean_task();
-        for link in self
-            .hosts
-            .values()
-            .filter(|link| link.state == EndpointState::Up)
-        {
-            let zone = zones.entry(link.zone).or_default();
-            zone.listed += 1;
-            zone.refused += u32::from(link.unreachable_since.is_some() && link.was_refused);
-            zone.silent += u32::from(link.unreachable_since.is_some() && !link.was_refused);
-            listed += 1;
-            let fits = ordinary.is_none_or(|size| size.fits_in(link.free_resources));
-            roomy += u32::from(fits);
-            full += u32::from(link.rejected_full_at.is_some_and(|at| now - at < FULL));
+        let gauges = self.gauges(now);
+        let pending_work = self.pending_work();
+        if let Some(watch) = &mut self.watch {
+            watch.tell(now, Event::Look(gauges));
+            let tasks = watch.look(now, pending_work);
+            self.run_drain_tasks(now, tasks);
         }
+    }
+
+    fn gauges(&self, now: Micros) -> Gauges {
+        let census = self.host_census(now);
         let ages = self
             .requests
             .values()
-            .filter(|r| r.awaits_response())
-            .map(|r| (now - r.since) as f64 / r.aim as f64);
-        let gauges = Gauges {
+            .filter(|request| request.awaits_response())
+            .map(|request| (now - request.arrived_at) as f64 / request.latency_objective as f64);
+        let has_mean_task = self.facade.mean_task().is_some();
+        let connection_limit = self.clients.connection_limit(self.active_host_count());
+        Gauges {
             oldest: ages.fold(0.0, f64::max),
-            zones: zones.into_values().collect(),
-            roomy: ordinary
-                .filter(|_| listed > 0)
-                .map(|_| f64::from(roomy) / f64::from(listed)),
-            full: f64::from(full) / f64::from(listed.max(1)),
-            descriptors: self.clients.live() as f64
-                / self.clients.budget(self.active_host_count()) as f64,
-            queues: conn::queued_share(),
-        };
-        let hand = self.pending_work();
-        if let Some(watch) = &mut self.watch {
-            watch.tell(now, Event::Look(gauges));
-            let tasks = watch.look(now, hand);
-            self.run_drain_tasks(now, tasks);
+            zones: census.zones.into_values().collect(),
+            roomy: (has_mean_task && census.listed > 0)
+                .then(|| f64::from(census.with_capacity) / f64::from(census.listed)),
+            full: f64::from(census.full) / f64::from(census.listed.max(1)),
+            descriptors: self.clients.live_connections() as f64 / connection_limit as f64,
+            queues: conn::queued_fraction(),
+        }
+    }
+
+    fn host_census(&self, now: Micros) -> HostCensus {
+        let mean_task = self.facade.mean_task();
+        let mut census = HostCensus::default();
+        let in_service = |link: &&HostLink| link.state == EndpointState::Up;
+        for link in self.hosts.values().filter(in_service) {
+            let is_unreachable = link.unreachable_since.is_some();
+            let zone = census.zones.entry(link.zone).or_default();
+            zone.listed += 1;
+            zone.refused += u32::from(is_unreachable && link.was_refused);
+            zone.silent += u32::from(is_unreachable && !link.was_refused);
+            census.listed += 1;
+            let fits = mean_task.is_none_or(|task| task.fits_in(link.free_resources));
+            census.with_capacity += u32::from(fits);
+            let is_full = |rejected_at| now - rejected_at < FULL_HOST_MEMORY;
+            census.full += u32::from(link.rejected_full_at.is_some_and(is_full));
         }
+        census
     }
 }
