--- a/src/net/dispatch/host_connections.rs
+++ b/src/net/dispatch/host_connections.rs
@@ -1,162 +1,148 @@
-//! Owns the connections to hosts: how they are made, what their ends mean, and the list that names the hosts. It never
-//! decides which host gets an offer, and makes no connection that `slots` has no slot for.
+//! Owns the connections to hosts: how they are made, and what their ends mean. It never decides which host gets an
+//! attempt, and makes no connection that `connection_slots` has no slot for.
 
-use super::requests::{Request, RequestState};
-use super::timers::TimerEvent;
-use super::{Dispatch, MILLI};
-use crate::net::codec::feed::DiscoveredEndpoint;
-use crate::net::conn::{CloseReason, Conn, STUCK};
+use super::connection_slots::ConnectionUse;
+use super::request::RequestState;
+use super::timer_event::TimerEvent;
+use super::{Dispatch, MILLISECOND};
+use crate::net::codec::TaskId;
+use crate::net::codec::lines::HostMessage;
+use crate::net::conn::{CloseReason, Connection, MAX_WRITE_STALL};
 use crate::net::hosts::{
-    self, ConnectError, ConnectionId, ConnectionState, HostLink, PendingAttempt,
+    self, ConnectError, ConnectOutcome, ConnectionId, ConnectionState, HostEvents, HostLink,
 };
 use std::rc::Rc;
 use std::time::Duration;
 use task_placer::descriptors::Want;
-use task_placer::facade::{PlacementEvent, Ticket};
-use task_placer::health::Event;
+use task_placer::facade::Ticket;
 use task_placer::{EndpointState, HostId, Micros, Outcome, OutcomeDetail};
 use tracing::info;
 
-/// How long half a line of a host may wait for its rest.
-const HALF: Duration = Duration::from_millis(400);
-/// How long a host must be out of reach until what stood there counts as lost.
-const UNREACHABLE_TIMEOUT: Micros = 1_500 * MILLI;
-/// And how long nothing may have been heard of it before. A machine that was cut off runs on and comes back,
-/// one that has vanished does not, and from here they look alike; the list names what is gone. A task that
-/// ended unheard is owed to its client within 8 s of its end (the protocol's figure), and what stands has not
-/// ended before its host was last heard. The rest is for a tick and the way to the client.
-const UNHEARD: Micros = 7_700 * MILLI;
-/// Replaced connections to a host that are kept.
+/// How long part of a line of a host may wait for its rest.
+const PARTIAL_LINE_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a host must be unreachable until the tasks there count as lost.
+const UNREACHABLE_TIMEOUT: Micros = 1_500 * MILLISECOND;
+/// How long nothing may have arrived from an unreachable host before its tasks count as lost.
+///
+/// A machine that was cut off runs on and comes back, one that has vanished does not, and from here they look alike;
+/// the endpoint list names what was removed. The client is to be notified of a task's end within 8 s (the protocol's
+/// figure), and a running task has not ended before its host's last message. The rest is for a tick and the way to the
+/// client.
+const HOST_SILENCE_TIMEOUT: Micros = 7_700 * MILLISECOND;
+/// Replaced connections to a host that are kept open.
 const MAX_REPLACED_CONNECTIONS: usize = 3;
-/// How long a host at which tasks stand is left without a connection. It tells their ends on one only, and
-/// they are owed to clients within 8 s (the protocol's figure): of these a visit may wait for a slot, and a
-/// host that does not answer it is called until `UNREACHABLE_TIMEOUT` has passed.
-const MAX_TIME_WITHOUT_CONNECTION: Micros = 3_000 * MILLI;
+/// How long a host with running tasks is left without a connection.
+///
+/// It reports their ends on one only, and clients are to be notified within 8 s (the protocol's figure): of these the
+/// connection may wait for a slot, and a host that does not answer is called until `UNREACHABLE_TIMEOUT` has passed.
+const MAX_TIME_DISCONNECTED: Micros = 3_000 * MILLISECOND;
 
-impl Dispatch {
-    /// How long until this placer's turn to call a host that did not answer, where turns are taken. Where tasks
-    /// stand there, their ends are waited for, and the host is called no more seldom than without turns.
-    fn health_check_delay(&self, now: Micros, host: &HostId) -> Micros {
-        if self.request_index.running(host).next().is_some() {
-            return 0;
+impl HostEvents for Dispatch {
+    fn host_connected(
+        &mut self,
+        host: &HostId,
+        id: ConnectionId,
+        conn: Rc<Connection>,
+    ) -> ConnectOutcome {
+        let now = self.clock.now();
+        let Some(link) = self.hosts.get_mut(host) else {
+            return ConnectOutcome::NotWanted;
+        };
+        if !link.is_connecting(id) {
+            return ConnectOutcome::NotWanted;
         }
-        self.facade
-            .overload()
-            .and_then(|overload| overload.call_in(now, host))
-            .unwrap_or(0)
+        link.unsent_releases.retain(|line| !conn.send(now, line));
+        link.connection = ConnectionState::Connected(conn);
+        link.connect_failures = 0;
+        link.unreachable_since = None;
+        link.last_message_at = now;
+        self.send_pending_attempts(now, host);
+        ConnectOutcome::InUse
     }
 
-    // ---- The list ----
-
-    /// News of the list. Tasks at what is gone, or at a process that started after them, are lost.
-    pub fn endpoints_changed(&mut self, whole: bool, hosts: Vec<DiscoveredEndpoint>) {
+    /// What waited for the connection never ran.
+    fn host_connect_failed(&mut self, host: &HostId, id: ConnectionId, error: ConnectError) {
         let now = self.clock.now();
-        self.record_health_event(now, Event::Feed);
-        let (entries, recalled) = self.apply_endpoint_update(now, whole, hosts);
-        // Of the others nothing is event.
-        let named: Vec<HostId> = if whole {
-            self.hosts.keys().cloned().collect()
-        } else {
-            entries.iter().map(|entry| entry.host.clone()).collect()
+        let Some(link) = self.hosts.get_mut(host) else {
+            return;
         };
-        self.report_event(
-            now,
-            PlacementEvent::EndpointsChanged {
-                is_complete: whole,
-                endpoints: entries,
-            },
-        );
-        self.end_pending_attempts(now, recalled, Outcome::NotSent);
-        let over = |host: HostId| {
-            let link = self.hosts.get(&host)?;
-            let gone = link.state == EndpointState::Removed;
-            (gone || link.started_at > 0)
-                .then_some((host, if gone { Micros::MAX } else { link.started_at }))
+        if !link.is_connecting(id) {
+            return;
+        }
+        link.connection = ConnectionState::Disconnected;
+        let pending_attempts = std::mem::take(&mut link.pending_attempts);
+        if link.state != EndpointState::Removed {
+            let backoff = link.reconnect_backoff();
+            let backoff = backoff.max(self.health_check_delay(now, host));
+            self.wheel
+                .add(now + backoff, TimerEvent::Reconnect(host.clone(), id));
+        }
+        if error == ConnectError::NoDescriptor {
+            // The fault is here, not at the host.
+            info!(peer = "host", host = &*host.0, connection = id, reason = %error, "connection ended");
+            return self.end_pending_attempts(now, pending_attempts, Outcome::NotSent);
+        }
+        let Some(failure) = self.record_connect_failure(now, host, id, error) else {
+            return;
         };
-        let lost: Vec<(HostId, Micros)> = named.into_iter().filter_map(over).collect();
-        for (host, before) in lost {
-            self.end_lost_tasks(now, &host, before);
+        self.end_pending_attempts(now, pending_attempts, Outcome::ConnectFailed);
+        self.handle_unreachable_host(now, host, error, failure.unreachable_since);
+        if failure.is_first && self.hosts.contains_key(host) {
+            self.suspect_cell(now, host);
         }
     }
 
-    /// Takes the list over: its entries, and the offers that had not left to hosts that are another process now,
-    /// drain or are gone. Guards against offers that were decided for what a host was before.
-    pub(super) fn apply_endpoint_update(
-        &mut self,
-        now: Micros,
-        whole: bool,
-        hosts: Vec<DiscoveredEndpoint>,
-    ) -> (Vec<task_placer::Endpoint>, Vec<PendingAttempt>) {
-        let mut recalled = Vec::new();
-        let mut touched: Vec<HostId> = Vec::with_capacity(hosts.len());
-        if whole {
-            let named: std::collections::BTreeSet<&HostId> =
-                hosts.iter().map(|h| &h.entry.host).collect();
-            for (host, link) in self
-                .hosts
-                .iter_mut()
-                .filter(|(host, _)| !named.contains(host))
-            {
-                self.active_hosts -= usize::from(link.state != EndpointState::Removed);
-                link.state = EndpointState::Removed;
-                touched.push(host.clone());
-            }
-        }
-        let mut entries = Vec::with_capacity(hosts.len());
-        for listed in hosts {
-            let before = self
-                .hosts
-                .get(&listed.entry.host)
-                .map_or(EndpointState::Removed, |link| link.state);
-            let link = self
-                .hosts
-                .entry(listed.entry.host.clone())
-                .or_insert_with(|| HostLink::new(&listed));
-            let DiscoveredEndpoint { entry, dial } = listed;
-            self.active_hosts += usize::from(entry.state != EndpointState::Removed);
-            self.active_hosts -= usize::from(before != EndpointState::Removed);
-            if entry.state != EndpointState::Up || link.started_at != entry.started_at {
-                recalled.append(&mut link.pending_attempts);
-            }
-            (link.state, link.cell, link.started_at) = (entry.state, entry.cell, entry.started_at);
-            link.zone = entry.zone;
-            link.free_resources = entry.free();
-            if dial.is_some() && link.address != dial {
-                link.address = dial;
-                link.connections()
-                    .for_each(|conn| conn.stop(CloseReason::HostRemoved));
-                if link.abort_connect() {
-                    (link.connect_failures, link.unreachable_since) = (0, None);
-                }
-            }
-            touched.push(entry.host.clone());
-            entries.push(entry);
-        }
-        self.split_descriptors();
-        for host in &touched {
-            let Some(link) = self.hosts.get_mut(host) else {
-                continue;
-            };
+    fn host_message(&mut self, host: &HostId, id: TaskId, message: HostMessage) {
+        self.handle_host_message(host, id, message);
+    }
+
+    /// What was sent on it may have run. What runs there still does.
+    fn host_closed(&mut self, host: &HostId, id: ConnectionId, reason: CloseReason) {
+        let now = self.clock.now();
+        let is_on_it = |ticket: &Ticket| self.in_flight_on(*ticket) == Some(id);
+        let cut: Vec<Ticket> = self
+            .request_index
+            .in_flight(host)
+            .filter(is_on_it)
+            .collect();
+        let out = cut.len();
+        info!(peer = "host", host = &*host.0, connection = id, %reason, out, "connection ended");
+        let Some(link) = self.hosts.get_mut(host) else {
+            return;
+        };
+        let was_evicted = matches!(link.connection, ConnectionState::Disconnected);
+        link.replaced.retain(|(replaced, _)| *replaced != id);
+        if link.connection_id == id {
+            link.connection = ConnectionState::Disconnected;
+            link.last_closed_at = now;
             if link.state == EndpointState::Removed {
-                // A gone host's address may be a new host's: nothing more is to reach the old one there, nor on a
-                // connection that comes up only now.
-                link.connections()
-                    .for_each(|conn| conn.stop(CloseReason::HostRemoved));
-                link.abort_connect();
-                recalled.append(&mut link.pending_attempts);
-                self.connection_pool.forget(host);
-            } else if matches!(link.connection, ConnectionState::Disconnected)
-                && link.connect_failures == 0
-            {
+                let pending_attempts = std::mem::take(&mut link.pending_attempts);
+                self.end_pending_attempts(now, pending_attempts, Outcome::ConnectFailed);
+            } else if !was_evicted || self.connection_need(host) >= Some(Want::Release) {
                 self.request_connection(now, host);
             }
         }
-        (entries, recalled)
+        for ticket in cut {
+            let event = self.end_attempt(now, ticket, Outcome::Reset, OutcomeDetail::Unknown);
+            self.report_optional_event(now, event);
+        }
+    }
+
+    fn host_descriptor_released(&mut self, host: &HostId, id: ConnectionId) {
+        self.release_slot(host, id);
     }
+}
 
-    // ---- Connections ----
+/// What a failed connect means for its host.
+struct ConnectFailure {
+    /// It is the first one since the host was last reached.
+    is_first: bool,
+    /// When that first one failed.
+    unreachable_since: Micros,
+}
 
-    /// Starts to connect, beside what is up, if anything is.
+impl Dispatch {
+    /// Starts to connect, beside an open connection if there is one.
     pub(super) fn connect(&mut self, now: Micros, host: &HostId) {
         let Some(link) = self.hosts.get_mut(host) else {
             return;
@@ -166,122 +152,85 @@
             return;
         };
         let (stop, stopped) = async_channel::bounded(1);
+        let connecting = ConnectionState::Connecting(stop);
         if let ConnectionState::Connected(conn) =
-            std::mem::replace(&mut link.connection, ConnectionState::Connecting(stop))
+            std::mem::replace(&mut link.connection, connecting)
         {
             link.replaced.push((link.connection_id, conn));
         }
         link.is_suspect = false;
         link.connection_id += 1;
         link.last_connect_at = now;
-        let connection_id = link.connection_id;
-        self.connection_pool
-            .taken(now, (host.clone(), connection_id));
+        let id = link.connection_id;
+        self.connection_pool.taken(now, (host.clone(), id));
         self.reclaim_descriptors(now);
-        self.wheel.add(
-            now + self.connect_timeout,
-            TimerEvent::ConnectTimeout(host.clone(), connection_id),
-        );
-        self.tasks.spawn(hosts::serve(
-            host.clone(),
-            connection_id,
-            address,
-            stopped,
-            shared,
-        ));
-        self.update_ranks(now, host, false);
+        let timer = TimerEvent::ConnectTimeout(host.clone(), id);
+        self.wheel.add(now + self.connect_timeout, timer);
+        self.tasks
+            .spawn(hosts::serve(host.clone(), id, address, stopped, shared));
+        self.update_priorities(now, host, ConnectionUse::Unchanged);
+    }
+
+    /// Returns how long this placer waits for its turn to call a host that did not answer, where turns are taken. While
+    /// tasks run there, their ends are awaited, and the host is called no more seldom than without turns.
+    fn health_check_delay(&self, now: Micros, host: &HostId) -> Micros {
+        if self.request_index.has_running_tasks(host) {
+            return 0;
+        }
+        self.facade
+            .overload()
+            .and_then(|overload| overload.call_in(now, host))
+            .unwrap_or(0)
     }
 
-    /// The connection is up; false if it is not wanted any more.
-    pub fn host_connected(
+    fn record_connect_failure(
         &mut self,
+        now: Micros,
         host: &HostId,
-        connection_id: ConnectionId,
-        conn: Rc<Conn>,
-    ) -> bool {
-        let now = self.clock.now();
-        let Some(link) = self.hosts.get_mut(host) else {
-            return false;
-        };
-        if link.connection_id != connection_id
-            || !matches!(link.connection, ConnectionState::Connecting(_))
-        {
-            return false;
+        id: ConnectionId,
+        error: ConnectError,
+    ) -> Option<ConnectFailure> {
+        let link = self.hosts.get_mut(host)?;
+        link.was_refused = error == ConnectError::Refused;
+        link.connect_failures = link.connect_failures.saturating_add(1);
+        let unreachable_since = *link.unreachable_since.get_or_insert(now);
+        let is_first = link.connect_failures == 1;
+        if is_first {
+            info!(peer = "host", host = &*host.0, connection = id, reason = %error, "connection ended");
         }
-        link.unsent_releases.retain(|line| !conn.send(now, line));
-        link.connection = ConnectionState::Connected(conn);
-        (
-            link.connect_failures,
-            link.unreachable_since,
-            link.last_message_at,
-        ) = (0, None, now);
-        self.send_pending_attempts(now, host);
-        true
+        Some(ConnectFailure {
+            is_first,
+            unreachable_since,
+        })
     }
 
-    /// The connection was not made: what waited for it never ran.
-    pub fn host_connect_failed(
+    /// Closes what is open to a host that can't be reached, unless something has arrived on it since, and ends the tasks
+    /// there as far as the failure proves that they are lost.
+    fn handle_unreachable_host(
         &mut self,
+        now: Micros,
         host: &HostId,
-        connection_id: ConnectionId,
-        why: ConnectError,
+        error: ConnectError,
+        unreachable_since: Micros,
     ) {
-        let now = self.clock.now();
-        let Some(link) = self.hosts.get_mut(host) else {
-            return;
-        };
-        if link.connection_id != connection_id
-            || !matches!(link.connection, ConnectionState::Connecting(_))
-        {
-            return;
-        }
-        link.connection = ConnectionState::Disconnected;
-        let waiting = std::mem::take(&mut link.pending_attempts);
-        if link.state != EndpointState::Removed {
-            let pause = link.reconnect_backoff();
-            let pause = pause.max(self.health_check_delay(now, host));
-            self.wheel.add(
-                now + pause,
-                TimerEvent::Reconnect(host.clone(), connection_id),
-            );
-        }
-        let Some(link) = self.hosts.get_mut(host) else {
-            return;
-        };
-        if why == ConnectError::NoDescriptor {
-            // Nothing of it is the host's.
-            info!(peer = "host", host = &*host.0, connection = connection_id, reason = %why, "connection ended");
-            return self.end_pending_attempts(now, waiting, Outcome::NotSent);
-        }
-        link.was_refused = why == ConnectError::Refused;
-        link.connect_failures = link.connect_failures.saturating_add(1);
-        let down_since = *link.unreachable_since.get_or_insert(now);
-        let first = link.connect_failures == 1;
-        if first {
-            info!(peer = "host", host = &*host.0, connection = connection_id, reason = %why, "connection ended");
-        }
-        self.end_pending_attempts(now, waiting, Outcome::ConnectFailed);
         let Some(link) = self.hosts.get(host) else {
             return;
         };
-        if link.last_message_at <= link.last_connect_at {
-            // Nothing comes on what is open there. Guards against offers that wait there for an answer until
-            // their clients give up: what may be repeated goes elsewhere at once.
-            link.connections()
-                .for_each(|conn| conn.stop(CloseReason::Silent));
-            if why == ConnectError::Refused {
-                // Proof that the process is gone, and its tasks with it.
-                self.end_lost_tasks(now, host, Micros::MAX);
-            } else {
-                self.end_unreachable_tasks(now, host, down_since);
-            }
+        if link.last_message_at > link.last_connect_at {
+            return;
         }
-        if first {
-            self.suspect_cell(now, host);
+        // Nothing arrives on what is open there. Guards against attempts that wait there for an answer until their
+        // clients give up: what may be retried goes elsewhere at once.
+        link.close_connections(CloseReason::Silent);
+        if error == ConnectError::Refused {
+            // Proof that the process has ended, and its tasks with it.
+            self.end_lost_tasks(now, host, Micros::MAX);
+        } else {
+            self.end_unreachable_tasks(now, host, unreachable_since);
         }
     }
 
-    /// What stands at a host that is out of reach since then is lost once that has lasted.
+    /// Ends the tasks at a host that has been unreachable since then, once that has lasted long enough.
     pub(super) fn end_unreachable_tasks(&mut self, now: Micros, host: &HostId, since: Micros) {
         let Some(link) = self.hosts.get_mut(host) else {
             return;
@@ -289,32 +238,34 @@
         if link.unreachable_since != Some(since) {
             return;
         }
-        let at = (since + UNREACHABLE_TIMEOUT).max(link.last_message_at + UNHEARD);
-        if now >= at {
+        let lost_at =
+            (since + UNREACHABLE_TIMEOUT).max(link.last_message_at + HOST_SILENCE_TIMEOUT);
+        if now >= lost_at {
             return self.end_lost_tasks(now, host, Micros::MAX);
         }
-        if link.tasks_lost_at != Some(at) {
-            link.tasks_lost_at = Some(at);
-            self.wheel
-                .add(at, TimerEvent::HostUnreachable(host.clone(), since));
+        if link.tasks_lost_at != Some(lost_at) {
+            link.tasks_lost_at = Some(lost_at);
+            let timer = TimerEvent::HostUnreachable(host.clone(), since);
+            self.wheel.add(lost_at, timer);
         }
     }
 
-    /// Guards against machines of a cell that died together: where nothing is out on a connection its
-    /// end may go unheard, and what stands there would be lost only when the feed tells.
+    /// Suspects the other hosts of a cell. Guards against machines of a cell that failed together: where nothing is in
+    /// flight on a connection its end may go unnoticed, and the tasks there would be lost only when the feed says so.
     fn suspect_cell(&mut self, now: Micros, failed: &HostId) {
         let Some(cell) = self.hosts.get(failed).map(|link| link.cell) else {
             return;
         };
-        let others = self
+        let others: Vec<HostId> = self
             .hosts
             .iter()
-            .filter(|(host, link)| *host != failed && link.cell == cell);
-        let others: Vec<HostId> = others.map(|(host, _)| host.clone()).collect();
+            .filter(|(host, link)| *host != failed && link.cell == cell)
+            .map(|(host, _)| host.clone())
+            .collect();
         others.iter().for_each(|host| self.suspect_host(now, host));
     }
 
-    /// Makes another connection beside the one that is up.
+    /// Suspects a host: requests another connection beside the one that is up.
     pub(super) fn suspect_host(&mut self, now: Micros, host: &HostId) {
         let Some(link) = self.hosts.get_mut(host) else {
             return;
@@ -325,21 +276,19 @@
         }
     }
 
-    /// An offer is out and its host has said nothing since. Guards against a machine that vanished: its
-    /// connection stays open and silent. Another is made beside it, so that later offers don't vanish
-    /// too; where none comes up either, what stands there is lost. Offers stay out on the silent one.
+    /// Suspects the host of an attempt in flight if nothing has arrived from it since.
+    ///
+    /// Guards against a machine that vanished: its connection stays open and silent. Another is made beside it, so that
+    /// later attempts don't vanish too; where none comes up either, the tasks there are lost. Attempts stay in flight on
+    /// the silent one.
     pub(super) fn suspect_silent_host(&mut self, now: Micros, ticket: Ticket, attempt: u32) {
-        let Some(Request {
-            state:
-                RequestState::InFlight {
-                    attempt: n,
-                    host,
-                    since,
-                    connection_id,
-                    ..
-                },
+        let Some(RequestState::InFlight {
+            attempt: current,
+            host,
+            since,
+            sent_on,
             ..
-        }) = self.requests.get(&ticket)
+        }) = self.requests.get(&ticket).map(|request| &request.state)
         else {
             return;
         };
@@ -347,99 +296,71 @@
         let Some(link) = self.hosts.get(&host) else {
             return;
         };
-        if *n == attempt
-            && *connection_id == Some(link.connection_id)
-            && link.last_message_at < *since
-        {
+        let is_on_current = *sent_on == Some(link.connection_id);
+        if *current == attempt && is_on_current && link.last_message_at < *since {
             self.suspect_host(now, &host);
         }
     }
 
-    /// The connection has ended: what was offered on it may have run. What stands there still does.
-    pub fn host_closed(&mut self, host: &HostId, connection_id: ConnectionId, end: CloseReason) {
-        let now = self.clock.now();
-        let on = |ticket: &Ticket| {
-            self.requests.get(ticket).and_then(|r| r.state.out_on()) == Some(connection_id)
-        };
-        let cut: Vec<Ticket> = self.request_index.in_flight(host).filter(on).collect();
-        let out = cut.len();
-        info!(peer = "host", host = &*host.0, connection = connection_id, reason = %end, out, "connection ended");
-        let Some(link) = self.hosts.get_mut(host) else {
-            return;
-        };
-        let made_way = matches!(link.connection, ConnectionState::Disconnected);
-        link.replaced.retain(|(r, _)| *r != connection_id);
-        if link.connection_id == connection_id {
-            link.connection = ConnectionState::Disconnected;
-            link.last_closed_at = now;
-            if link.state == EndpointState::Removed {
-                let waiting = std::mem::take(&mut link.pending_attempts);
-                self.end_pending_attempts(now, waiting, Outcome::ConnectFailed);
-            } else if !made_way || self.connection_need(host) >= Some(Want::Release) {
-                self.request_connection(now, host);
-            }
-        }
-        for ticket in cut {
-            let event = self.end_attempt(now, ticket, Outcome::Reset, OutcomeDetail::Unknown);
-            event
-                .into_iter()
-                .for_each(|event| self.report_event(now, event));
-        }
-    }
-
-    /// Ends connections that are stuck, and the oldest replaced ones on which no offer is out. The latest
-    /// stay: the host may have words under way on them, and closes them itself when they idle. Then calls
-    /// the hosts that have had no connection for a while: those where tasks stand, and the others while
-    /// there is room.
+    /// Closes stalled connections and surplus replaced ones, then connects to hosts that have had no connection for a
+    /// while: those with running tasks, and the others while there is spare capacity.
     pub(super) fn sweep_host_connections(&mut self, now: Micros) {
         // Guards against hosts that come and go all day.
         self.hosts.retain(|_, link| !link.can_be_forgotten());
         for (host, link) in &self.hosts {
             // Guards also against an answer that stops short: nothing after it can be read.
-            link.connections().for_each(|conn| {
-                conn.end_if_stuck(now, STUCK);
-                conn.end_if_half(HALF);
-            });
-            for (connection_id, conn) in link.replaced.iter().rev().skip(MAX_REPLACED_CONNECTIONS) {
-                let on = |ticket| {
-                    self.requests
-                        .get(&ticket)
-                        .and_then(|r: &Request| r.state.out_on())
-                };
-                if !self
-                    .request_index
-                    .in_flight(host)
-                    .any(|ticket| on(ticket) == Some(*connection_id))
-                {
-                    conn.stop(CloseReason::Replaced);
-                }
+            for conn in link.connections() {
+                conn.close_if_write_stalled(now, MAX_WRITE_STALL);
+                conn.close_if_partial(PARTIAL_LINE_TIMEOUT);
             }
+            self.close_surplus_replaced(host, link);
         }
-        let down = |host: &HostId| {
-            let link = self.hosts.get(host)?;
-            (matches!(link.connection, ConnectionState::Disconnected) && link.connect_failures == 0)
-                .then_some(link)
-        };
-        let unvisited = |host: &&HostId| {
-            down(host).is_some_and(|link| now - link.last_closed_at >= MAX_TIME_WITHOUT_CONNECTION)
-        };
-        let mut calls: Vec<HostId> = self
+        let mut to_connect: Vec<HostId> = self
             .request_index
             .hosts_with_running_tasks()
-            .filter(unvisited)
+            .filter(|host| {
+                self.disconnected_link(host)
+                    .is_some_and(|link| now - link.last_closed_at >= MAX_TIME_DISCONNECTED)
+            })
             .cloned()
             .collect();
         if self.connection_pool.spacious() {
-            calls.extend(
-                self.hosts
-                    .keys()
-                    .filter(|host| down(host).is_some())
-                    .cloned(),
-            );
+            let disconnected = self.hosts.keys();
+            let disconnected = disconnected.filter(|host| self.disconnected_link(host).is_some());
+            to_connect.extend(disconnected.cloned());
         }
-        calls
+        to_connect
             .iter()
             .for_each(|host| self.request_connection(now, host));
         self.evict_connections(now);
     }
+
+    /// Closes the oldest replaced connections to a host on which no attempt is in flight. The latest stay: the host may
+    /// have messages under way on them, and closes them itself when they idle.
+    fn close_surplus_replaced(&self, host: &HostId, link: &HostLink) {
+        for (id, conn) in link.replaced.iter().rev().skip(MAX_REPLACED_CONNECTIONS) {
+            if !self.has_attempt_in_flight_on(host, *id) {
+                conn.close(CloseReason::Replaced);
+            }
+        }
+    }
+
+    /// Returns a host that has no connection, and whose last connect did not fail.
+    fn disconnected_link(&self, host: &HostId) -> Option<&HostLink> {
+        let link = self.hosts.get(host)?;
+        let is_disconnected = matches!(link.connection, ConnectionState::Disconnected);
+        (is_disconnected && link.connect_failures == 0).then_some(link)
+    }
+
+    /// Whether an attempt is in flight on a connection.
+    pub(super) fn has_attempt_in_flight_on(&self, host: &HostId, id: ConnectionId) -> bool {
+        self.request_index
+            .in_flight(host)
+            .any(|ticket| self.in_flight_on(ticket) == Some(id))
+    }
+
+    fn in_flight_on(&self, ticket: Ticket) -> Option<ConnectionId> {
+        let request = self.requests.get(&ticket)?;
+        request.state.in_flight_on()
+    }
 }
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -1,9 +1,11 @@
-//! Owns what hosts say on their connections: answers, releases and notes. What a host says counts only for the attempt
-//! that is out there or the task that stands there. It never passes on a late word on an attempt given up, and never
-//! decides what follows: that is the module's.
+//! Owns what hosts send on their connections: starts, releases and reports. A message counts only for the attempt that
+//! is in flight at that host or the task that runs there. It never passes on a late message about an abandoned attempt,
+//! and never decides what follows: the decision module does.
 
 use super::Dispatch;
-use super::requests::{Ended, RequestState};
+use super::connection_slots::ConnectionUse;
+use super::request::{Assignment, EndedTask, HostRelease, RequestState};
+use super::responses::StartedTask;
 use crate::net::codec::lines::{self, HostMessage};
 use crate::net::codec::{TaskId, cause};
 use crate::net::hosts::ConnectionState;
@@ -12,9 +14,8 @@
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
 impl Dispatch {
-    /// A message of a host. It counts only for the attempt that is out there or the task that stands
-    /// there: a late word on an attempt given up is never passed on.
-    pub fn host_message(&mut self, host: &HostId, id: TaskId, word: HostMessage) {
+    /// Handles a message of a host.
+    pub(super) fn handle_host_message(&mut self, host: &HostId, id: TaskId, message: HostMessage) {
         let now = self.clock.now();
         if let Some(link) = self.hosts.get_mut(host) {
             (link.last_message_at, link.is_suspect) = (now, false);
@@ -22,58 +23,88 @@
         let ticket = self.tickets_by_task.get(&id).copied();
         let known = ticket.and_then(|ticket| Some((ticket, self.requests.get(&ticket)?)));
         let Some((ticket, request)) = known else {
-            if let HostMessage::Released(cause, detail) = word {
-                self.acknowledge_release(now, host, id);
-                self.ended_tasks.insert(
-                    id,
-                    Ended {
-                        by: Some((host.clone(), cause, detail)),
-                        since: now,
-                    },
-                );
-            }
-            return;
+            return self.handle_unknown_task_message(now, host, id, message);
         };
-        match &request.state {
-            RequestState::InFlight { host: offered, .. } if offered == host => match word {
-                HostMessage::Started(description) => {
-                    self.attempt_started(now, ticket, &description)
-                }
-                HostMessage::Released(cause::NORMAL, detail) => {
-                    self.attempt_completed(now, ticket, detail)
-                }
-                HostMessage::Released(cause, detail) => {
-                    self.attempt_released(now, ticket, host, cause, detail)
-                }
-                HostMessage::Report(..) | HostMessage::Other => {}
-            },
-            RequestState::Running { host: at, .. } | RequestState::Releasing { host: at, .. }
-                if at == host =>
-            {
-                match word {
-                    HostMessage::Released(cause, detail) => {
-                        self.acknowledge_release(now, host, id);
-                        self.end_running_task(now, ticket, cause, detail);
-                    }
-                    HostMessage::Report(note, value) => {
-                        self.report_event(
-                            now,
-                            PlacementEvent::TaskReported {
-                                ticket,
-                                host: host.clone(),
-                                report: note,
-                                value,
-                            },
-                        );
-                    }
-                    HostMessage::Started(_) | HostMessage::Other => {}
-                }
+        match request.state.assignment() {
+            Some((at, Assignment::InFlight)) if at == host => {
+                self.handle_attempt_message(now, ticket, host, message);
+            }
+            Some((at, Assignment::Started)) if at == host => {
+                self.handle_running_task_message(now, ticket, host, id, message);
             }
             _ => {}
         }
     }
 
-    /// The host of the offer that is out has started the task: it stands, and its client gets the answer.
+    /// Handles a message about a task that is not in the table: a release is confirmed, and remembered.
+    fn handle_unknown_task_message(
+        &mut self,
+        now: Micros,
+        host: &HostId,
+        id: TaskId,
+        message: HostMessage,
+    ) {
+        if let HostMessage::Released(cause, _) = message {
+            self.acknowledge_release(now, host, id);
+            let ended = EndedTask {
+                released_by: Some(HostRelease {
+                    host: host.clone(),
+                    cause,
+                }),
+                ended_at: now,
+            };
+            self.ended_tasks.insert(id, ended);
+        }
+    }
+
+    /// Handles a message about the attempt that is in flight at this host.
+    fn handle_attempt_message(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        host: &HostId,
+        message: HostMessage,
+    ) {
+        match message {
+            HostMessage::Started(description) => self.attempt_started(now, ticket, &description),
+            HostMessage::Released(cause::NORMAL, detail) => {
+                self.attempt_completed(now, ticket, detail);
+            }
+            HostMessage::Released(cause, detail) => {
+                self.attempt_released(now, ticket, host, cause, detail);
+            }
+            HostMessage::Report(..) | HostMessage::Other => {}
+        }
+    }
+
+    /// Handles a message about a task that runs at this host or is being released there.
+    fn handle_running_task_message(
+        &mut self,
+        now: Micros,
+        ticket: Ticket,
+        host: &HostId,
+        id: TaskId,
+        message: HostMessage,
+    ) {
+        match message {
+            HostMessage::Released(cause, detail) => {
+                self.acknowledge_release(now, host, id);
+                self.end_running_task(now, ticket, cause, detail);
+            }
+            HostMessage::Report(report, value) => {
+                let event = PlacementEvent::TaskReported {
+                    ticket,
+                    host: host.clone(),
+                    report,
+                    value,
+                };
+                self.report_event(now, event);
+            }
+            HostMessage::Started(_) | HostMessage::Other => {}
+        }
+    }
+
+    /// The host of the attempt in flight has started the task: it runs, and its client gets the response.
     fn attempt_started(&mut self, now: Micros, ticket: Ticket, description: &str) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
@@ -88,49 +119,48 @@
             return;
         };
         let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
-        request.task_request = None;
-        let stretch = elapsed as f64 / request.aim as f64;
-        let in_aim = now - request.since <= request.aim;
-        let (id, client, class) = (request.id, request.client.take(), request.class);
-        self.set_request_state(
-            ticket,
-            RequestState::Running {
-                attempt,
-                host: host.clone(),
-                since: now,
-            },
-        );
-        self.update_ranks(now, &host, true);
+        request.message = None;
+        let stretch = elapsed as f64 / request.latency_objective as f64;
+        let in_aim = now - request.arrived_at <= request.latency_objective;
+        let client = request.client.take();
+        let started = StartedTask {
+            id: request.id,
+            class: request.class,
+            description,
+        };
+        let state = RequestState::Running {
+            attempt,
+            host: host.clone(),
+            since: now,
+        };
+        self.set_request_state(ticket, state);
+        self.update_priorities(now, &host, ConnectionUse::JustUsed);
         if let Some(client) = client {
-            self.respond_placed(now, ticket, client, class, id, description);
-            self.clients.prove(client);
+            self.respond_placed(now, client, ticket, &started);
+            self.clients.mark_proven(client);
             self.assign_running_task(ticket, client);
         }
         if let Some(link) = self.hosts.get_mut(&host) {
             link.rejected_full_at = None;
         }
-        self.record_health_event(
-            now,
-            Event::Offer {
-                outcome: Outcome::Completed,
-                detail: OutcomeDetail::Unknown,
-                stretch,
-            },
-        );
+        let event = Event::Offer {
+            outcome: Outcome::Completed,
+            detail: OutcomeDetail::Unknown,
+            stretch,
+        };
+        self.record_health_event(now, event);
         self.record_health_event(now, Event::Answered { in_aim });
-        self.report_event(
-            now,
-            PlacementEvent::AttemptStarted {
-                ticket,
-                attempt,
-                host,
-                elapsed,
-            },
-        );
+        let event = PlacementEvent::AttemptStarted {
+            ticket,
+            attempt,
+            host,
+            elapsed,
+        };
+        self.report_event(now, event);
     }
 
-    /// The task's own time is over: hosts release it so wherever it is offered. Guards against offering it again and
-    /// holding each of these hosts for broken; its client is told the cause.
+    /// The task's own time is over: hosts release it so wherever it is sent. Guards against another attempt, and
+    /// against holding each of these hosts for broken; the client is sent the cause.
     fn attempt_completed(&mut self, now: Micros, ticket: Ticket, detail: OutcomeDetail) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
@@ -144,25 +174,23 @@
         else {
             return;
         };
-        let (attempt, host, elapsed, outcome) =
-            (*attempt, host.clone(), now - since, Outcome::Completed);
+        let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
         self.set_request_state(ticket, RequestState::Queued);
-        self.update_ranks(now, &host, true);
+        self.update_priorities(now, &host, ConnectionUse::JustUsed);
         self.respond_unplaced(now, ticket, cause::NORMAL, None);
-        self.report_event(
-            now,
-            PlacementEvent::AttemptEnded {
-                ticket,
-                attempt,
-                host,
-                outcome,
-                detail,
-                elapsed,
-            },
-        );
+        let event = PlacementEvent::AttemptEnded {
+            ticket,
+            attempt,
+            host,
+            outcome: Outcome::Completed,
+            detail,
+            elapsed,
+        };
+        self.report_event(now, event);
     }
 
-    /// The host of the offer that is out does not start the task: the attempt has ended, and the module decides on.
+    /// The host of the attempt in flight does not start the task: the attempt has ended, and the decision module
+    /// decides what follows.
     fn attempt_released(
         &mut self,
         now: Micros,
@@ -177,24 +205,21 @@
             cause::NOT_SENT => Outcome::NotSent,
             _ => Outcome::Reset,
         };
-        if outcome == Outcome::Rejected && detail != OutcomeDetail::NotEligible {
-            self.hosts
-                .get_mut(host)
-                .into_iter()
-                .for_each(|link| link.rejected_full_at = Some(now));
+        if outcome == Outcome::Rejected
+            && detail != OutcomeDetail::NotEligible
+            && let Some(link) = self.hosts.get_mut(host)
+        {
+            link.rejected_full_at = Some(now);
         }
         let event = self.end_attempt(now, ticket, outcome, detail);
-        event
-            .into_iter()
-            .for_each(|event| self.report_event(now, event));
+        self.report_optional_event(now, event);
     }
 
-    /// Tells a host that its release was heard.
+    /// Acknowledges a host's release.
     fn acknowledge_release(&self, now: Micros, host: &HostId, id: TaskId) {
-        if let Some(ConnectionState::Connected(conn)) =
-            self.hosts.get(host).map(|link| &link.connection)
-        {
-            conn.send(now, &lines::heard(id));
+        let link = self.hosts.get(host);
+        if let Some(ConnectionState::Connected(conn)) = link.map(|link| &link.connection) {
+            conn.send(now, &lines::release_ack(id));
         }
     }
 }
--- a/src/net/dispatch/request_index.rs
+++ b/src/net/dispatch/request_index.rs
@@ -1,73 +1,79 @@
-//! Owns the lists of requests by the host that they are at, so that event of one host does not walk all requests. It
-//! never holds a request itself, only its ticket.
+//! Owns the index of requests by host, so that an event of one host does not visit all requests. It holds tickets only,
+//! never a request.
 
+use super::request::Assignment;
 use std::collections::{BTreeMap, BTreeSet};
 use task_placer::HostId;
 use task_placer::facade::Ticket;
 
+/// The requests that are assigned to one host.
 #[derive(Default)]
 struct HostRequests {
     in_flight: BTreeSet<Ticket>,
-    running: BTreeSet<Ticket>,
+    started: BTreeSet<Ticket>,
 }
 
 impl HostRequests {
-    fn of(&mut self, stands: bool) -> &mut BTreeSet<Ticket> {
-        if stands {
-            &mut self.running
-        } else {
-            &mut self.in_flight
+    fn tickets_mut(&mut self, assignment: Assignment) -> &mut BTreeSet<Ticket> {
+        match assignment {
+            Assignment::InFlight => &mut self.in_flight,
+            Assignment::Started => &mut self.started,
         }
     }
 }
 
-/// Where an offer is out, and where tasks stand or leave.
+/// Requests by the host that they are assigned to.
 #[derive(Default)]
-pub struct RequestIndex(BTreeMap<HostId, HostRequests>);
+pub(super) struct RequestIndex(BTreeMap<HostId, HostRequests>);
 
 impl RequestIndex {
-    /// A request is out or stands there from now on.
-    pub fn insert(&mut self, ticket: Ticket, host: &HostId, stands: bool) {
+    /// Adds a request that was assigned to a host.
+    pub(super) fn insert(&mut self, ticket: Ticket, host: &HostId, assignment: Assignment) {
         if !self.0.contains_key(host) {
             self.0.insert(host.clone(), HostRequests::default());
         }
-        if let Some(here) = self.0.get_mut(host) {
-            here.of(stands).insert(ticket);
+        if let Some(requests) = self.0.get_mut(host) {
+            requests.tickets_mut(assignment).insert(ticket);
         }
     }
 
-    /// It no longer is.
-    pub fn remove(&mut self, ticket: Ticket, host: &HostId, stands: bool) {
-        let Some(here) = self.0.get_mut(host) else {
+    /// Removes a request from a host.
+    pub(super) fn remove(&mut self, ticket: Ticket, host: &HostId, assignment: Assignment) {
+        let Some(requests) = self.0.get_mut(host) else {
             return;
         };
-        here.of(stands).remove(&ticket);
-        if here.in_flight.is_empty() && here.running.is_empty() {
+        requests.tickets_mut(assignment).remove(&ticket);
+        if requests.in_flight.is_empty() && requests.started.is_empty() {
             self.0.remove(host);
         }
     }
 
-    /// The requests that are out there.
-    pub fn in_flight(&self, host: &HostId) -> impl Iterator<Item = Ticket> + '_ {
+    /// Returns the requests with an attempt in flight at a host.
+    pub(super) fn in_flight(&self, host: &HostId) -> impl Iterator<Item = Ticket> + '_ {
         self.0
             .get(host)
             .into_iter()
-            .flat_map(|here| here.in_flight.iter().copied())
+            .flat_map(|requests| requests.in_flight.iter().copied())
     }
 
-    /// Those that stand there or leave.
-    pub fn running(&self, host: &HostId) -> impl Iterator<Item = Ticket> + '_ {
+    /// Returns the requests whose tasks run at a host or are being released there.
+    pub(super) fn running(&self, host: &HostId) -> impl Iterator<Item = Ticket> + '_ {
         self.0
             .get(host)
             .into_iter()
-            .flat_map(|here| here.running.iter().copied())
+            .flat_map(|requests| requests.started.iter().copied())
     }
 
-    /// The hosts at which any stand.
-    pub fn hosts_with_running_tasks(&self) -> impl Iterator<Item = &HostId> {
+    /// Whether any task runs at a host or is being released there.
+    pub(super) fn has_running_tasks(&self, host: &HostId) -> bool {
+        self.running(host).next().is_some()
+    }
+
+    /// Returns the hosts at which tasks run or are being released.
+    pub(super) fn hosts_with_running_tasks(&self) -> impl Iterator<Item = &HostId> {
         self.0
             .iter()
-            .filter(|(_, here)| !here.running.is_empty())
+            .filter(|(_, requests)| !requests.started.is_empty())
             .map(|(host, _)| host)
     }
 }
--- a/src/net/dispatch/requests.rs
+++ b/src/net/dispatch/requests.rs
@@ -1,138 +1,38 @@
-//! Owns the table of requests: what a request is, which state it is in, and at which host. Every request comes into the
-//! table by `admit`, changes its state by `enter` and leaves by `remove`, so that the lists beside the table
-//! (`by_id`, `at_hosts`, `ended`) agree with it. It never decides a change, and never writes to a peer.
+//! Owns the table of requests. Every request enters it by `insert_request`, changes its state by `set_request_state` and
+//! leaves it by `remove_request`, so that the indexes beside the table (`tickets_by_task`, `request_index`,
+//! `ended_tasks`) agree with it. It never decides on a change, and never writes to a peer.
 //!
 //! ```text
-//!    task_request                                          adopt (a set-up with `at`)
-//!      │                                                │
-//!      ▼          offer               attempt_started      ▼     release_running_task
-//!   ┌──────┐ ───────────────▶ ┌─────┐ ────────────▶ ┌──────────┐ ───────────▶ ┌─────────┐
-//!   │ Held │                  │ Out │               │ Standing │              │ Leaving │
-//!   └──────┘ ◀─────────────── └─────┘               └──────────┘              └─────────┘
-//!      │    end_attempt, attempt_completed                      │                         │
-//!      │                                                │ end_running_task: its       │ end_running_task: its
-//!      │ answer: refused, failed, or                    │ host has released it,   │ host has released it,
-//!      │ the task's own time is over                    │ or it is lost           │ it is lost, or TimerEvent::ReleaseTimeout
-//!      │ gone: its client gave up                       │ end_task_at_unknown_host            │
-//!      ▼                                                ▼                         ▼
-//!   ═════════════════ remove: out of the table; its id is kept in `ended` ══════════════
+//!  handle_task_request                                       adopt_task
+//!      │                                                         │
+//!      ▼       start_attempt            attempt_started          ▼   release_running_task
+//!   ┌────────┐ ───────────────▶ ┌──────────┐ ────────────▶ ┌─────────┐ ────────▶ ┌───────────┐
+//!   │ Queued │                  │ InFlight │               │ Running │           │ Releasing │
+//!   └────────┘ ◀─────────────── └──────────┘               └─────────┘           └───────────┘
+//!      │   end_attempt,                                         │                      │
+//!      │   attempt_completed                                    │ end_running_task:    │ end_running_task:
+//!      │                                                        │ released by its host │ released by its host,
+//!      │ respond_unplaced: rejected, failed, or                 │ or lost              │ lost, or
+//!      │ the task's own time is over                            │ end_task_at_unknown_ │ TimerEvent::
+//!      │ cancel_request: cancelled by its client                │ host                 │ ReleaseTimeout
+//!      ▼                                                        ▼                      ▼
+//!   ═══════════════ remove_request: out of the table; its id is kept in `ended_tasks` ═════════════════
 //! ```
 //!
-//! An answer is owed in `Held` and `Out` (`Request::awaits_response`), and none after. Whatever ends a request that is
-//! out ends its attempt first. An offer that is out waits first (`connection_id: None`), and has left once it has a connection_id: see
-//! `offers`.
+//! A response is pending in `Queued` and `InFlight` (`Request::awaits_response`), and in no other state. Whatever ends
+//! a request that is in flight ends its attempt first. An attempt waits first (`sent_on: None`), and has been sent once
+//! it has a connection: see `attempts`.
 
-use super::{Dispatch, MILLI};
+use super::connection_slots::ConnectionUse;
+use super::request::{EndedTask, Request, RequestState};
+use super::{Dispatch, MILLISECOND};
 use crate::net::clients::ClientId;
-use crate::net::codec::{TaskId, TaskRequest};
-use crate::net::hosts::ConnectionId;
+use crate::net::codec::TaskId;
+use task_placer::Micros;
 use task_placer::facade::Ticket;
-use task_placer::{HostId, Micros, OutcomeDetail};
-
-/// Where a request is.
-#[derive(Debug, Clone, PartialEq)]
-pub(super) enum RequestState {
-    /// With the module; an answer is owed.
-    Queued,
-    /// Offered; an answer is owed.
-    InFlight {
-        attempt: u32,
-        host: HostId,
-        since: Micros,
-        until: Micros,
-        connection_id: Option<ConnectionId>,
-    },
-    /// It stands.
-    Running {
-        attempt: u32,
-        host: HostId,
-        since: Micros,
-    },
-    /// Ended from this side; the host's word on it is awaited, and its client is owed nothing.
-    Releasing {
-        attempt: u32,
-        host: HostId,
-        since: Micros,
-    },
-}
-
-/// One request, from its set-up until nothing of it is owed.
-pub(super) struct Request {
-    pub(super) id: TaskId,
-    pub(super) client: Option<ClientId>,
-    /// Dropped once the task stands.
-    pub(super) task_request: Option<Box<TaskRequest>>,
-    pub(super) attempts: u32,
-    pub(super) state: RequestState,
-    /// Its class, if the settings state it.
-    pub(super) class: Option<usize>,
-    /// When it came, and the aim of its class.
-    pub(super) since: Micros,
-    pub(super) aim: Micros,
-    /// Where it was set up or named, once it stands.
-    pub(super) home_client: Option<ClientId>,
-}
-
-/// A task that is over: its host has released it, or it was answered. Kept for a set-up with `at` that
-/// still comes, and against one that uses its id again.
-pub(super) struct Ended {
-    /// The host that released it, and its cause.
-    pub(super) by: Option<(HostId, u8, OutcomeDetail)>,
-    pub(super) since: Micros,
-}
-
-impl RequestState {
-    /// The host that it is at: where its offer is out, it stands, or it leaves.
-    pub(super) fn at(&self) -> Option<&HostId> {
-        match self {
-            RequestState::Queued => None,
-            RequestState::InFlight { host, .. }
-            | RequestState::Running { host, .. }
-            | RequestState::Releasing { host, .. } => Some(host),
-        }
-    }
-
-    /// Whether it stands there, or leaves.
-    pub(super) fn stands(&self) -> bool {
-        matches!(
-            self,
-            RequestState::Running { .. } | RequestState::Releasing { .. }
-        )
-    }
-
-    /// Whether its offer has not left.
-    pub(super) fn unsent(&self) -> bool {
-        matches!(
-            self,
-            RequestState::InFlight {
-                connection_id: None,
-                ..
-            }
-        )
-    }
-
-    /// The connection that its offer is out on.
-    pub(super) fn out_on(&self) -> Option<ConnectionId> {
-        if let RequestState::InFlight { connection_id, .. } = self {
-            *connection_id
-        } else {
-            None
-        }
-    }
-}
-
-impl Request {
-    /// Whether its client waits for an answer.
-    pub(super) fn awaits_response(&self) -> bool {
-        matches!(
-            self.state,
-            RequestState::Queued | RequestState::InFlight { .. }
-        )
-    }
-}
 
 impl Dispatch {
-    /// A request comes into the table, under a ticket that is never used again.
+    /// Adds a request to the table and returns its ticket, which is never reused.
     pub(super) fn insert_request(
         &mut self,
         now: Micros,
@@ -144,65 +44,61 @@
         let ticket = Ticket(self.next_ticket);
         self.next_ticket += 1;
         self.tickets_by_task.insert(id, ticket);
-        let aim = self
+        let latency_objective = self
             .facade
             .latency_objective(class)
-            .unwrap_or(MILLI)
-            .max(MILLI);
-        let client = Some(client);
-        if let Some(host) = state.at() {
-            self.request_index.insert(ticket, host, state.stands());
+            .unwrap_or(MILLISECOND)
+            .max(MILLISECOND);
+        if let Some((host, assignment)) = state.assignment() {
+            self.request_index.insert(ticket, host, assignment);
         }
-        let class = self.facade.class_index(class);
-        let (task_request, home_client) = (None, None);
         let request = Request {
             id,
-            client,
-            task_request,
+            client: Some(client),
+            message: None,
             attempts: 0,
             state,
-            class,
-            since: now,
-            aim,
-            home_client,
+            class: self.facade.class_index(class),
+            arrived_at: now,
+            latency_objective,
+            home_client: None,
         };
         self.requests.insert(ticket, request);
         ticket
     }
 
-    /// A request goes over into another state.
+    /// Changes the state of a request.
     pub(super) fn set_request_state(&mut self, ticket: Ticket, state: RequestState) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
         };
         let before = std::mem::replace(&mut request.state, state);
-        if let Some(host) = before.at() {
-            self.request_index.remove(ticket, host, before.stands());
+        if let Some((host, assignment)) = before.assignment() {
+            self.request_index.remove(ticket, host, assignment);
         }
-        if let Some(host) = request.state.at() {
-            self.request_index
-                .insert(ticket, host, request.state.stands());
+        if let Some((host, assignment)) = request.state.assignment() {
+            self.request_index.insert(ticket, host, assignment);
         }
     }
 
-    /// A request leaves the table: nothing of it is owed to its client, or that is told by whoever calls this.
+    /// Removes a request from the table. The caller sends its client whatever is still to be sent.
     pub(super) fn remove_request(&mut self, ticket: Ticket) -> Option<Request> {
         let request = self.requests.remove(&ticket)?;
-        if let Some(host) = request.state.at() {
-            self.request_index
-                .remove(ticket, host, request.state.stands());
-            self.update_ranks(self.clock.now(), host, false);
+        if let Some((host, assignment)) = request.state.assignment() {
+            self.request_index.remove(ticket, host, assignment);
+            self.update_priorities(self.clock.now(), host, ConnectionUse::Unchanged);
         }
-        if let Some(home) = request.home_client {
-            self.clients.count_standing(home, false);
+        if let Some(home_client) = request.home_client {
+            self.clients.running_task_ended(home_client);
         }
         if self.tickets_by_task.get(&request.id) == Some(&ticket) {
             self.tickets_by_task.remove(&request.id);
-            let since = self.clock.now();
-            self.ended_tasks
-                .entry(request.id)
-                .or_insert(Ended { by: None, since })
-                .since = since;
+            let now = self.clock.now();
+            let ended = self.ended_tasks.entry(request.id).or_insert(EndedTask {
+                released_by: None,
+                ended_at: now,
+            });
+            ended.ended_at = now;
         }
         Some(request)
     }
--- a/src/net/dispatch/responses.rs
+++ b/src/net/dispatch/responses.rs
@@ -1,16 +1,17 @@
-//! Owns the final answers: a set-up that was taken in is answered here and nowhere else, once, since it leaves `Held`
-//! and `Out` with its answer. It never decides on an answer, never offers a task, and never tells the end of a task that
-//! stood (`standing` does).
+//! Owns the final responses. A request that was taken in is answered here and nowhere else, exactly once, because it
+//! leaves `Queued` and `InFlight` with its response. It never decides on a response, never sends an attempt, and never
+//! reports the end of a running task (`running_tasks` does).
 //!
-//! - `answer`: refused or failed, and the one end that a host gives a task before its answer (its own time is over).
+//! - `respond_unplaced`: rejected or failed, and the one end that a host reports before a start (the task's own time is
+//!   over).
 //! - `respond_placed`: a host has started the task; its description goes to the client unchanged.
-//! - `respond_invalid`: a set-up that can't be right, which never came into the table.
+//! - `respond_invalid`: an invalid request, which never entered the table.
 //!
-//! A set-up with `at` names a task that a host holds already: it asks for no answer, and what its client may be told at
-//! once is the end of that task (`adopt`).
+//! A request to adopt a task (`at` on the wire) has no pending response; its client may only be sent the end of that
+//! task at once (`adopt_task`).
 
 use super::Dispatch;
-use super::requests::RequestState;
+use super::request::RequestState;
 use crate::net::clients::ClientId;
 use crate::net::codec::{TaskId, binary, cause};
 use task_placer::facade::{PlacementEvent, Ticket};
@@ -19,56 +20,62 @@
 use task_placer::{Micros, Outcome};
 
 impl Dispatch {
-    /// The final answer to a request that does not stand: the only place that gives it a refusal or a failure.
+    /// Sends the final response to a request without a running task: the only place that rejects or fails one. Returns
+    /// the end of the attempt that was in flight, if any.
     pub(super) fn respond_unplaced(
         &mut self,
         now: Micros,
         ticket: Ticket,
         cause: u8,
-        away: Option<u64>,
+        retry_after_ms: Option<u64>,
     ) -> Option<PlacementEvent> {
         let event = self.abandon_attempt(now, ticket, None, Outcome::Cancelled);
-        if self
-            .requests
-            .get(&ticket)
-            .is_some_and(|r| r.state == RequestState::Queued)
-        {
+        let request = self.requests.get(&ticket);
+        if request.is_some_and(|request| request.state == RequestState::Queued) {
             self.record_health_event(now, Event::Answered { in_aim: false });
             let request = self.remove_request(ticket)?;
             if let Some(client) = request.client {
-                let how = if cause == cause::REJECTED {
+                let outcome = if cause == cause::REJECTED {
                     Told::Refused
                 } else {
                     Told::Failed
                 };
-                self.counters.ended(request.class, how);
-                self.clients
-                    .send(now, client, &binary::release(request.id, cause, away));
-                self.clients.settled(client, ticket);
+                self.counters.ended(request.class, outcome);
+                let message = binary::release(request.id, cause, retry_after_ms);
+                self.clients.send(now, client, &message);
+                self.clients.response_sent(client, ticket);
             }
         }
         event
     }
 
-    /// The final answer to a request whose task a host has started.
+    /// Sends the final response to a request whose task a host has started.
     pub(super) fn respond_placed(
         &mut self,
         now: Micros,
-        ticket: Ticket,
         client: ClientId,
-        class: Option<usize>,
-        id: TaskId,
-        description: &str,
+        ticket: Ticket,
+        started: &StartedTask<'_>,
     ) {
-        self.counters.ended(class, Told::Served);
-        self.clients
-            .send(now, client, &binary::answer(id, description));
-        self.clients.settled(client, ticket);
+        self.counters.ended(started.class, Told::Served);
+        let message = binary::task_started(started.id, started.description);
+        self.clients.send(now, client, &message);
+        self.clients.response_sent(client, ticket);
     }
 
-    /// The final answer to a set-up that neither the module nor a host hears of.
+    /// Sends the final response to a request that neither the decision module nor a host sees.
     pub(super) fn respond_invalid(&mut self, now: Micros, client: ClientId, id: TaskId) {
-        self.clients
-            .send(now, client, &binary::release(id, cause::FAILED, None));
+        let message = binary::release(id, cause::FAILED, None);
+        self.clients.send(now, client, &message);
     }
 }
+
+/// A task that a host has just started.
+pub(super) struct StartedTask<'a> {
+    /// Its id on the wire.
+    pub(super) id: TaskId,
+    /// The index of its class, if the settings have it.
+    pub(super) class: Option<usize>,
+    /// The host's description, as it is forwarded.
+    pub(super) description: &'a str,
+}
--- a/src/net/dispatch/running_tasks.rs
+++ b/src/net/dispatch/running_tasks.rs
@@ -1,10 +1,11 @@
-//! Owns the tasks that stand: those a host holds, from the moment a connection is told of them until their end is told.
-//! They belong to no connection. It never offers a task again, and never gives a final answer.
+//! Owns the running tasks, from the moment that their start is known here until their end has been sent to a client.
+//! They belong to no connection. It never sends a task to a host again, and never sends a final response.
 
+use super::connection_slots::ConnectionUse;
 use super::invalid_task_request::InvalidTaskRequest;
-use super::requests::{Ended, RequestState};
-use super::timers::TimerEvent;
-use super::{Dispatch, MILLI};
+use super::request::{EndedTask, HostRelease, RequestState};
+use super::timer_event::TimerEvent;
+use super::{Dispatch, MILLISECOND};
 use crate::net::clients::ClientId;
 use crate::net::codec::{TaskId, TaskRequest, binary, cause, lines};
 use crate::net::hosts::ConnectionState;
@@ -13,122 +14,118 @@
 use tracing::info;
 
 /// How long a host may take to confirm a release.
-const RELEASE_TIMEOUT: Micros = 3_000 * MILLI;
-/// How long the list may be late to name a host at which a task is said to stand.
-const UNKNOWN_HOST_TIMEOUT: Micros = 2_000 * MILLI;
-/// An answer may be on its way to its client for so long.
-const RESPONSE_DELIVERY_TIME: Micros = 2_000 * MILLI;
+const RELEASE_TIMEOUT: Micros = 3_000 * MILLISECOND;
+/// How late the endpoint list may name the host of an adopted task.
+const UNKNOWN_HOST_TIMEOUT: Micros = 2_000 * MILLISECOND;
+/// How long a response may be on its way to its client.
+const RESPONSE_DELIVERY_TIME: Micros = 2_000 * MILLISECOND;
 
 impl Dispatch {
-    fn check_adoption(
-        &self,
-        id: TaskId,
-        task_request: &TaskRequest,
-    ) -> Result<(), InvalidTaskRequest> {
-        self.facade
-            .check(&task_request.placement, RequestKind::Adopt)?;
-        if id == TaskId(0) {
-            return Err(InvalidTaskRequest::MissingId);
-        }
-        Ok(())
-    }
-
-    /// A task that a host holds already. Its release may have come first. The list may be late to name
-    /// its host: it gets a while for that.
-    pub(super) fn adopt(
+    /// Adopts a task that a host runs already.
+    ///
+    /// Its release may have arrived first. The endpoint list may be late to name its host, which gets a while for that.
+    pub(super) fn adopt_task(
         &mut self,
         now: Micros,
         client: ClientId,
         id: TaskId,
-        task_request: &TaskRequest,
+        message: &TaskRequest,
         host: &HostId,
     ) {
-        let invalid = self.check_adoption(id, task_request).err();
-        // Guards against a release that came on our new connection before the client told of the task.
-        let over = match self.ended_tasks.get(&id) {
-            Some(Ended {
-                by: Some((by, cause, _)),
-                ..
-            }) if by == host => Some(*cause),
-            _ if self
-                .hosts
-                .get(host)
-                .is_some_and(|l| l.state == EndpointState::Removed) =>
-            {
-                Some(cause::RESET)
-            }
-            _ => None,
-        };
-        if let Some(cause) = over.or(invalid.as_ref().map(|_| cause::RESET)) {
+        let invalid = self.check_adoption(id, message).err();
+        let cause = self
+            .end_before_adoption(id, host)
+            .or(invalid.as_ref().map(|_| cause::RESET));
+        if let Some(cause) = cause {
             let reason = invalid.map_or_else(|| "released".to_string(), |why| why.to_string());
-            info!(task = %id, reason, host = &*host.0, "does not stand");
-            return self
-                .clients
-                .send(now, client, &binary::release(id, cause, None));
+            info!(task = %id, reason, host = &*host.0, "task not running");
+            let message = binary::release(id, cause, None);
+            return self.clients.send(now, client, &message);
         }
         let state = RequestState::Running {
             attempt: 0,
             host: host.clone(),
             since: now,
         };
-        let ticket = self.insert_request(now, id, client, &task_request.placement.class, state);
+        let ticket = self.insert_request(now, id, client, &message.placement.class, state);
         self.assign_running_task(ticket, client);
         if self.hosts.contains_key(host) {
-            self.clients.prove(client);
-            self.update_ranks(now, host, false);
+            self.clients.mark_proven(client);
+            self.update_priorities(now, host, ConnectionUse::Unchanged);
             self.request_connection(now, host);
         } else {
-            self.wheel.add(
-                now + UNKNOWN_HOST_TIMEOUT,
-                TimerEvent::UnknownHostTimeout(ticket),
-            );
+            let timer = TimerEvent::UnknownHostTimeout(ticket);
+            self.wheel.add(now + UNKNOWN_HOST_TIMEOUT, timer);
+        }
+        let decisions = self.facade.adopt(now, ticket, &message.placement, host);
+        self.apply_decisions(now, decisions.unwrap_or_default());
+    }
+
+    fn check_adoption(&self, id: TaskId, message: &TaskRequest) -> Result<(), InvalidTaskRequest> {
+        self.facade.check(&message.placement, RequestKind::Adopt)?;
+        if id == TaskId(0) {
+            return Err(InvalidTaskRequest::MissingId);
+        }
+        Ok(())
+    }
+
+    /// Returns the cause of the end of a task that a client wants adopted, if it has ended before. Guards against a
+    /// release that arrived on a new connection to the host before the client's message.
+    fn end_before_adoption(&self, id: TaskId, host: &HostId) -> Option<u8> {
+        let ended = self.ended_tasks.get(&id);
+        if let Some(EndedTask {
+            released_by: Some(HostRelease { host: at, cause }),
+            ..
+        }) = ended
+            && at == host
+        {
+            return Some(*cause);
         }
-        let decisions = self
-            .facade
-            .adopt(now, ticket, &task_request.placement, host)
-            .unwrap_or_default();
-        self.apply_decisions(now, decisions);
+        let link = self.hosts.get(host);
+        let is_removed = link.is_some_and(|link| link.state == EndpointState::Removed);
+        is_removed.then_some(cause::RESET)
     }
 
-    /// A task stands that was set up or named on this connection.
+    /// Records the connection on which a running task was requested or adopted.
     pub(super) fn assign_running_task(&mut self, ticket: Ticket, client: ClientId) {
         if let Some(request) = self.requests.get_mut(&ticket) {
             request.home_client = Some(client);
-            self.clients.count_standing(client, true);
+            self.clients.running_task_started(client);
         }
     }
 
-    /// MOVE: the task ends, also at its host, and its client comes again.
+    /// Migrates a task: it ends, also at its host, and its client requests it again.
     pub(super) fn migrate_task(&mut self, now: Micros, ticket: Ticket) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
         };
         if let RequestState::Running { since, .. } = request.state {
-            let (id, home) = (request.id, request.home_client);
-            self.notify_task_end(now, id, home, since, binary::moved(id));
+            let (id, home_client) = (request.id, request.home_client);
+            self.notify_task_end(now, id, home_client, since, binary::migrate(id));
             self.release_running_task(now, ticket, cause::CANCELLED);
         }
     }
 
-    /// Tells that a task which stood since then is over, or moves: in order with its answer, where that went
-    /// out only just now.
+    /// Notifies a client that a task which has run since then has ended or migrates. Where its response went out only
+    /// just now, the notification follows it on the same connection.
     fn notify_task_end(
         &mut self,
         now: Micros,
         id: TaskId,
-        home: Option<ClientId>,
+        home_client: Option<ClientId>,
         since: Micros,
-        word: Vec<u8>,
+        message: Vec<u8>,
     ) {
-        match home {
+        match home_client {
             Some(client) if now - since < RESPONSE_DELIVERY_TIME => {
-                self.clients.send_after(now, client, id, word)
+                self.clients
+                    .send_task_end_after_response(now, client, id, message);
             }
-            _ => self.clients.send_any(now, id, word),
+            _ => self.clients.send_task_end(now, id, message),
         }
     }
 
-    /// Releases a task that stands at its host, on any connection, or on the next to open.
+    /// Releases a running task at its host, on the open connection or on the next one.
     pub(super) fn release_running_task(&mut self, now: Micros, ticket: Ticket, cause: u8) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
@@ -148,22 +145,22 @@
             host: host.clone(),
             since: *since,
         };
-        let mut sent = true;
+        let mut is_sent = true;
         if let Some(link) = self.hosts.get_mut(&host) {
-            sent = matches!(&link.connection, ConnectionState::Connected(conn) if conn.send(now, &line));
-            if !sent {
+            is_sent = matches!(&link.connection, ConnectionState::Connected(conn) if conn.send(now, &line));
+            if !is_sent {
                 link.unsent_releases.push(line);
             }
         }
         self.set_request_state(ticket, state);
         self.wheel
             .add(now + RELEASE_TIMEOUT, TimerEvent::ReleaseTimeout(ticket));
-        if !sent {
+        if !is_sent {
             self.request_connection(now, &host);
         }
     }
 
-    /// Guards against tasks named at hosts that no list knows: they would stand for ever.
+    /// Ends an adopted task whose host no endpoint list names. Guards against tasks that would be held for ever.
     pub(super) fn end_task_at_unknown_host(&mut self, now: Micros, ticket: Ticket) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
@@ -179,31 +176,25 @@
         if self.hosts.contains_key(host) {
             return;
         }
-        let (attempt, host, elapsed, outcome) =
-            (*attempt, host.clone(), now - since, Outcome::Reset);
-        info!(task = %request.id, reason = "no-such-host", host = &*host.0, "does not stand");
+        let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
+        info!(task = %request.id, reason = "unknown-host", host = &*host.0, "task not running");
         if let Some(client) = request.client {
-            self.clients.send(
-                now,
-                client,
-                &binary::release(request.id, cause::RESET, None),
-            );
+            let message = binary::release(request.id, cause::RESET, None);
+            self.clients.send(now, client, &message);
         }
         self.remove_request(ticket);
-        self.report_event(
-            now,
-            PlacementEvent::AttemptEnded {
-                ticket,
-                attempt,
-                host,
-                outcome,
-                detail: OutcomeDetail::Unknown,
-                elapsed,
-            },
-        );
+        let event = PlacementEvent::AttemptEnded {
+            ticket,
+            attempt,
+            host,
+            outcome: Outcome::Reset,
+            detail: OutcomeDetail::Unknown,
+            elapsed,
+        };
+        self.report_event(now, event);
     }
 
-    /// What stood is over: its client is told, unless it ended the task itself.
+    /// Ends a task that runs or is being released. Its client is notified, unless it ended the task itself.
     pub(super) fn end_running_task(
         &mut self,
         now: Micros,
@@ -220,14 +211,9 @@
                 host,
                 since,
             } => {
-                let word = binary::release(request.id, cause, None);
-                self.notify_task_end(now, request.id, request.home_client, since, word);
-                let outcome = match cause {
-                    cause::NORMAL => Outcome::Completed,
-                    cause::CANCELLED => Outcome::Cancelled,
-                    _ => Outcome::Reset,
-                };
-                (attempt, host, since, outcome)
+                let message = binary::release(request.id, cause, None);
+                self.notify_task_end(now, request.id, request.home_client, since, message);
+                (attempt, host, since, outcome_of_release(cause))
             }
             RequestState::Releasing {
                 attempt,
@@ -236,35 +222,43 @@
             } => (attempt, host, since, Outcome::Cancelled),
             RequestState::Queued | RequestState::InFlight { .. } => return,
         };
-        self.report_event(
-            now,
-            PlacementEvent::AttemptEnded {
-                ticket,
-                attempt,
-                host,
-                outcome,
-                detail,
-                elapsed: now - since,
-            },
-        );
+        let event = PlacementEvent::AttemptEnded {
+            ticket,
+            attempt,
+            host,
+            outcome,
+            detail,
+            elapsed: now - since,
+        };
+        self.report_event(now, event);
     }
 
-    /// What stood at a host since before then is lost.
+    /// Ends the tasks that have run at a host since before then: they are lost.
     pub(super) fn end_lost_tasks(&mut self, now: Micros, host: &HostId, before: Micros) {
-        let there = |ticket: &Ticket| {
-            self.requests.get(ticket).is_some_and(|r| match r.state {
+        let is_lost = |ticket: &Ticket| {
+            let request = self.requests.get(ticket);
+            request.is_some_and(|request| match request.state {
                 RequestState::Running { since, .. } | RequestState::Releasing { since, .. } => {
                     since < before
                 }
                 RequestState::Queued | RequestState::InFlight { .. } => false,
             })
         };
-        let lost: Vec<Ticket> = self.request_index.running(host).filter(there).collect();
+        let lost: Vec<Ticket> = self.request_index.running(host).filter(is_lost).collect();
         if !lost.is_empty() {
             info!(host = &*host.0, tasks = lost.len(), "tasks lost");
         }
-        lost.into_iter().for_each(|ticket| {
-            self.end_running_task(now, ticket, cause::RESET, OutcomeDetail::Unknown)
-        });
+        for ticket in lost {
+            self.end_running_task(now, ticket, cause::RESET, OutcomeDetail::Unknown);
+        }
+    }
+}
+
+/// Returns the outcome that a host's release of a running task stands for.
+fn outcome_of_release(cause: u8) -> Outcome {
+    match cause {
+        cause::NORMAL => Outcome::Completed,
+        cause::CANCELLED => Outcome::Cancelled,
+        _ => Outcome::Reset,
     }
 }
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -1,8 +1,8 @@
-//! Owns the end of the process: SIGTERM, drains, and when the process may or must end. It never takes back an answer
-//! that is owed: closing makes the module answer in time.
+//! Owns the shutdown of the process: SIGTERM, drains, and when the process may or must exit. It never takes back a
+//! pending response: a shutdown makes the decision module answer in time.
 
-use super::requests::{Request, RequestState};
-use super::{Dispatch, MILLI};
+use super::request::{Request, RequestState};
+use super::{Dispatch, MILLISECOND};
 use crate::net::health::watch::{Task, Watch};
 use task_placer::Micros;
 use task_placer::facade::PlacementEvent;
@@ -10,59 +10,61 @@
 use task_placer::operation::duty;
 use tracing::{info, warn};
 
-/// After SIGTERM the platform ends the process no sooner than after the longest wait of a client, counted as this
-/// at the most, and 700 ms more (the protocol's figures). Of these, what is owed is answered so long after the
-/// wait, and the process ends at last so long after it.
-const CLOSE_WAIT: Micros = 3_000 * MILLI;
-const CLOSE_ANSWER: Micros = 300 * MILLI;
-const CLOSE_END: Micros = 500 * MILLI;
-/// New work may still arrive for 0.6 s (the protocol's figure): with this the process does not end before.
-const CLOSE_OPEN: Micros = 1_000 * MILLI;
+/// The longest wait of a client that counts at a shutdown. The platform ends the process no sooner after SIGTERM than
+/// after that wait and 700 ms more (the protocol's figures).
+const MAX_CLIENT_WAIT: Micros = 3_000 * MILLISECOND;
+/// How long after that wait pending responses are sent.
+const RESPONSE_GRACE: Micros = 300 * MILLISECOND;
+/// How long after that wait the process exits at last.
+const EXIT_GRACE: Micros = 500 * MILLISECOND;
+/// The process does not exit before: new requests may still arrive for 0.6 s (the protocol's figure).
+const MIN_SHUTDOWN_TIME: Micros = 1_000 * MILLISECOND;
 
 impl Dispatch {
-    /// SIGTERM: without an operator's word on drains, the process ends as the platform wants it.
+    /// Handles SIGTERM: where no operator's file asks for a drain, the process shuts down as the platform expects it.
     pub fn terminate(&mut self) {
         let now = self.clock.now();
         match self.watch.as_mut().and_then(|watch| watch.terminate(now)) {
             Some(tasks) => self.run_drain_tasks(now, tasks),
             None if self.shares_listener => {
-                self.handle_lifecycle_event(now, duty::Event::Leave(self.facade.max_deadline()))
+                let event = duty::Event::Leave(self.facade.max_deadline());
+                self.handle_lifecycle_event(now, event);
             }
-            None => self.begin_shutdown(now, self.max_client_wait() + CLOSE_ANSWER),
+            None => self.begin_shutdown(now, self.max_client_wait() + RESPONSE_GRACE),
         }
     }
 
-    /// Does what the drain asks for.
+    /// Does what a drain asks for.
     pub(super) fn run_drain_tasks(&mut self, now: Micros, tasks: Vec<Task>) {
         for task in tasks {
             match task {
                 Task::CloseIdle(close) => {
                     self.closes_idle_clients = close;
-                    self.close_idle();
+                    self.apply_close_idle();
                 }
                 Task::Answer(within) => self.begin_shutdown(now, within),
                 Task::Exit(left) => {
                     self.is_drained = true;
-                    self.log_unfinished_tasks(left);
+                    self.log_unfinished_work(left);
                 }
             }
         }
     }
 
-    /// Who is owed what, for a drain.
+    /// Returns what a drain waits for.
     pub(super) fn pending_work(&self) -> Hand {
         let now = self.clock.now();
-        let owed = self.pending_responses();
+        let pending_responses = self.pending_responses();
         Hand {
-            owed,
-            standing: self.requests.len() - owed,
-            untold: self.clients.untold(now),
-            unflushed: self.clients.unflushed(),
+            owed: pending_responses,
+            standing: self.requests.len() - pending_responses,
+            untold: self.clients.unconfirmed_task_ends(now),
+            unflushed: self.clients.unflushed_connections(),
         }
     }
 
-    /// What a drain could not wait for, task by task.
-    fn log_unfinished_tasks(&self, left: Hand) {
+    /// Logs what a drain could not wait for, task by task.
+    fn log_unfinished_work(&self, left: Hand) {
         info!(
             owed = left.owed,
             standing = left.standing,
@@ -78,6 +80,7 @@
         }
     }
 
+    /// Begins the shutdown: every pending response is to be sent within this time.
     pub(super) fn begin_shutdown(&mut self, now: Micros, within: Micros) {
         if self.shutdown_since.is_none() {
             self.shutdown_since = Some(now);
@@ -86,26 +89,26 @@
         }
     }
 
-    /// The longest wait of a client, as the platform counts it at an end of the process.
+    /// Returns the longest wait of a client, as the platform counts it at a shutdown.
     fn max_client_wait(&self) -> Micros {
-        self.facade.max_deadline().clamp(0, CLOSE_WAIT)
+        self.facade.max_deadline().clamp(0, MAX_CLIENT_WAIT)
     }
 
-    /// Whether the process must end, whatever is left.
+    /// Whether the process must exit, whatever is left.
     pub fn is_overdue(&self) -> bool {
         let now = self.clock.now();
-        let end = self.max_client_wait() + CLOSE_END;
-        let ends = |since| {
+        let max_duration = self.max_client_wait() + EXIT_GRACE;
+        let must_exit = |since| {
             if self.lifecycle.leaves() {
                 self.lifecycle.overdue(now)
             } else {
-                now - since >= end
+                now - since >= max_duration
             }
         };
-        self.is_drained || self.shutdown_since.is_some_and(ends)
+        self.is_drained || self.shutdown_since.is_some_and(must_exit)
     }
 
-    /// Whether the process may end.
+    /// Whether the process may exit.
     pub fn is_finished(&self) -> bool {
         let now = self.clock.now();
         if self.is_drained {
@@ -114,15 +117,17 @@
         let Some(since) = self.shutdown_since else {
             return false;
         };
-        // A drain that has come to this tells itself when it is over.
+        // A drain that has begun the shutdown reports itself when it is over.
         if self.watch.as_ref().is_some_and(Watch::draining) {
             return false;
         }
-        let clear = !self.requests.values().any(Request::awaits_response) && self.clients.flushed();
+        let has_pending = self.requests.values().any(Request::awaits_response);
+        let is_clear = !has_pending && self.clients.is_flushed();
         if self.lifecycle.leaves() {
-            return (clear && self.clients.at_rest(now)) || self.lifecycle.overdue(now);
+            return (is_clear && self.clients.is_at_rest(now)) || self.lifecycle.overdue(now);
         }
-        let end = self.max_client_wait() + CLOSE_END;
-        now - since >= end || (now - since >= CLOSE_OPEN.min(end) && clear)
+        let elapsed = now - since;
+        let max_duration = self.max_client_wait() + EXIT_GRACE;
+        elapsed >= max_duration || (elapsed >= MIN_SHUTDOWN_TIME.min(max_duration) && is_clear)
     }
 }
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -1,37 +1,21 @@
-//! Owns the passing of time: what the wheel holds, what is done when it is due, and what is looked through again and
-//! again. It never decides on a request itself: each timer names the function that does.
+//! Owns the passing of time: fires the timers of the wheel and sweeps connections at a fixed interval. It never decides
+//! on a request itself: each timer names the function that does.
 
-use super::requests::RequestState;
-use super::{Dispatch, MILLI};
+use super::request::RequestState;
+use super::timer_event::{SWEEP_INTERVAL, TimerEvent};
+use super::{Dispatch, MILLISECOND};
 use crate::net::codec::cause;
-use crate::net::hosts::{ConnectError, ConnectionId, ConnectionState, HostLink};
+use crate::net::hosts::{ConnectError, ConnectionId, ConnectionState, HostEvents, HostLink};
 use task_placer::facade::Ticket;
 use task_placer::health::Event;
 use task_placer::operation::duty;
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
-/// How often connections are looked through.
-pub(super) const SWEEP: Micros = 250 * MILLI;
 /// How long the end of a task is remembered.
-const ENDED: Micros = 10_000 * MILLI;
-
-/// What the wheel holds.
-pub(super) enum TimerEvent {
-    AttemptTimeout(Ticket, u32),
-    SilenceCheck(Ticket, u32),
-    /// An offer of which nothing has left yet.
-    UnsentTimeout(Ticket, u32),
-    ConnectTimeout(HostId, ConnectionId),
-    Reconnect(HostId, ConnectionId),
-    HostUnreachable(HostId, Micros),
-    DrainReadTimeout(HostId, ConnectionId),
-    ReleaseTimeout(Ticket),
-    UnknownHostTimeout(Ticket),
-    Sweep,
-}
+const ENDED_TASK_RETENTION: Micros = 10_000 * MILLISECOND;
 
 impl Dispatch {
-    /// One turn of the wheel.
+    /// Advances the wheel by one tick.
     pub fn tick(&mut self) {
         let now = self.clock.now();
         self.record_health_event(now, Event::Turn);
@@ -39,68 +23,66 @@
         for host in std::mem::take(&mut self.backlogged_hosts) {
             self.send_pending_attempts(now, &host);
         }
-        for due in self.wheel.due(now) {
-            self.fire_timer(now, due);
+        for timer in self.wheel.due(now) {
+            self.fire_timer(now, timer);
         }
         let decisions = self.facade.tick(now);
         self.apply_decisions(now, decisions);
     }
 
-    /// The time of a timer has come. What it was set for may be over by now: each looks whether it still holds.
-    fn fire_timer(&mut self, now: Micros, due: TimerEvent) {
-        match due {
+    /// Handles a timer whose time has come, if what it was set for still holds.
+    fn fire_timer(&mut self, now: Micros, timer: TimerEvent) {
+        match timer {
             TimerEvent::AttemptTimeout(ticket, attempt) => {
                 let event = self.abandon_attempt(now, ticket, Some(attempt), Outcome::Timeout);
-                event
-                    .into_iter()
-                    .for_each(|event| self.report_event(now, event));
+                self.report_optional_event(now, event);
             }
             TimerEvent::SilenceCheck(ticket, attempt) => {
-                self.suspect_silent_host(now, ticket, attempt)
+                self.suspect_silent_host(now, ticket, attempt);
             }
             TimerEvent::UnsentTimeout(ticket, attempt) => {
-                self.end_unsent_attempt(now, ticket, attempt)
-            }
-            TimerEvent::ConnectTimeout(host, connection_id) => {
-                if let Some(HostLink {
-                    connection: ConnectionState::Connecting(stop),
-                    connection_id: r,
-                    ..
-                }) = self.hosts.get(&host)
-                    && *r == connection_id
-                {
-                    let _ = stop.try_send(());
-                    self.host_connect_failed(&host, connection_id, ConnectError::TimedOut);
-                }
+                self.end_unsent_attempt(now, ticket, attempt);
             }
-            TimerEvent::Reconnect(host, connection_id) => {
-                if self
-                    .hosts
-                    .get(&host)
-                    .is_some_and(|link| link.connection_id == connection_id)
-                {
+            TimerEvent::ConnectTimeout(host, id) => self.end_slow_connect(&host, id),
+            TimerEvent::Reconnect(host, id) => {
+                let link = self.hosts.get(&host);
+                if link.is_some_and(|link| link.connection_id == id) {
                     self.reconnect(now, &host);
                 }
             }
             TimerEvent::HostUnreachable(host, since) => {
-                self.end_unreachable_tasks(now, &host, since)
-            }
-            TimerEvent::DrainReadTimeout(host, connection_id) => {
-                self.end_drained_connection(&host, connection_id)
-            }
-            TimerEvent::ReleaseTimeout(ticket) => {
-                if let Some(RequestState::Releasing { .. }) =
-                    self.requests.get(&ticket).map(|r| &r.state)
-                {
-                    self.end_running_task(now, ticket, cause::CANCELLED, OutcomeDetail::Unknown);
-                }
+                self.end_unreachable_tasks(now, &host, since);
             }
+            TimerEvent::EvictionTimeout(host, id) => self.close_evicted_connection(&host, id),
+            TimerEvent::ReleaseTimeout(ticket) => self.end_unconfirmed_release(now, ticket),
             TimerEvent::UnknownHostTimeout(ticket) => self.end_task_at_unknown_host(now, ticket),
             TimerEvent::Sweep => self.sweep(now),
         }
     }
 
-    /// Looks through all connections, and forgets what has been kept for long enough.
+    /// Stops a connection attempt that has had its time.
+    fn end_slow_connect(&mut self, host: &HostId, id: ConnectionId) {
+        if let Some(HostLink {
+            connection: ConnectionState::Connecting(stop),
+            connection_id,
+            ..
+        }) = self.hosts.get(host)
+            && *connection_id == id
+        {
+            let _ = stop.try_send(());
+            self.host_connect_failed(host, id, ConnectError::TimedOut);
+        }
+    }
+
+    /// Ends a task whose host has not confirmed its release in time.
+    fn end_unconfirmed_release(&mut self, now: Micros, ticket: Ticket) {
+        let state = self.requests.get(&ticket).map(|request| &request.state);
+        if let Some(RequestState::Releasing { .. }) = state {
+            self.end_running_task(now, ticket, cause::CANCELLED, OutcomeDetail::Unknown);
+        }
+    }
+
+    /// Sweeps all connections, and forgets ended tasks after their retention.
     fn sweep(&mut self, now: Micros) {
         self.clients.sweep(now);
         self.sweep_host_connections(now);
@@ -109,7 +91,7 @@
         self.update_health(now);
         self.log_overload(now);
         self.ended_tasks
-            .retain(|_, ended| now - ended.since < ENDED);
-        self.wheel.add(now + SWEEP, TimerEvent::Sweep);
+            .retain(|_, ended| now - ended.ended_at < ENDED_TASK_RETENTION);
+        self.wheel.add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
     }
 }
--- a/src/net/health/mod.rs
+++ b/src/net/health/mod.rs
@@ -5,7 +5,7 @@
 mod http;
 pub mod watch;
 
-use super::clients::AcceptFailed;
+use super::clients::accept::pause_after_accept_error;
 use super::dispatch::Shared;
 use crate::operator;
 use async_executor::LocalExecutor;
@@ -89,7 +89,7 @@
                 let serving = serve(check, stream, peer, place, gate, shared.clone());
                 dispatch.tasks.spawn(serving);
             }
-            Err(e) => AcceptFailed::pause(&shared, &e).await,
+            Err(e) => pause_after_accept_error(&shared, &e).await,
         }
         // Those that were sent away give their descriptors back before the next is taken.
         future::yield_now().await;
@@ -254,7 +254,7 @@
     fn agent_polled(&mut self, poller: Poller) -> String {
         let (now, budget) = (
             self.clock.now(),
-            self.clients.budget(self.active_host_count()),
+            self.clients.connection_limit(self.active_host_count()),
         );
         let Some(watch) = &mut self.watch else {
             return String::new();
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -1,104 +1,144 @@
-//! Connections to hosts: one for each, kept open, made again when lost.
+//! Owns the connections to hosts: one for each, kept open, made again when lost. It knows nothing of dispatch: what
+//! happens on a connection goes to whoever implements [`HostEvents`], and so does every decision on it.
 
 use super::clients::ReadMark;
 use super::codec::feed::DiscoveredEndpoint;
-use super::codec::{MAX_MESSAGE_BYTES, lines, next_line};
-use super::conn::{CloseReason, Conn};
-use super::dispatch::Shared;
-use async_channel::Sender;
+use super::codec::lines::HostMessage;
+use super::codec::{MAX_MESSAGE_BYTES, TaskId, lines, next_line};
+use super::conn::{CloseReason, Connection};
+use async_channel::{Receiver, Sender};
 use async_io::Async;
 use futures_lite::future;
 use rustix::io::Errno;
-use std::io::ErrorKind;
+use std::cell::RefCell;
+use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpStream};
 use std::rc::Rc;
 use task_placer::facade::Ticket;
 use task_placer::{CellId, EndpointState, HostId, Micros, Resources, ZoneId};
 
-/// Pauses between attempts to connect: the first, doubled to the last.
-const FIRST_PAUSE: Micros = 50_000;
-const LAST_PAUSE: Micros = 800_000;
+/// The backoff after the first failure to connect.
+const BASE_RECONNECT_BACKOFF: Micros = 50_000;
+/// The backoff doubles with each failure, up to this.
+const MAX_RECONNECT_BACKOFF: Micros = 800_000;
+/// The backoff is not computed for more doublings than these.
+const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// What the system says where the process or the machine has no descriptor left.
-const NO_DESCRIPTOR: [i32; 2] = [Errno::MFILE.raw_os_error(), Errno::NFILE.raw_os_error()];
+/// The system's errors where the process or the machine has no descriptor left.
+const NO_DESCRIPTOR_ERRORS: [i32; 2] = [Errno::MFILE.raw_os_error(), Errno::NFILE.raw_os_error()];
 
-/// Numbers the connections to one host.
+/// Identifies a connection among those to one host.
 pub type ConnectionId = u64;
 
-/// How far the connection is.
+/// Whether a connection that came up is used.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum ConnectOutcome {
+    /// It is used.
+    InUse,
+    /// It is not wanted any more, and is closed.
+    NotWanted,
+}
+
+/// Handles what happens on connections to hosts. Each call is handled before it returns.
+pub trait HostEvents {
+    /// A connection has come up.
+    fn host_connected(
+        &mut self,
+        host: &HostId,
+        id: ConnectionId,
+        conn: Rc<Connection>,
+    ) -> ConnectOutcome;
+
+    /// A connection was not made.
+    fn host_connect_failed(&mut self, host: &HostId, id: ConnectionId, error: ConnectError);
+
+    /// A message has arrived.
+    fn host_message(&mut self, host: &HostId, task: TaskId, message: HostMessage);
+
+    /// A connection that was in use has ended.
+    fn host_closed(&mut self, host: &HostId, id: ConnectionId, reason: CloseReason);
+
+    /// The descriptor of a connection, or of the attempt to make one, has been given back.
+    fn host_descriptor_released(&mut self, host: &HostId, id: ConnectionId);
+}
+
+/// The state of the current connection to a host.
 pub enum ConnectionState {
     /// There is none.
     Disconnected,
-    /// It is being made; what ends the attempt.
+    /// It is being made; a message on the channel aborts that.
     Connecting(Sender<()>),
-    /// It is there.
-    Connected(Rc<Conn>),
+    /// It is up.
+    Connected(Rc<Connection>),
 }
 
-/// An offer of which nothing has left.
+/// An attempt of which nothing has been sent.
 #[derive(Debug, Clone, Copy)]
 pub struct PendingAttempt {
     /// The request.
     pub ticket: Ticket,
-    /// The attempt.
+    /// The attempt's number within the request.
     pub attempt: u32,
-    /// How far its client must have been read first, once that was looked at.
-    pub mark: Option<ReadMark>,
+    /// How far its client must be read first, once that was looked at.
+    pub read_mark: Option<ReadMark>,
 }
 
-/// One host.
+/// One host: its entry in the endpoint list, the connections to it, and what waits for them.
 pub struct HostLink {
     /// Where it listens.
     pub address: Option<SocketAddr>,
-    /// As the list tells.
+    /// Its state in the endpoint list.
     pub state: EndpointState,
     /// Its cell: machines of a cell fail together.
     pub cell: CellId,
-    /// Its zone, and the cores and memory that nobody asks for, as the list tells.
+    /// Its zone.
     pub zone: ZoneId,
+    /// Resources that no task has requested, by the endpoint list.
     pub free_resources: Resources,
-    /// When it last said that it is full, if it has not started a task since.
+    /// When it last rejected an attempt because it is full, if it has not started a task since.
     pub rejected_full_at: Option<Micros>,
     /// When its process started, or 0.
     pub started_at: Micros,
-    /// How far the connection is.
+    /// The current connection.
     pub connection: ConnectionState,
-    /// The latest connection.
+    /// The id of the latest connection.
     pub connection_id: ConnectionId,
-    /// Connections that were replaced because they fell silent; offers may still be out on them.
-    pub replaced: Vec<(ConnectionId, Rc<Conn>)>,
-    /// When the host was last heard, and last called.
+    /// Connections that were replaced because they fell silent; attempts may still be in flight on them.
+    pub replaced: Vec<(ConnectionId, Rc<Connection>)>,
+    /// When the last message arrived from it.
     pub last_message_at: Micros,
+    /// When the last connect began.
     pub last_connect_at: Micros,
-    /// When the latest connection ended.
+    /// When the last connection ended.
     pub last_closed_at: Micros,
     /// Another connection is to be made beside the one that is up.
     pub is_suspect: bool,
-    /// Offers of which nothing has left: they wait for the connection, for what is queued on it, or for what
-    /// their clients say.
+    /// Attempts of which nothing has been sent: they wait for the connection, for what is queued on it, or for unread
+    /// input of their clients.
     pub pending_attempts: Vec<PendingAttempt>,
-    /// Releases of tasks that stand there, for the next connection.
+    /// Releases of tasks that run there, for the next connection.
     pub unsent_releases: Vec<Vec<u8>>,
-    /// Attempts to connect that have failed in a row, and since when.
+    /// Connects that have failed in a row.
     pub connect_failures: u32,
     /// When the first of them failed.
     pub unreachable_since: Option<Micros>,
-    /// When what stands there counts as lost, unless the host is reached before.
+    /// When the tasks there count as lost, unless the host is reached before.
     pub tasks_lost_at: Option<Micros>,
-    /// Whether the latest was refused.
+    /// Whether the last failed connect was refused.
     pub was_refused: bool,
 }
 
 impl HostLink {
-    /// A host that was just listed.
-    pub fn new(listed: &DiscoveredEndpoint) -> HostLink {
+    /// Creates the link to a host that was just listed, without a connection.
+    pub fn new(discovered: &DiscoveredEndpoint) -> HostLink {
+        let endpoint = &discovered.endpoint;
         HostLink {
-            address: listed.dial,
-            state: listed.entry.state,
-            cell: listed.entry.cell,
-            zone: listed.entry.zone,
-            free_resources: listed.entry.free(),
-            started_at: listed.entry.started_at,
+            address: discovered.address,
+            state: endpoint.state,
+            cell: endpoint.cell,
+            zone: endpoint.zone,
+            free_resources: endpoint.free(),
+            started_at: endpoint.started_at,
             rejected_full_at: None,
             connection: ConnectionState::Disconnected,
             connection_id: 0,
@@ -116,20 +156,24 @@
         }
     }
 
-    /// The connection of this connection_id, if it is open.
-    pub fn open_connection(&self, connection_id: ConnectionId) -> Option<&Rc<Conn>> {
+    /// Whether the connection of this id is being made.
+    pub fn is_connecting(&self, id: ConnectionId) -> bool {
+        self.connection_id == id && matches!(self.connection, ConnectionState::Connecting(_))
+    }
+
+    /// Returns the connection of this id, if it is open.
+    pub fn open_connection(&self, id: ConnectionId) -> Option<&Rc<Connection>> {
         match &self.connection {
-            ConnectionState::Connected(conn) if self.connection_id == connection_id => Some(conn),
-            _ => self
-                .replaced
-                .iter()
-                .find(|(r, _)| *r == connection_id)
-                .map(|(_, conn)| conn),
+            ConnectionState::Connected(conn) if self.connection_id == id => Some(conn),
+            _ => {
+                let replaced = self.replaced.iter().find(|(replaced, _)| *replaced == id);
+                replaced.map(|(_, conn)| conn)
+            }
         }
     }
 
-    /// All open connections.
-    pub fn connections(&self) -> impl Iterator<Item = &Rc<Conn>> {
+    /// Returns all open connections.
+    pub fn connections(&self) -> impl Iterator<Item = &Rc<Connection>> {
         let current = match &self.connection {
             ConnectionState::Connected(conn) => Some(conn),
             ConnectionState::Disconnected | ConnectionState::Connecting(_) => None,
@@ -139,7 +183,12 @@
             .chain(self.replaced.iter().map(|(_, conn)| conn))
     }
 
-    /// Gives up a connection that is being made: whether there was one.
+    /// Closes all open connections.
+    pub fn close_connections(&self, reason: CloseReason) {
+        self.connections().for_each(|conn| conn.close(reason));
+    }
+
+    /// Aborts a connect, and returns whether there was one.
     pub fn abort_connect(&mut self) -> bool {
         let ConnectionState::Connecting(stop) = &self.connection else {
             return false;
@@ -149,106 +198,104 @@
         true
     }
 
-    /// Whether the host is gone and nothing of it is left: a new one under its name inherits nothing.
+    /// Whether the host was removed and nothing of it is left: a new one under its name inherits nothing.
     pub fn can_be_forgotten(&self) -> bool {
-        let quiet = matches!(self.connection, ConnectionState::Disconnected)
+        let is_unused = matches!(self.connection, ConnectionState::Disconnected)
             && self.replaced.is_empty()
             && self.pending_attempts.is_empty();
-        self.state == EndpointState::Removed && quiet
+        self.state == EndpointState::Removed && is_unused
     }
 
-    /// Pause before the next attempt.
+    /// Returns the pause before the next connect.
     pub fn reconnect_backoff(&self) -> Micros {
-        (FIRST_PAUSE << self.connect_failures.min(8)).min(LAST_PAUSE)
+        let doublings = self.connect_failures.min(MAX_BACKOFF_DOUBLINGS);
+        (BASE_RECONNECT_BACKOFF << doublings).min(MAX_RECONNECT_BACKOFF)
     }
 }
 
 /// Why a connection was not made.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// Nothing listens there: proof that nothing ran, and that the process is gone.
+    /// Nothing listens there: proof that nothing ran, and that the process has ended.
+    #[error("connect-failed:refused")]
     Refused,
     /// It never came up.
+    #[error("connect-failed:timed-out")]
     TimedOut,
     /// This process has no descriptor left for it: nothing is known of the host.
+    #[error("connect-failed:no-descriptor")]
     NoDescriptor,
     /// Something here or on the way failed.
+    #[error("connect-failed:{0}")]
     Failed(ErrorKind),
 }
 
-impl std::fmt::Display for ConnectError {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        match self {
-            ConnectError::Refused => f.write_str("dial-failed:refused"),
-            ConnectError::TimedOut => f.write_str("dial-failed:timed-out"),
-            ConnectError::NoDescriptor => f.write_str("dial-failed:no-descriptor"),
-            ConnectError::Failed(kind) => write!(f, "dial-failed:{kind}"),
+impl From<io::Error> for ConnectError {
+    fn from(error: io::Error) -> ConnectError {
+        let code = error.raw_os_error();
+        if code.is_some_and(|code| NO_DESCRIPTOR_ERRORS.contains(&code)) {
+            return ConnectError::NoDescriptor;
+        }
+        match error.kind() {
+            ErrorKind::ConnectionRefused => ConnectError::Refused,
+            ErrorKind::TimedOut | ErrorKind::HostUnreachable => ConnectError::TimedOut,
+            kind => ConnectError::Failed(kind),
         }
     }
 }
 
-/// Connects to a host and serves the connection until it ends and its descriptor is given back.
-pub async fn serve(
+/// Connects to a host and serves the connection until it ends and its descriptor is given back. A message on `stop`
+/// aborts the connect.
+pub async fn serve<H: HostEvents>(
     host: HostId,
-    connection_id: ConnectionId,
+    id: ConnectionId,
     address: SocketAddr,
-    stop: async_channel::Receiver<()>,
-    shared: Shared,
+    stop: Receiver<()>,
+    handler: Rc<RefCell<H>>,
 ) {
-    connected(&host, connection_id, address, stop, &shared).await;
-    shared.borrow_mut().host_slot_freed(&host, connection_id);
+    connect_and_run(&host, id, address, stop, &handler).await;
+    handler.borrow_mut().host_descriptor_released(&host, id);
 }
 
-async fn connected(
+async fn connect_and_run<H: HostEvents>(
     host: &HostId,
-    connection_id: ConnectionId,
+    id: ConnectionId,
     address: SocketAddr,
-    stop: async_channel::Receiver<()>,
-    shared: &Shared,
+    stop: Receiver<()>,
+    handler: &Rc<RefCell<H>>,
 ) {
     let connect = async { Some(Async::<TcpStream>::connect(address).await) };
-    let given_up = async {
+    let aborted = async {
         let _ = stop.recv().await;
         None
     };
-    let stream = match future::or(connect, given_up).await {
+    let stream = match future::or(connect, aborted).await {
         Some(Ok(stream)) => stream,
-        Some(Err(e)) => {
-            let why = match e.kind() {
-                _ if e.raw_os_error().is_some_and(|e| NO_DESCRIPTOR.contains(&e)) => {
-                    ConnectError::NoDescriptor
-                }
-                ErrorKind::ConnectionRefused => ConnectError::Refused,
-                ErrorKind::TimedOut | ErrorKind::HostUnreachable => ConnectError::TimedOut,
-                kind => ConnectError::Failed(kind),
-            };
-            return shared
-                .borrow_mut()
-                .host_connect_failed(host, connection_id, why);
+        Some(Err(error)) => {
+            let mut handler = handler.borrow_mut();
+            return handler.host_connect_failed(host, id, error.into());
         }
         None => return,
     };
-    let conn = Rc::new(Conn::new(stream));
-    conn.queue_little();
-    if !shared
-        .borrow_mut()
-        .host_connected(host, connection_id, conn.clone())
-    {
+    let conn = Rc::new(Connection::new(stream));
+    conn.limit_send_buffer();
+    let outcome = handler.borrow_mut().host_connected(host, id, conn.clone());
+    if outcome == ConnectOutcome::NotWanted {
         return;
     }
-    let end = conn
+    let reason = conn
         .run(|inbox| {
             while let Some(mut line) =
                 next_line(inbox, MAX_MESSAGE_BYTES).map_err(CloseReason::Malformed)?
             {
-                let (task, word) = lines::read(&mut line).map_err(CloseReason::Malformed)?;
-                shared.borrow_mut().host_message(host, task, word);
+                let (task, message) = lines::read(&mut line).map_err(CloseReason::Malformed)?;
+                handler.borrow_mut().host_message(host, task, message);
             }
             Ok(())
         })
         .await;
-    conn.stop(end);
-    shared.borrow_mut().host_closed(host, connection_id, end);
+    conn.close(reason);
+    handler.borrow_mut().host_closed(host, id, reason);
 }
 
 #[cfg(test)]
--- a/src/net/hosts/tests.rs
+++ b/src/net/hosts/tests.rs
@@ -1,12 +1,12 @@
-//! When a host is forgotten.
+//! Tests of `hosts.rs`: when a host is forgotten.
 
 use super::*;
 use std::sync::Arc;
 use task_placer::{Endpoint, KindId, ZoneId};
 
 #[test]
-fn a_host_is_forgotten_once_it_is_gone_and_its_connections_have_ended() {
-    let entry = Endpoint {
+fn removed_host_is_forgotten_once_its_connections_have_ended() {
+    let endpoint = Endpoint {
         host: HostId(Arc::from("h0")),
         zone: ZoneId(0),
         cell: CellId(0),
@@ -16,9 +16,12 @@
         free_cores: 0.0,
         free_memory: 0.0,
     };
-    let mut link = HostLink::new(&DiscoveredEndpoint { entry, dial: None });
+    let mut link = HostLink::new(&DiscoveredEndpoint {
+        endpoint,
+        address: None,
+    });
     let (stop, _stopped) = async_channel::bounded(1);
-    for (state, phase, over) in [
+    for (state, connection, is_forgotten) in [
         (EndpointState::Up, ConnectionState::Disconnected, false),
         (
             EndpointState::Draining,
@@ -32,13 +35,13 @@
         ),
         (EndpointState::Removed, ConnectionState::Disconnected, true),
     ] {
-        (link.state, link.connection) = (state, phase);
-        assert_eq!(link.can_be_forgotten(), over, "{state:?}");
+        (link.state, link.connection) = (state, connection);
+        assert_eq!(link.can_be_forgotten(), is_forgotten, "{state:?}");
     }
     link.pending_attempts.push(PendingAttempt {
         ticket: Ticket(1),
         attempt: 0,
-        mark: None,
+        read_mark: None,
     });
-    assert!(!link.can_be_forgotten(), "an offer still waits");
+    assert!(!link.can_be_forgotten(), "an attempt is still pending");
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,4 +1,7 @@
 //! The network side: one thread, one local executor, and [`dispatch::Dispatch`] in the middle.
+//!
+//! [`clients`], [`hosts`] and [`feed`] own connections and hand what happens on them to traits that dispatch implements.
+//! [`admin`], [`ctl`] and [`health`] serve operators and load balancers.
 
 mod admin;
 mod clients;
@@ -18,116 +21,206 @@
 use crate::operator::Operator;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
-use async_io::Timer;
+use async_io::{Async, Timer};
 use async_signal::{Signal, Signals};
+use clients::accept::{self, Acceptor};
 use config::Config;
 use dispatch::{Dispatch, Shared};
 use futures_lite::StreamExt;
 use std::cell::RefCell;
 use std::io;
-use std::net::SocketAddr;
+use std::net::{SocketAddr, TcpListener};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Takes the signals over. Guards against one that comes during the start: a configuration to be read again would
-/// end the process.
+/// Takes over the handling of signals. Guards against one that arrives during the start: a request to read the
+/// configuration again would end the process.
+///
+/// # Errors
+///
+/// Fails if the system does not allow it.
 pub fn signals() -> io::Result<Signals> {
     Signals::new([Signal::Term, Signal::Int, Signal::Hup])
 }
 
-/// Serves until a signal asks for the end and all that is owed is answered. `path` is where the
-/// configuration came from, for reading it again.
+/// Serves until a signal asks for the shutdown and no response is pending. `path` is where the configuration came from,
+/// for reading it again.
+///
+/// # Errors
+///
+/// Fails if an address or a socket can't be listened at.
 pub fn serve(
     config: Config,
     path: Option<PathBuf>,
     operator: Operator,
-    mut signals: Signals,
+    signals: Signals,
 ) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
-    let name = config.name.clone();
-    let (listen, admin, feed, known_to) =
-        (config.listen, config.admin, config.feed, config.known_to);
-    let shared: Shared = Rc::new_cyclic(|me| {
-        RefCell::new(Dispatch::new(
-            config,
-            &operator,
-            dispatch::Tasks::new(me.clone(), executor.clone()),
-        ))
+    let addresses = Addresses::of(&config);
+    let shared: Shared = Rc::new_cyclic(|weak| {
+        let tasks = dispatch::Tasks::new(weak.clone(), executor.clone());
+        RefCell::new(Dispatch::new(config, &operator, tasks))
     });
-    async_io::block_on(executor.run(async {
-        // The known hosts are taken in before anyone can connect: a test that passes means ready.
-        shared.borrow_mut().start();
-        health::open(&operator.health, &executor, &shared)?;
-        if let Some(socket) = &operator.ctl {
-            let orders = ctl::open(socket, &executor, &shared)?;
-            shared.borrow_mut().orders.push(orders);
-        }
-        if let Some(address) = admin {
-            let calls = admin::open(address, &executor, &shared)?;
-            shared.borrow_mut().orders.push(calls);
+    let server = Server {
+        executor: executor.clone(),
+        shared,
+        addresses,
+        operator,
+    };
+    async_io::block_on(executor.run(server.run(path, signals)))
+}
+
+/// Where a process listens and connects, and what it is called.
+struct Addresses {
+    name: String,
+    listen: SocketAddr,
+    admin: Option<SocketAddr>,
+    feed: SocketAddr,
+    /// The feed is followed from the event after this one.
+    feed_sequence: u64,
+}
+
+impl Addresses {
+    fn of(config: &Config) -> Addresses {
+        Addresses {
+            name: config.name.clone(),
+            listen: config.listen,
+            admin: config.admin,
+            feed: config.feed,
+            feed_sequence: config.cached_sequence,
         }
+    }
+}
+
+/// Starts all listeners and connections, and runs until the process may exit.
+struct Server {
+    executor: Rc<LocalExecutor<'static>>,
+    shared: Shared,
+    addresses: Addresses,
+    operator: Operator,
+}
+
+impl Server {
+    async fn run(self, path: Option<PathBuf>, signals: Signals) -> io::Result<()> {
+        // The cached hosts are taken in before anyone can connect: a health check that passes means ready.
+        self.shared.borrow_mut().start();
+        self.open_operator_listeners()?;
         // Last: whoever can connect finds all else open.
-        let inherited = inherit::listener(listen)?;
-        if inherited.is_some() {
-            shared.borrow_mut().shares_listener = true;
-            inherit::meet(&name, &executor, &shared);
+        let acceptor = self.open_client_listener()?;
+        let new_addresses = self.follow_feed();
+        self.handle_signals(signals, path, new_addresses);
+        self.run_until_finished(&acceptor).await;
+        accept::linger(&self.shared).await;
+        if let Some(socket) = &self.operator.ctl {
+            let _ = std::fs::remove_file(socket);
         }
-        let listener = match inherited {
-            Some(listener) => listener,
-            None => clients::listen(listen)
-                .map_err(|e| io::Error::new(e.kind(), format!("listen: {listen}: {e}")))?,
-        };
-        let listener = Rc::new(listener);
-        executor
-            .spawn(clients::accept(listener.clone(), shared.clone()))
+        Ok(())
+    }
+
+    /// Opens the listeners of load balancers and operators, where the operator's file and the configuration have them.
+    fn open_operator_listeners(&self) -> io::Result<()> {
+        health::open(&self.operator.health, &self.executor, &self.shared)?;
+        if let Some(socket) = &self.operator.ctl {
+            let gate = ctl::open(socket, &self.executor, &self.shared)?;
+            self.shared.borrow_mut().orders.push(gate);
+        }
+        if let Some(address) = self.addresses.admin {
+            let gate = admin::open(address, &self.executor, &self.shared)?;
+            self.shared.borrow_mut().orders.push(gate);
+        }
+        Ok(())
+    }
+
+    /// Begins to accept clients, on the inherited socket or on one of its own.
+    fn open_client_listener(&self) -> io::Result<Rc<Acceptor<Dispatch>>> {
+        let listener = self.client_listener()?;
+        let acceptor = Acceptor::new(listener, self.shared.clone(), self.executor.clone());
+        let acceptor = Rc::new(acceptor);
+        let accepting = acceptor.clone();
+        self.executor
+            .spawn(async move { accepting.run().await })
             .detach();
-        shared.borrow_mut().is_listening = true;
-        let (moves, moved) = async_channel::unbounded();
-        executor
-            .spawn(feed::follow(feed, known_to, moved, shared.clone()))
+        self.shared.borrow_mut().is_listening = true;
+        Ok(acceptor)
+    }
+
+    fn client_listener(&self) -> io::Result<Async<TcpListener>> {
+        let listen = self.addresses.listen;
+        if let Some(inherited) = inherit::listener(listen)? {
+            self.shared.borrow_mut().shares_listener = true;
+            inherit::meet(&self.addresses.name, &self.executor, &self.shared);
+            return Ok(inherited);
+        }
+        accept::listen(listen)
+            .map_err(|e| io::Error::new(e.kind(), format!("listen: {listen}: {e}")))
+    }
+
+    /// Begins to follow the feed, and returns where new addresses of it are sent.
+    fn follow_feed(&self) -> Sender<SocketAddr> {
+        let (new_addresses, receiver) = async_channel::unbounded();
+        let Addresses {
+            feed,
+            feed_sequence,
+            ..
+        } = self.addresses;
+        self.executor
+            .spawn(feed::follow(
+                feed,
+                feed_sequence,
+                receiver,
+                self.shared.clone(),
+            ))
             .detach();
-        let signalled = shared.clone();
-        let on_signal = async move {
+        new_addresses
+    }
+
+    /// Begins to handle signals: SIGHUP reads the configuration again, the others begin the shutdown.
+    fn handle_signals(
+        &self,
+        mut signals: Signals,
+        path: Option<PathBuf>,
+        new_addresses: Sender<SocketAddr>,
+    ) {
+        let shared = self.shared.clone();
+        let handling = async move {
             while let Some(signal) = signals.next().await {
-                let mut dispatch = signalled.borrow_mut();
+                let mut dispatch = shared.borrow_mut();
                 match signal {
-                    Ok(Signal::Hup) => reload(&mut dispatch, path.as_deref(), &moves),
+                    Ok(Signal::Hup) => reload(&mut dispatch, path.as_deref(), &new_addresses),
                     _ => dispatch.terminate(),
                 }
             }
         };
-        executor.spawn(on_signal).detach();
+        self.executor.spawn(handling).detach();
+    }
+
+    /// Drives the wheel and the log until the process may exit.
+    async fn run_until_finished(&self, acceptor: &Acceptor<Dispatch>) {
         let mut ticks = Timer::interval(Duration::from_micros(wheel::TICK.unsigned_abs()));
         while ticks.next().await.is_some() {
             log::pump();
-            let mut dispatch = shared.borrow_mut();
-            dispatch.tick();
-            if dispatch.is_finished() {
-                drop(dispatch);
-                if clients::last_call(&listener, &shared) {
-                    continue;
-                }
+            let is_finished = {
+                let mut dispatch = self.shared.borrow_mut();
+                dispatch.tick();
+                dispatch.is_finished()
+            };
+            if is_finished && !acceptor.accept_before_exit() {
                 break;
             }
         }
-        clients::linger(&shared).await;
-        if let Some(socket) = &operator.ctl {
-            let _ = std::fs::remove_file(socket);
-        }
-        Ok(())
-    }))
+    }
 }
 
-/// Reads the configuration again: the feed and the limits are taken over, all else stays as it was at
-/// the start. Guards against a file that can't be read: the one before stays in force.
-fn reload(dispatch: &mut Dispatch, path: Option<&Path>, moves: &Sender<SocketAddr>) {
+/// Reads the configuration again: the feed and the limits are taken over, all else stays as it was at the start. Guards
+/// against a file that can't be read: the one before stays in force.
+fn reload(dispatch: &mut Dispatch, path: Option<&Path>, new_addresses: &Sender<SocketAddr>) {
     match config::load(path) {
         Ok(config) => {
             info!(feed = %config.feed, "configuration read again");
-            dispatch.limit(config.limits);
-            let _ = moves.try_send(config.feed);
+            dispatch.apply_limits(config.limits);
+            let _ = new_addresses.try_send(config.feed);
         }
         Err(problem) => warn!(%problem, "configuration not read again"),
     }
