--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -22,8 +22,8 @@
 pub mod drain;
 mod fleet_evidence;
 mod signal;
-mod weight;
 pub(crate) mod sliding_window;
+mod weight;
 
 pub use fleet_evidence::{Zone, unreached};
 pub use signal::{Code, Ramp, Reading};
@@ -31,9 +31,9 @@
 
 use crate::{Micros, Outcome, OutcomeDetail};
 use fleet_evidence::Fleet;
+use sliding_window::Window;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
-use sliding_window::Window;
 
 const SECOND: Micros = 1_000_000;
 /// Transitions that are remembered.
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -1,102 +1,97 @@
-//! Owns the passing of time: what the wheel holds, what is done when it is due, and what is looked through again and
-//! again. It never decides on a request itself: each timer names the function that does.
+//! Owns the passing of time: fires the timers of the wheel and sweeps connections at a fixed interval. It never decides
+//! on a request itself: each timer names the function that does.
 
-use super::requests::State;
-use super::{Dispatch, MILLI};
+use super::request::RequestState;
+use super::timer_event::{SWEEP_INTERVAL, TimerEvent};
+use super::{Dispatch, MILLISECOND};
 use crate::net::codec::cause;
-use crate::net::hosts::{DialError, Link, Phase, Round};
+use crate::net::hosts::{ConnectError, ConnectionId, ConnectionState, HostEvents, HostLink};
 use task_placer::facade::Ticket;
 use task_placer::health::Event;
 use task_placer::operation::lifecycle;
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
-/// How often connections are looked through.
-pub(super) const SWEEP: Micros = 250 * MILLI;
 /// How long the end of a task is remembered.
-const ENDED: Micros = 10_000 * MILLI;
-
-/// What the wheel holds.
-pub(super) enum Due {
-    Attempt(Ticket, u32),
-    Doubt(Ticket, u32),
-    /// An offer of which nothing has left yet.
-    Unsent(Ticket, u32),
-    Connect(HostId, Round),
-    Redial(HostId, Round),
-    Unreached(HostId, Micros),
-    ReadOff(HostId, Round),
-    Left(Ticket),
-    Unlisted(Ticket),
-    Sweep,
-}
+const ENDED_TASK_RETENTION: Micros = 10_000 * MILLISECOND;
 
 impl Dispatch {
-    /// One turn of the wheel.
+    /// Advances the wheel by one tick.
     pub fn tick(&mut self) {
         let now = self.clock.now();
-        self.watch(now, Event::Turn);
-        self.on_duty(now, lifecycle::Event::Tick);
-        for host in std::mem::take(&mut self.clogged) {
-            self.send_waiting(now, &host);
+        self.record_health_event(now, Event::Turn);
+        self.handle_lifecycle_event(now, lifecycle::Event::Tick);
+        for host in std::mem::take(&mut self.backlogged_hosts) {
+            self.send_pending_attempts(now, &host);
         }
-        for due in self.wheel.due(now) {
-            self.is_due(now, due);
+        for timer in self.wheel.due(now) {
+            self.fire_timer(now, timer);
         }
-        let verdicts = self.facade.tick(now);
-        self.carry_out(now, verdicts);
+        let decisions = self.facade.tick(now);
+        self.apply_decisions(now, decisions);
     }
 
-    /// The time of a timer has come. What it was set for may be over by now: each looks whether it still holds.
-    fn is_due(&mut self, now: Micros, due: Due) {
-        match due {
-            Due::Attempt(ticket, attempt) => {
-                let news = self.give_up(now, ticket, Some(attempt), Outcome::Timeout);
-                news.into_iter().for_each(|news| self.tell(now, news));
+    /// Handles a timer whose time has come, if what it was set for still holds.
+    fn fire_timer(&mut self, now: Micros, timer: TimerEvent) {
+        match timer {
+            TimerEvent::AttemptTimeout(ticket, attempt) => {
+                let event = self.abandon_attempt(now, ticket, Some(attempt), Outcome::Timeout);
+                self.report_optional_event(now, event);
             }
-            Due::Doubt(ticket, attempt) => self.doubt_silent(now, ticket, attempt),
-            Due::Unsent(ticket, attempt) => self.end_unsent(now, ticket, attempt),
-            Due::Connect(host, round) => {
-                if let Some(Link {
-                    phase: Phase::Connecting(stop),
-                    round: r,
-                    ..
-                }) = self.hosts.get(&host)
-                    && *r == round
-                {
-                    let _ = stop.try_send(());
-                    self.dial_failed(&host, round, DialError::TimedOut);
-                }
+            TimerEvent::SilenceCheck(ticket, attempt) => {
+                self.suspect_silent_host(now, ticket, attempt);
             }
-            Due::Redial(host, round) => {
-                if self
-                    .hosts
-                    .get(&host)
-                    .is_some_and(|link| link.round == round)
-                {
-                    self.redial(now, &host);
-                }
+            TimerEvent::UnsentTimeout(ticket, attempt) => {
+                self.end_unsent_attempt(now, ticket, attempt);
             }
-            Due::Unreached(host, since) => self.lose_unreached(now, &host, since),
-            Due::ReadOff(host, round) => self.end_read_off(&host, round),
-            Due::Left(ticket) => {
-                if let Some(State::Leaving { .. }) = self.requests.get(&ticket).map(|r| &r.state) {
-                    self.end_standing(now, ticket, cause::CANCELLED, OutcomeDetail::Unknown);
+            TimerEvent::ConnectTimeout(host, id) => self.end_slow_connect(&host, id),
+            TimerEvent::Reconnect(host, id) => {
+                let link = self.hosts.get(&host);
+                if link.is_some_and(|link| link.connection_id == id) {
+                    self.reconnect(now, &host);
                 }
             }
-            Due::Unlisted(ticket) => self.end_unlisted(now, ticket),
-            Due::Sweep => self.sweep(now),
+            TimerEvent::HostUnreachable(host, since) => {
+                self.end_unreachable_tasks(now, &host, since);
+            }
+            TimerEvent::EvictionTimeout(host, id) => self.close_evicted_connection(&host, id),
+            TimerEvent::ReleaseTimeout(ticket) => self.end_unconfirmed_release(now, ticket),
+            TimerEvent::UnknownHostTimeout(ticket) => self.end_task_at_unknown_host(now, ticket),
+            TimerEvent::Sweep => self.sweep(now),
+        }
+    }
+
+    /// Stops a connection attempt that has had its time.
+    fn end_slow_connect(&mut self, host: &HostId, id: ConnectionId) {
+        if let Some(HostLink {
+            connection: ConnectionState::Connecting(stop),
+            connection_id,
+            ..
+        }) = self.hosts.get(host)
+            && *connection_id == id
+        {
+            let _ = stop.try_send(());
+            self.host_connect_failed(host, id, ConnectError::TimedOut);
+        }
+    }
+
+    /// Ends a task whose host has not confirmed its release in time.
+    fn end_unconfirmed_release(&mut self, now: Micros, ticket: Ticket) {
+        let state = self.requests.get(&ticket).map(|request| &request.state);
+        if let Some(RequestState::Releasing { .. }) = state {
+            self.end_running_task(now, ticket, cause::CANCELLED, OutcomeDetail::Unknown);
         }
     }
 
-    /// Looks through all connections, and forgets what has been kept for long enough.
+    /// Sweeps all connections, and forgets ended tasks after their retention.
     fn sweep(&mut self, now: Micros) {
         self.clients.sweep(now);
-        self.sweep_links(now);
+        self.sweep_host_connections(now);
         self.gate.sweep(now);
         self.orders.iter().for_each(|gate| gate.sweep(now));
-        self.look(now);
+        self.update_health(now);
         self.log_overload(now);
-        self.ended.retain(|_, ended| now - ended.since < ENDED);
-        self.wheel.add(now + SWEEP, Due::Sweep);
+        self.ended_tasks
+            .retain(|_, ended| now - ended.ended_at < ENDED_TASK_RETENTION);
+        self.wheel.add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
     }
 }
