--- a/crates/scale-test/src/budget.rs
+++ b/crates/scale-test/src/budget.rs
@@ -247,7 +247,7 @@
 }
 
 /// Refuses a run that needs over half of the machine's memory, more descriptors than a process may have, or
-/// more than [`MOST_PROCESSES`] processes.
+/// more than [`MAX_PROCESSES`] processes.
 pub fn check(need: &Need, machine: &Machine) -> Result<(), BudgetError> {
     let found = [
         memory_excess(need, machine),
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -48,7 +48,7 @@
 /// Why points cannot be fitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FitError {
-    /// The points have fewer than [`LEAST_SIZES`] distinct sizes.
+    /// The points have fewer than [`MIN_SIZES`] distinct sizes.
     #[error("{found} distinct sizes, and a fit needs at least {MIN_SIZES}")]
     TooFewSizes {
         /// Distinct sizes among the points.
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! [`Placer`] is a state machine without I/O: events and the time go in ([`Event`]), actions come out ([`Action`]).
 //! It keeps no clock, opens no connection and starts no thread. The same settings, seed and events give the same
-//! actions. What it remembers between events is in [`crate::state`], which decides nothing.
+//! actions. What it remembers between events is in `src/state`, which decides nothing.
 //!
 //! The path of a request, and the module of each step:
 //!
