--- a/src/facade/messages.rs
+++ b/src/facade/messages.rs
@@ -1,7 +1,9 @@
 //! What the caller reports to the facade, and what the facade decides.
 
 use super::Ticket;
-use crate::placement::{Endpoint, HostId, Micros, Outcome, OutcomeDetail, TaskReport};
+use crate::placement::{
+    Endpoint, Event, HostId, Micros, Outcome, OutcomeDetail, TaskReport, UpdateKind,
+};
 
 /// What the caller has learned.
 #[derive(Debug, Clone)]
@@ -101,3 +103,74 @@
     /// A line for the log.
     Log(String),
 }
+
+/// An update without endpoints confirms a subscription.
+pub(super) fn subscription_confirmed() -> Event {
+    endpoints_changed(UpdateKind::Delta, Vec::new())
+}
+
+impl PlacementEvent {
+    /// The decision module's event.
+    pub(super) fn into_module_event(self) -> Event {
+        match self {
+            PlacementEvent::Cancelled(ticket) => Event::TaskCancelled(ticket.to_request_id()),
+            PlacementEvent::ShutdownRequested(within) => Event::ShutdownRequested(within),
+            PlacementEvent::DiscoveryUp => subscription_confirmed(),
+            PlacementEvent::DiscoveryDown => endpoints_changed(UpdateKind::Failed, Vec::new()),
+            PlacementEvent::EndpointsCached(endpoints) => {
+                endpoints_changed(UpdateKind::Cached, endpoints)
+            }
+            PlacementEvent::EndpointsChanged {
+                is_complete: true,
+                endpoints,
+            } => endpoints_changed(UpdateKind::Complete, endpoints),
+            PlacementEvent::EndpointsChanged {
+                is_complete: false,
+                endpoints,
+            } => endpoints_changed(UpdateKind::Delta, endpoints),
+            PlacementEvent::AttemptStarted {
+                ticket,
+                attempt,
+                host,
+                elapsed,
+            } => Event::AttemptStarted {
+                id: ticket.to_request_id(),
+                attempt,
+                host,
+                elapsed,
+            },
+            PlacementEvent::AttemptEnded {
+                ticket,
+                attempt,
+                host,
+                outcome,
+                detail,
+                elapsed,
+            } => Event::AttemptEnded {
+                id: ticket.to_request_id(),
+                attempt,
+                host,
+                outcome,
+                detail,
+                done: outcome == Outcome::Completed,
+                elapsed,
+                load_report: Vec::new(),
+            },
+            PlacementEvent::TaskReported {
+                ticket,
+                host,
+                report,
+                value,
+            } => Event::TaskReported {
+                id: ticket.to_request_id(),
+                host,
+                report,
+                value,
+            },
+        }
+    }
+}
+
+fn endpoints_changed(kind: UpdateKind, endpoints: Vec<Endpoint>) -> Event {
+    Event::EndpointsChanged { kind, endpoints }
+}
