--- /dev/null
+++ b/tests/random_events/digest.rs
@@ -0,0 +1,34 @@
+//! A digest of actions that does not depend on the names in the code.
+
+use task_placer::Action;
+
+/// Where a digest starts (FNV-1a).
+pub const EMPTY: u64 = 0xcbf2_9ce4_8422_2325;
+const PRIME: u64 = 0x0100_0000_01b3;
+
+/// An action as a number and its values. The numbers are fixed here and mean nothing else.
+pub fn rendered(action: &Action) -> String {
+    match action {
+        Action::Subscribe => "1".to_string(),
+        Action::Unsubscribe => "2".to_string(),
+        Action::PollEndpoints => "3".to_string(),
+        Action::CloseIdleConnections { host } => format!("4 {}", host.0),
+        Action::ReportFault(text) => format!("5 {text}"),
+        Action::SendAttempt { id, host, timeout } => format!("6 {} {} {timeout}", id.0, host.0),
+        Action::CancelAttempt { id, attempt } => format!("7 {} {attempt}", id.0),
+        Action::Reject { id, retry_after } => format!("8 {} {retry_after}", id.0),
+        Action::Fail { id } => format!("9 {}", id.0),
+        Action::Migrate { id } => format!("10 {}", id.0),
+        Action::SendHealthCheck { host } => format!("11 {}", host.0),
+        Action::SetTimer { token, after } => format!("12 {} {after}", token.0),
+        Action::Log(text) => format!("13 {text}"),
+    }
+}
+
+/// Adds one line to a digest.
+pub fn add_line(digest: u64, line: &str) -> u64 {
+    let bytes = line.bytes().chain([b'\n']);
+    bytes.fold(digest, |sum, byte| {
+        (sum ^ u64::from(byte)).wrapping_mul(PRIME)
+    })
+}
