--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,11 +1,14 @@
-//! What the module alone costs at the size of the fleet: an event of the list with one entry, a task that is placed and
-//! ends, and a tick, among 100 to 16,384 machines. No socket, no other process.
+//! Cost of the decision module alone: an update of one endpoint, a task that is placed and ends, and a tick, among 100 to
+//! 16,384 hosts. No socket, no other process.
 //!
-//! `cargo bench --bench decisions [-- PLACERS]`; the placers that the settings state are 12 unless told otherwise.
+//! `cargo bench --bench decisions [-- PLACERS]`; the number of placers in the settings, 12 by default.
 
 use std::sync::Arc;
 use std::time::Instant;
-use task_placer::*;
+use task_placer::{
+    Action, CellId, Endpoint, EndpointState, Event, HostId, KindId, Micros, Outcome, OutcomeDetail,
+    Placer, RequestId, ServiceId, Settings, Task, TaskKey, TimerToken, UpdateKind, ZoneId,
+};
 
 const SIZES: [usize; 7] = [100, 400, 1_000, 2_000, 4_000, 7_300, 16_384];
 const EVENTS: usize = 2_000;
@@ -13,11 +16,11 @@
 const TICKS: usize = 200;
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Tasks of so many services come in turn.
+/// Services whose tasks are requested in turn.
 const SERVICES: usize = 200;
 
-/// Machine `n` with a third to two thirds of its cores free, other ones each time.
-fn entry(n: usize, time: usize) -> Endpoint {
+/// Host `n` with a third to two thirds of its cores free, another amount at each time.
+fn endpoint(n: usize, time: usize) -> Endpoint {
     let free = 10.0 + ((n * 7 + time * 13) % 11) as f64;
     Endpoint {
         host: HostId(Arc::from(format!("w-{n:06}"))),
@@ -44,15 +47,15 @@
 }
 
 /// A placer with its time and its next tick.
-struct Bench {
+struct PlacerBench {
     placer: Placer,
     now: Micros,
     actions: Vec<Action>,
     tick: Option<(Micros, TimerToken)>,
 }
 
-impl Bench {
-    fn new(machines: usize, placers: usize) -> Bench {
+impl PlacerBench {
+    fn new(hosts: usize, placers: usize) -> PlacerBench {
         let settings = Settings {
             placer_count: placers,
             allows_health_checks: false,
@@ -60,16 +63,16 @@
             ..Settings::example()
         };
         let placer = Placer::new(settings, 7);
-        let mut bench = Bench {
+        let mut bench = PlacerBench {
             placer,
             now: SECOND,
             actions: Vec::new(),
             tick: None,
         };
-        let entries = (0..machines).map(|n| entry(n, 0)).collect();
-        bench.give(&Event::EndpointsChanged {
+        let endpoints = (0..hosts).map(|n| endpoint(n, 0)).collect();
+        bench.handle(&Event::EndpointsChanged {
             kind: UpdateKind::Complete,
-            endpoints: entries,
+            endpoints,
         });
         let ticks = bench.actions.iter().rev().find_map(|action| match action {
             Action::SetTimer { token, after } => Some((bench.now + after, *token)),
@@ -79,7 +82,7 @@
         bench
     }
 
-    fn give(&mut self, event: &Event) {
+    fn handle(&mut self, event: &Event) {
         self.actions.clear();
         self.placer.handle(self.now, event, &mut self.actions);
     }
@@ -94,36 +97,34 @@
     fn place(&mut self, n: usize) {
         let task = task(n);
         let id = task.id.clone();
-        self.give(&Event::TaskRequested(task));
+        self.handle(&Event::TaskRequested(task));
         if let Some(host) = self.sent_to() {
-            let first = Event::AttemptStarted {
+            let started = Event::AttemptStarted {
                 id: id.clone(),
                 attempt: 0,
                 host: host.clone(),
                 elapsed: MS,
             };
-            self.give(&first);
-            let (outcome, detail) = (Outcome::Completed, OutcomeDetail::Unknown);
-            let (attempt, done, elapsed, report) = (0, true, MS, Vec::new());
-            self.give(&Event::AttemptEnded {
+            self.handle(&started);
+            self.handle(&Event::AttemptEnded {
                 id,
-                attempt,
+                attempt: 0,
                 host,
-                outcome,
-                detail,
-                done,
-                elapsed,
-                load_report: report,
+                outcome: Outcome::Completed,
+                detail: OutcomeDetail::Unknown,
+                done: true,
+                elapsed: MS,
+                load_report: Vec::new(),
             });
         }
     }
 
-    fn pass_tick(&mut self) {
+    fn fire_tick(&mut self) {
         let Some((due, token)) = self.tick else {
             return;
         };
         self.now = self.now.max(due);
-        self.give(&Event::TimerFired(token));
+        self.handle(&Event::TimerFired(token));
         self.tick = self.actions.iter().find_map(|action| match action {
             Action::SetTimer { token, after } => Some((self.now + after, *token)),
             _ => None,
@@ -131,8 +132,8 @@
     }
 }
 
-/// Microseconds for each of so many.
-fn each(count: usize, mut act: impl FnMut(usize)) -> f64 {
+/// Mean time of a call, in microseconds.
+fn mean_micros(count: usize, mut act: impl FnMut(usize)) -> f64 {
     let start = Instant::now();
     (0..count).for_each(&mut act);
     start.elapsed().as_secs_f64() * 1e6 / count as f64
@@ -143,23 +144,23 @@
     let placers: usize = stated.unwrap_or(12);
     println!(
         "{:>8} {:>12} {:>12} {:>12}   {placers} placers stated",
-        "machines", "a list event", "a task", "a tick"
+        "hosts", "a list event", "a task", "a tick"
     );
-    for machines in SIZES {
-        let mut bench = Bench::new(machines, placers);
-        let event = each(EVENTS, |n| {
+    for hosts in SIZES {
+        let mut bench = PlacerBench::new(hosts, placers);
+        let event = mean_micros(EVENTS, |n| {
             bench.now += MS;
-            let entries = vec![entry(n * 31 % machines, n)];
-            bench.give(&Event::EndpointsChanged {
+            let endpoints = vec![endpoint(n * 31 % hosts, n)];
+            bench.handle(&Event::EndpointsChanged {
                 kind: UpdateKind::Delta,
-                endpoints: entries,
+                endpoints,
             });
         });
-        let task = each(TASKS, |n| {
+        let task = mean_micros(TASKS, |n| {
             bench.now += MS;
             bench.place(n);
         });
-        let tick = each(TICKS, |_| bench.pass_tick());
-        println!("{machines:>8} {event:>9.1} us {task:>9.1} us {tick:>9.1} us");
+        let tick = mean_micros(TICKS, |_| bench.fire_tick());
+        println!("{hosts:>8} {event:>9.1} us {task:>9.1} us {tick:>9.1} us");
     }
 }
--- a/tests/decision_rules/slow_start.rs
+++ b/tests/decision_rules/slow_start.rs
@@ -32,69 +32,101 @@
     );
 }
 
+/// The processes that serve as one placer, among other placers.
+struct Processes {
+    placer_count: usize,
+    slow_start_attempts: f64,
+    processes: u32,
+    /// Whether they know of each other.
+    know_each_other: bool,
+}
+
+impl Processes {
+    /// Attempts that they send to one warming host within `span` while requests keep coming.
+    fn attempts_within(&self, span: Micros) -> usize {
+        let indices = 0..self.processes;
+        indices
+            .map(|index| self.attempts_of_process(index, span))
+            .sum()
+    }
+
+    fn attempts_of_process(&self, process_index: u32, span: Micros) -> usize {
+        let mut placer = TestPlacer::new(Settings {
+            placer_count: self.placer_count,
+            slow_start_attempts: self.slow_start_attempts,
+            ..settings()
+        });
+        let warming = Endpoint {
+            started_at: placer.now,
+            ..endpoint(0, EndpointState::Up)
+        };
+        placer.handle(Event::EndpointsChanged {
+            kind: UpdateKind::Complete,
+            endpoints: vec![warming],
+        });
+        if self.know_each_other {
+            placer.handle(Event::LimitsChanged(vec![Limit::Processes {
+                process_count: self.processes,
+                process_index,
+            }]));
+        }
+        let steps = usize::try_from(span / STEP).expect("a positive span");
+        (0..steps).map(|n| request_and_reject(&mut placer, n)).sum()
+    }
+}
+
+/// Time between two requests.
+const STEP: Micros = 20 * MS;
+
+/// Requests a task, has the host reject each attempt, and lets a step pass. Returns the attempts.
+fn request_and_reject(placer: &mut TestPlacer, n: usize) -> usize {
+    let mut sent = sent_hosts(&placer.request(Task {
+        time_budget: STEP / 2,
+        ..task(n, n as u64)
+    }));
+    sent.extend(sent_hosts(&without_times(placer.advance(0))));
+    let attempts = sent.len();
+    for host in sent {
+        placer.end(n, 0, &host, Outcome::Rejected, OutcomeDetail::NotEligible);
+        placer.handle(Event::HealthCheckEnded {
+            host,
+            outcome: Outcome::Completed,
+            elapsed: MS,
+            load_report: Vec::new(),
+        });
+    }
+    placer.advance(STEP);
+    attempts
+}
+
 #[test]
 fn processes_of_one_placer_share_its_slow_start_budget() {
-    // How many offers so many processes send to one cold machine within `span`, asked all along.
-    let offers =
-        |placers: usize, sends_borne: f64, processes: u32, told: bool, span: Micros| -> usize {
-            let settings = Settings {
-                placer_count: placers,
-                slow_start_attempts: sends_borne,
-                ..settings()
+    let window = settings().collapse_window;
+    let slow_start = settings().slow_start;
+    // A budget of several attempts, and one of less than an attempt, which is used by turns.
+    let cases = [(3, 60.0, window), (30, 30.0, slow_start - window)];
+    for (placer_count, slow_start_attempts, span) in cases {
+        let attempts = |processes, know_each_other| {
+            let processes = Processes {
+                placer_count,
+                slow_start_attempts,
+                processes,
+                know_each_other,
             };
-            let mut all: Vec<TestPlacer> = (0..processes)
-                .map(|_| TestPlacer::new(settings.clone()))
-                .collect();
-            let mut count = 0;
-            for (process_index, placer) in all.iter_mut().enumerate() {
-                let mut cold = endpoint(0, EndpointState::Up);
-                cold.started_at = placer.now;
-                placer.handle(Event::EndpointsChanged {
-                    kind: UpdateKind::Complete,
-                    endpoints: vec![cold],
-                });
-                if told {
-                    placer.handle(Event::LimitsChanged(vec![Limit::Processes {
-                        process_count: processes,
-                        process_index: process_index as u32,
-                    }]));
-                }
-                for n in 0..usize::try_from(span / (20 * MS)).unwrap() {
-                    let mut sent = sent_hosts(&placer.request(Task {
-                        time_budget: 10 * MS,
-                        ..task(n, n as u64)
-                    }));
-                    sent.extend(sent_hosts(&without_times(placer.advance(0))));
-                    for at in sent {
-                        count += 1;
-                        placer.end(n, 0, &at, Outcome::Rejected, OutcomeDetail::NotEligible);
-                        placer.handle(Event::HealthCheckEnded {
-                            host: at,
-                            outcome: Outcome::Completed,
-                            elapsed: MS,
-                            load_report: Vec::new(),
-                        });
-                    }
-                    placer.advance(20 * MS);
-                }
-            }
-            count
+            processes.attempts_within(span)
         };
-    let (fall, cold) = (settings().collapse_window, settings().slow_start);
-    // A part of several offers, and one of less than an offer, which is had by turns.
-    for (placers, borne, span) in [(3, 60.0, fall), (30, 30.0, cold - fall)] {
-        let (one, two) = (
-            offers(placers, borne, 1, true, span),
-            offers(placers, borne, 2, true, span),
-        );
-        let untold = offers(placers, borne, 2, false, span);
+
+        let one = attempts(1, true);
+        let two = attempts(2, true);
+        let two_unknown = attempts(2, false);
+
         assert!(
             one > 1 && two <= one + 1,
-            "{placers}: {one} of one process, {two} of two"
+            "{placer_count}: {one} of one process, {two} of two"
         );
         assert!(
-            untold > one + 1,
-            "{placers}: {untold} of two that do not know of each other, {one} of one"
+            two_unknown > one + 1,
+            "{placer_count}: {two_unknown} of two that do not know of each other, {one} of one"
         );
     }
 }
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -355,80 +355,116 @@
     assert_eq!(sent_hosts(&placer.request(of(2, 2, 0, 0))), at);
 }
 
-/// Machines leave in waves and cold ones replace them: what comes back goes to machines that stay, nothing to
-/// those announced, to the replacements no more than this placer's part, and each task has one end.
-#[test]
-fn waves_of_drains_with_warming_replacements_are_survived() {
-    let mut s = settings(20);
-    s.slow_start_attempts = 60.0;
-    let mut placer = TestPlacer::with(s, 8);
-    let mut cold_offers = 0;
-    let mut lost = 0;
-    for wave in 0..2 {
+/// Hosts that drain together, and the tasks that ran on them.
+struct Wave {
+    number: usize,
+    draining: Vec<usize>,
+}
+
+impl Wave {
+    fn new(number: usize) -> Wave {
+        Wave {
+            number,
+            draining: (number * 3..number * 3 + 3).collect(),
+        }
+    }
+
+    fn drains(&self, host: &HostId) -> bool {
+        self.draining.iter().any(|index| host_id(*index) == *host)
+    }
+
+    /// Places tasks on hosts; returns each with its host.
+    fn place_tasks(&self, placer: &mut TestPlacer) -> Vec<(usize, HostId)> {
         let mut placed = Vec::new();
         for n in 0..30 {
-            let n = wave * 100 + n;
-            for at in sent_hosts(&placer.request(of(n, n as u64 % 9, 0, 0))) {
-                placer.start(n, 0, &at);
-                placed.push((n, at));
+            let n = self.number * 100 + n;
+            for host in sent_hosts(&placer.request(of(n, n as u64 % 9, 0, 0))) {
+                placer.start(n, 0, &host);
+                placed.push((n, host));
             }
         }
-        assert!(placed.len() >= 25, "{}", placed.len());
-        let leaving: Vec<usize> = (wave * 3..wave * 3 + 3).collect();
-        let drained = leaving
-            .iter()
-            .map(|n| endpoint(*n, EndpointState::Draining))
+        placed
+    }
+
+    /// Announces the drains, then the hosts that replace them.
+    fn drain_and_replace(&self, placer: &mut TestPlacer) {
+        let draining = self.draining.iter();
+        let draining = draining
+            .map(|index| endpoint(*index, EndpointState::Draining))
             .collect();
         placer.handle(Event::EndpointsChanged {
             kind: UpdateKind::Delta,
-            endpoints: drained,
+            endpoints: draining,
         });
-        let new = leaving
-            .iter()
-            .map(|n| Endpoint {
-                started_at: placer.now,
-                ..endpoint(n + 20, EndpointState::Up)
-            })
-            .collect();
+        let started_at = placer.now;
+        let replacement = |index: &usize| Endpoint {
+            started_at,
+            ..endpoint(index + FIRST_REPLACEMENT, EndpointState::Up)
+        };
+        let replacements = self.draining.iter().map(replacement).collect();
         placer.handle(Event::EndpointsChanged {
             kind: UpdateKind::Delta,
-            endpoints: new,
+            endpoints: replacements,
         });
-        for (n, at) in placed {
-            let gone = leaving.iter().any(|m| host_id(*m) == at);
-            placer.end_with(
-                n,
-                0,
-                &at,
-                if gone {
-                    Outcome::Reset
-                } else {
-                    Outcome::Completed
-                },
-                OutcomeDetail::Drained,
-                true,
-            );
-            if gone {
+    }
+
+    /// Requests a task again that its draining host released. Returns the attempts at warming hosts.
+    fn request_again(&self, placer: &mut TestPlacer, n: usize) -> usize {
+        let returning = Task {
+            is_returning: true,
+            ..of(n + 50, n as u64 % 9, 0, 0)
+        };
+        let mut warming = 0;
+        for host in sent_hosts(&placer.request(returning)) {
+            assert!(!self.drains(&host), "a draining host got a task");
+            let index: usize = host.0[1..].parse().expect("a number");
+            warming += usize::from(index >= FIRST_REPLACEMENT);
+            placer.start(n + 50, 0, &host);
+            placer.end(n + 50, 0, &host, Outcome::Completed, OutcomeDetail::Unknown);
+        }
+        warming
+    }
+}
+
+/// The index of the host that replaces host 0.
+const FIRST_REPLACEMENT: usize = 20;
+
+/// Hosts drain in waves and warming ones replace them: what comes back goes to hosts that stay, nothing to draining ones,
+/// to the replacements no more than this placer's part of the slow-start budget, and each task ends once.
+#[test]
+fn waves_of_drains_with_warming_replacements_are_survived() {
+    let mut placer = TestPlacer::with(
+        Settings {
+            slow_start_attempts: 60.0,
+            ..settings(20)
+        },
+        8,
+    );
+    let mut warming_attempts = 0;
+    let mut lost = 0;
+    for wave in [Wave::new(0), Wave::new(1)] {
+        let placed = wave.place_tasks(&mut placer);
+        assert!(placed.len() >= 25, "{}", placed.len());
+
+        wave.drain_and_replace(&mut placer);
+
+        for (n, host) in placed {
+            let is_lost = wave.drains(&host);
+            let outcome = if is_lost {
+                Outcome::Reset
+            } else {
+                Outcome::Completed
+            };
+            placer.end_with(n, 0, &host, outcome, OutcomeDetail::Drained, true);
+            if is_lost {
                 lost += 1;
-                let back = Task {
-                    is_returning: true,
-                    ..of(n + 50, n as u64 % 9, 0, 0)
-                };
-                for to in sent_hosts(&placer.request(back)) {
-                    assert!(
-                        leaving.iter().all(|m| host_id(*m) != to),
-                        "an announced machine got a task"
-                    );
-                    cold_offers += usize::from(to.0[1..].parse::<usize>().unwrap() >= 20);
-                    placer.start(n + 50, 0, &to);
-                    placer.end(n + 50, 0, &to, Outcome::Completed, OutcomeDetail::Unknown);
-                }
+                warming_attempts += wave.request_again(&mut placer, n);
             }
         }
     }
     assert!(lost > 0, "the waves met no task");
     assert!(
-        cold_offers <= 6 * 2,
-        "{cold_offers} offers to six cold machines at two each"
+        warming_attempts <= 6 * 2,
+        "{warming_attempts} attempts at six warming hosts at two each"
     );
 }
