--- a/src/cli.rs
+++ b/src/cli.rs
@@ -164,8 +164,8 @@
     let mut found = Vec::new();
     let health = &operator.health;
     for (field, addresses) in [
-        ("health.agent", &health.agent),
-        ("health.http", &health.http),
+        ("health.agent", &health.agent_addresses),
+        ("health.http", &health.http_addresses),
     ] {
         if addresses.contains(&config.listen) {
             found.push((
@@ -176,18 +176,18 @@
     }
     // Clients hold at most a third of the descriptors; hosts and the placer itself need theirs.
     let most = config.limits.sockets / 4;
-    if health.listens() && health.connections > most {
+    if health.listens() && health.max_connections > most {
         let what = format!(
             "{} of limits.sockets {} is more than a quarter, {most}",
-            health.connections, config.limits.sockets
+            health.max_connections, config.limits.sockets
         );
         found.push(("health.connections", what));
     }
     let queues = config.limits.memory / 16;
-    if operator.log.queue > queues {
+    if operator.log.queue_bytes > queues {
         let what = format!(
             "{} is more than a sixteenth of limits.memory_mb, {queues}",
-            operator.log.queue
+            operator.log.queue_bytes
         );
         found.push(("log.queue-bytes", what));
     }
@@ -215,7 +215,7 @@
         let mut wrong: Vec<String> = loaded
             .problems
             .iter()
-            .map(|p| p.line(&path.to_string_lossy()))
+            .map(|p| p.render(&path.to_string_lossy()))
             .collect();
         let between = disagreements(&config, &operator);
         wrong.extend(
@@ -289,7 +289,7 @@
         .as_deref()
         .map(|p| p.to_string_lossy().into_owned());
     let name = name.unwrap_or_else(|| "no operator's file".to_string());
-    wrong.extend(loaded.problems.iter().map(|problem| problem.line(&name)));
+    wrong.extend(loaded.problems.iter().map(|problem| problem.render(&name)));
     if let Some(config) = &config {
         let between = disagreements(config, &loaded.operator);
         wrong.extend(
@@ -317,7 +317,7 @@
             say(format!("{field} = {value}  # {from}"));
         }
     }
-    for value in &loaded.in_force {
+    for value in &loaded.effective_values {
         let origin = value
             .line
             .map_or_else(|| "default".to_string(), |line| format!("{name}:{line}"));
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -103,7 +103,7 @@
 pub fn send(order: Order, target: &Target, file: Option<&Path>, json: bool) -> ExitCode {
     let socket = match (&target.socket, file) {
         (Some(socket), _) => Some(socket.clone()),
-        (None, Some(file)) => operator::load(file).operator.ctl,
+        (None, Some(file)) => operator::load(file).operator.control_socket,
         (None, None) => None,
     };
     let Some(socket) = socket else {
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -1,396 +1,346 @@
-//! Leaving without losing anything: the phases of a drain.
+//! Graceful shutdown behind load balancers: the phases of a drain.
 //!
 //! ```text
-//!          begin             every poller has seen it,        no ask owed for a while
-//!  ┌──────┐      ┌─────────┐ or its time is up   ┌─────────┐                ┌──────────┐
-//!  │ idle ├─────▶│ telling ├────────────────────▶│ closing ├───────────────▶│ standing │
-//!  └──▲───┘      └────┬────┘                     └──┬──┬───┘                └──┬──┬────┘
-//!     │ ready         │            asks owed beyond │  │ ready                 │  │ none stand,
-//!     ◀───────────────┴──────── their time, or a    │  ◀───────────────────────┤  │ all told, or
-//!     │                         second signal       ▼                          │  │ its time is up
-//!     │                                       ┌───────────┐  second signal     │  ▼
-//!     │                                       │ answering │◀───────────────────┘ ┌─────────┐
-//!     │                                       └─────┬─────┘                      │ drained │
-//!     │                                             │ all answered               └──┬───┬──┘
-//!     │                                             ▼            told to exit       │   │ ready
-//!     │                                          ┌──────┐◀─────────────────────────┘   │
-//!     ◀──────────────────────────────────────────│ over │                              │
-//!     │                                          └──────┘                              │
-//!     └────────────────────────────────────────────────────────────────────────────────┘
+//!          begin               every check has seen it,          no response pending for a while
+//!  ┌──────┐      ┌────────────┐ or its time is up  ┌─────────────┐                ┌────────────────┐
+//!  │ idle ├─────▶│ announcing ├───────────────────▶│ closing idle├───────────────▶│ awaiting tasks │
+//!  └──▲───┘      └────┬───────┘                    └──┬──┬───────┘                └──┬──┬──────────┘
+//!     │ cancel        │             responses pending │  │ cancel                    │  │ none runs and all
+//!     ◀───────────────┴──────────── beyond their time,│  ◀───────────────────────────┤  │ ends are reported,
+//!     │                             or second signal  ▼                              │  │ or its time is up
+//!     │                                      ┌───────────────┐  second signal        │  ▼
+//!     │                                      │ answering all │◀──────────────────────┘ ┌─────────┐
+//!     │                                      └────┬──────────┘                         │ drained │
+//!     │                                           │ all answered                       └──┬───┬──┘
+//!     │                                           ▼                to exit                │   │ cancel
+//!     │                                       ┌──────────┐◀───────────────────────────────┘   │
+//!     │                                       │ finished │                                    │
+//!     │                                       └──────────┘                                    │
+//!     ◀───────────────────────────────────────────────────────────────────────────────────────┘
 //! ```
 //!
-//! *telling*: `drain` is reported, and new work is taken as ever, since balancers that have not polled
-//! still send it. *closing*: connections without a task are closed politely; a new one is still served.
-//! *standing*: what was asked is answered; the ends of standing tasks are waited for and told.
-//! *answering*: the module is told to answer all that it owes within a time. Nothing leaves `answering`
-//! but the end: what the module has given up can't be taken back.
+//! - *announcing*: `drain` is reported, and new requests are accepted as before, since load balancers that have
+//!   not polled still send them.
+//! - *closing idle*: connections without a request or task are closed; a new request is still served.
+//! - *awaiting tasks*: pending responses are sent, and the ends of running tasks are awaited and reported.
+//! - *answering all*: the module is told to answer everything within a time. Nothing leads back from here: what
+//!   the module has given up can't be restored.
+//!
+//! Pure: time is an argument, and there is no I/O. The phases' names in answers to operators are older than
+//! these; see [`Phase::as_str`].
+
+mod effect;
+mod phase;
+mod pollers;
+
+pub use effect::{AfterDrain, Effect, Outstanding};
+pub use phase::{Phase, PhaseReason};
+pub use pollers::{CheckKind, Poller, PollerCount};
 
 use crate::Micros;
-use std::collections::BTreeMap;
+use pollers::Pollers;
 
-const SECOND: Micros = 1_000_000;
-/// Pollers that are remembered; the one heard longest ago makes room.
-const MOST_POLLERS: usize = 64;
-/// A poller that has missed so many of its polls is gone.
-const MISSED: Micros = 4;
-/// What a poller's interval counts as at the least, and before it is known.
-const LEAST_INTERVAL: Micros = SECOND;
-const UNKNOWN_INTERVAL: Micros = 5 * SECOND;
+const MILLISECOND: Micros = 1_000;
+const SECOND: Micros = 1_000 * MILLISECOND;
 
-/// The bounds of a drain.
+/// The time limits of a drain, and how many polls it takes.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Bounds {
-    /// The longest that balancers are waited for.
-    pub notice: Micros,
-    /// How long a balancer may take to act on what it has read.
-    pub settle: Micros,
-    /// Polls of a balancer's agent check after which it has seen the drain.
+pub struct DrainLimits {
+    /// The longest that load balancers are waited for.
+    pub max_announcement: Micros,
+    /// How long a load balancer may take to act on an answer.
+    pub settle_time: Micros,
+    /// Polls after which an agent check has seen the drain.
     pub agent_polls: u32,
-    /// Polls of an HTTP check after which it has: its fall count.
+    /// Polls after which an HTTP check has seen the drain: its fall count.
     pub http_polls: u32,
-    /// No ask owed for so long: none is coming.
-    pub quiet: Micros,
-    /// The longest that asks in hand are left to their own time.
-    pub answer: Micros,
-    /// The longest that standing tasks are waited for.
-    pub standing: Micros,
-    /// What the module gets to answer the rest, and by when the process ends then.
-    pub last_answer: Micros,
-    /// See `last_answer`.
-    pub last_end: Micros,
+    /// After so long without a pending response, none is expected any more.
+    pub quiet_time: Micros,
+    /// The longest that pending responses may take.
+    pub max_answer_time: Micros,
+    /// The longest that running tasks are awaited.
+    pub max_task_time: Micros,
+    /// After that, the time that the module gets to answer everything.
+    pub final_answer_time: Micros,
+    /// After that, the time by which the process exits.
+    pub final_exit_time: Micros,
 }
 
-impl Default for Bounds {
-    fn default() -> Bounds {
-        Bounds {
-            notice: 10 * SECOND,
-            settle: SECOND / 2,
+impl Default for DrainLimits {
+    fn default() -> DrainLimits {
+        DrainLimits {
+            max_announcement: 10 * SECOND,
+            settle_time: 500 * MILLISECOND,
             agent_polls: 1,
             http_polls: 3,
-            quiet: SECOND,
-            answer: 15 * SECOND,
-            standing: 120 * SECOND,
-            last_answer: 3_300_000,
-            last_end: 3_500_000,
-        }
-    }
-}
-
-/// Which kind of check polls.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Check {
-    /// An agent check: acts on the first answer.
-    Agent,
-    /// An HTTP check: acts once as many answers have failed as its fall count says.
-    Http,
-}
-
-/// Who polls: its kind of check, and its address with the line that it sends first.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Poller(pub Check, pub String);
-
-#[derive(Debug, Clone)]
-struct Polls {
-    last: Micros,
-    interval: Micros,
-    /// Answers that told of the drain, and when the latest that it needed was given.
-    told: u32,
-    seen: Option<Micros>,
-}
-
-impl Polls {
-    fn alive(&self, now: Micros) -> bool {
-        now - self.last <= MISSED * self.interval.max(LEAST_INTERVAL)
-    }
-}
-
-/// What is still in hand.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Hand {
-    /// Asks whose answer is owed.
-    pub owed: usize,
-    /// Tasks that stand, or leave.
-    pub standing: usize,
-    /// Words on ended tasks that no connection has taken yet.
-    pub untold: usize,
-    /// Connections whose queue is not empty.
-    pub unflushed: usize,
-}
-
-/// Where a drain is.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
-    /// There is none.
-    Idle,
-    /// Balancers are told.
-    Telling,
-    /// Connections without a task are closed.
-    Closing,
-    /// Standing tasks are waited for.
-    Standing,
-    /// Nothing is in hand.
-    Drained,
-    /// The module answers all that it owes.
-    Answering,
-    /// The process may end.
-    Over,
-}
-
-impl Phase {
-    /// Its name on every surface.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            Phase::Idle => "idle",
-            Phase::Telling => "telling",
-            Phase::Closing => "closing",
-            Phase::Standing => "standing",
-            Phase::Drained => "drained",
-            Phase::Answering => "answering",
-            Phase::Over => "over",
+            quiet_time: SECOND,
+            max_answer_time: 15 * SECOND,
+            max_task_time: 120 * SECOND,
+            final_answer_time: 3_300 * MILLISECOND,
+            final_exit_time: 3_500 * MILLISECOND,
         }
     }
 }
 
-/// What the shell must do.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Effect {
-    /// Report `drain` from now on, or no more.
-    Tell(bool),
-    /// Close connections that carry no task, as long as this holds.
-    CloseIdle(bool),
-    /// Have the module answer all that it owes within this time.
-    Answer(Micros),
-    /// A phase has begun; why.
-    Entered(Phase, &'static str),
-    /// End the process: so much is left in hand.
-    Exit(Hand),
-}
+/// The drain can't be cancelled: the module has been told to answer everything.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[error("too late: the process ends")]
+pub struct TooLateToCancel;
 
 /// The drain of one process.
 #[derive(Debug, Clone)]
 pub struct Drain {
-    bounds: Bounds,
+    limits: DrainLimits,
     phase: Phase,
-    since: Micros,
-    /// When the drain began.
-    began: Micros,
-    exit: bool,
+    phase_since: Micros,
+    began_at: Micros,
+    after: AfterDrain,
+    /// Since when no response has been pending.
     quiet_since: Option<Micros>,
-    pollers: BTreeMap<Poller, Polls>,
+    pollers: Pollers,
 }
 
 impl Drain {
-    /// None yet.
-    pub fn new(bounds: Bounds) -> Drain {
-        let (phase, pollers) = (Phase::Idle, BTreeMap::new());
+    /// Creates the state of a process that does not drain.
+    pub fn new(limits: DrainLimits) -> Drain {
         Drain {
-            bounds,
-            phase,
-            since: 0,
-            began: 0,
-            exit: false,
+            limits,
+            phase: Phase::Idle,
+            phase_since: 0,
+            began_at: 0,
+            after: AfterDrain::Wait,
             quiet_since: None,
-            pollers,
+            pollers: Pollers::default(),
         }
     }
 
-    /// Where it is.
+    /// Returns the phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Whether the process is to end with it.
+    /// Returns whether the process exits after the drain.
     pub fn exits(&self) -> bool {
-        self.exit
+        self.after == AfterDrain::Exit
     }
 
-    /// Balancers that poll, and how many of them have seen the drain.
-    pub fn pollers(&self, now: Micros) -> (usize, usize) {
-        let live = self.pollers.values().filter(|polls| polls.alive(now));
-        live.fold((0, 0), |(all, seen), polls| {
-            (all + 1, seen + usize::from(polls.seen.is_some()))
-        })
+    /// Returns how many load balancer checks poll, and how many of them have seen the drain.
+    pub fn pollers(&self, now: Micros) -> PollerCount {
+        self.pollers.count(now)
     }
 
-    /// A balancer has been answered.
-    pub fn polled(&mut self, now: Micros, poller: Poller) {
-        let needed = match poller.0 {
-            Check::Agent => self.bounds.agent_polls,
-            Check::Http => self.bounds.http_polls,
-        };
-        let telling = self.phase != Phase::Idle;
-        if self.pollers.len() >= MOST_POLLERS && !self.pollers.contains_key(&poller) {
-            let oldest = self
-                .pollers
-                .iter()
-                .min_by_key(|(_, polls)| polls.last)
-                .map(|(p, _)| p.clone());
-            oldest.map(|oldest| self.pollers.remove(&oldest));
-        }
-        let fresh = Polls {
-            last: now,
-            interval: UNKNOWN_INTERVAL,
-            told: 0,
-            seen: None,
-        };
-        let polls = self.pollers.entry(poller).or_insert(fresh);
-        if now > polls.last {
-            // The longer of the latest two counts: checks come in pairs and with jitter.
-            polls.interval = (now - polls.last).max(if polls.interval == UNKNOWN_INTERVAL {
-                0
-            } else {
-                polls.interval / 2
-            });
-            polls.last = now;
-        }
-        if telling {
-            polls.told = polls.told.saturating_add(1);
-            if polls.told >= needed && polls.seen.is_none() {
-                polls.seen = Some(now);
-            }
+    /// Records that a load balancer's check was answered.
+    pub fn record_poll(&mut self, now: Micros, poller: &Poller) {
+        self.pollers.record_poll(now, poller);
+        if self.phase != Phase::Idle {
+            let needed = match poller.kind {
+                CheckKind::Agent => self.limits.agent_polls,
+                CheckKind::Http => self.limits.http_polls,
+            };
+            self.pollers.record_drain_answer(now, poller, needed);
         }
     }
 
-    /// Told to drain, and whether to end the process then. A second order to end does not wait any more.
-    pub fn begin(&mut self, now: Micros, exit: bool) -> Vec<Effect> {
+    /// Begins a drain. A second request to exit does not wait any longer.
+    pub fn begin(&mut self, now: Micros, after: AfterDrain) -> Vec<Effect> {
         match self.phase {
             Phase::Idle => {
-                self.exit = exit;
-                self.began = now;
-                self.pollers
-                    .values_mut()
-                    .for_each(|polls| (polls.told, polls.seen) = (0, None));
-                let mut effects = vec![Effect::Tell(true)];
-                effects.extend(self.enter(
-                    now,
-                    Phase::Telling,
-                    if exit { "signal" } else { "order" },
-                ));
-                effects
+                self.after = after;
+                self.began_at = now;
+                self.pollers.reset_drain_answers();
+                let reason = match after {
+                    AfterDrain::Exit => PhaseReason::Signal,
+                    AfterDrain::Wait => PhaseReason::Command,
+                };
+                vec![
+                    Effect::AnnounceDrain,
+                    self.enter(now, Phase::Announcing, reason),
+                ]
+            }
+            Phase::AnsweringAll | Phase::Finished => Vec::new(),
+            _ if after == AfterDrain::Exit && self.exits() => {
+                self.stop_waiting(now, PhaseReason::SecondSignal)
             }
-            Phase::Answering | Phase::Over => Vec::new(),
-            _ if exit && self.exit => self.answer_now(now, "second-signal"),
             _ => {
-                self.exit |= exit;
+                if after == AfterDrain::Exit {
+                    self.after = AfterDrain::Exit;
+                }
                 Vec::new()
             }
         }
     }
 
-    /// Told to come back. False where it is too late: the module has been told to end.
-    pub fn cancel(&mut self, now: Micros) -> (bool, Vec<Effect>) {
+    /// Cancels the drain.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`TooLateToCancel`] once the module has been told to answer everything.
+    pub fn cancel(&mut self, now: Micros) -> Result<Vec<Effect>, TooLateToCancel> {
         match self.phase {
-            Phase::Idle => (true, Vec::new()),
-            Phase::Answering | Phase::Over => (false, Vec::new()),
+            Phase::Idle => Ok(Vec::new()),
+            Phase::AnsweringAll | Phase::Finished => Err(TooLateToCancel),
             _ => {
-                self.exit = false;
-                let mut effects = vec![Effect::Tell(false), Effect::CloseIdle(false)];
-                effects.extend(self.enter(now, Phase::Idle, "ready"));
-                (true, effects)
+                self.after = AfterDrain::Wait;
+                Ok(vec![
+                    Effect::WithdrawDrain,
+                    Effect::StopClosingIdle,
+                    self.enter(now, Phase::Idle, PhaseReason::Cancelled),
+                ])
             }
         }
     }
 
-    /// Time has passed, with so much in hand.
-    pub fn look(&mut self, now: Micros, hand: Hand) -> Vec<Effect> {
-        self.quiet_since = match self.quiet_since {
-            _ if hand.owed > 0 => None,
-            None => Some(now),
-            since => since,
-        };
-        let quiet = self
-            .quiet_since
-            .is_some_and(|since| now - since >= self.bounds.quiet);
-        let clear = hand.owed == 0 && hand.unflushed == 0;
-        let passed = now - self.since;
+    /// Advances the drain, given what is outstanding.
+    pub fn advance(&mut self, now: Micros, outstanding: Outstanding) -> Vec<Effect> {
+        self.update_quiet(now, outstanding);
         match self.phase {
-            Phase::Idle | Phase::Over => Vec::new(),
-            Phase::Telling => match self.all_seen(now) {
-                Some(why) => {
-                    let mut effects = vec![Effect::CloseIdle(true)];
-                    effects.extend(self.enter(now, Phase::Closing, why));
-                    effects
-                }
-                None => Vec::new(),
-            },
-            Phase::Closing if quiet && passed >= self.bounds.quiet => {
-                self.enter(now, Phase::Standing, "nothing-owed")
-            }
-            // Their own time is over by far: something holds them.
-            Phase::Closing if passed >= self.bounds.answer => self.answer_now(now, "answer-bound"),
-            Phase::Closing => Vec::new(),
-            Phase::Standing | Phase::Drained
-                if passed >= self.bounds.answer && hand.owed > 0 && self.exit =>
-            {
-                self.answer_now(now, "answer-bound")
-            }
-            Phase::Standing if clear && hand.standing == 0 && hand.untold == 0 => {
-                let mut effects = self.enter(now, Phase::Drained, "nothing-stands");
-                effects.extend(self.exit_if_told(now, hand));
-                effects
-            }
-            Phase::Standing if passed >= self.bounds.standing && hand.owed == 0 => {
-                let mut effects = self.enter(now, Phase::Drained, "standing-bound");
-                effects.extend(self.exit_if_told(now, hand));
-                effects
-            }
-            Phase::Standing => Vec::new(),
-            Phase::Drained if clear => self.exit_if_told(now, hand),
-            Phase::Drained => Vec::new(),
-            Phase::Answering if passed >= self.bounds.last_end || (clear && quiet) => {
-                let mut effects = self.enter(
-                    now,
-                    Phase::Over,
-                    if clear { "all-answered" } else { "end-bound" },
-                );
-                effects.push(Effect::Exit(hand));
-                effects
-            }
-            Phase::Answering => Vec::new(),
+            Phase::Idle | Phase::Finished => Vec::new(),
+            Phase::Announcing => self.advance_announcing(now),
+            Phase::ClosingIdle => self.advance_closing(now),
+            Phase::AwaitingTasks => self.advance_awaiting(now, outstanding),
+            Phase::Drained => self.advance_drained(now, outstanding),
+            Phase::AnsweringAll => self.advance_answering(now, outstanding),
         }
     }
 
-    /// Whether every balancer that still polls has seen the drain and has had time to act, and why the
-    /// wait is over. Where none polls, what is on its way is waited for.
-    fn all_seen(&self, now: Micros) -> Option<&'static str> {
-        if now - self.began >= self.bounds.notice {
-            return Some("notice-bound");
+    fn update_quiet(&mut self, now: Micros, outstanding: Outstanding) {
+        if outstanding.pending_responses > 0 {
+            self.quiet_since = None;
+        } else {
+            self.quiet_since.get_or_insert(now);
         }
-        let mut live = self
-            .pollers
-            .values()
-            .filter(|polls| polls.alive(now))
-            .peekable();
-        if live.peek().is_none() {
-            return (now - self.began >= self.bounds.quiet).then_some("nobody-polls");
-        }
-        let seen = live.all(|polls| polls.seen.is_some_and(|at| now - at >= self.bounds.settle));
-        seen.then_some("all-seen")
     }
 
-    fn exit_if_told(&mut self, now: Micros, hand: Hand) -> Vec<Effect> {
-        if !self.exit {
+    /// Whether no response has been pending for a while.
+    fn is_quiet(&self, now: Micros) -> bool {
+        self.quiet_since
+            .is_some_and(|since| now - since >= self.limits.quiet_time)
+    }
+
+    fn time_in_phase(&self, now: Micros) -> Micros {
+        now - self.phase_since
+    }
+
+    fn advance_announcing(&mut self, now: Micros) -> Vec<Effect> {
+        let Some(reason) = self.announcement_end(now) else {
             return Vec::new();
+        };
+        vec![
+            Effect::StartClosingIdle,
+            self.enter(now, Phase::ClosingIdle, reason),
+        ]
+    }
+
+    /// Why load balancers need not be waited for any longer. Where none polls, requests that are on their way
+    /// are waited for.
+    fn announcement_end(&self, now: Micros) -> Option<PhaseReason> {
+        let elapsed = now - self.began_at;
+        if elapsed >= self.limits.max_announcement {
+            return Some(PhaseReason::AnnouncementLimit);
+        }
+        if self.pollers.count(now).live == 0 {
+            return (elapsed >= self.limits.quiet_time).then_some(PhaseReason::NobodyPolls);
         }
-        let mut effects = self.enter(now, Phase::Over, "drained");
-        effects.push(Effect::Exit(hand));
+        self.pollers
+            .all_settled(now, self.limits.settle_time)
+            .then_some(PhaseReason::AllNotified)
+    }
+
+    fn advance_closing(&mut self, now: Micros) -> Vec<Effect> {
+        let elapsed = self.time_in_phase(now);
+        if self.is_quiet(now) && elapsed >= self.limits.quiet_time {
+            return vec![self.enter(now, Phase::AwaitingTasks, PhaseReason::NothingPending)];
+        }
+        // Pending responses are far beyond their own time: something blocks them.
+        if elapsed >= self.limits.max_answer_time {
+            return self.stop_waiting(now, PhaseReason::AnswerLimit);
+        }
+        Vec::new()
+    }
+
+    fn advance_awaiting(&mut self, now: Micros, outstanding: Outstanding) -> Vec<Effect> {
+        let elapsed = self.time_in_phase(now);
+        if self.responses_are_overdue(now, outstanding) {
+            return self.stop_waiting(now, PhaseReason::AnswerLimit);
+        }
+        let reason = if outstanding.is_answered() && outstanding.has_no_tasks() {
+            PhaseReason::NoTaskRuns
+        } else if elapsed >= self.limits.max_task_time && outstanding.pending_responses == 0 {
+            PhaseReason::TaskLimit
+        } else {
+            return Vec::new();
+        };
+        let mut effects = vec![self.enter(now, Phase::Drained, reason)];
+        effects.extend(self.exit_after_drain(now, outstanding));
         effects
     }
 
-    fn answer_now(&mut self, now: Micros, why: &'static str) -> Vec<Effect> {
-        // Without an order to end, a stuck ask does not end the process.
-        if !self.exit {
-            return self.enter(now, Phase::Standing, why);
+    fn advance_drained(&mut self, now: Micros, outstanding: Outstanding) -> Vec<Effect> {
+        if self.responses_are_overdue(now, outstanding) {
+            return self.stop_waiting(now, PhaseReason::AnswerLimit);
+        }
+        if outstanding.is_answered() {
+            return self.exit_after_drain(now, outstanding);
+        }
+        Vec::new()
+    }
+
+    /// Whether a process that is to exit still has pending responses beyond their time.
+    fn responses_are_overdue(&self, now: Micros, outstanding: Outstanding) -> bool {
+        self.exits()
+            && outstanding.pending_responses > 0
+            && self.time_in_phase(now) >= self.limits.max_answer_time
+    }
+
+    fn advance_answering(&mut self, now: Micros, outstanding: Outstanding) -> Vec<Effect> {
+        let is_answered = outstanding.is_answered();
+        let is_overdue = self.time_in_phase(now) >= self.limits.final_exit_time;
+        let is_done = is_answered && self.is_quiet(now);
+        if !is_done && !is_overdue {
+            return Vec::new();
+        }
+        let reason = if is_answered {
+            PhaseReason::AllAnswered
+        } else {
+            PhaseReason::ExitLimit
+        };
+        self.finish(now, reason, outstanding)
+    }
+
+    fn exit_after_drain(&mut self, now: Micros, outstanding: Outstanding) -> Vec<Effect> {
+        if self.exits() {
+            self.finish(now, PhaseReason::Drained, outstanding)
+        } else {
+            Vec::new()
+        }
+    }
+
+    fn finish(&mut self, now: Micros, reason: PhaseReason, left: Outstanding) -> Vec<Effect> {
+        vec![
+            self.enter(now, Phase::Finished, reason),
+            Effect::Exit { left },
+        ]
+    }
+
+    /// Stops waiting for pending responses. A process that is not to exit awaits running tasks next: a blocked
+    /// request does not end it.
+    fn stop_waiting(&mut self, now: Micros, reason: PhaseReason) -> Vec<Effect> {
+        if !self.exits() {
+            return vec![self.enter(now, Phase::AwaitingTasks, reason)];
         }
         self.quiet_since = None;
-        let mut effects = self.enter(now, Phase::Answering, why);
-        effects.push(Effect::Answer(self.bounds.last_answer));
-        effects
+        vec![
+            self.enter(now, Phase::AnsweringAll, reason),
+            Effect::AnswerAll {
+                within: self.limits.final_answer_time,
+            },
+        ]
     }
 
-    fn enter(&mut self, now: Micros, phase: Phase, why: &'static str) -> Vec<Effect> {
-        (self.phase, self.since) = (phase, now);
-        vec![Effect::Entered(phase, why)]
+    fn enter(&mut self, now: Micros, phase: Phase, reason: PhaseReason) -> Effect {
+        self.phase = phase;
+        self.phase_since = now;
+        Effect::Entered { phase, reason }
     }
 }
 
--- a/src/health/drain/tests.rs
+++ b/src/health/drain/tests.rs
@@ -1,215 +1,276 @@
-//! Tests of `drain.rs`.
+//! Tests of the drain.
 
+use super::pollers::MAX_POLLERS;
 use super::*;
 
-const MS: Micros = 1_000;
 const START: Micros = 100 * SECOND;
+const STEP: Micros = 50 * MILLISECOND;
 
 fn agent(name: &str) -> Poller {
-    Poller(Check::Agent, name.to_string())
+    Poller {
+        kind: CheckKind::Agent,
+        name: name.to_string(),
+    }
+}
+
+fn http(name: &str) -> Poller {
+    Poller {
+        kind: CheckKind::Http,
+        name: name.to_string(),
+    }
 }
 
-/// Runs by 50 ms; `each` polls and tells what is in hand. Answers the phases with their times.
+fn pending_response() -> Outstanding {
+    Outstanding {
+        pending_responses: 1,
+        ..Outstanding::default()
+    }
+}
+
+fn running_tasks(count: usize) -> Outstanding {
+    Outstanding {
+        running_tasks: count,
+        ..Outstanding::default()
+    }
+}
+
+/// A phase with the time of its begin, in milliseconds since the start.
+type Entered = (i64, Phase, &'static str);
+
+/// Advances the drain every 50 ms, and returns the phases. `each` polls, and returns what is outstanding.
 fn run(
     drain: &mut Drain,
-    span: Micros,
-    mut each: impl FnMut(&mut Drain, Micros) -> Hand,
-) -> Vec<(Micros, Phase, &'static str)> {
+    duration: Micros,
+    mut each: impl FnMut(&mut Drain, Micros) -> Outstanding,
+) -> Vec<Entered> {
     let mut entered = Vec::new();
-    for n in 1..=span / (50 * MS) {
-        let now = START + n * 50 * MS;
-        let hand = each(drain, now);
-        for effect in drain.look(now, hand) {
-            if let Effect::Entered(phase, why) = effect {
-                entered.push(((now - START) / MS, phase, why));
+    for step in 1..=duration / STEP {
+        let now = START + step * STEP;
+        let outstanding = each(drain, now);
+        for effect in drain.advance(now, outstanding) {
+            if let Effect::Entered { phase, reason } = effect {
+                entered.push(((now - START) / MILLISECOND, phase, reason.as_str()));
             }
         }
     }
     entered
 }
 
-fn begun(exit: bool, pollers: &[Poller]) -> Drain {
-    let mut drain = Drain::new(Bounds::default());
+/// A drain that begins at `START`, with checks that have polled each second.
+fn begun(after: AfterDrain, pollers: &[Poller]) -> Drain {
+    let mut drain = Drain::new(DrainLimits::default());
     for poller in pollers {
-        drain.polled(START - 2 * SECOND, poller.clone());
-        drain.polled(START - SECOND, poller.clone());
+        drain.record_poll(START - 2 * SECOND, poller);
+        drain.record_poll(START - SECOND, poller);
     }
-    assert_eq!(drain.begin(START, exit)[0], Effect::Tell(true));
+    assert_eq!(drain.begin(START, after)[0], Effect::AnnounceDrain);
     drain
 }
 
 #[test]
-fn it_waits_until_every_balancer_that_polls_has_seen_it() {
-    let pollers = [agent("a"), agent("b"), Poller(Check::Http, "c".into())];
-    let mut drain = begun(true, &pollers);
+fn announcement_lasts_until_every_load_balancer_that_polls_has_seen_the_drain() {
+    let mut drain = begun(AfterDrain::Exit, &[agent("a"), agent("b"), http("c")]);
+
     let phases = run(&mut drain, 30 * SECOND, |drain, now| {
-        let after = now - START;
-        // The agents poll each second, the HTTP check every two and needs three.
-        if after % SECOND == 0 {
-            drain.polled(now, agent("a"));
-            drain.polled(now, agent("b"));
+        let elapsed = now - START;
+        // The agents poll each second, the HTTP check every two and needs three polls.
+        if elapsed % SECOND == 0 {
+            drain.record_poll(now, &agent("a"));
+            drain.record_poll(now, &agent("b"));
         }
-        if after % (2 * SECOND) == 0 {
-            drain.polled(now, Poller(Check::Http, "c".into()));
+        if elapsed % (2 * SECOND) == 0 {
+            drain.record_poll(now, &http("c"));
         }
-        Hand::default()
+        Outstanding::default()
     });
-    assert_eq!(phases[0], (6_500, Phase::Closing, "all-seen"));
-    assert_eq!(drain.phase(), Phase::Over);
+
+    assert_eq!(phases[0], (6_500, Phase::ClosingIdle, "all-seen"));
+    assert_eq!(drain.phase(), Phase::Finished);
 }
 
 #[test]
-fn a_balancer_that_is_gone_is_not_waited_for_and_one_that_never_sees_it_only_so_long() {
-    let mut drain = begun(true, &[agent("gone"), agent("here")]);
-    let poll = |drain: &mut Drain, now: Micros| {
+fn load_balancer_that_stops_polling_is_waited_for_during_four_of_its_intervals() {
+    let mut drain = begun(AfterDrain::Exit, &[agent("gone"), agent("here")]);
+
+    let phases = run(&mut drain, 20 * SECOND, |drain, now| {
         if (now - START) % SECOND == 0 {
-            drain.polled(now, agent("here"));
+            drain.record_poll(now, &agent("here"));
         }
-        Hand::default()
-    };
-    let phases = run(&mut drain, 20 * SECOND, poll);
-    assert_eq!(
-        phases[0],
-        (3_050, Phase::Closing, "all-seen"),
-        "four of its intervals"
-    );
-    // A slow HTTP check needs 3 polls of 4 s, more than is waited.
-    let slow = Poller(Check::Http, "slow".into());
-    let mut drain = Drain::new(Bounds::default());
-    for before in [9, 5, 1] {
-        drain.polled(START - before * SECOND, slow.clone());
+        Outstanding::default()
+    });
+
+    assert_eq!(phases[0], (3_050, Phase::ClosingIdle, "all-seen"));
+}
+
+#[test]
+fn load_balancer_that_polls_too_slowly_is_waited_for_up_to_the_limit() {
+    // It needs 3 polls, one each 4 s.
+    let slow = http("slow");
+    let mut drain = Drain::new(DrainLimits::default());
+    for seconds_before in [9, 5, 1] {
+        drain.record_poll(START - seconds_before * SECOND, &slow);
     }
-    drain.begin(START, true);
+    drain.begin(START, AfterDrain::Exit);
+
     let phases = run(&mut drain, 20 * SECOND, |drain, now| {
         if (now - START) % (4 * SECOND) == 0 {
-            drain.polled(now, slow.clone());
+            drain.record_poll(now, &slow);
         }
-        Hand::default()
+        Outstanding::default()
     });
-    assert_eq!(phases[0], (10_000, Phase::Closing, "notice-bound"));
-    let mut drain = begun(true, &[]);
-    assert_eq!(
-        run(&mut drain, SECOND, |_, _| Hand::default())[0],
-        (1_000, Phase::Closing, "nobody-polls")
-    );
+
+    assert_eq!(phases[0], (10_000, Phase::ClosingIdle, "notice-bound"));
+}
+
+#[test]
+fn without_load_balancers_the_announcement_lasts_a_second() {
+    let mut drain = begun(AfterDrain::Exit, &[]);
+
+    let phases = run(&mut drain, SECOND, |_, _| Outstanding::default());
+
+    assert_eq!(phases[0], (1_000, Phase::ClosingIdle, "nobody-polls"));
 }
 
 #[test]
-fn asks_are_left_their_time_and_standing_tasks_are_waited_for_and_told() {
-    let mut drain = begun(true, &[]);
+fn pending_responses_get_their_time_and_running_tasks_are_awaited_and_reported() {
+    let mut drain = begun(AfterDrain::Exit, &[]);
+
     let phases = run(&mut drain, 60 * SECOND, |_, now| {
-        let after = now - START;
-        Hand {
-            owed: usize::from(after < 6 * SECOND),
-            standing: usize::from(after < 30 * SECOND),
-            untold: usize::from(after < 31 * SECOND),
-            unflushed: 0,
+        let elapsed = now - START;
+        Outstanding {
+            pending_responses: usize::from(elapsed < 6 * SECOND),
+            running_tasks: usize::from(elapsed < 30 * SECOND),
+            unreported_ends: usize::from(elapsed < 31 * SECOND),
+            unflushed_connections: 0,
         }
     });
+
     let expected = [
-        (1_000, Phase::Closing, "nobody-polls"),
-        (7_000, Phase::Standing, "nothing-owed"),
+        (1_000, Phase::ClosingIdle, "nobody-polls"),
+        (7_000, Phase::AwaitingTasks, "nothing-owed"),
         (31_000, Phase::Drained, "nothing-stands"),
-        (31_000, Phase::Over, "drained"),
+        (31_000, Phase::Finished, "drained"),
     ];
     assert_eq!(phases, expected);
 }
 
 #[test]
-fn standing_tasks_that_do_not_end_are_left_at_a_bound_and_counted() {
-    let mut drain = begun(true, &[]);
-    let hand = Hand {
-        standing: 3,
-        ..Hand::default()
-    };
-    let mut left = None;
-    for n in 1..=4_000 {
-        for effect in drain.look(START + n * 50 * MS, hand) {
-            if let Effect::Exit(hand) = effect {
-                left = Some((n * 50, hand));
+fn tasks_that_do_not_end_are_left_running_after_the_limit_and_counted() {
+    let mut drain = begun(AfterDrain::Exit, &[]);
+    let outstanding = running_tasks(3);
+
+    let mut exit = None;
+    for step in 1..=4_000 {
+        for effect in drain.advance(START + step * STEP, outstanding) {
+            if let Effect::Exit { left } = effect {
+                exit = Some((step * 50, left));
             }
         }
     }
-    assert_eq!(left, Some((122_000, hand)));
+
+    assert_eq!(exit, Some((122_000, outstanding)));
 }
 
 #[test]
-fn a_second_signal_has_the_module_answer_at_once_and_can_not_be_taken_back() {
-    let mut drain = begun(true, &[agent("a")]);
-    let effects = drain.begin(START + SECOND, true);
-    assert!(effects.contains(&Effect::Answer(3_300_000)), "{effects:?}");
-    assert_eq!(drain.cancel(START + SECOND), (false, vec![]));
-    assert_eq!(drain.begin(START + SECOND, true), []);
-    // Owed to the end: the process ends all the same.
-    let owed = Hand {
-        owed: 1,
-        ..Hand::default()
-    };
-    assert_eq!(drain.look(START + SECOND + 3_450 * MS, owed), []);
-    let last = drain.look(START + SECOND + 3_500 * MS, owed);
-    assert_eq!(last.last(), Some(&Effect::Exit(owed)));
+fn second_signal_has_the_module_answer_at_once_and_cannot_be_cancelled() {
+    let mut drain = begun(AfterDrain::Exit, &[agent("a")]);
+
+    let effects = drain.begin(START + SECOND, AfterDrain::Exit);
+
+    let answer_all = Effect::AnswerAll { within: 3_300_000 };
+    assert!(effects.contains(&answer_all), "{effects:?}");
+    assert_eq!(drain.cancel(START + SECOND), Err(TooLateToCancel));
+    assert_eq!(drain.begin(START + SECOND, AfterDrain::Exit), []);
 }
 
 #[test]
-fn an_order_to_drain_does_not_end_the_process_until_a_signal_comes() {
-    let mut drain = begun(false, &[]);
-    run(&mut drain, 20 * SECOND, |_, _| Hand::default());
+fn process_exits_after_the_final_limit_with_responses_still_pending() {
+    let mut drain = begun(AfterDrain::Exit, &[agent("a")]);
+    let signalled = START + SECOND;
+    drain.begin(signalled, AfterDrain::Exit);
+    let pending = pending_response();
+
+    assert_eq!(drain.advance(signalled + 3_450 * MILLISECOND, pending), []);
+    let effects = drain.advance(signalled + 3_500 * MILLISECOND, pending);
+
+    assert_eq!(effects.last(), Some(&Effect::Exit { left: pending }));
+}
+
+#[test]
+fn drain_by_command_exits_only_after_a_signal() {
+    let mut drain = begun(AfterDrain::Wait, &[]);
+    run(&mut drain, 20 * SECOND, |_, _| Outstanding::default());
     assert_eq!(drain.phase(), Phase::Drained);
-    assert_eq!(drain.begin(START + 21 * SECOND, true), []);
-    let effects = drain.look(START + 21 * SECOND, Hand::default());
+
+    assert_eq!(drain.begin(START + 21 * SECOND, AfterDrain::Exit), []);
+    let effects = drain.advance(START + 21 * SECOND, Outstanding::default());
+
     assert_eq!(
         effects,
         [
-            Effect::Entered(Phase::Over, "drained"),
-            Effect::Exit(Hand::default())
+            Effect::Entered {
+                phase: Phase::Finished,
+                reason: PhaseReason::Drained
+            },
+            Effect::Exit {
+                left: Outstanding::default()
+            }
         ]
     );
-    // An ask that is never answered does not end a process that was only told to drain.
-    let mut drain = begun(false, &[]);
-    let phases = run(&mut drain, 60 * SECOND, |_, _| Hand {
-        owed: 1,
-        ..Hand::default()
-    });
+}
+
+#[test]
+fn request_that_is_never_answered_does_not_end_a_drain_by_command() {
+    let mut drain = begun(AfterDrain::Wait, &[]);
+
+    let phases = run(&mut drain, 60 * SECOND, |_, _| pending_response());
+
     assert_eq!(
-        phases.last().map(|p| (p.1, p.2)),
-        Some((Phase::Standing, "answer-bound"))
+        phases.last().map(|(_, phase, reason)| (*phase, *reason)),
+        Some((Phase::AwaitingTasks, "answer-bound"))
     );
-    assert_eq!(drain.phase(), Phase::Standing);
+    assert_eq!(drain.phase(), Phase::AwaitingTasks);
 }
 
 #[test]
-fn ready_takes_a_drain_back_in_every_phase_but_the_last() {
-    for (looks, phase) in [
-        (1, Phase::Telling),
-        (25, Phase::Closing),
-        (45, Phase::Standing),
+fn drain_can_be_cancelled_in_every_phase_before_the_last_and_begin_again() {
+    for (steps, phase) in [
+        (1, Phase::Announcing),
+        (25, Phase::ClosingIdle),
+        (45, Phase::AwaitingTasks),
     ] {
-        let mut drain = begun(true, &[]);
-        run(&mut drain, looks * 50 * MS, |_, _| Hand {
-            standing: 1,
-            ..Hand::default()
-        });
+        let mut drain = begun(AfterDrain::Exit, &[]);
+        run(&mut drain, steps * STEP, |_, _| running_tasks(1));
         assert_eq!(drain.phase(), phase);
-        let (taken, effects) = drain.cancel(START + 10 * SECOND);
-        assert!(
-            taken
-                && effects.contains(&Effect::Tell(false))
-                && effects.contains(&Effect::CloseIdle(false))
-        );
+
+        let effects = drain.cancel(START + 10 * SECOND);
+
+        let effects = effects.expect("the drain can be cancelled");
+        assert!(effects.contains(&Effect::WithdrawDrain));
+        assert!(effects.contains(&Effect::StopClosingIdle));
         assert_eq!((drain.phase(), drain.exits()), (Phase::Idle, false));
-        // It can begin again, and balancers must see it again.
-        drain.polled(START + 10 * SECOND, agent("a"));
-        drain.begin(START + 11 * SECOND, true);
-        assert_eq!(drain.pollers(START + 11 * SECOND), (1, 0));
+        // Load balancers must see the next drain again.
+        drain.record_poll(START + 10 * SECOND, &agent("a"));
+        drain.begin(START + 11 * SECOND, AfterDrain::Exit);
+        assert_eq!(
+            drain.pollers(START + 11 * SECOND),
+            PollerCount {
+                live: 1,
+                notified: 0
+            }
+        );
     }
 }
 
 #[test]
-fn pollers_are_bounded() {
-    let mut drain = Drain::new(Bounds::default());
+fn number_of_tracked_pollers_is_limited_and_the_least_recent_is_forgotten() {
+    let mut drain = Drain::new(DrainLimits::default());
+
     for n in 0..1_000 {
-        drain.polled(START + n, agent(&n.to_string()));
+        drain.record_poll(START + n, &agent(&n.to_string()));
     }
-    assert_eq!(drain.pollers.len(), MOST_POLLERS);
-    assert!(drain.pollers.contains_key(&agent("999")) && !drain.pollers.contains_key(&agent("1")));
+
+    assert_eq!(drain.pollers.len(), MAX_POLLERS);
+    assert!(drain.pollers.contains(&agent("999")));
+    assert!(!drain.pollers.contains(&agent("1")));
 }
--- a/src/health/fleet_evidence.rs
+++ b/src/health/fleet_evidence.rs
@@ -1,145 +1,174 @@
-//! Own trouble or the fleet's: what a single placer can tell of it.
+//! Whether a fault is this placer's or the fleet's, as far as a single placer can tell.
 //!
-//! Where the hosts are full, every placer refuses, and a lower weight at each of them moves nothing.
-//! Instances do not talk, so the question is which explanation this placer's own evidence leaves open.
-//! Three things speak for the fleet, and each is discounted by what could make it up here:
+//! Where the hosts are full, every placer rejects requests, and a lower weight at each of them moves no load.
+//! Placers exchange no messages, so the question is which explanation a placer's own evidence leaves open.
+//! Three observations point to the fleet, and each is discounted by what could produce it here:
 //!
-//! - *Full*: hosts refuse offers for want of room, or the inventory lists little room. A host's word is
-//!   a fact whoever hears it, and stays one for a while where the module holds asks back instead of
-//!   offering them in vain; the inventory counts less the older it is.
-//! - *Slow*: hosts that do start take long about it. A loop that runs late sees every host as slow, so
-//!   this counts only as far as the loop was in time.
-//! - *Down*: hosts can't be reached in some zones and can in others. What fails alike in every zone is
-//!   nearer to this placer than to the hosts; [`unreached`] splits the two.
+//! - *Full*: hosts reject attempts for lack of capacity, or the endpoint list shows little of it. A host's
+//!   rejection is a fact whoever receives it, and stays one for a while where the module holds requests back
+//!   instead of attempting them in vain. The endpoint list counts less the older it is.
+//! - *Slow*: hosts that do start tasks take long. A late event loop sees every host as slow, so this counts
+//!   only as far as the loop was in time.
+//! - *Down*: hosts are unreachable in some zones and not in others. What fails alike in every zone is nearer
+//!   to this placer than to the hosts; [`Unreachable::of`] separates the two.
 
-use super::sliding_window::Window;
+use super::sliding_window::SlidingWindow;
 use crate::{Micros, Outcome, OutcomeDetail};
 
 const WINDOW: Micros = 10_000_000;
-/// Fewer offers than this tell nothing.
-const LEAST_OFFERS: f64 = 5.0;
-/// An offer that took this part of its class's aim at the host was slow there.
-const SLOW: f64 = 0.5;
+/// Fewer attempts than this show nothing.
+const MIN_ATTEMPTS: f64 = 5.0;
+/// An attempt that took this fraction of its class's latency objective at the host was slow there.
+const SLOW_FRACTION: f64 = 0.5;
 
-/// The hosts of one zone, as listed in service.
+/// The hosts of one zone that the endpoint list shows as up.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Zone {
-    /// How many are listed as up.
+pub struct ZoneReachability {
+    /// Their number.
     pub listed: u32,
-    /// Of those, how many have refused a connection: their process is gone, whoever calls.
+    /// Hosts that refused a connection: no process listens there, whoever connects.
     pub refused: u32,
-    /// And to how many no connection comes up.
+    /// Hosts to which no connection can be established.
     pub silent: u32,
 }
 
-/// The share of hosts out of reach that this placer must take on itself, and the share that is theirs.
-///
-/// A refused connection is the host's doing. Silence counts as ours as far as it is the same in all
-/// zones: the least share over the zones. With one zone there is nothing to compare, and silence counts
-/// as ours only where it covers more than half of it.
-pub fn unreached(zones: &[Zone]) -> (f64, f64) {
-    let known = zones.iter().filter(|zone| zone.listed > 0);
-    let silent = known
-        .clone()
-        .map(|zone| f64::from(zone.silent) / f64::from(zone.listed));
-    let (zones, listed) = (
-        known.clone().count(),
-        known.clone().map(|z| z.listed).sum::<u32>(),
-    );
-    let all = known.map(|zone| zone.refused + zone.silent).sum::<u32>();
-    if listed == 0 {
-        return (0.0, 0.0);
+/// The fractions of the listed hosts that are unreachable, by cause.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct Unreachable {
+    /// Attributed to this placer.
+    pub own: f64,
+    /// Attributed to the hosts.
+    pub fleet: f64,
+}
+
+impl Unreachable {
+    /// Attributes unreachable hosts to this placer or to the fleet.
+    ///
+    /// A refused connection is attributed to its host. Silence is attributed to this placer as far as it is the
+    /// same in all zones: by the lowest fraction of any zone. With a single zone there is nothing to compare,
+    /// and silence is attributed to this placer only if it covers more than half of the zone.
+    pub fn of(zones: &[ZoneReachability]) -> Unreachable {
+        let listed_zones: Vec<&ZoneReachability> =
+            zones.iter().filter(|zone| zone.listed > 0).collect();
+        let listed: u32 = listed_zones.iter().map(|zone| zone.listed).sum();
+        if listed == 0 {
+            return Unreachable::default();
+        }
+        let unreachable: u32 = listed_zones
+            .iter()
+            .map(|zone| zone.refused + zone.silent)
+            .sum();
+        let min_silent = listed_zones
+            .iter()
+            .map(|zone| f64::from(zone.silent) / f64::from(zone.listed))
+            .fold(1.0, f64::min);
+        let own = if listed_zones.len() > 1 || min_silent > 0.5 {
+            min_silent
+        } else {
+            0.0
+        };
+        let fraction = f64::from(unreachable) / f64::from(listed);
+        Unreachable {
+            own: own.clamp(0.0, 1.0),
+            fleet: (fraction - own).clamp(0.0, 1.0),
+        }
     }
-    let least = silent.fold(1.0, f64::min);
-    let own = if zones > 1 || least > 0.5 { least } else { 0.0 };
-    let share = f64::from(all) / f64::from(listed);
-    (own.clamp(0.0, 1.0), (share - own).clamp(0.0, 1.0))
 }
 
-/// What speaks for the fleet as the cause.
+/// The evidence that the fleet is the cause.
 #[derive(Debug, Clone)]
-pub struct Fleet {
-    full: Window,
-    slow: Window,
-    timeouts: Window,
-    /// Share of the listed hosts with room for an ordinary task.
-    roomy: Option<f64>,
-    /// Share of them that said they are full when last asked.
-    said_full: f64,
-    down: f64,
+pub struct FleetEvidence {
+    /// Attempts rejected for lack of capacity, of all.
+    rejections: SlidingWindow,
+    /// Slow starts, of all starts.
+    slow_starts: SlidingWindow,
+    /// Attempts timed out, of all.
+    timeouts: SlidingWindow,
+    /// The fraction of the listed hosts that have capacity for a mean task, if the list shows it.
+    with_capacity: Option<f64>,
+    /// The fraction of the listed hosts whose latest response was a rejection for lack of capacity.
+    full: f64,
+    /// The unreachable fraction that is attributed to the hosts.
+    unreachable: f64,
 }
 
-impl Default for Fleet {
-    fn default() -> Fleet {
-        let window = || Window::new(WINDOW);
-        Fleet {
-            full: window(),
-            slow: window(),
-            timeouts: window(),
-            roomy: None,
-            said_full: 0.0,
-            down: 0.0,
+impl Default for FleetEvidence {
+    fn default() -> FleetEvidence {
+        FleetEvidence {
+            rejections: SlidingWindow::new(WINDOW),
+            slow_starts: SlidingWindow::new(WINDOW),
+            timeouts: SlidingWindow::new(WINDOW),
+            with_capacity: None,
+            full: 0.0,
+            unreachable: 0.0,
         }
     }
 }
 
 /// Rises from 0 at `from` to 1 at `to`.
-fn between(value: f64, from: f64, to: f64) -> f64 {
+fn ramp(value: f64, from: f64, to: f64) -> f64 {
     ((value - from) / (to - from)).clamp(0.0, 1.0)
 }
 
-impl Fleet {
-    /// An offer has ended: `stretch` is its time at the host over the aim of its class.
-    pub fn offer(&mut self, now: Micros, outcome: Outcome, detail: OutcomeDetail, stretch: f64) {
-        let room = matches!(
+impl FleetEvidence {
+    /// Records how an attempt ended. `relative_duration` is its time at the host as a fraction of the latency
+    /// objective of its class.
+    pub fn record_attempt(
+        &mut self,
+        now: Micros,
+        outcome: Outcome,
+        detail: OutcomeDetail,
+        relative_duration: f64,
+    ) {
+        let lacks_capacity = matches!(
             detail,
             OutcomeDetail::NoCores
                 | OutcomeDetail::NoMemory
                 | OutcomeDetail::QueueFull
                 | OutcomeDetail::Unknown
         );
-        let full = outcome == Outcome::Rejected && room;
-        self.full.add(now, f64::from(u8::from(full)), 1.0);
-        let timeout = outcome == Outcome::Timeout;
-        self.timeouts.add(now, f64::from(u8::from(timeout)), 1.0);
+        self.rejections
+            .add_one(now, outcome == Outcome::Rejected && lacks_capacity);
+        self.timeouts.add_one(now, outcome == Outcome::Timeout);
         if outcome == Outcome::Completed {
-            self.slow
-                .add(now, f64::from(u8::from(stretch >= SLOW)), 1.0);
+            self.slow_starts
+                .add_one(now, relative_duration >= SLOW_FRACTION);
         }
     }
 
-    /// What the list and the connections show.
-    pub fn looked(&mut self, roomy: Option<f64>, said_full: f64, down: f64) {
-        (self.roomy, self.said_full, self.down) = (roomy, said_full, down);
+    /// Sets the fractions of the hosts that have capacity, are full, and are unreachable by their own fault.
+    pub fn set_host_fractions(&mut self, with_capacity: Option<f64>, full: f64, unreachable: f64) {
+        self.with_capacity = with_capacity;
+        self.full = full;
+        self.unreachable = unreachable;
     }
 
-    /// Share of the recent offers that timed out.
-    pub fn timeouts(&self, now: Micros) -> Option<f64> {
-        self.timeouts.share(now, LEAST_OFFERS)
+    /// Returns the fraction of recent attempts that timed out, or `None` if there were too few.
+    pub fn timeout_fraction(&self, now: Micros) -> Option<f64> {
+        self.timeouts.fraction(now, MIN_ATTEMPTS)
     }
 
-    /// How far the fleet explains late and refused asks, 0 to 1, given how bad this placer's own loop is
-    /// and how stale its inventory.
-    pub fn explains(&self, now: Micros, loop_late: f64, feed_stale: f64) -> f64 {
-        let refusals = self
-            .full
-            .share(now, LEAST_OFFERS)
-            .map_or(0.0, |share| between(share, 0.1, 0.4));
-        let no_room = self
-            .roomy
-            .map_or(0.0, |roomy| between(1.0 - roomy, 0.6, 0.95))
-            * (1.0 - feed_stale);
-        let slow = self
-            .slow
-            .share(now, LEAST_OFFERS)
-            .map_or(0.0, |share| between(share, 0.3, 0.7));
-        let down = between(self.down, 0.1, 0.4);
-        let full = between(self.said_full, 0.3, 0.7);
-        refusals
+    /// Returns how far the fleet explains late and rejected requests, 0 to 1, given how late this placer's own
+    /// event loop is and how stale its endpoint list, both as severities.
+    pub fn explains(&self, now: Micros, loop_lateness: f64, list_staleness: f64) -> f64 {
+        let rejections = self
+            .rejections
+            .fraction(now, MIN_ATTEMPTS)
+            .map_or(0.0, |fraction| ramp(fraction, 0.1, 0.4));
+        let lack_of_capacity = self
+            .with_capacity
+            .map_or(0.0, |with_capacity| ramp(1.0 - with_capacity, 0.6, 0.95));
+        let slow_starts = self
+            .slow_starts
+            .fraction(now, MIN_ATTEMPTS)
+            .map_or(0.0, |fraction| ramp(fraction, 0.3, 0.7));
+        let full = ramp(self.full, 0.3, 0.7);
+        let unreachable = ramp(self.unreachable, 0.1, 0.4);
+        rejections
             .max(full)
-            .max(no_room)
-            .max(slow * (1.0 - loop_late))
-            .max(down)
+            .max(lack_of_capacity * (1.0 - list_staleness))
+            .max(slow_starts * (1.0 - loop_lateness))
+            .max(unreachable)
     }
 }
 
--- a/src/health/fleet_evidence/tests.rs
+++ b/src/health/fleet_evidence/tests.rs
@@ -1,79 +1,95 @@
-//! Tests of `fleet.rs`.
+//! Tests of the fleet evidence.
 
 use super::*;
 
-fn zone(listed: u32, refused: u32, silent: u32) -> Zone {
-    Zone {
+const NOW: Micros = 1_000_000;
+
+fn zone(listed: u32, refused: u32, silent: u32) -> ZoneReachability {
+    ZoneReachability {
         listed,
         refused,
         silent,
     }
 }
 
+/// The evidence after twenty attempts that ended alike.
+fn after_attempts(
+    outcome: Outcome,
+    detail: OutcomeDetail,
+    relative_duration: f64,
+) -> FleetEvidence {
+    let mut evidence = FleetEvidence::default();
+    for _ in 0..20 {
+        evidence.record_attempt(NOW, outcome, detail, relative_duration);
+    }
+    evidence
+}
+
 #[test]
-fn silence_everywhere_is_ours_and_silence_in_a_part_is_theirs() {
-    let cases: [(&[Zone], f64, f64); 8] = [
+fn silence_in_all_zones_is_attributed_to_this_placer_and_silence_in_some_to_the_hosts() {
+    let cases: [(&[ZoneReachability], f64, f64); 8] = [
         (&[], 0.0, 0.0),
         (&[zone(4, 0, 0), zone(4, 0, 0)], 0.0, 0.0),
-        // A whole room is lost.
+        // A whole zone is lost.
         (
             &[zone(4, 0, 4), zone(4, 0, 0), zone(4, 0, 0)],
             0.0,
             1.0 / 3.0,
         ),
-        // Nothing comes up anywhere.
+        // No connection can be established anywhere.
         (&[zone(4, 0, 4), zone(4, 0, 4)], 1.0, 0.0),
-        // Half of each room, and one room more.
+        // Half of each zone, and the rest of one.
         (&[zone(4, 0, 2), zone(4, 0, 4)], 0.5, 0.25),
-        // Processes that are gone are the hosts' own.
+        // Processes that have exited are the hosts' own fault.
         (&[zone(4, 4, 0), zone(4, 4, 0)], 0.0, 1.0),
         (&[zone(4, 0, 2)], 0.0, 0.5),
         (&[zone(4, 0, 3), zone(0, 0, 0)], 0.75, 0.0),
     ];
     for (zones, own, fleet) in cases {
-        let (o, f) = unreached(zones);
+        let unreachable = Unreachable::of(zones);
+
         assert!(
-            (o - own).abs() < 1e-9 && (f - fleet).abs() < 1e-9,
-            "{zones:?}: {o} {f}"
+            (unreachable.own - own).abs() < 1e-9 && (unreachable.fleet - fleet).abs() < 1e-9,
+            "{zones:?}: {unreachable:?}"
         );
     }
 }
 
 #[test]
-fn a_late_loop_cannot_blame_slow_hosts_but_a_refusal_counts_all_the_same() {
-    let offers = |outcome, detail, stretch| {
-        let mut fleet = Fleet::default();
-        (0..20).for_each(|_| fleet.offer(1_000_000, outcome, detail, stretch));
-        fleet
-    };
-    let slow = offers(Outcome::Completed, OutcomeDetail::Unknown, 2.0);
-    assert_eq!(
-        (
-            slow.explains(1_000_000, 0.0, 0.0),
-            slow.explains(1_000_000, 1.0, 0.0)
-        ),
-        (1.0, 0.0)
-    );
-    let full = offers(Outcome::Rejected, OutcomeDetail::NoCores, 0.0);
-    assert_eq!(
-        (
-            full.explains(1_000_000, 0.0, 0.0),
-            full.explains(1_000_000, 1.0, 1.0)
-        ),
-        (1.0, 1.0)
-    );
-    let mut listed = Fleet::default();
-    listed.looked(Some(0.0), 0.0, 0.0);
-    assert_eq!(
-        (listed.explains(0, 0.0, 0.0), listed.explains(0, 0.0, 1.0)),
-        (1.0, 0.0)
-    );
-    assert_eq!(
-        offers(Outcome::Timeout, OutcomeDetail::Unknown, 0.0).timeouts(1_000_000),
-        Some(1.0)
-    );
-    assert_eq!(
-        offers(Outcome::Rejected, OutcomeDetail::NotEligible, 0.0).explains(1_000_000, 0.0, 0.0),
-        0.0
-    );
+fn slow_hosts_do_not_count_while_the_own_loop_is_late() {
+    let evidence = after_attempts(Outcome::Completed, OutcomeDetail::Unknown, 2.0);
+
+    assert_eq!(evidence.explains(NOW, 0.0, 0.0), 1.0);
+    assert_eq!(evidence.explains(NOW, 1.0, 0.0), 0.0);
+}
+
+#[test]
+fn rejections_for_lack_of_capacity_count_whatever_the_state_of_this_placer() {
+    let evidence = after_attempts(Outcome::Rejected, OutcomeDetail::NoCores, 0.0);
+
+    assert_eq!(evidence.explains(NOW, 0.0, 0.0), 1.0);
+    assert_eq!(evidence.explains(NOW, 1.0, 1.0), 1.0);
+}
+
+#[test]
+fn rejections_for_other_reasons_do_not_count() {
+    let evidence = after_attempts(Outcome::Rejected, OutcomeDetail::NotEligible, 0.0);
+
+    assert_eq!(evidence.explains(NOW, 0.0, 0.0), 0.0);
+}
+
+#[test]
+fn stale_endpoint_list_is_no_evidence_of_full_hosts() {
+    let mut evidence = FleetEvidence::default();
+    evidence.set_host_fractions(Some(0.0), 0.0, 0.0);
+
+    assert_eq!(evidence.explains(0, 0.0, 0.0), 1.0);
+    assert_eq!(evidence.explains(0, 0.0, 1.0), 0.0);
+}
+
+#[test]
+fn timeouts_are_counted_as_a_fraction_of_the_attempts() {
+    let evidence = after_attempts(Outcome::Timeout, OutcomeDetail::Unknown, 0.0);
+
+    assert_eq!(evidence.timeout_fraction(NOW), Some(1.0));
 }
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -1,7 +1,7 @@
-//! What this placer tells balancers: a state, a weight, and the reasons for both.
+//! Health monitoring: the state and weight that this placer reports to load balancers, and why.
 //!
-//! [`Health`] is a state machine without I/O. Events and the time go in; changes come out, and
-//! [`Health::report`] tells what holds. It keeps no clock and the same events give the same reports.
+//! [`HealthMonitor`] takes events and returns changes; [`HealthMonitor::report`] returns what holds. Pure: time
+//! is an argument, there is no I/O, and the same events give the same reports.
 //!
 //! ```text
 //!               slow start over
@@ -9,528 +9,297 @@
 //!   │ starting ├───────────────▶│ up │─────────────▶│ degraded │
 //!   └─┬──────▲─┘                └─┬──┘◀─────────────└────┬─────┘
 //!     │      │ ready              │      weight ≥ 95     │
-//!     │      │                    │ told to drain        │
+//!     │      │                    │ drain                │
 //!     │   ┌──┴───┐◀───────────────┴──────────────────────┘
-//!     └──▶│ drain│── told maint ──▶┌───────┐
-//!         │      │◀─ told to drain ─┤ maint │── ready ──▶ starting
-//!         └──┬───┘                  └───┬───┘
-//!            └───── the process ends ───┴──▶ stopped
+//!     └──▶│ drain│── maint ──▶┌───────┐
+//!         │      │◀── drain ──┤ maint │── ready ──▶ starting
+//!         └──┬───┘            └───┬───┘
+//!            └── process exits ───┴──▶ stopped
 //! ```
 //!
-//! `starting` goes to `degraded` instead of `up` where its slow start ends below 95.
+//! `starting` changes to `degraded` instead of `up` if the weight is below 95 well after the slow start.
 
 pub mod drain;
+mod event;
 mod fleet_evidence;
+mod poll_intervals;
+mod readings;
+mod settings;
 mod signal;
-mod weight;
 pub(crate) mod sliding_window;
+mod state;
+mod weight;
 
-pub use fleet_evidence::{Zone, unreached};
-pub use signal::{Code, Ramp, Reading};
-pub use weight::{Pace, Weight};
+pub use event::{Change, Event, Gauges, WeightChange};
+pub use fleet_evidence::{Unreachable, ZoneReachability};
+pub use settings::Settings;
+pub use signal::{MEASURED_SIGNALS, SeverityRamp, Signal, SignalReading};
+pub use state::{Command, State, Transition, TransitionReason};
+pub use weight::{WeightController, WeightPolicy};
 
-use crate::{Micros, Outcome, OutcomeDetail};
-use fleet_evidence::Fleet;
-use std::collections::{BTreeMap, VecDeque};
-use std::fmt;
-use sliding_window::Window;
+use crate::Micros;
+use fleet_evidence::FleetEvidence;
+use poll_intervals::PollIntervals;
+use sliding_window::SlidingWindow;
+use std::collections::VecDeque;
 
 const SECOND: Micros = 1_000_000;
-/// Transitions that are remembered.
-const HISTORY: usize = 32;
-/// The weight is steered no more often than this.
-const LOOK: Micros = 200_000;
-/// Answers, and connections, fewer than these tell nothing.
-const LEAST_ANSWERS: f64 = 8.0;
-const LEAST_CONNECTIONS: f64 = 4.0;
-/// Below the first a placer is degraded, from the second on it is up.
+/// The most transitions that are remembered.
+const MAX_HISTORY: usize = 32;
+/// The weight is updated no more often than this.
+const UPDATE_INTERVAL: Micros = 200_000;
+/// Fewer responses, or connections, than these show nothing.
+const MIN_RESPONSES: f64 = 8.0;
+const MIN_CONNECTIONS: f64 = 4.0;
+/// A placer is degraded below the first weight, and up from the second one on.
 const DEGRADED_BELOW: u8 = 85;
 const UP_FROM: u8 = 95;
-/// Evidence of the fleet's trouble comes a little after the trouble: from here on it also takes back what
+/// The evidence of a fault of the fleet comes a little after the fault. From this value on it also revokes what
 /// was learned from signals that it explains.
-const EXONERATES: f64 = 0.5;
-/// Balancers whose polls are followed, how long an interval counts, and how long a balancer may take to
-/// act on what it has read.
-const MOST_POLLERS: usize = 16;
-const MOST_INTERVAL: Micros = 10 * SECOND;
-const ACTS: Micros = SECOND / 2;
-/// How far a placer comes up at once, of 100, and how its slow start ends.
-const FIRST_WEIGHT: f64 = 10.0;
-
-/// What the engine goes by. Every figure has its reason in `docs/design/health.md`.
-#[derive(Debug, Clone, PartialEq)]
-pub struct Settings {
-    /// How late the loop may come round without that being counted.
-    pub turn: Micros,
-    /// How long a placer that has just come takes to full weight.
-    pub slow_start: Micros,
-    /// How long past answers, offers and connections count.
-    pub window: Micros,
-    /// How long lateness of the loop counts.
-    pub loop_window: Micros,
-    /// One ramp for each signal, in the order of [`Code::ALL`] without the last.
-    pub ramps: [Ramp; 9],
-    /// How the weight moves.
-    pub pace: Pace,
-}
-
-impl Default for Settings {
-    fn default() -> Settings {
-        let ramp = |ok, bad, step, reach| Ramp {
-            ok,
-            bad,
-            step,
-            reach,
-        };
-        Settings {
-            turn: 20_000,
-            slow_start: 10 * SECOND,
-            window: 5 * SECOND,
-            loop_window: 2 * SECOND,
-            ramps: [
-                ramp(0.05, 0.5, 0.0, 0.95),
-                ramp(1.0, 4.0, 0.0, 0.8),
-                ramp(0.1, 0.6, 0.0, 0.8),
-                ramp(0.1, 0.5, 0.0, 0.8),
-                ramp(0.1, 0.6, 0.0, 0.9),
-                ramp(2.0, 30.0, 0.25, 0.6),
-                ramp(0.8, 1.0, 0.0, 0.7),
-                ramp(0.5, 1.0, 0.0, 0.7),
-                ramp(0.0, 0.5, 0.1, 0.7),
-            ],
-            pace: Pace::default(),
-        }
-    }
-}
-
-/// What a placer says of itself.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum State {
-    /// It has just come, or come back.
-    Starting,
-    /// All is well.
-    Up,
-    /// It serves, and less than its whole portion is good for it.
-    Degraded,
-    /// It finishes what it has and wants nothing new.
-    Drain,
-    /// Its operators have taken it out.
-    Maint,
-    /// It ends.
-    Stopped,
-}
-
-impl State {
-    /// Its name on every surface.
-    pub fn as_str(self) -> &'static str {
-        match self {
-            State::Starting => "starting",
-            State::Up => "up",
-            State::Degraded => "degraded",
-            State::Drain => "drain",
-            State::Maint => "maint",
-            State::Stopped => "stopped",
-        }
-    }
-
-    /// Whether it wants new connections.
-    pub fn serves(self) -> bool {
-        matches!(self, State::Starting | State::Up | State::Degraded)
-    }
-}
-
-impl fmt::Display for State {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.as_str())
-    }
-}
+const FLEET_IS_CAUSE: f64 = 0.5;
+/// The weight at which a slow start begins, and the maximum.
+const INITIAL_WEIGHT: f64 = 10.0;
+const FULL_WEIGHT: f64 = 100.0;
 
-/// What an operator, or the system, asks for.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
-    /// Finish and take nothing new.
-    Drain,
-    /// Out of service.
-    Maint,
-    /// Back into service, with a slow start.
-    Ready,
-    /// The process ends.
-    Stop,
-}
-
-/// Gauges that are read a few times a second.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct Gauges {
-    /// Age of the oldest ask in hand over the aim of its class.
-    pub oldest: f64,
-    /// The listed hosts by zone.
-    pub zones: Vec<Zone>,
-    /// Share of the listed hosts with room for an ordinary task; none where the list does not tell.
-    pub roomy: Option<f64>,
-    /// Share of the listed hosts whose last word, not long ago, was that they are full.
-    pub full: f64,
-    /// Descriptors in use over their budget.
-    pub descriptors: f64,
-    /// Queued bytes over their budget.
-    pub queues: f64,
-}
-
-/// What the engine is told.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Event {
-    /// The loop has come round.
-    Turn,
-    /// The gauges.
-    Look(Gauges),
-    /// An ask got its final answer: whether it was placed within its class's aim.
-    Answered {
-        /// Placed, and in time.
-        in_aim: bool,
-    },
-    /// An offer ended; `Outcome::Completed` stands for a start.
-    Offer {
-        /// How.
-        outcome: Outcome,
-        /// Why.
-        detail: OutcomeDetail,
-        /// Its time at the host over the aim of its class.
-        stretch: f64,
-    },
-    /// A connection of a client came, and was kept or turned away.
-    Connection {
-        /// Turned away.
-        turned_away: bool,
-    },
-    /// The inventory feed spoke.
-    Feed,
-    /// A balancer was answered: whoever it is, by a number of its own.
-    Polled(u64),
-    /// An order.
-    Order(Order),
-}
-
-/// A transition, and why it was made.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Transition {
-    /// When.
-    pub at: Micros,
-    /// From where.
-    pub from: State,
-    /// To where.
-    pub to: State,
-    /// The signal or order that made it.
-    pub why: &'static str,
-    /// The weight told from then on.
-    pub weight: u8,
-}
-
-/// What has changed with an event.
-#[derive(Debug, Clone, PartialEq)]
-pub enum Change {
-    /// The state.
-    State(Transition),
-    /// The weight: before, after, the signal that holds it down, if one does, and how far the fleet
-    /// explains what goes badly.
-    Weight(u8, u8, Option<Code>, f64),
-}
-
-/// All that can be told.
+/// All that the monitor reports.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
     /// The state.
     pub state: State,
-    /// The weight, 1 to 100; of states that serve.
+    /// The weight, 1 to 100, for states that serve.
     pub weight: u8,
     /// Since when the state holds.
     pub since: Micros,
-    /// The signal that holds the weight down most, if one does.
-    pub cause: Option<Code>,
-    /// How far the fleet explains what goes badly.
-    pub fleet: f64,
-    /// Each signal.
-    pub signals: Vec<Reading>,
+    /// The signal that limits the weight most, if one does.
+    pub cause: Option<Signal>,
+    /// How far the fleet explains the faults, 0 to 1.
+    pub explained_by_fleet: f64,
+    /// Every signal.
+    pub signals: Vec<SignalReading>,
     /// The latest transitions, oldest first.
     pub history: Vec<Transition>,
 }
 
-/// The engine.
+/// The health monitor of one process.
 #[derive(Debug, Clone)]
-pub struct Health {
+pub struct HealthMonitor {
     settings: Settings,
     state: State,
-    since: Micros,
-    /// When the slow start began.
-    came: Micros,
-    weight: Weight,
-    turned: Micros,
-    steered: Option<Micros>,
-    late: Window,
-    answers: Window,
-    connections: Window,
-    fleet: Fleet,
-    feed_at: Micros,
-    /// When each balancer last polled, and after how long.
-    polls: BTreeMap<u64, (Micros, Micros)>,
+    state_since: Micros,
+    slow_start_began: Micros,
+    weight: WeightController,
+    last_iteration: Micros,
+    last_update: Option<Micros>,
+    /// Lateness of the event loop, in microseconds.
+    loop_lateness: SlidingWindow,
+    /// Responses that missed their objective, of all.
+    missed_objectives: SlidingWindow,
+    /// Client connections that were rejected, of all.
+    rejected_connections: SlidingWindow,
+    fleet: FleetEvidence,
+    discovery_updated: Micros,
+    poll_intervals: PollIntervals,
     gauges: Gauges,
-    readings: Vec<Reading>,
-    explained: f64,
+    readings: Vec<SignalReading>,
+    explained_by_fleet: f64,
     history: VecDeque<Transition>,
 }
 
-impl Health {
-    /// An engine that starts at `now`. The list that a placer is started with counts as news.
-    pub fn new(settings: Settings, now: Micros) -> Health {
-        let window = || Window::new(settings.window);
-        Health {
-            weight: Weight::new(settings.pace, FIRST_WEIGHT, now),
-            late: Window::new(settings.loop_window),
-            answers: window(),
-            connections: window(),
+impl HealthMonitor {
+    /// Creates the monitor of a process that starts at `now`. The endpoint list that the process is started with
+    /// counts as an update.
+    pub fn new(settings: Settings, now: Micros) -> HealthMonitor {
+        HealthMonitor {
+            weight: WeightController::new(settings.weight, INITIAL_WEIGHT, now),
+            loop_lateness: SlidingWindow::new(settings.loop_window),
+            missed_objectives: SlidingWindow::new(settings.window),
+            rejected_connections: SlidingWindow::new(settings.window),
             settings,
             state: State::Starting,
-            since: now,
-            came: now,
-            turned: now,
-            steered: None,
-            fleet: Fleet::default(),
-            feed_at: now,
-            polls: BTreeMap::new(),
+            state_since: now,
+            slow_start_began: now,
+            last_iteration: now,
+            last_update: None,
+            fleet: FleetEvidence::default(),
+            discovery_updated: now,
+            poll_intervals: PollIntervals::default(),
             gauges: Gauges::default(),
             readings: Vec::new(),
-            explained: 0.0,
+            explained_by_fleet: 0.0,
             history: VecDeque::new(),
         }
     }
 
-    /// Takes an event, and answers what it has changed.
+    /// Applies an event and returns what it has changed.
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Change> {
-        self.turn(now);
+        self.record_loop_iteration(now);
         match event {
-            Event::Turn => {}
-            Event::Look(gauges) => {
-                let (_, theirs) = unreached(&gauges.zones);
-                self.fleet.looked(gauges.roomy, gauges.full, theirs);
+            Event::LoopIteration => {}
+            Event::GaugesSampled(gauges) => {
+                let unreachable = Unreachable::of(&gauges.zones).fleet;
+                self.fleet.set_host_fractions(
+                    gauges.hosts_with_capacity,
+                    gauges.full_hosts,
+                    unreachable,
+                );
                 self.gauges = gauges;
             }
-            Event::Answered { in_aim } => self.answers.add(now, f64::from(u8::from(!in_aim)), 1.0),
-            Event::Offer {
+            Event::RequestAnswered { within_objective } => {
+                self.missed_objectives.add_one(now, !within_objective);
+            }
+            Event::AttemptEnded {
                 outcome,
                 detail,
-                stretch,
-            } => self.fleet.offer(now, outcome, detail, stretch),
-            Event::Connection { turned_away } => {
-                self.connections
-                    .add(now, f64::from(u8::from(turned_away)), 1.0);
+                relative_duration,
+            } => self
+                .fleet
+                .record_attempt(now, outcome, detail, relative_duration),
+            Event::ClientConnected { rejected } => {
+                self.rejected_connections.add_one(now, rejected);
             }
-            Event::Feed => self.feed_at = self.feed_at.max(now),
-            Event::Polled(poller) => self.polled(now, poller),
-            Event::Order(order) => return self.obey(now, order),
-        }
-        self.steer(now)
-    }
-
-    fn polled(&mut self, now: Micros, poller: u64) {
-        self.polls
-            .retain(|_, (last, _)| now - *last < 2 * MOST_INTERVAL);
-        if self.polls.len() < MOST_POLLERS || self.polls.contains_key(&poller) {
-            let polls = self.polls.entry(poller).or_insert((now, 0));
-            *polls = (now, (now - polls.0).min(MOST_INTERVAL));
+            Event::DiscoveryUpdated => {
+                self.discovery_updated = self.discovery_updated.max(now);
+            }
+            Event::Polled { poller } => self.poll_intervals.record(now, poller),
+            Event::CommandReceived(command) => return self.execute(now, command),
         }
+        self.update(now)
     }
 
-    /// How long the slowest balancer takes to act on what is told: it must poll first.
-    fn reaction(&self) -> Micros {
-        self.polls
-            .values()
-            .map(|(_, interval)| interval + ACTS)
-            .max()
-            .unwrap_or(0)
-    }
-
-    /// What holds now. A loop that has stood still until this very moment counts as late at once.
+    /// Returns what holds now. An event loop that has stood still until this call counts as late at once.
     pub fn report(&mut self, now: Micros) -> (Report, Vec<Change>) {
-        let changes = self.handle(now, Event::Turn);
-        let worst = self.worst().map(|reading| reading.code);
+        let changes = self.handle(now, Event::LoopIteration);
         let report = Report {
             state: self.state,
-            weight: self.weight.told(),
-            since: self.since,
-            cause: worst,
-            fleet: self.explained,
+            weight: self.weight.published(),
+            since: self.state_since,
+            cause: self.limiting_signal().map(|reading| reading.signal),
+            explained_by_fleet: self.explained_by_fleet,
             signals: self.readings.clone(),
             history: self.history.iter().copied().collect(),
         };
         (report, changes)
     }
 
-    /// The state.
+    /// Returns the state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// The weight that is told.
+    /// Returns the published weight.
     pub fn weight(&self) -> u8 {
-        self.weight.told()
+        self.weight.published()
     }
 
-    /// Time beyond what a turn of the loop may take was lost to whoever had the core.
-    fn turn(&mut self, now: Micros) {
-        let gap = now - self.turned;
-        if gap > self.settings.turn {
-            self.late.add(now, gap as f64, 0.0);
+    /// Counts the time since the last iteration as lateness if it is longer than an iteration may take.
+    fn record_loop_iteration(&mut self, now: Micros) {
+        let interval = now - self.last_iteration;
+        if interval > self.settings.max_loop_interval {
+            self.loop_lateness.add(now, interval as f64, 0.0);
         }
-        self.turned = self.turned.max(now);
+        self.last_iteration = self.last_iteration.max(now);
     }
 
-    fn obey(&mut self, now: Micros, order: Order) -> Vec<Change> {
-        let (to, why) = match (order, self.state) {
-            (_, State::Stopped) => return Vec::new(),
-            (Order::Stop, _) => (State::Stopped, "told-stop"),
-            (Order::Drain, State::Drain) | (Order::Maint, State::Maint) => return Vec::new(),
-            (Order::Drain, _) => (State::Drain, "told-drain"),
-            (Order::Maint, _) => (State::Maint, "told-maint"),
-            // Balancers that took it out give it their whole portion back at once: it starts slowly.
-            (Order::Ready, State::Drain | State::Maint) => {
-                self.came = now;
-                self.weight = Weight::new(self.settings.pace, FIRST_WEIGHT, now);
-                (State::Starting, "told-ready")
+    fn execute(&mut self, now: Micros, command: Command) -> Vec<Change> {
+        let state = match (command, self.state) {
+            (_, State::Stopped)
+            | (Command::Drain, State::Drain)
+            | (Command::Maint, State::Maint)
+            | (Command::Ready, State::Starting | State::Up | State::Degraded) => return Vec::new(),
+            (Command::Stop, _) => State::Stopped,
+            (Command::Drain, _) => State::Drain,
+            (Command::Maint, _) => State::Maint,
+            (Command::Ready, State::Drain | State::Maint) => {
+                // Load balancers return the full share of the load at once, so the weight starts low.
+                self.slow_start_began = now;
+                self.weight = WeightController::new(self.settings.weight, INITIAL_WEIGHT, now);
+                State::Starting
             }
-            (Order::Ready, _) => return Vec::new(),
         };
-        vec![self.go(now, to, why)]
+        vec![self.change_state(now, state, TransitionReason::Command(command))]
     }
 
-    fn go(&mut self, now: Micros, to: State, why: &'static str) -> Change {
-        let from = std::mem::replace(&mut self.state, to);
-        self.since = now;
+    fn change_state(&mut self, now: Micros, to: State, reason: TransitionReason) -> Change {
         let transition = Transition {
             at: now,
-            from,
+            from: self.state,
             to,
-            why,
-            weight: self.weight.told(),
+            reason,
+            weight: self.weight.published(),
         };
-        if self.history.len() >= HISTORY {
+        self.state = to;
+        self.state_since = now;
+        if self.history.len() >= MAX_HISTORY {
             self.history.pop_front();
         }
         self.history.push_back(transition);
         Change::State(transition)
     }
 
-    /// The tightest signal that leaves less than the whole weight.
-    fn worst(&self) -> Option<&Reading> {
-        let tight = self.readings.iter().filter(|reading| reading.cap < 100.0);
-        tight.min_by(|a, b| a.cap.total_cmp(&b.cap))
+    /// The signal that limits the weight most, if one does.
+    fn limiting_signal(&self) -> Option<&SignalReading> {
+        let limiting = self
+            .readings
+            .iter()
+            .filter(|reading| reading.max_weight < FULL_WEIGHT);
+        limiting.min_by(|a, b| a.max_weight.total_cmp(&b.max_weight))
     }
 
-    fn read(&mut self, now: Micros) {
-        let (late, _) = self.late.sums(now);
-        let (unreached, _) = unreached(&self.gauges.zones);
-        let measured = [
-            (Code::LoopLate, (late / self.late.length() as f64).min(1.0)),
-            (Code::AskAge, self.gauges.oldest),
-            (
-                Code::OutOfAim,
-                self.answers.share(now, LEAST_ANSWERS).unwrap_or(0.0),
-            ),
-            (Code::OfferTimeout, self.fleet.timeouts(now).unwrap_or(0.0)),
-            (Code::Unreached, unreached),
-            (
-                Code::FeedAge,
-                (now - self.feed_at).max(0) as f64 / SECOND as f64,
-            ),
-            (Code::Descriptors, self.gauges.descriptors),
-            (Code::Queues, self.gauges.queues),
-            (
-                Code::TurnedAway,
-                self.connections
-                    .share(now, LEAST_CONNECTIONS)
-                    .unwrap_or(0.0),
-            ),
-        ];
-        let badness = |code: Code| {
-            let found = measured
-                .iter()
-                .zip(&self.settings.ramps)
-                .find(|((c, _), _)| *c == code);
-            found.map_or(0.0, |((_, value), ramp)| ramp.badness(*value))
-        };
-        self.explained = self
-            .fleet
-            .explains(now, badness(Code::LoopLate), badness(Code::FeedAge));
-        let unexplained = 1.0 - self.explained;
-        self.readings.clear();
-        for ((code, value), ramp) in measured.into_iter().zip(&self.settings.ramps) {
-            let badness = ramp.badness(value);
-            let own = if code.shared() {
-                badness * unexplained
-            } else {
-                badness
-            };
-            self.readings.push(Reading {
-                code,
-                value,
-                badness,
-                own,
-                cap: ramp.cap(own),
-            });
+    /// Reads the signals and updates weight and state, if it is time to.
+    fn update(&mut self, now: Micros) -> Vec<Change> {
+        if self
+            .last_update
+            .is_some_and(|at| now - at < UPDATE_INTERVAL)
+        {
+            return Vec::new();
         }
-        let age = (now - self.came) as f64 / self.settings.slow_start.max(1) as f64;
-        let young = (1.0 - age).clamp(0.0, 1.0);
-        let cap = FIRST_WEIGHT + (100.0 - FIRST_WEIGHT) * (1.0 - young);
-        self.readings.push(Reading {
-            code: Code::SlowStart,
-            value: young,
-            badness: young,
-            own: young,
-            cap,
-        });
+        self.last_update = Some(now);
+        self.read_signals(now);
+        let cause = self.limiting_signal().map(|reading| reading.signal);
+        let weight_change = self.update_weight(now, cause);
+        let state_change = self.update_state(now, cause);
+        [weight_change, state_change]
+            .into_iter()
+            .flatten()
+            .collect()
     }
 
-    fn steer(&mut self, now: Micros) -> Vec<Change> {
-        if self.steered.is_some_and(|at| now - at < LOOK) {
-            return Vec::new();
+    fn update_weight(&mut self, now: Micros, cause: Option<Signal>) -> Option<Change> {
+        let target = self
+            .limiting_signal()
+            .map_or(FULL_WEIGHT, |reading| reading.max_weight);
+        let before = self.weight.published();
+        if self.explained_by_fleet >= FLEET_IS_CAUSE {
+            self.weight.forget_fleet_ceiling();
         }
-        self.steered = Some(now);
-        self.read(now);
-        let (target, cause) = self
-            .worst()
-            .map_or((100.0, None), |worst| (worst.cap, Some(worst.code)));
-        let before = self.weight.told();
-        if self.explained >= EXONERATES {
-            self.weight.exonerate();
-        }
-        let mut changes = Vec::new();
-        if self.weight.steer(now, target, cause, self.reaction()) {
-            changes.push(Change::Weight(
+        let reaction_time = self.poll_intervals.reaction_time();
+        let has_changed = self.weight.update(now, target, cause, reaction_time);
+        has_changed.then(|| {
+            Change::Weight(WeightChange {
                 before,
-                self.weight.told(),
+                after: self.weight.published(),
                 cause,
-                self.explained,
-            ));
-        }
-        let (weight, started) = (
-            self.weight.told(),
-            now - self.came >= self.settings.slow_start,
-        );
-        let why = cause.map_or("signals-clear", Code::as_str);
-        match self.state {
-            State::Starting if started && weight >= UP_FROM => {
-                changes.push(self.go(now, State::Up, "slow-start-over"));
-            }
-            // What holds it below is no slow start any more.
-            State::Starting if now - self.came >= 2 * self.settings.slow_start => {
-                changes.push(self.go(now, State::Degraded, why));
-            }
-            State::Up if weight < DEGRADED_BELOW => {
-                changes.push(self.go(now, State::Degraded, why))
-            }
-            State::Degraded if weight >= UP_FROM => {
-                changes.push(self.go(now, State::Up, "signals-clear"));
+                explained_by_fleet: self.explained_by_fleet,
+            })
+        })
+    }
+
+    fn update_state(&mut self, now: Micros, cause: Option<Signal>) -> Option<Change> {
+        let weight = self.weight.published();
+        let elapsed = now - self.slow_start_began;
+        let slow_start = self.settings.slow_start;
+        let by_signal = cause.map_or(TransitionReason::SignalsClear, TransitionReason::Signal);
+        let (to, reason) = match self.state {
+            State::Starting if elapsed >= slow_start && weight >= UP_FROM => {
+                (State::Up, TransitionReason::SlowStartOver)
             }
-            _ => {}
-        }
-        changes
+            // What limits the weight is no slow start any more.
+            State::Starting if elapsed >= 2 * slow_start => (State::Degraded, by_signal),
+            State::Up if weight < DEGRADED_BELOW => (State::Degraded, by_signal),
+            State::Degraded if weight >= UP_FROM => (State::Up, TransitionReason::SignalsClear),
+            _ => return None,
+        };
+        Some(self.change_state(now, to, reason))
     }
 }
 
--- a/src/health/signal/tests.rs
+++ b/src/health/signal/tests.rs
@@ -1,17 +1,21 @@
-//! Tests of `signal.rs`.
+//! Tests of the severity ramps.
 
 use super::*;
 
+const RAMP: SeverityRamp = SeverityRamp {
+    healthy_up_to: 1.0,
+    worst_from: 3.0,
+    initial_severity: 0.0,
+    max_weight_loss: 0.8,
+};
+
 #[test]
-fn ramps_are_flat_outside_and_rise_between() {
-    let plain = Ramp {
-        ok: 1.0,
-        bad: 3.0,
-        step: 0.0,
-        reach: 0.8,
+fn severity_is_constant_outside_the_ramp_and_rises_within() {
+    let with_initial_severity = SeverityRamp {
+        initial_severity: 0.2,
+        ..RAMP
     };
-    let stepped = Ramp { step: 0.2, ..plain };
-    for (reading, badness, with_step) in [
+    for (value, severity, severity_with_initial) in [
         (-5.0, 0.0, 0.0),
         (1.0, 0.0, 0.0),
         (2.0, 0.5, 0.6),
@@ -19,11 +23,16 @@
         (f64::INFINITY, 1.0, 1.0),
         (f64::NAN, 1.0, 1.0),
     ] {
-        assert!((plain.badness(reading) - badness).abs() < 1e-9, "{reading}");
+        assert!((RAMP.severity(value) - severity).abs() < 1e-9, "{value}");
         assert!(
-            (stepped.badness(reading) - with_step).abs() < 1e-9,
-            "{reading}"
+            (with_initial_severity.severity(value) - severity_with_initial).abs() < 1e-9,
+            "{value}"
         );
     }
-    assert!((plain.cap(1.0) - 20.0).abs() < 1e-9 && (plain.cap(-1.0) - 100.0).abs() < 1e-9);
+}
+
+#[test]
+fn worst_severity_leaves_the_weight_that_the_ramp_allows() {
+    assert!((RAMP.max_weight(1.0) - 20.0).abs() < 1e-9);
+    assert!((RAMP.max_weight(-1.0) - 100.0).abs() < 1e-9);
 }
--- a/src/health/sliding_window.rs
+++ b/src/health/sliding_window.rs
@@ -1,74 +1,90 @@
-//! Sums over the last while, in a ring of short spans, so that old news leaves bit by bit.
+//! Sums over a sliding window, kept in a ring of short spans so that old values expire gradually.
 
 use crate::Micros;
 
-/// Length of one span of the ring.
+/// The length of one span of the ring.
 pub const SPAN: Micros = 250_000;
 
-/// Sums of two figures over the last `spans` × [`SPAN`].
+/// Two sums over the same window, such as failures and attempts.
+#[derive(Debug, Clone, Copy, Default, PartialEq)]
+pub struct Sums {
+    /// The part.
+    pub part: f64,
+    /// The whole that it is a part of.
+    pub whole: f64,
+}
+
+/// Sums of two values over the latest spans.
 #[derive(Debug, Clone)]
-pub struct Window {
-    /// The span that the last addition fell in, counted from the epoch.
-    at: i64,
-    ring: Vec<(f64, f64)>,
+pub struct SlidingWindow {
+    /// The span of the latest addition, counted from the epoch.
+    current_span: i64,
+    ring: Vec<Sums>,
 }
 
-impl Window {
-    /// An empty window of this length, rounded up to whole spans.
-    pub fn new(length: Micros) -> Window {
+impl SlidingWindow {
+    /// Creates an empty window of this length, rounded up to whole spans.
+    pub fn new(length: Micros) -> SlidingWindow {
         let spans = (length.max(SPAN) + SPAN - 1) / SPAN;
-        Window {
-            at: 0,
-            ring: vec![(0.0, 0.0); usize::try_from(spans).unwrap_or(1)],
+        SlidingWindow {
+            current_span: 0,
+            ring: vec![Sums::default(); usize::try_from(spans).unwrap_or(1)],
         }
     }
 
-    /// Adds to the sums at `now`. What comes from before the last addition counts as of then.
+    /// Adds to the sums. A time before that of the latest addition counts as the latter.
     pub fn add(&mut self, now: Micros, part: f64, whole: f64) {
-        self.pass(now);
-        let place = self.place(self.at);
-        if let Some((p, w)) = self.ring.get_mut(place) {
-            *p += part;
-            *w += whole;
+        self.advance(now);
+        let slot = self.slot(self.current_span);
+        if let Some(sums) = self.ring.get_mut(slot) {
+            sums.part += part;
+            sums.whole += whole;
         }
     }
 
-    /// The sums of what lies within the window at `now`.
-    pub fn sums(&self, now: Micros) -> (f64, f64) {
-        let passed = (now / SPAN - self.at).max(0);
-        let spans = self.ring.len() as i64;
-        let kept = (self.at - spans + 1 + passed..=self.at).filter(|span| *span > self.at - spans);
-        kept.filter_map(|span| self.ring.get(self.place(span)))
-            .fold((0.0, 0.0), |sum, (part, whole)| {
-                (sum.0 + part, sum.1 + whole)
+    /// Adds one to the whole, and to the part if `counts`.
+    pub fn add_one(&mut self, now: Micros, counts: bool) {
+        self.add(now, f64::from(u8::from(counts)), 1.0);
+    }
+
+    /// Returns the sums of the window that ends at `now`.
+    pub fn sums(&self, now: Micros) -> Sums {
+        let passed = (now / SPAN - self.current_span).max(0);
+        let oldest = self.current_span - self.ring.len() as i64 + 1;
+        (oldest + passed..=self.current_span)
+            .filter_map(|span| self.ring.get(self.slot(span)))
+            .fold(Sums::default(), |total, sums| Sums {
+                part: total.part + sums.part,
+                whole: total.whole + sums.whole,
             })
     }
 
-    /// The first sum as a share of the second, or none below `least` of the second.
-    pub fn share(&self, now: Micros, least: f64) -> Option<f64> {
-        let (part, whole) = self.sums(now);
-        (whole >= least && whole > 0.0).then(|| (part / whole).clamp(0.0, 1.0))
+    /// Returns the part as a fraction of the whole, or `None` if the whole is less than `min_whole`.
+    pub fn fraction(&self, now: Micros, min_whole: f64) -> Option<f64> {
+        let Sums { part, whole } = self.sums(now);
+        (whole >= min_whole && whole > 0.0).then(|| (part / whole).clamp(0.0, 1.0))
     }
 
-    /// Its length.
+    /// Returns the length of the window.
     pub fn length(&self) -> Micros {
         self.ring.len() as Micros * SPAN
     }
 
-    fn place(&self, span: i64) -> usize {
+    fn slot(&self, span: i64) -> usize {
         span.rem_euclid(self.ring.len().max(1) as i64) as usize
     }
 
-    fn pass(&mut self, now: Micros) {
+    /// Empties the spans that begin between the latest addition and `now`.
+    fn advance(&mut self, now: Micros) {
         let span = now / SPAN;
-        let first = (self.at + 1).max(span - self.ring.len() as i64 + 1);
-        for empty in first..=span {
-            let place = self.place(empty);
-            if let Some(slot) = self.ring.get_mut(place) {
-                *slot = (0.0, 0.0);
+        let first = (self.current_span + 1).max(span - self.ring.len() as i64 + 1);
+        for expired in first..=span {
+            let slot = self.slot(expired);
+            if let Some(sums) = self.ring.get_mut(slot) {
+                *sums = Sums::default();
             }
         }
-        self.at = self.at.max(span);
+        self.current_span = self.current_span.max(span);
     }
 }
 
--- a/src/health/sliding_window/tests.rs
+++ b/src/health/sliding_window/tests.rs
@@ -1,41 +1,71 @@
-//! Tests of `window.rs`.
+//! Tests of the sliding window.
 
 use super::*;
 
-#[test]
-fn what_is_older_than_the_window_leaves_it_span_by_span() {
-    let mut window = Window::new(1_000_000);
-    let start = 77 * SPAN;
+/// A time in the middle of nowhere, at the start of a span.
+const START: Micros = 77 * SPAN;
+
+fn sums(part: f64, whole: f64) -> Sums {
+    Sums { part, whole }
+}
+
+/// A window of four spans, with one addition in each.
+fn full_window() -> SlidingWindow {
+    let mut window = SlidingWindow::new(1_000_000);
     for span in 0..4 {
-        window.add(start + span * SPAN, 1.0, 2.0);
+        window.add(START + span * SPAN, 1.0, 2.0);
     }
-    for (after, sums) in [
-        (3, (4.0, 8.0)),
-        (4, (3.0, 6.0)),
-        (6, (1.0, 2.0)),
-        (7, (0.0, 0.0)),
-        (900, (0.0, 0.0)),
+    window
+}
+
+#[test]
+fn values_expire_span_by_span() {
+    let window = full_window();
+
+    for (spans, expected) in [
+        (3, sums(4.0, 8.0)),
+        (4, sums(3.0, 6.0)),
+        (6, sums(1.0, 2.0)),
+        (7, sums(0.0, 0.0)),
+        (900, sums(0.0, 0.0)),
     ] {
         assert_eq!(
-            window.sums(start + after * SPAN),
-            sums,
-            "after {after} spans"
+            window.sums(START + spans * SPAN),
+            expected,
+            "after {spans} spans"
         );
     }
-    window.add(start + 5 * SPAN, 1.0, 1.0);
-    assert_eq!(window.sums(start + 5 * SPAN), (3.0, 5.0));
-    window.add(start + 500 * SPAN, 1.0, 1.0);
+}
+
+#[test]
+fn additions_after_a_pause_drop_what_has_expired() {
+    let mut window = full_window();
+
+    window.add(START + 5 * SPAN, 1.0, 1.0);
+    assert_eq!(window.sums(START + 5 * SPAN), sums(3.0, 5.0));
+
+    window.add(START + 500 * SPAN, 1.0, 1.0);
     assert_eq!(
-        window.sums(start + 500 * SPAN),
-        (1.0, 1.0),
+        window.sums(START + 500 * SPAN),
+        sums(1.0, 1.0),
         "a stall of many windows"
     );
-    // A clock that stands still or goes back loses nothing.
-    window.add(start, 1.0, 1.0);
-    assert_eq!(window.sums(start + 500 * SPAN), (2.0, 2.0));
-    assert_eq!(
-        window.share(start + 500 * SPAN, 3.0),
-        None,
-        "too little to tell"
-    );
+}
+
+#[test]
+fn clock_that_goes_back_loses_nothing() {
+    let mut window = SlidingWindow::new(1_000_000);
+    window.add(START + 500 * SPAN, 1.0, 1.0);
+
+    window.add(START, 1.0, 1.0);
+
+    assert_eq!(window.sums(START + 500 * SPAN), sums(2.0, 2.0));
+}
+
+#[test]
+fn fraction_of_too_small_a_whole_is_unknown() {
+    let mut window = SlidingWindow::new(1_000_000);
+    window.add(START, 2.0, 2.0);
+
+    assert_eq!(window.fraction(START, 3.0), None);
 }
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -1,279 +1,324 @@
-//! Tests of `health`.
+//! Tests of the health monitor.
 
 use super::*;
+use crate::{Outcome, OutcomeDetail};
 
-const MS: Micros = 1_000;
+const MILLISECOND: Micros = 1_000;
 
-/// An engine whose loop turns every 5 ms and whose feed speaks each second.
-struct Run {
-    health: Health,
+/// A monitor whose event loop runs every 5 ms and whose service discovery sends an update each second.
+struct Simulation {
+    monitor: HealthMonitor,
     now: Micros,
-    feed: bool,
+    discovery_is_up: bool,
     gauges: Gauges,
 }
 
-impl Run {
-    fn new() -> Run {
+impl Simulation {
+    fn starting() -> Simulation {
         let now = 1_000 * SECOND;
-        Run {
-            health: Health::new(Settings::default(), now),
+        Simulation {
+            monitor: HealthMonitor::new(Settings::default(), now),
             now,
-            feed: true,
+            discovery_is_up: true,
             gauges: Gauges::default(),
         }
     }
 
-    /// One that is up.
-    fn up() -> Run {
-        let mut run = Run::new();
-        run.pass(15 * SECOND);
-        assert_eq!((run.health.state(), run.health.weight()), (State::Up, 100));
-        run
+    /// A simulation of a placer that is up with full weight.
+    fn up() -> Simulation {
+        let mut simulation = Simulation::starting();
+        simulation.run(15 * SECOND);
+        assert_eq!(simulation.state_and_weight(), (State::Up, 100));
+        simulation
     }
 
-    fn pass(&mut self, span: Micros) -> Vec<Change> {
-        self.pass_with(span, |_, _| {})
+    fn run(&mut self, duration: Micros) -> Vec<Change> {
+        self.run_with(duration, |_, _| {})
     }
 
-    /// Lets time pass; `each` is called every 100 ms.
-    fn pass_with(
+    /// Runs the event loop; `each` is called every 100 ms.
+    fn run_with(
         &mut self,
-        span: Micros,
-        mut each: impl FnMut(&mut Health, Micros),
+        duration: Micros,
+        mut each: impl FnMut(&mut HealthMonitor, Micros),
     ) -> Vec<Change> {
-        let (end, mut changes) = (self.now + span, Vec::new());
+        let end = self.now + duration;
+        let mut changes = Vec::new();
         while self.now < end {
-            self.now += 5 * MS;
-            changes.extend(self.health.handle(self.now, Event::Turn));
-            if self.now % (250 * MS) == 0 {
-                changes.extend(
-                    self.health
-                        .handle(self.now, Event::Look(self.gauges.clone())),
-                );
+            self.now += 5 * MILLISECOND;
+            changes.extend(self.monitor.handle(self.now, Event::LoopIteration));
+            if self.now % (250 * MILLISECOND) == 0 {
+                let sampled = Event::GaugesSampled(self.gauges.clone());
+                changes.extend(self.monitor.handle(self.now, sampled));
             }
-            if self.now % (100 * MS) == 0 {
-                each(&mut self.health, self.now);
+            if self.now % (100 * MILLISECOND) == 0 {
+                each(&mut self.monitor, self.now);
             }
-            if self.feed && self.now % SECOND == 0 {
-                changes.extend(self.health.handle(self.now, Event::Feed));
+            if self.discovery_is_up && self.now % SECOND == 0 {
+                changes.extend(self.monitor.handle(self.now, Event::DiscoveryUpdated));
             }
         }
         changes
     }
 
-    fn cause(&mut self) -> Option<Code> {
-        self.health.report(self.now).0.cause
+    fn command(&mut self, command: Command) {
+        self.monitor
+            .handle(self.now, Event::CommandReceived(command));
     }
+
+    fn state_and_weight(&self) -> (State, u8) {
+        (self.monitor.state(), self.monitor.weight())
+    }
+
+    fn weight(&self) -> u8 {
+        self.monitor.weight()
+    }
+
+    fn cause(&mut self) -> Option<Signal> {
+        self.monitor.report(self.now).0.cause
+    }
+}
+
+fn answer_late(monitor: &mut HealthMonitor, now: Micros) {
+    let answered = Event::RequestAnswered {
+        within_objective: false,
+    };
+    monitor.handle(now, answered);
 }
 
 #[test]
-fn a_placer_starts_slowly_and_is_up_once_that_is_over() {
-    let mut run = Run::new();
-    assert_eq!(
-        (run.health.state(), run.health.weight()),
-        (State::Starting, 10)
-    );
-    run.pass(5 * SECOND);
-    assert!(
-        (40..=60).contains(&run.health.weight()),
-        "{}",
-        run.health.weight()
-    );
-    assert_eq!(run.cause(), Some(Code::SlowStart));
-    let changes = run.pass(10 * SECOND);
-    assert_eq!(
-        (run.health.state(), run.health.weight(), run.cause()),
-        (State::Up, 100, None)
-    );
-    assert!(
-        changes
-            .iter()
-            .any(|c| matches!(c, Change::State(t) if t.why == "slow-start-over"))
-    );
+fn placer_starts_with_a_low_weight_and_is_up_after_the_slow_start() {
+    let mut simulation = Simulation::starting();
+    assert_eq!(simulation.state_and_weight(), (State::Starting, 10));
+
+    simulation.run(5 * SECOND);
+    let weight = simulation.weight();
+    assert!((40..=60).contains(&weight), "{weight}");
+    assert_eq!(simulation.cause(), Some(Signal::SlowStart));
+
+    let changes = simulation.run(10 * SECOND);
+    assert_eq!(simulation.state_and_weight(), (State::Up, 100));
+    assert_eq!(simulation.cause(), None);
+    assert!(changes.iter().any(
+        |change| matches!(change, Change::State(t) if t.reason.as_str() == "slow-start-over")
+    ));
 }
 
 #[test]
-fn a_loop_that_stands_still_counts_at_the_first_poll_after_it() {
-    let mut run = Run::up();
-    run.now += 700 * MS;
-    let (report, _) = run.health.report(run.now);
-    assert_eq!(
-        (report.cause, report.weight < 80),
-        (Some(Code::LoopLate), true),
-        "{report:?}"
-    );
-    // Turns that are a little late do not.
-    let mut run = Run::up();
+fn stalled_event_loop_counts_at_the_first_poll_after_it() {
+    let mut simulation = Simulation::up();
+
+    simulation.now += 700 * MILLISECOND;
+    let (report, _) = simulation.monitor.report(simulation.now);
+
+    assert_eq!(report.cause, Some(Signal::LoopLate), "{report:?}");
+    assert!(report.weight < 80, "{report:?}");
+}
+
+#[test]
+fn slightly_late_iterations_do_not_count() {
+    let mut simulation = Simulation::up();
+
     for _ in 0..400 {
-        run.now += 15 * MS;
-        run.health.handle(run.now, Event::Turn);
-        run.health.handle(run.now, Event::Feed);
+        simulation.now += 15 * MILLISECOND;
+        let now = simulation.now;
+        simulation.monitor.handle(now, Event::LoopIteration);
+        simulation.monitor.handle(now, Event::DiscoveryUpdated);
     }
-    assert_eq!(run.health.weight(), 100);
+
+    assert_eq!(simulation.weight(), 100);
 }
 
 #[test]
-fn a_silent_feed_shows_within_3_s_and_never_takes_the_weight_to_nothing() {
-    let mut run = Run::up();
-    run.feed = false;
-    run.pass(3 * SECOND);
-    assert!(run.health.weight() < 100, "{}", run.health.weight());
-    assert_eq!(run.cause(), Some(Code::FeedAge));
-    let at_3 = run.health.weight();
-    run.pass(10 * SECOND);
-    let at_13 = run.health.weight();
-    run.pass(300 * SECOND);
+fn silent_discovery_lowers_the_weight_within_3_s_and_more_with_time_but_not_to_the_minimum() {
+    let mut simulation = Simulation::up();
+    simulation.discovery_is_up = false;
+
+    simulation.run(3 * SECOND);
+    let after_3_seconds = simulation.weight();
+    assert!(after_3_seconds < 100, "{after_3_seconds}");
+    assert_eq!(simulation.cause(), Some(Signal::DiscoveryAge));
+
+    simulation.run(10 * SECOND);
+    let after_13_seconds = simulation.weight();
+    simulation.run(300 * SECOND);
+    let in_the_end = simulation.weight();
     assert!(
-        at_13 < at_3 && run.health.weight() < at_13,
+        after_13_seconds < after_3_seconds && in_the_end < after_13_seconds,
         "the longer, the less"
     );
-    assert!(
-        (40..=45).contains(&run.health.weight()),
-        "{}",
-        run.health.weight()
-    );
-    assert_eq!(run.health.state(), State::Degraded);
-    run.feed = true;
-    run.pass(20 * SECOND);
-    assert_eq!((run.health.weight(), run.health.state()), (100, State::Up));
+    assert!((40..=45).contains(&in_the_end), "{in_the_end}");
+    assert_eq!(simulation.monitor.state(), State::Degraded);
+
+    simulation.discovery_is_up = true;
+    simulation.run(20 * SECOND);
+    assert_eq!(simulation.state_and_weight(), (State::Up, 100));
 }
 
 #[test]
-fn late_answers_count_only_as_far_as_the_fleet_does_not_explain_them() {
-    let late = |health: &mut Health, now| {
-        health.handle(now, Event::Answered { in_aim: false });
-    };
-    let mut alone = Run::up();
-    alone.gauges.oldest = 3.0;
-    alone.pass_with(10 * SECOND, late);
-    assert!(alone.health.weight() <= 30, "{}", alone.health.weight());
-    // The same, with hosts that refuse.
-    let mut full = Run::up();
-    for oldest in [0.0, 3.0] {
-        full.gauges.oldest = oldest;
-        full.pass_with(5 * SECOND, |health, now| {
-            late(health, now);
-            let offer = Event::Offer {
+fn late_responses_lower_the_weight_if_the_fleet_does_not_explain_them() {
+    let mut simulation = Simulation::up();
+    simulation.gauges.oldest_request = 3.0;
+
+    simulation.run_with(10 * SECOND, answer_late);
+
+    assert!(simulation.weight() <= 30, "{}", simulation.weight());
+}
+
+#[test]
+fn late_responses_do_not_count_while_hosts_reject_attempts_for_lack_of_capacity() {
+    let mut simulation = Simulation::up();
+
+    for oldest_request in [0.0, 3.0] {
+        simulation.gauges.oldest_request = oldest_request;
+        simulation.run_with(5 * SECOND, |monitor, now| {
+            answer_late(monitor, now);
+            let rejected = Event::AttemptEnded {
                 outcome: Outcome::Rejected,
                 detail: OutcomeDetail::NoCores,
-                stretch: 0.0,
+                relative_duration: 0.0,
             };
-            health.handle(now, offer);
+            monitor.handle(now, rejected);
         });
     }
-    assert!(full.health.weight() >= 95, "{}", full.health.weight());
-    assert!(full.health.report(full.now).0.fleet > 0.95);
-    // And with a room that is lost, hosts silent there alone.
-    let mut lost = Run::up();
-    lost.gauges.oldest = 3.0;
-    lost.gauges.zones = vec![
-        Zone {
-            listed: 4,
-            silent: 4,
-            ..Zone::default()
-        },
-        Zone {
-            listed: 4,
-            ..Zone::default()
-        },
-    ];
-    lost.pass_with(10 * SECOND, late);
-    assert!(lost.health.weight() >= 95, "{}", lost.health.weight());
+
+    assert!(simulation.weight() >= 95, "{}", simulation.weight());
+    let (report, _) = simulation.monitor.report(simulation.now);
+    assert!(report.explained_by_fleet > 0.95);
 }
 
 #[test]
-fn each_own_signal_lowers_the_weight_and_is_named() {
-    type Spoil = fn(&mut Gauges);
-    let bad: [(Code, Spoil); 4] = [
-        (Code::Descriptors, |g| g.descriptors = 0.97),
-        (Code::Queues, |g| g.queues = 0.9),
-        (Code::Unreached, |g| {
-            g.zones = vec![
-                Zone {
-                    listed: 4,
-                    silent: 3,
-                    ..Zone::default()
-                };
-                2
-            ]
+fn late_responses_do_not_count_while_the_hosts_of_one_zone_are_silent() {
+    let mut simulation = Simulation::up();
+    simulation.gauges.oldest_request = 3.0;
+    let reachable = ZoneReachability {
+        listed: 4,
+        ..ZoneReachability::default()
+    };
+    let silent = ZoneReachability {
+        silent: 4,
+        ..reachable
+    };
+    simulation.gauges.zones = vec![silent, reachable];
+
+    simulation.run_with(10 * SECOND, answer_late);
+
+    assert!(simulation.weight() >= 95, "{}", simulation.weight());
+}
+
+#[test]
+fn each_own_gauge_lowers_the_weight_and_is_reported_as_the_cause() {
+    type Worsen = fn(&mut Gauges);
+    let cases: [(Signal, Worsen); 4] = [
+        (Signal::Descriptors, |gauges| gauges.descriptors = 0.97),
+        (Signal::Queues, |gauges| gauges.queues = 0.9),
+        (Signal::Unreachable, |gauges| {
+            let mostly_silent = ZoneReachability {
+                listed: 4,
+                silent: 3,
+                ..ZoneReachability::default()
+            };
+            gauges.zones = vec![mostly_silent; 2];
         }),
-        (Code::AskAge, |g| g.oldest = 3.5),
+        (Signal::RequestAge, |gauges| gauges.oldest_request = 3.5),
     ];
-    for (code, spoil) in bad {
-        let mut run = Run::up();
-        spoil(&mut run.gauges);
-        run.pass(5 * SECOND);
-        assert!(run.health.weight() < 60, "{code}: {}", run.health.weight());
-        assert_eq!(
-            (run.cause(), run.health.state()),
-            (Some(code), State::Degraded)
-        );
+    for (signal, worsen) in cases {
+        let mut simulation = Simulation::up();
+        worsen(&mut simulation.gauges);
+
+        simulation.run(5 * SECOND);
+
+        let weight = simulation.weight();
+        assert!(weight < 60, "{signal}: {weight}");
+        assert_eq!(simulation.cause(), Some(signal));
+        assert_eq!(simulation.monitor.state(), State::Degraded);
     }
-    let events: [(Code, Event); 2] = [
-        (Code::TurnedAway, Event::Connection { turned_away: true }),
+}
+
+#[test]
+fn each_own_event_lowers_the_weight_and_is_reported_as_the_cause() {
+    let cases: [(Signal, Event); 2] = [
         (
-            Code::OfferTimeout,
-            Event::Offer {
+            Signal::ConnectionsRejected,
+            Event::ClientConnected { rejected: true },
+        ),
+        (
+            Signal::AttemptTimeout,
+            Event::AttemptEnded {
                 outcome: Outcome::Timeout,
                 detail: OutcomeDetail::Unknown,
-                stretch: 1.0,
+                relative_duration: 1.0,
             },
         ),
     ];
-    for (code, event) in events {
-        let mut run = Run::up();
-        run.pass_with(5 * SECOND, |health, now| {
-            health.handle(now, event.clone());
+    for (signal, event) in cases {
+        let mut simulation = Simulation::up();
+
+        simulation.run_with(5 * SECOND, |monitor, now| {
+            monitor.handle(now, event.clone());
         });
-        assert!(run.health.weight() < 60, "{code}: {}", run.health.weight());
-        assert_eq!(run.cause(), Some(code));
+
+        let weight = simulation.weight();
+        assert!(weight < 60, "{signal}: {weight}");
+        assert_eq!(simulation.cause(), Some(signal));
     }
 }
 
 #[test]
-fn orders_go_where_the_drawing_says_and_nowhere_else() {
-    use Order::*;
-    use State as S;
-    let cases: [(&[Order], S); 10] = [
-        (&[Drain], S::Drain),
-        (&[Drain, Ready], S::Starting),
-        (&[Drain, Maint], S::Maint),
-        (&[Maint, Drain], S::Drain),
-        (&[Maint, Ready], S::Starting),
-        (&[Ready], S::Up),
-        (&[Drain, Drain], S::Drain),
-        (&[Drain, Stop], S::Stopped),
-        (&[Stop, Ready], S::Stopped),
-        (&[Stop, Drain], S::Stopped),
+fn commands_change_the_state_as_the_diagram_shows() {
+    use Command::{Drain, Maint, Ready, Stop};
+    let cases: [(&[Command], State); 10] = [
+        (&[Drain], State::Drain),
+        (&[Drain, Ready], State::Starting),
+        (&[Drain, Maint], State::Maint),
+        (&[Maint, Drain], State::Drain),
+        (&[Maint, Ready], State::Starting),
+        (&[Ready], State::Up),
+        (&[Drain, Drain], State::Drain),
+        (&[Drain, Stop], State::Stopped),
+        (&[Stop, Ready], State::Stopped),
+        (&[Stop, Drain], State::Stopped),
     ];
-    for (orders, state) in cases {
-        let mut run = Run::up();
-        for order in orders {
-            run.health.handle(run.now, Event::Order(*order));
+    for (commands, state) in cases {
+        let mut simulation = Simulation::up();
+
+        for command in commands {
+            simulation.command(*command);
         }
-        assert_eq!(run.health.state(), state, "{orders:?}");
+
+        assert_eq!(simulation.monitor.state(), state, "{commands:?}");
     }
-    // Out of service the weight is still steered, and no signal ends the state.
-    let mut run = Run::up();
-    run.health.handle(run.now, Event::Order(Drain));
-    run.feed = false;
-    run.pass(60 * SECOND);
-    assert_eq!(run.health.state(), S::Drain);
-    run.health.handle(run.now, Event::Order(Ready));
-    assert_eq!(run.health.weight(), 10, "back with a slow start");
 }
 
 #[test]
-fn the_history_is_bounded() {
-    let mut run = Run::up();
+fn signals_do_not_end_a_drain_and_ready_begins_a_slow_start() {
+    let mut simulation = Simulation::up();
+    simulation.command(Command::Drain);
+    simulation.discovery_is_up = false;
+
+    simulation.run(60 * SECOND);
+    assert_eq!(simulation.monitor.state(), State::Drain);
+
+    simulation.command(Command::Ready);
+    assert_eq!(simulation.weight(), 10, "back with a slow start");
+}
+
+#[test]
+fn history_is_limited_to_the_latest_transitions() {
+    let mut simulation = Simulation::up();
+
     for _ in 0..100 {
-        run.health.handle(run.now, Event::Order(Order::Drain));
-        run.health.handle(run.now, Event::Order(Order::Ready));
+        simulation.command(Command::Drain);
+        simulation.command(Command::Ready);
     }
-    let (report, _) = run.health.report(run.now);
-    assert_eq!(report.history.len(), HISTORY);
+
+    let (report, _) = simulation.monitor.report(simulation.now);
+    assert_eq!(report.history.len(), MAX_HISTORY);
     assert_eq!(
-        report.history.last().map(|t| (t.from, t.to)),
+        report
+            .history
+            .last()
+            .map(|transition| (transition.from, transition.to)),
         Some((State::Drain, State::Starting))
     );
 }
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -1,226 +1,253 @@
-//! The weight: it falls fast, comes back slowly, and does not flap.
+//! Controls the weight reported to load balancers: it falls fast, recovers slowly, and does not oscillate.
 //!
-//! A balancer acts late: it polls, counts, and only then moves traffic, and the effect on the signals
-//! comes later still. The controller is therefore not proportional but of the kind that shares links
-//! between senders (additive increase, multiplicative decrease, after Chiu and Jain, 1989), with two
-//! additions for the delay. A fall is followed by a pause, so that its effect can be seen before the
-//! next: one and a half times what the balancers that poll take to act. And the weight at which trouble
-//! began is remembered as a ceiling, as the window of the last loss is by CUBIC senders (RFC 9438). The
-//! weight climbs quickly to six tenths of it, creeps to eight tenths, and stays there until the memory
-//! fades; then it creeps past it. Each ceiling that proves right again is remembered twice as long.
-
-use super::signal::Code;
+//! A load balancer reacts late: it polls, counts, and only then moves traffic, and the effect on the signals
+//! comes later still. So the controller is not proportional, but of the kind that shares links between senders
+//! (additive increase, multiplicative decrease, after Chiu and Jain, 1989), with two additions for the delay.
+//! A fall is followed by a pause of one and a half times the balancers' reaction time, so that its effect is
+//! seen before the next. And the weight at which overload began is remembered as a ceiling, as CUBIC senders
+//! remember the window of the last loss (RFC 9438). The weight climbs quickly to six tenths of it, slowly to
+//! eight tenths, and stays there until the memory expires; then it climbs slowly beyond. A ceiling that proves
+//! right again is remembered twice as long.
+
+use super::signal::Signal;
 use crate::Micros;
 use std::collections::VecDeque;
 
 const SECOND: Micros = 1_000_000;
 const MINUTE: Micros = 60 * SECOND;
-/// Part of the ceiling from which on the weight creeps, and where it stays while the ceiling counts.
-const NEAR: f64 = 0.6;
+/// The fraction of the ceiling from which on the weight climbs slowly, and the one where it stays.
+const SLOW_FROM: f64 = 0.6;
 const PLATEAU: f64 = 0.8;
 /// How much slower it climbs there.
-const CREEP: f64 = 0.1;
-/// A target that lies within this much below the weight is no reason to fall.
+const SLOW_FACTOR: f64 = 0.1;
+/// A target this little below the weight is no reason to fall.
 const DEAD_BAND: f64 = 5.0;
-/// A rise is told in steps of at least this and with at least so long between them, or when it ends.
-const STEP: f64 = 5.0;
-const STEP_PAUSE: Micros = SECOND;
-/// A fall leaves at least this part of the weight; the first of a row may go further where the cause can
-/// only be here.
-const LEAVES: f64 = 0.5;
-const FIRST_LEAVES: f64 = 0.3;
+/// A rise is published in steps of at least this, at least so long apart, or when it reaches 100.
+const MIN_STEP: f64 = 5.0;
+const MIN_STEP_INTERVAL: Micros = SECOND;
+/// A fall leaves at least this fraction of the weight. The first fall in a row may go further if only this
+/// placer can be the cause.
+const MIN_REMAINING: f64 = 0.5;
+const MIN_REMAINING_AFTER_FIRST: f64 = 0.3;
+/// The maximum weight.
+const FULL_WEIGHT: f64 = 100.0;
 
 /// How the weight moves.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Pace {
-    /// It never falls below this by signals: a placer that still places is not emptied.
-    pub floor: f64,
-    /// Least time between two falls, where no balancer polls less often.
-    pub fall_pause: Micros,
-    /// Least time from a fall to the next rise; doubled while falls follow rises.
+pub struct WeightPolicy {
+    /// Signals never lower the weight below this: a placer that still places tasks keeps some load.
+    pub min_weight: f64,
+    /// The minimum time between two falls, where no balancer polls less often.
+    pub fall_interval: Micros,
+    /// The minimum time from a fall to the next rise; doubled while falls follow rises.
     pub hold: Micros,
-    /// The longest that it is doubled to.
-    pub most_hold: Micros,
-    /// Time from nothing to 100.
-    pub rise: Micros,
-    /// How long the weight at which trouble began is a ceiling; doubled each time it proves right.
-    pub memory: Micros,
-    /// The longest that it is doubled to.
-    pub most_memory: Micros,
-    /// No rise where the weight changed so often within the last minute.
-    pub most_changes: usize,
+    /// The limit of that doubling.
+    pub max_hold: Micros,
+    /// The time of a rise from 0 to 100.
+    pub rise_time: Micros,
+    /// How long the weight at which overload began is a ceiling; doubled each time it proves right.
+    pub ceiling_memory: Micros,
+    /// The limit of that doubling.
+    pub max_ceiling_memory: Micros,
+    /// No rise after so many changes within the last minute.
+    pub max_changes_per_minute: usize,
 }
 
-impl Default for Pace {
-    fn default() -> Pace {
-        Pace {
-            floor: 5.0,
-            fall_pause: SECOND / 2,
+impl Default for WeightPolicy {
+    fn default() -> WeightPolicy {
+        WeightPolicy {
+            min_weight: 5.0,
+            fall_interval: SECOND / 2,
             hold: 2 * SECOND,
-            most_hold: 30 * SECOND,
-            rise: 10 * SECOND,
-            memory: MINUTE / 2,
-            most_memory: 2 * MINUTE,
-            most_changes: 24,
+            max_hold: 30 * SECOND,
+            rise_time: 10 * SECOND,
+            ceiling_memory: MINUTE / 2,
+            max_ceiling_memory: 2 * MINUTE,
+            max_changes_per_minute: 24,
         }
     }
 }
 
-/// The weight at which trouble began.
+/// The weight at which overload began.
 #[derive(Debug, Clone, Copy)]
 struct Ceiling {
     weight: f64,
     since: Micros,
-    counts_for: Micros,
-    /// A signal that the fleet may turn out to explain.
-    shared: bool,
+    remembered_for: Micros,
+    /// It was learned from a signal that the fleet may turn out to explain.
+    may_be_caused_by_fleet: bool,
 }
 
-/// The weight now, and what it has learned.
+/// The weight of one placer.
 #[derive(Debug, Clone)]
-pub struct Weight {
-    pace: Pace,
-    /// The weight before rounding to steps.
+pub struct WeightController {
+    policy: WeightPolicy,
+    /// The weight before it is published in steps.
     exact: f64,
-    told: f64,
-    steered: Micros,
-    fell: Option<Micros>,
-    /// The latest rise after the latest fall.
-    rose: Option<Micros>,
+    published: f64,
+    last_update: Micros,
+    last_fall: Option<Micros>,
+    /// The latest rise since the latest fall.
+    last_rise: Option<Micros>,
     hold: Micros,
     ceiling: Option<Ceiling>,
+    /// When the published weight changed within the last minute.
     changes: VecDeque<Micros>,
 }
 
-impl Weight {
-    /// A weight that starts here.
-    pub fn new(pace: Pace, start: f64, now: Micros) -> Weight {
-        let start = start.clamp(pace.floor, 100.0);
-        Weight {
-            pace,
+impl WeightController {
+    /// Creates a controller that starts at a weight.
+    pub fn new(policy: WeightPolicy, start: f64, now: Micros) -> WeightController {
+        let start = start.clamp(policy.min_weight, FULL_WEIGHT);
+        WeightController {
+            policy,
             exact: start,
-            told: start,
-            steered: now,
-            fell: None,
-            rose: None,
-            hold: pace.hold,
+            published: start,
+            last_update: now,
+            last_fall: None,
+            last_rise: None,
+            hold: policy.hold,
             ceiling: None,
             changes: VecDeque::new(),
         }
     }
 
-    /// What is told, 1 to 100.
-    pub fn told(&self) -> u8 {
-        self.told.round().clamp(1.0, 100.0) as u8
+    /// Returns the weight to report, 1 to 100.
+    pub fn published(&self) -> u8 {
+        self.published.round().clamp(1.0, FULL_WEIGHT) as u8
     }
 
-    /// The fleet explains what goes badly: a ceiling that was learned from it before was none.
-    pub fn exonerate(&mut self) {
-        if self.ceiling.take_if(|c| c.shared).is_some() {
-            self.hold = self.pace.hold;
+    /// Forgets a ceiling that was learned from a signal which the fleet turned out to explain.
+    pub fn forget_fleet_ceiling(&mut self) {
+        let forgotten = self
+            .ceiling
+            .take_if(|ceiling| ceiling.may_be_caused_by_fleet);
+        if forgotten.is_some() {
+            self.hold = self.policy.hold;
         }
     }
 
-    /// Moves towards what the signals leave; true where what is told has changed. `cause` names the
-    /// tightest signal: only load is remembered as trouble, since a young or uninformed placer was not
-    /// brought down by the weight that it had.
-    /// `reaction` is how long balancers take to act on what is told.
-    pub fn steer(
+    /// Moves towards the target, and returns whether the published weight has changed.
+    ///
+    /// `cause` is the signal that limits the target most. Only load is remembered as a ceiling: a placer in
+    /// slow start or without service discovery was not overloaded by its weight. `reaction_time` is how long
+    /// load balancers take to act on a published weight.
+    pub fn update(
         &mut self,
         now: Micros,
         target: f64,
-        cause: Option<Code>,
-        reaction: Micros,
+        cause: Option<Signal>,
+        reaction_time: Micros,
     ) -> bool {
-        let target = target.clamp(self.pace.floor, 100.0);
-        let passed = (now - self.steered).clamp(0, SECOND);
-        self.steered = self.steered.max(now);
-        // Long passed without trouble, it was another time's.
-        if self
-            .ceiling
-            .is_some_and(|c| now - c.since > c.counts_for + self.pace.most_memory)
-        {
-            self.ceiling = None;
-        }
-        if self
-            .fell
-            .is_none_or(|at| now - at > 2 * self.pace.most_hold)
-        {
-            self.hold = self.pace.hold;
-        }
-        let before = self.told;
+        let target = target.clamp(self.policy.min_weight, FULL_WEIGHT);
+        let elapsed = (now - self.last_update).clamp(0, SECOND);
+        self.last_update = self.last_update.max(now);
+        self.forget_old_overload(now);
+        let before = self.published;
         if target < self.exact - DEAD_BAND {
-            self.fall(now, target, cause, reaction);
+            self.fall(now, target, cause, reaction_time);
         } else if target > self.exact {
-            self.climb(now, target, passed, reaction);
+            self.climb(now, target, elapsed, reaction_time);
         }
-        if self.told != before {
+        let has_changed = self.published != before;
+        if has_changed {
             self.changes.push_back(now);
         }
-        self.told != before
+        has_changed
     }
 
-    fn fall(&mut self, now: Micros, target: f64, cause: Option<Code>, reaction: Micros) {
+    /// Forgets the ceiling and the doubled hold after a long time without overload.
+    fn forget_old_overload(&mut self, now: Micros) {
+        let is_old = |ceiling: &Ceiling| {
+            now - ceiling.since > ceiling.remembered_for + self.policy.max_ceiling_memory
+        };
+        if self.ceiling.as_ref().is_some_and(is_old) {
+            self.ceiling = None;
+        }
         if self
-            .fell
-            .is_some_and(|at| now - at < self.pace.fall_pause.max(reaction * 3 / 2))
+            .last_fall
+            .is_none_or(|at| now - at > 2 * self.policy.max_hold)
         {
+            self.hold = self.policy.hold;
+        }
+    }
+
+    fn fall(&mut self, now: Micros, target: f64, cause: Option<Signal>, reaction_time: Micros) {
+        let interval = self.policy.fall_interval.max(reaction_time * 3 / 2);
+        if self.last_fall.is_some_and(|at| now - at < interval) {
             return;
         }
-        // A fall soon after a rise tells that the rise was wrong: the next one waits longer.
-        let rose = self.rose.take();
-        if rose.is_some_and(|at| now - at < 2 * self.pace.most_hold) && self.fell.is_some() {
-            self.hold = (self.hold * 2).min(self.pace.most_hold);
+        // A fall soon after a rise shows that the rise was wrong: the next one waits longer.
+        let rise = self.last_rise.take();
+        let was_recent = rise.is_some_and(|at| now - at < 2 * self.policy.max_hold);
+        if was_recent && self.last_fall.is_some() {
+            self.hold = (self.hold * 2).min(self.policy.max_hold);
         }
-        // The first fall of a row: a young or uninformed placer was not brought down by its weight.
-        let load = !matches!(cause, Some(Code::SlowStart | Code::FeedAge));
-        let first = rose.is_some() || self.fell.is_none();
-        if load && first {
-            let again = self
-                .ceiling
-                .map(|c| (c.counts_for * 2).min(self.pace.most_memory));
-            let counts_for = again.unwrap_or(self.pace.memory);
-            self.ceiling = Some(Ceiling {
-                weight: self.exact,
-                since: now,
-                counts_for,
-                shared: cause.is_some_and(Code::shared),
-            });
+        let is_first = rise.is_some() || self.last_fall.is_none();
+        let is_load = !matches!(cause, Some(Signal::SlowStart | Signal::DiscoveryAge));
+        if is_load && is_first {
+            self.remember_ceiling(now, cause);
         }
-        let leaves = if first && cause == Some(Code::LoopLate) {
-            FIRST_LEAVES
+        let min_remaining = if is_first && cause == Some(Signal::LoopLate) {
+            MIN_REMAINING_AFTER_FIRST
         } else {
-            LEAVES
+            MIN_REMAINING
         };
-        self.exact = target.max(self.exact * leaves).max(self.pace.floor);
-        self.told = self.exact;
-        self.fell = Some(now);
+        self.exact = target
+            .max(self.exact * min_remaining)
+            .max(self.policy.min_weight);
+        self.published = self.exact;
+        self.last_fall = Some(now);
     }
 
-    fn climb(&mut self, now: Micros, target: f64, passed: Micros, reaction: Micros) {
-        if self
-            .fell
-            .is_some_and(|at| now - at < self.hold.max(2 * reaction))
-        {
+    fn remember_ceiling(&mut self, now: Micros, cause: Option<Signal>) {
+        let remembered_for = self.ceiling.map_or(self.policy.ceiling_memory, |earlier| {
+            (earlier.remembered_for * 2).min(self.policy.max_ceiling_memory)
+        });
+        self.ceiling = Some(Ceiling {
+            weight: self.exact,
+            since: now,
+            remembered_for,
+            may_be_caused_by_fleet: cause.is_some_and(Signal::may_be_caused_by_fleet),
+        });
+    }
+
+    fn climb(&mut self, now: Micros, target: f64, elapsed: Micros, reaction_time: Micros) {
+        let hold = self.hold.max(2 * reaction_time);
+        if self.last_fall.is_some_and(|at| now - at < hold) || self.changes_too_often(now) {
             return;
         }
+        let ceiling = self.ceiling.filter(|ceiling| self.exact < ceiling.weight);
+        let is_near = ceiling.is_some_and(|ceiling| self.exact >= SLOW_FROM * ceiling.weight);
+        let factor = if is_near { SLOW_FACTOR } else { 1.0 };
+        let per_micro = factor * FULL_WEIGHT / self.policy.rise_time.max(1) as f64;
+        let limit = ceiling
+            .filter(|ceiling| now - ceiling.since < ceiling.remembered_for)
+            .map_or(target, |ceiling| {
+                target.min((PLATEAU * ceiling.weight).max(self.exact))
+            });
+        self.exact = limit.min(self.exact + per_micro * elapsed as f64);
+        self.publish_rise(now, target);
+    }
+
+    fn changes_too_often(&mut self, now: Micros) -> bool {
         while self.changes.front().is_some_and(|at| now - at >= MINUTE) {
             self.changes.pop_front();
         }
-        if self.changes.len() >= self.pace.most_changes {
-            return;
-        }
-        let below = self.ceiling.filter(|c| self.exact < c.weight);
-        let near = below.is_some_and(|c| self.exact >= NEAR * c.weight);
-        let speed = if near { CREEP } else { 1.0 } * 100.0 / self.pace.rise.max(1) as f64;
-        let counts = below.filter(|c| now - c.since < c.counts_for);
-        let most = counts.map_or(target, |c| target.min((PLATEAU * c.weight).max(self.exact)));
-        self.exact = most.min(self.exact + speed * passed as f64);
-        let ends = self.exact >= target && self.exact >= 100.0;
-        let paused = self.changes.back().is_none_or(|at| now - at >= STEP_PAUSE);
-        if (self.exact - self.told >= STEP && paused) || (ends && self.told < 100.0) {
-            self.told = self.exact;
-            self.rose = Some(now);
+        self.changes.len() >= self.policy.max_changes_per_minute
+    }
+
+    /// Publishes the weight if it has risen by a step, or has reached 100.
+    fn publish_rise(&mut self, now: Micros, target: f64) {
+        let step_is_due = self
+            .changes
+            .back()
+            .is_none_or(|at| now - at >= MIN_STEP_INTERVAL);
+        let is_step = self.exact - self.published >= MIN_STEP && step_is_due;
+        let is_full = self.exact >= target && self.exact >= FULL_WEIGHT;
+        if is_step || (is_full && self.published < FULL_WEIGHT) {
+            self.published = self.exact;
+            self.last_rise = Some(now);
         }
     }
 }
--- a/src/health/weight/tests.rs
+++ b/src/health/weight/tests.rs
@@ -1,74 +1,85 @@
-//! Tests of `weight.rs`.
+//! Tests of the weight controller.
 
 use super::*;
 
-const LOOK: Micros = 250_000;
+const UPDATE_INTERVAL: Micros = 250_000;
 
-fn run(weight: &mut Weight, from: Micros, looks: i64, target: f64) -> Vec<u8> {
-    let cause = Some(Code::LoopLate);
-    (1..=looks)
+fn controller(start: f64) -> WeightController {
+    WeightController::new(WeightPolicy::default(), start, 0)
+}
+
+/// Updates the weight so many times after `from`, and returns the published weights.
+fn run(
+    weight: &mut WeightController,
+    from: Micros,
+    updates: i64,
+    target: f64,
+    cause: Signal,
+) -> Vec<u8> {
+    (1..=updates)
         .map(|n| {
-            weight.steer(from + n * LOOK, target, cause, 0);
-            weight.told()
+            weight.update(from + n * UPDATE_INTERVAL, target, Some(cause), 0);
+            weight.published()
         })
         .collect()
 }
 
 #[test]
-fn it_falls_by_halves_with_a_pause_and_never_under_the_floor() {
-    let mut weight = Weight::new(Pace::default(), 100.0, 0);
-    let told = run(&mut weight, 0, 16, 0.0);
-    assert_eq!(&told[..6], [30, 30, 15, 15, 8, 8]);
-    let mut weight = Weight::new(Pace::default(), 100.0, 0);
-    let told: Vec<u8> = (1..=4)
-        .map(|n| {
-            weight.steer(n * LOOK, 0.0, Some(Code::AskAge), 0);
-            weight.told()
-        })
-        .collect();
-    assert_eq!(
-        told,
-        [50, 50, 25, 25],
-        "what others may explain goes by halves from the first on"
-    );
-    assert!(told.iter().all(|told| *told >= 5));
+fn weight_falls_by_halves_with_pauses_and_further_at_first_if_only_this_placer_is_the_cause() {
+    let published = run(&mut controller(100.0), 0, 16, 0.0, Signal::LoopLate);
+
+    assert_eq!(&published[..6], [30, 30, 15, 15, 8, 8]);
 }
 
 #[test]
-fn it_holds_then_climbs_in_steps_and_creeps_where_trouble_began() {
-    let mut weight = Weight::new(Pace::default(), 80.0, 0);
-    run(&mut weight, 0, 1, 40.0);
-    let told = run(&mut weight, LOOK, 60, 100.0);
-    assert_eq!(told[6], 40, "held for 2 s");
-    let at = |n: usize| f64::from(told[n]);
-    assert!(at(12) >= 45.0, "then 10 a second: {told:?}");
-    assert!(
-        at(56) < 65.0,
-        "then it creeps past what was too much: {told:?}"
-    );
-    assert!(told.windows(2).all(|pair| pair[1] >= pair[0]));
+fn weight_falls_by_halves_from_the_first_on_if_the_fleet_may_be_the_cause() {
+    let published = run(&mut controller(100.0), 0, 4, 0.0, Signal::RequestAge);
+
+    assert_eq!(published, [50, 50, 25, 25]);
+}
+
+#[test]
+fn weight_never_falls_below_the_minimum() {
+    let published = run(&mut controller(100.0), 0, 4, 0.0, Signal::RequestAge);
+
+    assert!(published.iter().all(|weight| *weight >= 5));
+}
+
+#[test]
+fn weight_holds_after_a_fall_then_climbs_in_steps_and_slowly_near_the_ceiling() {
+    let mut weight = controller(80.0);
+    run(&mut weight, 0, 1, 40.0, Signal::LoopLate);
+
+    let published = run(&mut weight, UPDATE_INTERVAL, 60, 100.0, Signal::LoopLate);
+
+    assert_eq!(published[6], 40, "held for 2 s");
+    let at = |n: usize| f64::from(published[n]);
+    assert!(at(12) >= 45.0, "then 10 a second: {published:?}");
+    assert!(at(56) < 65.0, "then slowly past the ceiling: {published:?}");
+    assert!(published.windows(2).all(|pair| pair[1] >= pair[0]));
 }
 
 #[test]
-fn each_rise_that_ends_in_a_fall_makes_the_next_one_wait_twice_as_long() {
-    let mut weight = Weight::new(Pace::default(), 100.0, 0);
+fn each_rise_that_ends_in_a_fall_doubles_the_wait_for_the_next() {
+    let mut weight = controller(100.0);
     let (mut now, mut waits) = (0, Vec::new());
     for _ in 0..6 {
-        while !(weight.steer(now, 20.0, Some(Code::AskAge), 0)) {
-            now += LOOK;
+        while !(weight.update(now, 20.0, Some(Signal::RequestAge), 0)) {
+            now += UPDATE_INTERVAL;
         }
-        let (fell, low) = (now, weight.told());
-        while weight.told() <= low {
-            now += LOOK;
-            weight.steer(now, 100.0, None, 0);
+        let (fell_at, low) = (now, weight.published());
+        while weight.published() <= low {
+            now += UPDATE_INTERVAL;
+            weight.update(now, 100.0, None, 0);
         }
-        waits.push((now - fell) / SECOND);
-        // It climbs on until a fall is worth the name.
+        waits.push((now - fell_at) / SECOND);
+        // It climbs on until it can fall again.
         for _ in 0..40 {
-            now += LOOK;
-            weight.steer(now, 100.0, None, 0);
+            now += UPDATE_INTERVAL;
+            weight.update(now, 100.0, None, 0);
         }
     }
+
     assert!(waits.windows(2).all(|pair| pair[1] >= pair[0]), "{waits:?}");
     assert!(
         waits.last() >= Some(&30) && waits.first() <= Some(&4),
@@ -77,7 +88,8 @@
 }
 
 #[test]
-fn a_small_step_of_the_target_moves_nothing() {
-    let mut weight = Weight::new(Pace::default(), 80.0, 0);
-    assert!(run(&mut weight, 0, 40, 76.0).iter().all(|told| *told == 80));
+fn target_slightly_below_the_weight_changes_nothing() {
+    let published = run(&mut controller(80.0), 0, 40, 76.0, Signal::LoopLate);
+
+    assert!(published.iter().all(|weight| *weight == 80));
 }
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -3,7 +3,7 @@
 use super::clients::AcceptFailed;
 use super::codec;
 use super::dispatch::{Dispatch, MOST_CALLERS, Shared};
-use super::health::gate::{Gate, Place};
+use super::health::connection_limiter::{ConnectionLimiter, ConnectionPermit};
 use super::health::linger;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -27,10 +27,10 @@
     address: SocketAddr,
     executor: &Rc<LocalExecutor<'static>>,
     shared: &Shared,
-) -> io::Result<Rc<Gate>> {
+) -> io::Result<Rc<ConnectionLimiter>> {
     let bound = Async::<TcpListener>::bind(address);
     let listener = bound.map_err(|e| io::Error::new(e.kind(), format!("admin: {address}: {e}")))?;
-    let gate = Rc::new(Gate::new(MOST_CALLERS));
+    let gate = Rc::new(ConnectionLimiter::new(MOST_CALLERS));
     executor
         .spawn(accept(listener, gate.clone(), shared.clone()))
         .detach();
@@ -38,12 +38,12 @@
     Ok(gate)
 }
 
-async fn accept(listener: Async<TcpListener>, gate: Rc<Gate>, shared: Shared) {
+async fn accept(listener: Async<TcpListener>, gate: Rc<ConnectionLimiter>, shared: Shared) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let dispatch = shared.borrow();
-                let place = gate.enter(dispatch.clock.now() + PATIENCE);
+                let place = gate.admit(dispatch.clock.now() + PATIENCE);
                 dispatch
                     .tasks
                     .spawn(serve(stream, peer, place, gate.clone(), shared.clone()));
@@ -58,12 +58,12 @@
 async fn serve(
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    place: Place,
-    gate: Rc<Gate>,
+    place: ConnectionPermit,
+    gate: Rc<ConnectionLimiter>,
     shared: Shared,
 ) {
     let away = async {
-        place.away().await;
+        place.evicted().await;
         "sent-away"
     };
     let called = async {
@@ -72,7 +72,7 @@
         reason
     };
     let reason = future::or(called, away).await;
-    gate.leave(&place);
+    gate.release(&place);
     // The platform asks ten times a second.
     match reason {
         "answered" => debug!(%peer, reason, "admin connection ended"),
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -590,7 +590,7 @@
         if !crowds || shared.borrow().clients.shed(now, 1) > 0 {
             shared
                 .borrow_mut()
-                .watch(now, Event::Connection { turned_away: waits });
+                .watch(now, Event::ClientConnected { rejected: waits });
             if crowds {
                 // The one that was told to end gives its descriptor back first.
                 future::yield_now().await;
--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -2,7 +2,7 @@
 
 use super::clients::AcceptFailed;
 use super::dispatch::Shared;
-use super::health::gate::{Gate, Place};
+use super::health::connection_limiter::{ConnectionLimiter, ConnectionPermit};
 use crate::ctl;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -25,7 +25,7 @@
     path: &Path,
     executor: &Rc<LocalExecutor<'static>>,
     shared: &Shared,
-) -> io::Result<Rc<Gate>> {
+) -> io::Result<Rc<ConnectionLimiter>> {
     let named =
         |e: io::Error| io::Error::new(e.kind(), format!("ctl.socket: {}: {e}", path.display()));
     if path.exists() {
@@ -40,7 +40,7 @@
     let bound = Async::<UnixListener>::bind(path);
     umask(before);
     let listener = bound.map_err(named)?;
-    let gate = Rc::new(Gate::new(MOST));
+    let gate = Rc::new(ConnectionLimiter::new(MOST));
     executor
         .spawn(accept(listener, gate.clone(), shared.clone()))
         .detach();
@@ -48,12 +48,12 @@
     Ok(gate)
 }
 
-async fn accept(listener: Async<UnixListener>, gate: Rc<Gate>, shared: Shared) {
+async fn accept(listener: Async<UnixListener>, gate: Rc<ConnectionLimiter>, shared: Shared) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let dispatch = shared.borrow();
-                let place = gate.enter(dispatch.clock.now() + PATIENCE);
+                let place = gate.admit(dispatch.clock.now() + PATIENCE);
                 dispatch
                     .tasks
                     .spawn(serve(stream, place, gate.clone(), shared.clone()));
@@ -64,20 +64,25 @@
     }
 }
 
-async fn serve(stream: Async<UnixStream>, place: Place, gate: Rc<Gate>, shared: Shared) {
+async fn serve(
+    stream: Async<UnixStream>,
+    place: ConnectionPermit,
+    gate: Rc<ConnectionLimiter>,
+    shared: Shared,
+) {
     let away = async {
-        place.away().await;
+        place.evicted().await;
         "late"
     };
     let reason = future::or(orders(&stream, &place, &gate, &shared), away).await;
-    gate.leave(&place);
+    gate.release(&place);
     info!(reason, "ctl connection ended");
 }
 
 async fn orders(
     mut stream: &Async<UnixStream>,
-    place: &Place,
-    gate: &Gate,
+    place: &ConnectionPermit,
+    gate: &ConnectionLimiter,
     shared: &Shared,
 ) -> &'static str {
     let (mut inbox, mut scratch) = (Vec::new(), [0; 1_024]);
@@ -103,6 +108,6 @@
         if stream.write_all(&ctl::answer(found)).await.is_err() {
             return "failed";
         }
-        gate.stay(place, shared.borrow().clock.now() + PATIENCE);
+        gate.extend(place, shared.borrow().clock.now() + PATIENCE);
     }
 }
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -40,8 +40,8 @@
 use super::codec::feed::FeedLine;
 use super::config::{Config, Limits};
 use super::conn;
-use super::health::gate::Gate;
-use super::health::watch::Watch;
+use super::health::connection_limiter::ConnectionLimiter;
+use super::health::reporter::HealthReporter;
 use super::hosts::{Link, Round};
 use super::wheel::Wheel;
 use crate::operator::Operator;
@@ -118,11 +118,11 @@
     /// When the process began to close.
     closing_since: Option<Micros>,
     /// What balancers are told, where an operator's file asks for it.
-    pub(super) watch: Option<Watch>,
+    pub(super) watch: Option<HealthReporter>,
     /// The connections of balancers.
-    pub(super) gate: Rc<Gate>,
+    pub(super) gate: Rc<ConnectionLimiter>,
     /// And of operators.
-    pub(super) orders: Vec<Rc<Gate>>,
+    pub(super) orders: Vec<Rc<ConnectionLimiter>>,
     /// A drain is over.
     drained: bool,
     /// Whether this process takes requests, by the platform's orders.
@@ -149,11 +149,14 @@
         let now = clock.now();
         let connect_timeout = config.settings.connect_timeout;
         let warm = config.settings.price_handshake <= 0.0;
-        let watch = operator.watches().then(|| Watch::new(operator, now));
+        let watch = operator
+            .uses_health_monitor()
+            .then(|| HealthReporter::new(operator, now));
         // The listeners, their connections, and those that are on their way out.
-        let listeners = operator.health.agent.len() + operator.health.http.len();
+        let listeners =
+            operator.health.agent_addresses.len() + operator.health.http_addresses.len();
         let polls = if operator.health.listens() {
-            operator.health.connections + 4
+            operator.health.max_connections + 4
         } else {
             0
         };
@@ -162,7 +165,14 @@
         } else {
             0
         };
-        let apart = listeners + polls + calls + if operator.ctl.is_some() { 6 } else { 0 };
+        let apart = listeners
+            + polls
+            + calls
+            + if operator.control_socket.is_some() {
+                6
+            } else {
+                0
+            };
         // What a cold host was sent is looked back on for that time, and counted by clocks that differ.
         let process_group = ProcessGroup::new(
             2 * config
@@ -201,7 +211,7 @@
             feed_up: false,
             closing_since: None,
             watch,
-            gate: Rc::new(Gate::new(operator.health.connections)),
+            gate: Rc::new(ConnectionLimiter::new(operator.health.max_connections)),
             orders: Vec::new(),
             lifecycle: Lifecycle::default(),
             counters,
--- a/src/net/dispatch/answers.rs
+++ b/src/net/dispatch/answers.rs
@@ -33,7 +33,12 @@
             .get(&ticket)
             .is_some_and(|r| r.state == State::Held)
         {
-            self.watch(now, Event::Answered { in_aim: false });
+            self.watch(
+                now,
+                Event::RequestAnswered {
+                    within_objective: false,
+                },
+            );
             let request = self.remove(ticket)?;
             if let Some(client) = request.client {
                 let how = if cause == cause::REFUSED {
--- a/src/net/dispatch/feed_messages.rs
+++ b/src/net/dispatch/feed_messages.rs
@@ -18,7 +18,7 @@
     /// A line of the feed shows that nothing is missing.
     pub fn feed_lives(&mut self) {
         let now = self.clock.now();
-        self.watch(now, Event::Feed);
+        self.watch(now, Event::DiscoveryUpdated);
         if !std::mem::replace(&mut self.feed_up, true) {
             self.tell(now, PlacementEvent::DiscoveryUp);
         }
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -105,13 +105,18 @@
         }
         self.watch(
             now,
-            Event::Offer {
+            Event::AttemptEnded {
                 outcome: Outcome::Completed,
                 detail: OutcomeDetail::Unknown,
-                stretch,
+                relative_duration: stretch,
+            },
+        );
+        self.watch(
+            now,
+            Event::RequestAnswered {
+                within_objective: in_aim,
             },
         );
-        self.watch(now, Event::Answered { in_aim });
         self.tell(
             now,
             PlacementEvent::AttemptStarted {
--- a/src/net/dispatch/links.rs
+++ b/src/net/dispatch/links.rs
@@ -49,7 +49,7 @@
     /// News of the list. Tasks at what is gone, or at a process that started after them, are lost.
     pub fn listed(&mut self, whole: bool, hosts: Vec<Listed>) {
         let now = self.clock.now();
-        self.watch(now, Event::Feed);
+        self.watch(now, Event::DiscoveryUpdated);
         let (entries, recalled) = self.update_hosts(now, whole, hosts);
         // Of the others nothing is news.
         let named: Vec<HostId> = if whole {
--- a/src/net/dispatch/offers.rs
+++ b/src/net/dispatch/offers.rs
@@ -165,10 +165,10 @@
         if outcome != Outcome::Cancelled {
             self.watch(
                 now,
-                Event::Offer {
+                Event::AttemptEnded {
                     outcome,
                     detail,
-                    stretch,
+                    relative_duration: stretch,
                 },
             );
         }
--- a/src/net/dispatch/operating.rs
+++ b/src/net/dispatch/operating.rs
@@ -4,7 +4,7 @@
 use super::Dispatch;
 use super::requests::Request;
 use crate::ctl;
-use crate::net::health::watch::{Refused, Watch};
+use crate::net::health::reporter::HealthReporter;
 use simd_json::OwnedValue;
 use task_placer::Micros;
 use task_placer::operation::lifecycle::{Effect, Event};
@@ -17,7 +17,7 @@
         self.listens
             && !self.ends()
             && self.lifecycle.is_serving()
-            && self.watch.as_ref().is_none_or(Watch::serves)
+            && self.watch.as_ref().is_none_or(HealthReporter::is_serving)
     }
 
     /// Whether this process has been told to end.
@@ -85,25 +85,25 @@
 
     /// An order of an operator: what to answer.
     pub fn ordered(&mut self, order: ctl::Order) -> Result<OwnedValue, String> {
-        use task_placer::health::Order;
+        use task_placer::health::Command;
         let (now, hand) = (self.clock.now(), self.hand());
         let order = match order {
             ctl::Order::Overload => return self.tell_overload(now),
             ctl::Order::State => None,
-            ctl::Order::Drain => Some(Order::Drain),
-            ctl::Order::Ready => Some(Order::Ready),
-            ctl::Order::Maint => Some(Order::Maint),
+            ctl::Order::Drain => Some(Command::Drain),
+            ctl::Order::Ready => Some(Command::Ready),
+            ctl::Order::Maint => Some(Command::Maint),
         };
         let watch = self.watch.as_mut().ok_or("nothing is watched here")?;
         if let Some(order) = order {
             info!(?order, "ordered");
             let tasks = watch
-                .order(now, order)
-                .map_err(|Refused(why)| why.to_string())?;
+                .execute(now, order)
+                .map_err(|rejected| rejected.to_string())?;
             self.follow(now, tasks);
         }
         let watch = self.watch.as_mut().ok_or("nothing is watched here")?;
-        Ok(watch.state(now, hand))
+        Ok(watch.state_json(now, hand))
     }
 
     /// Something has happened that concerns whether this process takes requests.
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -3,10 +3,10 @@
 
 use super::requests::{Request, State};
 use super::{Dispatch, MILLI};
-use crate::net::health::watch::{Task, Watch};
+use crate::net::health::reporter::{DrainTask, HealthReporter};
 use task_placer::Micros;
 use task_placer::facade::PlacementEvent;
-use task_placer::health::drain::Hand;
+use task_placer::health::drain::Outstanding;
 use task_placer::operation::lifecycle;
 use tracing::{info, warn};
 
@@ -36,15 +36,19 @@
     }
 
     /// Does what the drain asks for.
-    pub(super) fn follow(&mut self, now: Micros, tasks: Vec<Task>) {
+    pub(super) fn follow(&mut self, now: Micros, tasks: Vec<DrainTask>) {
         for task in tasks {
             match task {
-                Task::CloseIdle(close) => {
-                    self.closes_idle = close;
+                DrainTask::StartClosingIdle => {
+                    self.closes_idle = true;
                     self.close_idle();
                 }
-                Task::Answer(within) => self.close_down(now, within),
-                Task::Exit(left) => {
+                DrainTask::StopClosingIdle => {
+                    self.closes_idle = false;
+                    self.close_idle();
+                }
+                DrainTask::AnswerAll { within } => self.close_down(now, within),
+                DrainTask::Exit { left } => {
                     self.drained = true;
                     self.name_what_is_left(left);
                 }
@@ -53,23 +57,23 @@
     }
 
     /// Who is owed what, for a drain.
-    pub(super) fn hand(&self) -> Hand {
+    pub(super) fn hand(&self) -> Outstanding {
         let now = self.clock.now();
         let owed = self.owed();
-        Hand {
-            owed,
-            standing: self.requests.len() - owed,
-            untold: self.clients.untold(now),
-            unflushed: self.clients.unflushed(),
+        Outstanding {
+            pending_responses: owed,
+            running_tasks: self.requests.len() - owed,
+            unreported_ends: self.clients.untold(now),
+            unflushed_connections: self.clients.unflushed(),
         }
     }
 
     /// What a drain could not wait for, task by task.
-    fn name_what_is_left(&self, left: Hand) {
+    fn name_what_is_left(&self, left: Outstanding) {
         info!(
-            owed = left.owed,
-            standing = left.standing,
-            untold = left.untold,
+            owed = left.pending_responses,
+            standing = left.running_tasks,
+            untold = left.unreported_ends,
             "drained"
         );
         for request in self.requests.values() {
@@ -116,7 +120,7 @@
             return false;
         };
         // A drain that has come to this tells itself when it is over.
-        if self.watch.as_ref().is_some_and(Watch::draining) {
+        if self.watch.as_ref().is_some_and(HealthReporter::is_draining) {
             return false;
         }
         let clear = !self.requests.values().any(Request::awaits_answer) && self.clients.flushed();
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -34,7 +34,7 @@
     /// One turn of the wheel.
     pub fn tick(&mut self) {
         let now = self.clock.now();
-        self.watch(now, Event::Turn);
+        self.watch(now, Event::LoopIteration);
         self.on_duty(now, lifecycle::Event::Tick);
         for host in std::mem::take(&mut self.clogged) {
             self.send_waiting(now, &host);
@@ -92,8 +92,8 @@
     fn sweep(&mut self, now: Micros) {
         self.clients.sweep(now);
         self.sweep_links(now);
-        self.gate.sweep(now);
-        self.orders.iter().for_each(|gate| gate.sweep(now));
+        self.gate.evict_overdue(now);
+        self.orders.iter().for_each(|gate| gate.evict_overdue(now));
         self.look(now);
         self.log_overload(now);
         self.ended.retain(|_, ended| now - ended.since < ENDED);
--- a/src/net/dispatch/watching.rs
+++ b/src/net/dispatch/watching.rs
@@ -3,7 +3,7 @@
 use super::{Dispatch, MILLI};
 use crate::net::conn;
 use std::collections::BTreeMap;
-use task_placer::health::{Event, Gauges, Zone};
+use task_placer::health::{Event, Gauges, ZoneReachability};
 use task_placer::{EndpointState, Micros};
 
 /// How long a host's word that it is full counts.
@@ -13,7 +13,7 @@
     /// Tells the health engine, where one runs.
     pub fn watch(&mut self, now: Micros, event: Event) {
         if let Some(watch) = &mut self.watch {
-            watch.tell(now, event);
+            watch.notify(now, event);
         }
     }
 
@@ -22,7 +22,7 @@
         if self.watch.is_none() {
             return;
         }
-        let mut zones: BTreeMap<task_placer::ZoneId, Zone> = BTreeMap::new();
+        let mut zones: BTreeMap<task_placer::ZoneId, ZoneReachability> = BTreeMap::new();
         let (mut listed, mut roomy, mut full) = (0u32, 0u32, 0u32);
         let ordinary = self.facade.mean_task();
         for link in self
@@ -45,20 +45,20 @@
             .filter(|r| r.awaits_answer())
             .map(|r| (now - r.since) as f64 / r.aim as f64);
         let gauges = Gauges {
-            oldest: ages.fold(0.0, f64::max),
+            oldest_request: ages.fold(0.0, f64::max),
             zones: zones.into_values().collect(),
-            roomy: ordinary
+            hosts_with_capacity: ordinary
                 .filter(|_| listed > 0)
                 .map(|_| f64::from(roomy) / f64::from(listed)),
-            full: f64::from(full) / f64::from(listed.max(1)),
+            full_hosts: f64::from(full) / f64::from(listed.max(1)),
             descriptors: self.clients.live() as f64
                 / self.clients.budget(self.hosts_in_use()) as f64,
             queues: conn::queued_share(),
         };
         let hand = self.hand();
         if let Some(watch) = &mut self.watch {
-            watch.tell(now, Event::Look(gauges));
-            let tasks = watch.look(now, hand);
+            watch.notify(now, Event::GaugesSampled(gauges));
+            let tasks = watch.advance_drain(now, hand);
             self.follow(now, tasks);
         }
     }
--- /dev/null
+++ b/src/net/health/agent/tests.rs
@@ -0,0 +1,86 @@
+//! Tests of the agent check.
+
+use super::*;
+use emulator::balance::{Admin, Advice, read_agent};
+use task_placer::health::{HealthMonitor, Settings, Signal};
+
+/// A report of this state and weight.
+pub fn report(state: State, weight: u8, cause: Option<Signal>) -> Report {
+    let (report, _) = HealthMonitor::new(Settings::default(), 0).report(0);
+    Report {
+        state,
+        weight,
+        cause,
+        ..report
+    }
+}
+
+#[test]
+fn answer_of_each_state_reverts_what_an_earlier_answer_set() {
+    let cases = [
+        (State::Up, 100, None, None, "up ready 100%\n"),
+        (
+            State::Degraded,
+            40,
+            Some(Signal::DiscoveryAge),
+            None,
+            "up ready 40% # feed-age\n",
+        ),
+        (
+            State::Starting,
+            10,
+            Some(Signal::SlowStart),
+            Some(200),
+            "up ready 10% maxconn:20 # slow-start\n",
+        ),
+        (
+            State::Degraded,
+            1,
+            None,
+            Some(50),
+            "up ready 1% maxconn:1\n",
+        ),
+        (
+            State::Drain,
+            100,
+            None,
+            Some(200),
+            "up drain # finishing what was taken\n",
+        ),
+        (State::Maint, 100, None, None, "maint # by order\n"),
+        (State::Stopped, 100, None, None, "stopped # ending\n"),
+    ];
+    for (state, weight, cause, max_connections, line) in cases {
+        let answer = encode_answer(&report(state, weight, cause), max_connections);
+
+        assert_eq!(answer, line);
+        let advice = read_agent(&answer).expect("a strict reader accepts it");
+        let admin = match state {
+            State::Drain => Some(Admin::Drain),
+            State::Maint => Some(Admin::Maint),
+            State::Stopped => None,
+            _ => Some(Admin::Ready),
+        };
+        let expected = Advice { admin, ..advice };
+        assert_eq!(advice, expected, "{line}");
+        assert_eq!(advice.weight.is_some(), state.is_serving(), "{line}");
+    }
+}
+
+#[test]
+fn load_balancer_sends_a_short_printable_line_or_nothing() {
+    let too_long = vec![b'x'; MAX_LINE_BYTES];
+    let cases: [(&[u8], AgentLine); 8] = [
+        (b"", AgentLine::Incomplete),
+        (b"fro", AgentLine::Incomplete),
+        (b"front/p1\r\n", AgentLine::Complete("front/p1".into())),
+        (b"\n", AgentLine::Complete(String::new())),
+        (b"a\nb\n", AgentLine::Complete("a".into())),
+        (b"\xff\n", AgentLine::Malformed),
+        (b"\x00\n", AgentLine::Malformed),
+        (&too_long, AgentLine::Malformed),
+    ];
+    for (bytes, expected) in cases {
+        assert_eq!(parse_line(bytes), expected, "{bytes:?}");
+    }
+}
--- /dev/null
+++ b/src/net/health/answers.rs
@@ -0,0 +1,67 @@
+//! The answers to load balancers, from the reporter and what dispatch knows.
+
+use super::{LINGER, agent, http, micros};
+use crate::net::dispatch::Dispatch;
+use std::time::Duration;
+use task_placer::Micros;
+use task_placer::health::State;
+use task_placer::health::drain::{CheckKind, Poller};
+
+impl Dispatch {
+    /// How long a poll may take.
+    pub(super) fn poll_timeout(&self, check: CheckKind) -> Micros {
+        let Some(reporter) = &self.watch else {
+            return LINGER;
+        };
+        match check {
+            CheckKind::Agent => micros(reporter.settings.agent_line_timeout) + LINGER,
+            CheckKind::Http => micros(reporter.settings.request_timeout),
+        }
+    }
+
+    /// How long an HTTP connection may wait for its next request.
+    pub(super) fn idle_timeout(&self) -> Micros {
+        self.watch
+            .as_ref()
+            .map_or(LINGER, |reporter| micros(reporter.settings.idle_timeout))
+    }
+
+    /// How long an agent check's connection may take to send its line.
+    pub(super) fn agent_line_timeout(&self) -> Duration {
+        self.watch.as_ref().map_or(Duration::ZERO, |reporter| {
+            reporter.settings.agent_line_timeout
+        })
+    }
+
+    /// Records a poll of an agent check, and returns its answer.
+    pub(super) fn answer_agent_poll(&mut self, poller: &Poller) -> String {
+        let now = self.clock.now();
+        let max_connections = self.clients.budget(self.hosts_in_use());
+        let Some(reporter) = &mut self.watch else {
+            return String::new();
+        };
+        let reported_connections = reporter.settings.reports_maxconn.then_some(max_connections);
+        agent::encode_answer(&reporter.answer_poll(now, poller), reported_connections)
+    }
+
+    /// Returns the response to an HTTP check. Only a check that announces a drain counts as a poll.
+    pub(super) fn answer_http_poll(&mut self, poller: &Poller, request: &http::Request) -> Vec<u8> {
+        let now = self.clock.now();
+        let Some(reporter) = &mut self.watch else {
+            return http::respond_rejected(503);
+        };
+        let is_poll = matches!(request.target, http::Target::Ready | http::Target::Health);
+        let report = if is_poll {
+            reporter.answer_poll(now, poller)
+        } else {
+            reporter.report(now)
+        };
+        let context = http::ResponseContext {
+            now,
+            has_started: reporter.has_started() || report.state != State::Starting,
+            drain_status: reporter.settings.drain_status,
+            degraded_below: reporter.settings.degraded_below,
+        };
+        http::respond(request, &report, &context).1
+    }
+}
--- a/src/net/health/http/tests.rs
+++ b/src/net/health/http/tests.rs
@@ -1,294 +1,313 @@
-//! Tests of `http.rs`.
+//! Tests of the HTTP checks.
 
-use super::super::agent::tests::report;
+use super::request::{MAX_HEADERS, MAX_REQUEST_BYTES, Method};
+use super::response::health_json;
 use super::*;
+use crate::net::health::agent::tests::report;
+use simd_json::prelude::*;
+use task_placer::health::{Report, Signal, SignalReading, State};
 
-const AROUND: Surroundings = Surroundings {
+const CONTEXT: ResponseContext = ResponseContext {
     now: 5_000_000,
-    started: true,
+    has_started: true,
     drain_status: 503,
     degraded_below: 50,
 };
 
-#[test]
-fn requests_are_read_and_what_two_readers_could_take_differently_is_turned_away() {
-    let get = |target, keep| {
-        Parsed::Request(
-            Request {
-                method: Method::Get,
-                target,
-                keep,
-            },
-            0,
-        )
+fn get(target: Target, persistence: Persistence) -> Request {
+    Request {
+        method: Method::Get,
+        target,
+        persistence,
+    }
+}
+
+/// Parses a request that is complete.
+fn parse_complete(text: &str) -> Request {
+    match parse(text.as_bytes()) {
+        Parsed::Request(request, length) => {
+            assert_eq!(length, text.len(), "{text:?}");
+            request
+        }
+        other => panic!("{text:?}: {other:?}"),
+    }
+}
+
+fn respond_text(method: Method, target: Target, report: &Report) -> String {
+    let request = Request {
+        method,
+        target,
+        persistence: Persistence::Close,
     };
-    let long = format!(
-        "GET /livez HTTP/1.1\r\nHost: a\r\nX: {}",
-        "x".repeat(MOST_REQUEST)
-    );
-    let many = format!(
-        "GET /livez HTTP/1.1\r\nHost: a\r\n{}\r\n",
-        "X: y\r\n".repeat(MOST_HEADERS)
-    );
-    let cases: Vec<(&str, Parsed)> = vec![
+    let (_, bytes) = respond(&request, report, &CONTEXT);
+    String::from_utf8(bytes).expect("text")
+}
+
+#[test]
+fn requests_are_parsed_with_their_target_and_persistence() {
+    use Persistence::{Close, KeepAlive};
+    let cases = [
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\n\r\n",
-            get(Target::Live, true),
+            get(Target::Live, KeepAlive),
         ),
         (
             "GET /readyz?probe=1 HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n",
-            get(Target::Ready, false),
+            get(Target::Ready, Close),
         ),
         (
             "GET /startupz HTTP/1.0\r\n\r\n",
-            get(Target::Startup, false),
+            get(Target::Startup, Close),
         ),
         (
             "GET /health HTTP/1.0\r\nConnection: Keep-Alive\r\n\r\n",
-            get(Target::Health, true),
+            get(Target::Health, KeepAlive),
         ),
         (
             "GET /health HTTP/1.1\r\nHost: a\r\nConnection: foo, Close\r\n\r\n",
-            get(Target::Health, false),
+            get(Target::Health, Close),
         ),
         (
             "GET http://p1:9102/health HTTP/1.1\r\nHost: a\r\n\r\n",
-            get(Target::Health, true),
+            get(Target::Health, KeepAlive),
         ),
         (
             "GET http://p1:9102 HTTP/1.1\r\nHost: a\r\n\r\n",
-            get(Target::Unknown, true),
+            get(Target::Unknown, KeepAlive),
         ),
         (
             "GET /livezz HTTP/1.1\r\nHost: a\r\n\r\n",
-            get(Target::Unknown, true),
+            get(Target::Unknown, KeepAlive),
         ),
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\n\r\n",
-            get(Target::Live, true),
+            get(Target::Live, KeepAlive),
         ),
         (
             "HEAD /livez HTTP/1.1\r\nHost: a\r\n\r\n",
-            Parsed::Request(
-                Request {
-                    method: Method::Head,
-                    target: Target::Live,
-                    keep: true,
-                },
-                0,
-            ),
+            Request {
+                method: Method::Head,
+                ..get(Target::Live, KeepAlive)
+            },
         ),
         (
             "OPTIONS * HTTP/1.1\r\nHost: a\r\n\r\n",
-            Parsed::Request(
-                Request {
-                    method: Method::Options,
-                    target: Target::Server,
-                    keep: true,
-                },
-                0,
-            ),
+            Request {
+                method: Method::Options,
+                ..get(Target::Server, KeepAlive)
+            },
         ),
-        ("", Parsed::More),
-        ("GET /li", Parsed::More),
-        ("GET /livez HTTP/1.1\r\nHost: a\r\n", Parsed::More),
-        // Two lengths, a length and a coding, a body, a coding alone.
+    ];
+    for (text, expected) in cases {
+        assert_eq!(parse_complete(text), expected, "{text:?}");
+    }
+}
+
+#[test]
+fn part_of_a_request_is_incomplete() {
+    for text in ["", "GET /li", "GET /livez HTTP/1.1\r\nHost: a\r\n"] {
+        assert_eq!(parse(text.as_bytes()), Parsed::Incomplete, "{text:?}");
+    }
+}
+
+#[test]
+fn requests_that_two_parsers_could_read_differently_are_rejected() {
+    let cases = [
+        // Two lengths, a length and a coding, a coding alone, a body.
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n",
-            Parsed::Bad(400),
+            400,
         ),
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nContent-Length: 0\r\n\r\n",
-            Parsed::Bad(400),
+            400,
         ),
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n",
-            Parsed::Bad(501),
+            501,
         ),
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: \x0bchunked\r\n\r\n",
-            Parsed::Bad(400),
+            400,
         ),
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\nabcd",
-            Parsed::Bad(413),
+            413,
         ),
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: +0\r\n\r\n",
-            Parsed::Bad(400),
+            400,
         ),
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: \r\n\r\n",
-            Parsed::Bad(400),
-        ),
-        ("GET /livez HTTP/1.1\r\nHost : a\r\n\r\n", Parsed::Bad(400)),
-        (
-            "GET /livez HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n",
-            Parsed::Bad(400),
+            400,
         ),
-        ("GET /livez HTTP/1.1\nHost: a\n\n", Parsed::Bad(400)),
+        // Headers and line ends.
+        ("GET /livez HTTP/1.1\r\nHost : a\r\n\r\n", 400),
+        ("GET /livez HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", 400),
+        ("GET /livez HTTP/1.1\nHost: a\n\n", 400),
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nX: b\nContent-Length: 5\r\n\r\n",
-            Parsed::Bad(400),
-        ),
-        ("GET /livez HTTP/1.1\r\n\r\n", Parsed::Bad(400)),
-        (
-            "GET /livez HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n",
-            Parsed::Bad(400),
+            400,
         ),
+        ("GET /livez HTTP/1.1\r\n\r\n", 400),
+        ("GET /livez HTTP/1.1\r\nHost: a\r\nHost: b\r\n\r\n", 400),
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nExpect: 100-continue\r\n\r\n",
-            Parsed::Bad(417),
+            417,
         ),
-        ("POST /livez HTTP/1.1\r\nHost: a\r\n\r\n", Parsed::Bad(405)),
-        ("get /livez HTTP/1.1\r\nHost: a\r\n\r\n", Parsed::Bad(405)),
-        ("GET /livez HTTP/2.0\r\nHost: a\r\n\r\n", Parsed::Bad(505)),
-        ("GET  /livez HTTP/1.1\r\nHost: a\r\n\r\n", Parsed::Bad(400)),
-        ("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", Parsed::Bad(505)),
-        ("\x16\x03\x01\x02\x00", Parsed::Bad(400)),
-        (&long, Parsed::Bad(431)),
-        (&many, Parsed::Bad(431)),
     ];
-    for (text, expected) in cases {
-        let parsed = match parse(text.as_bytes()) {
-            Parsed::Request(request, length) => {
-                assert_eq!(length, text.len(), "{text:?}");
-                Parsed::Request(request, 0)
-            }
-            other => other,
-        };
-        assert_eq!(parsed, expected, "{text:?}");
+    for (text, status) in cases {
+        assert_eq!(parse(text.as_bytes()), Parsed::Rejected(status), "{text:?}");
+    }
+}
+
+#[test]
+fn other_methods_versions_and_protocols_are_rejected() {
+    for (text, status) in [
+        ("POST /livez HTTP/1.1\r\nHost: a\r\n\r\n", 405),
+        ("get /livez HTTP/1.1\r\nHost: a\r\n\r\n", 405),
+        ("GET /livez HTTP/2.0\r\nHost: a\r\n\r\n", 505),
+        ("GET  /livez HTTP/1.1\r\nHost: a\r\n\r\n", 400),
+        ("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n", 505),
+        ("\x16\x03\x01\x02\x00", 400),
+    ] {
+        assert_eq!(parse(text.as_bytes()), Parsed::Rejected(status), "{text:?}");
     }
-    let two = "GET /livez HTTP/1.1\r\nHost: a\r\n\r\nGET /readyz HTTP/1.1\r\nHost: a\r\n\r\n";
-    let Parsed::Request(first, length) = parse(two.as_bytes()) else {
+}
+
+#[test]
+fn requests_beyond_the_size_limits_are_rejected() {
+    let too_long = format!(
+        "GET /livez HTTP/1.1\r\nHost: a\r\nX: {}",
+        "x".repeat(MAX_REQUEST_BYTES)
+    );
+    let too_many_headers = format!(
+        "GET /livez HTTP/1.1\r\nHost: a\r\n{}\r\n",
+        "X: y\r\n".repeat(MAX_HEADERS)
+    );
+    for text in [&too_long, &too_many_headers] {
+        assert_eq!(parse(text.as_bytes()), Parsed::Rejected(431), "{text:?}");
+    }
+}
+
+#[test]
+fn pipelined_requests_are_parsed_one_after_the_other() {
+    let both = "GET /livez HTTP/1.1\r\nHost: a\r\n\r\nGET /readyz HTTP/1.1\r\nHost: a\r\n\r\n";
+
+    let Parsed::Request(first, length) = parse(both.as_bytes()) else {
         panic!("the first")
     };
-    let Parsed::Request(second, _) = parse(&two.as_bytes()[length..]) else {
+    let Parsed::Request(second, _) = parse(&both.as_bytes()[length..]) else {
         panic!("the second")
     };
+
     assert_eq!((first.target, second.target), (Target::Live, Target::Ready));
 }
 
 #[test]
 fn each_state_has_its_status_on_each_check() {
-    let ask = |target, report: &Report, around: &Surroundings| {
-        answer(
-            &Request {
-                method: Method::Get,
-                target,
-                keep: true,
-            },
-            report,
-            around,
-        )
-        .0
+    let not_started = ResponseContext {
+        has_started: false,
+        ..CONTEXT
     };
-    let unstarted = Surroundings {
-        started: false,
-        ..AROUND
-    };
-    let gone = Surroundings {
+    let drains_with_404 = ResponseContext {
         drain_status: 404,
-        ..AROUND
+        ..CONTEXT
     };
-    for (state, around, live, ready, startup) in [
-        (State::Starting, &unstarted, 200, 503, 503),
-        (State::Starting, &AROUND, 200, 200, 200),
-        (State::Up, &AROUND, 200, 200, 200),
-        (State::Degraded, &AROUND, 200, 200, 200),
-        (State::Drain, &AROUND, 200, 503, 200),
-        (State::Drain, &gone, 200, 404, 200),
-        (State::Maint, &gone, 200, 503, 200),
-        (State::Stopped, &AROUND, 503, 503, 200),
+    for (state, context, live, ready, startup) in [
+        (State::Starting, &not_started, 200, 503, 503),
+        (State::Starting, &CONTEXT, 200, 200, 200),
+        (State::Up, &CONTEXT, 200, 200, 200),
+        (State::Degraded, &CONTEXT, 200, 200, 200),
+        (State::Drain, &CONTEXT, 200, 503, 200),
+        (State::Drain, &drains_with_404, 200, 404, 200),
+        (State::Maint, &drains_with_404, 200, 503, 200),
+        (State::Stopped, &CONTEXT, 503, 503, 200),
     ] {
         let report = report(state, 100, None);
-        let found = [
+
+        let statuses = [
             Target::Live,
             Target::Ready,
             Target::Startup,
             Target::Health,
             Target::Unknown,
-        ];
-        let found = found.map(|target| ask(target, &report, around));
-        assert_eq!(found, [live, ready, startup, ready, 404], "{state}");
+        ]
+        .map(|target| respond(&get(target, Persistence::KeepAlive), &report, context).0);
+
+        assert_eq!(statuses, [live, ready, startup, ready, 404], "{state}");
     }
 }
 
 #[test]
-fn answers_have_the_headers_that_balancers_read_and_bodies_of_the_told_length() {
-    let text = |method, target, report: &Report| {
-        let (_, bytes) = answer(
-            &Request {
-                method,
-                target,
-                keep: false,
-            },
-            report,
-            &AROUND,
-        );
-        String::from_utf8(bytes).expect("text")
-    };
-    let low = report(State::Degraded, 30, Some(Code::LoopLate));
-    let said = text(Method::Get, Target::Ready, &low);
-    assert!(
-        said.contains("x-envoy-degraded: true\r\n") && said.ends_with("\r\n\r\ndegraded 30\n"),
-        "{said}"
-    );
-    assert!(
-        !text(
-            Method::Get,
-            Target::Ready,
-            &report(State::Degraded, 60, None)
-        )
-        .contains("x-envoy")
-    );
+fn envoy_is_sent_degraded_only_below_the_configured_weight() {
+    let low = report(State::Degraded, 30, Some(Signal::LoopLate));
+    let text = respond_text(Method::Get, Target::Ready, &low);
+    assert!(text.contains("x-envoy-degraded: true\r\n"), "{text}");
+    assert!(text.ends_with("\r\n\r\ndegraded 30\n"), "{text}");
+
+    let higher = report(State::Degraded, 60, None);
+    let text = respond_text(Method::Get, Target::Ready, &higher);
+    assert!(!text.contains("x-envoy"), "{text}");
+}
+
+#[test]
+fn response_to_head_has_the_headers_without_the_body() {
     let drain = report(State::Drain, 100, None);
-    let said = text(Method::Head, Target::Ready, &drain);
-    assert!(
-        said.contains("x-envoy-immediate-health-check-fail: true\r\n"),
-        "{said}"
-    );
-    assert!(
-        said.contains("Content-Length: 10\r\n") && said.ends_with("\r\n\r\n"),
-        "{said}"
-    );
-    let said = text(Method::Options, Target::Live, &drain);
+
+    let text = respond_text(Method::Head, Target::Ready, &drain);
+
     assert!(
-        said.starts_with("HTTP/1.1 204") && said.contains("Allow: GET, HEAD, OPTIONS"),
-        "{said}"
+        text.contains("x-envoy-immediate-health-check-fail: true\r\n"),
+        "{text}"
     );
-    let said = text(Method::Get, Target::Health, &low);
-    let (head, body) = said.split_once("\r\n\r\n").expect("a body");
+    assert!(text.contains("Content-Length: 10\r\n"), "{text}");
+    assert!(text.ends_with("\r\n\r\n"), "{text}");
+}
+
+#[test]
+fn response_to_options_names_the_allowed_methods() {
+    let drain = report(State::Drain, 100, None);
+
+    let text = respond_text(Method::Options, Target::Live, &drain);
+
+    assert!(text.starts_with("HTTP/1.1 204"), "{text}");
+    assert!(text.contains("Allow: GET, HEAD, OPTIONS"), "{text}");
+}
+
+#[test]
+fn health_is_reported_as_json_of_the_stated_length() {
+    let low = report(State::Degraded, 30, Some(Signal::LoopLate));
+
+    let text = respond_text(Method::Get, Target::Health, &low);
+
+    let (head, body) = text.split_once("\r\n\r\n").expect("a body");
     assert!(
         head.contains(&format!("Content-Length: {}", body.len())),
         "{head}"
     );
     assert!(head.contains("application/health+json"), "{head}");
     let json = simd_json::to_owned_value(&mut body.as_bytes().to_vec()).expect("JSON");
-    assert_eq!(
-        (json.get_str("status"), json.get_str("output")),
-        (Some("warn"), Some("loop-late"))
-    );
+    assert_eq!(json.get_str("status"), Some("warn"));
+    assert_eq!(json.get_str("output"), Some("loop-late"));
     assert_eq!(json.get_u64("weight"), Some(30));
 }
 
 #[test]
-fn a_body_is_json_whatever_was_measured() {
-    let mut odd = report(State::Up, 100, None);
-    odd.signals.push(Reading {
-        code: Code::AskAge,
-        value: f64::NAN,
-        badness: 1.0,
-        own: 1.0,
-        cap: 20.0,
-    });
-    odd.signals.push(Reading {
-        code: Code::Queues,
-        value: f64::INFINITY,
-        badness: 1.0,
-        own: 1.0,
-        cap: 20.0,
-    });
-    let mut body = health_json(&odd, &AROUND).encode().into_bytes();
+fn health_is_valid_json_for_values_that_are_not_finite() {
+    let reading = |signal, value| SignalReading {
+        signal,
+        value,
+        severity: 1.0,
+        own_severity: 1.0,
+        max_weight: 20.0,
+    };
+    let mut report = report(State::Up, 100, None);
+    report.signals.push(reading(Signal::RequestAge, f64::NAN));
+    report.signals.push(reading(Signal::Queues, f64::INFINITY));
+
+    let mut body = health_json(&report, &CONTEXT).encode().into_bytes();
+
     assert!(simd_json::to_owned_value(&mut body).is_ok());
 }
