--- a/src/net/health/mod.rs
+++ b/src/net/health/mod.rs
@@ -1,283 +1,276 @@
-//! The fronts for balancers: agent checks and HTTP checks.
+//! Health checks of load balancers: the listeners, and one task for each connection.
+//!
+//! What is reported comes from the [`reporter`]; the encodings are in `agent` and `http`.
 
 mod agent;
-pub mod gate;
+mod answers;
+pub mod connection_limiter;
 mod http;
-pub mod watch;
+pub mod reporter;
+mod state_json;
 
 use super::clients::AcceptFailed;
 use super::dispatch::Shared;
 use crate::operator;
+use agent::AgentLine;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
+use connection_limiter::{ConnectionLimiter, ConnectionPermit, Eviction};
 use futures_lite::{AsyncReadExt, AsyncWriteExt, future};
-use gate::{Away, Gate, Place};
 use std::io;
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use std::time::Duration;
 use task_placer::Micros;
-use task_placer::health::drain::{Check, Poller};
+use task_placer::health::drain::{CheckKind, Poller};
 use tracing::{debug, info};
 
-/// How long the peer may take to read its answer and close.
+/// How long a peer may take to read its answer and close.
 const LINGER: Micros = 1_000_000;
-const CHUNK: usize = 1_024;
+const READ_BUFFER_BYTES: usize = 1_024;
+/// What is read and dropped at most from a peer that does not close.
+const MAX_LINGER_BYTES: usize = 64 * READ_BUFFER_BYTES;
 
-/// Why a connection of a balancer ended; one log line each.
+/// Why a load balancer's connection was closed; logged once for each.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum End {
+enum CloseReason {
     Answered,
-    Closed,
+    ClosedByPeer,
     Failed(io::ErrorKind),
     Malformed,
-    Refused(u16),
-    Away(Away),
+    Rejected(u16),
+    Evicted(Eviction),
 }
 
-impl std::fmt::Display for End {
+impl std::fmt::Display for CloseReason {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            End::Answered => f.write_str("answered"),
-            End::Closed => f.write_str("closed"),
-            End::Failed(kind) => write!(f, "failed:{kind}"),
-            End::Malformed => f.write_str("malformed"),
-            End::Refused(status) => write!(f, "refused:{status}"),
-            End::Away(Away::Shed) => f.write_str("shed"),
-            End::Away(Away::Late) => f.write_str("late"),
+            CloseReason::Answered => f.write_str("answered"),
+            CloseReason::ClosedByPeer => f.write_str("closed"),
+            CloseReason::Failed(kind) => write!(f, "failed:{kind}"),
+            CloseReason::Malformed => f.write_str("malformed"),
+            CloseReason::Rejected(status) => write!(f, "rejected:{status}"),
+            CloseReason::Evicted(Eviction::LimitReached) => f.write_str("evicted"),
+            CloseReason::Evicted(Eviction::DeadlinePassed) => f.write_str("timeout"),
         }
     }
 }
 
-impl From<io::Error> for End {
-    fn from(e: io::Error) -> End {
-        End::Failed(e.kind())
+impl From<io::Error> for CloseReason {
+    fn from(error: io::Error) -> CloseReason {
+        CloseReason::Failed(error.kind())
     }
 }
 
-/// Opens all listeners and answers on them for the life of the process.
+/// Opens all listeners, and answers on them until the process exits.
+///
+/// # Errors
+///
+/// Returns the error of a listener that can't be opened, with the field of the operator's file that names it.
 pub fn open(
-    settings: &operator::Health,
+    settings: &operator::HealthSettings,
     executor: &Rc<LocalExecutor<'static>>,
     shared: &Shared,
 ) -> io::Result<()> {
-    let fronts = settings.agent.iter().map(|a| (Check::Agent, a));
-    for (check, address) in fronts.chain(settings.http.iter().map(|a| (Check::Http, a))) {
-        let listener = Async::<TcpListener>::bind(*address).map_err(|e| {
-            let field = if check == Check::Agent {
-                "health.agent"
-            } else {
-                "health.http"
-            };
-            io::Error::new(e.kind(), format!("{field}: can't listen at {address}: {e}"))
-        })?;
-        info!(?check, address = %listener.get_ref().local_addr()?, "answers balancers");
-        executor
-            .spawn(accept(check, listener, shared.clone()))
-            .detach();
+    for address in &settings.agent_addresses {
+        listen(CheckKind::Agent, *address, executor, shared)?;
+    }
+    for address in &settings.http_addresses {
+        listen(CheckKind::Http, *address, executor, shared)?;
     }
     Ok(())
 }
 
-async fn accept(check: Check, listener: Async<TcpListener>, shared: Shared) {
+fn listen(
+    check: CheckKind,
+    address: SocketAddr,
+    executor: &Rc<LocalExecutor<'static>>,
+    shared: &Shared,
+) -> io::Result<()> {
+    let listener = Async::<TcpListener>::bind(address).map_err(|error| {
+        let field = match check {
+            CheckKind::Agent => "health.agent",
+            CheckKind::Http => "health.http",
+        };
+        let message = format!("{field}: can't listen at {address}: {error}");
+        io::Error::new(error.kind(), message)
+    })?;
+    info!(?check, address = %listener.get_ref().local_addr()?, "answers balancers");
+    executor
+        .spawn(accept(check, listener, shared.clone()))
+        .detach();
+    Ok(())
+}
+
+async fn accept(check: CheckKind, listener: Async<TcpListener>, shared: Shared) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let dispatch = shared.borrow();
-                let gate = dispatch.gate.clone();
-                let place = gate.enter(dispatch.clock.now() + dispatch.poll_time(check));
-                let serving = serve(check, stream, peer, place, gate, shared.clone());
-                dispatch.tasks.spawn(serving);
+                let limiter = dispatch.gate.clone();
+                let deadline = dispatch.clock.now() + dispatch.poll_timeout(check);
+                let connection = Connection {
+                    check,
+                    stream,
+                    peer,
+                    permit: limiter.admit(deadline),
+                    limiter,
+                    shared: shared.clone(),
+                };
+                dispatch.tasks.spawn(connection.serve());
             }
-            Err(e) => AcceptFailed::pause(&shared, &e).await,
+            Err(error) => AcceptFailed::pause(&shared, &error).await,
         }
-        // Those that were sent away give their descriptors back before the next is taken.
+        // Evicted connections give their descriptors back before the next one is accepted.
         future::yield_now().await;
     }
 }
 
-async fn serve(
-    check: Check,
+/// A load balancer's connection.
+struct Connection {
+    check: CheckKind,
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    place: Place,
-    gate: Rc<Gate>,
+    permit: ConnectionPermit,
+    limiter: Rc<ConnectionLimiter>,
     shared: Shared,
-) {
-    let away = async { End::Away(place.away().await) };
-    let answering = async {
-        let end = match check {
-            Check::Agent => agent(&stream, peer, &shared).await,
-            Check::Http => http(&stream, peer, &place, &gate, &shared).await,
-        };
-        let end = end.unwrap_or_else(|end| end);
-        if matches!(end, End::Answered | End::Refused(_)) {
-            gate.stay(&place, shared.borrow().clock.now() + LINGER);
-            linger(&stream).await;
-        }
-        end
-    };
-    let end = future::or(answering, away).await;
-    gate.leave(&place);
-    match end {
-        // The ordinary end of a poll is no news: there are thousands an hour.
-        End::Answered | End::Closed => {
-            debug!(?check, %peer, reason = %end, "balancer connection ended")
+}
+
+impl Connection {
+    /// Answers until the connection ends, and logs why it did.
+    async fn serve(self) {
+        let evicted = async { CloseReason::Evicted(self.permit.evicted().await) };
+        let reason = future::or(self.answer_and_linger(), evicted).await;
+        self.limiter.release(&self.permit);
+        let (check, peer) = (self.check, self.peer);
+        match reason {
+            // The regular end of a poll: there are thousands an hour.
+            CloseReason::Answered | CloseReason::ClosedByPeer => {
+                debug!(?check, %peer, %reason, "balancer connection ended");
+            }
+            _ => info!(?check, %peer, %reason, "balancer connection ended"),
         }
-        _ => info!(?check, %peer, reason = %end, "balancer connection ended"),
     }
-}
 
-/// Ends our side, and reads off what still comes: closing on unread input would reset the connection and
-/// could take the answer along.
-pub async fn linger(stream: &Async<TcpStream>) {
-    let _ = stream.get_ref().shutdown(Shutdown::Write);
-    let (mut stream, mut scratch, mut count) = (stream, [0; CHUNK], 0);
-    while let Ok(n) = stream.read(&mut scratch).await {
-        count += n;
-        if n == 0 || count > 64 * CHUNK {
-            return;
+    async fn answer_and_linger(&self) -> CloseReason {
+        let result = match self.check {
+            CheckKind::Agent => self.answer_agent().await,
+            CheckKind::Http => self.answer_http().await,
+        };
+        let reason = result.unwrap_or_else(|reason| reason);
+        if matches!(reason, CloseReason::Answered | CloseReason::Rejected(_)) {
+            self.extend(LINGER);
+            linger(&self.stream).await;
         }
+        reason
+    }
+
+    /// Moves the deadline to `duration` from now.
+    fn extend(&self, duration: Micros) {
+        let deadline = self.shared.borrow().clock.now() + duration;
+        self.limiter.extend(&self.permit, deadline);
+    }
+
+    async fn answer_agent(&self) -> Result<CloseReason, CloseReason> {
+        let timeout = self.shared.borrow().agent_line_timeout();
+        let line = if timeout.is_zero() {
+            String::new()
+        } else {
+            let no_line = async {
+                Timer::after(timeout).await;
+                Ok(String::new())
+            };
+            future::or(self.read_agent_line(), no_line).await?
+        };
+        let poller = Poller {
+            kind: CheckKind::Agent,
+            name: format!("{} {line}", self.peer.ip()),
+        };
+        let answer = self.shared.borrow_mut().answer_agent_poll(&poller);
+        let mut stream = &self.stream;
+        stream.write_all(answer.as_bytes()).await?;
+        Ok(CloseReason::Answered)
     }
-}
 
-async fn agent(stream: &Async<TcpStream>, peer: SocketAddr, shared: &Shared) -> Result<End, End> {
-    let wait = shared.borrow().line_wait();
-    let line = async {
-        let (mut inbox, mut scratch, mut stream) = (Vec::new(), [0; CHUNK], stream);
+    /// Reads the line that a load balancer may send first.
+    async fn read_agent_line(&self) -> Result<String, CloseReason> {
+        let mut stream = &self.stream;
+        let (mut received, mut buffer) = (Vec::new(), [0; READ_BUFFER_BYTES]);
         loop {
-            match agent::sent(&inbox) {
-                agent::Sent::Line(line) => return Ok(line),
-                agent::Sent::Bad => return Err(End::Malformed),
-                agent::Sent::More => {}
+            match agent::parse_line(&received) {
+                AgentLine::Complete(line) => return Ok(line),
+                AgentLine::Malformed => return Err(CloseReason::Malformed),
+                AgentLine::Incomplete => {}
             }
-            let n = stream.read(&mut scratch).await?;
-            if n == 0 {
-                // It ends its side and may still read.
+            let count = stream.read(&mut buffer).await?;
+            if count == 0 {
+                // The peer has closed its side, and may still read.
                 return Ok(String::new());
             }
-            inbox.extend_from_slice(scratch.get(..n).unwrap_or_default());
+            received.extend_from_slice(buffer.get(..count).unwrap_or_default());
         }
-    };
-    let none = async {
-        Timer::after(wait).await;
-        Ok(String::new())
-    };
-    let line = if wait.is_zero() {
-        String::new()
-    } else {
-        future::or(line, none).await?
-    };
-    let answer = shared
-        .borrow_mut()
-        .agent_polled(Poller(Check::Agent, format!("{} {line}", peer.ip())));
-    let mut out = stream;
-    out.write_all(answer.as_bytes()).await?;
-    Ok(End::Answered)
-}
+    }
 
-async fn http(
-    mut stream: &Async<TcpStream>,
-    peer: SocketAddr,
-    place: &Place,
-    gate: &Gate,
-    shared: &Shared,
-) -> Result<End, End> {
-    let (mut inbox, mut scratch) = (Vec::new(), [0; CHUNK]);
-    loop {
-        match http::parse(&inbox) {
-            http::Parsed::More => {
-                let n = stream.read(&mut scratch).await?;
-                if n == 0 {
-                    return Ok(End::Closed);
-                }
-                if inbox.is_empty() {
-                    let dispatch = shared.borrow();
-                    gate.stay(
-                        place,
-                        dispatch.clock.now() + dispatch.poll_time(Check::Http),
-                    );
+    async fn answer_http(&self) -> Result<CloseReason, CloseReason> {
+        let mut stream = &self.stream;
+        let (mut received, mut buffer) = (Vec::new(), [0; READ_BUFFER_BYTES]);
+        loop {
+            match http::parse(&received) {
+                http::Parsed::Incomplete => {
+                    let count = stream.read(&mut buffer).await?;
+                    if count == 0 {
+                        return Ok(CloseReason::ClosedByPeer);
+                    }
+                    if received.is_empty() {
+                        let timeout = self.shared.borrow().poll_timeout(CheckKind::Http);
+                        self.extend(timeout);
+                    }
+                    received.extend_from_slice(buffer.get(..count).unwrap_or_default());
                 }
-                inbox.extend_from_slice(scratch.get(..n).unwrap_or_default());
-            }
-            http::Parsed::Bad(status) => {
-                stream.write_all(&http::refusal(status)).await?;
-                return Ok(End::Refused(status));
-            }
-            http::Parsed::Request(request, length) => {
-                inbox.drain(..length.min(inbox.len()));
-                let poller = Poller(Check::Http, peer.ip().to_string());
-                let answer = shared.borrow_mut().http_polled(poller, &request);
-                stream.write_all(&answer).await?;
-                if !request.keep {
-                    return Ok(End::Answered);
+                http::Parsed::Rejected(status) => {
+                    stream.write_all(&http::respond_rejected(status)).await?;
+                    return Ok(CloseReason::Rejected(status));
                 }
-                {
-                    let dispatch = shared.borrow();
-                    gate.stay(place, dispatch.clock.now() + dispatch.idle_time());
+                http::Parsed::Request(request, length) => {
+                    received.drain(..length.min(received.len()));
+                    self.respond(request).await?;
+                    if request.persistence == http::Persistence::Close {
+                        return Ok(CloseReason::Answered);
+                    }
+                    let timeout = self.shared.borrow().idle_timeout();
+                    self.extend(timeout);
+                    // A peer that polls without pause does not keep the thread to itself.
+                    future::yield_now().await;
                 }
-                // A peer that asks without pause does not keep the thread to itself.
-                future::yield_now().await;
             }
         }
     }
-}
-
-/// A duration as the clock counts.
-pub fn micros(duration: Duration) -> Micros {
-    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX / 4)
-}
-
-/// The answers, with what dispatch knows.
-impl super::dispatch::Dispatch {
-    /// How long a poll may take.
-    fn poll_time(&self, check: Check) -> Micros {
-        let settings = self.watch.as_ref().map(|watch| &watch.settings);
-        settings.map_or(LINGER, |s| match check {
-            Check::Agent => micros(s.line_wait) + LINGER,
-            Check::Http => micros(s.request_time),
-        })
-    }
-
-    fn idle_time(&self) -> Micros {
-        self.watch
-            .as_ref()
-            .map_or(LINGER, |watch| micros(watch.settings.idle))
-    }
 
-    fn line_wait(&self) -> Duration {
-        self.watch
-            .as_ref()
-            .map_or(Duration::ZERO, |watch| watch.settings.line_wait)
-    }
-
-    fn agent_polled(&mut self, poller: Poller) -> String {
-        let (now, budget) = (self.clock.now(), self.clients.budget(self.hosts_in_use()));
-        let Some(watch) = &mut self.watch else {
-            return String::new();
+    async fn respond(&self, request: http::Request) -> io::Result<()> {
+        let poller = Poller {
+            kind: CheckKind::Http,
+            name: self.peer.ip().to_string(),
         };
-        let maxconn = watch.settings.maxconn.then_some(budget);
-        agent::answer(&watch.polled(now, poller), maxconn)
+        let response = self.shared.borrow_mut().answer_http_poll(&poller, &request);
+        let mut stream = &self.stream;
+        stream.write_all(&response).await
     }
+}
 
-    fn http_polled(&mut self, poller: Poller, request: &http::Request) -> Vec<u8> {
-        let now = self.clock.now();
-        let Some(watch) = &mut self.watch else {
-            return http::refusal(503);
-        };
-        // Only what tells of a drain counts as a balancer's poll.
-        let polls = matches!(request.target, http::Target::Ready | http::Target::Health);
-        let report = if polls {
-            watch.polled(now, poller)
-        } else {
-            watch.report(now)
-        };
-        let around = http::Surroundings {
-            now,
-            started: watch.started() || report.state != task_placer::health::State::Starting,
-            drain_status: watch.settings.drain_status,
-            degraded_below: watch.settings.degraded_below,
-        };
-        http::answer(request, &report, &around).1
+/// Closes our side, and reads until the peer closes: closing with unread input would reset the connection, and
+/// the peer could lose the answer.
+pub async fn linger(stream: &Async<TcpStream>) {
+    let _ = stream.get_ref().shutdown(Shutdown::Write);
+    let (mut stream, mut buffer, mut total) = (stream, [0; READ_BUFFER_BYTES], 0);
+    while let Ok(count) = stream.read(&mut buffer).await {
+        total += count;
+        if count == 0 || total > MAX_LINGER_BYTES {
+            return;
+        }
     }
 }
+
+/// A duration as the clock counts.
+pub fn micros(duration: Duration) -> Micros {
+    Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX / 4)
+}
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -35,11 +35,11 @@
 }
 
 impl Queue {
-    fn new(settings: &operator::Log) -> Queue {
+    fn new(settings: &operator::LogSettings) -> Queue {
         let json = settings.format == LogFormat::Json;
         Queue {
             waiting: Vec::new(),
-            most: settings.queue,
+            most: settings.queue_bytes,
             dropped: 0,
             json,
             closed: false,
@@ -150,7 +150,7 @@
 }
 
 /// Sets the log up for the life of the process.
-pub fn start(settings: &operator::Log) {
+pub fn start(settings: &operator::LogSettings) {
     let sink = SINK
         .get_or_init(|| Sink(Arc::new(Mutex::new(Queue::new(settings)))))
         .clone();
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -23,9 +23,9 @@
 
 #[test]
 fn lines_wait_in_order_and_beyond_the_bound_they_are_dropped_whole_and_counted() {
-    let mut queue = Queue::new(&operator::Log {
-        queue: 30,
-        ..operator::Log::default()
+    let mut queue = Queue::new(&operator::LogSettings {
+        queue_bytes: 30,
+        ..operator::LogSettings::default()
     });
     let mut out = Narrow(5, Vec::new());
     for n in 0..6 {
@@ -59,7 +59,7 @@
             Ok(())
         }
     }
-    let mut queue = Queue::new(&operator::Log::default());
+    let mut queue = Queue::new(&operator::LogSettings::default());
     queue.push(b"line\n");
     queue.pump(&mut Broken, || false);
     assert!(!queue.closed && !queue.waiting.is_empty());
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -60,7 +60,7 @@
         // The known hosts are taken in before anyone can connect: a test that passes means ready.
         shared.borrow_mut().start();
         health::open(&operator.health, &executor, &shared)?;
-        if let Some(socket) = &operator.ctl {
+        if let Some(socket) = &operator.control_socket {
             let orders = ctl::open(socket, &executor, &shared)?;
             shared.borrow_mut().orders.push(orders);
         }
@@ -113,7 +113,7 @@
             }
         }
         clients::linger(&shared).await;
-        if let Some(socket) = &operator.ctl {
+        if let Some(socket) = &operator.control_socket {
             let _ = std::fs::remove_file(socket);
         }
         Ok(())
--- a/src/operator/reader.rs
+++ b/src/operator/reader.rs
@@ -1,218 +1,84 @@
-//! Reads values out of a TOML document, each with its place, and collects every problem on the way.
+//! Reads TOML table by table, and collects every problem with its position.
 //!
-//! `toml` parses; what it does not give is all problems at once and the place of each value, which an
-//! operator needs to mend a file in one go. A value that can't be read leaves its default in force here,
-//! and the problem is kept: whoever starts a program on the result looks at [`Reader::finish`] first.
+//! A value that can't be read leaves its default in effect, and the problem is kept: whoever starts a program
+//! with the result must look at the problems of [`Reader::finish`] first.
+
+mod value;
+
+pub use value::Value;
 
 use std::collections::BTreeSet;
 use std::ops::Range;
-use std::time::Duration;
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
+/// An unknown key is taken for a misspelled one up to this edit distance.
+const MAX_TYPO_DISTANCE: usize = 2;
+
+/// A position in the file; both count from 1.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Position {
+    /// The line.
+    pub line: usize,
+    /// The column, in characters.
+    pub column: usize,
+}
+
 /// Something wrong with the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Line and column, counted from 1; none for what has no place in the file.
-    pub place: Option<(usize, usize)>,
-    /// The field, such as `drain.notice`; empty where the file is no TOML.
+    /// Its position; `None` for what has none, such as a missing file.
+    pub position: Option<Position>,
+    /// The field, such as `drain.notice`; empty if the file is no TOML.
     pub field: String,
     /// What is wrong, and what was expected.
-    pub what: String,
+    pub message: String,
 }
 
 impl Problem {
-    /// As one line, with the file's name.
-    pub fn line(&self, file: &str) -> String {
-        let place = self
-            .place
-            .map(|(line, column)| format!(":{line}:{column}"))
+    /// Returns the problem as one line that begins with the name of the file.
+    pub fn render(&self, file: &str) -> String {
+        let position = self
+            .position
+            .map(|Position { line, column }| format!(":{line}:{column}"))
             .unwrap_or_default();
         let field = if self.field.is_empty() {
             String::new()
         } else {
             format!("{}: ", self.field)
         };
-        format!("{file}{place}: {field}{}", self.what)
+        format!("{file}{position}: {field}{}", self.message)
     }
 }
 
-/// A value in force: its field, itself, and the line that set it.
+/// A value that is in effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct InForce {
+pub struct EffectiveValue {
     /// Its field.
     pub field: String,
-    /// Itself, as the file would say it.
+    /// The value as it would be written in the file.
     pub value: String,
-    /// The line that set it; none for a default.
+    /// The line that sets it; `None` for a default.
     pub line: Option<usize>,
 }
 
-/// A type that a value of the file can be read as.
-pub trait Value: Sized {
-    /// What is expected, in words.
-    const EXPECTED: &'static str;
-    /// Reads it; what is wrong, where the type is right and the value is not.
-    fn read(value: &DeValue<'_>) -> Result<Self, String>;
-    /// As the file would say it.
-    fn show(&self) -> String;
-}
-
-fn wrong<T: Value>(value: &DeValue<'_>) -> String {
-    format!("expected {}, found {}", T::EXPECTED, value.type_str())
-}
-
-impl Value for bool {
-    const EXPECTED: &'static str = "true or false";
-
-    fn read(value: &DeValue<'_>) -> Result<bool, String> {
-        value.as_bool().ok_or_else(|| wrong::<bool>(value))
-    }
-
-    fn show(&self) -> String {
-        self.to_string()
-    }
-}
-
-impl Value for f64 {
-    const EXPECTED: &'static str = "a number";
-
-    fn read(value: &DeValue<'_>) -> Result<f64, String> {
-        let text = match value {
-            DeValue::Float(float) => float.as_str().to_string(),
-            DeValue::Integer(integer) if integer.radix() == 10 => integer.as_str().to_string(),
-            _ => return Err(wrong::<f64>(value)),
-        };
-        let number = text.parse::<f64>().ok().filter(|number| number.is_finite());
-        number.ok_or_else(|| format!("expected a finite number, found {text}"))
-    }
-
-    fn show(&self) -> String {
-        format!("{self:?}")
-    }
-}
-
-impl Value for u64 {
-    const EXPECTED: &'static str = "a whole number";
-
-    fn read(value: &DeValue<'_>) -> Result<u64, String> {
-        match value {
-            DeValue::Integer(integer) => u64::from_str_radix(integer.as_str(), integer.radix())
-                .map_err(|_| {
-                    format!(
-                        "expected a whole number from 0 on, found {}",
-                        integer.as_str()
-                    )
-                }),
-            _ => Err(wrong::<u64>(value)),
-        }
-    }
-
-    fn show(&self) -> String {
-        self.to_string()
-    }
-}
-
-impl Value for Duration {
-    const EXPECTED: &'static str = "a duration such as \"250ms\" or \"10s\"";
-
-    fn read(value: &DeValue<'_>) -> Result<Duration, String> {
-        let text = value.as_str().ok_or_else(|| wrong::<Duration>(value))?;
-        let read = humantime::parse_duration(text);
-        let read =
-            read.map_err(|e| format!("expected {}, found \"{text}\": {e}", Self::EXPECTED))?;
-        // Sums of durations with the clock stay far from their limits.
-        if read > Duration::from_secs(366 * 86_400) {
-            return Err(format!("expected at most a year, found \"{text}\""));
-        }
-        Ok(read)
-    }
-
-    fn show(&self) -> String {
-        format!(
-            "\"{}\"",
-            humantime::format_duration(*self)
-                .to_string()
-                .replace(' ', "")
-        )
-    }
-}
-
-impl Value for String {
-    const EXPECTED: &'static str = "a text";
-
-    fn read(value: &DeValue<'_>) -> Result<String, String> {
-        value
-            .as_str()
-            .map(str::to_string)
-            .ok_or_else(|| wrong::<String>(value))
-    }
-
-    fn show(&self) -> String {
-        format!("{self:?}")
-    }
-}
-
-impl Value for std::net::SocketAddr {
-    const EXPECTED: &'static str = "an address with a port, such as \"127.0.0.1:9100\"";
-
-    fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        let text = value.as_str().ok_or_else(|| wrong::<Self>(value))?;
-        text.parse()
-            .map_err(|_| format!("expected {}, found \"{text}\"", Self::EXPECTED))
-    }
-
-    fn show(&self) -> String {
-        format!("\"{self}\"")
-    }
-}
-
-impl Value for std::path::PathBuf {
-    const EXPECTED: &'static str = "an absolute path";
-
-    fn read(value: &DeValue<'_>) -> Result<Self, String> {
-        let text = value.as_str().ok_or_else(|| wrong::<Self>(value))?;
-        let path = std::path::PathBuf::from(text);
-        if path.is_absolute() {
-            Ok(path)
-        } else {
-            Err(format!("expected an absolute path, found \"{text}\""))
-        }
-    }
-
-    fn show(&self) -> String {
-        format!("{:?}", self.to_string_lossy())
-    }
-}
-
-impl<T: Value> Value for Vec<T> {
-    const EXPECTED: &'static str = "a list";
-
-    fn read(value: &DeValue<'_>) -> Result<Vec<T>, String> {
-        let items = value.as_array().ok_or_else(|| wrong::<Vec<T>>(value))?;
-        items
-            .iter()
-            .enumerate()
-            .map(|(n, item)| T::read(item.get_ref()).map_err(|e| format!("item {n}: {e}")))
-            .collect()
-    }
-
-    fn show(&self) -> String {
-        format!(
-            "[{}]",
-            self.iter().map(Value::show).collect::<Vec<_>>().join(", ")
-        )
-    }
-}
-
 /// A table of the file, or its absence.
 pub struct Section<'t> {
     path: String,
     table: Option<(&'t DeTable<'t>, Range<usize>)>,
-    known: BTreeSet<String>,
+    known_keys: BTreeSet<String>,
 }
 
-impl Section<'_> {
+impl<'t> Section<'t> {
+    fn new(path: String, table: Option<(&'t DeTable<'t>, Range<usize>)>) -> Section<'t> {
+        Section {
+            path,
+            table,
+            known_keys: BTreeSet::new(),
+        }
+    }
+
+    /// The full name of a key.
     fn field(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_string()
@@ -221,195 +87,176 @@
         }
     }
 
-    fn find(&self, key: &str) -> Option<&Spanned<DeValue<'_>>> {
+    fn find(&self, key: &str) -> Option<&'t Spanned<DeValue<'t>>> {
         let (table, _) = self.table.as_ref()?;
         table
             .iter()
             .find(|(name, _)| name.get_ref() == key)
             .map(|(_, value)| value)
     }
+
+    /// The known key that an unknown one was probably meant to be.
+    fn similar_key(&self, unknown: &str) -> Option<&String> {
+        let distance = |known: &&String| strsim::damerau_levenshtein(known, unknown);
+        self.known_keys
+            .iter()
+            .min_by_key(distance)
+            .filter(|known| distance(known) <= MAX_TYPO_DISTANCE)
+    }
 }
 
-/// The document while it is read.
+/// Reads a document.
 pub struct Reader<'t> {
     text: &'t str,
     problems: Vec<Problem>,
-    in_force: Vec<InForce>,
+    effective_values: Vec<EffectiveValue>,
 }
 
 impl<'t> Reader<'t> {
-    /// Begins with the parser's own problems.
+    /// Creates a reader that begins with the parser's own problems.
     pub fn new(text: &'t str, errors: &[toml::de::Error]) -> Reader<'t> {
         let mut reader = Reader {
             text,
             problems: Vec::new(),
-            in_force: Vec::new(),
+            effective_values: Vec::new(),
         };
         for error in errors {
-            let place = error.span().map(|span| reader.place(span.start));
-            reader.problems.push(Problem {
-                place,
-                field: String::new(),
-                what: error.message().to_string(),
-            });
+            let start = error.span().map(|span| span.start);
+            reader.add_problem(start, String::new(), error.message().to_string());
         }
         reader
     }
 
-    /// The document itself.
+    /// Returns the document as a section.
     pub fn root<'d>(&self, document: &'d Spanned<DeTable<'d>>) -> Section<'d> {
         let table = Some((document.get_ref(), document.span()));
-        Section {
-            path: String::new(),
-            table,
-            known: BTreeSet::new(),
-        }
+        Section::new(String::new(), table)
     }
 
-    /// A table within another; its absence is no problem.
+    /// Returns a table within another; its absence is no problem.
     pub fn section<'d>(&mut self, parent: &mut Section<'d>, key: &str) -> Section<'d> {
-        parent.known.insert(key.to_string());
+        parent.known_keys.insert(key.to_string());
         let path = parent.field(key);
-        let found = parent.table.as_ref().and_then(|(table, _)| {
-            table
-                .iter()
-                .find(|(name, _)| name.get_ref() == key)
-                .map(|(_, value)| value)
-        });
-        let table = match found.map(|value| (value.get_ref(), value.span())) {
+        let table = match parent
+            .find(key)
+            .map(|value| (value.get_ref(), value.span()))
+        {
             Some((DeValue::Table(table), span)) => Some((table, span)),
             Some((value, span)) => {
-                let what = format!("expected a table, found {}", value.type_str());
-                self.problem(Some(span.start), &path, what);
+                let message = format!("expected a table, found {}", value.type_str());
+                self.add_problem(Some(span.start), path.clone(), message);
                 None
             }
             None => None,
         };
-        Section {
-            path,
-            table,
-            known: BTreeSet::new(),
-        }
+        Section::new(path, table)
     }
 
-    /// The value of a key, or its default.
+    /// Returns the value of a key, or its default.
     pub fn value<T: Value>(&mut self, section: &mut Section<'_>, key: &str, default: T) -> T {
-        self.read(section, key).unwrap_or_else(|| {
-            let field = section.field(key);
-            self.in_force.push(InForce {
-                field,
-                value: default.show(),
-                line: None,
-            });
-            default
-        })
-    }
-
-    /// The value of a key, if the file has it.
-    pub fn optional<T: Value>(&mut self, section: &mut Section<'_>, key: &str) -> Option<T> {
-        self.read(section, key)
+        if let Some(value) = self.optional(section, key) {
+            return value;
+        }
+        self.effective_values.push(EffectiveValue {
+            field: section.field(key),
+            value: default.show(),
+            line: None,
+        });
+        default
     }
 
-    /// A value that must pass a check, or its default.
+    /// Returns a value that must pass a check, or its default.
     pub fn checked<T: Value>(
         &mut self,
         section: &mut Section<'_>,
         key: &str,
         default: T,
-        fits: impl Fn(&T) -> bool,
+        is_valid: impl Fn(&T) -> bool,
         expected: &str,
     ) -> T {
         let value = self.value(section, key, default);
-        if !fits(&value) {
-            let shown = value.show();
-            self.wrong(section, key, format!("expected {expected}, found {shown}"));
+        if !is_valid(&value) {
+            let found = value.show();
+            self.wrong(section, key, format!("expected {expected}, found {found}"));
         }
         value
     }
 
-    fn read<T: Value>(&mut self, section: &mut Section<'_>, key: &str) -> Option<T> {
-        section.known.insert(key.to_string());
+    /// Returns the value of a key, if the file has it.
+    pub fn optional<T: Value>(&mut self, section: &mut Section<'_>, key: &str) -> Option<T> {
+        section.known_keys.insert(key.to_string());
         let field = section.field(key);
         let found = section.find(key)?;
         let start = found.span().start;
         match T::read(found.get_ref()) {
             Ok(value) => {
-                let line = Some(self.place(start).0);
-                self.in_force.push(InForce {
+                self.effective_values.push(EffectiveValue {
                     field,
                     value: value.show(),
-                    line,
+                    line: Some(self.position(start).line),
                 });
                 Some(value)
             }
-            Err(what) => {
-                self.problem(Some(start), &field, what);
+            Err(error) => {
+                self.add_problem(Some(start), field, error.to_string());
                 None
             }
         }
     }
 
-    /// Notes a problem with the value of a key: at its place, or at that of its table.
-    pub fn wrong(&mut self, section: &Section<'_>, key: &str, what: String) {
-        let own = section.find(key).map(|value| value.span().start);
-        let start = own.or_else(|| section.table.as_ref().map(|(_, span)| span.start));
-        let field = section.field(key);
-        self.problem(start, &field, what);
+    /// Adds a problem with the value of a key, at its position or at that of its table.
+    pub fn wrong(&mut self, section: &Section<'_>, key: &str, message: String) {
+        let of_value = section.find(key).map(|value| value.span().start);
+        let of_table = section.table.as_ref().map(|(_, span)| span.start);
+        self.add_problem(of_value.or(of_table), section.field(key), message);
     }
 
-    /// Nothing more is read from a table: what is left there is unknown.
+    /// Ends the reading of a table: every key that was not asked for is unknown.
     pub fn close(&mut self, section: &Section<'_>) {
         let Some((table, _)) = &section.table else {
             return;
         };
-        for (name, _) in table
-            .iter()
-            .filter(|(name, _)| !section.known.contains(name.get_ref().as_ref()))
-        {
-            let alike = |known: &&String| strsim::damerau_levenshtein(known, name.get_ref());
-            let near = section
-                .known
-                .iter()
-                .min_by_key(alike)
-                .filter(|known| alike(known) <= 2);
-            let hint = near
+        for (name, _) in *table {
+            let key: &str = name.get_ref();
+            if section.known_keys.contains(key) {
+                continue;
+            }
+            let hint = section
+                .similar_key(key)
                 .map(|known| format!(", perhaps {known} is meant"))
                 .unwrap_or_default();
-            let known: Vec<&str> = section.known.iter().map(String::as_str).collect();
-            let what = format!("unknown{hint}; known here are {}", known.join(", "));
-            let field = section.field(name.get_ref());
-            self.problem(Some(name.span().start), &field, what);
+            let known: Vec<&str> = section.known_keys.iter().map(String::as_str).collect();
+            let message = format!("unknown{hint}; known here are {}", known.join(", "));
+            self.add_problem(Some(name.span().start), section.field(key), message);
         }
     }
 
-    /// The values in force, and all problems in the order of the file.
-    pub fn finish(mut self) -> (Vec<InForce>, Vec<Problem>) {
-        self.problems.sort_by_key(|problem| problem.place);
-        (self.in_force, self.problems)
+    /// Returns the effective values, and all problems in the order of the file.
+    pub fn finish(mut self) -> (Vec<EffectiveValue>, Vec<Problem>) {
+        self.problems.sort_by_key(|problem| problem.position);
+        (self.effective_values, self.problems)
     }
 
-    fn problem(&mut self, start: Option<usize>, field: &str, what: String) {
-        let place = start.map(|start| self.place(start));
+    fn add_problem(&mut self, start: Option<usize>, field: String, message: String) {
+        let position = start.map(|start| self.position(start));
         self.problems.push(Problem {
-            place,
-            field: field.to_string(),
-            what,
+            position,
+            field,
+            message,
         });
     }
 
-    /// Line and column of an offset, counted from 1, in characters.
-    fn place(&self, offset: usize) -> (usize, usize) {
+    /// The position of a byte offset.
+    fn position(&self, offset: usize) -> Position {
         let before = self
             .text
             .get(..offset.min(self.text.len()))
             .unwrap_or(self.text);
-        let line = before.matches('\n').count() + 1;
-        let column = before
-            .rsplit('\n')
-            .next()
-            .map_or(0, |last| last.chars().count())
-            + 1;
-        (line, column)
+        let current_line = before.rsplit('\n').next().unwrap_or_default();
+        Position {
+            line: before.matches('\n').count() + 1,
+            column: current_line.chars().count() + 1,
+        }
     }
 }
 
--- a/src/operator/reader/tests.rs
+++ b/src/operator/reader/tests.rs
@@ -1,12 +1,22 @@
-//! Tests of `reader.rs`.
+//! Tests of the reader.
 
 use super::*;
+use std::time::Duration;
 
-#[test]
-fn values_are_read_with_their_places_and_every_problem_is_found() {
-    let text = "a = \"250ms\"\nb = 3\n\n[t]\nc = true\nwiat = 1\nd = [1, \"x\"]\ne = \"soon\"\n";
-    let (document, errors) = DeTable::parse_recoverable(text);
-    let mut reader = Reader::new(text, &errors);
+/// The value of the only key of a document.
+fn read_only_value<T: Value>(text: &str) -> Option<T> {
+    let (document, _) = DeTable::parse_recoverable(text);
+    let (_, value) = document.get_ref().iter().next()?;
+    T::read(value.get_ref()).ok()
+}
+
+const TEXT: &str =
+    "a = \"250ms\"\nb = 3\n\n[t]\nc = true\nwiat = 1\nd = [1, \"x\"]\ne = \"soon\"\n";
+
+/// Reads [`TEXT`], checks the values that are valid, and returns the effective values and problems.
+fn read_text() -> (Vec<EffectiveValue>, Vec<Problem>) {
+    let (document, errors) = DeTable::parse_recoverable(TEXT);
+    let mut reader = Reader::new(TEXT, &errors);
     let mut root = reader.root(&document);
     assert_eq!(
         reader.value(&mut root, "a", Duration::ZERO),
@@ -21,8 +31,17 @@
     reader.value(&mut table, "e", Duration::ZERO);
     reader.close(&table);
     reader.close(&root);
-    let (in_force, problems) = reader.finish();
-    let lines: Vec<String> = problems.iter().map(|p| p.line("f.toml")).collect();
+    reader.finish()
+}
+
+#[test]
+fn every_problem_is_reported_with_its_position_field_and_expectation() {
+    let (_, problems) = read_text();
+
+    let lines: Vec<String> = problems
+        .iter()
+        .map(|problem| problem.render("f.toml"))
+        .collect();
     assert_eq!(lines.len(), 3, "{lines:#?}");
     assert!(
         lines[0]
@@ -34,12 +53,18 @@
         "{}",
         lines[2]
     );
-    assert!(in_force.contains(&InForce {
+}
+
+#[test]
+fn effective_values_name_the_line_that_sets_them_or_none_for_a_default() {
+    let (effective_values, _) = read_text();
+
+    assert!(effective_values.contains(&EffectiveValue {
         field: "a".into(),
         value: "\"250ms\"".into(),
         line: Some(1)
     }));
-    assert!(in_force.contains(&InForce {
+    assert!(effective_values.contains(&EffectiveValue {
         field: "t.wait".into(),
         value: "2".into(),
         line: None
@@ -47,19 +72,21 @@
 }
 
 #[test]
-fn what_is_no_toml_is_named_with_its_place() {
+fn syntax_errors_are_reported_with_their_position() {
     let text = "a = 1\nb = [1,\nc = = 2\n";
     let (_, errors) = DeTable::parse_recoverable(text);
+
     let (_, problems) = Reader::new(text, &errors).finish();
+
     assert!(
-        !problems.is_empty() && problems.iter().all(|p| p.place.is_some()),
+        !problems.is_empty() && problems.iter().all(|problem| problem.position.is_some()),
         "{problems:?}"
     );
 }
 
 #[test]
-fn durations_and_numbers_are_bounded() {
-    for (text, good) in [
+fn durations_have_a_unit_and_are_at_most_a_year() {
+    for (text, is_valid) in [
         ("\"1s\"", true),
         ("\"1s 500ms\"", true),
         ("\"\"", false),
@@ -68,16 +95,15 @@
         ("\"400days\"", false),
         ("\"1\"", false),
     ] {
-        let text = format!("v = {text}");
-        let (document, _) = DeTable::parse_recoverable(&text);
-        let value = document
-            .get_ref()
-            .iter()
-            .next()
-            .map(|(_, v)| Duration::read(v.get_ref()));
-        assert_eq!(value.is_some_and(|v| v.is_ok()), good, "{text}");
+        let value = read_only_value::<Duration>(&format!("v = {text}"));
+
+        assert_eq!(value.is_some(), is_valid, "{text}");
     }
-    for (text, good) in [
+}
+
+#[test]
+fn numbers_are_decimal_and_finite() {
+    for (text, is_valid) in [
         ("1", true),
         ("1.5", true),
         ("inf", false),
@@ -86,13 +112,8 @@
         ("1_000", true),
         ("\"1\"", false),
     ] {
-        let text = format!("v = {text}");
-        let (document, _) = DeTable::parse_recoverable(&text);
-        let value = document
-            .get_ref()
-            .iter()
-            .next()
-            .map(|(_, v)| f64::read(v.get_ref()));
-        assert_eq!(value.is_some_and(|v| v.is_ok()), good, "{text}");
+        let value = read_only_value::<f64>(&format!("v = {text}"));
+
+        assert_eq!(value.is_some(), is_valid, "{text}");
     }
 }
--- a/src/operator/tests.rs
+++ b/src/operator/tests.rs
@@ -1,29 +1,38 @@
-//! Tests of `operator`.
+//! Tests of the operator's file.
 
 use super::*;
+use task_placer::health::Settings;
 
 #[test]
-fn an_empty_file_is_the_defaults_and_the_example_states_them() {
+fn empty_file_is_the_defaults() {
     let empty = parse("");
-    assert_eq!(
-        (empty.operator, empty.problems),
-        (Operator::default(), vec![])
-    );
+
+    assert_eq!(empty.operator, Operator::default());
+    assert_eq!(empty.problems, []);
+}
+
+#[test]
+fn example_file_states_every_value_with_its_default_or_a_listener_to_try() {
     let example = parse(include_str!("../../deploy/operator.toml"));
+
     assert_eq!(example.problems, []);
-    assert_eq!(example.operator.health.engine, Settings::default());
-    assert!(example.operator.health.listens() && example.operator.drain == Some(Bounds::default()));
-    // Every value that can be set is in the example, with its default or a listener to try.
-    let unset: Vec<&InForce> = example
-        .in_force
+    assert_eq!(example.operator.health.monitor, Settings::default());
+    assert!(example.operator.health.listens());
+    assert_eq!(example.operator.drain, Some(DrainLimits::default()));
+    let not_stated: Vec<&EffectiveValue> = example
+        .effective_values
         .iter()
         .filter(|value| value.line.is_none())
         .collect();
-    assert_eq!(unset, Vec::<&InForce>::new(), "not in the example");
+    assert_eq!(
+        not_stated,
+        Vec::<&EffectiveValue>::new(),
+        "not in the example"
+    );
 }
 
 #[test]
-fn contradictions_and_values_out_of_range_are_found_all_at_once() {
+fn all_contradictions_and_values_out_of_range_are_reported_at_once() {
     let text = r#"
 [log]
 format = "xml"
@@ -52,7 +61,10 @@
     let fields: Vec<(usize, String)> = parse(text)
         .problems
         .into_iter()
-        .map(|p| (p.place.map_or(0, |(line, _)| line), p.field))
+        .map(|problem| {
+            let line = problem.position.map_or(0, |position| position.line);
+            (line, problem.field)
+        })
         .collect();
     let expected = [
         (3, "log.format"),
--- a/src/overload/admission.rs
+++ b/src/overload/admission.rs
@@ -19,7 +19,7 @@
 
 use super::hash::hash_fraction;
 use crate::Micros;
-use crate::health::sliding_window::Window;
+use crate::health::sliding_window::SlidingWindow;
 
 /// The fraction of one level's admissions that the next level admits.
 pub const LEVEL_FRACTION: f64 = 0.9;
@@ -158,11 +158,11 @@
     level: u8,
     level_since: Micros,
     /// Recent requests by bucket.
-    mix: Vec<Window>,
+    mix: Vec<SlidingWindow>,
     /// Requests within the last latency objective, admitted or not.
-    requests: Window,
+    requests: SlidingWindow,
     /// Starts within the last half of a latency objective.
-    starts: Window,
+    starts: SlidingWindow,
     outcomes: Outcomes,
     /// Starts per second under overload, as of the latest rise.
     capacity_per_second: f64,
@@ -177,9 +177,9 @@
             latency_objective,
             level: 0,
             level_since: 0,
-            mix: vec![Window::new(MIX_OBJECTIVES * latency_objective); BUCKETS],
-            requests: Window::new(latency_objective),
-            starts: Window::new(latency_objective / 2),
+            mix: vec![SlidingWindow::new(MIX_OBJECTIVES * latency_objective); BUCKETS],
+            requests: SlidingWindow::new(latency_objective),
+            starts: SlidingWindow::new(latency_objective / 2),
             outcomes: Outcomes::default(),
             capacity_per_second: 0.0,
         }
@@ -208,7 +208,11 @@
         if let Some(window) = self.mix.get_mut(bucket) {
             window.add(now, 1.0, 0.0);
         }
-        let counts: Vec<f64> = self.mix.iter().map(|window| window.sums(now).0).collect();
+        let counts: Vec<f64> = self
+            .mix
+            .iter()
+            .map(|window| window.sums(now).part)
+            .collect();
         let total = counts.iter().sum::<f64>().max(1.0);
         let ranked_before = counts.iter().take(bucket).sum::<f64>() / total;
         let in_bucket = counts.get(bucket).copied().unwrap_or(0.0) / total;
@@ -361,6 +365,6 @@
     admitted_fraction.ln() / LEVEL_FRACTION.ln()
 }
 
-fn per_second(now: Micros, window: &Window) -> f64 {
-    window.sums(now).0 * MICROS_PER_SECOND / window.length() as f64
+fn per_second(now: Micros, window: &SlidingWindow) -> f64 {
+    window.sums(now).part * MICROS_PER_SECOND / window.length() as f64
 }
--- a/src/overload/tenants.rs
+++ b/src/overload/tenants.rs
@@ -1,6 +1,6 @@
 //! How much of each tenant's load is within its quota, as far as one placer sees.
 
-use crate::health::sliding_window::Window;
+use crate::health::sliding_window::SlidingWindow;
 use crate::{Micros, Settings, TenantId};
 
 /// How long a tenant's requests are observed, in multiples of the shortest latency objective.
@@ -13,7 +13,7 @@
     /// New tasks per second over all placers; 0 is no limit.
     quota_per_second: f64,
     /// Recent requests at this placer.
-    requests: Window,
+    requests: SlidingWindow,
 }
 
 /// The recent requests of all tenants.
@@ -27,7 +27,7 @@
     pub fn new(settings: &Settings, latency_objective: Micros) -> TenantUsages {
         let tenants = settings.tenants.iter().map(|tenant| TenantUsage {
             quota_per_second: tenant.quota_tasks_per_second,
-            requests: Window::new(WINDOW_OBJECTIVES * latency_objective),
+            requests: SlidingWindow::new(WINDOW_OBJECTIVES * latency_objective),
         });
         TenantUsages {
             tenants: tenants.collect(),
@@ -43,7 +43,7 @@
         };
         usage.requests.add(now, 1.0, 0.0);
         let own_per_second =
-            usage.requests.sums(now).0 * MICROS_PER_SECOND / usage.requests.length() as f64;
+            usage.requests.sums(now).part * MICROS_PER_SECOND / usage.requests.length() as f64;
         let per_second = own_per_second * self.placer_count as f64;
         if usage.quota_per_second > 0.0 && per_second > usage.quota_per_second {
             usage.quota_per_second / per_second
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -208,7 +208,7 @@
         0,
         "closed with no answer"
     );
-    fronts.program.logged("reason=late");
+    fronts.program.logged("reason=timeout");
 }
 
 #[test]
@@ -256,7 +256,7 @@
     fronts.conns[0].up(&hex(1));
     assert_eq!(client.read().kind, 9);
     assert!(begun.elapsed() < SECOND, "{:?}", begun.elapsed());
-    fronts.program.logged("reason=shed");
+    fronts.program.logged("reason=evicted");
     drop(silent);
 }
 
--- a/tests/health_digest.rs
+++ b/tests/health_digest.rs
@@ -1,11 +1,15 @@
-//! Plays random events to the health engine and to a drain, and checks a digest of all that they report.
+//! Plays random events to the health monitor and to a drain, and checks a digest of all that they report.
 //!
 //! The digest covers codes and numbers as balancers and operators read them, so it does not depend on how the
 //! types are named.
 
 use std::fmt::Write;
-use task_placer::health::drain::{Bounds, Check, Drain, Effect, Hand, Poller};
-use task_placer::health::{Change, Event, Gauges, Health, Order, Settings, Zone};
+use task_placer::health::drain::{
+    AfterDrain, CheckKind, Drain, DrainLimits, Effect, Outstanding, Poller,
+};
+use task_placer::health::{
+    Change, Command, Event, Gauges, HealthMonitor, Settings, ZoneReachability,
+};
 use task_placer::{Micros, Outcome, OutcomeDetail};
 
 const SECOND: Micros = 1_000_000;
@@ -39,17 +43,17 @@
 /// Gauges that are bad only while `trouble` lasts.
 fn gauges(numbers: &mut Numbers, trouble: bool) -> Gauges {
     let most = if trouble { 1.0 } else { 0.05 };
-    let zones = (0..numbers.below(4)).map(|_| Zone {
+    let zones = (0..numbers.below(4)).map(|_| ZoneReachability {
         listed: 6,
         refused: numbers.below(if trouble { 3 } else { 1 }) as u32,
         silent: numbers.below(if trouble { 4 } else { 1 }) as u32,
     });
     let zones = zones.collect();
     Gauges {
-        oldest: numbers.fraction(4.0 * most),
+        oldest_request: numbers.fraction(4.0 * most),
         zones,
-        roomy: (numbers.below(2) == 0).then(|| numbers.fraction(1.0)),
-        full: numbers.fraction(most),
+        hosts_with_capacity: (numbers.below(2) == 0).then(|| numbers.fraction(1.0)),
+        full_hosts: numbers.fraction(most),
         descriptors: numbers.fraction(most),
         queues: numbers.fraction(most),
     }
@@ -57,9 +61,9 @@
 
 fn event(numbers: &mut Numbers, trouble: bool) -> Event {
     match numbers.below(40) {
-        0..=2 => Event::Look(gauges(numbers, trouble)),
-        3..=7 => Event::Answered {
-            in_aim: !trouble || numbers.below(2) == 0,
+        0..=2 => Event::GaugesSampled(gauges(numbers, trouble)),
+        3..=7 => Event::RequestAnswered {
+            within_objective: !trouble || numbers.below(2) == 0,
         },
         8..=12 => {
             let outcomes = [
@@ -70,28 +74,30 @@
             ];
             let kinds = if trouble { 4 } else { 1 };
             let (outcome, detail) = outcomes[numbers.below(kinds) as usize];
-            Event::Offer {
+            Event::AttemptEnded {
                 outcome,
                 detail,
-                stretch: numbers.fraction(1.0),
+                relative_duration: numbers.fraction(1.0),
             }
         }
-        13..=15 => Event::Connection {
-            turned_away: trouble && numbers.below(2) == 0,
+        13..=15 => Event::ClientConnected {
+            rejected: trouble && numbers.below(2) == 0,
         },
-        16..=20 if !trouble => Event::Feed,
-        21 | 22 => Event::Polled(numbers.below(20)),
-        23 if numbers.below(200) == 0 => {
-            Event::Order([Order::Drain, Order::Maint, Order::Ready][numbers.below(3) as usize])
-        }
-        24 if numbers.below(20) == 0 => Event::Order(Order::Ready),
-        _ => Event::Turn,
+        16..=20 if !trouble => Event::DiscoveryUpdated,
+        21 | 22 => Event::Polled {
+            poller: numbers.below(20),
+        },
+        23 if numbers.below(200) == 0 => Event::CommandReceived(
+            [Command::Drain, Command::Maint, Command::Ready][numbers.below(3) as usize],
+        ),
+        24 if numbers.below(20) == 0 => Event::CommandReceived(Command::Ready),
+        _ => Event::LoopIteration,
     }
 }
 
 fn play_health(seed: u64) -> u64 {
     let (mut numbers, mut digest) = (Numbers(seed), String::new());
-    let mut health = Health::new(Settings::default(), START);
+    let mut health = HealthMonitor::new(Settings::default(), START);
     let mut now = START;
     for step in 0..40_000 {
         // Now and then the loop stands still.
@@ -106,10 +112,18 @@
             match change {
                 Change::State(t) => {
                     let (from, to) = (t.from.as_str(), t.to.as_str());
-                    write!(digest, "s {} {from} {to} {} {};", t.at, t.why, t.weight)
+                    write!(
+                        digest,
+                        "s {} {from} {to} {} {};",
+                        t.at,
+                        t.reason.as_str(),
+                        t.weight
+                    )
                 }
-                Change::Weight(before, after, cause, fleet) => {
-                    let cause = cause.map_or("", |code| code.as_str());
+                Change::Weight(change) => {
+                    let cause = change.cause.map_or("", |signal| signal.as_str());
+                    let (before, after) = (change.before, change.after);
+                    let fleet = change.explained_by_fleet;
                     write!(digest, "w {before} {after} {cause} {fleet:.9};")
                 }
             }
@@ -126,11 +140,11 @@
             )
             .expect("a string takes all");
             for s in &report.signals {
-                let (code, value) = (s.code.as_str(), s.value);
+                let (code, value) = (s.signal.as_str(), s.value);
                 write!(
                     digest,
                     " {code} {value:.9} {:.9} {:.9} {:.9}",
-                    s.badness, s.own, s.cap
+                    s.severity, s.own_severity, s.max_weight
                 )
                 .expect("a string takes all");
             }
@@ -144,49 +158,65 @@
 
 fn play_drain(seed: u64) -> u64 {
     let (mut numbers, mut digest) = (Numbers(seed), String::new());
-    let mut drain = Drain::new(Bounds::default());
+    let mut drain = Drain::new(DrainLimits::default());
     for step in 0..20_000 {
         let now = START + step * 50_000;
         let busy = step % 4_000 < 1_500;
         let mut effects = match numbers.below(400) {
-            0 => drain.begin(now, numbers.below(4) == 0 && step > 12_000),
+            0 => {
+                let exits = numbers.below(4) == 0 && step > 12_000;
+                let after = if exits {
+                    AfterDrain::Exit
+                } else {
+                    AfterDrain::Wait
+                };
+                drain.begin(now, after)
+            }
             1 if busy => {
-                let (taken, effects) = drain.cancel(now);
-                write!(digest, "c {taken};").expect("a string takes all");
-                effects
+                let cancelled = drain.cancel(now);
+                write!(digest, "c {};", cancelled.is_ok()).expect("a string takes all");
+                cancelled.unwrap_or_default()
             }
             2..=60 => {
                 let number = numbers.below(6);
-                let check = if number < 4 {
-                    Check::Agent
+                let kind = if number < 4 {
+                    CheckKind::Agent
                 } else {
-                    Check::Http
+                    CheckKind::Http
                 };
-                drain.polled(now, Poller(check, number.to_string()));
+                let name = number.to_string();
+                drain.record_poll(now, &Poller { kind, name });
                 Vec::new()
             }
             _ => Vec::new(),
         };
         let most = if busy { 3 } else { 1 };
-        effects.extend(drain.look(
+        effects.extend(drain.advance(
             now,
-            Hand {
-                owed: numbers.below(most) as usize,
-                standing: numbers.below(most) as usize,
-                untold: 0,
-                unflushed: 0,
+            Outstanding {
+                pending_responses: numbers.below(most) as usize,
+                running_tasks: numbers.below(most) as usize,
+                unreported_ends: 0,
+                unflushed_connections: 0,
             },
         ));
         for effect in effects {
             match effect {
-                Effect::Tell(on) => write!(digest, "t {on};"),
-                Effect::CloseIdle(on) => write!(digest, "i {on};"),
-                Effect::Answer(within) => write!(digest, "a {within};"),
-                Effect::Entered(phase, why) => {
-                    let (pollers, seen) = drain.pollers(now);
-                    write!(digest, "{step} {} {why} {pollers} {seen};", phase.as_str())
+                Effect::AnnounceDrain => write!(digest, "t true;"),
+                Effect::WithdrawDrain => write!(digest, "t false;"),
+                Effect::StartClosingIdle => write!(digest, "i true;"),
+                Effect::StopClosingIdle => write!(digest, "i false;"),
+                Effect::AnswerAll { within } => write!(digest, "a {within};"),
+                Effect::Entered { phase, reason } => {
+                    let pollers = drain.pollers(now);
+                    let (why, live, seen) = (reason.as_str(), pollers.live, pollers.notified);
+                    write!(digest, "{step} {} {why} {live} {seen};", phase.as_str())
                 }
-                Effect::Exit(hand) => write!(digest, "x {} {};", hand.owed, hand.standing),
+                Effect::Exit { left } => write!(
+                    digest,
+                    "x {} {};",
+                    left.pending_responses, left.running_tasks
+                ),
             }
             .expect("a string takes all");
         }
--- a/tests/health_loop.rs
+++ b/tests/health_loop.rs
@@ -6,7 +6,7 @@
 
 use emulator::balance::{Advice, Balancer};
 use std::collections::VecDeque;
-use task_placer::health::{Change, Event, Gauges, Health, Settings, State};
+use task_placer::health::{Change, Event, Gauges, HealthMonitor, Settings, State};
 use task_placer::{Micros, Outcome, OutcomeDetail};
 
 const SECOND: Micros = 1_000_000;
@@ -24,7 +24,7 @@
 }
 
 struct Placer {
-    health: Health,
+    health: HealthMonitor,
     /// Tasks a second that it can handle.
     able: f64,
     waiting: f64,
@@ -57,7 +57,7 @@
     fn new(rule: Rule, placers: usize, interval: Micros) -> World {
         let now = 1_000 * SECOND;
         let placer = || Placer {
-            health: Health::new(Settings::default(), now),
+            health: HealthMonitor::new(Settings::default(), now),
             able: ABLE,
             waiting: 0.0,
             load: 0.0,
@@ -116,7 +116,7 @@
             if (now - phase) % self.interval == 0 {
                 changes_of(
                     &mut self.changes,
-                    &placer.health.handle(now, Event::Polled(0)),
+                    &placer.health.handle(now, Event::Polled { poller: 0 }),
                 );
                 let weight = match self.rule {
                     Rule::Ours => u32::from(placer.health.report(now).0.weight),
@@ -210,7 +210,7 @@
             for turn in 1..=10 {
                 changes.extend(
                     self.health
-                        .handle(now - STEP + turn * STEP / 10, Event::Turn),
+                        .handle(now - STEP + turn * STEP / 10, Event::LoopIteration),
                 );
             }
         }
@@ -228,16 +228,16 @@
             };
             changes.extend(self.health.handle(
                 now,
-                Event::Offer {
+                Event::AttemptEnded {
                     outcome,
                     detail,
-                    stretch: 0.1,
+                    relative_duration: 0.1,
                 },
             ));
             changes.extend(self.health.handle(
                 now,
-                Event::Answered {
-                    in_aim: !full && wait < AIM,
+                Event::RequestAnswered {
+                    within_objective: !full && wait < AIM,
                 },
             ));
         }
@@ -246,14 +246,14 @@
             let oldest = if refused > 0.0 { 2.0 } else { wait / AIM };
             changes.extend(self.health.handle(
                 now,
-                Event::Look(Gauges {
-                    oldest,
+                Event::GaugesSampled(Gauges {
+                    oldest_request: oldest,
                     ..Gauges::default()
                 }),
             ));
         }
         if self.feed && now % SECOND == 0 {
-            changes.extend(self.health.handle(now, Event::Feed));
+            changes.extend(self.health.handle(now, Event::DiscoveryUpdated));
         }
         let mut count = 0;
         changes_of(&mut count, &changes);
@@ -389,7 +389,7 @@
     for placers in [3, 30] {
         let mut world = World::settled(Rule::Ours, placers, 2 * SECOND);
         let now = world.now;
-        world.placers[0].health = Health::new(Settings::default(), now);
+        world.placers[0].health = HealthMonitor::new(Settings::default(), now);
         world.run(5);
         let (early, portion) = (world.share(0, 2), 1.0 / placers as f64);
         world.run(30);
--- a/tests/health_random.rs
+++ b/tests/health_random.rs
@@ -1,8 +1,12 @@
-//! The engine under random signals: what it tells stays in range, changes seldom, and no state is a trap.
+//! The health monitor under random events: reports stay in range and change seldom, and every state can be left.
 
 use proptest::prelude::*;
-use task_placer::health::drain::{Bounds, Check, Drain, Effect, Hand, Phase, Poller};
-use task_placer::health::{Change, Code, Event, Gauges, Health, Order, Settings, State, Zone};
+use task_placer::health::drain::{
+    AfterDrain, CheckKind, Drain, DrainLimits, Effect, Outstanding, Phase, Poller,
+};
+use task_placer::health::{
+    Change, Command, Event, Gauges, HealthMonitor, Settings, Signal, State, ZoneReachability,
+};
 use task_placer::{Micros, Outcome, OutcomeDetail};
 
 const SECOND: Micros = 1_000_000;
@@ -15,7 +19,7 @@
         3 => 0..300_000i64,
         1 => 0..8 * SECOND,
     ];
-    let zone = (0u32..6, 0u32..6, 0u32..6).prop_map(|(listed, refused, silent)| Zone {
+    let zone = (0u32..6, 0u32..6, 0u32..6).prop_map(|(listed, refused, silent)| ZoneReachability {
         listed,
         refused: refused.min(listed),
         silent: silent.min(listed),
@@ -29,13 +33,15 @@
         figure,
     )
         .prop_map(
-            |(oldest, zones, (roomy, full), descriptors, queues)| Gauges {
-                oldest,
-                zones,
-                roomy,
-                full,
-                descriptors,
-                queues,
+            |(oldest_request, zones, (hosts_with_capacity, full_hosts), descriptors, queues)| {
+                Gauges {
+                    oldest_request,
+                    zones,
+                    hosts_with_capacity,
+                    full_hosts,
+                    descriptors,
+                    queues,
+                }
             },
         );
     let outcome = prop_oneof![
@@ -50,22 +56,28 @@
         Just(OutcomeDetail::NoCores),
         Just(OutcomeDetail::NotEligible)
     ];
-    let offer =
-        (outcome, detail, 0.0..3.0f64).prop_map(|(outcome, detail, stretch)| Event::Offer {
-            outcome,
-            detail,
-            stretch,
+    let attempt_ended =
+        (outcome, detail, 0.0..3.0f64).prop_map(|(outcome, detail, relative_duration)| {
+            Event::AttemptEnded {
+                outcome,
+                detail,
+                relative_duration,
+            }
         });
-    let order = prop_oneof![Just(Order::Drain), Just(Order::Maint), Just(Order::Ready)];
+    let command = prop_oneof![
+        Just(Command::Drain),
+        Just(Command::Maint),
+        Just(Command::Ready)
+    ];
     let event = prop_oneof![
-        6 => Just(Event::Turn),
-        4 => gauges.prop_map(Event::Look),
-        4 => any::<bool>().prop_map(|in_aim| Event::Answered { in_aim }),
-        4 => offer,
-        2 => any::<bool>().prop_map(|turned_away| Event::Connection { turned_away }),
-        3 => Just(Event::Feed),
-        2 => (0..40u64).prop_map(Event::Polled),
-        1 => order.prop_map(Event::Order),
+        6 => Just(Event::LoopIteration),
+        4 => gauges.prop_map(Event::GaugesSampled),
+        4 => any::<bool>().prop_map(|within_objective| Event::RequestAnswered { within_objective }),
+        4 => attempt_ended,
+        2 => any::<bool>().prop_map(|rejected| Event::ClientConnected { rejected }),
+        3 => Just(Event::DiscoveryUpdated),
+        2 => (0..40u64).prop_map(|poller| Event::Polled { poller }),
+        1 => command.prop_map(Event::CommandReceived),
     ];
     (gap, event)
 }
@@ -74,76 +86,88 @@
     #![proptest_config(ProptestConfig { cases: 200, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn weights_stay_in_range_change_seldom_and_every_state_has_a_way_out(steps in prop::collection::vec(step(), 1..400)) {
-        let mut health = Health::new(Settings::default(), START);
-        let (mut now, mut changed, mut came_back) = (START, Vec::new(), 0);
+    fn reports_stay_in_range_and_change_seldom_and_a_quiet_time_leads_back_to_full_weight(steps in prop::collection::vec(step(), 1..400)) {
+        let mut monitor = HealthMonitor::new(Settings::default(), START);
+        let (mut now, mut weight_changes, mut returns) = (START, Vec::new(), 0);
         for (gap, event) in steps {
             now += gap;
-            if event == Event::Order(Order::Ready) && !health.state().serves() {
-                came_back += 1;
+            if event == Event::CommandReceived(Command::Ready) && !monitor.state().is_serving() {
+                returns += 1;
             }
-            let mut changes = health.handle(now, event);
-            let (report, more) = health.report(now);
+            let mut changes = monitor.handle(now, event);
+            let (report, more) = monitor.report(now);
             changes.extend(more);
             prop_assert!((1..=100).contains(&report.weight));
-            prop_assert!(report.signals.iter().all(|s| (0.0..=1.0).contains(&s.own) && (0.0..=100.0).contains(&s.cap)));
-            prop_assert_eq!(report.cause.is_none(), report.signals.iter().all(|s| s.cap >= 100.0));
+            prop_assert!(report.signals.iter().all(|s| (0.0..=1.0).contains(&s.own_severity) && (0.0..=100.0).contains(&s.max_weight)));
+            prop_assert_eq!(report.cause.is_none(), report.signals.iter().all(|s| s.max_weight >= 100.0));
             for change in changes {
-                if let Change::Weight(before, after, ..) = change {
-                    prop_assert_ne!(before, after);
-                    changed.push(now);
+                if let Change::Weight(change) = change {
+                    prop_assert_ne!(change.before, change.after);
+                    weight_changes.push(now);
                 }
             }
-            // Orders to come back start anew and are not the engine's flapping.
-            let lately = changed.iter().filter(|at| now - **at < 60 * SECOND).count();
-            prop_assert!(lately <= 32 * (1 + came_back), "{} changes within a minute", lately);
+            // A return to service starts anew; its changes are no oscillation.
+            let lately = weight_changes.iter().filter(|at| now - **at < 60 * SECOND).count();
+            prop_assert!(lately <= 32 * (1 + returns), "{} changes within a minute", lately);
         }
-        // Whatever was, a quiet while brings it back up.
-        health.handle(now, Event::Order(Order::Ready));
-        health.handle(now, Event::Look(Gauges::default()));
+
+        monitor.handle(now, Event::CommandReceived(Command::Ready));
+        monitor.handle(now, Event::GaugesSampled(Gauges::default()));
         for n in 0..=400 * SECOND / 10_000 {
-            health.handle(now + n * 10_000, if n % 100 == 0 { Event::Feed } else { Event::Turn });
+            let event = if n % 100 == 0 { Event::DiscoveryUpdated } else { Event::LoopIteration };
+            monitor.handle(now + n * 10_000, event);
         }
-        prop_assert_eq!((health.state(), health.weight()), (State::Up, 100));
+        prop_assert_eq!((monitor.state(), monitor.weight()), (State::Up, 100));
     }
 
     #[test]
-    fn a_drain_always_ends_within_its_bounds_and_exits_once(
+    fn drain_ends_within_its_limits_and_exits_once(
         polls in prop::collection::vec((0..40u8, 0..60_000i64), 0..200),
-        hands in prop::collection::vec((0..3usize, 0..3usize, 0..2usize, 0..2usize), 1..40),
-        again in prop::option::of(0..200_000i64),
+        outstanding in prop::collection::vec((0..3usize, 0..3usize, 0..2usize, 0..2usize), 1..40),
+        second_signal in prop::option::of(0..200_000i64),
     ) {
-        let bounds = Bounds::default();
-        let most = bounds.notice + bounds.answer + 2 * bounds.standing + bounds.last_end + 5 * SECOND;
-        let mut drain = Drain::new(bounds);
+        let limits = DrainLimits::default();
+        let max_duration = limits.max_announcement
+            + limits.max_answer_time
+            + 2 * limits.max_task_time
+            + limits.final_exit_time
+            + 5 * SECOND;
+        let mut drain = Drain::new(limits);
         for (n, gap) in &polls {
-            let check = if n % 2 == 0 { Check::Agent } else { Check::Http };
-            drain.polled(START - gap * 1_000, Poller(check, n.to_string()));
+            let kind = if n % 2 == 0 { CheckKind::Agent } else { CheckKind::Http };
+            drain.record_poll(START - gap * 1_000, &Poller { kind, name: n.to_string() });
         }
-        drain.begin(START, true);
+        drain.begin(START, AfterDrain::Exit);
         let (mut exits, mut ended) = (0, 0);
-        for n in 1..=most / 50_000 {
+        for n in 1..=max_duration / 50_000 {
             let now = START + n * 50_000;
-            if again.is_some_and(|ms| ms * 1_000 / 50_000 == n) {
-                drain.begin(now, true);
+            if second_signal.is_some_and(|ms| ms * 1_000 / 50_000 == n) {
+                drain.begin(now, AfterDrain::Exit);
             }
-            // In hand is whatever it is, changing each 3 s.
-            let (owed, standing, untold, unflushed) = hands[(n / 60) as usize % hands.len()];
-            for effect in drain.look(now, Hand { owed, standing, untold, unflushed }) {
-                if let Effect::Exit(_) = effect {
+            // What is outstanding changes every 3 s.
+            let (pending_responses, running_tasks, unreported_ends, unflushed_connections) =
+                outstanding[(n / 60) as usize % outstanding.len()];
+            let outstanding = Outstanding {
+                pending_responses,
+                running_tasks,
+                unreported_ends,
+                unflushed_connections,
+            };
+            for effect in drain.advance(now, outstanding) {
+                if let Effect::Exit { .. } = effect {
                     (exits, ended) = (exits + 1, n * 50_000);
                 }
             }
         }
-        prop_assert!(exits == 1 && drain.phase() == Phase::Over, "{} exits, {:?}", exits, drain.phase());
-        prop_assert!(ended <= most);
+        prop_assert!(exits == 1 && drain.phase() == Phase::Finished, "{} exits, {:?}", exits, drain.phase());
+        prop_assert!(ended <= max_duration);
     }
 }
 
 #[test]
-fn every_signal_has_a_code_of_its_own() {
-    let mut codes: Vec<&str> = Code::ALL.iter().map(|code| code.as_str()).collect();
+fn codes_of_signals_are_unique() {
+    let mut codes: Vec<&str> = Signal::ALL.iter().map(|signal| signal.as_str()).collect();
     codes.sort_unstable();
     codes.dedup();
-    assert_eq!(codes.len(), Code::ALL.len());
+    assert_eq!(codes.len(), Signal::ALL.len());
 }
