--- /dev/null
+++ b/crates/emulator/src/load_balancer/mod.rs
@@ -0,0 +1,12 @@
+//! A common load balancer in front of placers: as pure state for models, on sockets for tests, and the clients
+//! that connect through it.
+
+mod agent_report;
+mod balancer;
+pub mod clients;
+pub mod polling;
+#[cfg(test)]
+mod tests;
+
+pub use agent_report::{AdminState, AgentReport, InvalidAgentReport, parse_agent_report};
+pub use balancer::{CheckResult, LoadBalancer, Server};
--- a/src/net/codec/lines/tests.rs
+++ b/src/net/codec/lines/tests.rs
@@ -3,35 +3,35 @@
 use super::*;
 
 #[test]
-fn lines_are_read_by_type() {
+fn lines_are_read_by_their_type() {
     let cases = [
         (
             r#""t":"up","f":{},"d":"a\r\nb""#,
-            HostWord::Up("a\r\nb".into()),
+            HostMessage::Started("a\r\nb".into()),
         ),
-        (r#""t":"up","d":"""#, HostWord::Up(String::new())),
+        (r#""t":"up","d":"""#, HostMessage::Started(String::new())),
         (
             r#""t":"down","f":{"note":"nc"},"c":34"#,
-            HostWord::Down(34, OutcomeDetail::NoCores),
+            HostMessage::Released(34, OutcomeDetail::NoCores),
         ),
         (
             r#""t":"down","f":{"note":"pre"},"c":41"#,
-            HostWord::Down(41, OutcomeDetail::Preempted),
+            HostMessage::Released(41, OutcomeDetail::Preempted),
         ),
         (
             r#""t":"down","f":{},"c":16"#,
-            HostWord::Down(16, OutcomeDetail::Unknown),
+            HostMessage::Released(16, OutcomeDetail::Unknown),
         ),
         (
             r#""t":"tell","f":{"note":"m","value":"1.5"}"#,
-            HostWord::Tell(TaskReport::Memory, 1.5),
+            HostMessage::Report(TaskReport::Memory, 1.5),
         ),
         (
             r#""t":"tell","f":{"note":"s","value":0.25}"#,
-            HostWord::Tell(TaskReport::ServiceLevel, 0.25),
+            HostMessage::Report(TaskReport::ServiceLevel, 0.25),
         ),
-        (r#""t":"wait","f":{}"#, HostWord::Other),
-        (r#""t":"unheard of""#, HostWord::Other),
+        (r#""t":"wait","f":{}"#, HostMessage::Other),
+        (r#""t":"unheard of""#, HostMessage::Other),
     ];
     for (rest, word) in cases {
         let mut line = format!(r#"{{"ref":"9b1f03aa5c7e2d41",{rest}}}"#).into_bytes();
@@ -44,8 +44,8 @@
 }
 
 #[test]
-fn bad_lines_are_typed_errors() {
-    let deep = "[".repeat(MOST_BYTES);
+fn malformed_lines_are_typed_errors() {
+    let deep = "[".repeat(MAX_MESSAGE_BYTES);
     let cases = [
         ("", Malformed::Json),
         ("{", Malformed::Json),
@@ -88,9 +88,9 @@
 }
 
 #[test]
-fn an_offer_carries_all_and_is_one_line() {
+fn attempt_is_encoded_with_all_fields_in_one_line() {
     let text = "a\r\n\"b\"\\\u{7}é";
-    let mut line = offer(TaskId(0x41), "batch", "7f3a", 1500, text).expect("it fits");
+    let mut line = start_task(TaskId(0x41), "batch", "7f3a", 1500, text).expect("it fits");
     assert_eq!(line.iter().filter(|b| **b == b'\n').count(), 1);
     line.pop();
     let value = simd_json::to_owned_value(&mut line).expect("JSON");
@@ -105,12 +105,12 @@
     );
     assert_eq!(value.get_str("d"), Some(text));
     assert_eq!(
-        offer(
+        start_task(
             TaskId(1),
             "batch",
             "7f3a",
             1500,
-            &"\u{1}".repeat(MOST_BYTES / 6)
+            &"\u{1}".repeat(MAX_MESSAGE_BYTES / 6)
         ),
         None
     );
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -1,53 +1,62 @@
-//! Owns one state per request: who is owed what. Everything that happens on a socket or the wheel ends here, is told to
-//! the facade, and comes back as verdicts. It never waits, and never decides where a task goes.
+//! Owns the requests and the state of each of them, and connects the sockets and timers with the decision module. It
+//! never waits, and never decides where a task is placed.
 //!
-//! This is the only place that sends a final answer, and of its modules only `answers` does.
+//! Whatever happens on a socket or fires on the wheel arrives here, is reported to the facade, and comes back as
+//! decisions. This is the only place that sends final responses, and of its modules only `responses` does.
 //!
 //! ```text
-//!    client_messages ──┐                            carry_out
-//!    host_messages ────┤  tell   ┌──────────┐ ─────────────────▶ offers, answers, standing
-//!    feed_messages ────┼───────▶ │ verdicts │                       │
-//!    links ────────────┤         └──────────┘                       │ through links (connections to hosts),
-//!    timers ───────────┘           │      ▲                         │ of which slots says how many there may be,
-//!                             news ▼      │ verdicts                ▼ and clients
-//!                                 facade::Facade                   peers
+//!    client_messages ──────┐                               apply_decisions
+//!    host_messages ────────┤ report_event ┌───────────┐ ──────────────────▶ attempts, responses, running_tasks
+//!    discovery, endpoint_  │              │ decisions │                                  │
+//!      updates ────────────┼────────────▶ └───────────┘                                  │ host_connections (within the
+//!    host_connections ─────┤                │       ▲                                    │ slots of connection_slots),
+//!    timers ───────────────┘          event ▼       │ decisions                          ▼ clients
+//!                                       facade::Facade                                  peers
 //! ```
 //!
-//! `requests` holds the states and draws them, `at_hosts` lists them by host. `shutdown`, `operating`, `watching` and
-//! `bounds` are what the platform and operators see of the process.
+//! `request` and `timer_event` hold the data; `requests` owns the table and draws the states; `request_index` lists
+//! requests by host. `shutdown`, `admin_commands`, `health_inputs` and `overload_report` are what the platform and
+//! operators see of the process. The connection modules (`clients`, `hosts`, `feed`) know nothing of dispatch: it
+//! implements their event traits.
 
-mod answers;
-mod at_hosts;
-mod bounds;
+mod admin_commands;
+mod attempts;
 mod client_messages;
-mod feed_messages;
+mod connection_slots;
+mod decisions;
+mod discovery;
+mod endpoint_updates;
+mod health_inputs;
+mod host_connections;
 mod host_messages;
-mod invalid_set_up;
-mod links;
-mod offers;
-mod operating;
+mod invalid_task_request;
+mod overload_log;
+mod overload_report;
+mod request;
+mod request_index;
 mod requests;
+mod responses;
+mod running_tasks;
 mod shutdown;
-mod slots;
-mod standing;
+mod timer_event;
 mod timers;
-mod verdicts;
-mod watching;
 
 use super::clients::Clients;
 use super::clock::Clock;
 use super::codec::TaskId;
-use super::codec::feed::FeedLine;
+use super::codec::feed::FeedMessage;
 use super::config::{Config, Limits};
 use super::conn;
+use super::feed::FeedEvents;
 use super::health::connection_limiter::ConnectionLimiter;
 use super::health::reporter::HealthReporter;
-use super::hosts::{Link, Round};
+use super::hosts::{ConnectionId, HostLink};
 use super::wheel::Wheel;
 use crate::operator::Operator;
 use async_executor::LocalExecutor;
-use at_hosts::AtHosts;
-use requests::{Ended, Request};
+use overload_log::OverloadLog;
+use request::{EndedTask, Request};
+use request_index::RequestIndex;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::{Rc, Weak};
@@ -56,34 +65,37 @@
 use task_placer::operation::counters::RequestCounters;
 use task_placer::operation::lifecycle::Lifecycle;
 use task_placer::operation::process_group::ProcessGroup;
-use task_placer::settings::Names;
-use task_placer::{HostId, Micros};
-use timers::{Due, SWEEP};
+use task_placer::{HostId, Micros, Settings};
+use timer_event::{SWEEP_INTERVAL, TimerEvent};
 use tracing::info;
 
-const MILLI: Micros = 1_000;
-/// Operators' callers at a time. Guards the descriptors, which are set apart from the clients' and the hosts'; one
-/// that has said half a line makes room for the next.
-pub const MOST_CALLERS: usize = 8;
-/// The part of the memory that queues may fill.
-const QUEUES: usize = 6;
+const MILLISECOND: Micros = 1_000;
+/// Admin connections at a time. Bounds their descriptors, which are set apart from the clients' and the hosts'; one that
+/// has sent part of a line is evicted for the next.
+pub const MAX_ADMIN_CONNECTIONS: usize = 8;
+/// Descriptors of health check connections that are closing while others take their places.
+const CLOSING_HEALTH_CONNECTIONS: usize = 4;
+/// Descriptors of the control socket: its listener, its connections, and one that is closing.
+const CTL_DESCRIPTORS: usize = 6;
+/// Write queues may fill one part in this many of the memory.
+const QUEUE_MEMORY_DIVISOR: usize = 6;
 
-/// The shared dispatch.
+/// The dispatch, as its tasks share it.
 pub type Shared = Rc<RefCell<Dispatch>>;
 
-/// Starts tasks that share the dispatch.
+/// Spawns tasks that share the dispatch.
 pub struct Tasks {
     shared: Weak<RefCell<Dispatch>>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
 impl Tasks {
-    /// Tasks of this executor.
+    /// Creates a spawner of tasks on this executor.
     pub fn new(shared: Weak<RefCell<Dispatch>>, executor: Rc<LocalExecutor<'static>>) -> Tasks {
         Tasks { shared, executor }
     }
 
-    /// Starts one.
+    /// Spawns a task, which runs until it ends by itself.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
@@ -94,99 +106,70 @@
     pub(super) clock: Clock,
     pub(super) tasks: Tasks,
     pub(super) clients: Clients,
+    /// The placer's name, for the log.
     name: String,
     facade: Facade,
-    wheel: Wheel<Due>,
-    hosts: BTreeMap<HostId, Link>,
-    /// Hosts that have not taken what is queued for them, while offers wait behind it.
-    clogged: BTreeSet<HostId>,
-    /// Hosts that are not gone.
-    in_use: usize,
-    /// Which of them have a connection.
-    pool: ConnectionPool<HostId, (HostId, Round)>,
-    /// The requests by the host that they are at.
-    at_hosts: AtHosts,
+    wheel: Wheel<TimerEvent>,
+    hosts: BTreeMap<HostId, HostLink>,
+    /// Hosts that have not taken what is queued for them, while attempts wait behind it.
+    backlogged_hosts: BTreeSet<HostId>,
+    /// The number of hosts that have not been removed.
+    active_hosts: usize,
+    /// Decides which hosts have a connection.
+    connection_pool: ConnectionPool<HostId, (HostId, ConnectionId)>,
+    request_index: RequestIndex,
     requests: BTreeMap<Ticket, Request>,
-    by_id: BTreeMap<TaskId, Ticket>,
-    ended: BTreeMap<TaskId, Ended>,
+    tickets_by_task: BTreeMap<TaskId, Ticket>,
+    ended_tasks: BTreeMap<TaskId, EndedTask>,
     next_ticket: u64,
     connect_timeout: Micros,
-    /// Hosts are called before anything is wanted of them: where connections have no price.
-    warm: bool,
-    known: Vec<FeedLine>,
-    feed_up: bool,
-    /// When the process began to close.
-    closing_since: Option<Micros>,
-    /// What balancers are told, where an operator's file asks for it.
-    pub(super) watch: Option<HealthReporter>,
-    /// The connections of balancers.
-    pub(super) gate: Rc<ConnectionLimiter>,
-    /// And of operators.
-    pub(super) orders: Vec<Rc<ConnectionLimiter>>,
-    /// A drain is over.
-    drained: bool,
-    /// Whether this process takes requests, by the platform's orders.
+    /// Hosts are connected to before anything is needed of them: where connections have no price.
+    preconnects: bool,
+    /// The feed messages that the configuration holds, until [`Dispatch::start`] takes them.
+    cached_updates: Vec<FeedMessage>,
+    is_discovery_up: bool,
+    /// When the shutdown began.
+    shutdown_since: Option<Micros>,
+    /// The health engine, where an operator's file asks for it.
+    pub(super) health_reporter: Option<HealthReporter>,
+    /// The connections of load balancers.
+    pub(super) balancer_connections: Rc<ConnectionLimiter>,
+    /// The connections of operators and of the platform.
+    pub(super) operator_connections: Vec<Rc<ConnectionLimiter>>,
+    /// A drain is over, and the process may exit.
+    is_drained: bool,
+    /// Whether this process takes requests, by the platform's commands.
     lifecycle: Lifecycle,
-    /// What it has done.
+    /// What this process has done, by class.
     pub(super) counters: RequestCounters,
-    /// What the placer may hold, and which other processes of it there are.
+    /// The limits of the placer, which its processes share.
     limits: Limits,
     process_group: ProcessGroup,
     /// The listening socket is the platform's, and other processes of this placer accept from it.
-    pub(super) inherits: bool,
-    /// Balancers' drain, or maintenance, wants connections closed that carry no task.
-    closes_idle: bool,
+    pub(super) shares_listener: bool,
+    /// A load balancers' drain, or maintenance, requires connections without a task to be closed.
+    closes_idle_clients: bool,
     /// Clients can connect.
-    pub(super) listens: bool,
-    /// What of the engine of overloads was logged.
-    logged: bounds::Logged,
+    pub(super) is_listening: bool,
+    overload_log: OverloadLog,
 }
 
 impl Dispatch {
-    /// A dispatch that has yet to take in what the configuration knows.
+    /// Creates a dispatch; [`Dispatch::start`] takes in the cached endpoint list.
     pub fn new(config: Config, operator: &Operator, tasks: Tasks) -> Dispatch {
         let clock = Clock::default();
         let now = clock.now();
-        let connect_timeout = config.settings.connect_timeout;
-        let warm = config.settings.price_handshake <= 0.0;
-        let watch = operator
-            .uses_health_monitor()
-            .then(|| HealthReporter::new(operator, now));
-        // The listeners, their connections, and those that are on their way out.
-        let listeners =
-            operator.health.agent_addresses.len() + operator.health.http_addresses.len();
-        let polls = if operator.health.listens() {
-            operator.health.max_connections + 4
-        } else {
-            0
-        };
-        let calls = if config.admin.is_some() {
-            MOST_CALLERS + 1
-        } else {
-            0
-        };
-        let apart = listeners
-            + polls
-            + calls
-            + if operator.control_socket.is_some() {
-                6
-            } else {
-                0
-            };
-        // What a cold host was sent is looked back on for that time, and counted by clocks that differ.
-        let process_group = ProcessGroup::new(
-            2 * config
-                .settings
-                .collapse_window
-                .max(config.settings.connect_timeout),
-        );
-        let counters = RequestCounters::new(config.names.classes.len());
-        conn::bound_queues(config.limits.memory / QUEUES);
+        let reserved = reserved_descriptors(&config, operator);
+        let accounting_window = slow_start_accounting_window(&config.settings);
+        conn::set_max_queued_bytes(config.limits.memory_bytes / QUEUE_MEMORY_DIVISOR);
         Dispatch {
             clock,
             tasks,
-            clients: Clients::new(config.limits.sockets, apart),
+            clients: Clients::new(config.limits.descriptors, reserved),
             name: config.name,
+            connect_timeout: config.settings.connect_timeout,
+            preconnects: config.settings.price_handshake <= 0.0,
+            counters: RequestCounters::new(config.names.classes.len()),
             facade: Facade::with_overload_control(
                 config.settings,
                 config.names,
@@ -197,73 +180,97 @@
             ),
             wheel: Wheel::new(now),
             hosts: BTreeMap::new(),
-            clogged: BTreeSet::new(),
-            in_use: 0,
-            pool: ConnectionPool::new(usize::MAX),
-            at_hosts: AtHosts::default(),
+            backlogged_hosts: BTreeSet::new(),
+            active_hosts: 0,
+            connection_pool: ConnectionPool::new(usize::MAX),
+            request_index: RequestIndex::default(),
             requests: BTreeMap::new(),
-            by_id: BTreeMap::new(),
-            ended: BTreeMap::new(),
+            tickets_by_task: BTreeMap::new(),
+            ended_tasks: BTreeMap::new(),
             next_ticket: 0,
-            connect_timeout,
-            warm,
-            known: config.known,
-            feed_up: false,
-            closing_since: None,
-            watch,
-            gate: Rc::new(ConnectionLimiter::new(operator.health.max_connections)),
-            orders: Vec::new(),
+            cached_updates: config.cached_updates,
+            is_discovery_up: false,
+            shutdown_since: None,
+            health_reporter: operator
+                .uses_health_monitor()
+                .then(|| HealthReporter::new(operator, now)),
+            balancer_connections: Rc::new(ConnectionLimiter::new(operator.health.max_connections)),
+            operator_connections: Vec::new(),
+            is_drained: false,
             lifecycle: Lifecycle::default(),
-            counters,
             limits: config.limits,
-            process_group,
-            inherits: false,
-            closes_idle: false,
-            listens: false,
-            drained: false,
-            logged: bounds::Logged::default(),
+            process_group: ProcessGroup::new(accounting_window),
+            shares_listener: false,
+            closes_idle_clients: false,
+            is_listening: false,
+            overload_log: OverloadLog::default(),
         }
     }
 
-    /// Takes in the events that the configuration holds.
+    /// Starts the sweep, and takes in the endpoint list that the configuration holds.
     pub fn start(&mut self) {
         let now = self.clock.now();
-        self.wheel.add(now + SWEEP, Due::Sweep);
-        for (i, event) in std::mem::take(&mut self.known).into_iter().enumerate() {
-            self.name_aside(&event.aside);
-            let Some((whole, hosts)) = event.members else {
+        self.wheel.add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
+        let cached_updates = std::mem::take(&mut self.cached_updates);
+        for (index, message) in cached_updates.into_iter().enumerate() {
+            self.endpoints_rejected(&message.rejected);
+            let Some(update) = message.update else {
                 continue;
             };
-            let (entries, _) = self.update_hosts(now, whole, hosts);
-            let news = if i == 0 {
-                PlacementEvent::EndpointsCached(entries)
+            let is_complete = update.is_complete;
+            let endpoints = self.apply_endpoint_update(now, update).endpoints;
+            let event = if index == 0 {
+                PlacementEvent::EndpointsCached(endpoints)
             } else {
                 PlacementEvent::EndpointsChanged {
-                    is_complete: whole,
-                    endpoints: entries,
+                    is_complete,
+                    endpoints,
                 }
             };
-            self.tell(now, news);
+            self.report_event(now, event);
         }
         info!(
             name = self.name,
             hosts = self.hosts.len(),
-            warm = self.warm,
+            warm = self.preconnects,
             "serves"
         );
     }
 
-    /// Takes over what the process may hold.
-    pub fn limit(&mut self, limits: Limits) {
+    /// Applies the limits of the placer, of which this process has a share beside the other processes.
+    pub fn apply_limits(&mut self, limits: Limits) {
         self.limits = limits;
         let processes = 1 + self.process_group.live_peers() as usize;
-        self.clients.limit(limits.sockets / processes);
-        self.share_out();
-        conn::bound_queues(limits.memory / QUEUES / processes);
+        self.clients
+            .set_descriptor_limit(limits.descriptors / processes);
+        self.split_descriptors();
+        conn::set_max_queued_bytes(limits.memory_bytes / QUEUE_MEMORY_DIVISOR / processes);
     }
+}
 
-    /// The names that the settings state.
-    pub fn names(&self) -> &Names {
-        self.facade.names()
-    }
+/// Returns how many descriptors are set apart for load balancers, operators and the platform.
+fn reserved_descriptors(config: &Config, operator: &Operator) -> usize {
+    let health = &operator.health;
+    let health_listeners = health.agent_addresses.len() + health.http_addresses.len();
+    let health_connections = if health.listens() {
+        health.max_connections + CLOSING_HEALTH_CONNECTIONS
+    } else {
+        0
+    };
+    let admin = if config.admin.is_some() {
+        MAX_ADMIN_CONNECTIONS + 1
+    } else {
+        0
+    };
+    let ctl = if operator.control_socket.is_some() {
+        CTL_DESCRIPTORS
+    } else {
+        0
+    };
+    health_listeners + health_connections + admin + ctl
+}
+
+/// Returns how long an attempt counts against the slow-start budget. It is counted by clocks that differ, hence twice.
+fn slow_start_accounting_window(settings: &Settings) -> Micros {
+    2 * settings.collapse_window.max(settings.connect_timeout)
 }
--- /dev/null
+++ b/src/net/dispatch/health_inputs.rs
@@ -0,0 +1,85 @@
+//! Owns what the health engine is notified of and shown. It never judges what it shows, and has no part in placing
+//! tasks.
+
+use super::{Dispatch, MILLISECOND};
+use crate::net::conn;
+use crate::net::hosts::HostLink;
+use std::collections::BTreeMap;
+use task_placer::health::{Event, Gauges, ZoneReachability};
+use task_placer::{EndpointState, Micros, ZoneId};
+
+/// How long a host counts as full after it rejected an attempt for want of capacity.
+const FULL_HOST_MEMORY: Micros = 15_000 * MILLISECOND;
+
+/// What the endpoint list and the connections show of the hosts in service.
+#[derive(Default)]
+struct HostCensus {
+    zones: BTreeMap<ZoneId, ZoneReachability>,
+    listed: u32,
+    /// Hosts on which an average task fits.
+    with_capacity: u32,
+    /// Hosts that rejected an attempt lately for want of capacity.
+    full: u32,
+}
+
+impl Dispatch {
+    /// Notifies the health engine, where one runs.
+    pub fn record_health_event(&mut self, now: Micros, event: Event) {
+        if let Some(reporter) = &mut self.health_reporter {
+            reporter.notify(now, event);
+        }
+    }
+
+    /// Shows the health engine the gauges, and runs what the drain asks for.
+    pub(super) fn update_health(&mut self, now: Micros) {
+        if self.health_reporter.is_none() {
+            return;
+        }
+        let gauges = self.gauges(now);
+        let pending_work = self.pending_work();
+        if let Some(reporter) = &mut self.health_reporter {
+            reporter.notify(now, Event::GaugesSampled(gauges));
+            let tasks = reporter.advance_drain(now, pending_work);
+            self.run_drain_tasks(now, tasks);
+        }
+    }
+
+    fn gauges(&self, now: Micros) -> Gauges {
+        let census = self.host_census(now);
+        let ages = self
+            .requests
+            .values()
+            .filter(|request| request.awaits_response())
+            .map(|request| (now - request.arrived_at) as f64 / request.latency_objective as f64);
+        let has_mean_task = self.facade.mean_task().is_some();
+        let connection_limit = self.clients.connection_limit(self.active_host_count());
+        Gauges {
+            oldest_request: ages.fold(0.0, f64::max),
+            zones: census.zones.into_values().collect(),
+            hosts_with_capacity: (has_mean_task && census.listed > 0)
+                .then(|| f64::from(census.with_capacity) / f64::from(census.listed)),
+            full_hosts: f64::from(census.full) / f64::from(census.listed.max(1)),
+            descriptors: self.clients.live_connections() as f64 / connection_limit as f64,
+            queues: conn::queued_fraction(),
+        }
+    }
+
+    fn host_census(&self, now: Micros) -> HostCensus {
+        let mean_task = self.facade.mean_task();
+        let mut census = HostCensus::default();
+        let in_service = |link: &&HostLink| link.state == EndpointState::Up;
+        for link in self.hosts.values().filter(in_service) {
+            let is_unreachable = link.unreachable_since.is_some();
+            let zone = census.zones.entry(link.zone).or_default();
+            zone.listed += 1;
+            zone.refused += u32::from(is_unreachable && link.was_refused);
+            zone.silent += u32::from(is_unreachable && !link.was_refused);
+            census.listed += 1;
+            let fits = mean_task.is_none_or(|task| task.fits_in(link.free_resources));
+            census.with_capacity += u32::from(fits);
+            let is_full = |rejected_at| now - rejected_at < FULL_HOST_MEMORY;
+            census.full += u32::from(link.rejected_full_at.is_some_and(is_full));
+        }
+        census
+    }
+}
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -1,8 +1,8 @@
-//! Owns the end of the process: SIGTERM, drains, and when the process may or must end. It never takes back an answer
-//! that is owed: closing makes the module answer in time.
+//! Owns the shutdown of the process: SIGTERM, drains, and when the process may or must exit. It never takes back a
+//! pending response: a shutdown makes the decision module answer in time.
 
-use super::requests::{Request, State};
-use super::{Dispatch, MILLI};
+use super::request::{Request, RequestState};
+use super::{Dispatch, MILLISECOND};
 use crate::net::health::reporter::{DrainTask, HealthReporter};
 use task_placer::Micros;
 use task_placer::facade::PlacementEvent;
@@ -10,66 +10,71 @@
 use task_placer::operation::lifecycle;
 use tracing::{info, warn};
 
-/// After SIGTERM the platform ends the process no sooner than after the longest wait of a client, counted as this
-/// at the most, and 700 ms more (the protocol's figures). Of these, what is owed is answered so long after the
-/// wait, and the process ends at last so long after it.
-const CLOSE_WAIT: Micros = 3_000 * MILLI;
-const CLOSE_ANSWER: Micros = 300 * MILLI;
-const CLOSE_END: Micros = 500 * MILLI;
-/// New work may still arrive for 0.6 s (the protocol's figure): with this the process does not end before.
-const CLOSE_OPEN: Micros = 1_000 * MILLI;
+/// The longest wait of a client that counts at a shutdown. The platform ends the process no sooner after SIGTERM than
+/// after that wait and 700 ms more (the protocol's figures).
+const MAX_CLIENT_WAIT: Micros = 3_000 * MILLISECOND;
+/// How long after that wait pending responses are sent.
+const RESPONSE_GRACE: Micros = 300 * MILLISECOND;
+/// How long after that wait the process exits at last.
+const EXIT_GRACE: Micros = 500 * MILLISECOND;
+/// The process does not exit before: new requests may still arrive for 0.6 s (the protocol's figure).
+const MIN_SHUTDOWN_TIME: Micros = 1_000 * MILLISECOND;
 
 impl Dispatch {
-    /// SIGTERM: without an operator's word on drains, the process ends as the platform wants it.
+    /// Handles SIGTERM: where no operator's file asks for a drain, the process shuts down as the platform expects it.
     pub fn terminate(&mut self) {
         let now = self.clock.now();
-        match self.watch.as_mut().and_then(|watch| watch.terminate(now)) {
-            Some(tasks) => self.follow(now, tasks),
-            None if self.inherits => self.on_duty(
-                now,
-                lifecycle::Event::ShutdownRequested {
+        match self
+            .health_reporter
+            .as_mut()
+            .and_then(|reporter| reporter.terminate(now))
+        {
+            Some(tasks) => self.run_drain_tasks(now, tasks),
+            None if self.shares_listener => {
+                let event = lifecycle::Event::ShutdownRequested {
                     longest_client_wait: self.facade.max_deadline(),
-                },
-            ),
-            None => self.close_down(now, self.closing_wait() + CLOSE_ANSWER),
+                };
+                self.handle_lifecycle_event(now, event);
+            }
+            None => self.begin_shutdown(now, self.max_client_wait() + RESPONSE_GRACE),
         }
     }
 
-    /// Does what the drain asks for.
-    pub(super) fn follow(&mut self, now: Micros, tasks: Vec<DrainTask>) {
+    /// Does what a drain asks for.
+    pub(super) fn run_drain_tasks(&mut self, now: Micros, tasks: Vec<DrainTask>) {
         for task in tasks {
             match task {
                 DrainTask::StartClosingIdle => {
-                    self.closes_idle = true;
-                    self.close_idle();
+                    self.closes_idle_clients = true;
+                    self.apply_close_idle();
                 }
                 DrainTask::StopClosingIdle => {
-                    self.closes_idle = false;
-                    self.close_idle();
+                    self.closes_idle_clients = false;
+                    self.apply_close_idle();
                 }
-                DrainTask::AnswerAll { within } => self.close_down(now, within),
+                DrainTask::AnswerAll { within } => self.begin_shutdown(now, within),
                 DrainTask::Exit { left } => {
-                    self.drained = true;
-                    self.name_what_is_left(left);
+                    self.is_drained = true;
+                    self.log_unfinished_work(left);
                 }
             }
         }
     }
 
-    /// Who is owed what, for a drain.
-    pub(super) fn hand(&self) -> Outstanding {
+    /// Returns what a drain waits for.
+    pub(super) fn pending_work(&self) -> Outstanding {
         let now = self.clock.now();
-        let owed = self.owed();
+        let pending_responses = self.pending_responses();
         Outstanding {
-            pending_responses: owed,
-            running_tasks: self.requests.len() - owed,
-            unreported_ends: self.clients.untold(now),
-            unflushed_connections: self.clients.unflushed(),
+            pending_responses,
+            running_tasks: self.requests.len() - pending_responses,
+            unreported_ends: self.clients.unconfirmed_task_ends(now),
+            unflushed_connections: self.clients.unflushed_connections(),
         }
     }
 
-    /// What a drain could not wait for, task by task.
-    fn name_what_is_left(&self, left: Outstanding) {
+    /// Logs what a drain could not wait for, task by task.
+    fn log_unfinished_work(&self, left: Outstanding) {
         info!(
             owed = left.pending_responses,
             standing = left.running_tasks,
@@ -77,57 +82,67 @@
             "drained"
         );
         for request in self.requests.values() {
-            if let State::Standing { host, .. } | State::Leaving { host, .. } = &request.state {
+            if let RequestState::Running { host, .. } | RequestState::Releasing { host, .. } =
+                &request.state
+            {
                 warn!(task = %request.id, host = &*host.0, "left standing");
             }
         }
     }
 
-    pub(super) fn close_down(&mut self, now: Micros, within: Micros) {
-        if self.closing_since.is_none() {
-            self.closing_since = Some(now);
+    /// Begins the shutdown: every pending response is to be sent within this time.
+    pub(super) fn begin_shutdown(&mut self, now: Micros, within: Micros) {
+        if self.shutdown_since.is_none() {
+            self.shutdown_since = Some(now);
             info!(requests = self.requests.len(), "closing");
-            self.tell(now, PlacementEvent::ShutdownRequested(within));
+            self.report_event(now, PlacementEvent::ShutdownRequested(within));
         }
     }
 
-    /// The longest wait of a client, as the platform counts it at an end of the process.
-    fn closing_wait(&self) -> Micros {
-        self.facade.max_deadline().clamp(0, CLOSE_WAIT)
+    /// Returns the longest wait of a client, as the platform counts it at a shutdown.
+    fn max_client_wait(&self) -> Micros {
+        self.facade.max_deadline().clamp(0, MAX_CLIENT_WAIT)
     }
 
-    /// Whether the process must end, whatever is left.
-    pub fn overdue(&self) -> bool {
+    /// Whether the process must exit, whatever is left.
+    pub fn is_overdue(&self) -> bool {
         let now = self.clock.now();
-        let end = self.closing_wait() + CLOSE_END;
-        let ends = |since| {
+        let max_duration = self.max_client_wait() + EXIT_GRACE;
+        let must_exit = |since| {
             if self.lifecycle.is_shutting_down() {
                 self.lifecycle.exit_is_overdue(now)
             } else {
-                now - since >= end
+                now - since >= max_duration
             }
         };
-        self.drained || self.closing_since.is_some_and(ends)
+        self.is_drained || self.shutdown_since.is_some_and(must_exit)
     }
 
-    /// Whether the process may end.
-    pub fn finished(&self) -> bool {
+    /// Whether the process may exit.
+    pub fn is_finished(&self) -> bool {
         let now = self.clock.now();
-        if self.drained {
+        if self.is_drained {
             return true;
         }
-        let Some(since) = self.closing_since else {
+        let Some(since) = self.shutdown_since else {
             return false;
         };
-        // A drain that has come to this tells itself when it is over.
-        if self.watch.as_ref().is_some_and(HealthReporter::is_draining) {
+        // A drain that has begun the shutdown reports itself when it is over.
+        if self
+            .health_reporter
+            .as_ref()
+            .is_some_and(HealthReporter::is_draining)
+        {
             return false;
         }
-        let clear = !self.requests.values().any(Request::awaits_answer) && self.clients.flushed();
+        let has_pending = self.requests.values().any(Request::awaits_response);
+        let is_clear = !has_pending && self.clients.is_flushed();
         if self.lifecycle.is_shutting_down() {
-            return (clear && self.clients.at_rest(now)) || self.lifecycle.exit_is_overdue(now);
+            return (is_clear && self.clients.is_at_rest(now))
+                || self.lifecycle.exit_is_overdue(now);
         }
-        let end = self.closing_wait() + CLOSE_END;
-        now - since >= end || (now - since >= CLOSE_OPEN.min(end) && clear)
+        let elapsed = now - since;
+        let max_duration = self.max_client_wait() + EXIT_GRACE;
+        elapsed >= max_duration || (elapsed >= MIN_SHUTDOWN_TIME.min(max_duration) && is_clear)
     }
 }
--- a/src/net/health/agent/tests.rs
+++ b/src/net/health/agent/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the agent check.
 
 use super::*;
-use emulator::balance::{Admin, Advice, read_agent};
+use emulator::load_balancer::{AdminState, AgentReport, parse_agent_report};
 use task_placer::health::{HealthMonitor, Settings, Signal};
 
 /// A report of this state and weight.
@@ -54,16 +54,16 @@
         let answer = encode_answer(&report(state, weight, cause), max_connections);
 
         assert_eq!(answer, line);
-        let advice = read_agent(&answer).expect("a strict reader accepts it");
+        let reported = parse_agent_report(&answer).expect("a strict reader accepts it");
         let admin = match state {
-            State::Drain => Some(Admin::Drain),
-            State::Maint => Some(Admin::Maint),
+            State::Drain => Some(AdminState::Drain),
+            State::Maint => Some(AdminState::Maintenance),
             State::Stopped => None,
-            _ => Some(Admin::Ready),
+            _ => Some(AdminState::Ready),
         };
-        let expected = Advice { admin, ..advice };
-        assert_eq!(advice, expected, "{line}");
-        assert_eq!(advice.weight.is_some(), state.is_serving(), "{line}");
+        let expected = AgentReport { admin, ..reported };
+        assert_eq!(reported, expected, "{line}");
+        assert_eq!(reported.weight.is_some(), state.is_serving(), "{line}");
     }
 }
 
--- a/src/net/health/mod.rs
+++ b/src/net/health/mod.rs
@@ -9,7 +9,7 @@
 pub mod reporter;
 mod state_json;
 
-use super::clients::AcceptFailed;
+use super::clients::accept::pause_after_accept_error;
 use super::dispatch::Shared;
 use crate::operator;
 use agent::AgentLine;
@@ -107,7 +107,7 @@
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let dispatch = shared.borrow();
-                let limiter = dispatch.gate.clone();
+                let limiter = dispatch.balancer_connections.clone();
                 let deadline = dispatch.clock.now() + dispatch.poll_timeout(check);
                 let connection = Connection {
                     check,
@@ -119,7 +119,7 @@
                 };
                 dispatch.tasks.spawn(connection.serve());
             }
-            Err(error) => AcceptFailed::pause(&shared, &error).await,
+            Err(error) => pause_after_accept_error(&shared, &error).await,
         }
         // Evicted connections give their descriptors back before the next one is accepted.
         future::yield_now().await;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::*;
-use emulator::{Ask, Feed, Host, HostConn, Program, QUICK, deployment, unix_ms};
+use emulator::{
+    Feed, Host, HostConnection, IDEMPOTENT_TASK, Program, TaskRequest, placer_config, unix_ms,
+};
 use proptest::prelude::*;
 use simd_json::json;
 use simd_json::prelude::*;
@@ -25,7 +27,7 @@
 
 /// One placer of the fleet: a module that may be killed, with its clock off by so much.
 struct Instance {
-    bench: Bench,
+    placer: TestPlacer,
     settings: Settings,
     skew: Micros,
     asked: usize,
@@ -33,18 +35,18 @@
 
 impl Instance {
     fn start(settings: &Settings, skew: Micros, at: Micros, ready_at: Micros) -> Instance {
-        let mut bench = Bench::new(settings.clone());
-        bench.now = at + skew;
+        let mut placer = TestPlacer::new(settings.clone());
+        placer.now = at + skew;
         let cold = Endpoint {
             started_at: ready_at,
-            ..entry(0, EndpointState::Up)
+            ..endpoint(0, EndpointState::Up)
         };
-        bench.give(Event::EndpointsChanged {
+        placer.handle(Event::EndpointsChanged {
             kind: UpdateKind::Cached,
             endpoints: vec![cold],
         });
         Instance {
-            bench,
+            placer,
             settings: settings.clone(),
             skew,
             asked: 0,
@@ -55,22 +57,22 @@
     fn step(&mut self, step: Micros) -> usize {
         self.asked += 1;
         let n = self.asked;
-        let mut sent = sends(&self.bench.ask(Task {
+        let mut sent = sent_hosts(&self.placer.request(Task {
             time_budget: step / 2,
             ..task(n, n as u64)
         }));
-        sent.extend(sends(&untimed(self.bench.pass(0))));
+        sent.extend(sent_hosts(&without_times(self.placer.advance(0))));
         for at in &sent {
-            self.bench
+            self.placer
                 .end(n, 0, at, Outcome::Rejected, OutcomeDetail::NotEligible);
-            self.bench.give(Event::HealthCheckEnded {
+            self.placer.handle(Event::HealthCheckEnded {
                 host: at.clone(),
                 outcome: Outcome::Completed,
                 elapsed: MS,
                 load_report: Vec::new(),
             });
         }
-        self.bench.pass(step);
+        self.placer.advance(step);
         sent.len()
     }
 }
@@ -126,7 +128,7 @@
 
 // A process that has just started has forgotten what it sent, and many start again at once.
 #[test]
-fn what_a_fleet_sends_a_cold_machine_is_borne_through_restarts_and_is_not_nothing() {
+fn fleet_keeps_the_slow_start_budget_through_restarts_and_uses_it() {
     for placers in [3, 20, 30] {
         for borne in [22.0, 100.0] {
             let quiet = play(placers, borne, 8 * SECOND, &[], 0, &[0.0]);
@@ -163,9 +165,9 @@
     }
 }
 
-// Calls to a host that does not answer take as long as the settings allow, and what waited leaves together.
+// AdminSocket to a host that does not answer take as long as the settings allow, and what waited leaves together.
 #[test]
-fn offers_that_waited_for_a_connection_and_leave_together_are_borne() {
+fn attempts_that_waited_for_a_connection_keep_the_slow_start_budget() {
     // The first part of the budget waits as long as it may, and the next comes at once.
     let delays = [[1.0; 78].as_slice(), &[0.0; 400]].concat();
     for wait in [SECOND / 4, SECOND, 2 * SECOND] {
@@ -196,7 +198,7 @@
 
 // The clocks of machines differ: one that starts may seem to start later than now.
 #[test]
-fn a_machine_that_starts_in_the_future_by_our_clock_is_as_cold_as_others() {
+fn host_that_starts_in_the_future_by_our_clock_is_warming_up_like_others() {
     let settings = Settings {
         placer_count: 30,
         slow_start_attempts: 15.0,
@@ -222,7 +224,7 @@
 /// All offers that come to a host, and when; each is answered at once.
 fn collect(
     host: &Host,
-    conns: &mut Vec<HostConn>,
+    conns: &mut Vec<HostConnection>,
     times: &mut Vec<Micros>,
     start: Instant,
     span: Duration,
@@ -234,7 +236,7 @@
             while let Some(message) = conn.read_within(Duration::from_millis(1)) {
                 if message.get_str("t") == Some("new") {
                     times.push(start.elapsed().as_micros() as Micros);
-                    conn.up(message.get_str("ref").expect("an id"));
+                    conn.report_running(message.get_str("ref").expect("an id"));
                 }
             }
         }
@@ -243,7 +245,7 @@
 
 // Real processes: all are killed once they have sent their part, and start again at once.
 #[test]
-fn processes_that_are_killed_and_start_again_send_a_cold_host_no_more_than_it_bears() {
+fn restarted_processes_keep_the_slow_start_budget() {
     let borne = 30.0;
     let mut feeds: Vec<Feed> = (0..3).map(|_| Feed::new()).collect();
     let host = Host::new("h0", "north");
@@ -252,7 +254,7 @@
     for life in 0..2 {
         let mut programs = Vec::new();
         for (me, feed) in feeds.iter_mut().enumerate() {
-            let mut config = deployment(
+            let mut config = placer_config(
                 &format!("n{me}"),
                 me as u64,
                 3,
@@ -263,24 +265,28 @@
             // A cold host starts so many; none waits for its fellows of a service.
             config["settings"]["family_info"]["class_most"] = json!([50, 50]);
             let program = Program::start(&config);
-            feed.subscribed();
+            feed.accept_subscription();
             programs.push(program);
         }
         if life == 0 {
             born = unix_ms();
             for feed in &mut feeds {
-                feed.tell(&emulator::event(2, false, vec![host.entry("up", born)]));
+                feed.send(&emulator::endpoint_event(
+                    2,
+                    emulator::UpdateKind::Delta,
+                    vec![host.entry("up", born)],
+                ));
             }
         }
         let mut clients: Vec<_> = programs.iter().map(Program::client).collect();
         for client in &mut clients {
-            assert!(client.test());
+            assert!(client.health_check());
             for n in 1..=20 {
-                client.set_up(
+                client.request_task(
                     life * 100 + n,
-                    &Ask {
+                    &TaskRequest {
                         service: n,
-                        ..QUICK
+                        ..IDEMPOTENT_TASK
                     },
                 );
             }
