--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -139,7 +139,7 @@
     fn socket(&self, operator_file: Option<&Path>) -> Result<PathBuf, SendError> {
         let socket = match (&self.socket, operator_file) {
             (Some(socket), _) => Some(socket.clone()),
-            (None, Some(file)) => operator::load(file).operator.ctl,
+            (None, Some(file)) => operator::load(file).operator.control_socket,
             (None, None) => None,
         };
         socket.ok_or(SendError::NoSocket)
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -4,7 +4,7 @@
 use super::clients::accept::pause_after_accept_error;
 use super::codec;
 use super::dispatch::{MAX_ADMIN_CONNECTIONS, Shared};
-use super::health::gate::{Gate, Place};
+use super::health::connection_limiter::{ConnectionLimiter, ConnectionPermit};
 use super::health::linger;
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -56,26 +56,26 @@
     address: SocketAddr,
     executor: &Rc<LocalExecutor<'static>>,
     shared: &Shared,
-) -> io::Result<Rc<Gate>> {
+) -> io::Result<Rc<ConnectionLimiter>> {
     let bound = Async::<TcpListener>::bind(address);
     let listener = bound.map_err(|e| io::Error::new(e.kind(), format!("admin: {address}: {e}")))?;
-    let gate = Rc::new(Gate::new(MAX_ADMIN_CONNECTIONS));
+    let limiter = Rc::new(ConnectionLimiter::new(MAX_ADMIN_CONNECTIONS));
     executor
-        .spawn(accept(listener, gate.clone(), shared.clone()))
+        .spawn(accept(listener, limiter.clone(), shared.clone()))
         .detach();
     info!(%address, "takes calls");
-    Ok(gate)
+    Ok(limiter)
 }
 
-async fn accept(listener: Async<TcpListener>, gate: Rc<Gate>, shared: Shared) {
+async fn accept(listener: Async<TcpListener>, limiter: Rc<ConnectionLimiter>, shared: Shared) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let dispatch = shared.borrow();
-                let place = gate.enter(dispatch.clock.now() + CONNECTION_TIMEOUT);
+                let permit = limiter.admit(dispatch.clock.now() + CONNECTION_TIMEOUT);
                 dispatch
                     .tasks
-                    .spawn(serve(stream, peer, place, gate.clone(), shared.clone()));
+                    .spawn(serve(stream, peer, permit, limiter.clone(), shared.clone()));
             }
             Err(e) => pause_after_accept_error(&shared, &e).await,
         }
@@ -88,12 +88,12 @@
 async fn serve(
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    place: Place,
-    gate: Rc<Gate>,
+    permit: ConnectionPermit,
+    limiter: Rc<ConnectionLimiter>,
     shared: Shared,
 ) {
     let evicted = async {
-        place.away().await;
+        permit.evicted().await;
         EndReason::Evicted
     };
     let served = async {
@@ -102,7 +102,7 @@
         reason
     };
     let reason = future::or(served, evicted).await;
-    gate.leave(&place);
+    limiter.release(&permit);
     // The platform checks ten times a second.
     match reason {
         EndReason::Answered => debug!(%peer, %reason, "admin connection ended"),
--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -4,7 +4,7 @@
 use super::clients::accept::pause_after_accept_error;
 use super::codec;
 use super::dispatch::Shared;
-use super::health::gate::{Gate, Place};
+use super::health::connection_limiter::{ConnectionLimiter, ConnectionPermit};
 use crate::ctl::{self, CommandError};
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -61,17 +61,17 @@
     path: &Path,
     executor: &Rc<LocalExecutor<'static>>,
     shared: &Shared,
-) -> io::Result<Rc<Gate>> {
+) -> io::Result<Rc<ConnectionLimiter>> {
     let with_path =
         |e: io::Error| io::Error::new(e.kind(), format!("ctl.socket: {}: {e}", path.display()));
     remove_stale_socket(path).map_err(with_path)?;
     let listener = bind_for_owner(path).map_err(with_path)?;
-    let gate = Rc::new(Gate::new(MAX_CONNECTIONS));
+    let limiter = Rc::new(ConnectionLimiter::new(MAX_CONNECTIONS));
     executor
-        .spawn(accept(listener, gate.clone(), shared.clone()))
+        .spawn(accept(listener, limiter.clone(), shared.clone()))
         .detach();
     info!(socket = %path.display(), "takes orders");
-    Ok(gate)
+    Ok(limiter)
 }
 
 /// Removes the socket that a dead process left. One that answers is another placer's.
@@ -94,15 +94,15 @@
     bound
 }
 
-async fn accept(listener: Async<UnixListener>, gate: Rc<Gate>, shared: Shared) {
+async fn accept(listener: Async<UnixListener>, limiter: Rc<ConnectionLimiter>, shared: Shared) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let dispatch = shared.borrow();
-                let place = gate.enter(dispatch.clock.now() + COMMAND_TIMEOUT);
+                let permit = limiter.admit(dispatch.clock.now() + COMMAND_TIMEOUT);
                 dispatch
                     .tasks
-                    .spawn(serve(stream, place, gate.clone(), shared.clone()));
+                    .spawn(serve(stream, permit, limiter.clone(), shared.clone()));
             }
             Err(e) => pause_after_accept_error(&shared, &e).await,
         }
@@ -111,22 +111,27 @@
 }
 
 /// Serves one connection until it ends or is evicted.
-async fn serve(stream: Async<UnixStream>, place: Place, gate: Rc<Gate>, shared: Shared) {
+async fn serve(
+    stream: Async<UnixStream>,
+    permit: ConnectionPermit,
+    limiter: Rc<ConnectionLimiter>,
+    shared: Shared,
+) {
     let evicted = async {
-        place.away().await;
+        permit.evicted().await;
         EndReason::Late
     };
-    let served = serve_commands(&stream, &place, &gate, &shared);
+    let served = serve_commands(&stream, &permit, &limiter, &shared);
     let reason = future::or(served, evicted).await;
-    gate.leave(&place);
+    limiter.release(&permit);
     info!(%reason, "ctl connection ended");
 }
 
 /// Reads commands, runs them, and writes their replies until the connection ends.
 async fn serve_commands(
     mut stream: &Async<UnixStream>,
-    place: &Place,
-    gate: &Gate,
+    permit: &ConnectionPermit,
+    limiter: &ConnectionLimiter,
     shared: &Shared,
 ) -> EndReason {
     let (mut inbox, mut buffer) = (Vec::new(), [0; READ_BUFFER_BYTES]);
@@ -149,6 +154,6 @@
         if stream.write_all(&ctl::encode_reply(result)).await.is_err() {
             return EndReason::Failed;
         }
-        gate.stay(place, shared.borrow().clock.now() + COMMAND_TIMEOUT);
+        limiter.extend(permit, shared.borrow().clock.now() + COMMAND_TIMEOUT);
     }
 }
--- a/src/net/dispatch/attempts.rs
+++ b/src/net/dispatch/attempts.rs
@@ -190,15 +190,15 @@
             return None;
         };
         let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
-        let stretch = elapsed as f64 / request.latency_objective as f64;
+        let relative_duration = elapsed as f64 / request.latency_objective as f64;
         self.set_request_state(ticket, RequestState::Queued);
         self.update_priorities(now, &host, ConnectionUse::Unchanged);
         // What its client cancelled says nothing about the host.
         if outcome != Outcome::Cancelled {
-            let event = Event::Offer {
+            let event = Event::AttemptEnded {
                 outcome,
                 detail,
-                stretch,
+                relative_duration,
             };
             self.record_health_event(now, event);
         }
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -48,7 +48,12 @@
 
     fn client_accepted(&mut self, now: Micros, wait: AcceptWait) {
         let turned_away = wait == AcceptWait::Waited;
-        self.record_health_event(now, Event::Connection { turned_away });
+        self.record_health_event(
+            now,
+            Event::ClientConnected {
+                rejected: turned_away,
+            },
+        );
     }
 
     fn client_opened(&mut self, conn: Rc<Connection>) -> ClientId {
--- a/src/net/dispatch/discovery.rs
+++ b/src/net/dispatch/discovery.rs
@@ -32,7 +32,7 @@
 
     fn feed_alive(&mut self) {
         let now = self.clock.now();
-        self.record_health_event(now, Event::Feed);
+        self.record_health_event(now, Event::DiscoveryUpdated);
         if !std::mem::replace(&mut self.is_discovery_up, true) {
             self.report_event(now, PlacementEvent::DiscoveryUp);
         }
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -120,7 +120,7 @@
         };
         let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
         request.message = None;
-        let stretch = elapsed as f64 / request.latency_objective as f64;
+        let relative_duration = elapsed as f64 / request.latency_objective as f64;
         let in_aim = now - request.arrived_at <= request.latency_objective;
         let client = request.client.take();
         let started = StartedTask {
@@ -143,13 +143,18 @@
         if let Some(link) = self.hosts.get_mut(&host) {
             link.rejected_full_at = None;
         }
-        let event = Event::Offer {
+        let event = Event::AttemptEnded {
             outcome: Outcome::Completed,
             detail: OutcomeDetail::Unknown,
-            stretch,
+            relative_duration,
         };
         self.record_health_event(now, event);
-        self.record_health_event(now, Event::Answered { in_aim });
+        self.record_health_event(
+            now,
+            Event::RequestAnswered {
+                within_objective: in_aim,
+            },
+        );
         let event = PlacementEvent::AttemptStarted {
             ticket,
             attempt,
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -18,7 +18,7 @@
     /// Advances the wheel by one tick.
     pub fn tick(&mut self) {
         let now = self.clock.now();
-        self.record_health_event(now, Event::Turn);
+        self.record_health_event(now, Event::LoopIteration);
         self.handle_lifecycle_event(now, lifecycle::Event::Tick);
         for host in std::mem::take(&mut self.backlogged_hosts) {
             self.send_pending_attempts(now, &host);
@@ -86,8 +86,10 @@
     fn sweep(&mut self, now: Micros) {
         self.clients.sweep(now);
         self.sweep_host_connections(now);
-        self.gate.sweep(now);
-        self.orders.iter().for_each(|gate| gate.sweep(now));
+        self.balancer_connections.evict_overdue(now);
+        for limiter in &self.operator_connections {
+            limiter.evict_overdue(now);
+        }
         self.update_health(now);
         self.log_overload(now);
         self.ended_tasks
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -208,7 +208,7 @@
         0,
         "closed with no answer"
     );
-    fronts.program.wait_for_log("reason=late");
+    fronts.program.wait_for_log("reason=timeout");
 }
 
 #[test]
@@ -256,7 +256,7 @@
     fronts.conns[0].report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
     assert!(begun.elapsed() < SECOND, "{:?}", begun.elapsed());
-    fronts.program.wait_for_log("reason=shed");
+    fronts.program.wait_for_log("reason=evicted");
     drop(silent);
 }
 
