--- /dev/null
+++ b/src/cli/serve.rs
@@ -0,0 +1,65 @@
+//! `task-placer serve`: reads both files, and serves until the process may exit.
+
+use super::{Cli, conflicts};
+use crate::net::config::{self, Config};
+use crate::net::{self, log};
+use crate::operator::{Loaded, Operator};
+use crate::terminal::complain;
+use std::path::Path;
+use std::process::ExitCode;
+
+/// Runs the command, and returns the exit code.
+pub(super) fn run(cli: &Cli) -> ExitCode {
+    let signals = match net::signals() {
+        Ok(signals) => signals,
+        Err(problem) => {
+            complain(&format!("task-placer: signals: {problem}"));
+            return ExitCode::FAILURE;
+        }
+    };
+    let config = match config::load(cli.files.config.as_deref()) {
+        Ok(config) => config,
+        Err(problem) => {
+            complain(&format!("task-placer: {problem}"));
+            return ExitCode::FAILURE;
+        }
+    };
+    let loaded = cli.files.load_operator();
+    if let Some(path) = cli.files.operator.as_deref() {
+        let problems = operator_problems(path, &loaded, &config);
+        if !problems.is_empty() {
+            for problem in problems {
+                complain(&format!("task-placer: {problem}"));
+            }
+            return ExitCode::FAILURE;
+        }
+    }
+    let mut operator = loaded.operator;
+    operator.log.format = cli.log.log_format.unwrap_or(operator.log.format);
+    operator.log.level = cli.log.log_level.unwrap_or(operator.log.level);
+    log::start(&operator.log);
+    let code = serve(cli, config, operator, signals);
+    log::finish();
+    code
+}
+
+fn serve(cli: &Cli, config: Config, operator: Operator, signals: net::Signals) -> ExitCode {
+    match net::serve(config, cli.files.config.clone(), operator, signals) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(problem) => {
+            tracing::error!(%problem, "can't serve");
+            ExitCode::FAILURE
+        }
+    }
+}
+
+/// Returns what is wrong with the operator's file, by itself and beside the configuration.
+fn operator_problems(path: &Path, loaded: &Loaded, config: &Config) -> Vec<String> {
+    let name = path.to_string_lossy();
+    let own = loaded.problems.iter().map(|problem| problem.line(&name));
+    let conflicts = conflicts::find(config, &loaded.operator);
+    let conflicts = conflicts
+        .iter()
+        .map(|conflict| format!("{}: {conflict}", path.display()));
+    own.chain(conflicts).collect()
+}
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_command_line_holds_together() {
+fn valid_command_lines_parse_and_invalid_ones_fail() {
     Cli::command().debug_assert();
     for words in [
         &["task-placer"][..],
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The real placer: the decision module on sockets.
+//! The task placer: the decision module on sockets, with its command line.
 
 mod cli;
 mod ctl;
--- a/src/net/clock.rs
+++ b/src/net/clock.rs
@@ -1,87 +1,94 @@
-//! The one clock: Unix microseconds that run on evenly.
+//! The one clock: Unix time in microseconds that advances evenly. It owns the relation of the system's two clocks, and
+//! never goes back.
 
 use std::cell::Cell;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 use task_placer::Micros;
 
-/// The part of the time by which the clock follows a step of the system's Unix clock, at the most; it never
-/// goes back. A step of 5 s is made up for within 5 minutes.
-const SLEW: Micros = 20;
-/// How often the system's Unix clock is looked at: the clock is read many times for each event.
-const CHECK: Micros = 100_000;
+/// The clock follows a step of the system's Unix clock by at most one part in this many of the time that passes. A step
+/// of 5 s is made up for within 5 minutes.
+const MAX_SLEW_DIVISOR: Micros = 20;
+/// How often the system's Unix clock is read: this clock is read many times for each event.
+const UNIX_CHECK_INTERVAL: Micros = 100_000;
 
-/// The Unix time as it was at the start, run on by the monotonic clock, with the system's Unix clock followed
-/// slowly. Deadlines, drains and cold times all come from here, so that they compare with the Unix times of
-/// the feed. Guards against a system's clock that is stepped: set back, every time-out would wait for it to
-/// catch up, and answers would be late; set on, all that is in hand would be given up at once.
+/// The Unix time at the start, advanced by the monotonic clock, with the system's Unix clock followed slowly.
+///
+/// Deadlines, drains and slow-start times all come from here, so that they compare with the Unix times of the feed.
+/// Guards against a step of the system's clock: after a step back, every timeout would wait for it to catch up, and
+/// responses would be late; after a step forward, all that is in hand would be given up at once.
 #[derive(Debug)]
 pub struct Clock {
-    start: Instant,
-    told: Cell<Option<Told>>,
+    started_at: Instant,
+    last_reading: Cell<Option<Reading>>,
 }
 
-/// The latest time told, and when, by the monotonic clock, that was and the Unix clock was looked at.
+/// A reading of the clock.
 #[derive(Debug, Clone, Copy)]
-struct Told {
-    at: Micros,
-    run: Micros,
-    checked: Micros,
+struct Reading {
+    /// The time that was returned.
+    time: Micros,
+    /// The monotonic clock at that moment.
+    monotonic: Micros,
+    /// The monotonic clock when the system's Unix clock was last read.
+    unix_checked_at: Micros,
 }
 
 impl Default for Clock {
     fn default() -> Clock {
         Clock {
-            start: Instant::now(),
-            told: Cell::new(None),
+            started_at: Instant::now(),
+            last_reading: Cell::new(None),
         }
     }
 }
 
 impl Clock {
-    /// The time now.
+    /// Returns the time now.
     pub fn now(&self) -> Micros {
-        let run = Micros::try_from(self.start.elapsed().as_micros()).unwrap_or(Micros::MAX);
-        let told = follow(self.told.get(), run, || {
-            let unix = SystemTime::now()
-                .duration_since(UNIX_EPOCH)
-                .unwrap_or_default();
-            Micros::try_from(unix.as_micros()).unwrap_or(Micros::MAX)
-        });
-        self.told.set(Some(told));
-        told.at
+        let elapsed = self.started_at.elapsed().as_micros();
+        let monotonic = Micros::try_from(elapsed).unwrap_or(Micros::MAX);
+        let reading = next_reading(self.last_reading.get(), monotonic, unix_now);
+        self.last_reading.set(Some(reading));
+        reading.time
     }
 }
 
-/// What to tell at `run` of the monotonic clock; `unix` reads the system's.
-fn follow(before: Option<Told>, run: Micros, unix: impl FnOnce() -> Micros) -> Told {
-    let Some(Told {
-        at,
-        run: then,
-        checked,
-    }) = before
-    else {
-        return Told {
-            at: unix(),
-            run,
-            checked: run,
+fn unix_now() -> Micros {
+    let unix = SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .unwrap_or_default();
+    Micros::try_from(unix.as_micros()).unwrap_or(Micros::MAX)
+}
+
+/// Returns the reading at this moment of the monotonic clock; `unix_now` reads the system's Unix clock.
+fn next_reading(
+    before: Option<Reading>,
+    monotonic: Micros,
+    unix_now: impl FnOnce() -> Micros,
+) -> Reading {
+    let Some(before) = before else {
+        return Reading {
+            time: unix_now(),
+            monotonic,
+            unix_checked_at: monotonic,
         };
     };
-    let even = at.saturating_add((run - then).max(0));
-    if run - checked < CHECK {
-        return Told {
-            at: even,
-            run,
-            checked,
+    let elapsed = (monotonic - before.monotonic).max(0);
+    let even = before.time.saturating_add(elapsed);
+    let since_check = monotonic - before.unix_checked_at;
+    if since_check < UNIX_CHECK_INTERVAL {
+        return Reading {
+            time: even,
+            monotonic,
+            unix_checked_at: before.unix_checked_at,
         };
     }
-    let most = (run - checked) / SLEW;
-    let at = even
-        .saturating_add(unix().saturating_sub(even).clamp(-most, most))
-        .max(at);
-    Told {
-        at,
-        run,
-        checked: run,
+    let max_slew = since_check / MAX_SLEW_DIVISOR;
+    let slew = unix_now().saturating_sub(even).clamp(-max_slew, max_slew);
+    Reading {
+        time: even.saturating_add(slew).max(before.time),
+        monotonic,
+        unix_checked_at: monotonic,
     }
 }
 
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -4,12 +4,12 @@
 use super::codec::lines::number;
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
-use std::fmt;
-use std::net::SocketAddr;
-use std::path::Path;
+use std::io;
+use std::net::{AddrParseError, SocketAddr};
+use std::path::{Path, PathBuf};
 use task_placer::Settings;
 use task_placer::descriptors::FEWEST_SOCKETS;
-use task_placer::settings::{self, Names};
+use task_placer::settings::{self, Names, SettingsError};
 
 const BYTES_PER_MEGABYTE: usize = 1_048_576;
 /// Descriptors of a process where the configuration states none, as on the deployment's smallest machines.
@@ -96,24 +96,65 @@
     }
 }
 
-/// A field of the configuration that is missing or can't be read.
-#[derive(Debug)]
-pub struct ConfigError {
-    field: String,
-    what: String,
-}
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "configuration: {}: {}", self.field, self.what)
-    }
-}
-
-fn error(field: &str, what: impl fmt::Display) -> ConfigError {
-    ConfigError {
-        field: field.to_string(),
-        what: what.to_string(),
-    }
+/// Why the configuration can't be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// Neither `--config` nor `LB_CONFIG` names a file.
+    #[error("configuration: LB_CONFIG: names no file, nor does --config")]
+    NoFile,
+    /// The file can't be read.
+    #[error("configuration: LB_CONFIG: {}: {error}", path.display())]
+    Unreadable {
+        /// The file.
+        path: PathBuf,
+        /// What the system says.
+        error: io::Error,
+    },
+    /// The file is no JSON.
+    #[error("configuration: LB_CONFIG: {0}")]
+    NotJson(simd_json::Error),
+    /// The file is JSON, but no object.
+    #[error("configuration: LB_CONFIG: not an object")]
+    NotAnObject,
+    /// A field is missing.
+    #[error("configuration: {field}: missing")]
+    Missing {
+        /// The field.
+        field: &'static str,
+    },
+    /// A field can't be read.
+    #[error("configuration: {field}: {reason}")]
+    Invalid {
+        /// The field.
+        field: &'static str,
+        /// What is wrong with it.
+        reason: String,
+    },
+    /// A setting of the decision module is missing or can't be read.
+    #[error("configuration: settings.{}: {}", .0.path(), .0.problem())]
+    Setting(SettingsError),
+    /// `LB_ADMIN` is no address.
+    #[error("configuration: LB_ADMIN: {found}: {error}")]
+    AdminVariable {
+        /// Its value.
+        found: String,
+        /// What is wrong with it.
+        error: AddrParseError,
+    },
+    /// The platform would connect where clients do.
+    #[error("configuration: admin: {listen} is where clients connect (listen)")]
+    AdminAtListen {
+        /// The address.
+        listen: SocketAddr,
+    },
+    /// Too few descriptors to serve anyone.
+    #[error("configuration: limits.sockets: {found}, and {min} are the fewest that serve anyone")]
+    TooFewDescriptors {
+        /// The descriptors stated.
+        found: usize,
+        /// The least that serve anyone.
+        min: usize,
+    },
 }
 
 /// Reads the file that `--config` or `LB_CONFIG` names.
@@ -122,68 +163,69 @@
 ///
 /// Fails if the file can't be read, or a field of it is missing or wrong.
 pub fn load(path: Option<&Path>) -> Result<Config, ConfigError> {
-    let path = path.ok_or_else(|| error("LB_CONFIG", "names no file, nor does --config"))?;
-    let read = std::fs::read(path);
-    let mut text = read.map_err(|e| error("LB_CONFIG", format_args!("{}: {e}", path.display())))?;
+    let path = path.ok_or(ConfigError::NoFile)?;
+    let mut text = std::fs::read(path).map_err(|error| ConfigError::Unreadable {
+        path: path.to_path_buf(),
+        error,
+    })?;
     let mut config = parse(&mut text)?;
-    // A second process of this placer is told another address, on the same file.
-    if let Some(named) = std::env::var_os("LB_ADMIN").filter(|named| !named.is_empty()) {
-        let named = named.to_string_lossy().into_owned();
-        let parsed: SocketAddr = named
-            .parse()
-            .map_err(|e| error("LB_ADMIN", format_args!("{named}: {e}")))?;
-        config.admin = Some(parsed);
+    if let Some(admin) = admin_from_environment()? {
+        config.admin = Some(admin);
     }
     if config.admin == Some(config.listen) {
-        return Err(error(
-            "admin",
-            format_args!("{} is where clients connect (listen)", config.listen),
-        ));
+        return Err(ConfigError::AdminAtListen {
+            listen: config.listen,
+        });
     }
     Ok(config)
 }
 
+/// Returns the admin address of `LB_ADMIN`, if it is set: a second process of this placer has another address, on the
+/// same file.
+fn admin_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
+    let value = std::env::var_os("LB_ADMIN").filter(|value| !value.is_empty());
+    let Some(value) = value else {
+        return Ok(None);
+    };
+    let found = value.to_string_lossy().into_owned();
+    match found.parse() {
+        Ok(address) => Ok(Some(address)),
+        Err(error) => Err(ConfigError::AdminVariable { found, error }),
+    }
+}
+
 fn parse(text: &mut [u8]) -> Result<Config, ConfigError> {
-    let value = simd_json::to_borrowed_value(text).map_err(|e| error("LB_CONFIG", e))?;
+    let value = simd_json::to_borrowed_value(text).map_err(ConfigError::NotJson)?;
     if !value.is_object() {
-        return Err(error("LB_CONFIG", "not an object"));
+        return Err(ConfigError::NotAnObject);
     }
-    let text = |field: &str| value.get_str(field).ok_or_else(|| error(field, "missing"));
-    let address = |field: &str| text(field)?.parse().map_err(|e| error(field, e));
     let admin = match value.get_str("admin") {
         Some("") | None => None,
-        Some(_) => Some(address("admin")?),
+        Some(_) => Some(address(&value, "admin")?),
     };
-    let stated = value
-        .get("settings")
-        .ok_or_else(|| error("settings", "missing"))?;
-    let (settings, names) = settings::read(&settings::flatten(stated))
-        .map_err(|e| error(&format!("settings.{}", e.path()), e.problem()))?;
-    let known = value
-        .get("known")
-        .ok_or_else(|| error("known", "missing"))?;
-    let cached_sequence = known
-        .get_u64("n")
-        .ok_or_else(|| error("known.n", "missing"))?;
+    let stated = field(value.get("settings"), "settings")?;
+    let (settings, names) =
+        settings::read(&settings::flatten(stated)).map_err(ConfigError::Setting)?;
+    let known = field(value.get("known"), "known")?;
+    let cached_sequence = field(known.get_u64("n"), "known.n")?;
     let limits = Limits::read(value.get("limits"));
     if limits.descriptors < FEWEST_SOCKETS {
-        let what = format!(
-            "{}, and {FEWEST_SOCKETS} are the fewest that serve anyone",
-            limits.descriptors
-        );
-        return Err(error("limits.sockets", what));
+        return Err(ConfigError::TooFewDescriptors {
+            found: limits.descriptors,
+            min: FEWEST_SOCKETS,
+        });
     }
-    let events = known
-        .get_array("events")
-        .ok_or_else(|| error("known.events", "missing"))?;
-    let read_event = |event| feed::read_event(event, &names).map_err(|e| error("known.events", e));
+    let events = field(known.get_array("events"), "known.events")?;
+    let read_event =
+        |event| feed::read_event(event, &names).map_err(|reason| invalid("known.events", reason));
     let cached_updates = events.iter().map(read_event).collect::<Result<_, _>>()?;
     Ok(Config {
-        name: text("name")?.to_string(),
-        listen: address("listen")?,
+        name: text_field(&value, "name")?.to_string(),
+        listen: address(&value, "listen")?,
         admin,
-        feed: address("feed")?,
-        seed: u64::from_str_radix(text("seed")?, 16).map_err(|e| error("seed", e))?,
+        feed: address(&value, "feed")?,
+        seed: u64::from_str_radix(text_field(&value, "seed")?, 16)
+            .map_err(|reason| invalid("seed", reason))?,
         settings,
         names,
         cached_sequence,
@@ -191,3 +233,26 @@
         limits,
     })
 }
+
+fn field<T>(value: Option<T>, field: &'static str) -> Result<T, ConfigError> {
+    value.ok_or(ConfigError::Missing { field })
+}
+
+fn text_field<'a>(
+    value: &'a BorrowedValue<'_>,
+    name: &'static str,
+) -> Result<&'a str, ConfigError> {
+    field(value.get_str(name), name)
+}
+
+fn address(value: &BorrowedValue<'_>, name: &'static str) -> Result<SocketAddr, ConfigError> {
+    let address = text_field(value, name)?.parse();
+    address.map_err(|reason: AddrParseError| invalid(name, reason))
+}
+
+fn invalid(field: &'static str, reason: impl std::fmt::Display) -> ConfigError {
+    ConfigError::Invalid {
+        field,
+        reason: reason.to_string(),
+    }
+}
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,10 +1,9 @@
 //! The log: `tracing` events, one a line on standard error, as text or as JSON.
 //!
-//! The one thread must not wait for whoever reads the log. A line is handed to the system only where it
-//! takes it at once: standard error is asked with `poll` first, and at most as many bytes are written as
-//! a pipe that says 'ready' takes whole. The rest waits in a bounded queue that the wheel's ticks empty.
-//! Lines beyond the bound are dropped and counted, and the count is told once there is room. A standard
-//! error that is closed drops all, and stops nothing.
+//! The one thread must not wait for whoever reads the log. A line is written only where the system takes it at once:
+//! standard error is polled first, and at most as many bytes are written as a pipe that is ready takes without a wait.
+//! The rest waits in a bounded queue that the wheel's ticks empty. Lines beyond the limit are dropped and counted, and the
+//! count is logged once there is capacity. A standard error that is closed drops all, and stops nothing.
 
 use crate::operator::{self, LogFormat, LogLevel};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -16,106 +15,115 @@
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::FormatTime;
 
-/// What a pipe that is ready for writing takes without a wait (POSIX: `PIPE_BUF`, on Linux 4096).
-const AT_ONCE: usize = 4_096;
-/// How long the end of the process waits for the log's reader.
-const LINGER: Duration = Duration::from_millis(200);
+/// Bytes that a pipe which is ready for writing takes without a wait (POSIX: `PIPE_BUF`, on Linux 4096).
+const PIPE_BUF_BYTES: usize = 4_096;
+/// How long the exit of the process waits for the log's reader.
+const EXIT_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
-static SINK: OnceLock<Sink> = OnceLock::new();
+static LOG: OnceLock<LogWriter> = OnceLock::new();
 
-/// Lines on their way out.
+/// Lines that wait to be written.
 #[derive(Debug)]
-struct Queue {
-    waiting: Vec<u8>,
-    most: usize,
+struct LineQueue {
+    bytes: Vec<u8>,
+    max_bytes: usize,
+    /// Lines dropped since the last line that reported them.
     dropped: u64,
-    json: bool,
-    /// Whether standard error takes anything at all.
-    closed: bool,
+    format: LogFormat,
+    /// Standard error takes nothing any more.
+    is_closed: bool,
 }
 
-impl Queue {
-    fn new(settings: &operator::Log) -> Queue {
-        let json = settings.format == LogFormat::Json;
-        Queue {
-            waiting: Vec::new(),
-            most: settings.queue,
+impl LineQueue {
+    fn new(settings: &operator::Log) -> LineQueue {
+        LineQueue {
+            bytes: Vec::new(),
+            max_bytes: settings.queue,
             dropped: 0,
-            json,
-            closed: false,
+            format: settings.format,
+            is_closed: false,
         }
     }
 
-    /// Takes a whole line, or counts it as dropped.
+    /// Adds a whole line, or counts it as dropped.
     fn push(&mut self, line: &[u8]) {
-        if self.closed || self.waiting.len() + line.len() > self.most {
+        if self.is_closed || self.bytes.len() + line.len() > self.max_bytes {
             self.dropped += 1;
             return;
         }
-        self.waiting.extend_from_slice(line);
+        self.bytes.extend_from_slice(line);
     }
 
-    /// Writes what `out` takes at once; `ready` tells whether it takes anything.
-    fn pump(&mut self, out: &mut impl Write, mut ready: impl FnMut() -> bool) {
-        while !self.closed && !self.waiting.is_empty() && ready() {
-            let chunk = self.waiting.get(..AT_ONCE).unwrap_or(&self.waiting);
+    /// Writes what `out` takes at once, for as long as `is_ready` says that it takes anything.
+    fn write_ready(&mut self, out: &mut impl Write, mut is_ready: impl FnMut() -> bool) {
+        while !self.is_closed && !self.bytes.is_empty() && is_ready() {
+            let chunk = self.bytes.get(..PIPE_BUF_BYTES).unwrap_or(&self.bytes);
             match out.write(chunk) {
-                Ok(0) => self.closed = true,
-                Ok(n) => {
-                    self.waiting.drain(..n.min(self.waiting.len()));
+                Ok(0) => self.is_closed = true,
+                Ok(count) => {
+                    self.bytes.drain(..count.min(self.bytes.len()));
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => self.closed = true,
+                Err(_) => self.is_closed = true,
             }
         }
-        if self.closed {
-            self.waiting = Vec::new();
-        } else if self.waiting.is_empty() && self.dropped > 0 {
-            let (seconds, micros) = unix();
-            let dropped = std::mem::take(&mut self.dropped);
-            let line = if self.json {
-                format!(
-                    "{{\"timestamp\":\"{seconds}.{micros:06}\",\"level\":\"WARN\",\"message\":\"log lines dropped\",\"dropped\":{dropped}}}\n"
-                )
-            } else {
+        if self.is_closed {
+            self.bytes = Vec::new();
+        } else if self.bytes.is_empty() && self.dropped > 0 {
+            let line = self.dropped_line();
+            self.dropped = 0;
+            self.bytes.extend_from_slice(line.as_bytes());
+        }
+    }
+
+    /// The line that reports how many lines were dropped.
+    fn dropped_line(&self) -> String {
+        let (seconds, micros) = unix_now();
+        let dropped = self.dropped;
+        match self.format {
+            LogFormat::Json => format!(
+                "{{\"timestamp\":\"{seconds}.{micros:06}\",\"level\":\"WARN\",\"message\":\"log lines dropped\",\"dropped\":{dropped}}}\n"
+            ),
+            LogFormat::Text => {
                 format!("{seconds}.{micros:06}  WARN log lines dropped dropped={dropped}\n")
-            };
-            self.waiting.extend_from_slice(line.as_bytes());
+            }
         }
     }
 }
 
+/// Writes lines to standard error through the queue.
 #[derive(Clone)]
-struct Sink(Arc<Mutex<Queue>>);
+struct LogWriter(Arc<Mutex<LineQueue>>);
 
-impl Sink {
-    fn lock(&self) -> MutexGuard<'_, Queue> {
+impl LogWriter {
+    fn queue(&self) -> MutexGuard<'_, LineQueue> {
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn pump(&self, patience: Duration) {
+    /// Writes what standard error takes, and waits for it to be ready for at most `timeout`.
+    fn write_ready(&self, timeout: Duration) {
         let stderr = io::stderr();
-        let wait = Timespec {
+        let timeout = Timespec {
             tv_sec: 0,
-            tv_nsec: patience.subsec_nanos().into(),
+            tv_nsec: timeout.subsec_nanos().into(),
         };
-        let ready = || {
+        let is_ready = || {
             let mut fds = [PollFd::new(&stderr, PollFlags::OUT)];
-            // A reader that is gone counts as ready: the write tells.
-            poll(&mut fds, Some(&wait)).is_ok_and(|n| n > 0)
+            // A reader that is gone counts as ready: the write fails then.
+            poll(&mut fds, Some(&timeout)).is_ok_and(|ready| ready > 0)
         };
-        self.lock().pump(&mut stderr.lock(), ready);
+        self.queue().write_ready(&mut stderr.lock(), is_ready);
     }
 }
 
 /// One line that is being written.
-struct Line(Sink);
+struct LineWriter(LogWriter);
 
-impl Write for Line {
+impl Write for LineWriter {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        self.0.lock().push(line);
-        self.0.pump(Duration::ZERO);
+        self.0.queue().push(line);
+        self.0.write_ready(Duration::ZERO);
         Ok(line.len())
     }
 
@@ -124,35 +132,36 @@
     }
 }
 
-impl<'a> MakeWriter<'a> for Sink {
-    type Writer = Line;
+impl<'a> MakeWriter<'a> for LogWriter {
+    type Writer = LineWriter;
 
-    fn make_writer(&'a self) -> Line {
-        Line(self.clone())
+    fn make_writer(&'a self) -> LineWriter {
+        LineWriter(self.clone())
     }
 }
 
-fn unix() -> (u64, u32) {
+/// Returns the seconds of the system's Unix clock, and the microseconds beside them.
+fn unix_now() -> (u64, u32) {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
     (now.as_secs(), now.subsec_micros())
 }
 
-/// Seconds of the Unix clock, with the microseconds.
+/// Writes timestamps as seconds of the Unix clock, with the microseconds.
 struct UnixTime;
 
 impl FormatTime for UnixTime {
     fn format_time(&self, w: &mut Writer<'_>) -> std::fmt::Result {
-        let (seconds, micros) = unix();
+        let (seconds, micros) = unix_now();
         write!(w, "{seconds}.{micros:06}")
     }
 }
 
-/// Sets the log up for the life of the process.
+/// Sets up the log for the life of the process. A second call keeps the first.
 pub fn start(settings: &operator::Log) {
-    let sink = SINK
-        .get_or_init(|| Sink(Arc::new(Mutex::new(Queue::new(settings)))))
+    let writer = LOG
+        .get_or_init(|| LogWriter(Arc::new(Mutex::new(LineQueue::new(settings)))))
         .clone();
     let level = match settings.level {
         LogLevel::Error => Level::ERROR,
@@ -160,16 +169,17 @@
         LogLevel::Info => Level::INFO,
         LogLevel::Debug => Level::DEBUG,
     };
-    let plain = tracing_subscriber::fmt()
-        .with_writer(sink)
+    let builder = tracing_subscriber::fmt()
+        .with_writer(writer)
         .with_max_level(level)
         .with_ansi(false)
         .with_target(false)
         .with_timer(UnixTime);
-    let set = match settings.format {
-        LogFormat::Text => tracing::subscriber::set_global_default(plain.finish()),
+    // A subscriber that is set already stays.
+    let _ = match settings.format {
+        LogFormat::Text => tracing::subscriber::set_global_default(builder.finish()),
         LogFormat::Json => {
-            let json = plain
+            let json = builder
                 .json()
                 .flatten_event(true)
                 .with_current_span(false)
@@ -177,24 +187,22 @@
             tracing::subscriber::set_global_default(json.finish())
         }
     };
-    // It is set once; a second start keeps the first.
-    let _ = set;
 }
 
-/// Writes what waits, as far as it is taken at once.
+/// Writes what waits, as far as standard error takes it at once.
 pub fn pump() {
-    if let Some(sink) = SINK.get() {
-        if sink.lock().waiting.is_empty() {
+    if let Some(writer) = LOG.get() {
+        if writer.queue().bytes.is_empty() {
             return;
         }
-        sink.pump(Duration::ZERO);
+        writer.write_ready(Duration::ZERO);
     }
 }
 
-/// The last words: waits for the reader a little.
+/// Writes what waits before the process exits, and waits a little for the reader.
 pub fn finish() {
-    if let Some(sink) = SINK.get() {
-        sink.pump(LINGER);
+    if let Some(writer) = LOG.get() {
+        writer.write_ready(EXIT_FLUSH_TIMEOUT);
     }
 }
 
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -22,15 +22,15 @@
 }
 
 #[test]
-fn lines_wait_in_order_and_beyond_the_bound_they_are_dropped_whole_and_counted() {
-    let mut queue = Queue::new(&operator::Log {
+fn lines_wait_in_order_and_beyond_the_limit_whole_lines_are_dropped_and_counted() {
+    let mut queue = LineQueue::new(&operator::Log {
         queue: 30,
         ..operator::Log::default()
     });
     let mut out = Narrow(5, Vec::new());
     for n in 0..6 {
         queue.push(format!("line {n} ..\n").as_bytes());
-        queue.pump(&mut out, || true);
+        queue.write_ready(&mut out, || true);
     }
     assert_eq!(
         (out.1.as_slice(), queue.dropped),
@@ -38,8 +38,8 @@
         "{queue:?}"
     );
     out.0 = 1_000;
-    queue.pump(&mut out, || true);
-    queue.pump(&mut out, || true);
+    queue.write_ready(&mut out, || true);
+    queue.write_ready(&mut out, || true);
     let text = String::from_utf8(out.1).expect("text");
     assert!(
         text.starts_with("line 0 ..\nline 1 ..\nline 2 ..\n"),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn what_is_not_ready_is_not_asked_and_what_is_closed_is_forgotten() {
+fn writer_that_is_not_ready_is_not_written_to_and_a_closed_one_drops_all() {
     struct Broken;
     impl Write for Broken {
         fn write(&mut self, _: &[u8]) -> io::Result<usize> {
@@ -59,12 +59,12 @@
             Ok(())
         }
     }
-    let mut queue = Queue::new(&operator::Log::default());
+    let mut queue = LineQueue::new(&operator::Log::default());
     queue.push(b"line\n");
-    queue.pump(&mut Broken, || false);
-    assert!(!queue.closed && !queue.waiting.is_empty());
-    queue.pump(&mut Broken, || true);
-    assert!(queue.closed && queue.waiting.is_empty());
+    queue.write_ready(&mut Broken, || false);
+    assert!(!queue.is_closed && !queue.bytes.is_empty());
+    queue.write_ready(&mut Broken, || true);
+    assert!(queue.is_closed && queue.bytes.is_empty());
     queue.push(b"line\n");
-    assert!(queue.waiting.is_empty());
+    assert!(queue.bytes.is_empty());
 }
--- a/src/net/wheel/tests.rs
+++ b/src/net/wheel/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn items_come_in_order_and_never_early() {
+fn items_are_returned_in_order_and_never_early() {
     let mut wheel = Wheel::new(1_000_000);
     let turn = TICK * SLOTS as Micros;
     for (at, item) in [
--- a/src/terminal.rs
+++ b/src/terminal.rs
@@ -1,4 +1,4 @@
-//! What people at a terminal are told when something went wrong. It never ends the process.
+//! Messages to people at a terminal. It never ends the process.
 
 use std::io::Write;
 
