--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -63,7 +63,7 @@
     executor
         .spawn(accept(listener, gate.clone(), shared.clone()))
         .detach();
-    info!(%address, "takes calls");
+    info!(%address, "admin listener open");
     Ok(gate)
 }
 
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -2,17 +2,17 @@
 //! It knows nothing of requests beyond their tickets, and nothing of dispatch: what happens on a connection goes to
 //! whoever implements [`ClientEvents`].
 //!
-//! [`accept`] listens and serves the sockets, [`presence`] tells whether a client is still there, [`task_ends`] sends the
+//! [`accept`] listens and serves the sockets, [`status`] tells whether a client is still there, [`task_ends`] sends the
 //! ends of tasks until a client has acknowledged them, and [`idle`] closes connections that are idle or in the way.
 
 pub mod accept;
 mod events;
 mod idle;
-mod presence;
+mod status;
 mod task_ends;
 
 pub use events::{AcceptWait, ClientEvents, ReadSummary};
-pub use presence::{ClientPresence, ReadMark};
+pub use status::{ClientStatus, ReadMark};
 
 use super::conn::{CloseReason, Connection};
 use std::collections::{BTreeMap, BTreeSet};
@@ -97,8 +97,8 @@
     task_ends: PendingTaskEnds,
     /// Descriptors of the whole process.
     max_descriptors: usize,
-    /// Connections that read what still arrives after their close.
-    lingering: usize,
+    /// Connections that still read what arrives after their shutdown.
+    shutting_down: usize,
     /// Descriptors set apart for load balancers and operators.
     reserved_descriptors: usize,
     /// Connections without a task are closed.
@@ -113,7 +113,7 @@
             next_id: 0,
             task_ends: PendingTaskEnds::default(),
             max_descriptors,
-            lingering: 0,
+            shutting_down: 0,
             reserved_descriptors,
             closes_idle: false,
         }
@@ -289,11 +289,11 @@
         self.descriptor_quotas(hosts).clients
     }
 
-    /// Returns how many connections there are, with those that linger.
+    /// Returns how many connections there are, with those that are shutting down.
     pub fn live_connections(&self) -> usize {
         let clients = self.connections.values();
         let open = clients.filter(|client| !client.conn.is_closing()).count();
-        open + self.lingering
+        open + self.shutting_down
     }
 
     /// Whether another connection would exceed the limit.
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -19,9 +19,9 @@
 /// Connections that are accepted in one turn.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
 /// How often at most, at the exit of the process, it is looked at whether peers have closed after us.
-const MAX_LINGER_CHECKS: u32 = 10;
+const MAX_SHUTDOWN_CHECKS: u32 = 10;
 /// The time between two of these checks.
-const LINGER_CHECK_INTERVAL: Duration = Duration::from_millis(10);
+const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// Pause after a failed accept, where no connection could be evicted.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
@@ -113,13 +113,13 @@
 
 /// At the exit of the process: closes all connections for writing, and gives peers a while to close. Guards against the
 /// reset that exiting with unread input sends: it can take a response along that was written, and not read yet.
-pub async fn linger<H: ClientEvents>(handler: &Rc<RefCell<H>>) {
+pub async fn shutdown_connections<H: ClientEvents>(handler: &Rc<RefCell<H>>) {
     handler.borrow().clients().shutdown_writes();
-    for _ in 0..MAX_LINGER_CHECKS {
+    for _ in 0..MAX_SHUTDOWN_CHECKS {
         if handler.borrow().clients().connections.is_empty() {
             return;
         }
-        Timer::after(LINGER_CHECK_INTERVAL).await;
+        Timer::after(SHUTDOWN_CHECK_INTERVAL).await;
     }
 }
 
@@ -192,8 +192,8 @@
     conn.close(reason);
     handler.borrow_mut().client_closed(id, reason);
     if matches!(reason, CloseReason::Malformed(_) | CloseReason::IdInUse) {
-        handler.borrow_mut().clients_mut().lingering += 1;
-        conn.linger().await;
-        handler.borrow_mut().clients_mut().lingering -= 1;
+        handler.borrow_mut().clients_mut().shutting_down += 1;
+        conn.shutdown_gracefully().await;
+        handler.borrow_mut().clients_mut().shutting_down -= 1;
     }
 }
--- a/src/net/clients/presence.rs
+++ b/src/net/clients/status.rs
@@ -23,11 +23,11 @@
 
 /// Whether a client that waits for a response is still there.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ClientPresence {
-    /// It is, as far as its input tells.
-    Present,
+pub enum ClientStatus {
+    /// It is, as far as its input shows.
+    Connected,
     /// It has closed its connection, or the connection is closing.
-    Gone,
+    Disconnected,
     /// It has sent something that was not read yet: it may have cancelled the request.
     UnreadInput(Option<ReadMark>),
 }
@@ -39,39 +39,34 @@
     /// request and its cancellation arrive in one read, and after a stall of this process hosts may be read before
     /// clients are. What the client had sent by the time of the first look (`mark`) is read before the attempt is sent;
     /// what it sends later is not waited for, or one that never pauses would hold up its own attempts.
-    pub fn presence(
-        &mut self,
-        id: ClientId,
-        mark: Option<ReadMark>,
-        host: &HostId,
-    ) -> ClientPresence {
+    pub fn status(&mut self, id: ClientId, mark: Option<ReadMark>, host: &HostId) -> ClientStatus {
         let client = self.connections.get_mut(&id);
         let Some(client) = client.filter(|client| !client.conn.is_closing()) else {
-            return ClientPresence::Gone;
+            return ClientStatus::Disconnected;
         };
         let mark = mark.filter(|mark| mark.client == id);
         if client.is_processing {
             client.waiting_hosts.insert(host.clone());
-            return ClientPresence::UnreadInput(mark);
+            return ClientStatus::UnreadInput(mark);
         }
         let bytes_read = client.bytes_read;
         let is_reached = |mark: ReadMark| {
             mark.covers_all && bytes_read >= mark.position || bytes_read >= mark.max_position
         };
         let unread_bytes = match client.conn.unread() {
-            Unread::EndOfStream => return ClientPresence::Gone,
-            Unread::Nothing => return ClientPresence::Present,
-            Unread::Bytes(_) if mark.is_some_and(is_reached) => return ClientPresence::Present,
+            Unread::EndOfStream => return ClientStatus::Disconnected,
+            Unread::Nothing => return ClientStatus::Connected,
+            Unread::Bytes(_) if mark.is_some_and(is_reached) => return ClientStatus::Connected,
             Unread::Bytes(count) => count,
         };
         client.waiting_hosts.insert(host.clone());
         if mark.is_some_and(|mark| bytes_read < mark.position) {
-            return ClientPresence::UnreadInput(mark);
+            return ClientStatus::UnreadInput(mark);
         }
         let max_position = mark.map_or(bytes_read.saturating_add(MAX_READ_AHEAD_BYTES), |mark| {
             mark.max_position
         });
-        ClientPresence::UnreadInput(Some(ReadMark {
+        ClientStatus::UnreadInput(Some(ReadMark {
             client: id,
             position: bytes_read.saturating_add(unread_bytes as u64),
             covers_all: Unread::Bytes(unread_bytes).fits_next_read(),
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -1,6 +1,6 @@
-//! Tests of `clients/presence.rs`: how long an attempt waits for unread input of its client.
+//! Tests of `clients/status.rs`: how long an attempt waits for unread input of its client.
 
-use super::presence::MAX_READ_AHEAD_BYTES;
+use super::status::MAX_READ_AHEAD_BYTES;
 use super::*;
 use async_io::Async;
 use std::io::Write;
@@ -30,7 +30,7 @@
     peer.write_all(&[0; 8 * CHUNK_BYTES]).expect("it has room");
     let (mut mark, mut reads) = (None, 0);
     // As much as before waits each time that some was read.
-    while let ClientPresence::UnreadInput(next) = clients.presence(id, mark, &host) {
+    while let ClientStatus::UnreadInput(next) = clients.status(id, mark, &host) {
         mark = next;
         assert_eq!(
             clients.input_processed(id, CHUNK_BYTES).len(),
@@ -43,7 +43,7 @@
             "{reads} reads"
         );
     }
-    assert_eq!(clients.presence(id, mark, &host), ClientPresence::Present);
+    assert_eq!(clients.status(id, mark, &host), ClientStatus::Connected);
     assert_eq!(reads, MAX_READ_AHEAD_BYTES as usize / CHUNK_BYTES);
 }
 
@@ -52,35 +52,35 @@
     let (mut clients, id, mut peer) = client();
     let host = HostId(Arc::from("h0"));
     peer.write_all(&[0; 10]).expect("it has room");
-    let ClientPresence::UnreadInput(mark @ Some(_)) = clients.presence(id, None, &host) else {
+    let ClientStatus::UnreadInput(mark @ Some(_)) = clients.status(id, None, &host) else {
         panic!("ten bytes wait")
     };
     assert_eq!(
-        clients.presence(id, mark, &host),
-        ClientPresence::UnreadInput(mark),
+        clients.status(id, mark, &host),
+        ClientStatus::UnreadInput(mark),
         "nothing was read"
     );
     clients.input_processed(id, 10);
-    assert_eq!(clients.presence(id, mark, &host), ClientPresence::Present);
+    assert_eq!(clients.status(id, mark, &host), ClientStatus::Connected);
     let other = mark.map(|mark| ReadMark {
         client: ClientId(7),
         ..mark
     });
     assert!(matches!(
-        clients.presence(id, other, &host),
-        ClientPresence::UnreadInput(Some(_))
+        clients.status(id, other, &host),
+        ClientStatus::UnreadInput(Some(_))
     ));
     drop(peer);
     clients.input_processing_started(id);
     assert!(
         matches!(
-            clients.presence(id, mark, &host),
-            ClientPresence::UnreadInput(_)
+            clients.status(id, mark, &host),
+            ClientStatus::UnreadInput(_)
         ),
         "its messages are being processed"
     );
     assert_eq!(
-        clients.presence(ClientId(9), None, &host),
-        ClientPresence::Gone
+        clients.status(ClientId(9), None, &host),
+        ClientStatus::Disconnected
     );
 }
--- a/src/net/codec/binary.rs
+++ b/src/net/codec/binary.rs
@@ -2,7 +2,7 @@
 //!
 //! `length:2 type:1 task:8 parameters`, each parameter `code:1 length:2 value`, all big-endian.
 
-use super::{MAX_MESSAGE_BYTES, Malformed, TaskId, TaskRequest};
+use super::{Cause, MAX_MESSAGE_BYTES, Malformed, TaskId, TaskRequest};
 use std::sync::Arc;
 use task_placer::facade::PlacementRequest;
 use task_placer::settings::{millis, parse_number};
@@ -55,7 +55,7 @@
     /// Such a request that can't be read; the rest of the connection can.
     InvalidTaskRequest(Malformed),
     /// It cancels the request, or ends the task, with this cause.
-    Release(u8),
+    Release(Cause),
     /// A health check ("test" on the wire).
     HealthCheck,
     /// It acknowledges a release ("heard" on the wire).
@@ -97,7 +97,7 @@
             Err(reason) => ClientMessage::InvalidTaskRequest(reason),
         },
         kind::RELEASE => match parameters.find(code::CAUSE) {
-            Some([cause]) => ClientMessage::Release(*cause),
+            Some([cause]) => ClientMessage::Release(Cause(*cause)),
             _ => return Err(Malformed::Field("cause")),
         },
         kind::HEALTH_CHECK => ClientMessage::HealthCheck,
@@ -233,9 +233,9 @@
 
 /// Encodes a rejection, a failure or the end of a task, with the time after which to retry ("stay away" on the wire)
 /// where one is given.
-pub fn release(task: TaskId, cause: u8, retry_after_ms: Option<u64>) -> Vec<u8> {
+pub fn release(task: TaskId, cause: Cause, retry_after_ms: Option<u64>) -> Vec<u8> {
     let retry_after = retry_after_ms.map(|ms| ms.to_string());
-    let mut parameters = vec![(code::CAUSE, std::slice::from_ref(&cause))];
+    let mut parameters = vec![(code::CAUSE, std::slice::from_ref(&cause.0))];
     let retry_after = retry_after.as_ref();
     parameters.extend(retry_after.map(|ms| (code::RETRY_AFTER, ms.as_bytes())));
     message(kind::RELEASE, task, &parameters)
--- a/src/net/codec/binary/tests.rs
+++ b/src/net/codec/binary/tests.rs
@@ -112,9 +112,9 @@
     let id = TaskId(0x0102_0304_0506_0708);
     let cases: [(Vec<u8>, u8, &[u8]); 6] = [
         (task_started(id, "d"), 9, &[174, 0, 1, b'd']),
-        (release(id, 41, None), 12, &[171, 0, 1, 41]),
+        (release(id, Cause(41), None), 12, &[171, 0, 1, 41]),
         (
-            release(id, 42, Some(250)),
+            release(id, Cause(42), Some(250)),
             12,
             &[171, 0, 1, 42, 147, 0, 3, b'2', b'5', b'0'],
         ),
--- a/src/net/codec/lines.rs
+++ b/src/net/codec/lines.rs
@@ -1,6 +1,6 @@
 //! The JSON lines that placers and hosts exchange.
 
-use super::{MAX_MESSAGE_BYTES, Malformed, TaskId};
+use super::{Cause, MAX_MESSAGE_BYTES, Malformed, TaskId};
 use simd_json::prelude::*;
 use simd_json::{BorrowedValue, json};
 use task_placer::settings::parse_number;
@@ -15,7 +15,7 @@
     /// The task runs ("up" on the wire); the description for its client.
     Started(String),
     /// Rejected, ended or broken ("down" on the wire): the cause, and the detail.
-    Released(u8, OutcomeDetail),
+    Released(Cause, OutcomeDetail),
     /// A report about a running task ("tell" on the wire), and its value.
     Report(TaskReport, f64),
     /// A message of another type.
@@ -43,7 +43,7 @@
         }
         "down" => {
             let cause = value.get_u8("c").ok_or(Malformed::Field("c"))?;
-            HostMessage::Released(cause, outcome_detail(note))
+            HostMessage::Released(Cause(cause), outcome_detail(note))
         }
         "tell" => {
             let reported = fields
@@ -125,8 +125,8 @@
 }
 
 /// Encodes that an attempt is abandoned, or a running task ended ("down" on the wire).
-pub fn release(task: TaskId, cause: u8) -> Vec<u8> {
-    line(&json!({ "t": "down", "ref": task.to_string(), "f": {}, "c": cause }).into())
+pub fn release(task: TaskId, cause: Cause) -> Vec<u8> {
+    line(&json!({ "t": "down", "ref": task.to_string(), "f": {}, "c": cause.0 }).into())
 }
 
 /// Encodes the acknowledgement of a host's release ("ack" on the wire).
--- a/src/net/codec/lines/tests.rs
+++ b/src/net/codec/lines/tests.rs
@@ -12,15 +12,15 @@
         (r#""t":"up","d":"""#, HostMessage::Started(String::new())),
         (
             r#""t":"down","f":{"note":"nc"},"c":34"#,
-            HostMessage::Released(34, OutcomeDetail::NoCores),
+            HostMessage::Released(Cause(34), OutcomeDetail::NoCores),
         ),
         (
             r#""t":"down","f":{"note":"pre"},"c":41"#,
-            HostMessage::Released(41, OutcomeDetail::Preempted),
+            HostMessage::Released(Cause(41), OutcomeDetail::Preempted),
         ),
         (
             r#""t":"down","f":{},"c":16"#,
-            HostMessage::Released(16, OutcomeDetail::Unknown),
+            HostMessage::Released(Cause(16), OutcomeDetail::Unknown),
         ),
         (
             r#""t":"tell","f":{"note":"m","value":"1.5"}"#,
@@ -114,5 +114,5 @@
         ),
         None
     );
-    assert_eq!(release(TaskId(1), 16).last(), Some(&b'\n'));
+    assert_eq!(release(TaskId(1), Cause(16)).last(), Some(&b'\n'));
 }
--- a/src/net/codec/mod.rs
+++ b/src/net/codec/mod.rs
@@ -24,22 +24,25 @@
     }
 }
 
-/// The causes of releases that this program distinguishes.
-pub mod cause {
+/// The cause of a release on the wire. Peers may use others than this program distinguishes.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct Cause(pub u8);
+
+impl Cause {
     /// Cancelled before the start, or the task's regular end.
-    pub const NORMAL: u8 = 16;
+    pub const NORMAL: Cause = Cause(16);
     /// Migrated, or ended by its client.
-    pub const CANCELLED: u8 = 31;
+    pub const CANCELLED: Cause = Cause(31);
     /// Rejected by a full host.
-    pub const HOST_FULL: u8 = 34;
+    pub const HOST_FULL: Cause = Cause(34);
     /// The task or its connection broke.
-    pub const RESET: u8 = 41;
+    pub const RESET: Cause = Cause(41);
     /// Rejected by the placer ("refused" on the wire): a retry is harmless.
-    pub const REJECTED: u8 = 42;
+    pub const REJECTED: Cause = Cause(42);
     /// An error; the task may have run.
-    pub const FAILED: u8 = 47;
+    pub const FAILED: Cause = Cause(47);
     /// The attempt was never sent ("moot" on the wire).
-    pub const NOT_SENT: u8 = 102;
+    pub const NOT_SENT: Cause = Cause(102);
 }
 
 /// A client's request to place or adopt a task ("set-up" on the wire).
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -23,9 +23,9 @@
 /// Bytes that are read at most from a connection that has failed.
 const MAX_BYTES_AFTER_FAILURE: usize = 64 * CHUNK_BYTES;
 /// Bytes that are read at most from a connection after our end of it.
-const MAX_LINGER_BYTES: usize = 128 * 1024 * 1024;
+const MAX_SHUTDOWN_READ_BYTES: usize = 128 * 1024 * 1024;
 /// How long a connection is read after our end of it.
-const LINGER_TIME: Duration = Duration::from_millis(1_000);
+const SHUTDOWN_READ_TIMEOUT: Duration = Duration::from_millis(1_000);
 
 thread_local! {
     /// Where all connections read to. One for each would be the largest part of what an idle connection holds.
@@ -281,9 +281,9 @@
 
     /// Closes our side after the last message and reads what still arrives, for a bounded time. Guards against the reset
     /// that closing with unread input would send: it can take the message along.
-    pub async fn linger(&self) {
+    pub async fn shutdown_gracefully(&self) {
         let limit = async {
-            Timer::after(LINGER_TIME).await;
+            Timer::after(SHUTDOWN_READ_TIMEOUT).await;
         };
         future::or(self.flush_and_read_to_end(), limit).await;
     }
@@ -299,7 +299,7 @@
         let (mut inbox, mut total) = (Vec::new(), 0);
         while let Ok(count) = self.read_some(&mut inbox).await {
             total += count;
-            if count == 0 || total > MAX_LINGER_BYTES {
+            if count == 0 || total > MAX_SHUTDOWN_READ_BYTES {
                 return;
             }
             inbox.clear();
--- a/src/net/conn/tests.rs
+++ b/src/net/conn/tests.rs
@@ -43,9 +43,9 @@
     let (conn, mut peer) = pair();
     // Unread input at the peer: its close resets the connection.
     assert!(conn.send(0, b"never read"));
-    let mut heard = Vec::new();
+    let mut received = Vec::new();
     let run = conn.run(|inbox| {
-        heard.append(inbox);
+        received.append(inbox);
         Ok(())
     });
     let fails = async {
@@ -55,7 +55,7 @@
         while conn.send(0, b"into the void") {}
     };
     let (end, ()) = async_io::block_on(future::zip(run, fails));
-    assert_eq!((end, heard.len()), (CloseReason::Reset, 3 * CHUNK_BYTES));
+    assert_eq!((end, received.len()), (CloseReason::Reset, 3 * CHUNK_BYTES));
 }
 
 #[test]
--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -26,7 +26,7 @@
 /// Bytes that one read takes at most.
 const READ_BUFFER_BYTES: usize = 1_024;
 /// The mode bits that a new socket does not get: all but reading and writing by its owner.
-const OWNER_ONLY_UMASK: u32 = 0o177;
+const PRIVATE_UMASK: u32 = 0o177;
 
 /// Why a connection ended, as the log names it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -65,12 +65,12 @@
     let with_path =
         |e: io::Error| io::Error::new(e.kind(), format!("ctl.socket: {}: {e}", path.display()));
     remove_stale_socket(path).map_err(with_path)?;
-    let listener = bind_for_owner(path).map_err(with_path)?;
+    let listener = bind_private(path).map_err(with_path)?;
     let gate = Rc::new(Gate::new(MAX_CONNECTIONS));
     executor
         .spawn(accept(listener, gate.clone(), shared.clone()))
         .detach();
-    info!(socket = %path.display(), "takes orders");
+    info!(socket = %path.display(), "control socket open");
     Ok(gate)
 }
 
@@ -87,8 +87,8 @@
 }
 
 /// Binds the socket so that from its first moment on nobody but its owner may use it.
-fn bind_for_owner(path: &Path) -> io::Result<Async<UnixListener>> {
-    let before = umask(Mode::from_raw_mode(OWNER_ONLY_UMASK));
+fn bind_private(path: &Path) -> io::Result<Async<UnixListener>> {
+    let before = umask(Mode::from_raw_mode(PRIVATE_UMASK));
     let bound = Async::<UnixListener>::bind(path);
     umask(before);
     bound
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -51,7 +51,7 @@
 use super::health::gate::Gate;
 use super::health::watch::Watch;
 use super::hosts::{ConnectionId, HostLink};
-use super::wheel::Wheel;
+use super::timer_wheel::TimerWheel;
 use crate::operator::Operator;
 use async_executor::LocalExecutor;
 use overload_log::OverloadLog;
@@ -109,7 +109,7 @@
     /// The placer's name, for the log.
     name: String,
     facade: Facade,
-    wheel: Wheel<TimerEvent>,
+    timer_wheel: TimerWheel<TimerEvent>,
     hosts: BTreeMap<HostId, HostLink>,
     /// Hosts that have not taken what is queued for them, while attempts wait behind it.
     backlogged_hosts: BTreeSet<HostId>,
@@ -178,7 +178,7 @@
                 // The clock is the wall clock already.
                 0,
             ),
-            wheel: Wheel::new(now),
+            timer_wheel: TimerWheel::new(now),
             hosts: BTreeMap::new(),
             backlogged_hosts: BTreeSet::new(),
             active_hosts: 0,
@@ -208,7 +208,8 @@
     /// Starts the sweep, and takes in the endpoint list that the configuration holds.
     pub fn start(&mut self) {
         let now = self.clock.now();
-        self.wheel.add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
+        self.timer_wheel
+            .add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
         let cached_updates = std::mem::take(&mut self.cached_updates);
         for (index, message) in cached_updates.into_iter().enumerate() {
             self.endpoints_rejected(&message.rejected);
--- a/src/net/dispatch/admin_commands.rs
+++ b/src/net/dispatch/admin_commands.rs
@@ -15,7 +15,7 @@
 use tracing::info;
 
 impl Dispatch {
-    /// Whether this process takes requests: what every health check is told.
+    /// Whether this process takes requests: the result of every health check.
     pub fn serves(&self) -> bool {
         self.is_listening
             && !self.is_shutting_down()
@@ -51,7 +51,7 @@
             None => {}
         }
         if self.lifecycle.phase() != before {
-            info!(phase = self.lifecycle.phase().as_str(), "duty");
+            info!(phase = self.lifecycle.phase().as_str(), "lifecycle");
         }
         if self.lifecycle.empties() {
             self.clients.close_idle_connections(now);
--- a/src/net/dispatch/attempts.rs
+++ b/src/net/dispatch/attempts.rs
@@ -7,8 +7,8 @@
 use super::request::RequestState;
 use super::timer_event::TimerEvent;
 use super::{Dispatch, MILLISECOND};
-use crate::net::clients::ClientPresence;
-use crate::net::codec::{TaskId, TaskRequest, cause, lines};
+use crate::net::clients::ClientStatus;
+use crate::net::codec::{Cause, TaskId, TaskRequest, lines};
 use crate::net::conn::{CloseReason, Unread};
 use crate::net::hosts::{ConnectionState, PendingAttempt};
 use task_placer::facade::{PlacementEvent, Ticket};
@@ -25,7 +25,7 @@
     /// It stays pending.
     Pending(PendingAttempt),
     /// Its client has gone.
-    ClientGone,
+    ClientDisconnected,
 }
 
 impl Dispatch {
@@ -50,7 +50,7 @@
             sent_on: None,
         };
         self.set_request_state(ticket, state);
-        self.wheel
+        self.timer_wheel
             .add(deadline, TimerEvent::AttemptTimeout(ticket, attempt));
         let link = self.hosts.get_mut(&host);
         let Some(link) = link.filter(|link| link.address.is_some()) else {
@@ -69,7 +69,7 @@
         let request = self.requests.get(&ticket);
         if request.is_some_and(|request| request.state.is_unsent()) {
             let timer = TimerEvent::UnsentTimeout(ticket, attempt);
-            self.wheel.add(now + self.connect_timeout, timer);
+            self.timer_wheel.add(now + self.connect_timeout, timer);
         }
         None
     }
@@ -100,7 +100,7 @@
                         link.pending_attempts.push(pending);
                     }
                 }
-                SendResult::ClientGone => without_client.push(ticket),
+                SendResult::ClientDisconnected => without_client.push(ticket),
             }
         }
         self.update_priorities(now, host, ConnectionUse::JustUsed);
@@ -147,14 +147,14 @@
                 ..pending
             })
         };
-        match self.clients.presence(client, pending.read_mark, host) {
-            ClientPresence::Gone => SendResult::ClientGone,
-            ClientPresence::UnreadInput(read_mark) => still_pending(read_mark),
-            ClientPresence::Present if !conn.is_flushed() => {
+        match self.clients.status(client, pending.read_mark, host) {
+            ClientStatus::Disconnected => SendResult::ClientDisconnected,
+            ClientStatus::UnreadInput(read_mark) => still_pending(read_mark),
+            ClientStatus::Connected if !conn.is_flushed() => {
                 self.backlogged_hosts.insert(host.clone());
                 still_pending(None)
             }
-            ClientPresence::Present => {
+            ClientStatus::Connected => {
                 let Some(line) = attempt_line(request.id, message, *deadline - now) else {
                     return SendResult::Done;
                 };
@@ -164,7 +164,7 @@
                 self.counters.offered(request.class);
                 *sent_on = Some(link.connection_id);
                 let timer = TimerEvent::SilenceCheck(pending.ticket, pending.attempt);
-                self.wheel.add(now + SILENCE_TIMEOUT, timer);
+                self.timer_wheel.add(now + SILENCE_TIMEOUT, timer);
                 SendResult::Done
             }
         }
@@ -236,7 +236,7 @@
         }
         let link = self.hosts.get(host);
         if let Some(conn) = sent_on.and_then(|id| link.and_then(|link| link.open_connection(id))) {
-            conn.send(now, &lines::release(request.id, cause::NORMAL));
+            conn.send(now, &lines::release(request.id, Cause::NORMAL));
         }
         // What has not been sent never ran.
         let outcome = if sent_on.is_none() && outcome == Outcome::Timeout {
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -8,7 +8,7 @@
 use super::{Dispatch, MILLISECOND};
 use crate::net::clients::{AcceptWait, ClientEvents, ClientId, Clients, ReadSummary};
 use crate::net::codec::binary::{self, ClientMessage};
-use crate::net::codec::{Malformed, TaskId, TaskRequest};
+use crate::net::codec::{Cause, Malformed, TaskId, TaskRequest};
 use crate::net::conn::{CloseReason, Connection};
 use std::rc::Rc;
 use task_placer::facade::{PlacementEvent, PlacementRequest, RequestKind, Ticket};
@@ -18,7 +18,7 @@
 use task_placer::{Micros, Outcome};
 use tracing::info;
 
-/// A client's time runs from when it sent: what the way here, a tick and the way back may take.
+/// A client's time runs from when it sent its request: what the request, a tick and the response may take on the way.
 const RESPONSE_TRAVEL_TIME: Micros = 15 * MILLISECOND;
 
 impl ClientEvents for Dispatch {
@@ -142,7 +142,7 @@
         now: Micros,
         client: ClientId,
         id: TaskId,
-        cause: u8,
+        cause: Cause,
         known: Option<Ticket>,
     ) {
         let open = known
--- a/src/net/dispatch/decisions.rs
+++ b/src/net/dispatch/decisions.rs
@@ -2,7 +2,7 @@
 //! handed to the function that applies it. It never decides anything itself, and never writes to a peer.
 
 use super::{Dispatch, MILLISECOND};
-use crate::net::codec::cause;
+use crate::net::codec::Cause;
 use std::collections::VecDeque;
 use task_placer::facade::{Decision, PlacementEvent};
 use task_placer::{Micros, Outcome};
@@ -47,9 +47,9 @@
                 let retry_after_ms = u64::try_from(retry_after / MILLISECOND)
                     .ok()
                     .filter(|ms| *ms > 0);
-                self.respond_unplaced(now, ticket, cause::REJECTED, retry_after_ms)
+                self.respond_unplaced(now, ticket, Cause::REJECTED, retry_after_ms)
             }
-            Decision::Fail { ticket } => self.respond_unplaced(now, ticket, cause::FAILED, None),
+            Decision::Fail { ticket } => self.respond_unplaced(now, ticket, Cause::FAILED, None),
             Decision::Migrate { ticket } => {
                 self.migrate_task(now, ticket);
                 None
--- a/src/net/dispatch/host_connections.rs
+++ b/src/net/dispatch/host_connections.rs
@@ -74,7 +74,7 @@
         if link.state != EndpointState::Removed {
             let backoff = link.reconnect_backoff();
             let backoff = backoff.max(self.health_check_delay(now, host));
-            self.wheel
+            self.timer_wheel
                 .add(now + backoff, TimerEvent::Reconnect(host.clone(), id));
         }
         if error == ConnectError::NoDescriptor {
@@ -165,7 +165,7 @@
         self.connection_pool.taken(now, (host.clone(), id));
         self.reclaim_descriptors(now);
         let timer = TimerEvent::ConnectTimeout(host.clone(), id);
-        self.wheel.add(now + self.connect_timeout, timer);
+        self.timer_wheel.add(now + self.connect_timeout, timer);
         self.tasks
             .spawn(hosts::serve(host.clone(), id, address, stopped, shared));
         self.update_priorities(now, host, ConnectionUse::Unchanged);
@@ -246,7 +246,7 @@
         if link.tasks_lost_at != Some(lost_at) {
             link.tasks_lost_at = Some(lost_at);
             let timer = TimerEvent::HostUnreachable(host.clone(), since);
-            self.wheel.add(lost_at, timer);
+            self.timer_wheel.add(lost_at, timer);
         }
     }
 
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -7,7 +7,7 @@
 use super::request::{Assignment, EndedTask, HostRelease, RequestState};
 use super::responses::StartedTask;
 use crate::net::codec::lines::{self, HostMessage};
-use crate::net::codec::{TaskId, cause};
+use crate::net::codec::{Cause, TaskId};
 use crate::net::hosts::ConnectionState;
 use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
@@ -67,7 +67,7 @@
     ) {
         match message {
             HostMessage::Started(description) => self.attempt_started(now, ticket, &description),
-            HostMessage::Released(cause::NORMAL, detail) => {
+            HostMessage::Released(Cause::NORMAL, detail) => {
                 self.attempt_completed(now, ticket, detail);
             }
             HostMessage::Released(cause, detail) => {
@@ -177,7 +177,7 @@
         let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
         self.set_request_state(ticket, RequestState::Queued);
         self.update_priorities(now, &host, ConnectionUse::JustUsed);
-        self.respond_unplaced(now, ticket, cause::NORMAL, None);
+        self.respond_unplaced(now, ticket, Cause::NORMAL, None);
         let event = PlacementEvent::AttemptEnded {
             ticket,
             attempt,
@@ -196,13 +196,13 @@
         now: Micros,
         ticket: Ticket,
         host: &HostId,
-        cause: u8,
+        cause: Cause,
         detail: OutcomeDetail,
     ) {
         let outcome = match cause {
-            cause::HOST_FULL => Outcome::Rejected,
-            cause::FAILED => Outcome::Error,
-            cause::NOT_SENT => Outcome::NotSent,
+            Cause::HOST_FULL => Outcome::Rejected,
+            Cause::FAILED => Outcome::Error,
+            Cause::NOT_SENT => Outcome::NotSent,
             _ => Outcome::Reset,
         };
         if outcome == Outcome::Rejected
--- a/src/net/dispatch/request.rs
+++ b/src/net/dispatch/request.rs
@@ -2,7 +2,7 @@
 //! every change of state.
 
 use crate::net::clients::ClientId;
-use crate::net::codec::{TaskId, TaskRequest};
+use crate::net::codec::{Cause, TaskId, TaskRequest};
 use crate::net::hosts::ConnectionId;
 use task_placer::{HostId, Micros};
 
@@ -98,7 +98,7 @@
     /// The latency objective of its class.
     pub(super) latency_objective: Micros,
     /// The connection on which the running task was requested or adopted.
-    pub(super) home_client: Option<ClientId>,
+    pub(super) origin_client: Option<ClientId>,
 }
 
 impl Request {
@@ -124,5 +124,5 @@
     /// The host.
     pub(super) host: HostId,
     /// The cause on the wire.
-    pub(super) cause: u8,
+    pub(super) cause: Cause,
 }
--- a/src/net/dispatch/requests.rs
+++ b/src/net/dispatch/requests.rs
@@ -61,7 +61,7 @@
             class: self.facade.class_index(class),
             arrived_at: now,
             latency_objective,
-            home_client: None,
+            origin_client: None,
         };
         self.requests.insert(ticket, request);
         ticket
@@ -88,8 +88,8 @@
             self.request_index.remove(ticket, host, assignment);
             self.update_priorities(self.clock.now(), host, ConnectionUse::Unchanged);
         }
-        if let Some(home_client) = request.home_client {
-            self.clients.running_task_ended(home_client);
+        if let Some(origin_client) = request.origin_client {
+            self.clients.running_task_ended(origin_client);
         }
         if self.tickets_by_task.get(&request.id) == Some(&ticket) {
             self.tickets_by_task.remove(&request.id);
--- a/src/net/dispatch/responses.rs
+++ b/src/net/dispatch/responses.rs
@@ -13,7 +13,7 @@
 use super::Dispatch;
 use super::request::RequestState;
 use crate::net::clients::ClientId;
-use crate::net::codec::{TaskId, binary, cause};
+use crate::net::codec::{Cause, TaskId, binary};
 use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
 use task_placer::operation::tally::Ended as Told;
@@ -26,7 +26,7 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        cause: u8,
+        cause: Cause,
         retry_after_ms: Option<u64>,
     ) -> Option<PlacementEvent> {
         let event = self.abandon_attempt(now, ticket, None, Outcome::Cancelled);
@@ -35,7 +35,7 @@
             self.record_health_event(now, Event::Answered { in_aim: false });
             let request = self.remove_request(ticket)?;
             if let Some(client) = request.client {
-                let outcome = if cause == cause::REJECTED {
+                let outcome = if cause == Cause::REJECTED {
                     Told::Refused
                 } else {
                     Told::Failed
@@ -65,7 +65,7 @@
 
     /// Sends the final response to a request that neither the decision module nor a host sees.
     pub(super) fn respond_invalid(&mut self, now: Micros, client: ClientId, id: TaskId) {
-        let message = binary::release(id, cause::FAILED, None);
+        let message = binary::release(id, Cause::FAILED, None);
         self.clients.send(now, client, &message);
     }
 }
--- a/src/net/dispatch/running_tasks.rs
+++ b/src/net/dispatch/running_tasks.rs
@@ -7,7 +7,7 @@
 use super::timer_event::TimerEvent;
 use super::{Dispatch, MILLISECOND};
 use crate::net::clients::ClientId;
-use crate::net::codec::{TaskId, TaskRequest, binary, cause, lines};
+use crate::net::codec::{Cause, TaskId, TaskRequest, binary, lines};
 use crate::net::hosts::ConnectionState;
 use task_placer::facade::{PlacementEvent, RequestKind, Ticket};
 use task_placer::{EndpointState, HostId, Micros, Outcome, OutcomeDetail};
@@ -35,7 +35,7 @@
         let invalid = self.check_adoption(id, message).err();
         let cause = self
             .end_before_adoption(id, host)
-            .or(invalid.as_ref().map(|_| cause::RESET));
+            .or(invalid.as_ref().map(|_| Cause::RESET));
         if let Some(cause) = cause {
             let reason = invalid.map_or_else(|| "released".to_string(), |why| why.to_string());
             info!(task = %id, reason, host = &*host.0, "task not running");
@@ -55,7 +55,7 @@
             self.request_connection(now, host);
         } else {
             let timer = TimerEvent::UnknownHostTimeout(ticket);
-            self.wheel.add(now + UNKNOWN_HOST_TIMEOUT, timer);
+            self.timer_wheel.add(now + UNKNOWN_HOST_TIMEOUT, timer);
         }
         let decisions = self.facade.adopt(now, ticket, &message.placement, host);
         self.apply_decisions(now, decisions.unwrap_or_default());
@@ -71,7 +71,7 @@
 
     /// Returns the cause of the end of a task that a client wants adopted, if it has ended before. Guards against a
     /// release that arrived on a new connection to the host before the client's message.
-    fn end_before_adoption(&self, id: TaskId, host: &HostId) -> Option<u8> {
+    fn end_before_adoption(&self, id: TaskId, host: &HostId) -> Option<Cause> {
         let ended = self.ended_tasks.get(&id);
         if let Some(EndedTask {
             released_by: Some(HostRelease { host: at, cause }),
@@ -83,13 +83,13 @@
         }
         let link = self.hosts.get(host);
         let is_removed = link.is_some_and(|link| link.state == EndpointState::Removed);
-        is_removed.then_some(cause::RESET)
+        is_removed.then_some(Cause::RESET)
     }
 
     /// Records the connection on which a running task was requested or adopted.
     pub(super) fn assign_running_task(&mut self, ticket: Ticket, client: ClientId) {
         if let Some(request) = self.requests.get_mut(&ticket) {
-            request.home_client = Some(client);
+            request.origin_client = Some(client);
             self.clients.running_task_started(client);
         }
     }
@@ -100,9 +100,9 @@
             return;
         };
         if let RequestState::Running { since, .. } = request.state {
-            let (id, home_client) = (request.id, request.home_client);
-            self.notify_task_end(now, id, home_client, since, binary::migrate(id));
-            self.release_running_task(now, ticket, cause::CANCELLED);
+            let (id, origin_client) = (request.id, request.origin_client);
+            self.notify_task_end(now, id, origin_client, since, binary::migrate(id));
+            self.release_running_task(now, ticket, Cause::CANCELLED);
         }
     }
 
@@ -112,11 +112,11 @@
         &mut self,
         now: Micros,
         id: TaskId,
-        home_client: Option<ClientId>,
+        origin_client: Option<ClientId>,
         since: Micros,
         message: Vec<u8>,
     ) {
-        match home_client {
+        match origin_client {
             Some(client) if now - since < RESPONSE_DELIVERY_TIME => {
                 self.clients
                     .send_task_end_after_response(now, client, id, message);
@@ -126,7 +126,7 @@
     }
 
     /// Releases a running task at its host, on the open connection or on the next one.
-    pub(super) fn release_running_task(&mut self, now: Micros, ticket: Ticket, cause: u8) {
+    pub(super) fn release_running_task(&mut self, now: Micros, ticket: Ticket, cause: Cause) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
         };
@@ -153,7 +153,7 @@
             }
         }
         self.set_request_state(ticket, state);
-        self.wheel
+        self.timer_wheel
             .add(now + RELEASE_TIMEOUT, TimerEvent::ReleaseTimeout(ticket));
         if !is_sent {
             self.request_connection(now, &host);
@@ -179,7 +179,7 @@
         let (attempt, host, elapsed) = (*attempt, host.clone(), now - since);
         info!(task = %request.id, reason = "unknown-host", host = &*host.0, "task not running");
         if let Some(client) = request.client {
-            let message = binary::release(request.id, cause::RESET, None);
+            let message = binary::release(request.id, Cause::RESET, None);
             self.clients.send(now, client, &message);
         }
         self.remove_request(ticket);
@@ -199,7 +199,7 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        cause: u8,
+        cause: Cause,
         detail: OutcomeDetail,
     ) {
         let Some(request) = self.remove_request(ticket) else {
@@ -212,7 +212,7 @@
                 since,
             } => {
                 let message = binary::release(request.id, cause, None);
-                self.notify_task_end(now, request.id, request.home_client, since, message);
+                self.notify_task_end(now, request.id, request.origin_client, since, message);
                 (attempt, host, since, outcome_of_release(cause))
             }
             RequestState::Releasing {
@@ -249,16 +249,16 @@
             info!(host = &*host.0, tasks = lost.len(), "tasks lost");
         }
         for ticket in lost {
-            self.end_running_task(now, ticket, cause::RESET, OutcomeDetail::Unknown);
+            self.end_running_task(now, ticket, Cause::RESET, OutcomeDetail::Unknown);
         }
     }
 }
 
 /// Returns the outcome that a host's release of a running task stands for.
-fn outcome_of_release(cause: u8) -> Outcome {
+fn outcome_of_release(cause: Cause) -> Outcome {
     match cause {
-        cause::NORMAL => Outcome::Completed,
-        cause::CANCELLED => Outcome::Cancelled,
+        Cause::NORMAL => Outcome::Completed,
+        Cause::CANCELLED => Outcome::Cancelled,
         _ => Outcome::Reset,
     }
 }
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -4,7 +4,7 @@
 use super::request::RequestState;
 use super::timer_event::{SWEEP_INTERVAL, TimerEvent};
 use super::{Dispatch, MILLISECOND};
-use crate::net::codec::cause;
+use crate::net::codec::Cause;
 use crate::net::hosts::{ConnectError, ConnectionId, ConnectionState, HostEvents, HostLink};
 use task_placer::facade::Ticket;
 use task_placer::health::Event;
@@ -23,7 +23,7 @@
         for host in std::mem::take(&mut self.backlogged_hosts) {
             self.send_pending_attempts(now, &host);
         }
-        for timer in self.wheel.due(now) {
+        for timer in self.timer_wheel.due(now) {
             self.fire_timer(now, timer);
         }
         let decisions = self.facade.tick(now);
@@ -78,7 +78,7 @@
     fn end_unconfirmed_release(&mut self, now: Micros, ticket: Ticket) {
         let state = self.requests.get(&ticket).map(|request| &request.state);
         if let Some(RequestState::Releasing { .. }) = state {
-            self.end_running_task(now, ticket, cause::CANCELLED, OutcomeDetail::Unknown);
+            self.end_running_task(now, ticket, Cause::CANCELLED, OutcomeDetail::Unknown);
         }
     }
 
@@ -92,6 +92,7 @@
         self.log_overload(now);
         self.ended_tasks
             .retain(|_, ended| now - ended.ended_at < ENDED_TASK_RETENTION);
-        self.wheel.add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
+        self.timer_wheel
+            .add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
     }
 }
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -1,5 +1,5 @@
 //! Follows the service discovery feed: subscribes, reads, and subscribes again from the last event that it has. It knows
-//! nothing of dispatch: what the feed tells goes to whoever implements [`FeedEvents`].
+//! nothing of dispatch: what the feed sends goes to whoever implements [`FeedEvents`].
 
 use super::codec::feed::{self, EndpointUpdate, FeedMessage, RejectedEndpoint};
 use super::codec::next_line;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -16,7 +16,7 @@
 mod hosts;
 mod inherit;
 pub mod log;
-mod wheel;
+mod timer_wheel;
 
 use crate::operator::Operator;
 use async_channel::Sender;
@@ -113,7 +113,7 @@
         let new_addresses = self.follow_feed();
         self.handle_signals(signals, path, new_addresses);
         self.run_until_finished(&acceptor).await;
-        accept::linger(&self.shared).await;
+        accept::shutdown_connections(&self.shared).await;
         if let Some(socket) = &self.operator.ctl {
             let _ = std::fs::remove_file(socket);
         }
@@ -199,7 +199,7 @@
 
     /// Drives the wheel and the log until the process may exit.
     async fn run_until_finished(&self, acceptor: &Acceptor<Dispatch>) {
-        let mut ticks = Timer::interval(Duration::from_micros(wheel::TICK.unsigned_abs()));
+        let mut ticks = Timer::interval(Duration::from_micros(timer_wheel::TICK.unsigned_abs()));
         while ticks.next().await.is_some() {
             log::pump();
             let is_finished = {
--- a/src/net/wheel.rs
+++ b/src/net/timer_wheel.rs
@@ -9,16 +9,16 @@
 const SLOTS: usize = 1_024;
 
 /// Items by the tick in which they are due. An item is never early and at most a tick late.
-pub struct Wheel<T> {
+pub struct TimerWheel<T> {
     slots: Vec<Vec<(i64, T)>>,
     /// The last tick whose items were returned.
     last_tick: i64,
 }
 
-impl<T> Wheel<T> {
+impl<T> TimerWheel<T> {
     /// Creates an empty wheel that starts at `now`.
-    pub fn new(now: Micros) -> Wheel<T> {
-        Wheel {
+    pub fn new(now: Micros) -> TimerWheel<T> {
+        TimerWheel {
             slots: (0..SLOTS).map(|_| Vec::new()).collect(),
             last_tick: now / TICK,
         }
--- a/src/net/wheel/tests.rs
+++ b/src/net/timer_wheel/tests.rs
@@ -1,10 +1,10 @@
-//! Tests of `wheel.rs`.
+//! Tests of `timer_wheel.rs`.
 
 use super::*;
 
 #[test]
 fn items_are_returned_in_order_and_never_early() {
-    let mut wheel = Wheel::new(1_000_000);
+    let mut wheel = TimerWheel::new(1_000_000);
     let turn = TICK * SLOTS as Micros;
     for (at, item) in [
         (1_020_000, 'b'),
