--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -3,7 +3,9 @@
 mod common;
 
 use common::*;
-use emulator::{Ask, Feed, Host, HostConn, Program, QUICK, deployment, unix_ms};
+use emulator::{
+    Feed, Host, HostConnection, IDEMPOTENT_TASK, Program, TaskRequest, placer_config, unix_ms,
+};
 use proptest::prelude::*;
 use simd_json::json;
 use simd_json::prelude::*;
@@ -163,7 +165,7 @@
     }
 }
 
-// Calls to a host that does not answer take as long as the settings allow, and what waited leaves together.
+// AdminSocket to a host that does not answer take as long as the settings allow, and what waited leaves together.
 #[test]
 fn attempts_that_waited_for_a_connection_keep_the_slow_start_budget() {
     // The first part of the budget waits as long as it may, and the next comes at once.
@@ -222,7 +224,7 @@
 /// All offers that come to a host, and when; each is answered at once.
 fn collect(
     host: &Host,
-    conns: &mut Vec<HostConn>,
+    conns: &mut Vec<HostConnection>,
     times: &mut Vec<Micros>,
     start: Instant,
     span: Duration,
@@ -234,7 +236,7 @@
             while let Some(message) = conn.read_within(Duration::from_millis(1)) {
                 if message.get_str("t") == Some("new") {
                     times.push(start.elapsed().as_micros() as Micros);
-                    conn.up(message.get_str("ref").expect("an id"));
+                    conn.report_running(message.get_str("ref").expect("an id"));
                 }
             }
         }
@@ -252,7 +254,7 @@
     for life in 0..2 {
         let mut programs = Vec::new();
         for (me, feed) in feeds.iter_mut().enumerate() {
-            let mut config = deployment(
+            let mut config = placer_config(
                 &format!("n{me}"),
                 me as u64,
                 3,
@@ -263,24 +265,28 @@
             // A cold host starts so many; none waits for its fellows of a service.
             config["settings"]["family_info"]["class_most"] = json!([50, 50]);
             let program = Program::start(&config);
-            feed.subscribed();
+            feed.accept_subscription();
             programs.push(program);
         }
         if life == 0 {
             born = unix_ms();
             for feed in &mut feeds {
-                feed.tell(&emulator::event(2, false, vec![host.entry("up", born)]));
+                feed.send(&emulator::endpoint_event(
+                    2,
+                    emulator::UpdateKind::Delta,
+                    vec![host.entry("up", born)],
+                ));
             }
         }
         let mut clients: Vec<_> = programs.iter().map(Program::client).collect();
         for client in &mut clients {
-            assert!(client.test());
+            assert!(client.health_check());
             for n in 1..=20 {
-                client.set_up(
+                client.request_task(
                     life * 100 + n,
-                    &Ask {
+                    &TaskRequest {
                         service: n,
-                        ..QUICK
+                        ..IDEMPOTENT_TASK
                     },
                 );
             }
