--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -3,8 +3,12 @@
 use super::*;
 
 #[test]
-fn valid_command_lines_parse_and_invalid_ones_fail() {
+fn definition_of_the_command_line_is_consistent() {
     Cli::command().debug_assert();
+}
+
+#[test]
+fn valid_command_lines_parse() {
     for words in [
         &["task-placer"][..],
         &["task-placer", "serve", "--operator", "f.toml"],
@@ -22,6 +26,10 @@
     ] {
         assert!(Cli::try_parse_from(words).is_ok(), "{words:?}");
     }
+}
+
+#[test]
+fn invalid_command_lines_fail() {
     for words in [
         &["task-placer", "sevre"][..],
         &["task-placer", "--log-level", "loud"],
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/tests.rs
@@ -47,40 +47,66 @@
     assert_eq!(reads, MAX_READ_AHEAD_BYTES as usize / CHUNK_BYTES);
 }
 
-#[test]
-fn later_input_is_not_waited_for_and_a_mark_belongs_to_one_client() {
+/// A client that has sent ten bytes, and the mark that an attempt for it waits for.
+fn client_with_unread_input(host: &HostId) -> (Clients, ClientId, TcpStream, Option<ReadMark>) {
     let (mut clients, id, mut peer) = client();
-    let host = HostId(Arc::from("h0"));
     peer.write_all(&[0; 10]).expect("it has room");
-    let ClientStatus::UnreadInput(mark @ Some(_)) = clients.status(id, None, &host) else {
+    let ClientStatus::UnreadInput(mark @ Some(_)) = clients.status(id, None, host) else {
         panic!("ten bytes wait")
     };
-    assert_eq!(
-        clients.status(id, mark, &host),
-        ClientStatus::UnreadInput(mark),
-        "nothing was read"
-    );
+    (clients, id, peer, mark)
+}
+
+#[test]
+fn input_that_arrived_before_the_first_look_is_waited_for_until_it_is_read() {
+    let host = HostId(Arc::from("h0"));
+    let (mut clients, id, _peer, mark) = client_with_unread_input(&host);
+
+    let before = clients.status(id, mark, &host);
+    clients.input_processed(id, 10);
+    let after = clients.status(id, mark, &host);
+
+    assert_eq!(before, ClientStatus::UnreadInput(mark), "nothing was read");
+    assert_eq!(after, ClientStatus::Connected);
+}
+
+#[test]
+fn mark_of_another_client_is_not_used() {
+    let host = HostId(Arc::from("h0"));
+    let (mut clients, id, _peer, mark) = client_with_unread_input(&host);
     clients.input_processed(id, 10);
-    assert_eq!(clients.status(id, mark, &host), ClientStatus::Connected);
     let other = mark.map(|mark| ReadMark {
         client: ClientId(7),
         ..mark
     });
-    assert!(matches!(
-        clients.status(id, other, &host),
-        ClientStatus::UnreadInput(Some(_))
-    ));
+
+    let status = clients.status(id, other, &host);
+
+    assert!(matches!(status, ClientStatus::UnreadInput(Some(_))));
+}
+
+#[test]
+fn closed_client_is_waited_for_while_its_messages_are_processed() {
+    let host = HostId(Arc::from("h0"));
+    let (mut clients, id, peer, mark) = client_with_unread_input(&host);
+    clients.input_processed(id, 10);
     drop(peer);
     clients.input_processing_started(id);
+
+    let status = clients.status(id, mark, &host);
+
     assert!(
-        matches!(
-            clients.status(id, mark, &host),
-            ClientStatus::UnreadInput(_)
-        ),
+        matches!(status, ClientStatus::UnreadInput(_)),
         "its messages are being processed"
     );
-    assert_eq!(
-        clients.status(ClientId(9), None, &host),
-        ClientStatus::Disconnected
-    );
+}
+
+#[test]
+fn unknown_client_is_disconnected() {
+    let (mut clients, _, _peer) = client();
+    let host = HostId(Arc::from("h0"));
+
+    let status = clients.status(ClientId(9), None, &host);
+
+    assert_eq!(status, ClientStatus::Disconnected);
 }
--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -24,25 +24,33 @@
 }
 
 #[test]
-fn step_of_the_systems_clock_is_followed_slowly_and_time_goes_on() {
+fn step_of_the_systems_clock_is_followed_slowly_until_it_is_made_up_for() {
     for step in [-5 * SECOND, 5 * SECOND] {
         let (moved, left) = follow_step(step, SECOND);
         assert!(
             moved != 0 && moved.abs() <= SECOND / MAX_SLEW_DIVISOR && left.abs() >= 4 * SECOND,
             "{step}: {moved} {left}"
         );
+
         let (_, left) = follow_step(step, 300 * SECOND);
         assert!(left.abs() < 2_000, "{step}: made up for, but for {left}");
     }
+}
+
+#[test]
+fn clock_without_a_step_advances_evenly() {
     assert_eq!(follow_step(0, SECOND), (0, 0));
-    // A stall is time that has passed.
+}
+
+#[test]
+fn stall_of_the_process_counts_as_time_that_has_passed() {
     let before = Reading {
         time: 42,
         monotonic: 7,
         unix_checked_at: 7,
     };
-    assert_eq!(
-        next_reading(Some(before), 7 + 9 * SECOND, || 42 + 9 * SECOND).time,
-        42 + 9 * SECOND
-    );
+
+    let after = next_reading(Some(before), 7 + 9 * SECOND, || 42 + 9 * SECOND);
+
+    assert_eq!(after.time, 42 + 9 * SECOND);
 }
--- a/src/net/codec/binary/tests.rs
+++ b/src/net/codec/binary/tests.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn invalid_task_requests_differ_from_malformed_messages() {
+fn invalid_task_request_names_its_field_and_leaves_the_connection_readable() {
     let cases: [(usize, Option<&[u8]>, &str); 9] = [
         (0, None, "class"),
         (0, Some(b"\xff"), "class"),
@@ -87,6 +87,10 @@
             "{value:?}"
         );
     }
+}
+
+#[test]
+fn malformed_message_is_a_typed_error() {
     let long = request_bytes(&[(code::DESCRIPTION, &[b'x'; MAX_MESSAGE_BYTES])]);
     let broken: [(&[u8], Malformed); 6] = [
         (&long, Malformed::TooLong),
--- a/src/net/codec/feed/tests.rs
+++ b/src/net/codec/feed/tests.rs
@@ -10,56 +10,63 @@
     }
 }
 
+fn read_text(text: &str) -> Result<FeedMessage, Malformed> {
+    read(&mut text.as_bytes().to_vec(), &names())
+}
+
+fn event_with(host: &str) -> String {
+    format!(r#"{{"n":41,"members":{{"seq":7,"whole":false,"hosts":[{host}]}}}}"#)
+}
+
 #[test]
-fn events_are_read_and_malformed_ones_are_typed_errors() {
+fn event_is_read_with_all_fields() {
     let host = r#"{"host":"s-1","dial":"127.0.0.1:5060","site":"east","class":"std","block":2,"health":"up","share":4,"born_ms":1500,"unasked":[3.5,-1]}"#;
-    let event =
-        |host: &str| format!(r#"{{"n":41,"members":{{"seq":7,"whole":false,"hosts":[{host}]}}}}"#);
-    let read_text = |text: &str| read(&mut text.as_bytes().to_vec(), &names());
-    let line = read_text(&event(host)).expect("good");
-    let update = line.update.expect("hosts");
+
+    let message = read_text(&event_with(host)).expect("good");
+
+    let update = message.update.expect("hosts");
     let endpoints = update.endpoints;
     assert_eq!(
-        (line.sequence, update.is_complete, endpoints.len()),
+        (message.sequence, update.is_complete, endpoints.len()),
         (41, false, 1)
     );
     let DiscoveredEndpoint { endpoint, address } = &endpoints[0];
+    assert_eq!(&*endpoint.host.0, "s-1");
     assert_eq!(
-        (
-            &*endpoint.host.0,
-            endpoint.zone,
-            endpoint.kind,
-            endpoint.cell
-        ),
-        ("s-1", ZoneId(1), KindId(0), CellId(2))
+        (endpoint.zone, endpoint.kind, endpoint.cell),
+        (ZoneId(1), KindId(0), CellId(2))
     );
     assert_eq!(
         (endpoint.state, endpoint.started_at),
         (EndpointState::Up, 1_500_000)
     );
-    assert_eq!(
-        (
-            endpoint.free_cores,
-            endpoint.free_memory,
-            address.map(|address| address.port())
-        ),
-        (3.5, -1.0, Some(5060))
-    );
-    assert!(read_text(r#"{"n":41}"#).is_ok_and(|line| line.update.is_none()));
-    assert!(
-        read_text(&event(r#"{"host":"s-1","health":"removed"}"#)).is_ok(),
-        "its name is enough"
-    );
+    assert_eq!((endpoint.free_cores, endpoint.free_memory), (3.5, -1.0));
+    assert_eq!(address.map(|address| address.port()), Some(5060));
+}
+
+#[test]
+fn event_without_members_has_no_update() {
+    let message = read_text(r#"{"n":41}"#);
+
+    assert!(message.is_ok_and(|message| message.update.is_none()));
+}
+
+#[test]
+fn removed_host_needs_only_its_name() {
+    let message = read_text(&event_with(r#"{"host":"s-1","health":"removed"}"#));
+
+    assert!(message.is_ok(), "its name is enough");
+}
+
+#[test]
+fn malformed_event_is_a_typed_error() {
     let cases = [
-        ("{\"n\":".to_string(), Malformed::Json),
-        ("{}".to_string(), Malformed::Field("n")),
-        (
-            r#"{"n":1,"members":{}}"#.to_string(),
-            Malformed::Field("whole"),
-        ),
+        ("{\"n\":", Malformed::Json),
+        ("{}", Malformed::Field("n")),
+        (r#"{"n":1,"members":{}}"#, Malformed::Field("whole")),
     ];
-    for (text, why) in cases {
-        assert_eq!(read_text(&text).map(|_| ()), Err(why), "{text}");
+    for (text, reason) in cases {
+        assert_eq!(read_text(text).map(|_| ()), Err(reason), "{text}");
     }
 }
 
--- a/src/net/conn/tests.rs
+++ b/src/net/conn/tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn unread_input_is_reported() {
+fn unread_input_is_counted_up_to_one_read() {
     let (conn, mut peer) = pair();
     assert_eq!(conn.unread(), Unread::Nothing);
     peer.write_all(&[7; 3]).expect("it has room");
@@ -72,7 +72,13 @@
         (conn.unread(), conn.unread().fits_next_read()),
         (Unread::Bytes(CHUNK_BYTES), false)
     );
+}
+
+#[test]
+fn close_of_the_peer_is_seen_before_it_is_read() {
     let (conn, peer) = pair();
+
     drop(peer);
+
     assert_eq!(conn.unread(), Unread::EndOfStream);
 }
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -139,3 +139,6 @@
     while let Ok(1..) = stream.read(&mut [0; 64]).await {}
     shared.borrow_mut().peer_exited();
 }
+
+#[cfg(test)]
+mod tests;
