--- a/src/cli.rs
+++ b/src/cli.rs
@@ -13,7 +13,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
-use task_placer::operation::calls::Call;
+use task_placer::operation::admin::AdminCommand;
 
 /// A task placer: places each task of its clients on one host at a time, and sends exactly one final response.
 ///
@@ -89,7 +89,7 @@
         #[arg(long, value_name = "ADDRESS", env = "LB_ADMIN")]
         at: SocketAddr,
         /// The command
-        #[arg(value_parser = PossibleValuesParser::new(Call::ALL.map(|(word, _)| word)))]
+        #[arg(value_parser = PossibleValuesParser::new(AdminCommand::ALL.map(|(word, _)| word)))]
         call: String,
     },
     /// Print completions for a shell
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -14,7 +14,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::rc::Rc;
 use task_placer::Micros;
-use task_placer::operation::calls;
+use task_placer::operation::admin;
 use tracing::{debug, info};
 
 /// How long a peer may take for its command, and to read its reply and close.
@@ -118,7 +118,7 @@
             (reply, EndReason::Answered)
         }
         Ok(None) => (
-            calls::reply(Err("longer than any call")),
+            admin::encode_reply(Err(admin::AdminError::TooLong)),
             EndReason::TooLong,
         ),
         Err(reason) => return reason,
@@ -131,9 +131,9 @@
 
 /// Reads one line, or returns none if it is longer than any command.
 async fn read_command(mut stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, EndReason> {
-    let (mut inbox, mut buffer) = (Vec::new(), [0; calls::MOST_CALL]);
+    let (mut inbox, mut buffer) = (Vec::new(), [0; admin::MAX_COMMAND_BYTES]);
     loop {
-        match codec::next_line(&mut inbox, calls::MOST_CALL) {
+        match codec::next_line(&mut inbox, admin::MAX_COMMAND_BYTES) {
             Ok(Some(line)) => return Ok(Some(line)),
             Ok(None) => {}
             Err(_) => return Ok(None),
--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -19,7 +19,7 @@
 use std::fmt;
 use std::rc::Rc;
 use task_ends::PendingTaskEnds;
-use task_placer::descriptors::Shares;
+use task_placer::descriptors::DescriptorQuotas;
 use task_placer::facade::Ticket;
 use task_placer::{HostId, Micros};
 
@@ -280,8 +280,8 @@
     }
 
     /// Returns how the descriptors are split with this number of hosts.
-    pub fn descriptor_quotas(&self, hosts: usize) -> Shares {
-        Shares::of(self.max_descriptors, self.reserved_descriptors, hosts)
+    pub fn descriptor_quotas(&self, hosts: usize) -> DescriptorQuotas {
+        DescriptorQuotas::split(self.max_descriptors, self.reserved_descriptors, hosts)
     }
 
     /// Returns how many connections there may be with this number of hosts.
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -8,7 +8,7 @@
 use std::net::{AddrParseError, SocketAddr};
 use std::path::{Path, PathBuf};
 use task_placer::Settings;
-use task_placer::descriptors::FEWEST_SOCKETS;
+use task_placer::descriptors::MIN_DESCRIPTORS;
 use task_placer::settings::{self, Names, SettingsError};
 
 const BYTES_PER_MEGABYTE: usize = 1_048_576;
@@ -209,10 +209,10 @@
     let known = field(value.get("known"), "known")?;
     let cached_sequence = field(known.get_u64("n"), "known.n")?;
     let limits = Limits::read(value.get("limits"));
-    if limits.descriptors < FEWEST_SOCKETS {
+    if limits.descriptors < MIN_DESCRIPTORS {
         return Err(ConfigError::TooFewDescriptors {
             found: limits.descriptors,
-            min: FEWEST_SOCKETS,
+            min: MIN_DESCRIPTORS,
         });
     }
     let events = field(known.get_array("events"), "known.events")?;
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -60,11 +60,11 @@
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::{Rc, Weak};
-use task_placer::descriptors::Pool;
+use task_placer::descriptors::ConnectionPool;
 use task_placer::facade::{Facade, PlacementEvent, Ticket};
-use task_placer::operation::company::Company;
-use task_placer::operation::duty::Duty;
-use task_placer::operation::tally::Tally;
+use task_placer::operation::counters::RequestCounters;
+use task_placer::operation::lifecycle::Lifecycle;
+use task_placer::operation::process_group::ProcessGroup;
 use task_placer::{HostId, Micros, Settings};
 use timer_event::{SWEEP_INTERVAL, TimerEvent};
 use tracing::info;
@@ -116,7 +116,7 @@
     /// The number of hosts that have not been removed.
     active_hosts: usize,
     /// Decides which hosts have a connection.
-    connection_pool: Pool<HostId, (HostId, ConnectionId)>,
+    connection_pool: ConnectionPool<HostId, (HostId, ConnectionId)>,
     request_index: RequestIndex,
     requests: BTreeMap<Ticket, Request>,
     tickets_by_task: BTreeMap<TaskId, Ticket>,
@@ -139,12 +139,12 @@
     /// A drain is over, and the process may exit.
     is_drained: bool,
     /// Whether this process takes requests, by the platform's commands.
-    lifecycle: Duty,
+    lifecycle: Lifecycle,
     /// What this process has done, by class.
-    pub(super) counters: Tally,
+    pub(super) counters: RequestCounters,
     /// The limits of the placer, which its processes share.
     limits: Limits,
-    process_group: Company,
+    process_group: ProcessGroup,
     /// The listening socket is the platform's, and other processes of this placer accept from it.
     pub(super) shares_listener: bool,
     /// A load balancers' drain, or maintenance, requires connections without a task to be closed.
@@ -169,7 +169,7 @@
             name: config.name,
             connect_timeout: config.settings.connect_timeout,
             preconnects: config.settings.price_handshake <= 0.0,
-            counters: Tally::new(config.names.classes.len()),
+            counters: RequestCounters::new(config.names.classes.len()),
             facade: Facade::with_overload_control(
                 config.settings,
                 config.names,
@@ -182,7 +182,7 @@
             hosts: BTreeMap::new(),
             backlogged_hosts: BTreeSet::new(),
             active_hosts: 0,
-            connection_pool: Pool::new(usize::MAX),
+            connection_pool: ConnectionPool::new(usize::MAX),
             request_index: RequestIndex::default(),
             requests: BTreeMap::new(),
             tickets_by_task: BTreeMap::new(),
@@ -195,9 +195,9 @@
             gate: Rc::new(Gate::new(operator.health.connections)),
             orders: Vec::new(),
             is_drained: false,
-            lifecycle: Duty::default(),
+            lifecycle: Lifecycle::default(),
             limits: config.limits,
-            process_group: Company::new(accounting_window),
+            process_group: ProcessGroup::new(accounting_window),
             shares_listener: false,
             closes_idle_clients: false,
             is_listening: false,
@@ -239,7 +239,7 @@
     /// Applies the limits of the placer, of which this process has a share beside the other processes.
     pub fn apply_limits(&mut self, limits: Limits) {
         self.limits = limits;
-        let processes = 1 + self.process_group.others() as usize;
+        let processes = 1 + self.process_group.live_peers() as usize;
         self.clients
             .set_descriptor_limit(limits.descriptors / processes);
         self.split_descriptors();
--- a/src/net/dispatch/admin_commands.rs
+++ b/src/net/dispatch/admin_commands.rs
@@ -9,9 +9,10 @@
 use simd_json::{OwnedValue, json};
 use task_placer::Micros;
 use task_placer::health::Order;
-use task_placer::operation::calls::{self, Call};
-use task_placer::operation::duty::{Effect, Event};
-use task_placer::operation::tally::Counts;
+use task_placer::operation::admin::{self, AdminCommand, AdminError};
+use task_placer::operation::counters::ClassCounters;
+use task_placer::operation::lifecycle::{Effect, Event};
+use task_placer::operation::process_group::PeerAge;
 use tracing::info;
 
 impl Dispatch {
@@ -19,7 +20,7 @@
     pub fn serves(&self) -> bool {
         self.is_listening
             && !self.is_shutting_down()
-            && self.lifecycle.serves()
+            && self.lifecycle.is_serving()
             && self.watch.as_ref().is_none_or(Watch::serves)
     }
 
@@ -30,12 +31,12 @@
 
     /// Whether the health checks of clients pass: the placer serves, if not this process.
     pub fn placer_serves(&self) -> bool {
-        self.lifecycle.leaves() || self.serves()
+        self.lifecycle.is_shutting_down() || self.serves()
     }
 
     /// Closes connections without a task for as long as a drain, maintenance or the lifecycle requires it.
     pub(super) fn apply_close_idle(&mut self) {
-        let closes_idle = self.closes_idle_clients || self.lifecycle.empties();
+        let closes_idle = self.closes_idle_clients || self.lifecycle.closes_idle_connections();
         self.clients.set_close_idle(closes_idle);
     }
 
@@ -43,20 +44,20 @@
     pub fn handle_lifecycle_event(&mut self, now: Micros, event: Event) {
         let before = self.lifecycle.phase();
         match self.lifecycle.handle(now, event) {
-            Some(Effect::Empty(_)) => self.apply_close_idle(),
-            Some(Effect::Leave(within)) => {
+            Some(Effect::StartClosingIdle | Effect::StopClosingIdle) => self.apply_close_idle(),
+            Some(Effect::ShutDown { answer_within }) => {
                 self.apply_close_idle();
-                self.begin_shutdown(now, within);
+                self.begin_shutdown(now, answer_within);
             }
             None => {}
         }
         if self.lifecycle.phase() != before {
             info!(phase = self.lifecycle.phase().as_str(), "lifecycle");
         }
-        if self.lifecycle.empties() {
+        if self.lifecycle.closes_idle_connections() {
             self.clients.close_idle_connections(now);
         }
-        if let Some(share) = self.process_group.look(now) {
+        if let Some(share) = self.process_group.refresh(now) {
             let decisions = self.facade.set_share(now, share);
             self.apply_decisions(now, decisions);
         }
@@ -64,11 +65,10 @@
 
     // ---- Other processes of the placer ----
 
-    /// Records that another process of this placer lives, which was there `first` or came later: they count as one
-    /// placer, and share its limits.
-    pub fn peer_joined(&mut self, first: bool) {
+    /// Records that another process of this placer runs: they count as one placer, and share its limits.
+    pub fn peer_joined(&mut self, age: PeerAge) {
         let now = self.clock.now();
-        let share = self.process_group.met(first);
+        let share = self.process_group.peer_joined(age);
         let decisions = self.facade.set_share(now, share);
         self.apply_decisions(now, decisions);
         self.apply_shared_limits();
@@ -76,12 +76,12 @@
 
     /// Records that another process of this placer has exited.
     pub fn peer_exited(&mut self) {
-        self.process_group.left(self.clock.now());
+        self.process_group.peer_exited(self.clock.now());
         self.apply_shared_limits();
     }
 
     fn apply_shared_limits(&mut self) {
-        let others = self.process_group.others();
+        let others = self.process_group.live_peers();
         info!(others, "processes of this placer");
         self.apply_limits(self.limits);
     }
@@ -91,48 +91,48 @@
     /// Runs a command of the platform or an operator, and returns the encoded reply.
     pub fn run_admin_command(&mut self, line: &[u8]) -> Vec<u8> {
         let now = self.clock.now();
-        let command = match Call::read(line) {
+        let command = match AdminCommand::parse(line) {
             Ok(command) => command,
-            Err(reason) => return calls::reply(Err(reason)),
+            Err(error) => return admin::encode_reply(Err(error)),
         };
         match command {
-            Call::Vars => return calls::figures(&self.vars().encode()),
-            Call::Check => {
+            AdminCommand::Vars => return admin::encode_vars_reply(&self.vars().encode()),
+            AdminCommand::Check => {
                 let serves = self.serves();
-                self.handle_lifecycle_event(now, Event::Asked);
+                self.handle_lifecycle_event(now, Event::Checked);
                 let result = if serves {
                     Ok(())
                 } else {
-                    Err("takes no requests")
+                    Err(AdminError::NotServing)
                 };
-                return calls::reply(result);
+                return admin::encode_reply(result);
             }
             // Nothing takes back what the decision module has been notified of.
-            Call::DrainOn | Call::DrainOff if self.is_shutting_down() => {
-                return calls::reply(Err("the process ends"));
+            AdminCommand::DrainOn | AdminCommand::DrainOff if self.is_shutting_down() => {
+                return admin::encode_reply(Err(AdminError::ShuttingDown));
             }
-            Call::DrainOn => self.handle_lifecycle_event(now, Event::DrainOn),
-            Call::DrainOff => self.handle_lifecycle_event(now, Event::DrainOff),
+            AdminCommand::DrainOn => self.handle_lifecycle_event(now, Event::DrainRequested),
+            AdminCommand::DrainOff => self.handle_lifecycle_event(now, Event::DrainCancelled),
         }
-        calls::reply(Ok(()))
+        admin::encode_reply(Ok(()))
     }
 
     /// Returns the counters of this process and what it has in hand, under the names that `vars` has for them.
     fn vars(&self) -> OwnedValue {
-        let class_vars = |counts: &Counts| {
+        let class_vars = |counts: &ClassCounters| {
             json!({
-                "served": counts.served,
-                "refused": counts.refused,
+                "served": counts.started,
+                "refused": counts.rejected,
                 "failed": counts.failed,
                 "attempts": counts.attempts,
             })
         };
         let classes = self.facade.names().classes.iter();
         let requests: simd_json::owned::Object = classes
-            .zip(self.counters.classes())
+            .zip(self.counters.by_class())
             .map(|(name, counts)| (name.clone(), class_vars(counts)))
             .collect();
-        let counters = self.counters.classes().iter();
+        let counters = self.counters.by_class().iter();
         let attempts: u64 = counters.map(|counts| counts.attempts).sum();
         let mut vars = json!({
             "attempts": attempts,
--- a/src/net/dispatch/attempts.rs
+++ b/src/net/dispatch/attempts.rs
@@ -161,7 +161,7 @@
                 if !conn.send(now, &line) {
                     return still_pending(None);
                 }
-                self.counters.offered(request.class);
+                self.counters.record_attempt(request.class);
                 *sent_on = Some(link.connection_id);
                 let timer = TimerEvent::SilenceCheck(pending.ticket, pending.attempt);
                 self.timer_wheel.add(now + SILENCE_TIMEOUT, timer);
@@ -282,7 +282,7 @@
         link.pending_attempts
             .retain(|pending| (pending.ticket, pending.attempt) != (ticket, attempt));
         if self.connection_need(&host).is_none() {
-            self.connection_pool.forget(&host);
+            self.connection_pool.cancel_request(&host);
         }
         if outcome == Outcome::ConnectFailed {
             self.suspect_host(now, &host);
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -13,8 +13,8 @@
 use std::rc::Rc;
 use task_placer::facade::{PlacementEvent, PlacementRequest, RequestKind, Ticket};
 use task_placer::health::Event;
-use task_placer::operation::duty;
-use task_placer::operation::tally::Ended as Told;
+use task_placer::operation::counters::RequestOutcome;
+use task_placer::operation::lifecycle;
 use task_placer::{Micros, Outcome};
 use tracing::info;
 
@@ -35,7 +35,7 @@
     }
 
     fn accepts_connections(&self) -> bool {
-        !self.lifecycle.leaves()
+        !self.lifecycle.is_shutting_down()
     }
 
     fn client_limit_reached(&self) -> bool {
@@ -115,7 +115,7 @@
                 let is_healthy = self.placer_serves();
                 let message = binary::health_check_result(id, is_healthy);
                 self.clients.send(now, client, &message);
-                self.handle_lifecycle_event(now, duty::Event::Asked);
+                self.handle_lifecycle_event(now, lifecycle::Event::Checked);
             }
             ClientMessage::ReleaseAck => self.clients.task_end_acknowledged(id),
             ClientMessage::Other => {
@@ -173,7 +173,7 @@
         if let Err(reason) = self.check_task_request(id, &message, &placement) {
             info!(task = %id, %reason, "not placed");
             let class = self.facade.class_index(&placement.class);
-            self.counters.ended(class, Told::Failed);
+            self.counters.record_response(class, RequestOutcome::Failed);
             return self.respond_invalid(now, client, id);
         }
         let ticket = self.insert_request(now, id, client, &placement.class, RequestState::Queued);
--- a/src/net/dispatch/connection_slots.rs
+++ b/src/net/dispatch/connection_slots.rs
@@ -6,7 +6,7 @@
 use super::{Dispatch, MILLISECOND};
 use crate::net::conn::CloseReason;
 use crate::net::hosts::{ConnectionId, ConnectionState};
-use task_placer::descriptors::{Answer, Rank, Want};
+use task_placer::descriptors::{ConnectPurpose, ConnectionPriority, SlotDecision};
 use task_placer::{EndpointState, HostId, Micros};
 
 /// How long what a host still sends is read on an evicted connection.
@@ -38,7 +38,7 @@
     /// Splits the descriptors anew between clients and hosts.
     pub(super) fn split_descriptors(&mut self) {
         let quotas = self.clients.descriptor_quotas(self.active_hosts);
-        self.connection_pool.resize(quotas.hosts);
+        self.connection_pool.set_capacity(quotas.hosts);
         self.evict_connections(self.clock.now());
     }
 
@@ -46,7 +46,7 @@
     /// were listed, the descriptors which are the hosts' by now: connections to these would fail.
     pub(super) fn reclaim_descriptors(&mut self, now: Micros) {
         let quotas = self.clients.descriptor_quotas(self.active_hosts);
-        let in_use = self.clients.live_connections() + self.connection_pool.held();
+        let in_use = self.clients.live_connections() + self.connection_pool.slots_in_use();
         let surplus = in_use.saturating_sub(quotas.clients + quotas.hosts);
         self.clients.evict_idle(now, surplus);
     }
@@ -54,7 +54,7 @@
     /// Returns what a connection to a host is needed for, if one more is needed. Guards against hundreds of placers that
     /// connect to every host at their start, when each needs a few: where the settings price connections, one is made
     /// when something is needed of the host.
-    pub(super) fn connection_need(&self, host: &HostId) -> Option<Want> {
+    pub(super) fn connection_need(&self, host: &HostId) -> Option<ConnectPurpose> {
         let link = self.hosts.get(host)?;
         let is_second = match &link.connection {
             ConnectionState::Connecting(_) => return None,
@@ -63,15 +63,15 @@
             ConnectionState::Disconnected => false,
         };
         if !link.pending_attempts.is_empty() {
-            Some(Want::Offer)
+            Some(ConnectPurpose::SendAttempt)
         } else if link.state == EndpointState::Removed {
             None
         } else if !link.unsent_releases.is_empty() || is_second {
-            Some(Want::Release)
+            Some(ConnectPurpose::ReportRelease)
         } else if self.request_index.has_running_tasks(host) {
-            Some(Want::Visit)
+            Some(ConnectPurpose::ReadTaskEnds)
         } else {
-            (link.state == EndpointState::Up && self.preconnects).then_some(Want::Warm)
+            (link.state == EndpointState::Up && self.preconnects).then_some(ConnectPurpose::Prewarm)
         }
     }
 
@@ -80,7 +80,7 @@
         let Some(need) = self.connection_need(host) else {
             return;
         };
-        if self.connection_pool.ask(now, host.clone(), need) == Answer::Call {
+        if self.connection_pool.request_slot(now, host.clone(), need) == SlotDecision::Connect {
             self.connect(now, host);
         }
         self.evict_connections(now);
@@ -101,10 +101,10 @@
 
     /// Evicts connections whose slots are needed more elsewhere, and connects to the hosts that have a slot now.
     pub(super) fn evict_connections(&mut self, now: Micros) {
-        while let Some((host, id)) = self.connection_pool.make_way(now) {
+        while let Some((host, id)) = self.connection_pool.evict(now) {
             self.evict_connection(now, &host, id);
         }
-        while let Some(host) = self.connection_pool.call_next() {
+        while let Some(host) = self.connection_pool.next_to_connect() {
             if self.connection_need(&host).is_some() {
                 self.connect(now, &host);
             }
@@ -133,7 +133,7 @@
 
     /// Takes back the slot of a connection whose descriptor has been closed.
     pub(super) fn release_slot(&mut self, host: &HostId, id: ConnectionId) {
-        self.connection_pool.freed(&(host.clone(), id));
+        self.connection_pool.release(&(host.clone(), id));
         self.evict_connections(self.clock.now());
     }
 
@@ -144,25 +144,27 @@
         };
         if let ConnectionState::Connected(_) = &link.connection {
             let rank = if self.has_attempt_in_flight_on(host, link.connection_id) {
-                Rank::Busy
+                ConnectionPriority::Busy
             } else if self.request_index.has_running_tasks(host) {
-                Rank::Stands
+                ConnectionPriority::HasRunningTasks
             } else {
-                Rank::Idle
+                ConnectionPriority::Idle
             };
             let used_at = (usage == ConnectionUse::JustUsed).then_some(now);
             let connection = (host.clone(), link.connection_id);
-            self.connection_pool.rank(&connection, rank, used_at);
+            self.connection_pool
+                .set_priority(&connection, rank, used_at);
         }
         for (id, _) in &link.replaced {
             let rank = if self.has_attempt_in_flight_on(host, *id) {
-                Rank::Busy
+                ConnectionPriority::Busy
             } else {
-                Rank::Spare
+                ConnectionPriority::Replaced
             };
-            self.connection_pool.rank(&(host.clone(), *id), rank, None);
+            self.connection_pool
+                .set_priority(&(host.clone(), *id), rank, None);
         }
-        if self.connection_pool.waiting() > 0 {
+        if self.connection_pool.waiting_requests() > 0 {
             self.evict_connections(now);
         }
     }
--- a/src/net/dispatch/endpoint_updates.rs
+++ b/src/net/dispatch/endpoint_updates.rs
@@ -162,7 +162,7 @@
             link.close_connections(CloseReason::HostRemoved);
             link.abort_connect();
             recalled.append(&mut link.pending_attempts);
-            self.connection_pool.forget(host);
+            self.connection_pool.cancel_request(host);
         } else if matches!(link.connection, ConnectionState::Disconnected)
             && link.connect_failures == 0
         {
--- a/src/net/dispatch/host_connections.rs
+++ b/src/net/dispatch/host_connections.rs
@@ -13,7 +13,7 @@
 };
 use std::rc::Rc;
 use std::time::Duration;
-use task_placer::descriptors::Want;
+use task_placer::descriptors::ConnectPurpose;
 use task_placer::facade::Ticket;
 use task_placer::{EndpointState, HostId, Micros, Outcome, OutcomeDetail};
 use tracing::info;
@@ -118,7 +118,9 @@
             if link.state == EndpointState::Removed {
                 let pending_attempts = std::mem::take(&mut link.pending_attempts);
                 self.end_pending_attempts(now, pending_attempts, Outcome::ConnectFailed);
-            } else if !was_evicted || self.connection_need(host) >= Some(Want::Release) {
+            } else if !was_evicted
+                || self.connection_need(host) >= Some(ConnectPurpose::ReportRelease)
+            {
                 self.request_connection(now, host);
             }
         }
@@ -162,7 +164,7 @@
         link.connection_id += 1;
         link.last_connect_at = now;
         let id = link.connection_id;
-        self.connection_pool.taken(now, (host.clone(), id));
+        self.connection_pool.occupy(now, (host.clone(), id));
         self.reclaim_descriptors(now);
         let timer = TimerEvent::ConnectTimeout(host.clone(), id);
         self.timer_wheel.add(now + self.connect_timeout, timer);
@@ -179,7 +181,7 @@
         }
         self.facade
             .overload()
-            .and_then(|overload| overload.call_in(now, host))
+            .and_then(|overload| overload.wait_for_turn(now, host))
             .unwrap_or(0)
     }
 
@@ -324,7 +326,7 @@
             })
             .cloned()
             .collect();
-        if self.connection_pool.spacious() {
+        if self.connection_pool.has_spare_capacity() {
             let disconnected = self.hosts.keys();
             let disconnected = disconnected.filter(|host| self.disconnected_link(host).is_some());
             to_connect.extend(disconnected.cloned());
--- a/src/net/dispatch/overload_log.rs
+++ b/src/net/dispatch/overload_log.rs
@@ -2,7 +2,7 @@
 //! what was decided. It holds only what was logged last.
 
 use task_placer::Micros;
-use task_placer::overload::{Counters, gate};
+use task_placer::overload::{Counters, admission};
 use tracing::info;
 
 /// The shortest time between two lines about decisions.
@@ -22,7 +22,7 @@
     /// Logs what was decided since the last line, if anything was.
     pub(super) fn update(&mut self, now: Micros, step: u8, counters: Counters) {
         if step != self.step {
-            let through = gate::through(step);
+            let through = admission::admitted_fraction(step);
             info!(
                 reason = "overload-step",
                 from = self.step,
--- a/src/net/dispatch/overload_report.rs
+++ b/src/net/dispatch/overload_report.rs
@@ -14,7 +14,7 @@
         let Some(overload) = self.facade.overload() else {
             return;
         };
-        let (step, counters) = (overload.step(), overload.counters());
+        let (step, counters) = (overload.shed_level(), overload.counters());
         self.overload_log.update(now, step, counters);
     }
 
@@ -23,10 +23,10 @@
         let overload = self.facade.overload();
         let overload = overload.ok_or(CommandError::OverloadControlDisabled)?;
         let Report {
-            step,
-            through,
-            left,
-            away,
+            shed_level: step,
+            admitted_fraction: through,
+            retries_left: left,
+            backed_off_clients: away,
             counters,
             hosts,
         } = overload.report(now);
@@ -51,10 +51,12 @@
 
 fn host_report(host: &HostReport) -> OwnedValue {
     let seconds = |span: Micros| span as f64 / 1e6;
-    match host.turn {
-        Some(turn) => json!({ "host": &*host.host.0, "turn": seconds(turn), "out": host.out }),
+    match host.next_turn_in {
+        Some(turn) => {
+            json!({ "host": &*host.host.0, "turn": seconds(turn), "out": host.in_flight })
+        }
         None => json!({
-            "host": &*host.host.0, "window": host.window, "out": host.out, "delay": seconds(host.delay)
+            "host": &*host.host.0, "window": host.window, "out": host.in_flight, "delay": seconds(host.mean_delay)
         }),
     }
 }
--- a/src/net/dispatch/responses.rs
+++ b/src/net/dispatch/responses.rs
@@ -16,7 +16,7 @@
 use crate::net::codec::{Cause, TaskId, binary};
 use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
-use task_placer::operation::tally::Ended as Told;
+use task_placer::operation::counters::RequestOutcome;
 use task_placer::{Micros, Outcome};
 
 impl Dispatch {
@@ -36,11 +36,11 @@
             let request = self.remove_request(ticket)?;
             if let Some(client) = request.client {
                 let outcome = if cause == Cause::REJECTED {
-                    Told::Refused
+                    RequestOutcome::Rejected
                 } else {
-                    Told::Failed
+                    RequestOutcome::Failed
                 };
-                self.counters.ended(request.class, outcome);
+                self.counters.record_response(request.class, outcome);
                 let message = binary::release(request.id, cause, retry_after_ms);
                 self.clients.send(now, client, &message);
                 self.clients.response_sent(client, ticket);
@@ -57,7 +57,8 @@
         ticket: Ticket,
         started: &StartedTask<'_>,
     ) {
-        self.counters.ended(started.class, Told::Served);
+        self.counters
+            .record_response(started.class, RequestOutcome::Started);
         let message = binary::task_started(started.id, started.description);
         self.clients.send(now, client, &message);
         self.clients.response_sent(client, ticket);
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -7,7 +7,7 @@
 use task_placer::Micros;
 use task_placer::facade::PlacementEvent;
 use task_placer::health::drain::Hand;
-use task_placer::operation::duty;
+use task_placer::operation::lifecycle;
 use tracing::{info, warn};
 
 /// The longest wait of a client that counts at a shutdown. The platform ends the process no sooner after SIGTERM than
@@ -27,7 +27,9 @@
         match self.watch.as_mut().and_then(|watch| watch.terminate(now)) {
             Some(tasks) => self.run_drain_tasks(now, tasks),
             None if self.shares_listener => {
-                let event = duty::Event::Leave(self.facade.max_deadline());
+                let event = lifecycle::Event::ShutdownRequested {
+                    longest_client_wait: self.facade.max_deadline(),
+                };
                 self.handle_lifecycle_event(now, event);
             }
             None => self.begin_shutdown(now, self.max_client_wait() + RESPONSE_GRACE),
@@ -99,8 +101,8 @@
         let now = self.clock.now();
         let max_duration = self.max_client_wait() + EXIT_GRACE;
         let must_exit = |since| {
-            if self.lifecycle.leaves() {
-                self.lifecycle.overdue(now)
+            if self.lifecycle.is_shutting_down() {
+                self.lifecycle.exit_is_overdue(now)
             } else {
                 now - since >= max_duration
             }
@@ -123,8 +125,9 @@
         }
         let has_pending = self.requests.values().any(Request::awaits_response);
         let is_clear = !has_pending && self.clients.is_flushed();
-        if self.lifecycle.leaves() {
-            return (is_clear && self.clients.is_at_rest(now)) || self.lifecycle.overdue(now);
+        if self.lifecycle.is_shutting_down() {
+            return (is_clear && self.clients.is_at_rest(now))
+                || self.lifecycle.exit_is_overdue(now);
         }
         let elapsed = now - since;
         let max_duration = self.max_client_wait() + EXIT_GRACE;
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -8,7 +8,7 @@
 use crate::net::hosts::{ConnectError, ConnectionId, ConnectionState, HostEvents, HostLink};
 use task_placer::facade::Ticket;
 use task_placer::health::Event;
-use task_placer::operation::duty;
+use task_placer::operation::lifecycle;
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
 /// How long the end of a task is remembered.
@@ -19,7 +19,7 @@
     pub fn tick(&mut self) {
         let now = self.clock.now();
         self.record_health_event(now, Event::Turn);
-        self.handle_lifecycle_event(now, duty::Event::Look);
+        self.handle_lifecycle_event(now, lifecycle::Event::Tick);
         for host in std::mem::take(&mut self.backlogged_hosts) {
             self.send_pending_attempts(now, &host);
         }
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -20,6 +20,7 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 use std::time::Duration;
+use task_placer::operation::process_group::PeerAge;
 use tracing::warn;
 
 /// Names the inherited descriptor.
@@ -90,7 +91,7 @@
     loop {
         let problem = match Async::<UnixStream>::connect(&path).await {
             Ok(older) => {
-                follow_peer(older, true, &shared).await;
+                follow_peer(older, PeerAge::Older, &shared).await;
                 continue;
             }
             Err(e) => match bind(&path, &e) {
@@ -125,7 +126,7 @@
                 shared
                     .borrow()
                     .tasks
-                    .spawn(async move { follow_peer(younger, false, &handle).await });
+                    .spawn(async move { follow_peer(younger, PeerAge::Younger, &handle).await });
             }
             Err(e) => pause_after_accept_error(shared, &e).await,
         }
@@ -133,9 +134,9 @@
     }
 }
 
-/// Counts another process for as long as the connection to it is open; `is_older` tells that it was there first.
-async fn follow_peer(mut stream: Async<UnixStream>, is_older: bool, shared: &Shared) {
-    shared.borrow_mut().peer_joined(is_older);
+/// Counts another process for as long as the connection to it is open.
+async fn follow_peer(mut stream: Async<UnixStream>, age: PeerAge, shared: &Shared) {
+    shared.borrow_mut().peer_joined(age);
     while let Ok(1..) = stream.read(&mut [0; 64]).await {}
     shared.borrow_mut().peer_exited();
 }
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -241,7 +241,7 @@
     assert_eq!(late.expect_message().cause(), 16);
     // Those that carry nothing end, the others do not.
     assert_eq!((idle.next_message(), late.next_message()), (None, None));
-    program.wait_for_log("phase=\"emptying\"");
+    program.wait_for_log("phase=\"draining\"");
     conns[0].report_running(&open);
     assert_eq!(busy.expect_message().kind, 9);
     conns[0].report_ended(&open, 16, "");
@@ -345,7 +345,7 @@
     old.wait_for_log("others=1");
     new.wait_for_log("others=1");
     old.terminate();
-    old.wait_for_log("phase=\"leaving\"");
+    old.wait_for_log("phase=\"shutting-down\"");
     assert_eq!(idle.next_message(), None, "it carries no task");
     assert!(stood.health_check(), "the placer serves");
     assert!(
