--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -1,6 +1,8 @@
 //! Listens for clients, accepts their connections within the limit, and serves each until it ends.
 
-use super::{AcceptWait, ClientEvents, ClientId, ReadSummary};
+use super::events::{AcceptWait, ClientEvents};
+use super::id::ClientId;
+use super::read_summary::ReadSummary;
 use crate::net::codec::binary;
 use crate::net::conn::{CloseReason, Connection};
 use async_executor::LocalExecutor;
--- a/src/net/clients/events.rs
+++ b/src/net/clients/events.rs
@@ -1,23 +1,14 @@
 //! What happens on connections from clients, for whoever decides what follows.
 
-use super::{ClientId, Clients};
+use super::id::ClientId;
+use super::read_summary::ReadSummary;
+use super::table::Clients;
 use crate::net::codec::TaskId;
 use crate::net::codec::binary::ClientMessage;
 use crate::net::conn::{CloseReason, Connection};
 use std::rc::Rc;
 use task_placer::Micros;
 
-/// What one read from a client brought.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReadSummary {
-    /// Bytes that were read.
-    pub bytes: usize,
-    /// Whether it completed at least one message.
-    pub has_message: bool,
-    /// Whether part of another message is left.
-    pub has_partial_message: bool,
-}
-
 /// Whether a connection waited for a free descriptor before it was accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AcceptWait {
--- a/src/net/clients/idle.rs
+++ b/src/net/clients/idle.rs
@@ -1,6 +1,6 @@
 //! Closes connections of clients that are stalled, idle, silent, or in the way of others.
 
-use super::{Client, Clients, MIN_CONNECTION_AGE};
+use super::table::{Client, Clients, MIN_CONNECTION_AGE};
 use crate::net::conn::{CloseReason, MAX_WRITE_STALL};
 use task_placer::Micros;
 
--- a/src/net/clients/status.rs
+++ b/src/net/clients/status.rs
@@ -1,12 +1,13 @@
 //! Tells whether a client that waits for a response is still there, before an attempt for it is sent.
 
-use super::{ClientId, Clients};
+use super::id::ClientId;
+use super::table::Clients;
 use crate::net::conn::Unread;
 use task_placer::HostId;
 
 /// How much of what a client has sent may be read before an attempt for it is sent: more than a system's usual buffer.
 /// Guards the attempts of a client that sends faster than it is read.
-pub(super) const MAX_READ_AHEAD_BYTES: u64 = 256 * 1024;
+const MAX_READ_AHEAD_BYTES: u64 = 256 * 1024;
 
 /// How far a client must be read until an attempt for it may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -74,3 +75,6 @@
         }))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/clients/tests.rs
+++ b/src/net/clients/status/tests.rs
@@ -1,10 +1,11 @@
-//! Tests of `clients/status.rs`: how long an attempt waits for unread input of its client.
+//! Tests of `status.rs`: how long an attempt waits for unread input of its client.
 
-use super::status::MAX_READ_AHEAD_BYTES;
 use super::*;
+use crate::net::conn::Connection;
 use async_io::Async;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
 use std::sync::Arc;
 
 const CHUNK_BYTES: usize = 16 * 1024;
