--- /dev/null
+++ b/src/net/clients/status/tests.rs
@@ -0,0 +1,113 @@
+//! Tests of `status.rs`: how long an attempt waits for unread input of its client.
+
+use super::*;
+use crate::net::conn::Connection;
+use async_io::Async;
+use std::io::Write;
+use std::net::{TcpListener, TcpStream};
+use std::rc::Rc;
+use std::sync::Arc;
+
+const CHUNK_BYTES: usize = 16 * 1024;
+
+/// A client, and its end of the connection.
+fn client() -> (Clients, ClientId, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+    let peer =
+        TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
+    let (stream, _) = listener.accept().expect("a connection");
+    let mut clients = Clients::new(256, 0);
+    let id = clients.insert(
+        0,
+        Rc::new(Connection::new(Async::new(stream).expect("a socket"))),
+    );
+    (clients, id, peer)
+}
+
+#[test]
+fn client_that_never_pauses_is_waited_for_up_to_a_limit() {
+    let (mut clients, id, mut peer) = client();
+    let host = HostId(Arc::from("h0"));
+    peer.write_all(&[0; 8 * CHUNK_BYTES]).expect("it has room");
+    let (mut mark, mut reads) = (None, 0);
+    // As much as before waits each time that some was read.
+    while let ClientStatus::UnreadInput(next) = clients.status(id, mark, &host) {
+        mark = next;
+        assert_eq!(
+            clients.input_processed(id, CHUNK_BYTES).len(),
+            1,
+            "the host where it waits"
+        );
+        reads += 1;
+        assert!(
+            reads <= MAX_READ_AHEAD_BYTES as usize / CHUNK_BYTES,
+            "{reads} reads"
+        );
+    }
+    assert_eq!(clients.status(id, mark, &host), ClientStatus::Connected);
+    assert_eq!(reads, MAX_READ_AHEAD_BYTES as usize / CHUNK_BYTES);
+}
+
+/// A client that has sent ten bytes, and the mark that an attempt for it waits for.
+fn client_with_unread_input(host: &HostId) -> (Clients, ClientId, TcpStream, Option<ReadMark>) {
+    let (mut clients, id, mut peer) = client();
+    peer.write_all(&[0; 10]).expect("it has room");
+    let ClientStatus::UnreadInput(mark @ Some(_)) = clients.status(id, None, host) else {
+        panic!("ten bytes wait")
+    };
+    (clients, id, peer, mark)
+}
+
+#[test]
+fn input_that_arrived_before_the_first_look_is_waited_for_until_it_is_read() {
+    let host = HostId(Arc::from("h0"));
+    let (mut clients, id, _peer, mark) = client_with_unread_input(&host);
+
+    let before = clients.status(id, mark, &host);
+    clients.input_processed(id, 10);
+    let after = clients.status(id, mark, &host);
+
+    assert_eq!(before, ClientStatus::UnreadInput(mark), "nothing was read");
+    assert_eq!(after, ClientStatus::Connected);
+}
+
+#[test]
+fn mark_of_another_client_is_not_used() {
+    let host = HostId(Arc::from("h0"));
+    let (mut clients, id, _peer, mark) = client_with_unread_input(&host);
+    clients.input_processed(id, 10);
+    let other = mark.map(|mark| ReadMark {
+        client: ClientId(7),
+        ..mark
+    });
+
+    let status = clients.status(id, other, &host);
+
+    assert!(matches!(status, ClientStatus::UnreadInput(Some(_))));
+}
+
+#[test]
+fn closed_client_is_waited_for_while_its_messages_are_processed() {
+    let host = HostId(Arc::from("h0"));
+    let (mut clients, id, peer, mark) = client_with_unread_input(&host);
+    clients.input_processed(id, 10);
+    drop(peer);
+    clients.input_processing_started(id);
+
+    let status = clients.status(id, mark, &host);
+
+    assert!(
+        matches!(status, ClientStatus::UnreadInput(_)),
+        "its messages are being processed"
+    );
+}
+
+#[test]
+fn unknown_client_is_disconnected() {
+    let (mut clients, _, _peer) = client();
+    let host = HostId(Arc::from("h0"));
+
+    let status = clients.status(ClientId(9), None, &host);
+
+    assert_eq!(status, ClientStatus::Disconnected);
+}
--- a/src/net/codec/binary/tests.rs
+++ b/src/net/codec/binary/tests.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn invalid_task_requests_differ_from_malformed_messages() {
+fn invalid_task_request_names_its_field_and_leaves_the_connection_readable() {
     let cases: [(usize, Option<&[u8]>, &str); 9] = [
         (0, None, "class"),
         (0, Some(b"\xff"), "class"),
@@ -87,6 +87,10 @@
             "{value:?}"
         );
     }
+}
+
+#[test]
+fn malformed_message_is_a_typed_error() {
     let long = request_bytes(&[(code::DESCRIPTION, &[b'x'; MAX_MESSAGE_BYTES])]);
     let broken: [(&[u8], Malformed); 6] = [
         (&long, Malformed::TooLong),
@@ -112,9 +116,9 @@
     let id = TaskId(0x0102_0304_0506_0708);
     let cases: [(Vec<u8>, u8, &[u8]); 6] = [
         (task_started(id, "d"), 9, &[174, 0, 1, b'd']),
-        (release(id, 41, None), 12, &[171, 0, 1, 41]),
+        (release(id, Cause(41), None), 12, &[171, 0, 1, 41]),
         (
-            release(id, 42, Some(250)),
+            release(id, Cause(42), Some(250)),
             12,
             &[171, 0, 1, 42, 147, 0, 3, b'2', b'5', b'0'],
         ),
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -140,3 +140,6 @@
     while let Ok(1..) = stream.read(&mut [0; 64]).await {}
     shared.borrow_mut().peer_exited();
 }
+
+#[cfg(test)]
+mod tests;
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -16,13 +16,14 @@
 mod hosts;
 mod inherit;
 pub mod log;
-mod wheel;
+mod timer_wheel;
 
 use crate::operator::Operator;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use async_signal::{Signal, Signals};
+use async_signal::Signal;
+pub use async_signal::Signals;
 use clients::accept::{self, Acceptor};
 use config::Config;
 use dispatch::{Dispatch, Shared};
@@ -112,7 +113,7 @@
         let new_addresses = self.follow_feed();
         self.handle_signals(signals, path, new_addresses);
         self.run_until_finished(&acceptor).await;
-        accept::linger(&self.shared).await;
+        accept::shutdown_connections(&self.shared).await;
         if let Some(socket) = &self.operator.control_socket {
             let _ = std::fs::remove_file(socket);
         }
@@ -198,7 +199,7 @@
 
     /// Drives the wheel and the log until the process may exit.
     async fn run_until_finished(&self, acceptor: &Acceptor<Dispatch>) {
-        let mut ticks = Timer::interval(Duration::from_micros(wheel::TICK.unsigned_abs()));
+        let mut ticks = Timer::interval(Duration::from_micros(timer_wheel::TICK.unsigned_abs()));
         while ticks.next().await.is_some() {
             log::pump();
             let is_finished = {
