--- a/benches/health_polls.rs
+++ b/benches/health_polls.rs
@@ -1,14 +1,15 @@
-//! What polls cost: CPU of the placer and time to place, with none, with 1,000 agent checks a second and
-//! with 1,000 HTTP checks a second, one after another in one run.
+//! The cost of health checks: processor time of the placer and time to place a task, with none, with 1,000 agent
+//! checks a second and with 1,000 HTTP checks a second, one after the other in one run.
 //!
 //! `cargo bench --bench health_polls [-- SECONDS]`
 
-use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
-use emulator::{Launch, Program, TaskRequest, free_address, placer_config, wait_for};
+use emulator::fixtures::{place_task, start_emulated_hosts};
+use emulator::host_emulator::{EmulatedFeed, HostBehavior};
+use emulator::{Launch, Program, free_address, placer_config, wait_for};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
+use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
-use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
 const POLLERS: usize = 10;
@@ -38,7 +39,7 @@
     answer.get(..n)?.starts_with(b"HTTP/1.1 200").then_some(())
 }
 
-/// Polls at the rate until stopped; answers how many were answered.
+/// Polls at the rate until stopped, and counts the replies.
 fn poll(
     load: Load,
     stop: &Arc<AtomicBool>,
@@ -51,7 +52,7 @@
         let (stop, done) = (stop.clone(), done.clone());
         std::thread::spawn(move || {
             let start = Instant::now();
-            let mut kept = match load {
+            let mut keep_alive = match load {
                 Load::Http(address) => TcpStream::connect(address).ok(),
                 _ => None,
             };
@@ -63,7 +64,7 @@
                 }
                 let answered = match load {
                     Load::Agent(address) => agent_poll(address),
-                    Load::Http(_) => kept.as_mut().and_then(http_poll),
+                    Load::Http(_) => keep_alive.as_mut().and_then(http_poll),
                     Load::None => None,
                 };
                 done.fetch_add(u64::from(answered.is_some()), Ordering::Relaxed);
@@ -73,7 +74,7 @@
     (0..POLLERS).map(poller).collect()
 }
 
-struct Figures {
+struct Measurement {
     cpu: f64,
     median: Duration,
     p99: Duration,
@@ -81,7 +82,7 @@
 }
 
 /// Places 50 tasks a second for a while under a load of polls.
-fn measure(program: &Program, load: Load, span: Duration, first_id: &mut u64) -> Figures {
+fn measure(program: &Program, load: Load, span: Duration, first_id: &mut u64) -> Measurement {
     let (stop, done) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU64::new(0)),
@@ -95,23 +96,7 @@
         let due = begun + Duration::from_millis(20 * waits.len() as u64);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         *first_id += 1;
-        client.request_task(
-            *first_id,
-            &TaskRequest {
-                class: "quick",
-                wait_ms: 6_000,
-                service: *first_id,
-                running_at: None,
-            },
-        );
-        loop {
-            let message = client.expect_message();
-            match (message.kind, message.id == *first_id) {
-                (9, true) => break,
-                (12, false) => client.acknowledge_end(message.id),
-                other => panic!("{other:?}"),
-            }
-        }
+        place_task(&mut client, *first_id);
         waits.push(due.elapsed());
     }
     let (passed, used) = (
@@ -124,7 +109,7 @@
         .into_iter()
         .for_each(|poller| poller.join().expect("a poller"));
     waits.sort();
-    Figures {
+    Measurement {
         cpu: used / passed,
         median: waits[waits.len() / 2],
         p99: waits[waits.len() * 99 / 100],
@@ -138,15 +123,12 @@
         .next()
         .unwrap_or(10);
     let span = Duration::from_secs(seconds);
-    let books: Arc<Mutex<HostRecords>> = Arc::default();
-    let habits = HostBehavior {
+    let behavior = HostBehavior {
         start_time: Duration::from_millis(5),
         run_time: Duration::from_secs(1),
         capacity: 10_000,
     };
-    let hosts: Vec<EmulatedHost> = (0..4)
-        .map(|n| EmulatedHost::start(&format!("h{n}"), "north", habits.clone(), books.clone()))
-        .collect();
+    let (hosts, _records) = start_emulated_hosts(4, &behavior);
     let feed = EmulatedFeed::start();
     let config = placer_config(
         "n0",
@@ -158,7 +140,7 @@
     let (agent, http) = (free_address(), free_address());
     let operator = format!("[health]\nagent = [\"{agent}\"]\nhttp = [\"{http}\"]\n");
     let program = Launch::new(&config).operator_file(&operator).start();
-    wait_for("it answers", || agent_poll(agent));
+    wait_for("the agent check answers", || agent_poll(agent));
     let mut id = 0;
     let mut base = None;
     println!(
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod event_log;
 pub mod fault_proxy;
 mod feed;
+pub mod fixtures;
 mod host;
 pub mod host_emulator;
 pub mod host_model;
@@ -30,10 +31,10 @@
 };
 pub use deployment_config::{placer_config, single_placer_config};
 pub use feed::{Feed, UpdateKind, endpoint_event};
+pub use fixtures::{start_configured, start_with_hosts};
 pub use host::{Host, HostConnection, Unreachable};
 pub use program::{Launch, Program, binary, run_with_invalid_config, temp_path};
 
-use simd_json::json;
 use simd_json::prelude::*;
 use std::io::ErrorKind;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -103,22 +104,6 @@
 /// How long a test waits for what must not come: many times what it takes to come.
 pub const QUIET_PERIOD: Duration = Duration::from_millis(400);
 
-/// Starts the program with hosts `h0`, `h1` and so on, all up, and returns it with their connections.
-pub fn start_with_hosts(count: usize) -> (Program, Feed, Vec<Host>, Vec<HostConnection>) {
-    let mut feed = Feed::new();
-    let hosts: Vec<Host> = (0..count)
-        .map(|n| Host::new(&format!("h{n}"), "north"))
-        .collect();
-    let program = Program::start(&single_placer_config(
-        &feed,
-        hosts.iter().map(|host| host.entry("up", 0)).collect(),
-    ));
-    assert_eq!(feed.accept_subscription(), 1);
-    feed.send(&json!({ "n": 1 }));
-    let connections = hosts.iter().map(Host::accept).collect();
-    (program, feed, hosts, connections)
-}
-
 /// Returns an id as hosts write it.
 pub fn hex(id: u64) -> String {
     format!("{id:016x}")
--- a/tests/balancers.rs
+++ b/tests/balancers.rs
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_placer_that_is_stopped_in_a_rhythm_loses_its_portion_and_gets_it_back() {
+fn repeatedly_paused_placer_loses_traffic_and_regains_it() {
     let site = Site::start(&habits());
     let clients = ClientPopulation::start(&site.front, 24.0, 1);
     std::thread::sleep(Duration::from_secs(3));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_silent_feed_lowers_the_weight_and_where_all_are_silent_every_task_is_still_answered() {
+fn silent_feed_lowers_the_weight_and_tasks_are_answered_even_if_all_feeds_are_silent() {
     let site = Site::start(&habits());
     let clients = ClientPopulation::start(&site.front, 8.0, 1);
     site.feeds[0].silence();
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn at_sigterm_balancers_are_told_no_task_is_lost_and_every_standing_tasks_end_is_told() {
+fn sigterm_notifies_load_balancers_and_every_running_tasks_end_is_notified() {
     let mut site = Site::start(&HostBehavior {
         run_time: MS(5_000),
         ..habits()
@@ -261,7 +261,7 @@
 }
 
 #[test]
-fn where_all_hosts_are_full_weights_do_not_collapse_and_no_placer_is_emptied() {
+fn full_hosts_do_not_collapse_weights_or_empty_a_placer() {
     let site = Site::start(&habits());
     site.hosts.iter().for_each(|host| host.set_free_capacity(1));
     let clients = ClientPopulation::start(&site.front, 30.0, 1);
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -127,7 +127,7 @@
 
 // A process that has just started has forgotten what it sent, and many start again at once.
 #[test]
-fn what_a_fleet_sends_a_cold_machine_is_borne_through_restarts_and_is_not_nothing() {
+fn fleet_of_placers_stays_within_a_cold_hosts_tolerance_through_restarts() {
     for placers in [3, 20, 30] {
         for borne in [22.0, 100.0] {
             let quiet = play(placers, borne, 8 * SECOND, &[], 0, &[0.0]);
@@ -166,7 +166,7 @@
 
 // AdminSocket to a host that does not answer take as long as the settings allow, and what waited leaves together.
 #[test]
-fn offers_that_waited_for_a_connection_and_leave_together_are_borne() {
+fn queued_offers_sent_together_stay_within_a_cold_hosts_tolerance() {
     // The first part of the budget waits as long as it may, and the next comes at once.
     let delays = [[1.0; 78].as_slice(), &[0.0; 400]].concat();
     for wait in [SECOND / 4, SECOND, 2 * SECOND] {
@@ -182,7 +182,7 @@
 
     /// Whatever the fleet, what is borne, the restarts and the time that offers take.
     #[test]
-    fn the_sum_over_all_placers_is_borne(
+    fn sum_over_all_placers_stays_within_tolerance(
         placers in 1usize..40,
         borne in 2.0f64..120.0,
         restarts in prop::collection::vec((0i64..4_000, 0.0f64..1.0), 0..6),
@@ -197,7 +197,7 @@
 
 // The clocks of machines differ: one that starts may seem to start later than now.
 #[test]
-fn a_machine_that_starts_in_the_future_by_our_clock_is_as_cold_as_others() {
+fn host_born_in_the_future_by_our_clock_is_as_cold_as_others() {
     let settings = Settings {
         placers: 30,
         cold_sends: 15.0,
@@ -223,19 +223,19 @@
 /// All offers that come to a host, and when; each is answered at once.
 fn collect(
     host: &Host,
-    conns: &mut Vec<HostConnection>,
+    connections: &mut Vec<HostConnection>,
     times: &mut Vec<Micros>,
     start: Instant,
     span: Duration,
 ) {
     let end = Instant::now() + span;
     while Instant::now() < end {
-        conns.extend(host.accept_within(Duration::from_millis(1)));
-        for conn in conns.iter_mut() {
-            while let Some(message) = conn.read_within(Duration::from_millis(1)) {
+        connections.extend(host.accept_within(Duration::from_millis(1)));
+        for connection in connections.iter_mut() {
+            while let Some(message) = connection.read_within(Duration::from_millis(1)) {
                 if message.get_str("t") == Some("new") {
                     times.push(start.elapsed().as_micros() as Micros);
-                    conn.report_running(message.get_str("ref").expect("an id"));
+                    connection.report_running(message.get_str("ref").expect("an id"));
                 }
             }
         }
@@ -244,11 +244,11 @@
 
 // Real processes: all are killed once they have sent their part, and start again at once.
 #[test]
-fn processes_that_are_killed_and_start_again_send_a_cold_host_no_more_than_it_bears() {
+fn killed_and_restarted_processes_stay_within_a_cold_hosts_tolerance() {
     let borne = 30.0;
     let mut feeds: Vec<Feed> = (0..3).map(|_| Feed::new()).collect();
     let host = Host::new("h0", "north");
-    let (start, mut times, mut conns) = (Instant::now(), Vec::new(), Vec::new());
+    let (start, mut times, mut connections) = (Instant::now(), Vec::new(), Vec::new());
     let mut born = 0;
     for life in 0..2 {
         let mut programs = Vec::new();
@@ -292,7 +292,7 @@
         }
         collect(
             &host,
-            &mut conns,
+            &mut connections,
             &mut times,
             start,
             Duration::from_millis(if life == 0 { 150 } else { 2_000 }),
--- a/tests/endings.rs
+++ b/tests/endings.rs
@@ -48,7 +48,7 @@
 fn offered_until_last(
     program: &Program,
     hosts: &[Host],
-    conns: &mut Vec<HostConnection>,
+    connections: &mut Vec<HostConnection>,
 ) -> Vec<String> {
     let mut client = known(program);
     client.request_task(LAST, &ask(LAST));
@@ -59,13 +59,13 @@
             Instant::now() < end,
             "the last request is not offered: {ids:?}"
         );
-        conns.extend(
+        connections.extend(
             hosts
                 .iter()
                 .filter_map(|host| host.accept_within(Duration::from_millis(2))),
         );
-        for conn in conns.iter_mut() {
-            while let Some(message) = conn.read_within(Duration::from_millis(20)) {
+        for connection in connections.iter_mut() {
+            while let Some(message) = connection.read_within(Duration::from_millis(20)) {
                 if message.get_str("t") != Some("new") {
                     continue;
                 }
@@ -85,8 +85,8 @@
 
 // While the program is stopped, all that a client does is there at once when it goes on.
 #[test]
-fn a_set_up_whose_client_has_closed_the_connection_is_not_offered() {
-    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
+fn request_of_a_disconnected_client_is_not_offered() {
+    let (program, _feed, hosts, mut connections) = start_with_hosts(1);
     for id in 1..=5 {
         let mut client = known(&program);
         program.while_stopped(|| {
@@ -94,12 +94,12 @@
             client.close();
         });
     }
-    assert_eq!(offered_until_last(&program, &hosts, &mut conns), NONE);
+    assert_eq!(offered_until_last(&program, &hosts, &mut connections), NONE);
 }
 
 #[test]
-fn a_set_up_that_is_cancelled_in_the_same_read_is_not_offered() {
-    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
+fn request_cancelled_in_the_same_read_is_not_offered() {
+    let (program, _feed, hosts, mut connections) = start_with_hosts(1);
     let mut client = known(&program);
     program.while_stopped(|| {
         for id in 1..=5 {
@@ -107,34 +107,34 @@
             client.release(id, 16);
         }
     });
-    assert_eq!(offered_until_last(&program, &hosts, &mut conns), NONE);
+    assert_eq!(offered_until_last(&program, &hosts, &mut connections), NONE);
     assert!(client.health_check(), "and its connection goes on");
 }
 
 // Hundreds of set-ups, taken back at once: their cancels are several reads behind.
 #[test]
-fn set_ups_that_are_cancelled_some_reads_later_are_not_offered() {
-    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
+fn requests_cancelled_some_reads_later_are_not_offered() {
+    let (program, _feed, hosts, mut connections) = start_with_hosts(1);
     let mut client = known(&program);
     program.while_stopped(|| {
         (1..=300).for_each(|id| client.request_task(id, &ask(id)));
         (1..=300).for_each(|id| client.release(id, 16));
     });
-    assert_eq!(offered_until_last(&program, &hosts, &mut conns), NONE);
+    assert_eq!(offered_until_last(&program, &hosts, &mut connections), NONE);
     assert!(client.health_check());
 }
 
 // The host's refusal is heard before the client's close.
 #[test]
-fn no_further_attempt_begins_for_a_client_that_has_left() {
+fn request_of_a_disconnected_client_is_not_retried() {
     for (kind, leaves) in [("close", true), ("cancel", false)] {
-        let (program, _feed, hosts, mut conns) = start_with_hosts(2);
+        let (program, _feed, hosts, mut connections) = start_with_hosts(2);
         let mut client = known(&program);
         client.request_task(1, &ask(1));
-        let (at, id) = next_offer(&mut conns);
+        let (at, id) = next_offer(&mut connections);
         let mut held = Some(client);
         program.while_stopped(|| {
-            conns[at].report_ended(&id, 34, "nq");
+            connections[at].report_ended(&id, 34, "nq");
             if leaves {
                 held.take().into_iter().for_each(Client::close);
             } else {
@@ -142,7 +142,7 @@
             }
         });
         assert_eq!(
-            offered_until_last(&program, &hosts, &mut conns),
+            offered_until_last(&program, &hosts, &mut connections),
             NONE,
             "{kind}"
         );
@@ -151,7 +151,7 @@
 
 // The call to the first host has had its time when the program goes on, and the client has left.
 #[test]
-fn no_attempt_elsewhere_begins_for_a_client_that_left_while_a_host_was_called() {
+fn client_that_disconnects_during_a_host_connect_gets_no_further_attempt() {
     let mut feed = Feed::new();
     let hosts = [Host::new("h0", "north"), Host::new("h1", "north")];
     let mut config = single_placer_config(
@@ -183,14 +183,14 @@
 }
 
 #[test]
-fn a_client_that_left_while_it_waited_to_be_accepted_gets_no_attempt() {
+fn client_that_disconnects_before_accept_gets_no_attempt() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     config["limits"] = json!({ "cores": 1.0, "memory_mb": 32, "sockets": 36 });
     let program = Program::start_with_descriptors(&config, 1_024);
     feed.accept_subscription();
-    let mut conns = vec![host.accept()];
+    let mut connections = vec![host.accept()];
     // All that may be held are busy, so that the next connection waits.
     let mut busy: Vec<Client> = Vec::new();
     while !program.log().contains("connection waits") {
@@ -204,13 +204,13 @@
     late.request_task(0x99, &ask(0x99));
     late.close();
     busy.clear();
-    let offered = offered_until_last(&program, &[host], &mut conns);
+    let offered = offered_until_last(&program, &[host], &mut connections);
     assert!(!offered.contains(&hex(0x99)), "{offered:?}");
 }
 
 // What a host has not taken yet could not be taken back: its client's cancel went behind it.
 #[test]
-fn an_offer_that_a_slow_host_has_not_taken_is_not_sent_once_its_client_has_left() {
+fn offer_not_read_by_a_slow_host_is_withheld_once_its_client_disconnects() {
     let mut feed = Feed::new();
     let hosts = [Host::with_small_receive_buffer("h0", "north")];
     let mut config = single_placer_config(&feed, vec![hosts[0].entry("up", 0)]);
@@ -218,11 +218,11 @@
     config["settings"]["caps"]["connect_timeout"] = json!(20_000.0);
     let program = Program::start(&config);
     feed.accept_subscription();
-    let mut conns = vec![hosts[0].accept()];
+    let mut connections = vec![hosts[0].accept()];
     let (mut closes, mut cancels) = (known(&program), known(&program));
     let mut wide = clog(&program);
     // A host that speaks is not called again.
-    conns[0].report_running(&hex(1));
+    connections[0].report_running(&hex(1));
     assert_eq!(wide.expect_message().kind, 9);
     // One closes its connection and one cancels.
     closes.request_task(0x990, &ask(0x990));
@@ -235,7 +235,7 @@
     cancels.release(0x991, 16);
     program.wait_for_log("reason=closed");
     assert!(cancels.health_check(), "the cancel was taken in");
-    let offered = offered_until_last(&program, &hosts, &mut conns);
+    let offered = offered_until_last(&program, &hosts, &mut connections);
     assert!(offered.contains(&hex(1)), "{offered:?}");
     assert!(
         [0x990, 0x991].iter().all(|id| !offered.contains(&hex(*id))),
@@ -245,7 +245,7 @@
 
 // A host that takes nothing is as good as out of reach: what waits for it goes elsewhere.
 #[test]
-fn an_offer_that_a_host_does_not_take_goes_elsewhere_soon() {
+fn offer_that_a_host_does_not_read_is_retried_elsewhere_soon() {
     let mut feed = Feed::new();
     let hosts = [
         Host::with_small_receive_buffer("h0", "north"),
@@ -263,15 +263,15 @@
     assert!(client.health_check(), "the set-up was taken in");
     feed.send_host_state(2, &hosts[1], "up");
     let start = Instant::now();
-    let mut conn = hosts[1].accept();
+    let mut connection = hosts[1].accept();
     // What waited before it goes there, too.
-    while conn.expect_offer() != hex(0x990) {}
+    while connection.expect_offer() != hex(0x990) {}
     assert!(
         start.elapsed() < Duration::from_secs(1),
         "{:?}",
         start.elapsed()
     );
-    conn.report_running(&hex(0x990));
+    connection.report_running(&hex(0x990));
     let answer = client.expect_message();
     assert_eq!((answer.kind, answer.id), (9, 0x990));
     // Nothing of it has left to the other.
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn an_offer_that_waits_for_its_connection_is_not_sent_once_its_client_has_left() {
+fn offer_queued_for_a_connection_is_withheld_once_its_client_disconnects() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
@@ -309,8 +309,8 @@
 
 // A client that goes on talking is still there: what it says later does not hold its offer up.
 #[test]
-fn a_client_that_never_pauses_gets_its_attempt() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn client_that_sends_without_pause_gets_its_attempt() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = known(&program);
     let mut talks = Client(client.0.try_clone().expect("a socket"));
     let flood: Vec<u8> = (0..1_000)
@@ -327,12 +327,12 @@
             talks.send(&flood);
         }
     });
-    let mut ids: Vec<String> = (0..5).map(|_| conns[0].expect_offer()).collect();
+    let mut ids: Vec<String> = (0..5).map(|_| connections[0].expect_offer()).collect();
     over.store(true, Ordering::Relaxed);
     thread.join().expect("it wrote");
     ids.sort();
     assert_eq!(ids, (1..=5).map(hex).collect::<Vec<_>>());
-    ids.iter().for_each(|id| conns[0].report_running(id));
+    ids.iter().for_each(|id| connections[0].report_running(id));
     (1..=5).for_each(|_| assert_eq!(client.expect_message().kind, 9));
 }
 
@@ -340,7 +340,7 @@
 
 // The list tells while the connection is being made; the address may be another host's by then.
 #[test]
-fn what_waits_for_a_host_is_not_sent_once_it_drains_or_another_is_there() {
+fn queued_offers_are_withheld_once_their_host_drains_or_is_replaced() {
     for change in ["draining", "gone", "born", "moved"] {
         let mut feed = Feed::new();
         let host = Host::new("h0", "north");
@@ -379,30 +379,30 @@
         client.request_task(2, &ask(2));
         assert!(client.health_check());
         host.make_reachable(held);
-        if let Some(mut conn) = host.accept_within(Duration::from_millis(1_500)) {
-            assert!(conn.read_within(QUIET_PERIOD).is_none(), "{change}");
+        if let Some(mut connection) = host.accept_within(Duration::from_millis(1_500)) {
+            assert!(connection.read_within(QUIET_PERIOD).is_none(), "{change}");
         }
     }
 }
 
 // The host closes an idle connection just before an offer is decided for it.
 #[test]
-fn an_offer_is_not_written_to_a_connection_that_its_host_has_closed() {
-    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
+fn offer_is_not_written_to_a_connection_closed_by_its_host() {
+    let (program, _feed, hosts, mut connections) = start_with_hosts(1);
     let mut client = known(&program);
     program.while_stopped(|| {
         client.request_task(1, &NON_IDEMPOTENT_TASK);
-        conns.drain(..).for_each(HostConnection::close);
+        connections.drain(..).for_each(HostConnection::close);
     });
-    let mut conn = hosts[0].accept();
-    assert_eq!(conn.expect_offer(), hex(1));
-    conn.report_running(&hex(1));
+    let mut connection = hosts[0].accept();
+    assert_eq!(connection.expect_offer(), hex(1));
+    connection.report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
 }
 
 // Words of a host that come in one read, in every order that could be taken for something else.
 #[test]
-fn words_of_a_host_in_one_read_end_an_attempt_once() {
+fn host_messages_in_one_read_end_an_attempt_once() {
     let up = |id: &str| format!("{{\"t\":\"up\",\"ref\":\"{id}\",\"f\":{{}},\"d\":\"stands\"}}\n");
     let down = |id: &str, cause: u8| {
         format!("{{\"t\":\"down\",\"ref\":\"{id}\",\"f\":{{}},\"c\":{cause}}}\n")
@@ -442,20 +442,20 @@
         ),
     ];
     for (what, said, words, again) in cases {
-        let (program, _feed, _hosts, mut conns) = start_with_hosts(2);
+        let (program, _feed, _hosts, mut connections) = start_with_hosts(2);
         let mut client = known(&program);
         client.request_task(1, &ask(1));
-        let (at, offer) = next_offer(&mut conns);
+        let (at, offer) = next_offer(&mut connections);
         assert_eq!(offer, id);
         // It has closed the connection, too, before a word of it is read.
-        let mut conn = conns.remove(at);
+        let mut connection = connections.remove(at);
         program.while_stopped(|| {
-            conn.send_bytes(said.as_bytes());
-            conn.close();
+            connection.send_bytes(said.as_bytes());
+            connection.close();
         });
         if again {
-            assert_eq!(conns[0].expect_offer(), id, "{what}");
-            conns[0].report_running(&id);
+            assert_eq!(connections[0].expect_offer(), id, "{what}");
+            connections[0].report_running(&id);
             assert_eq!(client.expect_message().kind, 9, "{what}");
         }
         for (kind, cause) in words {
@@ -472,8 +472,8 @@
 
 // The host's answer has come and the client's time is over when both are read.
 #[test]
-fn an_answer_and_the_time_out_in_one_turn_give_one_final_answer() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn answer_and_timeout_in_one_iteration_give_one_final_answer() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = known(&program);
     client.request_task(
         1,
@@ -482,27 +482,30 @@
             ..ask(1)
         },
     );
-    let id = conns[0].expect_offer();
+    let id = connections[0].expect_offer();
     program.while_stopped(|| {
-        conns[0].report_running(&id);
+        connections[0].report_running(&id);
         std::thread::sleep(Duration::from_millis(350));
     });
     let answer = client.expect_message();
     assert!(client.health_check(), "one answer");
     // What was answered as failed does not stand on.
     if answer.kind == 12 {
-        assert_eq!(conns[0].expect("down").get_str("ref"), Some(id.as_str()));
+        assert_eq!(
+            connections[0].expect("down").get_str("ref"),
+            Some(id.as_str())
+        );
     } else {
         assert_eq!(answer.kind, 9);
     }
 }
 
 #[test]
-fn a_whole_list_that_no_longer_names_a_host_ends_what_is_out_there() {
-    let (program, mut feed, hosts, mut conns) = start_with_hosts(2);
+fn complete_list_without_a_host_ends_its_attempts() {
+    let (program, mut feed, hosts, mut connections) = start_with_hosts(2);
     let mut client = known(&program);
     client.request_task(1, &ask(1));
-    let (at, id) = next_offer(&mut conns);
+    let (at, id) = next_offer(&mut connections);
     client.request_task(
         2,
         &TaskRequest {
@@ -510,7 +513,7 @@
             ..NON_IDEMPOTENT_TASK
         },
     );
-    let (other, once) = next_offer(&mut conns);
+    let (other, once) = next_offer(&mut connections);
     // Twice, and the second tells nothing new.
     let rest: Vec<_> = (0..2)
         .filter(|n| *n != at)
@@ -518,15 +521,15 @@
         .collect();
     feed.send(&endpoint_event(2, UpdateKind::Complete, rest.clone()));
     feed.send(&endpoint_event(2, UpdateKind::Complete, rest));
-    assert!(conns[at].wait_closed());
+    assert!(connections[at].wait_closed());
     let left = 1 - at;
     assert_eq!(
-        conns[left]
+        connections[left]
             .read_within(TEST_TIMEOUT)
             .and_then(|m| m.get_str("ref").map(str::to_string)),
         Some(id.clone())
     );
-    conns[left].report_running(&id);
+    connections[left].report_running(&id);
     if other == at {
         // It may have run there.
         let words =
@@ -537,7 +540,7 @@
         );
     } else {
         assert_eq!(client.expect_message().kind, 9);
-        conns[left].report_running(&once);
+        connections[left].report_running(&once);
         assert_eq!(client.expect_message().kind, 9);
     }
     assert!(client.health_check());
@@ -546,7 +549,7 @@
 // ---- The subscription ----
 
 #[test]
-fn a_feed_that_leaves_a_gap_each_time_is_not_called_without_a_pause() {
+fn feed_with_gaps_is_resubscribed_with_backoff() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let program = Program::start(&single_placer_config(&feed, vec![host.entry("up", 0)]));
@@ -563,8 +566,8 @@
 
 // The address that is called does not answer, and the configuration names another.
 #[test]
-fn a_feed_that_moves_while_a_call_to_it_hangs_is_followed_at_once() {
-    let (program, mut feed, hosts, mut conns) = start_with_hosts(1);
+fn feed_that_moves_during_a_hanging_connect_is_followed_at_once() {
+    let (program, mut feed, hosts, mut connections) = start_with_hosts(1);
     let second = Feed::new();
     let mut config = single_placer_config(&second, vec![hosts[0].entry("up", 0)]);
     config["listen"] = program.address.to_string().into();
@@ -591,13 +594,17 @@
         },
     );
     assert_eq!(client.expect_message().kind, 12);
-    assert!(conns[0].read_within(Duration::from_millis(20)).is_none());
+    assert!(
+        connections[0]
+            .read_within(Duration::from_millis(20))
+            .is_none()
+    );
     drop(held);
 }
 
 // Idle clients took the descriptors while few hosts were listed.
 #[test]
-fn idle_clients_at_the_limit_keep_neither_the_feed_nor_hosts_nor_others_out() {
+fn idle_clients_at_the_limit_do_not_block_the_feed_hosts_or_other_clients() {
     let sockets = 160;
     let address = free_address();
     let mut feed = Feed::bind(address);
@@ -606,7 +613,7 @@
     config["limits"] = json!({ "cores": 1.0, "memory_mb": 32, "sockets": sockets });
     let program = Program::start_with_descriptors(&config, sockets);
     feed.accept_subscription();
-    let mut conn = first.accept();
+    let mut connection = first.accept();
     drop(feed.take_subscription());
     // Discovery is away, and each that has said something once stays.
     drop(feed);
@@ -630,7 +637,7 @@
     let mut entries: Vec<_> = hosts.iter().map(|host| host.entry("up", 0)).collect();
     entries.push(first.entry("draining", 0));
     feed.send(&endpoint_event(2, UpdateKind::Complete, entries));
-    let mut conns: Vec<HostConnection> = hosts.iter().map(Host::accept).collect();
+    let mut connections: Vec<HostConnection> = hosts.iter().map(Host::accept).collect();
     assert!(
         program.descriptors() < sockets as usize,
         "{}",
@@ -643,17 +650,17 @@
     );
     let mut client = known(&program);
     client.request_task(1, &ask(1));
-    let (at, id) = next_offer(&mut conns);
-    conns[at].report_running(&id);
+    let (at, id) = next_offer(&mut connections);
+    connections[at].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
-    assert!(conn.read_within(Duration::from_millis(20)).is_none());
+    assert!(connection.read_within(Duration::from_millis(20)).is_none());
 }
 
 // ---- The process ----
 
 #[test]
-fn a_set_up_that_is_half_read_when_the_process_is_to_end_is_answered() {
-    let (mut program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn request_partially_read_at_shutdown_is_answered() {
+    let (mut program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = known(&program);
     let whole = encode_task_request(1, &ask(1), "half");
     let (half, rest) = whole.split_at(whole.len() / 2);
@@ -662,8 +669,8 @@
     program.terminate();
     program.wait_for_log("closing");
     client.send(rest);
-    assert_eq!(conns[0].expect_offer(), hex(1));
-    conns[0].report_running(&hex(1));
+    assert_eq!(connections[0].expect_offer(), hex(1));
+    connections[0].report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
     // Told a second time, and with a configuration that can't be read, it ends as it would have.
     program.terminate();
@@ -674,16 +681,16 @@
 
 // The end of a task is heard while the process ends, and told before it has.
 #[test]
-fn the_end_of_a_task_that_comes_while_the_process_ends_is_told() {
-    let (mut program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn task_end_during_shutdown_is_notified() {
+    let (mut program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = known(&program);
     client.request_task(1, &ask(1));
-    let id = conns[0].expect_offer();
-    conns[0].report_running(&id);
+    let id = connections[0].expect_offer();
+    connections[0].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
     program.terminate();
     program.wait_for_log("closing");
-    program.while_stopped(|| conns[0].report_ended(&id, 16, ""));
+    program.while_stopped(|| connections[0].report_ended(&id, 16, ""));
     let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 16));
     assert!(program.wait_exit().success());
@@ -704,7 +711,7 @@
 
 // SIGTERM comes when the program has just begun to read its file: it starts, and ends as it should.
 #[test]
-fn a_process_that_is_to_end_while_it_starts_ends_in_order() {
+fn sigterm_during_the_start_shuts_down_gracefully() {
     let feed = Feed::new();
     let host = Host::new("h0", "north");
     let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
@@ -720,9 +727,9 @@
     // Who connects meanwhile is answered.
     let mut client = program.client();
     client.request_task(1, &ask(1));
-    let mut conn = host.accept();
-    let id = conn.expect_offer();
-    conn.report_running(&id);
+    let mut connection = host.accept();
+    let id = connection.expect_offer();
+    connection.report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
     assert!(program.wait_exit().success());
     let _ = std::fs::remove_file(&pipe);
@@ -730,7 +737,7 @@
 
 // Far more than can be placed, beside clients that send what can't be read.
 #[test]
-fn in_a_flood_every_set_up_gets_its_one_answer_in_time() {
+fn every_request_of_a_flood_gets_one_answer_in_time() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
@@ -773,7 +780,7 @@
 
 // The platform ends a process after the longest wait of a client and 0.7 s more.
 #[test]
-fn where_clients_wait_for_a_short_time_the_process_ends_soon() {
+fn shutdown_is_quick_with_short_client_timeouts() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
@@ -808,7 +815,7 @@
 
 // The file is a pipe, so that the signal comes when the program has just begun to read it.
 #[test]
-fn a_signal_to_read_the_configuration_again_does_not_end_a_process_that_starts() {
+fn sighup_during_the_start_does_not_end_the_process() {
     let feed = Feed::new();
     let host = Host::new("h0", "north");
     let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -46,7 +46,7 @@
 // The descriptors set apart for hundreds of hosts left clients with four connections, and the others were
 // closed with their set-ups unread.
 #[test]
-fn clients_may_hold_their_third_of_the_descriptors_whatever_the_fleet() {
+fn clients_get_a_third_of_the_descriptors_for_any_fleet_size() {
     let habits = HostBehavior {
         start_time: Duration::from_millis(300),
         run_time: Duration::from_secs(60),
@@ -71,7 +71,7 @@
 
 // One that comes while all others are busy has sent its set-up already: closed unread, that is lost.
 #[test]
-fn a_connection_beyond_the_budget_waits_for_one_that_is_answered() {
+fn connection_beyond_the_budget_waits_for_an_answered_one() {
     let habits = HostBehavior {
         start_time: Duration::from_millis(300),
         run_time: Duration::from_secs(60),
@@ -99,7 +99,7 @@
 // Seven in ten placers that come back at once meet all clients at once. While the program is stopped the
 // connections wait in the system's queue, whose length is the program's to ask for.
 #[test]
-fn hundreds_that_come_at_once_are_all_taken_and_answered() {
+fn hundreds_of_simultaneous_connections_are_accepted_and_answered() {
     let habits = HostBehavior {
         start_time: Duration::from_millis(20),
         run_time: Duration::from_secs(60),
@@ -134,7 +134,7 @@
 // What waits in the accept queue at the end counts as taken. The hosts answer all that is owed at once, just
 // after the process could end, and those that were beyond the budget until then are still there.
 #[test]
-fn at_the_end_nothing_is_left_in_the_accept_queue() {
+fn shutdown_leaves_no_connection_in_the_accept_queue() {
     let habits = HostBehavior {
         start_time: Duration::from_millis(1_100),
         run_time: Duration::from_secs(60),
@@ -161,7 +161,7 @@
 
 // A process that ends with unread input resets the connection, and an answer on its way may go with it.
 #[test]
-fn at_the_end_connections_are_closed_and_not_reset() {
+fn shutdown_closes_connections_without_reset() {
     let habits = HostBehavior {
         start_time: Duration::from_millis(20),
         run_time: Duration::from_secs(60),
@@ -198,7 +198,7 @@
 // Hundreds of placers that call all hosts at their start, and again whenever one is lost, make more
 // connections than there are tasks; where the settings price these, a host is called for its first offer.
 #[test]
-fn where_connections_have_a_price_a_host_is_called_for_what_it_is_offered() {
+fn priced_connections_are_opened_only_for_offers() {
     let mut feed = Feed::new();
     let hosts = [Host::new("h0", "north"), Host::new("h1", "south")];
     let mut config = single_placer_config(
@@ -216,13 +216,13 @@
             .all(|host| host.accept_within(QUIET_PERIOD / 2).is_none())
     );
     client.request_task(1, &IDEMPOTENT_TASK);
-    let mut conn = wait_for("a call", || {
+    let mut connection = wait_for("a call", || {
         hosts
             .iter()
             .find_map(|host| host.accept_within(QUIET_PERIOD / 20))
     });
-    assert_eq!(conn.expect_offer(), hex(1));
-    conn.report_running(&hex(1));
+    assert_eq!(connection.expect_offer(), hex(1));
+    connection.report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
     assert!(
         hosts
@@ -234,7 +234,7 @@
 // The operators' fleets may have hundreds of either; nothing here is bounded below 1,024, nor in the time
 // that a start takes. An entry that can't be right, and a zone that the settings do not state, stop nothing.
 #[test]
-fn a_thousand_placers_and_hosts_in_settings_and_list_are_taken_in() {
+fn settings_with_a_thousand_placers_and_hosts_are_accepted() {
     let feed = Feed::new();
     let real = Host::new("real", "attic");
     let mut hosts: Vec<OwnedValue> = (0..1_024)
@@ -256,9 +256,9 @@
     assert!(client.health_check());
     // Only the last host has room.
     client.request_task(1, &IDEMPOTENT_TASK);
-    let mut conn = real.accept();
-    assert_eq!(conn.expect_offer(), hex(1));
-    conn.report_running(&hex(1));
+    let mut connection = real.accept();
+    assert_eq!(connection.expect_offer(), hex(1));
+    connection.report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
     program.wait_for_log("entry set aside host=\"odd\" reason=bad-field:dial");
 }
--- a/tests/fronts.rs
+++ b/tests/fronts.rs
@@ -21,7 +21,7 @@
     program: Program,
     feed: Feed,
     hosts: Vec<Host>,
-    conns: Vec<HostConnection>,
+    connections: Vec<HostConnection>,
     agent: SocketAddr,
     http: SocketAddr,
     socket: PathBuf,
@@ -43,12 +43,12 @@
         .start();
     assert_eq!(feed.accept_subscription(), 1);
     feed.send(&simd_json::json!({ "n": 1 }));
-    let conns = hosts.iter().map(Host::accept).collect();
+    let connections = hosts.iter().map(Host::accept).collect();
     Fronts {
         program,
         feed,
         hosts,
-        conns,
+        connections,
         agent,
         http,
         socket,
@@ -97,7 +97,7 @@
 // ---- Checks ----
 
 #[test]
-fn agents_and_http_checks_follow_the_state_from_start_to_drain_and_back() {
+fn agent_and_http_checks_follow_the_state_from_start_to_drain_and_back() {
     let mut fronts = start("");
     wait_for("it is up", || {
         agent(fronts.agent)
@@ -128,8 +128,8 @@
     assert!(!client.health_check(), "nor do clients' tests pass");
     // New work that still comes is placed.
     client.request_task(1, &IDEMPOTENT_TASK);
-    assert_eq!(fronts.conns[0].expect_offer(), hex(1));
-    fronts.conns[0].report_running(&hex(1));
+    assert_eq!(fronts.connections[0].expect_offer(), hex(1));
+    fronts.connections[0].report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
     assert!(ctl(&fronts.socket, &["ready"]).0);
     assert!(
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn http_checks_keep_alive_pipeline_and_turn_away_what_could_be_read_in_two_ways() {
+fn http_checks_support_keep_alive_and_pipelining_and_reject_ambiguous_requests() {
     let fronts = start("");
     let two = "GET /livez HTTP/1.1\r\nHost: t\r\n\r\nHEAD /nowhere HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
     let answers = exchange(fronts.http, two.as_bytes());
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn an_agents_balancer_may_say_a_line_first_or_nothing_and_may_not_say_much() {
+fn agent_check_accepts_one_short_line_or_nothing() {
     let fronts = start("");
     for line in ["", "front/p1\n", "front/p1\r\n"] {
         let answer = query_agent(fronts.agent, line, 5 * SECOND).unwrap_or_default();
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn pollers_that_say_nothing_take_no_descriptor_from_clients_and_delay_no_placing() {
+fn silent_pollers_take_no_client_descriptors_and_delay_no_placement() {
     let mut fronts = start("");
     let before = fronts.program.descriptors();
     let silent: Vec<TcpStream> = (0..500)
@@ -252,8 +252,8 @@
     let mut client = fronts.program.client();
     let begun = Instant::now();
     client.request_task(1, &IDEMPOTENT_TASK);
-    assert_eq!(fronts.conns[0].expect_offer(), hex(1));
-    fronts.conns[0].report_running(&hex(1));
+    assert_eq!(fronts.connections[0].expect_offer(), hex(1));
+    fronts.connections[0].report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
     assert!(begun.elapsed() < SECOND, "{:?}", begun.elapsed());
     fronts.program.wait_for_log("reason=shed");
@@ -263,7 +263,7 @@
 // ---- Start ----
 
 #[test]
-fn an_address_that_is_taken_or_named_twice_ends_the_start_with_its_field() {
+fn start_fails_naming_the_field_of_an_address_in_use_or_given_twice() {
     let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = taken.local_addr().expect("an address");
     let feed = Feed::new();
@@ -303,7 +303,7 @@
 }
 
 #[test]
-fn check_prints_what_holds_and_where_it_came_from_or_every_error() {
+fn check_prints_effective_settings_with_their_source_or_all_errors() {
     let feed = Feed::new();
     let good = single_placer_config(&feed, vec![]);
     let out = Launch::new(&good)
@@ -342,7 +342,7 @@
 }
 
 #[test]
-fn the_socket_for_orders_is_its_owners_alone_and_one_left_behind_is_replaced() {
+fn control_socket_is_private_and_a_stale_one_is_replaced() {
     use std::os::unix::fs::PermissionsExt;
     let socket = temp_path("sock");
     // What a killed process leaves.
@@ -398,7 +398,7 @@
 // ---- Drains ----
 
 #[test]
-fn a_second_signal_ends_a_drain_as_sigterm_does_without_one() {
+fn second_signal_ends_a_drain_like_a_plain_sigterm() {
     let mut fronts = start("notice = \"60s\"\nsettle = \"1s\"");
     wait_for("polled", || {
         agent(fronts.agent)
@@ -407,7 +407,7 @@
     });
     let mut client = fronts.program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let id = fronts.conns[0].expect_offer();
+    let id = fronts.connections[0].expect_offer();
     fronts.program.terminate();
     wait_for("draining", || {
         agent(fronts.agent).starts_with("up drain").then_some(())
@@ -417,7 +417,7 @@
     let answer = client.expect_message();
     assert_eq!((answer.kind, answer.id, answer.cause()), (12, 1, 42));
     assert_eq!(
-        fronts.conns[0].expect("down").get_str("ref"),
+        fronts.connections[0].expect("down").get_str("ref"),
         Some(id.as_str())
     );
     assert_eq!(fronts.program.wait_exit_within(8 * SECOND).code(), Some(0));
@@ -425,7 +425,7 @@
 }
 
 #[test]
-fn a_drain_is_taken_back_by_ready_also_after_sigterm_and_goes_on_where_it_is_not() {
+fn ready_cancels_a_drain_even_after_sigterm() {
     let mut fronts = start("notice = \"60s\"\nsettle = \"30s\"");
     wait_for("polled", || {
         agent(fronts.agent)
@@ -443,13 +443,13 @@
     assert!(fronts.program.is_running());
     let mut client = fronts.program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    assert_eq!(fronts.conns[0].expect_offer(), hex(1));
-    fronts.conns[0].report_running(&hex(1));
+    assert_eq!(fronts.connections[0].expect_offer(), hex(1));
+    fronts.connections[0].report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
 }
 
 #[test]
-fn a_drain_during_the_start_or_with_the_feed_down_ends_all_the_same() {
+fn drain_completes_during_the_start_and_with_the_feed_down() {
     let mut fronts = start("settle = \"100ms\"\nquiet = \"300ms\"");
     drop(fronts.feed.take_subscription());
     drop(fronts.feed);
@@ -463,7 +463,7 @@
 }
 
 #[test]
-fn connections_without_a_task_are_closed_and_standing_tasks_are_left_by_name_at_their_bound() {
+fn drain_closes_idle_connections_and_names_running_tasks_at_its_limit() {
     let mut fronts = start("settle = \"100ms\"\nquiet = \"300ms\"\nstanding = \"2s\"");
     let (mut idle, mut busy, mut standing) = (
         fronts.program.client(),
@@ -473,14 +473,14 @@
     assert!(idle.health_check());
     for (client, id) in [(&mut standing, 1), (&mut busy, 2)] {
         client.request_task(id, &IDEMPOTENT_TASK);
-        assert_eq!(fronts.conns[0].expect_offer(), hex(id));
+        assert_eq!(fronts.connections[0].expect_offer(), hex(id));
     }
-    fronts.conns[0].report_running(&hex(1));
+    fronts.connections[0].report_running(&hex(1));
     assert_eq!(standing.expect_message().kind, 9);
     fronts.program.terminate();
     assert_eq!(idle.next_message(), None, "closed politely");
     // What was taken is still answered, and its end told on the connection that is kept for it.
-    fronts.conns[0].report_running(&hex(2));
+    fronts.connections[0].report_running(&hex(2));
     assert_eq!(busy.expect_message().kind, 9);
     // Two that came later are closed before it: sweeps have passed that left it.
     for _ in 0..2 {
@@ -488,7 +488,7 @@
         assert!(!later.health_check(), "a placer that drains passes no test");
         assert_eq!(later.next_message(), None);
     }
-    fronts.conns[0].report_ended(&hex(2), 16, "");
+    fronts.connections[0].report_ended(&hex(2), 16, "");
     let end = busy.expect_message();
     assert_eq!((end.id, end.cause()), (2, 16));
     busy.acknowledge_end(2);
@@ -503,7 +503,7 @@
 }
 
 #[test]
-fn a_client_that_never_reads_holds_no_drain_up() {
+fn client_that_never_reads_does_not_delay_a_drain() {
     let mut fronts = start("settle = \"100ms\"\nquiet = \"300ms\"\nstanding = \"3s\"");
     let mut deaf = fronts.program.client();
     // Answers to tests fill its connection until nothing more goes.
@@ -536,7 +536,7 @@
 }
 
 #[test]
-fn a_log_that_nobody_reads_or_that_is_closed_stops_nothing() {
+fn blocked_or_closed_log_stops_nothing() {
     for closed in [false, true] {
         let books: Arc<Mutex<HostRecords>> = Arc::default();
         let habits = HostBehavior {
@@ -589,7 +589,7 @@
 }
 
 #[test]
-fn lines_can_be_json() {
+fn log_lines_can_be_json() {
     let feed = Feed::new();
     let mut program = Launch::new(&single_placer_config(&feed, vec![]))
         .args(&["serve", "--log-format", "json"])
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -58,8 +58,8 @@
     feed.send(&json!({ "n": 1 }));
     let mut client = program.client();
     assert!(client.health_check());
-    let conn = place(&program, &host, 1);
-    (program, feed, host, conn, admin)
+    let connection = place(&program, &host, 1);
+    (program, feed, host, connection, admin)
 }
 
 fn place(program: &Program, host: &Host, id: u64) -> HostConnection {
@@ -73,17 +73,17 @@
             running_at: None,
         },
     );
-    let mut conn = host.accept();
-    assert_eq!(conn.expect_offer(), hex(id));
-    conn.report_running(&hex(id));
+    let mut connection = host.accept();
+    assert_eq!(connection.expect_offer(), hex(id));
+    connection.report_running(&hex(id));
     assert_eq!(client.expect_message().kind, 9);
-    conn
+    connection
 }
 
 /// The whole list in one line is followed, whatever its length: the placer went round in calls to the feed, and knew
 /// nothing of what it told, where the list was longer than a mebibyte.
 #[test]
-fn a_whole_list_of_thousands_of_hosts_in_one_line_is_followed() {
+fn complete_list_of_thousands_of_hosts_in_one_line_is_applied() {
     for count in [LARGE, FLEET] {
         let (program, mut feed, host, _conn, admin) = start();
         let mut hosts: Vec<OwnedValue> = (0..count - 1).map(|n| full(n, "up", -40)).collect();
@@ -103,8 +103,8 @@
 
 /// So many entries in one line, and as many lines of one entry, come to the same.
 #[test]
-fn a_thousand_entries_in_one_line_and_a_thousand_lines_of_one_entry_come_to_the_same() {
-    let (program, mut feed, _host, mut conn, admin) = start();
+fn one_line_of_a_thousand_entries_equals_a_thousand_lines_of_one() {
+    let (program, mut feed, _host, mut connection, admin) = start();
     feed.send(&endpoint_event(
         2,
         UpdateKind::Delta,
@@ -134,7 +134,7 @@
         },
     );
     assert_eq!(
-        conn.expect_offer(),
+        connection.expect_offer(),
         hex(7),
         "the host that was not named is as it was"
     );
@@ -143,8 +143,8 @@
 /// A drain that is told between thousands of other events, and a whole list among them, holds from when it was told:
 /// all that the program was told before it next runs is read before a task that came after it is placed.
 #[test]
-fn a_drain_in_a_flood_of_events_is_not_late() {
-    let (program, mut feed, first, mut conn, _admin) = start();
+fn drain_within_a_flood_of_events_is_applied_in_time() {
+    let (program, mut feed, first, mut connection, _admin) = start();
     let second = Host::new("h1", "south");
     let mut number = 1;
     let mut send_update = |feed: &mut Feed, kind: UpdateKind, hosts: Vec<OwnedValue>| {
@@ -184,7 +184,8 @@
         );
     }
     assert!(
-        conn.read_within(QUIET_PERIOD)
+        connection
+            .read_within(QUIET_PERIOD)
             .is_none_or(|m| m.get_str("t") != Some("new")),
         "nothing goes to the other"
     );
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -1,4 +1,4 @@
-//! The real program as operators and the platform run it day by day: calls, figures, drains.
+//! The real program as operators and the platform run it day by day: admin, figures, drains.
 
 use emulator::admin_socket::AdminSocket;
 use emulator::*;
@@ -8,24 +8,26 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// A program that takes calls, with its hosts.
-fn start_with_calls(hosts: usize) -> (Program, AdminSocket, Feed, Vec<Host>, Vec<HostConnection>) {
-    let mut feed = Feed::new();
-    let hosts: Vec<Host> = (0..hosts)
-        .map(|n| Host::new(&format!("h{n}"), "north"))
-        .collect();
-    let (config, calls) = with_calls(single_placer_config(
-        &feed,
-        hosts.iter().map(|h| h.entry("up", 0)).collect(),
-    ));
-    let program = Program::start(&config);
-    assert_eq!(feed.accept_subscription(), 1);
-    feed.send(&json!({ "n": 1 }));
-    let conns = hosts.iter().map(Host::accept).collect();
-    (program, calls, feed, hosts, conns)
+/// A program with an admin socket, its hosts and their connections.
+fn start_with_admin_socket(
+    hosts: usize,
+) -> (Program, AdminSocket, Feed, Vec<Host>, Vec<HostConnection>) {
+    let mut admin = None;
+    let (program, feed, hosts, connections) = start_configured(hosts, |config| {
+        let (config, socket) = with_admin_socket(config);
+        admin = Some(socket);
+        config
+    });
+    (
+        program,
+        admin.expect("an address"),
+        feed,
+        hosts,
+        connections,
+    )
 }
 
-fn with_calls(mut config: OwnedValue) -> (OwnedValue, AdminSocket) {
+fn with_admin_socket(mut config: OwnedValue) -> (OwnedValue, AdminSocket) {
     let address = free_address();
     config
         .insert("admin", address.to_string())
@@ -36,9 +38,9 @@
 // ---- AdminSocket ----
 
 #[test]
-fn calls_are_answered_beside_callers_that_say_half_a_line() {
-    let (_program, calls, _feed, _hosts, _conns) = start_with_calls(1);
-    wait_for("it serves", || calls.is_healthy().then_some(()));
+fn admin_commands_are_answered_beside_partial_ones() {
+    let (_program, admin, _feed, _hosts, _conns) = start_with_admin_socket(1);
+    wait_for("it serves", || admin.is_healthy().then_some(()));
     for (line, begins) in [
         ("checks", "fail "),
         ("", "fail "),
@@ -46,20 +48,20 @@
         ("check", "ok\n"),
     ] {
         assert!(
-            calls.request(line).starts_with(begins),
+            admin.request(line).starts_with(begins),
             "{line:?}: {:?}",
-            calls.request(line)
+            admin.request(line)
         );
     }
-    assert!(calls.request(&"x".repeat(4_096)).starts_with("fail "));
+    assert!(admin.request(&"x".repeat(4_096)).starts_with("fail "));
     // Three times as many as there are places.
-    let mut halves: Vec<_> = (0..24).map(|_| calls.connect()).collect();
+    let mut halves: Vec<_> = (0..24).map(|_| admin.connect()).collect();
     halves
         .iter_mut()
         .for_each(|half| half.write_all(b"che").expect("it reads"));
     for _ in 0..10 {
         let asked = Instant::now();
-        assert!(calls.is_healthy());
+        assert!(admin.is_healthy());
         assert!(
             asked.elapsed() < Duration::from_secs(1),
             "{:?}",
@@ -69,9 +71,9 @@
 }
 
 #[test]
-fn an_address_in_the_environment_goes_before_the_configuration() {
+fn admin_address_in_the_environment_overrides_the_configuration() {
     let feed = Feed::new();
-    let (config, first) = with_calls(single_placer_config(&feed, Vec::new()));
+    let (config, first) = with_admin_socket(single_placer_config(&feed, Vec::new()));
     let second = AdminSocket(free_address());
     let program = Launch::new(&config)
         .env("LB_ADMIN", &second.0.to_string())
@@ -91,12 +93,12 @@
 }
 
 #[test]
-fn the_command_line_calls_a_process_and_answers_with_its_exit_code() {
+fn command_line_client_reports_the_reply_in_its_exit_code() {
     let feed = Feed::new();
-    let (config, calls) = with_calls(single_placer_config(&feed, Vec::new()));
+    let (config, admin) = with_admin_socket(single_placer_config(&feed, Vec::new()));
     let _program = Program::start(&config);
-    wait_for("it serves", || calls.is_healthy().then_some(()));
-    let at = calls.0.to_string();
+    wait_for("it serves", || admin.is_healthy().then_some(()));
+    let at = admin.0.to_string();
     let nowhere = free_address().to_string();
     for (at, call, code, says) in [
         (&at, "check", 0, "ok\n"),
@@ -116,7 +118,7 @@
 }
 
 #[test]
-fn an_address_for_calls_where_clients_connect_is_named() {
+fn admin_address_equal_to_the_client_address_is_rejected() {
     let feed = Feed::new();
     let mut config = single_placer_config(&feed, Vec::new());
     let listen = config.get_str("listen").expect("an address").to_string();
@@ -128,18 +130,18 @@
 // ---- Figures ----
 
 #[test]
-fn figures_tell_what_clients_were_told_and_what_is_in_hand() {
-    let (program, calls, mut feed, hosts, mut conns) = start_with_calls(2);
+fn metrics_count_client_responses_and_open_work() {
+    let (program, admin, mut feed, hosts, mut connections) = start_with_admin_socket(2);
     let mut client = program.client();
     // Served at the second host; refused by both; failed without a host.
     client.request_task(1, &IDEMPOTENT_TASK);
-    let (first, id) = next_offer(&mut conns);
-    conns[first].report_ended(&id, 34, "nc");
-    let (second, _) = next_offer(&mut conns);
-    conns[second].report_running(&id);
+    let (first, id) = next_offer(&mut connections);
+    connections[first].report_ended(&id, 34, "nc");
+    let (second, _) = next_offer(&mut connections);
+    connections[second].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
     client.request_task(4, &NON_IDEMPOTENT_TASK);
-    let (at, id) = next_offer(&mut conns);
+    let (at, id) = next_offer(&mut connections);
     client.request_task(
         2,
         &TaskRequest {
@@ -149,9 +151,9 @@
     );
     let mut attempts = 0;
     let refusal = loop {
-        for conn in &mut conns {
-            if let Some(offer) = conn.read_within(Duration::from_millis(10)) {
-                conn.report_ended(offer.get_str("ref").expect("an id"), 34, "nc");
+        for connection in &mut connections {
+            if let Some(offer) = connection.read_within(Duration::from_millis(10)) {
+                connection.report_ended(offer.get_str("ref").expect("an id"), 34, "nc");
                 attempts += 1;
             }
         }
@@ -171,7 +173,7 @@
         },
     );
     assert_eq!(client.expect_message().cause(), 47);
-    let figures = calls.metrics();
+    let figures = admin.metrics();
     let whole = |name: &str| {
         figures
             .get_u64(name)
@@ -186,32 +188,32 @@
         (2, 2, 0)
     );
     let counts = |class: &str| {
-        ["served", "refused", "failed", "attempts"].map(|what| calls.request_count(class, what))
+        ["served", "refused", "failed", "attempts"].map(|what| admin.request_count(class, what))
     };
     assert_eq!(
         (counts("quick"), counts("once")),
         ([1, 0, 0, 2], [0, 1, 1, attempts + 1])
     );
     assert_eq!(whole("attempts"), attempts + 3);
-    conns[at].report_running(&id);
+    connections[at].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
     // A host that drains is known, and avoided.
     feed.send_host_state(2, &hosts[0], "draining");
     wait_for("it avoids one", || {
-        (calls.metrics().get_u64("hosts_excluded") == Some(1)).then_some(())
+        (admin.metrics().get_u64("hosts_excluded") == Some(1)).then_some(())
     });
     feed.send_host_state(3, &hosts[0], "removed");
     wait_for("it forgets it", || {
-        (calls.metrics().get_u64("hosts_known") == Some(1)).then_some(())
+        (admin.metrics().get_u64("hosts_known") == Some(1)).then_some(())
     });
-    assert_eq!(calls.metrics().get_u64("hosts_excluded"), Some(0));
+    assert_eq!(admin.metrics().get_u64("hosts_excluded"), Some(0));
 }
 
 // ---- Drains ----
 
 #[test]
-fn a_drain_empties_connections_without_turning_anything_away_and_is_taken_back() {
-    let (program, calls, _feed, _hosts, mut conns) = start_with_calls(1);
+fn drain_closes_idle_connections_without_rejecting_work_and_can_be_cancelled() {
+    let (program, admin, _feed, _hosts, mut connections) = start_with_admin_socket(1);
     let (mut idle, mut stood, mut busy, mut half) = (
         program.client(),
         program.client(),
@@ -220,31 +222,31 @@
     );
     assert!(idle.health_check() && busy.health_check() && half.health_check());
     stood.request_task(1, &IDEMPOTENT_TASK);
-    let standing = conns[0].expect_offer();
-    conns[0].report_running(&standing);
+    let standing = connections[0].expect_offer();
+    connections[0].report_running(&standing);
     assert_eq!(stood.expect_message().kind, 9);
     busy.request_task(2, &NON_IDEMPOTENT_TASK);
-    let open = conns[0].expect_offer();
+    let open = connections[0].expect_offer();
     let whole = encode_message(52, 9, &[(171, &[0])]);
     half.send(&whole[..5]);
     // Its first message, which is half said for longer than a connection counts as new.
     let mut fresh = program.client();
     fresh.send(&whole[..5]);
-    assert!(calls.request("drain-on").starts_with("ok"));
-    assert!(!calls.is_healthy(), "from its first moment on");
+    assert!(admin.request("drain-on").starts_with("ok"));
+    assert!(!admin.is_healthy(), "from its first moment on");
     // A connection that is new to it still gets its answer: the front may not have heard.
     let mut late = program.client();
     assert!(!late.health_check());
     late.request_task(3, &IDEMPOTENT_TASK);
-    let crossed = conns[0].expect_offer();
-    conns[0].report_ended(&crossed, 16, "");
+    let crossed = connections[0].expect_offer();
+    connections[0].report_ended(&crossed, 16, "");
     assert_eq!(late.expect_message().cause(), 16);
     // Those that carry nothing end, the others do not.
     assert_eq!((idle.next_message(), late.next_message()), (None, None));
     program.wait_for_log("phase=\"emptying\"");
-    conns[0].report_running(&open);
+    connections[0].report_running(&open);
     assert_eq!(busy.expect_message().kind, 9);
-    conns[0].report_ended(&open, 16, "");
+    connections[0].report_ended(&open, 16, "");
     assert_eq!(busy.expect_message().kind, 12);
     busy.acknowledge_end(2);
     assert_eq!(busy.next_message(), None);
@@ -258,25 +260,25 @@
         (half.expect_message().kind, half.next_message()),
         (53, None)
     );
-    conns[0].report_ended(&standing, 16, "");
+    connections[0].report_ended(&standing, 16, "");
     assert_eq!((stood.expect_message().id, stood.next_message()), (1, None));
-    assert!(calls.request("drain-off").starts_with("ok") && calls.is_healthy());
+    assert!(admin.request("drain-off").starts_with("ok") && admin.is_healthy());
     let mut back = program.client();
     assert!(back.health_check() && back.health_check(), "it stays open");
 }
 
 #[test]
-fn the_end_of_a_task_is_told_to_the_next_client_and_to_no_front() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn task_end_is_notified_to_the_next_client_but_not_to_a_load_balancer() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let id = conns[0].expect_offer();
-    conns[0].report_running(&id);
+    let id = connections[0].expect_offer();
+    connections[0].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
     drop(client);
     program.wait_for_log("peer=\"client\"");
-    conns[0].report_ended(&id, 16, "");
-    conns[0].expect("ack");
+    connections[0].report_ended(&id, 16, "");
+    connections[0].expect("ack");
     let mut front = program.client();
     assert!(
         front.health_check() && front.health_check(),
@@ -310,34 +312,34 @@
         }
     }
 
-    /// Starts one more, which serves, and where it takes calls.
+    /// Starts one more, which serves, and where it takes admin.
     fn start(&self) -> (Program, AdminSocket) {
-        let calls = AdminSocket(free_address());
+        let admin = AdminSocket(free_address());
         let launch = Launch::new(&self.config).inherit_listener(&self.listener);
-        let launch = launch.env("LB_ADMIN", &calls.0.to_string());
+        let launch = launch.env("LB_ADMIN", &admin.0.to_string());
         let program = launch
             .env("TMPDIR", &self.folder.path().to_string_lossy())
             .start();
-        wait_for("it serves", || calls.is_healthy().then_some(()));
-        (program, calls)
+        wait_for("it serves", || admin.is_healthy().then_some(()));
+        (program, admin)
     }
 }
 
 #[test]
-fn a_process_that_leaves_answers_what_it_has_taken_and_the_next_one_accepts_all_else() {
+fn leaving_process_answers_accepted_requests_and_its_successor_accepts_the_rest() {
     let (mut feed, hosts) = (Feed::new(), [Host::new("h0", "north")]);
     let processes = Processes::of(single_placer_config(&feed, vec![hosts[0].entry("up", 0)]));
-    let (mut old, calls) = processes.start();
+    let (mut old, admin) = processes.start();
     assert_eq!(feed.accept_subscription(), 1);
     feed.send(&json!({ "n": 1 }));
-    let mut conn = hosts[0].accept();
+    let mut connection = hosts[0].accept();
     let (mut stood, mut busy, mut idle) = (old.client(), old.client(), old.client());
     stood.request_task(1, &IDEMPOTENT_TASK);
-    let standing = conn.expect_offer();
-    conn.report_running(&standing);
+    let standing = connection.expect_offer();
+    connection.report_running(&standing);
     assert_eq!(stood.expect_message().kind, 9);
     busy.request_task(2, &NON_IDEMPOTENT_TASK);
-    let open = conn.expect_offer();
+    let open = connection.expect_offer();
     assert!(idle.health_check());
 
     let (mut new, second) = processes.start();
@@ -349,11 +351,11 @@
     assert_eq!(idle.next_message(), None, "it carries no task");
     assert!(stood.health_check(), "the placer serves");
     assert!(
-        !calls.is_healthy() && second.is_healthy(),
+        !admin.is_healthy() && second.is_healthy(),
         "this process does not"
     );
     for order in ["drain-on", "drain-off"] {
-        assert_eq!(calls.request(order), "fail the process ends\n", "{order}");
+        assert_eq!(admin.request(order), "fail the process ends\n", "{order}");
     }
     // Whoever comes now is the new one's.
     let mut next_conn = hosts[0].accept();
@@ -369,12 +371,12 @@
     next_conn.report_running(&id);
     assert_eq!((late.expect_message().kind, late.health_check()), (9, true));
     // What the old one has in hand is told on its connections.
-    conn.report_ended(&standing, 16, "");
+    connection.report_ended(&standing, 16, "");
     let end = stood.expect_message();
     assert_eq!((end.kind, end.id), (12, 1));
     stood.acknowledge_end(1);
     assert!(old.is_running(), "an answer is owed");
-    conn.report_running(&open);
+    connection.report_running(&open);
     assert_eq!(busy.expect_message().kind, 9);
     let ending = Instant::now();
     assert!(old.wait_exit().success());
@@ -404,7 +406,7 @@
 }
 
 #[test]
-fn two_processes_send_a_cold_host_no_more_than_one_placer_may() {
+fn two_processes_share_the_slow_start_budget_of_one_placer() {
     let (mut feed, host) = (Feed::new(), Host::new("h0", "north"));
     // It bears 3 offers a second: of these one placer sends two, and either of two processes one.
     let processes = Processes::of(single_placer_config(&feed, vec![host.entry("draining", 0)]));
@@ -422,7 +424,7 @@
         told.write_all(starts.as_bytes()).expect("it reads");
         told
     });
-    let mut conns = [host.accept(), host.accept()];
+    let mut connections = [host.accept(), host.accept()];
     let mut client = first.client();
     for id in 1..6 {
         client.request_task(
@@ -434,9 +436,9 @@
         );
     }
     let mut offers = 0;
-    while conns
+    while connections
         .iter_mut()
-        .any(|conn| conn.read_within(QUIET_PERIOD / 2).is_some())
+        .any(|connection| connection.read_within(QUIET_PERIOD / 2).is_some())
     {
         offers += 1;
     }
@@ -444,9 +446,9 @@
 }
 
 #[test]
-fn a_descriptor_that_is_no_listening_socket_is_named() {
+fn inherited_descriptor_that_does_not_listen_is_rejected() {
     let feed = Feed::new();
-    let (config, _) = with_calls(single_placer_config(&feed, Vec::new()));
+    let (config, _) = with_admin_socket(single_placer_config(&feed, Vec::new()));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     for (number, says) in [
         ("5", "listens at"),
@@ -466,9 +468,9 @@
 }
 
 #[test]
-fn a_process_that_can_not_meet_others_serves_and_says_so_once() {
+fn process_without_contact_to_peers_serves_and_logs_it_once() {
     let feed = Feed::new();
-    let (mut config, calls) = with_calls(single_placer_config(&feed, Vec::new()));
+    let (mut config, admin) = with_admin_socket(single_placer_config(&feed, Vec::new()));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     let address = listener.local_addr().expect("an address").to_string();
     config.insert("listen", address).expect("an object");
@@ -476,7 +478,7 @@
         .inherit_listener(&listener)
         .env("TMPDIR", "/nowhere/at/all")
         .start();
-    wait_for("it serves", || calls.is_healthy().then_some(()));
+    wait_for("it serves", || admin.is_healthy().then_some(()));
     program.wait_for_log("processes do not meet");
     std::thread::sleep(QUIET_PERIOD);
     assert_eq!(
--- a/tests/placer.rs
+++ b/tests/placer.rs
@@ -9,11 +9,11 @@
 // ---- Rule 1: one final answer ----
 
 #[test]
-fn an_offer_goes_on_unchanged_and_its_answer_comes_back_unchanged() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn offers_and_their_answers_are_forwarded_unchanged() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(0x51, &IDEMPOTENT_TASK);
-    let offer = conns[0].expect("new");
+    let offer = connections[0].expect("new");
     let field = |name| offer.get("f").and_then(|f| f.get_str(name));
     assert_eq!(
         (offer.get_str("ref"), offer.get_str("d")),
@@ -27,9 +27,9 @@
         .and_then(|ms| ms.parse().ok())
         .expect("a time");
     assert!(left > 1_000 && left < 6_000, "{left}");
-    conns[0].report_running(&hex(0x51));
+    connections[0].report_running(&hex(0x51));
     // A host's second word is no second answer.
-    conns[0].report_running(&hex(0x51));
+    connections[0].report_running(&hex(0x51));
     let answer = client.expect_message();
     assert_eq!(
         (answer.kind, answer.id, answer.text(174)),
@@ -40,35 +40,35 @@
         "nothing else was written before the test's result"
     );
     // The end of the task is told, with its cause.
-    conns[0].report_ended(&hex(0x51), 16, "");
+    connections[0].report_ended(&hex(0x51), 16, "");
     let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 0x51, 16));
-    conns[0].expect("ack");
+    connections[0].expect("ack");
 }
 
 #[test]
-fn a_refused_offer_goes_to_another_host_and_late_words_of_the_first_are_not_passed_on() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(2);
+fn rejected_offer_is_retried_elsewhere_and_late_messages_of_the_first_host_are_ignored() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(2);
     let mut client = program.client();
     client.request_task(1, &NON_IDEMPOTENT_TASK);
-    let (first, id) = next_offer(&mut conns);
-    conns[first].report_ended(&id, 34, "nc");
-    let (second, again) = next_offer(&mut conns);
+    let (first, id) = next_offer(&mut connections);
+    connections[first].report_ended(&id, 34, "nc");
+    let (second, again) = next_offer(&mut connections);
     assert_eq!(
         (again.as_str(), second),
         (id.as_str(), 1 - first),
         "a retry carries the same id"
     );
-    conns[first].report_running(&id);
-    conns[first].report_ended(&id, 16, "");
-    conns[second].report_running(&id);
+    connections[first].report_running(&id);
+    connections[first].report_ended(&id, 16, "");
+    connections[second].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
     assert!(client.health_check(), "one answer only");
 }
 
 #[test]
-fn with_no_room_a_task_is_refused_in_time_with_a_time_to_come_back() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn request_without_capacity_is_rejected_in_time_with_retry_after() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     let start = Instant::now();
     client.request_task(
@@ -78,8 +78,8 @@
             ..IDEMPOTENT_TASK
         },
     );
-    let id = conns[0].expect_offer();
-    conns[0].report_ended(&id, 34, "nc");
+    let id = connections[0].expect_offer();
+    connections[0].report_ended(&id, 34, "nc");
     let answer = client.expect_message();
     assert_eq!((answer.kind, answer.cause()), (12, 42));
     assert!(
@@ -95,16 +95,16 @@
 }
 
 #[test]
-fn a_set_up_sent_again_on_another_connection_is_answered_there() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn request_repeated_on_another_connection_is_answered_there() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let (mut first, mut second) = (program.client(), program.client());
     first.request_task(1, &IDEMPOTENT_TASK);
-    let id = conns[0].expect_offer();
+    let id = connections[0].expect_offer();
     second.request_task(1, &IDEMPOTENT_TASK);
     assert!(second.health_check());
     drop(first);
     assert!(second.health_check());
-    conns[0].report_running(&id);
+    connections[0].report_running(&id);
     assert_eq!(
         (second.expect_message().kind, second.health_check()),
         (9, true)
@@ -112,20 +112,20 @@
 }
 
 #[test]
-fn a_client_that_gives_up_or_goes_away_is_owed_nothing_and_its_host_is_told() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn client_that_cancels_or_disconnects_gets_no_response_and_its_host_is_notified() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let id = conns[0].expect_offer();
+    let id = connections[0].expect_offer();
     client.release(1, 16);
-    assert_eq!(conns[0].expect("down").get_u64("c"), Some(16));
-    conns[0].report_running(&id);
+    assert_eq!(connections[0].expect("down").get_u64("c"), Some(16));
+    connections[0].report_running(&id);
     assert!(client.health_check());
     client.request_task(2, &IDEMPOTENT_TASK);
-    conns[0].expect_offer();
+    connections[0].expect_offer();
     drop(client);
     assert_eq!(
-        conns[0].expect("down").get_str("ref"),
+        connections[0].expect("down").get_str("ref"),
         Some(hex(2).as_str())
     );
 }
@@ -133,15 +133,15 @@
 // Found in rehearsals: a host's answer and release were read at once, and the release went out on another
 // connection, where its client read it before the answer.
 #[test]
-fn the_end_of_a_task_is_told_after_its_answer_on_the_same_connection() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn end_of_a_task_is_notified_after_its_answer_on_the_same_connection() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let (mut first, mut other) = (program.client(), program.client());
     for (id, client) in [(1, &mut other), (2, &mut first)] {
         client.request_task(id, &IDEMPOTENT_TASK);
-        conns[0].expect_offer();
+        connections[0].expect_offer();
         // The other has had a task placed, and is heard last.
         if id == 1 {
-            conns[0].report_running(&hex(1));
+            connections[0].report_running(&hex(1));
             assert_eq!(client.expect_message().kind, 9);
         }
     }
@@ -150,7 +150,7 @@
     let lines = format!(
         "{{\"t\":\"up\",\"ref\":\"{up}\",\"f\":{{}},\"d\":\"stands\"}}\n{{\"t\":\"down\",\"ref\":\"{down}\",\"f\":{{}},\"c\":16}}\n"
     );
-    conns[0].send_bytes(lines.as_bytes());
+    connections[0].send_bytes(lines.as_bytes());
     let words =
         [first.expect_message(), first.expect_message()].map(|message| (message.kind, message.id));
     assert_eq!(words, [(9, 2), (12, 2)]);
@@ -159,37 +159,37 @@
 
 // Found on fleet days: such a task was offered to every host in turn, and each was held for broken.
 #[test]
-fn a_task_whose_time_is_over_is_not_offered_again() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(2);
+fn task_whose_deadline_has_passed_is_not_retried() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(2);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let (at, id) = next_offer(&mut conns);
-    conns[at].report_ended(&id, 16, "");
+    let (at, id) = next_offer(&mut connections);
+    connections[at].report_ended(&id, 16, "");
     let answer = client.expect_message();
     assert_eq!((answer.kind, answer.cause()), (12, 16));
-    assert!(conns[1 - at].read_within(QUIET_PERIOD).is_none());
+    assert!(connections[1 - at].read_within(QUIET_PERIOD).is_none());
 }
 
 // ---- Rule 2: no duplicate start ----
 
 #[test]
-fn a_task_that_must_not_start_twice_fails_once_it_may_have_run() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(2);
+fn non_idempotent_task_fails_once_it_may_have_run() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(2);
     let mut client = program.client();
     client.request_task(1, &NON_IDEMPOTENT_TASK);
-    let (first, _) = next_offer(&mut conns);
-    drop(conns.remove(first));
+    let (first, _) = next_offer(&mut connections);
+    drop(connections.remove(first));
     let answer = client.expect_message();
     assert_eq!((answer.kind, answer.cause()), (12, 47));
     assert!(
-        conns[0].read_within(QUIET_PERIOD).is_none(),
+        connections[0].read_within(QUIET_PERIOD).is_none(),
         "no second offer"
     );
 }
 
 #[test]
-fn an_attempt_that_timed_out_is_given_up_and_a_late_answer_is_not_passed_on() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn timed_out_attempt_is_cancelled_and_its_late_answer_is_ignored() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(
         1,
@@ -198,13 +198,13 @@
             ..IDEMPOTENT_TASK
         },
     );
-    let id = conns[0].expect_offer();
-    let down = conns[0].expect("down");
+    let id = connections[0].expect_offer();
+    let down = connections[0].expect("down");
     assert_eq!(
         (down.get_str("ref"), down.get_u64("c")),
         (Some(id.as_str()), Some(16))
     );
-    conns[0].report_running(&id);
+    connections[0].report_running(&id);
     assert_eq!(
         (client.expect_message().kind, client.health_check()),
         (12, true)
@@ -214,8 +214,8 @@
 // ---- Rules 3 to 5 ----
 
 #[test]
-fn a_draining_host_gets_nothing_new() {
-    let (program, mut feed, hosts, mut conns) = start_with_hosts(2);
+fn draining_host_gets_no_new_tasks() {
+    let (program, mut feed, hosts, mut connections) = start_with_hosts(2);
     feed.send_host_state(2, &hosts[0], "draining");
     let mut client = program.client();
     std::thread::sleep(Duration::from_secs(2));
@@ -227,15 +227,15 @@
                 ..IDEMPOTENT_TASK
             },
         );
-        let (at, offer) = next_offer(&mut conns);
+        let (at, offer) = next_offer(&mut connections);
         assert_eq!(at, 1, "offered after the grace");
-        conns[at].report_ended(&offer, 16, "");
+        connections[at].report_ended(&offer, 16, "");
         assert_eq!(client.expect_message().kind, 12);
     }
 }
 
 #[test]
-fn a_cold_host_gets_no_more_than_it_always_bears() {
+fn cold_host_gets_no_more_offers_than_it_always_tolerates() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let program = Program::start(&single_placer_config(
@@ -243,7 +243,7 @@
         vec![host.entry("up", unix_ms())],
     ));
     feed.accept_subscription();
-    let mut conn = host.accept();
+    let mut connection = host.accept();
     let mut client = program.client();
     (1..=12).for_each(|id| {
         client.request_task(
@@ -256,9 +256,9 @@
     });
     let times: Vec<Instant> = (0..5)
         .map(|_| {
-            let id = conn.expect_offer();
+            let id = connection.expect_offer();
             let now = Instant::now();
-            conn.report_running(&id);
+            connection.report_running(&id);
             now
         })
         .collect();
@@ -272,26 +272,28 @@
 }
 
 #[test]
-fn a_service_is_spread_over_zones() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn tasks_of_a_service_are_spread_over_zones() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     (1..=3).for_each(|id| client.request_task(id, &IDEMPOTENT_TASK));
-    let placed = [conns[0].expect_offer(), conns[0].expect_offer()];
-    placed.iter().for_each(|id| conns[0].report_running(id));
+    let placed = [connections[0].expect_offer(), connections[0].expect_offer()];
+    placed
+        .iter()
+        .for_each(|id| connections[0].report_running(id));
     assert!(
-        conns[0].read_within(QUIET_PERIOD).is_none(),
+        connections[0].read_within(QUIET_PERIOD).is_none(),
         "two stand, a third is held"
     );
-    conns[0].report_ended(&placed[0], 16, "");
-    conns[0].expect("ack");
-    conns[0].expect_offer();
+    connections[0].report_ended(&placed[0], 16, "");
+    connections[0].expect("ack");
+    connections[0].expect_offer();
 }
 
 // ---- Tasks that stand ----
 
 #[test]
-fn a_standing_task_belongs_to_no_connection() {
-    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
+fn running_task_is_not_bound_to_a_connection() {
+    let (program, _feed, hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     for id in [1, 2] {
         client.request_task(
@@ -301,18 +303,18 @@
                 ..IDEMPOTENT_TASK
             },
         );
-        let offer = conns[0].expect_offer();
-        conns[0].report_running(&offer);
+        let offer = connections[0].expect_offer();
+        connections[0].report_running(&offer);
         client.expect_message();
     }
     drop(client);
     // The host closes its connection: the tasks stand on, and it is called again.
-    drop(conns.remove(0));
-    let mut conn = hosts[0].accept();
-    conn.report_ended(&hex(1), 41, "ev");
-    conn.report_ended(&hex(1), 41, "ev");
-    conn.expect("ack");
-    conn.expect("ack");
+    drop(connections.remove(0));
+    let mut connection = hosts[0].accept();
+    connection.report_ended(&hex(1), 41, "ev");
+    connection.report_ended(&hex(1), 41, "ev");
+    connection.expect("ack");
+    connection.expect("ack");
     // With no client connected the end waits for the next one that asks for anything, and comes once.
     // A client may end a task on any connection; the host's word then goes no further.
     let mut client = program.client();
@@ -320,30 +322,30 @@
     let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
     assert_eq!(client.expect_message().kind, 16);
-    assert_eq!(conn.expect("down").get_u64("c"), Some(31));
-    conn.report_ended(&hex(2), 31, "");
-    conn.expect("ack");
+    assert_eq!(connection.expect("down").get_u64("c"), Some(31));
+    connection.report_ended(&hex(2), 31, "");
+    connection.expect("ack");
     assert!(client.health_check());
 }
 
 #[test]
-fn what_stood_at_a_dead_process_is_lost_at_once() {
-    let (program, _feed, mut hosts, mut conns) = start_with_hosts(1);
+fn tasks_of_a_dead_host_process_are_lost_at_once() {
+    let (program, _feed, mut hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let id = conns[0].expect_offer();
-    conns[0].report_running(&id);
+    let id = connections[0].expect_offer();
+    connections[0].report_running(&id);
     client.expect_message();
     hosts.clear();
-    conns.clear();
+    connections.clear();
     let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
 }
 
 // Found on fleet days: of machines that died together, one with no offer out was missed until the feed told.
 #[test]
-fn when_a_process_is_gone_the_others_of_its_cell_are_called_again() {
-    let (program, _feed, mut hosts, mut conns) = start_with_hosts(2);
+fn death_of_a_host_process_reconnects_the_others_of_its_cell() {
+    let (program, _feed, mut hosts, mut connections) = start_with_hosts(2);
     let mut client = program.client();
     for (id, host) in [(1, "h0"), (2, "h1")] {
         client.request_task(
@@ -357,7 +359,7 @@
     assert!(client.health_check());
     // Nothing listens any more, but only the first connection shows it.
     hosts.clear();
-    drop(conns.remove(0));
+    drop(connections.remove(0));
     let mut lost =
         [client.expect_message(), client.expect_message()].map(|end| (end.id, end.cause()));
     lost.sort_unstable();
@@ -365,10 +367,10 @@
 }
 
 #[test]
-fn a_release_that_comes_before_the_client_tells_of_the_task_is_kept_for_it() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
-    conns[0].report_ended(&hex(1), 16, "");
-    conns[0].expect("ack");
+fn task_end_before_the_client_reconnects_is_kept_for_it() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
+    connections[0].report_ended(&hex(1), 16, "");
+    connections[0].expect("ack");
     let mut client = program.client();
     client.request_task(
         1,
@@ -394,7 +396,7 @@
     );
     let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 16));
-    conns[0].report_ended(&hex(2), 16, "");
+    connections[0].report_ended(&hex(2), 16, "");
     assert_eq!(client.expect_message().id, 2);
     assert!(client.health_check());
 }
@@ -403,16 +405,16 @@
 
 // Found on fleet days: a vanished host kept its open connection and swallowed offer after offer.
 #[test]
-fn a_connection_silent_while_an_offer_is_out_is_replaced() {
-    let (program, _feed, hosts, mut conns) = start_with_hosts(1);
+fn connection_silent_during_an_offer_is_replaced() {
+    let (program, _feed, hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let id = conns[0].expect_offer();
+    let id = connections[0].expect_offer();
     let mut second = hosts[0].accept();
     client.request_task(2, &IDEMPOTENT_TASK);
     assert_eq!(second.expect_offer(), hex(2));
     // The first is still heard.
-    conns[0].report_running(&id);
+    connections[0].report_running(&id);
     assert_eq!(
         (client.expect_message().id, client.0.peer_addr().is_ok()),
         (1, true)
@@ -430,16 +432,16 @@
     Unreachable,
     Instant,
 ) {
-    let (program, feed, hosts, mut conns) = start_with_hosts(2);
+    let (program, feed, hosts, mut connections) = start_with_hosts(2);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let (at, id) = next_offer(&mut conns);
-    conns[at].report_running(&id);
+    let (at, id) = next_offer(&mut connections);
+    connections[at].report_running(&id);
     let heard = Instant::now();
     assert_eq!(client.expect_message().kind, 9);
     let held = hosts[at].make_unreachable();
     client.request_task(2, &IDEMPOTENT_TASK);
-    assert_eq!(conns[at].expect_offer(), hex(2));
+    assert_eq!(connections[at].expect_offer(), hex(2));
     let since = Instant::now();
     let mut beside = hosts[1 - at].accept();
     assert_eq!(beside.expect_offer(), hex(2));
@@ -455,7 +457,7 @@
 // Found on days with hosts that are cut off for a while: offers to each stayed out there until their clients
 // gave up, and what stood there was called lost, though it ran on.
 #[test]
-fn what_stands_at_a_host_that_is_cut_off_stands_on_and_what_was_offered_there_goes_elsewhere() {
+fn unreachable_host_keeps_its_running_tasks_and_its_offers_are_retried_elsewhere() {
     let (_program, _feed, mut client, hosts, at, held, _) = one_vanishes();
     // Out of reach for longer than a lost task needs to be told, less than it may go untold.
     let told = client.message_within(Duration::from_secs(4));
@@ -468,7 +470,7 @@
 }
 
 #[test]
-fn what_stood_at_a_host_that_does_not_come_back_is_lost_in_time() {
+fn tasks_of_a_host_that_stays_unreachable_are_lost_in_time() {
     let (_program, _feed, mut client, _hosts, _at, _held, heard) = one_vanishes();
     let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
@@ -480,7 +482,7 @@
 }
 
 #[test]
-fn out_of_descriptors_idle_connections_make_room() {
+fn idle_connections_are_evicted_when_descriptors_run_out() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let program = Program::start_with_descriptors(
@@ -488,15 +490,15 @@
         32,
     );
     feed.accept_subscription();
-    let mut conn = host.accept();
+    let mut connection = host.accept();
     let mut busy = program.client();
     busy.request_task(1, &IDEMPOTENT_TASK);
-    let id = conn.expect_offer();
+    let id = connection.expect_offer();
     let idle: Vec<Client> = (0..60).map(|_| program.client()).collect();
     let mut last = program.client();
     last.request_task(2, &IDEMPOTENT_TASK);
-    assert_eq!(conn.expect_offer(), hex(2));
-    conn.report_running(&id);
+    assert_eq!(connection.expect_offer(), hex(2));
+    connection.report_running(&id);
     assert_eq!(
         (busy.expect_message().kind, idle.len()),
         (9, 60),
@@ -505,8 +507,8 @@
 }
 
 #[test]
-fn bad_clients_end_alone() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn misbehaving_clients_do_not_affect_others() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut good = program.client();
     for bad in [
         &[0xff, 0xff, 1][..],
@@ -536,14 +538,14 @@
         (47, true)
     );
     // A host that talks nonsense loses its connection only.
-    conns[0].send_bytes(b"{\"t\":\"up\"\n");
-    assert!(conns[0].read_within(TEST_TIMEOUT).is_none());
+    connections[0].send_bytes(b"{\"t\":\"up\"\n");
+    assert!(connections[0].read_within(TEST_TIMEOUT).is_none());
     assert!(good.health_check());
 }
 
 #[test]
-fn a_feed_that_breaks_or_falls_silent_is_asked_again_from_its_last_event() {
-    let (program, mut feed, hosts, mut conns) = start_with_hosts(1);
+fn broken_or_silent_feed_is_resubscribed_from_its_last_event() {
+    let (program, mut feed, hosts, mut connections) = start_with_hosts(1);
     feed.send_host_state(2, &hosts[0], "up");
     feed.send_host_state(2, &hosts[0], "removed");
     feed.send_host_state(3, &hosts[0], "up");
@@ -553,7 +555,7 @@
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
     assert_eq!(
-        conns[0].expect_offer(),
+        connections[0].expect_offer(),
         hex(1),
         "an event that comes twice counts once"
     );
@@ -562,7 +564,7 @@
 // ---- Start and end ----
 
 #[test]
-fn a_bad_configuration_is_named_in_one_line() {
+fn invalid_configuration_is_reported_in_one_line() {
     let good = single_placer_config(&Feed::new(), vec![]).encode();
     let cases = [
         ("{", "LB_CONFIG"),
@@ -593,11 +595,11 @@
 }
 
 #[test]
-fn at_sigterm_new_work_is_still_taken_and_all_is_answered() {
-    let (mut program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn requests_after_sigterm_are_still_accepted_and_answered() {
+    let (mut program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let held = conns[0].expect_offer();
+    let held = connections[0].expect_offer();
     program.terminate();
     while client.health_check() {}
     let mut late = program.client();
@@ -608,8 +610,8 @@
             ..IDEMPOTENT_TASK
         },
     );
-    let id = conns[0].expect_offer();
-    conns[0].report_running(&id);
+    let id = connections[0].expect_offer();
+    connections[0].report_running(&id);
     assert_eq!(
         (late.expect_message().id, program.wait_exit().code()),
         (2, Some(0))
@@ -617,5 +619,8 @@
     // The host never answered the first: its client was told before the end.
     let answer = client.expect_message();
     assert_eq!((answer.kind, answer.id, answer.cause()), (12, 1, 42));
-    assert_eq!(conns[0].expect("down").get_str("ref"), Some(held.as_str()));
+    assert_eq!(
+        connections[0].expect("down").get_str("ref"),
+        Some(held.as_str())
+    );
 }
--- a/tests/rough.rs
+++ b/tests/rough.rs
@@ -33,8 +33,8 @@
 // Found on days with bad clients: hosts close on an offer without an id, whatever else is open there, and
 // answer errors to others, for which they were held for broken.
 #[test]
-fn asks_that_cannot_be_right_are_answered_at_once_and_reach_no_host() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn invalid_requests_are_rejected_at_once_and_reach_no_host() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     let good = "cores:1;memory:2;service:7";
     let cases = [
@@ -58,24 +58,24 @@
     }
     // An id that is over is not used again.
     client.request_task(9, &IDEMPOTENT_TASK);
-    assert_eq!(conns[0].expect_offer(), hex(9));
-    conns[0].report_ended(&hex(9), 16, "");
+    assert_eq!(connections[0].expect_offer(), hex(9));
+    connections[0].report_ended(&hex(9), 16, "");
     assert_eq!(client.expect_message().cause(), 16);
     client.request_task(9, &NON_IDEMPOTENT_TASK);
     assert_eq!(
         (client.expect_message().cause(), client.health_check()),
         (47, true)
     );
-    assert!(conns[0].read_within(QUIET_PERIOD).is_none());
+    assert!(connections[0].read_within(QUIET_PERIOD).is_none());
 }
 
 // Found there too: a bad client took an open id over and got the answer that another was owed.
 #[test]
-fn an_id_that_is_open_is_not_taken_over() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn open_request_id_can_not_be_taken_over() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let id = conns[0].expect_offer();
+    let id = connections[0].expect_offer();
     let mut other = program.client();
     other.request_task(
         1,
@@ -96,7 +96,7 @@
     let mut other = program.client();
     other.release(1, 16);
     assert_eq!(other.expect_message().kind, 16);
-    conns[0].report_running(&id);
+    connections[0].report_running(&id);
     assert_eq!(
         (client.expect_message().kind, client.health_check()),
         (9, true)
@@ -109,7 +109,7 @@
             ..IDEMPOTENT_TASK
         },
     );
-    assert_eq!(conns[0].expect_offer(), hex(2));
+    assert_eq!(connections[0].expect_offer(), hex(2));
     other.request_task(
         2,
         &TaskRequest {
@@ -119,13 +119,13 @@
     );
     assert_eq!(other.next_message(), None);
     assert_eq!(
-        conns[0].expect("down").get_str("ref"),
+        connections[0].expect("down").get_str("ref"),
         Some(hex(2).as_str())
     );
 }
 
 #[test]
-fn who_says_nothing_or_half_a_message_is_closed_and_who_asked_once_stays() {
+fn silent_clients_and_partial_messages_are_closed_but_clients_with_a_complete_message_stay() {
     let (program, _feed, _hosts, _conns) = start_with_hosts(1);
     let started = Instant::now();
     let mut silent = program.client();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn what_is_no_use_gets_a_word_or_a_close() {
+fn useless_messages_get_a_response_or_a_close() {
     let (program, _feed, _hosts, _conns) = start_with_hosts(1);
     let mut client = program.client();
     client.release(77, 16);
@@ -166,32 +166,32 @@
 // Found on days with clients that ask once and keep their connection: at the limit every accept failed
 // first, and set-ups waited for seconds.
 #[test]
-fn clients_stay_within_a_budget_of_descriptors_and_the_busy_are_kept() {
+fn client_connections_stay_within_the_descriptor_budget_and_busy_ones_are_kept() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     config["limits"] = json!({ "cores": 1.0, "memory_mb": 32, "sockets": 64 });
     let program = Program::start(&config);
     feed.accept_subscription();
-    let mut conn = host.accept();
+    let mut connection = host.accept();
     let mut busy = program.client();
     busy.request_task(1, &IDEMPOTENT_TASK);
-    let id = conn.expect_offer();
+    let id = connection.expect_offer();
     let mut stayed: Vec<Client> = (0..64).map(|_| program.client()).collect();
     assert!(stayed.last_mut().is_some_and(Client::health_check));
     let descriptors = program.descriptors();
     assert!(descriptors < 64, "{descriptors}");
-    conn.report_running(&id);
+    connection.report_running(&id);
     assert_eq!(busy.expect_message().kind, 9);
 }
 
 #[test]
-fn the_end_of_a_task_goes_to_a_client_and_is_told_again_where_it_was_not_heard() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn task_end_is_notified_again_if_not_acknowledged() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let id = conns[0].expect_offer();
-    conns[0].report_running(&id);
+    let id = connections[0].expect_offer();
+    connections[0].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
     let mut stranger = program.client();
     stranger.release(9, 31);
@@ -200,7 +200,7 @@
         16,
         "heard last, and has no task"
     );
-    conns[0].report_ended(&id, 16, "");
+    connections[0].report_ended(&id, 16, "");
     assert_eq!(client.expect_message().id, 1);
     drop(client);
     assert_eq!(
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn a_task_at_a_host_that_no_list_knows_does_not_stand_for_ever() {
+fn task_at_an_unknown_host_ends_in_time() {
     let (program, _feed, _hosts, _conns) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(
@@ -242,17 +242,17 @@
 
 // Found on days with new configurations: SIGHUP ended the process, and all that was open was lost.
 #[test]
-fn at_sighup_the_feed_moves_and_goes_on_from_the_last_event_while_requests_go_on() {
+fn sighup_moves_the_feed_from_its_last_event_while_requests_continue() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     let program = Program::start(&config);
     assert_eq!(feed.accept_subscription(), 1);
     feed.send_host_state(2, &host, "up");
-    let mut conn = host.accept();
+    let mut connection = host.accept();
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let id = conn.expect_offer();
+    let id = connection.expect_offer();
     for n in 3..5 {
         // A file that can't be read leaves the one before in force.
         program.reload("{\"feed\":");
@@ -263,7 +263,7 @@
         program.reload(&config.encode());
         assert_eq!(feed.accept_subscription(), n);
     }
-    conn.report_running(&id);
+    connection.report_running(&id);
     assert_eq!(
         (client.expect_message().kind, client.health_check()),
         (9, true)
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_feed_cut_inside_an_event_or_gone_silent_is_asked_again_soon() {
+fn feed_cut_within_an_event_or_gone_silent_is_resubscribed_soon() {
     let (_program, mut feed, hosts, _conns) = start_with_hosts(1);
     let text = endpoint_event(2, UpdateKind::Delta, vec![hosts[0].entry("draining", 0)]).encode();
     for spoilt in [
@@ -306,8 +306,8 @@
 // ---- Bad hosts ----
 
 #[test]
-fn a_spoilt_answer_ends_its_connection_and_what_may_be_repeated_goes_elsewhere() {
-    let (program, _feed, hosts, mut conns) = start_with_hosts(2);
+fn malformed_reply_closes_its_connection_and_idempotent_tasks_are_retried_elsewhere() {
+    let (program, _feed, hosts, mut connections) = start_with_hosts(2);
     let mut client = program.client();
     let up = |rest: &str| format!("{{\"t\":\"up\",\"ref\":\"{}\"{rest}", hex(1));
     // Noise, no description, a line that never ends, one that stops short.
@@ -326,13 +326,13 @@
                 ..IDEMPOTENT_TASK
             },
         );
-        let (at, _) = next_offer(&mut conns);
-        conns[at].send_bytes(bytes.as_bytes());
-        assert!(conns[at].wait_closed(), "{n}");
-        conns[at] = hosts[at].accept();
-        let (again, offer) = next_offer(&mut conns);
+        let (at, _) = next_offer(&mut connections);
+        connections[at].send_bytes(bytes.as_bytes());
+        assert!(connections[at].wait_closed(), "{n}");
+        connections[at] = hosts[at].accept();
+        let (again, offer) = next_offer(&mut connections);
         assert_eq!((again, offer.as_str()), (1 - at, hex(id).as_str()), "{n}");
-        conns[again].report_running(&offer);
+        connections[again].report_running(&offer);
         assert_eq!(
             (client.expect_message().kind, client.health_check()),
             (9, true),
@@ -341,8 +341,8 @@
     }
     // What must not start twice fails.
     client.request_task(9, &NON_IDEMPOTENT_TASK);
-    let (at, _) = next_offer(&mut conns);
-    conns[at].send_bytes(spoilt[1].as_bytes());
+    let (at, _) = next_offer(&mut connections);
+    connections[at].send_bytes(spoilt[1].as_bytes());
     assert_eq!(
         (client.expect_message().cause(), client.health_check()),
         (47, true)
@@ -350,21 +350,21 @@
 }
 
 #[test]
-fn a_good_answer_that_brings_more_than_belongs_to_it_is_taken_once() {
-    let (program, _feed, _hosts, mut conns) = start_with_hosts(1);
+fn repeated_and_unknown_replies_are_ignored() {
+    let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let id = conns[0].expect_offer();
-    conns[0].report_running("00000000000000ff");
-    conns[0].report_running(&id);
-    conns[0].report_running(&id);
+    let id = connections[0].expect_offer();
+    connections[0].report_running("00000000000000ff");
+    connections[0].report_running(&id);
+    connections[0].report_running(&id);
     assert_eq!(
         (client.expect_message().id, client.health_check()),
         (1, true)
     );
     client.request_task(2, &IDEMPOTENT_TASK);
     assert_eq!(
-        conns[0].expect_offer(),
+        connections[0].expect_offer(),
         hex(2),
         "the connection is still good"
     );
