--- a/crates/load-test/src/arrivals.rs
+++ b/crates/load-test/src/arrivals.rs
@@ -1,23 +1,28 @@
-//! When tasks are due and what they are: pure, and the same for the same plan and seed, byte for byte.
+//! When tasks are due and what they are. Pure, and the same for the same plan and seed, byte for byte.
 //!
-//! Each process makes unit-rate points on a line of its own; a point is laid onto the clock where the
-//! shape's expected count reaches it (time change), so that every process follows every shape. The Poisson
-//! process is made by thinning instead (Lewis and Shedler, 1979), which needs no inverse.
+//! Each process draws points of unit rate. A point is placed at the time at which the expected number of arrivals of
+//! the load profile reaches it (time change), so that every process follows every profile. The Poisson process is
+//! drawn by thinning instead (Lewis and Shedler, 1979), which needs no inverse.
 
-use crate::plan::{Batch, Class, Plan, Process, Tenant};
-use crate::shape::{Micros, Shape};
+use crate::load_profile::{LoadProfile, Micros};
+use crate::plan::{ArrivalProcess, Batch, Plan, TaskClass, Tenant};
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1, Gamma, LogNormal};
 
 const SECOND: f64 = 1e6;
-/// A plan makes no more.
-pub const MOST_ARRIVALS: usize = 20_000_000;
+/// Sets the draws of properties apart from those of times.
+const PROPERTIES_SEED_SALT: u64 = 0x6d61_726b;
+/// Bounds of the time that a task runs, in microseconds.
+const MIN_RUN_TIME: f64 = 1e3;
+const MAX_RUN_TIME: f64 = 1e12;
+/// Maximum number of arrivals of a plan.
+pub const MAX_ARRIVALS: usize = 20_000_000;
 
 /// A task that is due.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// When, from the start of the plan.
+    /// When it is due, from the start of the plan.
     pub due: Micros,
     /// Index of its class in the plan.
     pub class: usize,
@@ -25,14 +30,14 @@
     pub tenant: usize,
     /// Index of its service within its class.
     pub service: u32,
-    /// The room of its client.
-    pub room: usize,
-    /// What it asks for.
+    /// Index of the zone of its client.
+    pub zone: usize,
+    /// Requested cores.
     pub cores: f64,
-    /// See `cores`.
+    /// Requested memory.
     pub memory: f64,
-    /// How long it is wanted.
-    pub life: Micros,
+    /// How long it runs.
+    pub run_time: Micros,
 }
 
 /// Draws an index by weights.
@@ -50,28 +55,28 @@
     last
 }
 
-/// The weight of a rank under a Zipf law: services are as unequal as the exponent says.
+/// The weight of a rank in a Zipf distribution.
 fn zipf(rank: usize, exponent: f64) -> f64 {
     1.0 / ((rank + 1) as f64).powf(exponent)
 }
 
 /// The times at which arrivals are due.
-fn times(process: Process, shape: &Shape, rng: &mut ChaCha8Rng) -> Vec<Micros> {
+fn times(process: ArrivalProcess, profile: &LoadProfile, rng: &mut ChaCha8Rng) -> Vec<Micros> {
     match process {
-        Process::Poisson => thinned(shape, rng),
-        Process::Even => laid(shape, std::iter::repeat_n(1.0, MOST_ARRIVALS)),
-        Process::Gamma { cv } => {
+        ArrivalProcess::Poisson => thinned(profile, rng),
+        ArrivalProcess::Even => place_points(profile, std::iter::repeat_n(1.0, MAX_ARRIVALS)),
+        ArrivalProcess::Gamma { cv } => {
             // Mean 1 and the given coefficient of variation.
             let order = 1.0 / (cv * cv);
             match Gamma::new(order, 1.0 / order) {
-                Ok(gaps) => laid(
-                    shape,
-                    std::iter::repeat_with(|| gaps.sample(&mut *rng)).take(MOST_ARRIVALS),
+                Ok(gaps) => place_points(
+                    profile,
+                    std::iter::repeat_with(|| gaps.sample(&mut *rng)).take(MAX_ARRIVALS),
                 ),
                 Err(_) => Vec::new(),
             }
         }
-        Process::Markov { high, stay } => {
+        ArrivalProcess::Markov { high, stay } => {
             // Two states with exponential stays, and rates that are 1 in the mean.
             let rates = [2.0 * high / (1.0 + high), 2.0 / (1.0 + high)];
             let (mut state, mut left) = (usize::from(rng.random::<bool>()), 0.0);
@@ -91,33 +96,33 @@
                     (need, gap, left) = (need - within, gap + left, 0.0);
                 }
             });
-            laid(shape, gap.take(MOST_ARRIVALS))
+            place_points(profile, gap.take(MAX_ARRIVALS))
         }
     }
 }
 
-fn thinned(shape: &Shape, rng: &mut ChaCha8Rng) -> Vec<Micros> {
+fn thinned(profile: &LoadProfile, rng: &mut ChaCha8Rng) -> Vec<Micros> {
     let mut found = Vec::new();
     // Phase by phase: the bound on the rate is then tight where it is low.
-    for phase in &shape.phases {
-        let alone = Shape {
-            phases: vec![crate::shape::Phase {
+    for phase in &profile.phases {
+        let alone = LoadProfile {
+            phases: vec![crate::load_profile::Phase {
                 start: 0,
                 ..phase.clone()
             }],
         };
-        let most = alone.most();
-        if most <= 0.0 {
+        let max_rate = alone.max_rate();
+        if max_rate <= 0.0 {
             continue;
         }
         let mut at = 0.0;
         loop {
             let gap: f64 = Exp1.sample(rng);
-            at += gap / most * SECOND;
-            if at >= phase.length as f64 || found.len() >= MOST_ARRIVALS {
+            at += gap / max_rate * SECOND;
+            if at >= phase.length as f64 || found.len() >= MAX_ARRIVALS {
                 break;
             }
-            if rng.random::<f64>() * most < alone.rate(at as Micros) {
+            if rng.random::<f64>() * max_rate < alone.rate(at as Micros) {
                 found.push(phase.start + at as Micros);
             }
         }
@@ -125,20 +130,20 @@
     found
 }
 
-/// Lays points with these gaps, of mean 1, onto the clock.
-fn laid(shape: &Shape, gaps: impl Iterator<Item = f64>) -> Vec<Micros> {
+/// Places points with these gaps, of mean 1, on the clock.
+fn place_points(profile: &LoadProfile, gaps: impl Iterator<Item = f64>) -> Vec<Micros> {
     let (mut found, mut point, mut from) = (Vec::new(), 0.0, 0);
-    let (length, total) = (shape.length(), shape.expected(shape.length()));
+    let (length, total) = (profile.length(), profile.expected(profile.length()));
     for gap in gaps {
         point += gap;
         if point > total {
             break;
         }
-        // The expected count never falls: halve until the place is found.
+        // The expected number never decreases: bisect.
         let (mut low, mut high) = (from, length);
         while low < high {
             let middle = low + (high - low) / 2;
-            if shape.expected(middle) < point {
+            if profile.expected(middle) < point {
                 low = middle + 1
             } else {
                 high = middle
@@ -150,69 +155,74 @@
     found
 }
 
-/// All arrivals of a plan, in order.
-pub fn arrivals(plan: &Plan, shape: &Shape) -> Vec<Arrival> {
+/// Returns all arrivals of a plan, in order.
+pub fn arrivals(plan: &Plan, profile: &LoadProfile) -> Vec<Arrival> {
     let mut clock = ChaCha8Rng::seed_from_u64(plan.seed);
-    // The marks have a stream of their own: another process leaves them as they are.
-    let mut marks = ChaCha8Rng::seed_from_u64(plan.seed ^ 0x6d61_726b);
+    // The properties of tasks have a random stream of their own, so that another process does not change them.
+    let mut properties = ChaCha8Rng::seed_from_u64(plan.seed ^ PROPERTIES_SEED_SALT);
     let mut found = Vec::new();
-    for due in times(plan.arrivals.process, shape, &mut clock) {
-        let class = draw(&mut marks, plan.classes.iter().map(|class| class.share));
+    for due in times(plan.arrivals.process, profile, &mut clock) {
+        let class = draw(
+            &mut properties,
+            plan.classes.iter().map(|class| class.share),
+        );
         let Some(chosen) = plan.classes.get(class) else {
             continue;
         };
         let tenant = draw(
-            &mut marks,
-            plan.tenants.iter().map(|tenant: &Tenant| tenant.arrivals()),
+            &mut properties,
+            plan.tenants
+                .iter()
+                .map(|tenant: &Tenant| tenant.arrival_weight()),
         );
         let services = chosen.services.max(1) as usize;
         let service = draw(
-            &mut marks,
+            &mut properties,
             (0..services).map(|rank| zipf(rank, plan.arrivals.service_skew)),
         );
-        let room = draw(
-            &mut marks,
-            (0..plan.rooms.len().max(1)).map(|rank| zipf(rank, plan.arrivals.room_skew)),
+        let zone = draw(
+            &mut properties,
+            (0..plan.zones.len().max(1)).map(|rank| zipf(rank, plan.arrivals.zone_skew)),
         );
         let size = chosen
             .sizes
             .get(service % chosen.sizes.len().max(1))
             .copied()
-            .unwrap_or([1.0, 1.0]);
-        let batch = plan.arrivals.batch.map_or(1, |Batch { least, most }| {
-            marks.random_range(least..=most.max(least))
+            .unwrap_or_default();
+        let batch = plan.arrivals.batch.map_or(1, |Batch { min, max }| {
+            properties.random_range(min..=max.max(min))
         });
         for _ in 0..batch {
-            let life = life(chosen, &mut marks);
+            let run_time = run_time(chosen, &mut properties);
             let service = service as u32;
             found.push(Arrival {
                 due,
                 class,
                 tenant,
                 service,
-                room,
-                cores: size[0],
-                memory: size[1],
-                life,
+                zone,
+                cores: size.cores,
+                memory: size.memory,
+                run_time,
             });
         }
     }
     found
 }
 
-fn life(class: &Class, rng: &mut impl Rng) -> Micros {
-    let mean = class.life.as_micros() as f64;
+fn run_time(class: &TaskClass, rng: &mut impl Rng) -> Micros {
+    let mean = class.run_time.as_micros() as f64;
     // Lognormal with this mean.
-    let spread = class.life_sigma;
+    let spread = class.run_time_sigma;
     let drawn = LogNormal::new(mean.max(1.0).ln() - spread * spread / 2.0, spread)
         .map_or(mean, |d| d.sample(rng));
-    drawn.clamp(1e3, 1e12) as Micros
+    drawn.clamp(MIN_RUN_TIME, MAX_RUN_TIME) as Micros
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::shape::parse;
+    use crate::load_profile::parse;
 
     fn plan(process: &str) -> Plan {
         let text = format!(
@@ -230,31 +240,31 @@
     ];
 
     #[test]
-    fn the_same_plan_and_seed_give_the_same_arrivals_and_another_seed_others() {
+    fn arrivals_are_determined_by_plan_and_seed() {
         for process in PROCESSES {
             let plan = plan(process);
-            let shape = parse(&plan.arrivals.shape).expect("a shape");
-            let first = arrivals(&plan, &shape);
-            assert_eq!(first, arrivals(&plan, &shape), "{process}");
+            let profile = parse(&plan.arrivals.profile).expect("a shape");
+            let first = arrivals(&plan, &profile);
+            assert_eq!(first, arrivals(&plan, &profile), "{process}");
             let other = Plan { seed: 8, ..plan };
-            let others = arrivals(&other, &shape);
+            let others = arrivals(&other, &profile);
             assert_ne!(first, others, "{process}");
         }
     }
 
     #[test]
-    fn counts_follow_the_shape_in_every_phase_and_times_are_in_order() {
+    fn counts_follow_the_load_profile_in_every_phase_and_times_are_ordered() {
         for process in PROCESSES {
             let plan = plan(process);
-            let shape = parse(&plan.arrivals.shape).expect("a shape");
-            let all = arrivals(&plan, &shape);
+            let profile = parse(&plan.arrivals.profile).expect("a shape");
+            let all = arrivals(&plan, &profile);
             assert!(
                 all.windows(2).all(|pair| pair[0].due <= pair[1].due),
                 "{process}"
             );
-            for phase in &shape.phases {
+            for phase in &profile.phases {
                 let end = phase.start + phase.length;
-                let expected = shape.expected(end) - shape.expected(phase.start);
+                let expected = profile.expected(end) - profile.expected(phase.start);
                 let found = all
                     .iter()
                     .filter(|a| (phase.start..end).contains(&a.due))
@@ -271,11 +281,11 @@
     }
 
     #[test]
-    fn gaps_are_as_uneven_as_they_are_asked_to_be() {
+    fn gaps_have_the_requested_coefficient_of_variation() {
         let cv = |process: &str| {
             let plan = plan(process);
-            let shape = parse("50/s for 200s").expect("a shape");
-            let all = arrivals(&plan, &shape);
+            let profile = parse("50/s for 200s").expect("a shape");
+            let all = arrivals(&plan, &profile);
             let gaps: Vec<f64> = all
                 .windows(2)
                 .map(|pair| (pair[1].due - pair[0].due) as f64)
@@ -298,12 +308,12 @@
     }
 
     #[test]
-    fn services_rooms_and_batches_are_drawn_as_the_plan_says() {
+    fn services_zones_and_batches_follow_the_plan() {
         let mut plan = plan("{ kind = \"poisson\" }");
-        plan.arrivals.batch = Some(Batch { least: 2, most: 4 });
-        plan.arrivals.room_skew = 2.0;
-        let shape = parse("20/s for 100s").expect("a shape");
-        let all = arrivals(&plan, &shape);
+        plan.arrivals.batch = Some(Batch { min: 2, max: 4 });
+        plan.arrivals.zone_skew = 2.0;
+        let profile = parse("20/s for 100s").expect("a shape");
+        let all = arrivals(&plan, &profile);
         let mut groups = std::collections::BTreeMap::<Micros, Vec<&Arrival>>::new();
         all.iter()
             .for_each(|a| groups.entry(a.due).or_default().push(a));
@@ -314,7 +324,7 @@
                 .filter(|g| g.len() <= 4)
                 .all(|g| g.iter().all(|a| a.service == g[0].service))
         );
-        let of = |room| all.iter().filter(|a| a.room == room).count();
+        let of = |zone| all.iter().filter(|a| a.zone == zone).count();
         assert!(
             of(0) > 3 * of(1) && of(1) > of(2),
             "{} {} {}",
--- a/crates/load-test/src/lib.rs
+++ b/crates/load-test/src/lib.rs
@@ -1,17 +1,21 @@
-//! Rehearsals: plans, arrivals that wait for nobody, clients that act like real ones, and what is made of it.
+//! Load tests of whole deployments: plans, open-loop arrivals, clients that behave like real ones, faults, and the
+//! evaluation of a run.
+//!
+//! The placers are real processes; everything around them is emulated. Times are microseconds.
 
 #![recursion_limit = "256"]
 
 pub mod arrivals;
 pub mod clients;
-pub mod director;
-pub mod front;
-pub mod harm;
-pub mod network;
+pub mod fault_injector;
+pub mod fault_proxies;
+pub mod load_balancer;
+pub mod load_profile;
+pub mod outcome;
+pub mod overload_impact;
 pub mod plan;
 pub mod report;
+pub mod report_table;
 pub mod results;
 pub mod run;
 pub mod search;
-pub mod shape;
-pub mod table;
--- /dev/null
+++ b/crates/load-test/src/overload_impact.rs
@@ -0,0 +1,340 @@
+//! The load that a fleet of placers puts on its hosts, counted over all placers together from the events of a run.
+//!
+//! What is reasonable in one placer may overload hosts in the sum: offers that hosts reject or drop, retries of
+//! clients, connections, and offers to faulty hosts. These must not grow with the number of placers at the same
+//! load.
+
+use crate::load_profile::Micros;
+use crate::plan::{FaultKind, Plan};
+use emulator::event_log::{Event, HostReport, TimedEvent};
+use std::collections::{BTreeMap, HashMap, HashSet};
+use std::time::Duration;
+
+const SECOND: Micros = 1_000_000;
+
+/// One second of a run, over all placers.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct ImpactSecond {
+    /// Offers that reached hosts.
+    pub offers: u32,
+    /// Offers that hosts rejected.
+    pub rejected_offers: u32,
+    /// Offers that were withdrawn or lost before they ran.
+    pub abandoned_offers: u32,
+    /// Requests of tasks that had been requested before.
+    pub retries: u32,
+    /// Connections to hosts.
+    pub connections: u32,
+    /// Tasks that started and whose offers came within this second.
+    pub starts: u32,
+    /// The time that these waited at hosts, in milliseconds, summed up.
+    pub host_wait_ms: u32,
+    /// The time that these waited at placers before, likewise.
+    pub placer_wait_ms: u32,
+    /// Offers of tasks that had been requested before.
+    pub retry_offers: u32,
+}
+
+/// The impact of a run.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct OverloadImpact {
+    /// Tasks that were requested at all.
+    pub tasks: u64,
+    /// Second by second, from the start of the plan.
+    pub seconds: Vec<ImpactSecond>,
+    /// Offers by slot of a host and second.
+    pub offers_by_slot: Vec<Vec<u32>>,
+    /// Connections by slot of a host and second.
+    pub connections_by_slot: Vec<Vec<u32>>,
+    /// Maximum number of offers within a second to one host while it was faulty by the plan.
+    pub max_offers_to_faulty_host: u32,
+    /// Offers to faulty hosts in total.
+    pub offers_to_faulty_hosts: u64,
+}
+
+impl OverloadImpact {
+    /// Returns the number of offers per task.
+    pub fn offers_per_task(&self) -> f64 {
+        self.total(|second| second.offers) as f64 / self.tasks.max(1) as f64
+    }
+
+    /// Returns a figure summed up over the run.
+    pub fn total(&self, figure: fn(&ImpactSecond) -> u32) -> u64 {
+        self.seconds
+            .iter()
+            .map(|second| u64::from(figure(second)))
+            .sum()
+    }
+
+    /// Returns the maximum of a figure within a second.
+    pub fn max_per_second(&self, figure: fn(&ImpactSecond) -> u32) -> u32 {
+        self.seconds.iter().map(figure).max().unwrap_or(0)
+    }
+
+    /// Returns the maximum of a figure over its mean, in the seconds in which it is not zero.
+    pub fn unevenness(&self, figure: fn(&ImpactSecond) -> u32) -> f64 {
+        let values: Vec<u32> = self
+            .seconds
+            .iter()
+            .map(figure)
+            .filter(|value| *value > 0)
+            .collect();
+        let mean = values.iter().sum::<u32>() as f64 / values.len().max(1) as f64;
+        if mean > 0.0 {
+            f64::from(values.iter().copied().max().unwrap_or(0)) / mean
+        } else {
+            0.0
+        }
+    }
+
+    /// Measures the impact of a run between two times; `slot` returns the slot of a host's process.
+    pub fn measure(
+        plan: &Plan,
+        events: &[TimedEvent],
+        start: Micros,
+        end: Micros,
+        slot: impl Fn(usize) -> Option<usize>,
+    ) -> OverloadImpact {
+        let mut measurement = Measurement::new(plan, start, end);
+        for (at, event) in events.iter().filter(|(at, _)| *at >= start) {
+            measurement.add(*at, event, &slot);
+        }
+        measurement.finish()
+    }
+}
+
+/// A request of a client.
+#[derive(Clone, Copy)]
+struct Request {
+    at: Micros,
+    is_retry: bool,
+}
+
+/// The measurement of a run.
+struct Measurement<'a> {
+    plan: &'a Plan,
+    start: Micros,
+    impact: OverloadImpact,
+    /// The keys of all tasks so far.
+    tasks: HashSet<u64>,
+    requests: HashMap<u64, Request>,
+    /// Offers without a result yet, by request and host: when they came.
+    open_offers: HashMap<(u64, usize), Micros>,
+    /// Offers to faulty hosts, by slot and second.
+    faulty_offers: BTreeMap<(usize, usize), u32>,
+}
+
+impl<'a> Measurement<'a> {
+    fn new(plan: &'a Plan, start: Micros, end: Micros) -> Measurement<'a> {
+        let length = ((end - start).max(0) / SECOND) as usize + 1;
+        let by_slot = vec![vec![0; length]; plan.hosts.count];
+        Measurement {
+            plan,
+            start,
+            impact: OverloadImpact {
+                seconds: vec![ImpactSecond::default(); length],
+                offers_by_slot: by_slot.clone(),
+                connections_by_slot: by_slot,
+                ..OverloadImpact::default()
+            },
+            tasks: HashSet::new(),
+            requests: HashMap::new(),
+            open_offers: HashMap::new(),
+            faulty_offers: BTreeMap::new(),
+        }
+    }
+
+    fn add(&mut self, at: Micros, event: &Event, slot: &impl Fn(usize) -> Option<usize>) {
+        let second = ((at - self.start) / SECOND) as usize;
+        let Some(sums) = self.impact.seconds.get_mut(second) else {
+            return;
+        };
+        match event {
+            Event::TaskRequested {
+                id,
+                key,
+                running_at: None,
+                ..
+            } => {
+                let is_retry = !self.tasks.insert(*key);
+                sums.retries += u32::from(is_retry);
+                self.requests.insert(*id, Request { at, is_retry });
+            }
+            Event::OfferReceived { id, host, .. } => {
+                sums.offers += 1;
+                self.open_offers.insert((*id, *host), at);
+                let request = self.requests.get(id);
+                sums.retry_offers += u32::from(request.is_some_and(|request| request.is_retry));
+                if let Some(slot) = slot(*host) {
+                    self.add_offer_to_slot(slot, second, at);
+                }
+            }
+            Event::HostReported { id, host, report } => match report {
+                HostReport::Running(_) => self.add_start(at, *id, *host),
+                HostReport::Ended(_) | HostReport::EndedUndelivered(_) => {
+                    let was_open = self.open_offers.remove(&(*id, *host)).is_some();
+                    sums.rejected_offers += u32::from(was_open);
+                }
+                HostReport::ConnectionReset => {
+                    let was_open = self.open_offers.remove(&(*id, *host)).is_some();
+                    sums.abandoned_offers += u32::from(was_open);
+                }
+            },
+            Event::AttemptStopped { id, host } | Event::OfferConnectionClosed { id, host } => {
+                let was_open = self.open_offers.remove(&(*id, *host)).is_some();
+                sums.abandoned_offers += u32::from(was_open);
+            }
+            Event::HostConnected { host } => {
+                sums.connections += 1;
+                if let Some(slot) = slot(*host) {
+                    increment(&mut self.impact.connections_by_slot, slot, second);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn add_offer_to_slot(&mut self, slot: usize, second: usize, at: Micros) {
+        increment(&mut self.impact.offers_by_slot, slot, second);
+        if is_faulty(self.plan, slot, at - self.start) {
+            self.impact.offers_to_faulty_hosts += 1;
+            *self.faulty_offers.entry((slot, second)).or_default() += 1;
+        }
+    }
+
+    /// Adds the start of a task to the second in which it was offered.
+    fn add_start(&mut self, at: Micros, id: u64, host: usize) {
+        let Some(offered_at) = self.open_offers.remove(&(id, host)) else {
+            return;
+        };
+        let request = self.requests.get(&id);
+        let requested_at = request.map_or(offered_at, |request| request.at);
+        let second = ((offered_at - self.start) / SECOND) as usize;
+        if let Some(sums) = self.impact.seconds.get_mut(second) {
+            let millis = |span: Micros| u32::try_from(span / 1_000).unwrap_or(0);
+            sums.starts += 1;
+            sums.host_wait_ms += millis(at - offered_at);
+            sums.placer_wait_ms += millis(offered_at - requested_at);
+        }
+    }
+
+    fn finish(self) -> OverloadImpact {
+        OverloadImpact {
+            tasks: self.tasks.len() as u64,
+            max_offers_to_faulty_host: self.faulty_offers.values().copied().max().unwrap_or(0),
+            ..self.impact
+        }
+    }
+}
+
+fn increment(by_slot: &mut [Vec<u32>], slot: usize, second: usize) {
+    let count = by_slot
+        .get_mut(slot)
+        .and_then(|seconds| seconds.get_mut(second));
+    if let Some(count) = count {
+        *count += 1;
+    }
+}
+
+/// Whether the host in a slot is faulty by the plan, in such a way that an offer to it is lost.
+fn is_faulty(plan: &Plan, slot: usize, at: Micros) -> bool {
+    let micros = |duration: Duration| Micros::try_from(duration.as_micros());
+    plan.faults.iter().any(|fault| {
+        let is_lossy = matches!(
+            fault.kind,
+            FaultKind::HostSilent
+                | FaultKind::HostRefuse
+                | FaultKind::HostResetBefore
+                | FaultKind::HostResetAfter
+                | FaultKind::HostSpoilt
+        );
+        let from = micros(fault.start).unwrap_or(Micros::MAX);
+        let until = from.saturating_add(micros(fault.duration).unwrap_or(0));
+        is_lossy && fault.targets().contains(&slot) && (from..until).contains(&at)
+    })
+}
+
+#[cfg(test)]
+mod tests {
+    use super::*;
+
+    #[test]
+    fn offers_rejections_and_retries_are_counted_over_all_placers() {
+        let plan = Plan::parse(
+            "[hosts]\ncount = 2\n[[fault]]\nat = \"1s\"\nlength = \"1s\"\nkind = \"host-silent\"\nwhich = 1\n",
+        )
+        .expect("a plan");
+        let requested = |id, key| Event::TaskRequested {
+            id,
+            key,
+            class: 0,
+            service: 1,
+            placer: id as usize % 2,
+            wait: SECOND,
+            description: 0,
+            running_at: None,
+        };
+        let offered = |id, host| Event::OfferReceived {
+            id,
+            host,
+            description: 0,
+        };
+        let reported = |id, host, report| Event::HostReported { id, host, report };
+        let start = 5 * SECOND;
+        let events: Vec<TimedEvent> = [
+            (-100, requested(9, 9)),
+            (0, Event::HostConnected { host: 0 }),
+            (10, requested(1, 1)),
+            (20, offered(1, 0)),
+            (30, reported(1, 0, HostReport::Ended(34))),
+            (40, offered(1, 1)),
+            (50, reported(1, 1, HostReport::Running(0))),
+            // The end of a task that ran is no rejection.
+            (900, reported(1, 1, HostReport::Ended(16))),
+            (1_100, requested(2, 2)),
+            (1_200, offered(2, 1)),
+            (1_700, Event::AttemptStopped { id: 2, host: 1 }),
+            (1_800, requested(3, 2)),
+            (1_900, offered(3, 1)),
+            (1_950, Event::OfferConnectionClosed { id: 3, host: 1 }),
+        ]
+        .map(|(at, event)| (start + at * 1_000, event))
+        .to_vec();
+
+        let impact = OverloadImpact::measure(&plan, &events, start, start + 3 * SECOND, Some);
+
+        let zero = ImpactSecond::default();
+        let expected = [
+            ImpactSecond {
+                offers: 2,
+                rejected_offers: 1,
+                connections: 1,
+                starts: 1,
+                host_wait_ms: 10,
+                placer_wait_ms: 30,
+                ..zero
+            },
+            ImpactSecond {
+                offers: 2,
+                abandoned_offers: 2,
+                retries: 1,
+                retry_offers: 1,
+                ..zero
+            },
+            zero,
+            zero,
+        ];
+        assert_eq!(impact.seconds, expected);
+        assert_eq!(
+            (
+                impact.tasks,
+                impact.offers_to_faulty_hosts,
+                impact.max_offers_to_faulty_host
+            ),
+            (2, 2, 2)
+        );
+        assert_eq!(impact.offers_by_slot, [[1, 0, 0, 0], [1, 2, 0, 0]]);
+        assert!((impact.offers_per_task() - 2.0).abs() < 1e-9);
+        assert!((impact.unevenness(|second| second.offers) - 1.0).abs() < 1e-9);
+    }
+}
--- a/crates/load-test/src/plan/tests.rs
+++ b/crates/load-test/src/plan/tests.rs
@@ -1,9 +1,11 @@
 //! Tests of plans.
 
 use super::*;
+use emulator::event_log::Peer;
+use std::time::Duration;
 
 #[test]
-fn an_empty_plan_is_the_default_and_survives_the_way_through_toml() {
+fn empty_plan_is_the_default_and_round_trips_through_toml() {
     let plan = Plan::parse("").expect("a plan");
     assert_eq!(plan, Plan::default());
     let text = toml::to_string(&plan).expect("text");
@@ -11,11 +13,11 @@
 }
 
 #[test]
-fn plans_that_call_clients_owners_are_read_as_before() {
+fn earlier_plans_with_owners_are_still_read() {
     let plan =
         |table: &str| Plan::parse(&format!("[{table}]\nspread = \"blind\"\ndrain = \"6s\"\n"));
     let named = plan("clients").expect("a plan");
-    assert_eq!(named.clients.drain, Duration::from_secs(6));
+    assert_eq!(named.clients.drain_time, Duration::from_secs(6));
     assert_eq!(plan("owners").expect("the table's former name"), named);
     let both =
         Plan::parse("[clients]\ndrain = \"6s\"\n[owners]\ndrain = \"6s\"\n").expect_err("both");
@@ -23,7 +25,7 @@
 }
 
 #[test]
-fn what_can_not_be_meant_is_named() {
+fn invalid_values_are_reported_with_their_field() {
     for (text, says) in [
         ("sead = 1", "unknown field `sead`"),
         ("[hosts]\nlook = 5", "invalid type: integer"),
@@ -60,3 +62,114 @@
         .to_string();
     assert_eq!(many.lines().count(), 2, "all at once: {many}");
 }
+fn plan_with_faults(faults: &str) -> Result<Plan, String> {
+    let text = format!(
+        "rooms = [\"a\", \"b\"]\n[placers]\ncount = 3\n[hosts]\ncount = 5\nrack = 2\n{faults}"
+    );
+    Plan::parse(&text).map_err(|e| e.to_string())
+}
+
+fn link(kind: &str, from: &str, to: &str) -> String {
+    format!(
+        "[[fault]]\nat = \"1s\"\nlength = \"1s\"\nkind = \"{kind}\"\nfrom = \"{from}\"\nto = \"{to}\"\n"
+    )
+}
+
+#[test]
+fn parties_name_the_links_between_them_in_either_order() {
+    let hosts = |placer, slots: &[usize]| {
+        slots
+            .iter()
+            .map(|slot| (placer, Peer::Host(*slot)))
+            .collect::<Vec<_>>()
+    };
+    for (from, to, links) in [
+        ("placers 1", "hosts 0..2", hosts(1, &[0, 1])),
+        ("hosts 0..2", "placers 1", hosts(1, &[0, 1])),
+        ("racks 2", "placers 0", hosts(0, &[4])),
+        (
+            "clients",
+            "placers 0..2",
+            vec![(0, Peer::Clients), (1, Peer::Clients)],
+        ),
+        // The name of clients in earlier plans.
+        (
+            "owners",
+            "placers 0..2",
+            vec![(0, Peer::Clients), (1, Peer::Clients)],
+        ),
+        ("placers", "feeds 2", vec![(2, Peer::Feed)]),
+        // A zone is its hosts and its placers.
+        (
+            "rooms 0",
+            "rooms 1",
+            [hosts(0, &[1, 3]), hosts(1, &[0, 2, 4]), hosts(2, &[1, 3])].concat(),
+        ),
+        (
+            "clients, feeds",
+            "placers 2",
+            vec![(2, Peer::Clients), (2, Peer::Feed)],
+        ),
+    ] {
+        let plan = plan_with_faults(&link("link-cut", from, to)).expect(from);
+        let found = affected_links(&plan, &plan.faults[0]).expect(from);
+        let links = links
+            .into_iter()
+            .map(|(placer, peer)| Link { placer, peer });
+        assert_eq!(found, links.collect(), "{from} to {to}");
+    }
+}
+
+#[test]
+fn invalid_link_faults_are_reported_with_their_field() {
+    for (faults, says) in [
+        (
+            link("link-cut", "placer 0", "hosts"),
+            "expected one of clients, placers",
+        ),
+        (
+            link("link-cut", "placers 0 1", "hosts"),
+            "expected one number or range",
+        ),
+        (
+            link("link-cut", "placers 3..2", "hosts"),
+            "expected a range",
+        ),
+        (
+            link("link-cut", "placers 3", "hosts"),
+            "from: there are 3 placers, counted from 0, found 3",
+        ),
+        (
+            link("link-cut", "placers", "racks 3"),
+            "to: there are 3 racks",
+        ),
+        (
+            link("link-cut", "clients", "hosts"),
+            "nobody of \"clients\" calls anybody of \"hosts\"",
+        ),
+        (
+            link("link-slow", "clients", "placers"),
+            "by: expected how late",
+        ),
+        (
+            link("placer-stop", "clients", "placers"),
+            "from, to, by: only faults of links",
+        ),
+        (
+            "[[fault]]\nat = \"1s\"\nkind = \"link-cut\"\n".into(),
+            "from, to: expected parties",
+        ),
+        (
+            link("link-cut", "clients", "placers") + "which = 1\n",
+            "which: links are named by from and to",
+        ),
+        (
+            link("link-cut", "placers", "feeds")
+                + "[[fault]]\nat = \"1s\"\nkind = \"feed-moved\"\n",
+            "a feed behind a link does not move",
+        ),
+    ] {
+        let error = plan_with_faults(&faults).expect_err(&faults);
+        assert!(error.contains(says), "{faults}: {error}");
+    }
+}
--- a/crates/load-test/src/table/tests.rs
+++ b/crates/load-test/src/report_table/tests.rs
@@ -1,25 +1,32 @@
 //! Tests of tables.
 
 use super::*;
+use crate::arrivals::Arrival;
 use crate::arrivals::arrivals;
-use crate::results::tests::made_up;
+use crate::load_profile::Micros;
+use crate::plan::Plan;
+use crate::results::tests::simulated_outcome;
+use arrow_array::Array;
+use parquet::arrow::arrow_reader::ParquetRecordBatchReaderBuilder;
+use std::fs::File;
 
 fn plan() -> Plan {
     Plan::parse("[arrivals]\nshape = \"20/s for 5s\"\n").expect("a plan")
 }
 
-fn read(file: &Path, skip: bool) -> Result<Trace, TableError> {
-    read_trace(file, &plan(), &Columns::default(), Unit::Micros, skip)
+fn read(file: &Path, bad_rows: BadRows) -> Result<Trace, TableError> {
+    let columns = Columns::default();
+    read_trace(file, &plan(), &columns, TimeUnit::Micros, bad_rows)
 }
 
 #[test]
-fn a_trace_survives_each_form_and_replays_its_order_and_gaps() {
+fn trace_round_trips_through_each_format_with_its_order_and_gaps() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (plan, all) = (plan(), arrivals(&plan(), &plan().shape()));
+    let (plan, all) = (plan(), arrivals(&plan(), &plan().load_profile()));
     for ending in ["csv", "jsonl", "parquet"] {
         let file = folder.path().join(format!("t.{ending}"));
         write_trace(&file, &plan, &all).expect("written");
-        let trace = read(&file, false).expect("read");
+        let trace = read(&file, BadRows::Fail).expect("read");
         assert_eq!(
             (trace.arrivals.len(), trace.skipped),
             (all.len(), 0),
@@ -40,7 +47,7 @@
 }
 
 #[test]
-fn a_row_that_can_not_be_read_is_named_or_counted() {
+fn invalid_row_is_reported_or_counted() {
     let folder = tempfile::tempdir().expect("a folder");
     let cases = [
         (
@@ -71,35 +78,49 @@
     for (n, (text, row, column, says)) in cases.into_iter().enumerate() {
         let file = folder.path().join(format!("{n}.csv"));
         std::fs::write(&file, text).expect("written");
-        let error = read(&file, false).expect_err(text);
-        assert_eq!((error.row, error.column.as_str()), (row, column), "{error}");
+        let error = read(&file, BadRows::Fail).expect_err(text);
+        assert_eq!(error.row, Some(row), "{error}");
+        assert_eq!(
+            error.column.as_deref().unwrap_or_default(),
+            column,
+            "{error}"
+        );
         assert!(error.to_string().contains(says), "{error}");
-        let trace = read(&file, true).expect("the others");
+        let trace = read(&file, BadRows::Skip).expect("the others");
         assert_eq!(trace.skipped, 1, "{text}");
     }
     let lines = folder.path().join("a.jsonl");
     std::fs::write(&lines, "{\"due\": 1}\n[1]\n{\"due\": \"3\"}\n").expect("written");
-    assert_eq!(read(&lines, false).expect_err("a list").row, 2);
-    assert_eq!(read(&lines, true).expect("the others").arrivals.len(), 2);
+    assert_eq!(
+        read(&lines, BadRows::Fail).expect_err("a list").row,
+        Some(2)
+    );
+    assert_eq!(
+        read(&lines, BadRows::Skip)
+            .expect("the others")
+            .arrivals
+            .len(),
+        2
+    );
 }
 
 #[test]
-fn a_file_that_was_cut_is_not_half_read() {
+fn truncated_file_is_rejected() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (plan, all) = (plan(), arrivals(&plan(), &plan().shape()));
+    let (plan, all) = (plan(), arrivals(&plan(), &plan().load_profile()));
     for ending in ["csv", "jsonl", "parquet"] {
         let file = folder.path().join(format!("t.{ending}"));
         write_trace(&file, &plan, &all).expect("written");
         let bytes = std::fs::read(&file).expect("a file");
         std::fs::write(&file, &bytes[..bytes.len() - 3]).expect("written");
-        let error = read(&file, true).expect_err(ending).to_string();
+        let error = read(&file, BadRows::Skip).expect_err(ending).to_string();
         assert!(error.contains("cut"), "{ending}: {error}");
         std::fs::write(&file, b"").expect("written");
-        assert!(read(&file, true).is_err(), "{ending}");
+        assert!(read(&file, BadRows::Skip).is_err(), "{ending}");
     }
     assert!(
-        read(&folder.path().join("x.txt"), false)
-            .expect_err("no form")
+        read(&folder.path().join("x.txt"), BadRows::Fail)
+            .expect_err("unknown format")
             .to_string()
             .contains(".parquet")
     );
@@ -115,7 +136,8 @@
     )
     .expect("written");
     let columns = Columns::parse("due=ts, class=kind").expect("columns");
-    let trace = read_trace(&file, &plan(), &columns, Unit::Seconds, false).expect("read");
+    let trace =
+        read_trace(&file, &plan(), &columns, TimeUnit::Seconds, BadRows::Fail).expect("read");
     let dues = |trace: &Trace| {
         trace
             .arrivals
@@ -136,10 +158,10 @@
 }
 
 #[test]
-fn every_task_of_a_run_is_in_its_table() {
+fn task_table_has_every_task_of_a_run() {
     let folder = tempfile::tempdir().expect("a folder");
     let file = folder.path().join("tasks.parquet");
-    let outcome = made_up("20/s for 5s", 3, |n| {
+    let outcome = simulated_outcome("20/s for 5s", 3, |n| {
         (n % 7 != 0).then_some(n as Micros * 10)
     });
     write_tasks(&file, &outcome).expect("written");
--- /dev/null
+++ b/crates/load-test/src/results/tests.rs
@@ -0,0 +1,115 @@
+//! Tests of results, and an outcome for the tests of other modules.
+
+use super::*;
+use crate::arrivals::arrivals;
+use crate::clients::Counts;
+use crate::overload_impact::OverloadImpact;
+use crate::plan::Plan;
+
+/// Returns the outcome of a run that was never made: each task started after so long.
+pub(crate) fn simulated_outcome(
+    profile: &str,
+    seed: u64,
+    after: impl Fn(usize) -> Option<Micros>,
+) -> Outcome {
+    let plan = Plan::parse(&format!(
+        "seed = {seed}\n[arrivals]\nshape = \"{profile}\"\n"
+    ))
+    .expect("a plan");
+    let profile = plan.load_profile();
+    let tasks = arrivals(&plan, &profile)
+        .into_iter()
+        .enumerate()
+        .map(|(n, arrival)| TaskRecord {
+            key: n as u64,
+            phase: 0,
+            started: after(n),
+            answered: after(n),
+            attempts: 1 + n as u32 % 2,
+            rejections: n as u32 % 2,
+            placer: Some(n % 3),
+            fate: after(n).map(|_| Fate::Completed),
+            arrival,
+        });
+    Outcome {
+        tasks: tasks.collect(),
+        plan,
+        profile,
+        start: 0,
+        end: 60 * SECOND,
+        lateness: latency_histogram(),
+        counts: Counts::default(),
+        findings: Vec::new(),
+        impact: OverloadImpact::default(),
+        event_count: 0,
+        load_samples: Vec::new(),
+        peak_memory_kb: vec![9_000],
+        peak_descriptors: vec![40],
+        actions: Vec::new(),
+        interrupted: false,
+    }
+}
+
+#[test]
+fn percentiles_count_tasks_that_never_started_as_latest() {
+    let outcome = simulated_outcome("100/s for 10s", 1, |n| {
+        (n % 100 != 0).then_some((n as Micros % 100) * 1_000)
+    });
+    let summary = summarize(&outcome);
+    let all = summary.group("all").expect("a group");
+    assert!(all.due > 800 && all.started < all.due);
+    assert_eq!(
+        all.percentile(0.995),
+        None,
+        "one in a hundred never started"
+    );
+    let median = all.percentile(0.5).expect("a latency").as_secs_f64();
+    assert!((median - 0.050).abs() < 0.003, "{median}");
+    assert!(summary_text(&summary, &outcome).contains("never"));
+    assert_eq!(
+        summary.objective_met,
+        Some(false),
+        "99 % of the tasks is not reached"
+    );
+}
+
+#[test]
+fn late_generator_reports_no_percentiles_and_a_distinct_exit_code() {
+    let mut outcome = simulated_outcome("10/s for 10s", 1, |_| Some(1_000));
+    assert_eq!(summarize(&outcome).exit_code(&outcome), 0);
+    outcome.lateness.record_n(500_000, 10).expect("in range");
+    let summary = summarize(&outcome);
+    assert_eq!(
+        (summary.generator_in_time, summary.exit_code(&outcome)),
+        (false, 4)
+    );
+    let text = summary_text(&summary, &outcome);
+    assert!(
+        !text.contains("1.0 ms") && text.contains("not told"),
+        "{text}"
+    );
+}
+
+#[test]
+fn interval_log_reads_back_to_the_same_counts() {
+    use hdrhistogram::serialization::Deserializer;
+    use hdrhistogram::serialization::interval_log::{IntervalLogIterator, LogEntry};
+    let outcome = simulated_outcome("50/s for 3s", 4, |n| Some(1_000 + n as Micros));
+    let mut bytes = Vec::new();
+    write_interval_log(&outcome, &mut bytes).expect("written");
+    let (mut count, mut deserializer) = (0, Deserializer::new());
+    for entry in IntervalLogIterator::new(&bytes) {
+        if let Ok(LogEntry::Interval(interval)) = entry {
+            use base64::Engine;
+            let encoded = interval.encoded_histogram();
+            let raw = base64::engine::general_purpose::STANDARD
+                .decode(encoded)
+                .expect("base64");
+            let histogram: Histogram<u64> = deserializer
+                .deserialize(&mut raw.as_slice())
+                .expect("a histogram");
+            count += histogram.len();
+        }
+    }
+    assert_eq!(count, outcome.tasks.len() as u64);
+}
--- a/crates/load-test/src/run/generator.rs
+++ b/crates/load-test/src/run/generator.rs
@@ -1,40 +1,83 @@
-//! The generator: tells the clients' engine of tasks that are due and of words of placers, and carries out what
-//! the engine wants.
+//! The generator: requests tasks when they are due, feeds the clients' state machine with responses, and carries its
+//! effects out. It runs on one thread; what its tasks share is borrowed one at a time and never over an `await`.
 
-use super::connections::Conn;
-use super::{MILLI, SECOND, Task, micros};
+use super::connection::Connection;
+use super::{MILLISECOND, SECOND, micros};
 use crate::arrivals::Arrival;
-use crate::clients::{Clients, Effect, Event, Settings, Wanted, Word};
-use crate::front::Front;
+use crate::clients::{Clients, Effect, EngineSettings, Event, Fate, Response, WantedTask};
+use crate::load_balancer::ZonalLoadBalancer;
+use crate::load_profile::{LoadProfile, Micros};
+use crate::outcome::TaskRecord;
 use crate::plan::Plan;
-use crate::shape::{Micros, Shape};
 use async_executor::LocalExecutor;
 use async_io::Timer;
 use emulator::cluster::describe;
-use emulator::event_log::{ClientNotice, Event as LogEvent};
-use emulator::event_log::{EventLog, fingerprint};
+use emulator::event_log::{ClientNotice, Event as LogEvent, EventLog, fingerprint};
 use emulator::host_model::Offer;
+use emulator::load_balancer::polling::ServerAddresses;
 use emulator::{Message, encode_message};
 use futures_lite::future;
 use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, HashMap};
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
+/// The key of the first task; the others follow.
+const FIRST_KEY: u64 = 0xabc0_0000;
+/// Maximum lateness that is recorded, in microseconds.
+const MAX_LATENESS_MICROS: u64 = 60_000_000;
+/// Significant digits of the recorded lateness.
+const LATENESS_DIGITS: u8 = 3;
+/// After so many tasks the sockets get their turn, even if the next tasks are due already.
+const TASKS_PER_TURN: usize = 64;
+/// How soon clients of lost tasks request them again.
+const MIN_RECONNECT_DELAY: Micros = 50 * MILLISECOND;
+const MAX_RECONNECT_DELAY: Micros = SECOND;
+/// Maximum time between two ticks of the clients, and minimum time.
+const MAX_TICK_INTERVAL: Micros = 20 * MILLISECOND;
+const MIN_TICK_INTERVAL: Micros = MILLISECOND;
+/// How often settling tasks are looked up in the event log.
+const SETTLING_CHECK_INTERVAL: Micros = 100 * MILLISECOND;
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
+
+/// Message types, parameters and causes of the protocol.
+const REQUEST: u8 = 1;
+const PLACED: u8 = 9;
+const RELEASED: u8 = 12;
+const END_ACKNOWLEDGED: u8 = 16;
+const MIGRATED: u8 = 51;
+const CLASS: u8 = 129;
+const WAIT_MS: u8 = 132;
+const TENANT: u8 = 135;
+const IS_RETRY: u8 = 138;
+const KEY: u8 = 141;
+const REQUIREMENTS: u8 = 144;
+const RETRY_AFTER_MS: u8 = 147;
+const CAUSE: u8 = 171;
+const DESCRIPTION: u8 = 174;
+const CAUSE_COMPLETE: u8 = 16;
+const CANCELLED: u8 = 16;
+
+/// Whether a cause says that a request was rejected without effect.
+fn is_rejection(cause: u8) -> bool {
+    matches!(cause, 34 | 42 | 102)
+}
+
 /// The number of a service on the wire.
-fn service(arrival: &Arrival) -> u64 {
+fn service_number(arrival: &Arrival) -> u64 {
     ((arrival.class as u64 + 1) << 32) | (u64::from(arrival.service) + 1)
 }
 
-/// A set-up as it was sent.
+/// A request as it was sent.
 #[derive(Clone)]
-pub(super) struct Sent {
+pub(super) struct SentRequest {
     key: u64,
     pub(super) bytes: Vec<u8>,
-    pub(super) note: LogEvent,
-    pub(super) again: bool,
+    /// What the event log records once it is written.
+    pub(super) event: LogEvent,
+    /// Whether it was sent again on another connection.
+    pub(super) was_resent: bool,
 }
 
 /// An attempt that is about to be sent.
@@ -42,407 +85,456 @@
     id: u64,
     wait: Micros,
     placer: usize,
-    again: bool,
-    /// The host that holds the task already.
-    at: Option<usize>,
+    is_retry: bool,
+    /// The host that already runs the task.
+    running_at: Option<usize>,
     now: Micros,
 }
 
-/// What the generator's tasks change, one at a time.
-pub(super) struct Inner {
+/// What the tasks of the generator share.
+pub(super) struct GeneratorState {
     pub(super) clients: Clients,
-    pub(super) front: Front,
-    pub(super) conns: BTreeMap<u64, Conn>,
-    pub(super) next_conn: u64,
-    pub(super) tasks: HashMap<u64, Task>,
-    pub(super) sent: HashMap<u64, Sent>,
+    pub(super) balancer: ZonalLoadBalancer,
+    pub(super) connections: BTreeMap<u64, Connection>,
+    pub(super) next_connection: u64,
+    pub(super) tasks: HashMap<u64, TaskRecord>,
+    pub(super) sent: HashMap<u64, SentRequest>,
+    /// How late tasks were requested, in microseconds.
     pub(super) lateness: Histogram<u64>,
-    turn: usize,
+    /// Counts requests, to spread those without a placer that is up.
+    request_count: usize,
 }
 
-impl Inner {
-    pub(super) fn new(plan: &Plan) -> Inner {
+impl GeneratorState {
+    fn new(plan: &Plan) -> GeneratorState {
         let clients = &plan.clients;
-        let settings = Settings {
-            policy: clients.policy,
-            base: micros(clients.base),
-            most: micros(clients.most),
-            budget: clients.budget,
-            honour: clients.honour,
-            settle: micros(clients.settle),
-            rejoin: (50 * MILLI, SECOND),
+        let settings = EngineSettings {
+            policy: clients.retry_policy,
+            min_backoff: micros(clients.min_backoff),
+            max_backoff: micros(clients.max_backoff),
+            retry_budget: clients.retry_budget,
+            retry_after_compliance: clients.retry_after_compliance,
+            settle_time: micros(clients.settle_time),
+            reconnect_delay: (MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY),
         };
-        Inner {
-            clients: Clients::new(
-                settings,
-                plan.seed,
-                (plan.seed.wrapping_mul(0x9e37_79b9) << 24) | 1,
-            ),
-            front: Front::new(plan.placers.count, plan.rooms.len()),
-            conns: BTreeMap::new(),
-            next_conn: 0,
+        let first_id = (plan.seed.wrapping_mul(0x9e37_79b9) << 24) | 1;
+        GeneratorState {
+            clients: Clients::new(settings, plan.seed, first_id),
+            balancer: ZonalLoadBalancer::new(plan.placers.count, plan.zones.len()),
+            connections: BTreeMap::new(),
+            next_connection: 0,
             tasks: HashMap::new(),
             sent: HashMap::new(),
-            // A minute at the most, with three digits: these bounds are known to be good.
-            lateness: Histogram::new_with_bounds(1, 60_000_000, 3)
-                .unwrap_or_else(|_| Histogram::new(3).expect("3 digits")),
-            turn: 0,
+            lateness: Histogram::new_with_bounds(1, MAX_LATENESS_MICROS, LATENESS_DIGITS)
+                .unwrap_or_else(|_| Histogram::new(LATENESS_DIGITS).expect("3 digits")),
+            request_count: 0,
         }
     }
 }
 
-/// The generator: all that its tasks share.
-pub(super) struct World {
+/// The generator.
+pub(super) struct Generator {
     pub(super) log: EventLog,
     pub(super) plan: Plan,
     pub(super) executor: Rc<LocalExecutor<'static>>,
-    /// Where each placer listens, and where its agent check is.
-    pub(super) placers: Vec<(SocketAddr, SocketAddr)>,
-    pub(super) inner: RefCell<Inner>,
-    /// When the plan began.
-    pub(super) begun: Cell<Micros>,
-    pub(super) stop: Cell<bool>,
+    pub(super) placers: Vec<ServerAddresses>,
+    pub(super) state: RefCell<GeneratorState>,
+    /// When the plan begins.
+    pub(super) start: Cell<Micros>,
+    pub(super) stopped: Cell<bool>,
 }
 
-impl World {
-    /// Sends each task when it is due.
-    pub(super) async fn pace(self: &Rc<Self>, begun: Micros, due: &[Arrival], shape: &Shape) {
-        for (n, arrival) in due.iter().enumerate() {
-            let at = begun + arrival.due;
-            if self.log.now() < at {
-                Timer::at(self.log.instant(at)).await;
+impl Generator {
+    pub(super) fn new(
+        plan: &Plan,
+        log: EventLog,
+        executor: Rc<LocalExecutor<'static>>,
+        placers: Vec<ServerAddresses>,
+    ) -> Generator {
+        Generator {
+            log,
+            plan: plan.clone(),
+            executor,
+            placers,
+            state: RefCell::new(GeneratorState::new(plan)),
+            start: Cell::new(0),
+            stopped: Cell::new(false),
+        }
+    }
+
+    /// Has each task requested when it is due.
+    pub(super) async fn run_arrivals(
+        self: &Rc<Self>,
+        start: Micros,
+        arrivals: &[Arrival],
+        profile: &LoadProfile,
+    ) {
+        for (n, arrival) in arrivals.iter().enumerate() {
+            let due = start + arrival.due;
+            if self.log.now() < due {
+                Timer::at(self.log.instant(due)).await;
             }
-            let now = self.log.now();
-            let late = u64::try_from(now - at).unwrap_or(0);
-            let phase = shape
-                .phases
-                .partition_point(|phase| phase.start <= arrival.due)
-                .saturating_sub(1);
-            let key = 0xabc0_0000 + n as u64;
-            {
-                let mut inner = self.inner.borrow_mut();
-                inner.lateness.saturating_record(late);
-                let task = Task {
-                    key,
-                    arrival: arrival.clone(),
-                    phase,
-                    started: None,
-                    answered: None,
-                    attempts: 0,
-                    refused: 0,
-                    placer: None,
-                    fate: None,
-                };
-                inner.tasks.insert(key, task);
+            self.request_new_task(FIRST_KEY + n as u64, due, arrival, profile);
+            if n % TASKS_PER_TURN == TASKS_PER_TURN - 1 {
+                future::yield_now().await;
             }
-            let class = self.plan.classes.get(arrival.class);
-            let wanted = Wanted {
+        }
+    }
+
+    fn request_new_task(
+        self: &Rc<Self>,
+        key: u64,
+        due: Micros,
+        arrival: &Arrival,
+        profile: &LoadProfile,
+    ) {
+        let now = self.log.now();
+        let lateness = u64::try_from(now - due).unwrap_or(0);
+        let phase = profile
+            .phases
+            .partition_point(|phase| phase.start <= arrival.due)
+            .saturating_sub(1);
+        {
+            let mut state = self.state.borrow_mut();
+            state.lateness.saturating_record(lateness);
+            let task = TaskRecord {
                 key,
-                due: at,
-                over: at + arrival.life.max(1),
-                limit: class.map_or(SECOND, |class| micros(class.limit)),
-                once: class.is_some_and(|class| class.once),
+                arrival: arrival.clone(),
+                phase,
+                started: None,
+                answered: None,
+                attempts: 0,
+                rejections: 0,
+                placer: None,
+                fate: None,
             };
-            self.tell(now, Event::Due(wanted), None);
-            // Late, the next ones are due already: the sockets get their turn all the same.
-            if n % 64 == 63 {
-                future::yield_now().await;
-            }
+            state.tasks.insert(key, task);
         }
+        let class = self.plan.classes.get(arrival.class);
+        let wanted = WantedTask {
+            key,
+            due,
+            ends_at: due + arrival.run_time.max(1),
+            timeout: class.map_or(SECOND, |class| micros(class.client_timeout)),
+            non_idempotent: class.is_some_and(|class| class.non_idempotent),
+        };
+        self.notify_clients(now, Event::TaskDue(wanted), None);
     }
 
-    /// Tells the clients' engine, and does what it wants. `to` is where presented tasks go.
-    pub(super) fn tell(self: &Rc<Self>, now: Micros, event: Event, to: Option<usize>) {
-        let effects = self.inner.borrow_mut().clients.handle(now, event);
-        self.act(now, effects, to);
+    /// Feeds the clients an event, and carries the effects out. Reconnections go to `placer` if it is given.
+    pub(super) fn notify_clients(
+        self: &Rc<Self>,
+        now: Micros,
+        event: Event,
+        placer: Option<usize>,
+    ) {
+        let effects = self.state.borrow_mut().clients.handle(now, event);
+        self.apply_effects(now, effects, placer);
     }
 
-    fn act(self: &Rc<Self>, now: Micros, effects: Vec<Effect>, to: Option<usize>) {
+    fn apply_effects(self: &Rc<Self>, now: Micros, effects: Vec<Effect>, placer: Option<usize>) {
         for effect in effects {
             match effect {
-                Effect::Ask {
+                Effect::RequestTask {
                     key,
                     id,
                     wait,
-                    again,
-                } => self.ask(now, key, id, wait, again),
-                Effect::GiveUp(id) => {
+                    is_retry,
+                } => self.request_task(now, key, id, wait, is_retry),
+                Effect::CancelRequest(id) => {
                     self.log.record(LogEvent::ClientGaveUp { id });
-                    self.say_where_sent(id, &encode_message(12, id, &[(171, &[16])]));
-                }
-                Effect::Present { key, id } => self.present(now, key, id, to),
-                // It goes out with the answer's reader.
-                Effect::Heard(_) => {}
-                Effect::Done(key, fate) => {
-                    let mut inner = self.inner.borrow_mut();
-                    if let Some(task) = inner.tasks.get_mut(&key) {
-                        task.fate = Some(fate);
-                    }
-                    inner.sent.retain(|_, sent| sent.key != key);
+                    let release = encode_message(RELEASED, id, &[(CAUSE, &[CANCELLED])]);
+                    self.send_on_request_connection(id, &release);
                 }
+                Effect::Reconnect { key, id } => self.reconnect(now, key, id, placer),
+                // The acknowledgement goes out where the message was read.
+                Effect::AcknowledgeEnd(_) => {}
+                Effect::TaskDone(key, fate) => self.task_done(key, fate),
             }
         }
     }
 
-    /// A set-up: its bytes, and the note of it.
-    fn set_up(&self, task: &Task, attempt: Attempt) -> Sent {
-        let Attempt {
-            id,
-            wait,
-            placer,
-            again,
-            at,
-            now,
-        } = attempt;
-        let run_time = self.life_left(task, now);
-        let class = self.plan.classes.get(task.arrival.class);
-        let tenant = self.plan.tenants.get(task.arrival.tenant);
+    fn task_done(&self, key: u64, fate: Fate) {
+        let mut state = self.state.borrow_mut();
+        if let Some(task) = state.tasks.get_mut(&key) {
+            task.fate = Some(fate);
+        }
+        state.sent.retain(|_, sent| sent.key != key);
+    }
+
+    /// Encodes a request for a task.
+    fn encode_request(&self, task: &TaskRecord, attempt: &Attempt) -> SentRequest {
+        let arrival = &task.arrival;
+        let class = self.plan.classes.get(arrival.class);
+        let tenant = self.plan.tenants.get(arrival.tenant);
         let offer = Offer {
-            id,
-            service: service(&task.arrival),
-            cores: task.arrival.cores,
-            memory: task.arrival.memory,
-            priority: class.map_or(0, |c| c.priority),
-            run_time,
+            id: attempt.id,
+            service: service_number(arrival),
+            cores: arrival.cores,
+            memory: arrival.memory,
+            priority: class.map_or(0, |class| class.priority),
+            run_time: self.remaining_run_time(task, attempt.now),
             time_left: 0,
         };
         let description = describe(&offer, task.key);
-        let mut figures = format!(
+        let mut requirements = format!(
             "cores:{};memory:{};service:{:016x}",
             offer.cores, offer.memory, offer.service
         );
-        if let Some(name) = at.and_then(|host| self.log.host_name(host)) {
-            figures.push_str(&format!(";at:{name}"));
+        let host_name = attempt.running_at.and_then(|host| self.log.host_name(host));
+        if let Some(name) = host_name {
+            requirements.push_str(&format!(";at:{name}"));
         }
-        let (wait_ms, key) = ((wait / MILLI).to_string(), format!("{:016x}", task.key));
+        let wait_ms = (attempt.wait / MILLISECOND).to_string();
+        let key = format!("{:016x}", task.key);
+        let class_name = class.map_or("", |class| class.name.as_str());
+        let tenant_name = tenant.map_or("", |tenant| tenant.name.as_str());
         let mut parameters: Vec<(u8, &[u8])> = vec![
-            (129, class.map_or("", |c| c.name.as_str()).as_bytes()),
-            (132, wait_ms.as_bytes()),
-            (135, tenant.map_or("", |t| t.name.as_str()).as_bytes()),
+            (CLASS, class_name.as_bytes()),
+            (WAIT_MS, wait_ms.as_bytes()),
+            (TENANT, tenant_name.as_bytes()),
         ];
-        if again {
-            parameters.push((138, b"1"));
+        if attempt.is_retry {
+            parameters.push((IS_RETRY, b"1"));
         }
         parameters.extend([
-            (141, key.as_bytes()),
-            (144, figures.as_bytes()),
-            (174, description.as_bytes()),
+            (KEY, key.as_bytes()),
+            (REQUIREMENTS, requirements.as_bytes()),
+            (DESCRIPTION, description.as_bytes()),
         ]);
-        let note = LogEvent::TaskRequested {
-            id,
+        let event = LogEvent::TaskRequested {
+            id: attempt.id,
             key: task.key,
-            class: task.arrival.class,
+            class: arrival.class,
             service: offer.service,
-            placer,
-            wait: wait / MILLI * MILLI,
+            placer: attempt.placer,
+            wait: attempt.wait / MILLISECOND * MILLISECOND,
             description: fingerprint(&description),
-            running_at: at,
+            running_at: attempt.running_at,
         };
-        Sent {
+        SentRequest {
             key: task.key,
-            bytes: encode_message(1, id, &parameters),
-            note,
-            again: false,
+            bytes: encode_message(REQUEST, attempt.id, &parameters),
+            event,
+            was_resent: false,
         }
     }
 
-    fn ask(self: &Rc<Self>, now: Micros, key: u64, id: u64, wait: Micros, again: bool) {
-        let picked = {
-            let mut inner = self.inner.borrow_mut();
-            let room = inner.tasks.get(&key).map_or(0, |task| task.arrival.room);
-            let placer = inner.front.pick(room);
-            if let Some(task) = inner.tasks.get_mut(&key) {
-                task.attempts += 1;
-            }
-            // Nobody is in: a client tries one all the same.
-            let fallback = inner.turn % self.placers.len().max(1);
-            inner.turn += 1;
-            inner
-                .tasks
-                .get(&key)
-                .cloned()
-                .map(|task| (task, placer.unwrap_or(fallback)))
+    fn request_task(self: &Rc<Self>, now: Micros, key: u64, id: u64, wait: Micros, is_retry: bool) {
+        let Some((task, placer)) = self.pick_placer(key) else {
+            return;
         };
-        let Some((task, placer)) = picked else { return };
-        let sent = self.set_up(
+        let sent = self.encode_request(
             &task,
-            Attempt {
+            &Attempt {
                 id,
                 wait,
                 placer,
-                again,
-                at: None,
+                is_retry,
+                running_at: None,
                 now,
             },
         );
-        self.inner.borrow_mut().sent.insert(id, sent.clone());
-        self.send(now, placer, Some(id), &sent.bytes);
+        self.state.borrow_mut().sent.insert(id, sent.clone());
+        self.send_request(placer, id, &sent.bytes);
+    }
+
+    /// Counts an attempt of a task and picks its placer. Where none is up, clients try one all the same.
+    fn pick_placer(&self, key: u64) -> Option<(TaskRecord, usize)> {
+        let mut state = self.state.borrow_mut();
+        let zone = state.tasks.get(&key).map_or(0, |task| task.arrival.zone);
+        let placer = state.balancer.pick(zone);
+        if let Some(task) = state.tasks.get_mut(&key) {
+            task.attempts += 1;
+        }
+        let fallback = state.request_count % self.placers.len().max(1);
+        state.request_count += 1;
+        let task = state.tasks.get(&key).cloned()?;
+        Some((task, placer.unwrap_or(fallback)))
     }
 
     /// How long a task is still wanted.
-    fn life_left(&self, task: &Task, now: Micros) -> Micros {
-        let begun = self.begun.get();
-        (begun + task.arrival.due + task.arrival.life - now).max(MILLI)
+    fn remaining_run_time(&self, task: &TaskRecord, now: Micros) -> Micros {
+        let end = self.start.get() + task.arrival.due + task.arrival.run_time;
+        (end - now).max(MILLISECOND)
     }
 
-    /// Names a standing task to a placer.
-    pub(super) fn present(self: &Rc<Self>, now: Micros, key: u64, id: u64, to: Option<usize>) {
-        let Some(running) = self
-            .log
-            .running_task(key)
-            .filter(|running| running.id == id)
-        else {
-            return self.tell(now, Event::Word(id, Word::Lost), None);
+    /// Reconnects to a running task through a placer.
+    fn reconnect(self: &Rc<Self>, now: Micros, key: u64, id: u64, placer: Option<usize>) {
+        let running = self.log.running_task(key).filter(|task| task.id == id);
+        let Some(running) = running else {
+            return self.notify_clients(now, Event::Response(id, Response::Lost), None);
         };
         let picked = {
-            let mut inner = self.inner.borrow_mut();
-            let task = inner.tasks.get(&key).cloned();
-            let room = task.as_ref().map_or(0, |task| task.arrival.room);
-            task.and_then(|task| Some((task, to.or_else(|| inner.front.pick(room))?)))
+            let mut state = self.state.borrow_mut();
+            let task = state.tasks.get(&key).cloned();
+            let zone = task.as_ref().map_or(0, |task| task.arrival.zone);
+            task.and_then(|task| Some((task, placer.or_else(|| state.balancer.pick(zone))?)))
         };
         let Some((task, placer)) = picked else { return };
-        let at = Some(running.host);
-        let sent = self.set_up(
+        let sent = self.encode_request(
             &task,
-            Attempt {
+            &Attempt {
                 id,
                 wait: 0,
                 placer,
-                again: false,
-                at,
+                is_retry: false,
+                running_at: Some(running.host),
                 now,
             },
         );
-        self.log.record(sent.note.clone());
-        self.inner.borrow_mut().clients.sent_to(id, placer);
-        let on = self.send(now, placer, None, &sent.bytes);
-        if let Some(conn) = self.inner.borrow_mut().conns.get_mut(&on) {
-            conn.stands.insert(id);
+        self.log.record(sent.event.clone());
+        self.state.borrow_mut().clients.assign_placer(id, placer);
+        let connection = self.send_message(placer, &sent.bytes);
+        let mut state = self.state.borrow_mut();
+        if let Some(connection) = state.connections.get_mut(&connection) {
+            connection.running_tasks.insert(id);
         }
     }
 
-    /// A word of a placer.
-    pub(super) fn word(self: &Rc<Self>, n: u64, placer: usize, message: &Message) {
+    /// Handles a message of a placer, on a connection of its own or of the health checks.
+    pub(super) fn handle_message(
+        self: &Rc<Self>,
+        connection: Option<u64>,
+        placer: usize,
+        message: &Message,
+    ) {
         let now = self.log.now();
         let id = message.id;
         let cause = message
-            .get(171)
+            .get(CAUSE)
             .and_then(|cause| cause.first().copied())
             .unwrap_or(0);
-        let (notice, open) = {
-            let mut inner = self.inner.borrow_mut();
-            let open = inner.clients.is_open(id);
-            if let Some(conn) = inner.conns.get_mut(&n) {
-                conn.used = now;
-                conn.open.remove(&id);
-                if message.kind == 9 {
-                    conn.stands.insert(id);
-                }
-            }
-            if message.kind != 9 {
-                inner.conns.values_mut().for_each(|conn| {
-                    conn.stands.remove(&id);
-                });
+        self.update_connections(connection, message);
+        let notice = match message.kind {
+            PLACED => {
+                let description = message.text(DESCRIPTION).unwrap_or_default();
+                ClientNotice::Placed(fingerprint(description))
             }
-            let notice = match message.kind {
-                9 => ClientNotice::Placed(fingerprint(message.text(174).unwrap_or_default())),
-                12 => ClientNotice::Released(cause),
-                51 => ClientNotice::Migrated,
-                _ => return,
-            };
-            if open {
-                let begun = self.begun.get();
-                let key = inner.clients.key(id);
-                if let Some(task) = key.and_then(|key| inner.tasks.get_mut(&key)) {
-                    let after = now - begun - task.arrival.due;
-                    task.answered = task.answered.or(Some(after));
-                    task.placer = Some(placer);
-                    match notice {
-                        ClientNotice::Placed(_) => task.started = task.started.or(Some(after)),
-                        ClientNotice::Released(34 | 42 | 102) => task.refused += 1,
-                        _ => {}
-                    }
-                }
-            }
-            (notice, open)
+            RELEASED => ClientNotice::Released(cause),
+            MIGRATED => ClientNotice::Migrated,
+            _ => return,
         };
+        let was_open = self.state.borrow().clients.is_open(id);
+        if was_open {
+            self.record_answer(now, id, placer, notice);
+        }
         self.log
             .record_at(now, LogEvent::ClientNotified { id, notice });
-        let away = message
-            .text(147)
+        let retry_after = message
+            .text(RETRY_AFTER_MS)
             .and_then(|ms| ms.parse::<i64>().ok())
-            .map(|ms| ms * MILLI);
-        let word = match (notice, open) {
-            (ClientNotice::Placed(_), _) => Word::Placed,
-            (ClientNotice::Migrated, _) => Word::Moved,
-            (ClientNotice::Released(34 | 42 | 102), true) => Word::Refused(away),
-            (ClientNotice::Released(16), _) => Word::Ended,
-            (ClientNotice::Released(_), true) => Word::Failed,
-            (ClientNotice::Released(_), false) => Word::Lost,
-        };
-        self.tell(now, Event::Word(id, word), None);
-        if word == Word::Placed {
-            self.inner.borrow_mut().clients.sent_to(id, placer);
+            .map(|ms| ms * MILLISECOND);
+        let response = response(notice, was_open, retry_after);
+        self.notify_clients(now, Event::Response(id, response), None);
+        let mut state = self.state.borrow_mut();
+        if response == Response::Placed {
+            state.clients.assign_placer(id, placer);
+        }
+        if !was_open && message.kind == RELEASED {
+            let connection = connection.and_then(|id| state.connections.get_mut(&id));
+            if let Some(connection) = connection {
+                connection.push(&encode_message(END_ACKNOWLEDGED, id, &[]));
+            }
+        }
+    }
+
+    /// Updates which connections carry the task of a message.
+    fn update_connections(&self, connection: Option<u64>, message: &Message) {
+        let id = message.id;
+        let mut state = self.state.borrow_mut();
+        let connection = connection.and_then(|id| state.connections.get_mut(&id));
+        if let Some(connection) = connection {
+            connection.open_requests.remove(&id);
+            if message.kind == PLACED {
+                connection.running_tasks.insert(id);
+            }
         }
-        if !open && message.kind == 12 {
-            let mut inner = self.inner.borrow_mut();
-            if let Some(conn) = inner.conns.get_mut(&n) {
-                conn.push(&encode_message(16, id, &[]));
+        if message.kind != PLACED {
+            for connection in state.connections.values_mut() {
+                connection.running_tasks.remove(&id);
             }
         }
     }
 
-    /// Lets clients' alarms go off, and looks for tasks that settle and turn out to run.
-    pub(super) async fn tick_on(self: Rc<Self>) {
-        let mut looked = 0;
+    /// Records the answer to an open request with its task.
+    fn record_answer(&self, now: Micros, id: u64, placer: usize, notice: ClientNotice) {
+        let mut state = self.state.borrow_mut();
+        let key = state.clients.key(id);
+        let Some(task) = key.and_then(|key| state.tasks.get_mut(&key)) else {
+            return;
+        };
+        let elapsed = now - self.start.get() - task.arrival.due;
+        task.answered = task.answered.or(Some(elapsed));
+        task.placer = Some(placer);
+        match notice {
+            ClientNotice::Placed(_) => task.started = task.started.or(Some(elapsed)),
+            ClientNotice::Released(cause) if is_rejection(cause) => task.rejections += 1,
+            ClientNotice::Released(_) | ClientNotice::Migrated => {}
+        }
+    }
+
+    /// Ticks the clients for the whole run, and looks up settling tasks that turn out to run.
+    pub(super) async fn tick_clients(self: Rc<Self>) {
+        let mut checked_at = 0;
         loop {
             let now = self.log.now();
-            let effects = self.inner.borrow_mut().clients.tick(now);
-            self.act(now, effects, None);
-            if now - looked > 100 * MILLI {
-                looked = now;
-                let settling = self.inner.borrow().clients.settling();
-                for key in settling {
-                    if let Some(running) = self.log.running_task(key) {
-                        self.tell(
-                            now,
-                            Event::Found {
-                                key,
-                                id: running.id,
-                            },
-                            None,
-                        );
-                    }
-                }
+            let effects = self.state.borrow_mut().clients.tick(now);
+            self.apply_effects(now, effects, None);
+            if now - checked_at > SETTLING_CHECK_INTERVAL {
+                checked_at = now;
+                self.find_settling_tasks(now);
             }
-            let next = self
-                .inner
-                .borrow()
-                .clients
-                .next()
+            let next_due = self.state.borrow().clients.next_due();
+            let next = next_due
                 .unwrap_or(now + SECOND)
-                .min(now + 20 * MILLI);
-            Timer::at(self.log.instant(next.max(now + MILLI))).await;
+                .min(now + MAX_TICK_INTERVAL)
+                .max(now + MIN_TICK_INTERVAL);
+            Timer::at(self.log.instant(next)).await;
         }
     }
 
-    /// A line on the terminal that tells how it goes.
-    pub(super) async fn show_on(self: Rc<Self>, begun: Micros, lasts: Micros, total: usize) {
+    fn find_settling_tasks(self: &Rc<Self>, now: Micros) {
+        let settling = self.state.borrow().clients.settling_tasks();
+        for key in settling {
+            if let Some(running) = self.log.running_task(key) {
+                let id = running.id;
+                self.notify_clients(now, Event::RunningTaskFound { key, id }, None);
+            }
+        }
+    }
+
+    /// Shows the progress of the run on the terminal.
+    pub(super) async fn show_progress(self: Rc<Self>, start: Micros, length: Micros, total: usize) {
         loop {
-            Timer::after(Duration::from_millis(500)).await;
-            let inner = self.inner.borrow();
-            let placed = inner
+            Timer::after(PROGRESS_INTERVAL).await;
+            let state = self.state.borrow();
+            let placed = state
                 .tasks
                 .values()
                 .filter(|task| task.started.is_some())
                 .count();
-            let (due, open) = (inner.tasks.len(), inner.clients.open());
-            let at = (self.log.now() - begun).max(0) / SECOND;
-            let late = inner.lateness.value_at_quantile(0.99) as f64 / 1_000.0;
+            let (due, open) = (state.tasks.len(), state.clients.open_count());
+            let elapsed = (self.log.now() - start).max(0) / SECOND;
+            let lateness = state.lateness.value_at_quantile(0.99) as f64 / 1_000.0;
             eprint!(
-                "\r{at:>4} of {} s  {due}/{total} due  {placed} started  {open} open  own lateness p99 {late:.1} ms   ",
-                lasts / SECOND
+                "\r{elapsed:>4} of {} s  {due}/{total} due  {placed} started  {open} open  own lateness p99 {lateness:.1} ms   ",
+                length / SECOND
             );
         }
     }
 }
+
+/// What a notice means for the client of a request.
+fn response(notice: ClientNotice, was_open: bool, retry_after: Option<Micros>) -> Response {
+    match notice {
+        ClientNotice::Placed(_) => Response::Placed,
+        ClientNotice::Migrated => Response::Migrated,
+        ClientNotice::Released(cause) if was_open && is_rejection(cause) => {
+            Response::Rejected(retry_after)
+        }
+        ClientNotice::Released(CAUSE_COMPLETE) => Response::Ended,
+        ClientNotice::Released(_) if was_open => Response::Failed,
+        ClientNotice::Released(_) => Response::Lost,
+    }
+}
--- /dev/null
+++ b/crates/load-test/src/run/health_checks.rs
@@ -0,0 +1,170 @@
+//! The load balancer's health checks of placers and polls of their agents, for the whole run.
+
+use super::generator::Generator;
+use crate::clients::Event;
+use crate::load_balancer::HealthCheckResult;
+use crate::plan::Balancing;
+use async_io::{Async, Timer};
+use emulator::load_balancer::parse_agent_report;
+use emulator::{Message, encode_message};
+use futures_lite::{AsyncReadExt, AsyncWriteExt, FutureExt};
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::time::Duration;
+
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
+const CHECK_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Time between checks until the first one passes.
+const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// The id of health checks on the wire.
+const CHECK_ID: u64 = 0xfe;
+/// Message types and parameters of the protocol.
+const CHECK: u8 = 52;
+const CHECK_RESULT: u8 = 53;
+const TASK_ENDED: u8 = 12;
+const END_ACKNOWLEDGED: u8 = 16;
+const CAUSE: u8 = 171;
+
+/// The connection of the health checks of one placer.
+#[derive(Default)]
+struct CheckConnection {
+    stream: Option<Async<TcpStream>>,
+    /// Whether it was opened since the last check that passed.
+    reopened: bool,
+}
+
+impl Generator {
+    /// Checks every placer for the whole run, and polls its agent where the load balancer goes by it.
+    pub(super) fn start_health_checks(self: Rc<Self>) {
+        for placer in 0..self.placers.len() {
+            let generator = self.clone();
+            self.executor
+                .spawn(async move { generator.check_placer(placer).await })
+                .detach();
+            if self.plan.clients.balancing == Balancing::AgentWeights {
+                let generator = self.clone();
+                self.executor
+                    .spawn(async move { generator.poll_agent(placer).await })
+                    .detach();
+            }
+        }
+    }
+
+    async fn check_placer(self: Rc<Self>, placer: usize) {
+        let Some(addresses) = self.placers.get(placer).copied() else {
+            return;
+        };
+        let mut connection = CheckConnection::default();
+        let mut has_passed = false;
+        loop {
+            let check = self.check_once(placer, addresses.clients, &mut connection);
+            let timeout = async {
+                Timer::after(CHECK_TIMEOUT).await;
+                HealthCheckResult::Failed
+            };
+            let result = check.or(timeout).await;
+            self.state
+                .borrow_mut()
+                .balancer
+                .apply_health_check(placer, result);
+            if result == HealthCheckResult::Passed {
+                // After one that broke, a new connection that passes means a new process.
+                if has_passed && connection.reopened {
+                    let now = self.log.now();
+                    self.notify_clients(now, Event::PlacerRestarted(placer), Some(placer));
+                }
+                has_passed = true;
+                connection.reopened = false;
+            }
+            let pause = if has_passed {
+                CHECK_INTERVAL
+            } else {
+                STARTUP_CHECK_INTERVAL
+            };
+            Timer::after(pause).await;
+        }
+    }
+
+    async fn check_once(
+        self: &Rc<Self>,
+        placer: usize,
+        address: SocketAddr,
+        connection: &mut CheckConnection,
+    ) -> HealthCheckResult {
+        if connection.stream.is_none() {
+            connection.stream = Async::<TcpStream>::connect(address).await.ok();
+            connection.reopened = true;
+        }
+        let Some(stream) = &connection.stream else {
+            return HealthCheckResult::Failed;
+        };
+        let result = self.exchange_check(placer, stream).await;
+        if result.is_none() {
+            connection.stream = None;
+        }
+        result.unwrap_or(HealthCheckResult::Failed)
+    }
+
+    /// Sends a health check and reads its result; none where the connection fails.
+    async fn exchange_check(
+        self: &Rc<Self>,
+        placer: usize,
+        mut stream: &Async<TcpStream>,
+    ) -> Option<HealthCheckResult> {
+        let check = encode_message(CHECK, CHECK_ID, &[(CAUSE, &[0])]);
+        stream.write_all(&check).await.ok()?;
+        let mut inbox = Vec::new();
+        loop {
+            if let Some((message, length)) = Message::decode(&inbox) {
+                inbox.drain(..length);
+                if message.kind == CHECK_RESULT {
+                    return Some(if message.get(CAUSE) == Some(&[1]) {
+                        HealthCheckResult::Passed
+                    } else {
+                        HealthCheckResult::Draining
+                    });
+                }
+                // The end of a task may be notified on any connection.
+                self.handle_message(None, placer, &message);
+                if message.kind == TASK_ENDED {
+                    let acknowledgement = encode_message(END_ACKNOWLEDGED, message.id, &[]);
+                    let _ = stream.write_all(&acknowledgement).await;
+                }
+                continue;
+            }
+            let mut buffer = [0; 1024];
+            match stream.read(&mut buffer).await {
+                Ok(count) if count > 0 => {
+                    inbox.extend_from_slice(buffer.get(..count).unwrap_or_default());
+                }
+                _ => return None,
+            }
+        }
+    }
+
+    async fn poll_agent(self: Rc<Self>, placer: usize) {
+        let Some(addresses) = self.placers.get(placer).copied() else {
+            return;
+        };
+        loop {
+            let poll = async {
+                let mut stream = Async::<TcpStream>::connect(addresses.agent).await.ok()?;
+                stream.write_all(b"rehearsal\n").await.ok()?;
+                let mut reply = String::new();
+                stream.read_to_string(&mut reply).await.ok()?;
+                parse_agent_report(&reply).ok()
+            };
+            let timeout = async {
+                Timer::after(CHECK_TIMEOUT).await;
+                None
+            };
+            if let Some(report) = poll.or(timeout).await {
+                self.state
+                    .borrow_mut()
+                    .balancer
+                    .apply_report(placer, report);
+            }
+            Timer::after(CHECK_INTERVAL).await;
+        }
+    }
+}
--- a/crates/load-test/src/search.rs
+++ b/crates/load-test/src/search.rs
@@ -1,23 +1,49 @@
-//! Comparing runs over seeds, and looking for the knee: the highest rate at which a goal holds.
+//! Comparison of runs over several seeds, and the search for the knee: the highest rate at which an objective is met.
 
 use crate::results::Summary;
 
-/// A figure over several seeds.
+/// A difference of more standard errors than this is significant.
+const SIGNIFICANT_ERRORS: f64 = 3.0;
+/// What a percentile counts as that is never reached: the longest latency that is recorded.
+const MAX_LATENCY_MS: f64 = 3.6e6;
+/// The search for a knee below the plan's rate ends here.
+const MIN_FACTOR: f64 = 1.0 / 1_024.0;
+
+/// A figure of a run.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Spread {
-    /// What was measured.
+pub struct Figure {
+    /// Its name in comparisons.
+    pub name: String,
+    /// Its value.
+    pub value: f64,
+}
+
+impl Figure {
+    /// Returns a figure.
+    pub fn new(name: impl Into<String>, value: f64) -> Figure {
+        Figure {
+            name: name.into(),
+            value,
+        }
+    }
+}
+
+/// The values of a figure over several seeds.
+#[derive(Debug, Clone, PartialEq)]
+pub struct Samples {
+    /// The name of the figure.
     pub name: String,
     /// One for each seed.
     pub values: Vec<f64>,
 }
 
-impl Spread {
-    /// The mean.
+impl Samples {
+    /// Returns the mean.
     pub fn mean(&self) -> f64 {
         self.values.iter().sum::<f64>() / self.values.len().max(1) as f64
     }
 
-    /// The standard deviation of a single run, by what the runs show; 0 for one.
+    /// Returns the estimated standard deviation of a single run; 0 for one run.
     pub fn deviation(&self) -> f64 {
         let n = self.values.len();
         if n < 2 {
@@ -28,176 +54,176 @@
     }
 }
 
-/// What a comparison says.
+/// The result of a comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Comparison {
     /// The difference is larger than chance makes.
     Differs,
-    /// Runs of one side differ as much among themselves.
+    /// The runs of one side differ as much from each other.
     Noise,
-    /// With one run of a side nothing can be said.
+    /// One run of a side is not enough to tell.
     TooFew,
 }
 
-impl Verdict {
-    /// In words.
+impl Comparison {
+    /// Returns the result in words.
     pub fn as_str(self) -> &'static str {
         match self {
-            Verdict::Differs => "differs",
-            Verdict::Noise => "noise",
-            Verdict::TooFew => "too few runs to tell",
+            Comparison::Differs => "differs",
+            Comparison::Noise => "noise",
+            Comparison::TooFew => "too few runs to tell",
         }
     }
 }
 
-/// Compares two figures by Welch's t statistic: a difference of more than three of its standard errors is
-/// taken for one (about one in a hundred by chance with three runs a side).
-pub fn compare(a: &Spread, b: &Spread) -> Verdict {
+/// Compares two figures by Welch's t statistic. A difference of more than three standard errors counts (about one
+/// in a hundred by chance, with three runs a side).
+pub fn compare(a: &Samples, b: &Samples) -> Comparison {
     if a.values.len() < 2 || b.values.len() < 2 {
-        return Verdict::TooFew;
+        return Comparison::TooFew;
     }
-    let error = |s: &Spread| s.deviation().powi(2) / s.values.len() as f64;
-    let error = (error(a) + error(b)).sqrt();
+    let squared_error =
+        |samples: &Samples| samples.deviation().powi(2) / samples.values.len() as f64;
+    let error = (squared_error(a) + squared_error(b)).sqrt();
     let difference = (a.mean() - b.mean()).abs();
     let differs = if error > 0.0 {
-        difference > 3.0 * error
+        difference > SIGNIFICANT_ERRORS * error
     } else {
         difference > 0.0
     };
     if differs {
-        Verdict::Differs
+        Comparison::Differs
     } else {
-        Verdict::Noise
+        Comparison::Noise
     }
 }
 
-/// The figures of a run that are compared.
-pub fn figures(summary: &Summary) -> Vec<(String, f64)> {
-    let mut found = Vec::new();
+/// Returns the figures of a run that are compared.
+pub fn compared_figures(summary: &Summary) -> Vec<Figure> {
+    let mut figures = Vec::new();
     for group in summary
         .groups
         .iter()
-        .filter(|g| g.name == "all" || g.name.starts_with("class "))
+        .filter(|group| group.name == "all" || group.name.starts_with("class "))
     {
-        found.push((format!("{}: in aim, %", group.name), 100.0 * group.share()));
-        if summary.in_time {
-            for (name, part) in [("p50", 0.5), ("p99", 0.99)] {
-                // A percentile that is never reached is as bad as the longest latency that is kept.
+        figures.push(Figure::new(
+            format!("{}: in aim, %", group.name),
+            100.0 * group.share(),
+        ));
+        if summary.generator_in_time {
+            for (name, fraction) in [("p50", 0.5), ("p99", 0.99)] {
                 let value = group
-                    .percentile(part)
-                    .map_or(3.6e6, |latency| latency.as_secs_f64() * 1e3);
-                found.push((format!("{}: {name}, ms", group.name), value));
+                    .percentile(fraction)
+                    .map_or(MAX_LATENCY_MS, |latency| latency.as_secs_f64() * 1e3);
+                figures.push(Figure::new(format!("{}: {name}, ms", group.name), value));
             }
         }
     }
-    found.push((
-        "broken rules".into(),
-        summary.broken.values().sum::<usize>() as f64,
-    ));
-    found
+    let violations: usize = summary.violations.values().sum();
+    figures.push(Figure::new("broken rules", violations as f64));
+    figures
 }
 
-/// Puts the figures of several runs together, figure by figure.
-pub fn spreads(runs: &[Vec<(String, f64)>]) -> Vec<Spread> {
-    let names = runs
-        .first()
-        .map(|run| run.iter().map(|(name, _)| name.clone()).collect::<Vec<_>>())
-        .unwrap_or_default();
-    let of = |name: &String| {
+/// Collects the figures of several runs by name.
+pub fn collect_samples(runs: &[Vec<Figure>]) -> Vec<Samples> {
+    let values = |name: &str| {
         runs.iter()
-            .filter_map(|run| run.iter().find(|(n, _)| n == name))
-            .map(|(_, v)| *v)
+            .filter_map(|run| run.iter().find(|figure| figure.name == name))
+            .map(|figure| figure.value)
             .collect()
     };
-    names
-        .iter()
-        .map(|name| Spread {
-            name: name.clone(),
-            values: of(name),
+    let figures = runs.first().into_iter().flatten();
+    figures
+        .map(|figure| Samples {
+            name: figure.name.clone(),
+            values: values(&figure.name),
         })
         .collect()
 }
 
-/// One try of a search.
+/// The runs of one factor.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Try {
+pub struct Trial {
     /// The rate, as a multiple of the plan's.
     pub factor: f64,
-    /// Runs of it at which the goal held, and all.
-    pub held: u32,
-    /// See `held`.
-    pub of: u32,
+    /// Runs that met the objective.
+    pub passes: u32,
+    /// Runs in total.
+    pub runs: u32,
 }
 
-/// A search for the knee: pure; the caller runs what [`Search::next`] asks for.
+/// A search for the knee. Pure: the caller makes the runs that [`KneeSearch::next_factor`] asks for.
 #[derive(Debug, Clone)]
-pub struct Search {
-    /// The highest factor at which the goal held, and the lowest at which it did not.
+pub struct KneeSearch {
+    /// The highest factor that met the objective.
     low: f64,
+    /// The lowest factor that did not.
     high: Option<f64>,
-    tries: Vec<Try>,
-    repeats: u32,
+    trials: Vec<Trial>,
+    runs_per_trial: u32,
     precision: f64,
-    most: f64,
+    max_factor: f64,
 }
 
-impl Search {
-    /// Begins at the plan's own rate; each factor is run `repeats` times, and the goal holds where most of
-    /// these runs say so.
-    pub fn new(repeats: u32, precision: f64, most: f64) -> Search {
-        Search {
+impl KneeSearch {
+    /// Returns a search that begins at the plan's own rate. A factor meets the objective where most of its runs do.
+    pub fn new(runs_per_trial: u32, precision: f64, max_factor: f64) -> KneeSearch {
+        KneeSearch {
             low: 0.0,
             high: None,
-            tries: Vec::new(),
-            repeats: repeats.max(1),
+            trials: Vec::new(),
+            runs_per_trial: runs_per_trial.max(1),
             precision,
-            most,
+            max_factor,
         }
     }
 
-    /// The next factor to run; none where the knee is known well enough.
-    pub fn next(&self) -> Option<f64> {
+    /// Returns the next factor to run; none where the knee is known with the precision.
+    pub fn next_factor(&self) -> Option<f64> {
         match self.high {
-            None if self.low <= 0.0 => Some(1.0f64.min(self.most)),
-            None if self.low >= self.most => None,
-            None => Some((self.low * 2.0).min(self.most)),
+            None if self.low <= 0.0 => Some(1.0f64.min(self.max_factor)),
+            None if self.low >= self.max_factor => None,
+            None => Some((self.low * 2.0).min(self.max_factor)),
             Some(high) if high - self.low <= self.precision * high => None,
             // Below the plan's rate nothing is known yet: halve until something holds.
-            Some(high) if self.low <= 0.0 => (high > 1.0 / 1_024.0).then_some(high / 2.0),
+            Some(high) if self.low <= 0.0 => (high > MIN_FACTOR).then_some(high / 2.0),
             Some(high) => Some((self.low + high) / 2.0),
         }
     }
 
-    /// How many runs a factor gets.
-    pub fn repeats(&self) -> u32 {
-        self.repeats
+    /// Returns the number of runs of a factor.
+    pub fn runs_per_trial(&self) -> u32 {
+        self.runs_per_trial
     }
 
-    /// Takes the runs of a factor.
-    pub fn tried(&mut self, factor: f64, held: u32, of: u32) {
-        self.tries.push(Try { factor, held, of });
-        if 2 * held > of {
+    /// Records the runs of a factor.
+    pub fn record_trial(&mut self, factor: f64, passes: u32, runs: u32) {
+        self.trials.push(Trial {
+            factor,
+            passes,
+            runs,
+        });
+        if 2 * passes > runs {
             self.low = self.low.max(factor);
         } else {
             self.high = Some(self.high.map_or(factor, |high| high.min(factor)));
         }
     }
 
-    /// The knee lies between these two factors; the second is none where the goal held up to the most.
-    pub fn between(&self) -> (f64, Option<f64>) {
+    /// Returns the factors between which the knee lies; no upper one where the objective is met up to the maximum.
+    pub fn bounds(&self) -> (f64, Option<f64>) {
         (self.low, self.high)
     }
 
-    /// All tries.
-    pub fn tries(&self) -> &[Try] {
-        &self.tries
+    /// Returns the trials so far.
+    pub fn trials(&self) -> &[Trial] {
+        &self.trials
     }
 
-    /// How sure it is: the share of runs that agree with the verdict on their factor, over the tries on both
-    /// sides of the knee.
+    /// Returns the confidence: the fraction of runs that agree with the verdict on their factor.
     pub fn agreement(&self) -> f64 {
-        let (agree, all) = self.tries.iter().fold((0, 0), |(agree, all), t| {
-            (agree + t.held.max(t.of - t.held), all + t.of)
+        let (agree, all) = self.trials.iter().fold((0, 0), |(agree, all), t| {
+            (agree + t.passes.max(t.runs - t.passes), all + t.runs)
         });
         if all == 0 {
             0.0
@@ -211,33 +237,37 @@
 mod tests {
     use super::*;
 
-    fn spread(values: &[f64]) -> Spread {
-        Spread {
+    fn spread(values: &[f64]) -> Samples {
+        Samples {
             name: "x".into(),
             values: values.to_vec(),
         }
     }
 
     #[test]
-    fn a_difference_within_the_spread_is_noise() {
+    fn difference_within_the_deviation_is_noise() {
         for (a, b, verdict) in [
-            (&[1.0, 1.1, 0.9][..], &[1.05, 0.95, 1.1][..], Verdict::Noise),
-            (&[1.0, 1.1, 0.9], &[2.0, 2.1, 1.9], Verdict::Differs),
-            (&[1.0], &[2.0, 2.0], Verdict::TooFew),
-            (&[1.0, 1.0], &[1.0, 1.0], Verdict::Noise),
-            (&[1.0, 1.0], &[1.5, 1.5], Verdict::Differs),
-            (&[0.0, 4.0, 2.0], &[3.0, 5.0, 4.0], Verdict::Noise),
+            (
+                &[1.0, 1.1, 0.9][..],
+                &[1.05, 0.95, 1.1][..],
+                Comparison::Noise,
+            ),
+            (&[1.0, 1.1, 0.9], &[2.0, 2.1, 1.9], Comparison::Differs),
+            (&[1.0], &[2.0, 2.0], Comparison::TooFew),
+            (&[1.0, 1.0], &[1.0, 1.0], Comparison::Noise),
+            (&[1.0, 1.0], &[1.5, 1.5], Comparison::Differs),
+            (&[0.0, 4.0, 2.0], &[3.0, 5.0, 4.0], Comparison::Noise),
         ] {
             assert_eq!(compare(&spread(a), &spread(b)), verdict, "{a:?} {b:?}");
         }
     }
 
     /// Searches against a system that holds up to a factor, with runs near it that go either way.
-    fn search(knee: f64, noise: f64, most: f64) -> Search {
-        let mut search = Search::new(3, 0.05, most);
+    fn search(knee: f64, noise: f64, max_factor: f64) -> KneeSearch {
+        let mut search = KneeSearch::new(3, 0.05, max_factor);
         let mut turn = 0u32;
-        while let Some(factor) = search.next() {
-            let held = (0..3)
+        while let Some(factor) = search.next_factor() {
+            let passes = (0..3)
                 .filter(|_| {
                     turn += 1;
                     let sway = if turn.is_multiple_of(2) {
@@ -248,17 +278,17 @@
                     factor <= knee * (1.0 + sway)
                 })
                 .count() as u32;
-            search.tried(factor, held, 3);
-            assert!(search.tries().len() < 40, "it ends");
+            search.record_trial(factor, passes, 3);
+            assert!(search.trials().len() < 40, "it ends");
         }
         search
     }
 
     #[test]
-    fn the_knee_is_found_above_and_below_the_plans_rate() {
+    fn knee_is_found_above_and_below_the_rate_of_the_plan() {
         for knee in [0.03, 0.7, 1.0, 3.3, 17.0] {
             let search = search(knee, 0.0, 100.0);
-            let (low, high) = search.between();
+            let (low, high) = search.bounds();
             let high = high.expect("a knee");
             assert!(
                 low <= knee && knee < high && high - low <= 0.05 * high + 1e-9,
@@ -267,14 +297,14 @@
             assert_eq!(search.agreement(), 1.0);
         }
         let noisy = search(3.3, 0.04, 100.0);
-        let (low, high) = noisy.between();
+        let (low, high) = noisy.bounds();
         assert!(low > 2.9 && high.expect("a knee") < 3.8, "{low} {high:?}");
         assert_eq!(
-            search(1e9, 0.0, 8.0).between(),
+            search(1e9, 0.0, 8.0).bounds(),
             (8.0, None),
             "it held as far as was asked"
         );
-        let (low, high) = search(0.0, 0.0, 8.0).between();
+        let (low, high) = search(0.0, 0.0, 8.0).bounds();
         assert!(low == 0.0 && high.expect("never held") < 0.002);
     }
 }
--- a/crates/load-test/tests/plans.rs
+++ b/crates/load-test/tests/plans.rs
@@ -7,7 +7,7 @@
     for entry in std::fs::read_dir(folder).expect("the plans") {
         let path = entry.expect("a file").path();
         let plan = load_test::plan::Plan::load(&path).unwrap_or_else(|e| panic!("{e}"));
-        assert!(plan.shape().length() > 0);
+        assert!(plan.load_profile().length() > 0);
         count += 1;
     }
     assert!(count >= 5);
--- a/crates/load-test/tests/rehearsal.rs
+++ b/crates/load-test/tests/rehearsal.rs
@@ -3,9 +3,10 @@
 use emulator::cluster::describe;
 use emulator::host_model::{Micros, Offer};
 use emulator::{Message, encode_message};
+use load_test::outcome::Outcome;
 use load_test::plan::Plan;
-use load_test::results::{findings, summarize};
-use load_test::run::{Options, Outcome, run};
+use load_test::results::{findings_text, impact_text, summarize, summary_text};
+use load_test::run::{Options, run};
 use std::collections::HashMap;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -58,7 +59,7 @@
 }
 
 fn clean(outcome: &Outcome) {
-    assert!(outcome.findings.is_empty(), "{}", findings(outcome, 3));
+    assert!(outcome.findings.is_empty(), "{}", findings_text(outcome, 3));
 }
 
 /// Short lives, so that the end of a run is not far.
@@ -94,7 +95,7 @@
     assert!(
         outcome.tasks.len() > 120 && outcome.tasks.iter().all(|t| t.started.is_some()),
         "{}",
-        summary.text(&outcome)
+        summary_text(&summary, &outcome)
     );
     // Counted again from the raw times, by sorting: within the histogram's resolution, one in a thousand.
     let mut raw: Vec<Micros> = outcome.tasks.iter().filter_map(|t| t.started).collect();
@@ -215,15 +216,15 @@
     let (outcome, _folder) = rehearse(&plan);
     clean(&outcome);
     let summary = summarize(&outcome);
-    eprintln!("{}", summary.text(&outcome));
+    eprintln!("{}", summary_text(&summary, &outcome));
     let all = summary.group("all").expect("a group");
     assert!(
         all.due > 130 && all.started * 100 >= all.due * 90,
         "{}",
-        summary.text(&outcome)
+        summary_text(&summary, &outcome)
     );
     assert!(
-        outcome.counts.presented > 0,
+        outcome.counts.reconnections > 0,
         "standing tasks were presented to placers that came back"
     );
 }
@@ -386,9 +387,9 @@
     assert!(
         outcome.tasks.iter().all(|task| task.started.is_some()),
         "{}",
-        summarize(&outcome).text(&outcome)
+        summary_text(&summarize(&outcome), &outcome)
     );
-    assert_eq!(outcome.counts.wasted, 0, "{:?}", outcome.counts);
+    assert_eq!(outcome.counts.failed_attempts, 0, "{:?}", outcome.counts);
 }
 
 // The connections of a placer to its hosts come from a bounded pool: what it needs less makes way.
@@ -420,12 +421,12 @@
     assert!(
         started * 100 >= outcome.tasks.len() * 98,
         "{}",
-        summarize(&outcome).text(&outcome)
+        summary_text(&summarize(&outcome), &outcome)
     );
     assert!(
-        outcome.descriptors[0] > 128 && outcome.descriptors[0] <= 256,
+        outcome.peak_descriptors[0] > 128 && outcome.peak_descriptors[0] <= 256,
         "{:?}",
-        outcome.descriptors
+        outcome.peak_descriptors
     );
     let log = std::fs::read_to_string(folder.path().join("placer-0.log")).expect("a log");
     let closed = log.matches("peer=\"host\"").count();
@@ -498,8 +499,8 @@
     let told = |outcome: &Outcome| {
         format!(
             "{}{}",
-            summarize(outcome).text(outcome),
-            outcome.harm.text()
+            summary_text(&summarize(outcome), outcome),
+            impact_text(&outcome.impact)
         )
     };
     assert!(
@@ -508,14 +509,14 @@
         told(&before),
         told(&as_one)
     );
-    assert!(as_one.harm.offers_a_task() < 1.2, "{}", told(&as_one));
+    assert!(as_one.impact.offers_per_task() < 1.2, "{}", told(&as_one));
     assert!(
-        as_one.harm.offers_a_task() < before.harm.offers_a_task(),
+        as_one.impact.offers_per_task() < before.impact.offers_per_task(),
         "{}",
         told(&before)
     );
     assert!(
-        2 * as_one.harm.trials < before.harm.trials,
+        2 * as_one.impact.offers_to_faulty_hosts < before.impact.offers_to_faulty_hosts,
         "{}{}",
         told(&before),
         told(&as_one)
@@ -546,7 +547,7 @@
 /// The part of the tasks due in a phase that started in aim, of those that `which` picks by their placer.
 fn in_aim(outcome: &Outcome, phase: &str, which: impl Fn(Option<usize>) -> bool) -> f64 {
     let number = outcome
-        .shape
+        .profile
         .phases
         .iter()
         .position(|p| p.name == phase)
@@ -572,8 +573,8 @@
     let told = || {
         format!(
             "{}{}",
-            summarize(&outcome).text(&outcome),
-            outcome.harm.text()
+            summary_text(&summarize(&outcome), &outcome),
+            impact_text(&outcome.impact)
         )
     };
     assert!(
@@ -589,7 +590,7 @@
     }
     // The links were bad: what was offered there came to nothing in time.
     assert!(
-        outcome.counts.again > 0 || outcome.harm.sum(|s| s.in_vain) > 0,
+        outcome.counts.retries > 0 || outcome.impact.total(|second| second.abandoned_offers) > 0,
         "{}",
         told()
     );
@@ -604,8 +605,8 @@
     let told = |outcome: &Outcome| {
         format!(
             "{}{}",
-            summarize(outcome).text(outcome),
-            outcome.harm.text()
+            summary_text(&summarize(outcome), outcome),
+            impact_text(&outcome.impact)
         )
     };
     let after = |outcome: &Outcome| in_aim(outcome, "after", |_| true);
@@ -618,13 +619,13 @@
     );
     // Nothing came to the rack while it was cut off, and less came in vain when it was back.
     let cut = |outcome: &Outcome| {
-        outcome.harm.at[..2]
+        outcome.impact.offers_by_slot[..2]
             .iter()
             .map(|line| line[4] + line[5])
             .sum::<u32>()
     };
     assert_eq!((cut(&before), cut(&as_one)), (0, 0), "{}", told(&as_one));
-    let vain = |outcome: &Outcome| outcome.harm.sum(|s| s.in_vain);
+    let vain = |outcome: &Outcome| outcome.impact.total(|second| second.abandoned_offers);
     assert!(
         vain(&as_one) < vain(&before),
         "{}{}",
