--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -47,7 +47,7 @@
         problems.push(error.to_string());
     }
     let own = loaded.problems.iter();
-    problems.extend(own.map(|problem| problem.line(operator_name)));
+    problems.extend(own.map(|problem| problem.render(operator_name)));
     if let Ok(config) = config {
         let conflicts = conflicts::find(config, &loaded.operator);
         let conflicts = conflicts.iter();
@@ -66,7 +66,7 @@
 }
 
 fn operator_lines(loaded: &Loaded, operator_name: &str) -> Vec<String> {
-    let values = loaded.in_force.iter();
+    let values = loaded.effective_values.iter();
     values
         .map(|value| {
             let origin = value.line.map_or_else(
--- a/src/cli/conflicts.rs
+++ b/src/cli/conflicts.rs
@@ -48,8 +48,8 @@
     let mut conflicts = Vec::new();
     let health = &operator.health;
     for (field, addresses) in [
-        ("health.agent", &health.agent),
-        ("health.http", &health.http),
+        ("health.agent", &health.agent_addresses),
+        ("health.http", &health.http_addresses),
     ] {
         if addresses.contains(&config.listen) {
             let listen = config.listen;
@@ -58,17 +58,17 @@
     }
     let descriptors = config.limits.descriptors;
     let max_connections = descriptors / HEALTH_DESCRIPTOR_DIVISOR;
-    if health.listens() && health.connections > max_connections {
+    if health.listens() && health.max_connections > max_connections {
         conflicts.push(Conflict::TooManyHealthConnections {
-            found: health.connections,
+            found: health.max_connections,
             descriptors,
             max: max_connections,
         });
     }
     let max_queue = config.limits.memory_bytes / LOG_MEMORY_DIVISOR;
-    if operator.log.queue > max_queue {
+    if operator.log.queue_bytes > max_queue {
         conflicts.push(Conflict::LogQueueTooLarge {
-            found: operator.log.queue,
+            found: operator.log.queue_bytes,
             max: max_queue,
         });
     }
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -56,7 +56,7 @@
 /// Returns what is wrong with the operator's file, by itself and beside the configuration.
 fn operator_problems(path: &Path, loaded: &Loaded, config: &Config) -> Vec<String> {
     let name = path.to_string_lossy();
-    let own = loaded.problems.iter().map(|problem| problem.line(&name));
+    let own = loaded.problems.iter().map(|problem| problem.render(&name));
     let conflicts = conflicts::find(config, &loaded.operator);
     let conflicts = conflicts
         .iter()
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -48,8 +48,8 @@
 use super::config::{Config, Limits};
 use super::conn;
 use super::feed::FeedEvents;
-use super::health::gate::Gate;
-use super::health::watch::Watch;
+use super::health::connection_limiter::ConnectionLimiter;
+use super::health::reporter::HealthReporter;
 use super::hosts::{ConnectionId, HostLink};
 use super::timer_wheel::TimerWheel;
 use crate::operator::Operator;
@@ -131,11 +131,11 @@
     /// When the shutdown began.
     shutdown_since: Option<Micros>,
     /// The health engine, where an operator's file asks for it.
-    pub(super) watch: Option<Watch>,
+    pub(super) health_reporter: Option<HealthReporter>,
     /// The connections of load balancers.
-    pub(super) gate: Rc<Gate>,
+    pub(super) balancer_connections: Rc<ConnectionLimiter>,
     /// The connections of operators and of the platform.
-    pub(super) orders: Vec<Rc<Gate>>,
+    pub(super) operator_connections: Vec<Rc<ConnectionLimiter>>,
     /// A drain is over, and the process may exit.
     is_drained: bool,
     /// Whether this process takes requests, by the platform's commands.
@@ -191,9 +191,11 @@
             cached_updates: config.cached_updates,
             is_discovery_up: false,
             shutdown_since: None,
-            watch: operator.watches().then(|| Watch::new(operator, now)),
-            gate: Rc::new(Gate::new(operator.health.connections)),
-            orders: Vec::new(),
+            health_reporter: operator
+                .uses_health_monitor()
+                .then(|| HealthReporter::new(operator, now)),
+            balancer_connections: Rc::new(ConnectionLimiter::new(operator.health.max_connections)),
+            operator_connections: Vec::new(),
             is_drained: false,
             lifecycle: Lifecycle::default(),
             limits: config.limits,
@@ -250,9 +252,9 @@
 /// Returns how many descriptors are set apart for load balancers, operators and the platform.
 fn reserved_descriptors(config: &Config, operator: &Operator) -> usize {
     let health = &operator.health;
-    let health_listeners = health.agent.len() + health.http.len();
+    let health_listeners = health.agent_addresses.len() + health.http_addresses.len();
     let health_connections = if health.listens() {
-        health.connections + CLOSING_HEALTH_CONNECTIONS
+        health.max_connections + CLOSING_HEALTH_CONNECTIONS
     } else {
         0
     };
@@ -261,7 +263,7 @@
     } else {
         0
     };
-    let ctl = if operator.ctl.is_some() {
+    let ctl = if operator.control_socket.is_some() {
         CTL_DESCRIPTORS
     } else {
         0
--- a/src/net/dispatch/endpoint_updates.rs
+++ b/src/net/dispatch/endpoint_updates.rs
@@ -23,7 +23,7 @@
     /// lost.
     pub(super) fn handle_endpoint_update(&mut self, update: EndpointUpdate) {
         let now = self.clock.now();
-        self.record_health_event(now, Event::Feed);
+        self.record_health_event(now, Event::DiscoveryUpdated);
         let is_complete = update.is_complete;
         let AppliedUpdate {
             endpoints,
--- a/src/net/dispatch/responses.rs
+++ b/src/net/dispatch/responses.rs
@@ -32,7 +32,12 @@
         let event = self.abandon_attempt(now, ticket, None, Outcome::Cancelled);
         let request = self.requests.get(&ticket);
         if request.is_some_and(|request| request.state == RequestState::Queued) {
-            self.record_health_event(now, Event::Answered { in_aim: false });
+            self.record_health_event(
+                now,
+                Event::RequestAnswered {
+                    within_objective: false,
+                },
+            );
             let request = self.remove_request(ticket)?;
             if let Some(client) = request.client {
                 let outcome = if cause == Cause::REJECTED {
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -3,10 +3,10 @@
 
 use super::request::{Request, RequestState};
 use super::{Dispatch, MILLISECOND};
-use crate::net::health::watch::{Task, Watch};
+use crate::net::health::reporter::{DrainTask, HealthReporter};
 use task_placer::Micros;
 use task_placer::facade::PlacementEvent;
-use task_placer::health::drain::Hand;
+use task_placer::health::drain::Outstanding;
 use task_placer::operation::lifecycle;
 use tracing::{info, warn};
 
@@ -24,7 +24,11 @@
     /// Handles SIGTERM: where no operator's file asks for a drain, the process shuts down as the platform expects it.
     pub fn terminate(&mut self) {
         let now = self.clock.now();
-        match self.watch.as_mut().and_then(|watch| watch.terminate(now)) {
+        match self
+            .health_reporter
+            .as_mut()
+            .and_then(|reporter| reporter.terminate(now))
+        {
             Some(tasks) => self.run_drain_tasks(now, tasks),
             None if self.shares_listener => {
                 let event = lifecycle::Event::ShutdownRequested {
@@ -37,15 +41,19 @@
     }
 
     /// Does what a drain asks for.
-    pub(super) fn run_drain_tasks(&mut self, now: Micros, tasks: Vec<Task>) {
+    pub(super) fn run_drain_tasks(&mut self, now: Micros, tasks: Vec<DrainTask>) {
         for task in tasks {
             match task {
-                Task::CloseIdle(close) => {
-                    self.closes_idle_clients = close;
+                DrainTask::StartClosingIdle => {
+                    self.closes_idle_clients = true;
                     self.apply_close_idle();
                 }
-                Task::Answer(within) => self.begin_shutdown(now, within),
-                Task::Exit(left) => {
+                DrainTask::StopClosingIdle => {
+                    self.closes_idle_clients = false;
+                    self.apply_close_idle();
+                }
+                DrainTask::AnswerAll { within } => self.begin_shutdown(now, within),
+                DrainTask::Exit { left } => {
                     self.is_drained = true;
                     self.log_unfinished_work(left);
                 }
@@ -54,23 +62,23 @@
     }
 
     /// Returns what a drain waits for.
-    pub(super) fn pending_work(&self) -> Hand {
+    pub(super) fn pending_work(&self) -> Outstanding {
         let now = self.clock.now();
         let pending_responses = self.pending_responses();
-        Hand {
-            owed: pending_responses,
-            standing: self.requests.len() - pending_responses,
-            untold: self.clients.unconfirmed_task_ends(now),
-            unflushed: self.clients.unflushed_connections(),
+        Outstanding {
+            pending_responses,
+            running_tasks: self.requests.len() - pending_responses,
+            unreported_ends: self.clients.unconfirmed_task_ends(now),
+            unflushed_connections: self.clients.unflushed_connections(),
         }
     }
 
     /// Logs what a drain could not wait for, task by task.
-    fn log_unfinished_work(&self, left: Hand) {
+    fn log_unfinished_work(&self, left: Outstanding) {
         info!(
-            owed = left.owed,
-            standing = left.standing,
-            untold = left.untold,
+            owed = left.pending_responses,
+            standing = left.running_tasks,
+            untold = left.unreported_ends,
             "drained"
         );
         for request in self.requests.values() {
@@ -120,7 +128,11 @@
             return false;
         };
         // A drain that has begun the shutdown reports itself when it is over.
-        if self.watch.as_ref().is_some_and(Watch::draining) {
+        if self
+            .health_reporter
+            .as_ref()
+            .is_some_and(HealthReporter::is_draining)
+        {
             return false;
         }
         let has_pending = self.requests.values().any(Request::awaits_response);
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -35,10 +35,10 @@
 }
 
 impl LineQueue {
-    fn new(settings: &operator::Log) -> LineQueue {
+    fn new(settings: &operator::LogSettings) -> LineQueue {
         LineQueue {
             bytes: Vec::new(),
-            max_bytes: settings.queue,
+            max_bytes: settings.queue_bytes,
             dropped: 0,
             format: settings.format,
             is_closed: false,
@@ -159,7 +159,7 @@
 }
 
 /// Sets up the log for the life of the process. A second call keeps the first.
-pub fn start(settings: &operator::Log) {
+pub fn start(settings: &operator::LogSettings) {
     let writer = LOG
         .get_or_init(|| LogWriter(Arc::new(Mutex::new(LineQueue::new(settings)))))
         .clone();
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -23,9 +23,9 @@
 
 #[test]
 fn lines_wait_in_order_and_beyond_the_limit_whole_lines_are_dropped_and_counted() {
-    let mut queue = LineQueue::new(&operator::Log {
-        queue: 30,
-        ..operator::Log::default()
+    let mut queue = LineQueue::new(&operator::LogSettings {
+        queue_bytes: 30,
+        ..operator::LogSettings::default()
     });
     let mut out = Narrow(5, Vec::new());
     for n in 0..6 {
@@ -59,7 +59,7 @@
             Ok(())
         }
     }
-    let mut queue = LineQueue::new(&operator::Log::default());
+    let mut queue = LineQueue::new(&operator::LogSettings::default());
     queue.push(b"line\n");
     queue.write_ready(&mut Broken, || false);
     assert!(!queue.is_closed && !queue.bytes.is_empty());
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -114,7 +114,7 @@
         self.handle_signals(signals, path, new_addresses);
         self.run_until_finished(&acceptor).await;
         accept::shutdown_connections(&self.shared).await;
-        if let Some(socket) = &self.operator.ctl {
+        if let Some(socket) = &self.operator.control_socket {
             let _ = std::fs::remove_file(socket);
         }
         Ok(())
@@ -123,13 +123,13 @@
     /// Opens the listeners of load balancers and operators, where the operator's file and the configuration have them.
     fn open_operator_listeners(&self) -> io::Result<()> {
         health::open(&self.operator.health, &self.executor, &self.shared)?;
-        if let Some(socket) = &self.operator.ctl {
-            let gate = ctl::open(socket, &self.executor, &self.shared)?;
-            self.shared.borrow_mut().orders.push(gate);
+        if let Some(socket) = &self.operator.control_socket {
+            let limiter = ctl::open(socket, &self.executor, &self.shared)?;
+            self.shared.borrow_mut().operator_connections.push(limiter);
         }
         if let Some(address) = self.addresses.admin {
-            let gate = admin::open(address, &self.executor, &self.shared)?;
-            self.shared.borrow_mut().orders.push(gate);
+            let limiter = admin::open(address, &self.executor, &self.shared)?;
+            self.shared.borrow_mut().operator_connections.push(limiter);
         }
         Ok(())
     }
