--- a/src/net/dispatch/host_connections.rs
+++ b/src/net/dispatch/host_connections.rs
@@ -173,15 +173,15 @@
         self.update_priorities(now, host, ConnectionUse::Unchanged);
     }
 
-    /// Returns how long this placer waits for its turn to call a host that did not answer, where turns are taken. While
-    /// tasks run there, their ends are awaited, and the host is called no more seldom than without turns.
+    /// Returns how long this placer waits for its slot to call a host that did not answer, where slots are taken. While
+    /// tasks run there, their ends are awaited, and the host is called no more seldom than without slots.
     fn health_check_delay(&self, now: Micros, host: &HostId) -> Micros {
         if self.request_index.has_running_tasks(host) {
             return 0;
         }
         self.facade
             .overload()
-            .and_then(|overload| overload.wait_for_turn(now, host))
+            .and_then(|overload| overload.wait_for_slot(now, host))
             .unwrap_or(0)
     }
 
--- a/src/net/dispatch/overload_report.rs
+++ b/src/net/dispatch/overload_report.rs
@@ -51,7 +51,7 @@
 
 fn host_report(host: &HostReport) -> OwnedValue {
     let seconds = |span: Micros| span as f64 / 1e6;
-    match host.next_turn_in {
+    match host.next_slot_in {
         Some(turn) => {
             json!({ "host": &*host.host.0, "turn": seconds(turn), "out": host.in_flight })
         }
--- a/src/operator/overload.rs
+++ b/src/operator/overload.rs
@@ -10,8 +10,8 @@
 const MAX_ATTEMPTS: f64 = 1_024.0;
 const MAX_PLACERS: u64 = 1_024;
 const MAX_RETRY_STOCK: f64 = 65_536.0;
-const MIN_TURN: Duration = Duration::from_millis(10);
-const MAX_TURN: Duration = Duration::from_secs(10);
+const MIN_SLOT_LENGTH: Duration = Duration::from_millis(10);
+const MAX_SLOT_LENGTH: Duration = Duration::from_secs(10);
 
 /// Reads the table.
 pub(super) fn read(reader: &mut Reader<'_>, root: &mut Section<'_>) -> Features {
@@ -176,17 +176,17 @@
         |placers| (1..=MAX_PLACERS).contains(placers),
         "1 to 1024",
     );
-    let turn_length = reader.checked(
+    let slot_length = reader.checked(
         &mut section,
         "step",
-        span(default.turn_length),
-        |length| (MIN_TURN..=MAX_TURN).contains(length),
+        span(default.slot_length),
+        |length| (MIN_SLOT_LENGTH..=MAX_SLOT_LENGTH).contains(length),
         "10ms to 10s",
     );
     reader.close(&section);
     is_enabled.then_some(health_check_schedule::Settings {
         concurrent_placers: usize::try_from(concurrent_placers)
             .unwrap_or(default.concurrent_placers),
-        turn_length: micros(turn_length),
+        slot_length: micros(slot_length),
     })
 }
--- a/src/overload/concurrency_limit.rs
+++ b/src/overload/concurrency_limit.rs
@@ -16,7 +16,7 @@
 //!   │ open │                                  │ open │
 //!   └──┬───┘ ◀────────── a start ──────┐      └──────┘
 //!      │ consecutive losses            │
-//!      └─────────────────▶ ┌───────────┴┐  own turn: one attempt as a health check
+//!      └─────────────────▶ ┌───────────┴┐  own slot: one attempt as a health check
 //!                          │  suspect   │ ────────────────────▶ (suspect again, or open)
 //!                          └────────────┘
 //! ```
--- a/src/overload/controller.rs
+++ b/src/overload/controller.rs
@@ -258,10 +258,10 @@
         });
     }
 
-    /// Returns how long a connection attempt to a host that did not answer must wait for this placer's turn,
+    /// Returns how long a connection attempt to a host that did not answer must wait for this placer's slot,
     /// beyond its own backoff; `None` if it need not.
-    pub fn wait_for_turn(&self, now: Micros, host: &HostId) -> Option<Micros> {
-        self.hosts.wait_for_turn(now, host)
+    pub fn wait_for_slot(&self, now: Micros, host: &HostId) -> Option<Micros> {
+        self.hosts.wait_for_slot(now, host)
     }
 
     /// Returns the state of the controller.
@@ -317,7 +317,7 @@
     let schedule = features.health_check_schedule.clone();
     HostTable::new(HostTableConfig {
         limits: features.concurrency_limit.clone(),
-        turn_length: schedule.as_ref().map_or(0, |schedule| schedule.turn_length),
+        slot_length: schedule.as_ref().map_or(0, |schedule| schedule.slot_length),
         schedule: schedule.map(|schedule| {
             HealthCheckSchedule::new(schedule, settings.placer_index, settings.placer_count)
         }),
--- a/src/overload/health_check_schedule.rs
+++ b/src/overload/health_check_schedule.rs
@@ -3,17 +3,17 @@
 //! Every placer finds out by itself that a host, cell or zone is silent. If each then connected and probed at
 //! will, the load would grow with their number. Instead the placers are ranked for each host by rendezvous
 //! hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), in groups of
-//! `concurrent_placers`, and the clock is divided into one turn for each group. At most one group has its turn
-//! at any moment, and every group gets its turn in each round, so a group whose placers are down costs one
-//! turn. No messages are exchanged: a placer knows only its index and the number of placers.
+//! `concurrent_placers`, and the clock is divided into one slot for each group. At most one group has its slot
+//! at any moment, and every group gets its slot in each round, so a group whose placers are down costs one
+//! slot. No messages are exchanged: a placer knows only its index and the number of placers.
 //!
 //! The clock is the wall clock, slewed where the system's is stepped (`net::clock`). If the clocks of two
-//! placers differ by up to a turn, two groups may overlap, and the limit is then twice `concurrent_placers`.
+//! placers differ by up to a slot, two groups may overlap, and the limit is then twice `concurrent_placers`.
 
 use crate::Micros;
 use crate::state::hash::combine_hashes;
 
-/// After failed health checks, a placer still uses at least one in 2 to this power of its turns.
+/// After failed health checks, a placer still uses at least one in 2 to this power of its slots.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// Salt of the hash by which the rounds of different hosts start at different times.
 const ROUND_OFFSET_SALT: u64 = 0x7475_726e;
@@ -23,29 +23,29 @@
 pub struct Settings {
     /// Placers that may check one host at a time.
     pub concurrent_placers: usize,
-    /// How long their turn lasts.
-    pub turn_length: Micros,
+    /// How long their slot lasts.
+    pub slot_length: Micros,
 }
 
 impl Default for Settings {
     fn default() -> Settings {
         Settings {
             concurrent_placers: 2,
-            turn_length: 250_000,
+            slot_length: 250_000,
         }
     }
 }
 
-/// This placer's turn at one host, at some time.
+/// This placer's time slot at one host, at some time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Turn {
-    /// Whether the turn is now.
+pub struct TimeSlot {
+    /// Whether the slot is now.
     pub is_active: bool,
-    /// When the next turn begins, by the wall clock.
+    /// When the next slot begins, by the wall clock.
     pub next_starts_at: Micros,
 }
 
-/// The turns of one placer.
+/// The slots of one placer.
 #[derive(Debug, Clone)]
 pub struct HealthCheckSchedule {
     settings: Settings,
@@ -63,7 +63,7 @@
         HealthCheckSchedule {
             settings: Settings {
                 concurrent_placers: settings.concurrent_placers.max(1),
-                turn_length: settings.turn_length.max(1),
+                slot_length: settings.slot_length.max(1),
             },
             placer_index,
             placer_count: placer_count.max(placer_index + 1),
@@ -79,52 +79,52 @@
             .count()
     }
 
-    /// Returns the time between the starts of two turns of one placer at a host.
+    /// Returns the time between the starts of two slots of one placer at a host.
     pub fn round_length(&self) -> Micros {
         let groups = self.placer_count.div_ceil(self.settings.concurrent_placers) as i64;
-        groups * self.settings.turn_length
+        groups * self.settings.slot_length
     }
 
-    /// Returns this placer's turn at a host, at the time `wall_clock`.
-    pub fn turn(&self, host_hash: u64, wall_clock: Micros) -> Turn {
-        self.turn_with_backoff(host_hash, wall_clock, 0)
+    /// Returns this placer's slot at a host, at the time `wall_clock`.
+    pub fn slot(&self, host_hash: u64, wall_clock: Micros) -> TimeSlot {
+        self.slot_with_backoff(host_hash, wall_clock, 0)
     }
 
-    /// Returns this placer's turn at a host after `failed_checks` consecutive failures.
+    /// Returns this placer's slot at a host after `failed_checks` consecutive failures.
     ///
     /// Only every second, fourth or eighth turn is then used, so that few tasks lose time at a host that stays
-    /// down. At most so many rounds pass without a turn.
-    pub fn turn_with_backoff(
+    /// down. At most so many rounds pass without a slot.
+    pub fn slot_with_backoff(
         &self,
         host_hash: u64,
         wall_clock: Micros,
         failed_checks: u32,
-    ) -> Turn {
-        let turn = self.turn_in_round(host_hash, wall_clock);
+    ) -> TimeSlot {
+        let slot = self.slot_in_round(host_hash, wall_clock);
         let used_every = 1i64 << failed_checks.min(MAX_BACKOFF_DOUBLINGS);
         // Different groups skip different rounds.
         let group_skew = self.rank(host_hash) as i64 / self.settings.concurrent_placers as i64;
         let is_used = |at: Micros| {
             (self.round_number(host_hash, at) + group_skew).rem_euclid(used_every) == 0
         };
-        let mut next_starts_at = turn.next_starts_at;
+        let mut next_starts_at = slot.next_starts_at;
         while !is_used(next_starts_at) {
             next_starts_at += self.round_length();
         }
-        Turn {
-            is_active: turn.is_active && is_used(wall_clock),
+        TimeSlot {
+            is_active: slot.is_active && is_used(wall_clock),
             next_starts_at,
         }
     }
 
-    fn turn_in_round(&self, host_hash: u64, wall_clock: Micros) -> Turn {
+    fn slot_in_round(&self, host_hash: u64, wall_clock: Micros) -> TimeSlot {
         let group = (self.rank(host_hash) / self.settings.concurrent_placers) as i64;
         let time_in_round =
             (wall_clock + self.round_offset(host_hash)).rem_euclid(self.round_length());
-        let starts = group * self.settings.turn_length;
-        let ends = starts + self.settings.turn_length;
+        let starts = group * self.settings.slot_length;
+        let ends = starts + self.settings.slot_length;
         let wait = (starts - time_in_round).rem_euclid(self.round_length());
-        Turn {
+        TimeSlot {
             is_active: time_in_round >= starts && time_in_round < ends,
             next_starts_at: wall_clock + if wait == 0 { self.round_length() } else { wait },
         }
--- a/src/overload/host.rs
+++ b/src/overload/host.rs
@@ -1,7 +1,7 @@
 //! One host of the endpoint list with its concurrency limit.
 
 use super::concurrency_limit::{ConcurrencyLimit, Delivery, HostResponse};
-use super::health_check_schedule::Turn;
+use super::health_check_schedule::TimeSlot;
 use crate::{CellId, Micros, Outcome, OutcomeDetail, ZoneId};
 
 /// One host.
@@ -13,8 +13,8 @@
     pub started_at: Micros,
     pub is_up: bool,
     pub limit: ConcurrencyLimit,
-    /// While suspect: it is this placer's turn, and the health check of the turn was allowed.
-    pub turn_is_used: bool,
+    /// While suspect: it is this placer's slot, and the health check of the slot was allowed.
+    pub slot_is_used: bool,
     /// Consecutive health checks that failed.
     pub failed_checks: u32,
     /// The limit that the module was last notified of, if any.
@@ -60,19 +60,19 @@
         }
     }
 
-    /// A suspect host gets one attempt as a health check in each turn of this placer.
+    /// A suspect host gets one attempt as a health check in each slot of this placer.
     pub fn limit_while_suspect(
         &mut self,
         now: Micros,
-        turn: Turn,
-        turn_length: Micros,
+        slot: TimeSlot,
+        slot_length: Micros,
         wall_clock_offset: Micros,
     ) -> HostLimit {
-        let health_check = turn.is_active && !self.turn_is_used && self.limit.in_flight() == 0;
-        self.turn_is_used = turn.is_active;
+        let health_check = slot.is_active && !self.slot_is_used && self.limit.in_flight() == 0;
+        self.slot_is_used = slot.is_active;
         let max_in_flight = if health_check {
             1
-        } else if turn.is_active {
+        } else if slot.is_active {
             self.notified.flatten().unwrap_or(0)
         } else {
             0
@@ -80,11 +80,11 @@
         HostLimit {
             max_in_flight: Some(max_in_flight),
             health_check,
-            // The end of an active turn comes before the next one.
-            refresh_at: Some(if turn.is_active {
-                now + turn_length
+            // The end of an active slot comes before the next one.
+            refresh_at: Some(if slot.is_active {
+                now + slot_length
             } else {
-                turn.next_starts_at - wall_clock_offset
+                slot.next_starts_at - wall_clock_offset
             }),
         }
     }
--- a/src/overload/hosts.rs
+++ b/src/overload/hosts.rs
@@ -23,7 +23,7 @@
     limit_settings: concurrency_limit::Settings,
     limits_are_enabled: bool,
     schedule: Option<HealthCheckSchedule>,
-    turn_length: Micros,
+    slot_length: Micros,
     placer_count: usize,
     /// The shortest latency objective of any class.
     latency_objective: Micros,
@@ -38,7 +38,7 @@
 pub(super) struct HostTableConfig {
     pub limits: Option<concurrency_limit::Settings>,
     pub schedule: Option<HealthCheckSchedule>,
-    pub turn_length: Micros,
+    pub slot_length: Micros,
     pub placer_count: usize,
     pub latency_objective: Micros,
     pub wall_clock_offset: Micros,
@@ -52,7 +52,7 @@
             limits_are_enabled: config.limits.is_some(),
             limit_settings: config.limits.unwrap_or_default(),
             schedule: config.schedule,
-            turn_length: config.turn_length,
+            slot_length: config.slot_length,
             placer_count: config.placer_count,
             latency_objective: config.latency_objective,
             wall_clock_offset: config.wall_clock_offset,
@@ -131,7 +131,7 @@
                 started_at: endpoint.started_at,
                 is_up: true,
                 limit: fresh_limit(),
-                turn_is_used: false,
+                slot_is_used: false,
                 failed_checks: 0,
                 notified: None,
                 refresh_at: None,
@@ -207,15 +207,15 @@
         if let Some(schedule) = &self.schedule
             && host.limit.is_suspect()
         {
-            let turn = schedule.turn_with_backoff(
+            let slot = schedule.slot_with_backoff(
                 host.hash,
                 self.wall_clock_offset + now,
                 host.failed_checks,
             );
             return Some(host.limit_while_suspect(
                 now,
-                turn,
-                self.turn_length,
+                slot,
+                self.slot_length,
                 self.wall_clock_offset,
             ));
         }
@@ -302,7 +302,7 @@
         if let Some(host) = self.hosts.get_mut(id) {
             host.limit
                 .attempt_started(&self.limit_settings, now, delay, latency_objective);
-            host.turn_is_used = false;
+            host.slot_is_used = false;
             host.failed_checks = 0;
         }
     }
@@ -331,14 +331,14 @@
         let up = self.hosts.iter().filter(|(_, host)| host.is_up);
         up.map(|(id, host)| {
             let is_suspect = self.schedule.is_some() && host.limit.is_suspect();
-            let next_turn_in = is_suspect.then(|| self.wait_for_turn(now, id).unwrap_or(0));
+            let next_slot_in = is_suspect.then(|| self.wait_for_slot(now, id).unwrap_or(0));
             HostReport {
                 host: id.clone(),
                 window: host.limit.window(),
                 in_flight: host.limit.in_flight(),
                 mean_delay: host.limit.mean_delay(),
                 is_suspect,
-                next_turn_in,
+                next_slot_in,
             }
         })
         .collect()
--- a/src/overload/hosts/suspect.rs
+++ b/src/overload/hosts/suspect.rs
@@ -1,7 +1,7 @@
-//! Suspect hosts: health checks in turns, and zones of which several cells are silent.
+//! Suspect hosts: health checks in slots, and zones of which several cells are silent.
 
 use super::HostTable;
-use crate::overload::health_check_schedule::Turn;
+use crate::overload::health_check_schedule::TimeSlot;
 use crate::overload::host::Host;
 use crate::{CellId, HostId, Limit, Micros, ZoneId};
 use std::collections::BTreeMap;
@@ -87,16 +87,16 @@
         suspect_cells >= SUSPECT_CELLS_OF_ZONE && suspect_cells < cells.len()
     }
 
-    /// The time until this placer's next turn at a host; `None` if the turn is now or the host is not scheduled.
-    pub fn wait_for_turn(&self, now: Micros, id: &HostId) -> Option<Micros> {
-        let turn = self.turn(now, self.hosts.get(id)?)?;
-        (!turn.is_active).then(|| turn.next_starts_at - self.wall_clock_offset - now)
+    /// The time until this placer's next slot at a host; `None` if the slot is now or the host is not scheduled.
+    pub fn wait_for_slot(&self, now: Micros, id: &HostId) -> Option<Micros> {
+        let slot = self.slot(now, self.hosts.get(id)?)?;
+        (!slot.is_active).then(|| slot.next_starts_at - self.wall_clock_offset - now)
     }
 
-    fn turn(&self, now: Micros, host: &Host) -> Option<Turn> {
+    fn slot(&self, now: Micros, host: &Host) -> Option<TimeSlot> {
         let wall_clock = self.wall_clock_offset + now;
         self.schedule
             .as_ref()
-            .map(|schedule| schedule.turn_with_backoff(host.hash, wall_clock, host.failed_checks))
+            .map(|schedule| schedule.slot_with_backoff(host.hash, wall_clock, host.failed_checks))
     }
 }
--- a/src/overload/report.rs
+++ b/src/overload/report.rs
@@ -23,7 +23,7 @@
     pub retries_denied_by_placer: u64,
     /// Retries denied by the budget of a host, a cell or a zone.
     pub retries_denied_by_domain: u64,
-    /// Attempts to suspect hosts in this placer's turns.
+    /// Attempts to suspect hosts in the time slots of this placer.
     pub health_checks: u64,
     /// Hosts that became suspect.
     pub suspect_hosts: u64,
@@ -73,8 +73,8 @@
     pub mean_delay: Micros,
     /// Whether the host is suspect.
     pub is_suspect: bool,
-    /// Time until this placer's next turn to check the host, if it is suspect.
-    pub next_turn_in: Option<Micros>,
+    /// Time until this placer's next slot to check the host, if it is suspect.
+    pub next_slot_in: Option<Micros>,
 }
 
 /// The state of the controller.
--- a/tests/overload_digest.rs
+++ b/tests/overload_digest.rs
@@ -175,7 +175,7 @@
         write!(digest, "{name} {count};").expect("a string");
     }
     for host in &report.hosts {
-        let wait = controller.wait_for_turn(STEPS as Micros * STEP, &host.host);
+        let wait = controller.wait_for_slot(STEPS as Micros * STEP, &host.host);
         write!(
             digest,
             "{} {:.9} {} ",
@@ -185,7 +185,7 @@
         write!(
             digest,
             "{} {:?} {wait:?};",
-            host.mean_delay, host.next_turn_in
+            host.mean_delay, host.next_slot_in
         )
         .expect("a string");
     }
--- a/tests/overload_random.rs
+++ b/tests/overload_random.rs
@@ -94,7 +94,7 @@
         );
     }
 
-    /// Never more than `concurrent_placers` at any time, and each placer has its turn once in a round.
+    /// Never more than `concurrent_placers` at any time, and each placer has its slot once in a round.
     #[test]
     fn every_placer_has_its_turn_and_only_so_many_at_a_time(
         placers in 1usize..200,
@@ -102,12 +102,12 @@
         host in any::<u64>(),
         at in 0i64..1_000_000 * SECOND,
     ) {
-        let settings = health_check_schedule::Settings { concurrent_placers, turn_length: 250_000 };
+        let settings = health_check_schedule::Settings { concurrent_placers, slot_length: 250_000 };
         let schedules: Vec<HealthCheckSchedule> = (0..placers)
             .map(|placer| HealthCheckSchedule::new(settings.clone(), placer, placers))
             .collect();
 
-        let active = schedules.iter().filter(|schedule| schedule.turn(host, at).is_active).count();
+        let active = schedules.iter().filter(|schedule| schedule.slot(host, at).is_active).count();
         prop_assert!((1..=concurrent_placers).contains(&active), "{} at once", active);
 
         let mut ranks: Vec<usize> = schedules.iter().map(|schedule| schedule.rank(host)).collect();
@@ -115,12 +115,12 @@
         prop_assert_eq!(ranks, (0..placers).collect::<Vec<_>>());
 
         for schedule in &schedules {
-            let next = schedule.turn(host, at).next_starts_at;
+            let next = schedule.slot(host, at).next_starts_at;
             prop_assert!(next > at && next <= at + schedule.round_length(), "comes within a round");
-            prop_assert!(schedule.turn(host, next).is_active, "and has begun then");
+            prop_assert!(schedule.slot(host, next).is_active, "and has begun then");
             prop_assert!(
-                !schedule.turn(host, next - 1).is_active
-                    || schedule.round_length() == settings.turn_length
+                !schedule.slot(host, next - 1).is_active
+                    || schedule.round_length() == settings.slot_length
             );
         }
     }
