--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -63,7 +63,7 @@
     executor
         .spawn(accept(listener, limiter.clone(), shared.clone()))
         .detach();
-    info!(%address, "takes calls");
+    info!(%address, "admin listener open");
     Ok(limiter)
 }
 
@@ -72,10 +72,10 @@
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let dispatch = shared.borrow();
-                let permit = limiter.admit(dispatch.clock.now() + CONNECTION_TIMEOUT);
+                let place = limiter.admit(dispatch.clock.now() + CONNECTION_TIMEOUT);
                 dispatch
                     .tasks
-                    .spawn(serve(stream, peer, permit, limiter.clone(), shared.clone()));
+                    .spawn(serve(stream, peer, place, limiter.clone(), shared.clone()));
             }
             Err(e) => pause_after_accept_error(&shared, &e).await,
         }
@@ -88,12 +88,12 @@
 async fn serve(
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    permit: ConnectionPermit,
+    place: ConnectionPermit,
     limiter: Rc<ConnectionLimiter>,
     shared: Shared,
 ) {
     let evicted = async {
-        permit.evicted().await;
+        place.evicted().await;
         EndReason::Evicted
     };
     let served = async {
@@ -102,7 +102,7 @@
         reason
     };
     let reason = future::or(served, evicted).await;
-    limiter.release(&permit);
+    limiter.release(&place);
     // The platform checks ten times a second.
     match reason {
         EndReason::Answered => debug!(%peer, %reason, "admin connection ended"),
--- a/src/net/conn/tests.rs
+++ b/src/net/conn/tests.rs
@@ -43,9 +43,9 @@
     let (conn, mut peer) = pair();
     // Unread input at the peer: its close resets the connection.
     assert!(conn.send(0, b"never read"));
-    let mut heard = Vec::new();
+    let mut received = Vec::new();
     let run = conn.run(|inbox| {
-        heard.append(inbox);
+        received.append(inbox);
         Ok(())
     });
     let fails = async {
@@ -55,11 +55,11 @@
         while conn.send(0, b"into the void") {}
     };
     let (end, ()) = async_io::block_on(future::zip(run, fails));
-    assert_eq!((end, heard.len()), (CloseReason::Reset, 3 * CHUNK_BYTES));
+    assert_eq!((end, received.len()), (CloseReason::Reset, 3 * CHUNK_BYTES));
 }
 
 #[test]
-fn unread_input_is_reported() {
+fn unread_input_is_counted_up_to_one_read() {
     let (conn, mut peer) = pair();
     assert_eq!(conn.unread(), Unread::Nothing);
     peer.write_all(&[7; 3]).expect("it has room");
@@ -72,7 +72,13 @@
         (conn.unread(), conn.unread().fits_next_read()),
         (Unread::Bytes(CHUNK_BYTES), false)
     );
+}
+
+#[test]
+fn close_of_the_peer_is_seen_before_it_is_read() {
     let (conn, peer) = pair();
+
     drop(peer);
+
     assert_eq!(conn.unread(), Unread::EndOfStream);
 }
--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -26,7 +26,7 @@
 /// Bytes that one read takes at most.
 const READ_BUFFER_BYTES: usize = 1_024;
 /// The mode bits that a new socket does not get: all but reading and writing by its owner.
-const OWNER_ONLY_UMASK: u32 = 0o177;
+const PRIVATE_UMASK: u32 = 0o177;
 
 /// Why a connection ended, as the log names it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -65,12 +65,12 @@
     let with_path =
         |e: io::Error| io::Error::new(e.kind(), format!("ctl.socket: {}: {e}", path.display()));
     remove_stale_socket(path).map_err(with_path)?;
-    let listener = bind_for_owner(path).map_err(with_path)?;
+    let listener = bind_private(path).map_err(with_path)?;
     let limiter = Rc::new(ConnectionLimiter::new(MAX_CONNECTIONS));
     executor
         .spawn(accept(listener, limiter.clone(), shared.clone()))
         .detach();
-    info!(socket = %path.display(), "takes orders");
+    info!(socket = %path.display(), "control socket open");
     Ok(limiter)
 }
 
@@ -87,8 +87,8 @@
 }
 
 /// Binds the socket so that from its first moment on nobody but its owner may use it.
-fn bind_for_owner(path: &Path) -> io::Result<Async<UnixListener>> {
-    let before = umask(Mode::from_raw_mode(OWNER_ONLY_UMASK));
+fn bind_private(path: &Path) -> io::Result<Async<UnixListener>> {
+    let before = umask(Mode::from_raw_mode(PRIVATE_UMASK));
     let bound = Async::<UnixListener>::bind(path);
     umask(before);
     bound
@@ -99,10 +99,10 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let dispatch = shared.borrow();
-                let permit = limiter.admit(dispatch.clock.now() + COMMAND_TIMEOUT);
+                let place = limiter.admit(dispatch.clock.now() + COMMAND_TIMEOUT);
                 dispatch
                     .tasks
-                    .spawn(serve(stream, permit, limiter.clone(), shared.clone()));
+                    .spawn(serve(stream, place, limiter.clone(), shared.clone()));
             }
             Err(e) => pause_after_accept_error(&shared, &e).await,
         }
@@ -113,24 +113,24 @@
 /// Serves one connection until it ends or is evicted.
 async fn serve(
     stream: Async<UnixStream>,
-    permit: ConnectionPermit,
+    place: ConnectionPermit,
     limiter: Rc<ConnectionLimiter>,
     shared: Shared,
 ) {
     let evicted = async {
-        permit.evicted().await;
+        place.evicted().await;
         EndReason::Late
     };
-    let served = serve_commands(&stream, &permit, &limiter, &shared);
+    let served = serve_commands(&stream, &place, &limiter, &shared);
     let reason = future::or(served, evicted).await;
-    limiter.release(&permit);
+    limiter.release(&place);
     info!(%reason, "ctl connection ended");
 }
 
 /// Reads commands, runs them, and writes their replies until the connection ends.
 async fn serve_commands(
     mut stream: &Async<UnixStream>,
-    permit: &ConnectionPermit,
+    place: &ConnectionPermit,
     limiter: &ConnectionLimiter,
     shared: &Shared,
 ) -> EndReason {
@@ -154,6 +154,6 @@
         if stream.write_all(&ctl::encode_reply(result)).await.is_err() {
             return EndReason::Failed;
         }
-        limiter.extend(permit, shared.borrow().clock.now() + COMMAND_TIMEOUT);
+        limiter.extend(place, shared.borrow().clock.now() + COMMAND_TIMEOUT);
     }
 }
--- a/src/net/dispatch/admin_commands.rs
+++ b/src/net/dispatch/admin_commands.rs
@@ -16,7 +16,7 @@
 use tracing::info;
 
 impl Dispatch {
-    /// Whether this process takes requests: what every health check is told.
+    /// Whether this process takes requests: the result of every health check.
     pub fn serves(&self) -> bool {
         self.is_listening
             && !self.is_shutting_down()
--- a/src/net/dispatch/responses.rs
+++ b/src/net/dispatch/responses.rs
@@ -13,7 +13,7 @@
 use super::Dispatch;
 use super::request::RequestState;
 use crate::net::clients::ClientId;
-use crate::net::codec::{TaskId, binary, cause};
+use crate::net::codec::{Cause, TaskId, binary};
 use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::Event;
 use task_placer::operation::counters::RequestOutcome;
@@ -26,7 +26,7 @@
         &mut self,
         now: Micros,
         ticket: Ticket,
-        cause: u8,
+        cause: Cause,
         retry_after_ms: Option<u64>,
     ) -> Option<PlacementEvent> {
         let event = self.abandon_attempt(now, ticket, None, Outcome::Cancelled);
@@ -40,7 +40,7 @@
             );
             let request = self.remove_request(ticket)?;
             if let Some(client) = request.client {
-                let outcome = if cause == cause::REJECTED {
+                let outcome = if cause == Cause::REJECTED {
                     RequestOutcome::Rejected
                 } else {
                     RequestOutcome::Failed
@@ -71,7 +71,7 @@
 
     /// Sends the final response to a request that neither the decision module nor a host sees.
     pub(super) fn respond_invalid(&mut self, now: Micros, client: ClientId, id: TaskId) {
-        let message = binary::release(id, cause::FAILED, None);
+        let message = binary::release(id, Cause::FAILED, None);
         self.clients.send(now, client, &message);
     }
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -165,7 +165,7 @@
     }
 }
 
-// AdminSocket to a host that does not answer take as long as the settings allow, and what waited leaves together.
+// Connects to a host that does not answer take as long as the settings allow, and what waited leaves together.
 #[test]
 fn attempts_that_waited_for_a_connection_keep_the_slow_start_budget() {
     // The first part of the budget waits as long as it may, and the next comes at once.
@@ -183,7 +183,7 @@
 
     /// Whatever the fleet, what is borne, the restarts and the time that offers take.
     #[test]
-    fn the_sum_over_all_placers_is_borne(
+    fn sum_over_all_placers_stays_within_tolerance(
         placers in 1usize..40,
         borne in 2.0f64..120.0,
         restarts in prop::collection::vec((0i64..4_000, 0.0f64..1.0), 0..6),
@@ -224,19 +224,19 @@
 /// All offers that come to a host, and when; each is answered at once.
 fn collect(
     host: &Host,
-    conns: &mut Vec<HostConnection>,
+    connections: &mut Vec<HostConnection>,
     times: &mut Vec<Micros>,
     start: Instant,
     span: Duration,
 ) {
     let end = Instant::now() + span;
     while Instant::now() < end {
-        conns.extend(host.accept_within(Duration::from_millis(1)));
-        for conn in conns.iter_mut() {
-            while let Some(message) = conn.read_within(Duration::from_millis(1)) {
+        connections.extend(host.accept_within(Duration::from_millis(1)));
+        for connection in connections.iter_mut() {
+            while let Some(message) = connection.read_within(Duration::from_millis(1)) {
                 if message.get_str("t") == Some("new") {
                     times.push(start.elapsed().as_micros() as Micros);
-                    conn.report_running(message.get_str("ref").expect("an id"));
+                    connection.report_running(message.get_str("ref").expect("an id"));
                 }
             }
         }
@@ -249,7 +249,7 @@
     let borne = 30.0;
     let mut feeds: Vec<Feed> = (0..3).map(|_| Feed::new()).collect();
     let host = Host::new("h0", "north");
-    let (start, mut times, mut conns) = (Instant::now(), Vec::new(), Vec::new());
+    let (start, mut times, mut connections) = (Instant::now(), Vec::new(), Vec::new());
     let mut born = 0;
     for life in 0..2 {
         let mut programs = Vec::new();
@@ -293,7 +293,7 @@
         }
         collect(
             &host,
-            &mut conns,
+            &mut connections,
             &mut times,
             start,
             Duration::from_millis(if life == 0 { 150 } else { 2_000 }),
