--- a/crates/load-test/src/report_table/error.rs
+++ b/crates/load-test/src/report_table/error.rs
@@ -71,7 +71,7 @@
     /// The column; none where it is the row itself.
     pub column: Option<String>,
     /// What is wrong.
-    pub problem: TableProblem,
+    pub problem: Box<TableProblem>,
 }
 
 impl TableError {
@@ -81,7 +81,7 @@
             file: file.to_path_buf(),
             row: None,
             column: None,
-            problem: problem.into(),
+            problem: Box::new(problem.into()),
         }
     }
 
@@ -109,7 +109,7 @@
 
 impl std::error::Error for TableError {
     fn source(&self) -> Option<&(dyn std::error::Error + 'static)> {
-        Some(&self.problem)
+        Some(self.problem.as_ref())
     }
 }
 
