--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -20,20 +20,20 @@
 //! `starting` goes to `degraded` instead of `up` where its slow start ends below 95.
 
 pub mod drain;
-mod fleet;
+mod fleet_evidence;
 mod signal;
+pub(crate) mod sliding_window;
 mod weight;
-pub(crate) mod window;
 
-pub use fleet::{Zone, unreached};
+pub use fleet_evidence::{Zone, unreached};
 pub use signal::{Code, Ramp, Reading};
 pub use weight::{Pace, Weight};
 
-use crate::{Detail, Micros, Outcome};
-use fleet::Fleet;
+use crate::{Micros, Outcome, OutcomeDetail};
+use fleet_evidence::Fleet;
+use sliding_window::Window;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
-use window::Window;
 
 const SECOND: Micros = 1_000_000;
 /// Transitions that are remembered.
@@ -187,12 +187,12 @@
         /// Placed, and in time.
         in_aim: bool,
     },
-    /// An offer ended; `Outcome::Ok` stands for a start.
+    /// An offer ended; `Outcome::Completed` stands for a start.
     Offer {
         /// How.
         outcome: Outcome,
         /// Why.
-        detail: Detail,
+        detail: OutcomeDetail,
         /// Its time at the host over the aim of its class.
         stretch: f64,
     },
--- a/src/net/hosts/tests.rs
+++ b/src/net/hosts/tests.rs
@@ -1,36 +1,47 @@
-//! When a host is forgotten.
+//! Tests of `hosts.rs`: when a host is forgotten.
 
 use super::*;
 use std::sync::Arc;
-use task_placer::{Entry, KindId, ZoneId};
+use task_placer::{Endpoint, KindId, ZoneId};
 
 #[test]
-fn a_host_is_forgotten_once_it_is_gone_and_its_connections_have_ended() {
-    let entry = Entry {
+fn removed_host_is_forgotten_once_its_connections_have_ended() {
+    let endpoint = Endpoint {
         host: HostId(Arc::from("h0")),
         zone: ZoneId(0),
         cell: CellId(0),
         kind: KindId(0),
-        state: HostState::Up,
-        ready_at: 0,
+        state: EndpointState::Up,
+        started_at: 0,
         free_cores: 0.0,
         free_memory: 0.0,
     };
-    let mut link = Link::new(&Listed { entry, dial: None });
+    let mut link = HostLink::new(&DiscoveredEndpoint {
+        endpoint,
+        address: None,
+    });
     let (stop, _stopped) = async_channel::bounded(1);
-    for (state, phase, over) in [
-        (HostState::Up, Phase::Down, false),
-        (HostState::Draining, Phase::Down, false),
-        (HostState::Gone, Phase::Connecting(stop), false),
-        (HostState::Gone, Phase::Down, true),
+    for (state, connection, is_forgotten) in [
+        (EndpointState::Up, ConnectionState::Disconnected, false),
+        (
+            EndpointState::Draining,
+            ConnectionState::Disconnected,
+            false,
+        ),
+        (
+            EndpointState::Removed,
+            ConnectionState::Connecting(stop),
+            false,
+        ),
+        (EndpointState::Removed, ConnectionState::Disconnected, true),
     ] {
-        (link.state, link.phase) = (state, phase);
-        assert_eq!(link.over(), over, "{state:?}");
+        (link.state, link.connection) = (state, connection);
+        assert_eq!(link.can_be_forgotten(), is_forgotten, "{state:?}");
     }
-    link.waiting.push(Waiting {
+    link.pending_attempts.push(PendingAttempt {
         ticket: Ticket(1),
         attempt: 0,
-        mark: None,
+        read_mark: None,
     });
-    assert!(!link.over(), "an offer still waits");
+    assert!(!link.can_be_forgotten(), "an attempt is still pending");
 }
--- /dev/null
+++ b/src/operation/process_group.rs
@@ -0,0 +1,109 @@
+//! Splits the slow-start budget among the processes of one placer.
+//!
+//! During a rolling upgrade an old and a new process serve under one name. Limits apply to the placer as a
+//! whole, so each process may use only its part. The part grows back once the attempts of a process that has
+//! exited no longer count against the limit.
+//!
+//! The process that was running first has index 0, one that finds it running has index 1. Pure: time is an
+//! argument, and there is no I/O.
+
+use crate::Micros;
+
+/// The part of a placer-wide limit that one process may use: `1 / process_count`.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct BudgetShare {
+    /// Processes whose attempts count against the limit.
+    pub process_count: u32,
+    /// The index of this process among them.
+    pub process_index: u32,
+}
+
+impl BudgetShare {
+    /// The whole limit, for a process without peers.
+    pub const WHOLE: BudgetShare = BudgetShare {
+        process_count: 1,
+        process_index: 0,
+    };
+}
+
+/// Whether a peer process was running before this one started.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum PeerAge {
+    /// It was running before.
+    Older,
+    /// It started later.
+    Younger,
+}
+
+/// The peer processes of this one, and the share that results.
+#[derive(Debug, Clone)]
+pub struct ProcessGroup {
+    /// How long an attempt counts against the slow-start budget.
+    accounting_window: Micros,
+    live_peers: u32,
+    share: BudgetShare,
+    share_may_grow_at: Micros,
+}
+
+impl ProcessGroup {
+    /// Creates a group without peers, whose share is whole.
+    pub fn new(accounting_window: Micros) -> ProcessGroup {
+        ProcessGroup {
+            accounting_window: accounting_window.max(0),
+            live_peers: 0,
+            share: BudgetShare::WHOLE,
+            share_may_grow_at: 0,
+        }
+    }
+
+    /// Returns the number of peer processes that are running.
+    pub fn live_peers(&self) -> u32 {
+        self.live_peers
+    }
+
+    /// Registers a peer process and returns the reduced share, which applies at once.
+    pub fn peer_joined(&mut self, age: PeerAge) -> BudgetShare {
+        self.live_peers = self.live_peers.saturating_add(1);
+        let process_count = self.share.process_count.max(self.live_processes());
+        let process_index = match age {
+            PeerAge::Older => 1,
+            PeerAge::Younger => self.share.process_index.min(process_count - 1),
+        };
+        self.share = BudgetShare {
+            process_count,
+            process_index,
+        };
+        self.share
+    }
+
+    /// Records that a peer exited. Its past attempts keep counting for the accounting window.
+    pub fn peer_exited(&mut self, now: Micros) {
+        self.live_peers = self.live_peers.saturating_sub(1);
+        self.share_may_grow_at = now.saturating_add(self.accounting_window);
+    }
+
+    /// Returns the new share if it has grown since the last call.
+    pub fn refresh(&mut self, now: Micros) -> Option<BudgetShare> {
+        let process_count = self.live_processes();
+        if process_count >= self.share.process_count || now < self.share_may_grow_at {
+            return None;
+        }
+        self.share = if process_count == 1 {
+            BudgetShare::WHOLE
+        } else {
+            BudgetShare {
+                process_count,
+                process_index: self.share.process_index.min(process_count - 1),
+            }
+        };
+        Some(self.share)
+    }
+
+    /// Peers and this process.
+    fn live_processes(&self) -> u32 {
+        self.live_peers.saturating_add(1)
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -27,7 +27,7 @@
 
 /// One placer of the fleet: a module that may be killed, with its clock off by so much.
 struct Instance {
-    bench: Bench,
+    placer: TestPlacer,
     settings: Settings,
     skew: Micros,
     asked: usize,
@@ -35,18 +35,18 @@
 
 impl Instance {
     fn start(settings: &Settings, skew: Micros, at: Micros, ready_at: Micros) -> Instance {
-        let mut bench = Bench::new(settings.clone());
-        bench.now = at + skew;
-        let cold = Entry {
-            ready_at,
-            ..entry(0, HostState::Up)
+        let mut placer = TestPlacer::new(settings.clone());
+        placer.now = at + skew;
+        let cold = Endpoint {
+            started_at: ready_at,
+            ..endpoint(0, EndpointState::Up)
         };
-        bench.give(Event::Members {
-            kind: ListKind::Cached,
-            entries: vec![cold],
+        placer.handle(Event::EndpointsChanged {
+            kind: UpdateKind::Cached,
+            endpoints: vec![cold],
         });
         Instance {
-            bench,
+            placer,
             settings: settings.clone(),
             skew,
             asked: 0,
@@ -57,21 +57,22 @@
     fn step(&mut self, step: Micros) -> usize {
         self.asked += 1;
         let n = self.asked;
-        let mut sent = sends(&self.bench.ask(Task {
-            budget: step / 2,
+        let mut sent = sent_hosts(&self.placer.request(Task {
+            time_budget: step / 2,
             ..task(n, n as u64)
         }));
-        sent.extend(sends(&untimed(self.bench.pass(0))));
+        sent.extend(sent_hosts(&without_times(self.placer.advance(0))));
         for at in &sent {
-            self.bench.end(n, 0, at, Outcome::Full, Detail::NotHere);
-            self.bench.give(Event::Probed {
+            self.placer
+                .end(n, 0, at, Outcome::Rejected, OutcomeDetail::NotEligible);
+            self.placer.handle(Event::HealthCheckEnded {
                 host: at.clone(),
-                outcome: Outcome::Ok,
+                outcome: Outcome::Completed,
                 elapsed: MS,
-                report: Vec::new(),
+                load_report: Vec::new(),
             });
         }
-        self.bench.pass(step);
+        self.placer.advance(step);
         sent.len()
     }
 }
@@ -90,15 +91,15 @@
     const STEP: Micros = 25 * MS;
     let born = 100 * SECOND;
     let settings = Settings {
-        placers,
-        cold_sends: borne,
-        fall: SECOND,
-        cold: 17 * SECOND,
+        placer_count: placers,
+        slow_start_attempts: borne,
+        collapse_window: SECOND,
+        slow_start: 17 * SECOND,
         connect_timeout: wait,
         ..Settings::example()
     };
     let settings = |me| Settings {
-        me,
+        placer_index: me,
         ..settings.clone()
     };
     let skew = |me: usize| (me as Micros % 5 - 2) * 10 * MS;
@@ -127,7 +128,7 @@
 
 // A process that has just started has forgotten what it sent, and many start again at once.
 #[test]
-fn fleet_of_placers_stays_within_a_cold_hosts_tolerance_through_restarts() {
+fn fleet_keeps_the_slow_start_budget_through_restarts_and_uses_it() {
     for placers in [3, 20, 30] {
         for borne in [22.0, 100.0] {
             let quiet = play(placers, borne, 8 * SECOND, &[], 0, &[0.0]);
@@ -164,9 +165,9 @@
     }
 }
 
-// AdminSocket to a host that does not answer take as long as the settings allow, and what waited leaves together.
+// Connecting to a host that does not answer takes as long as the settings allow, and what waited leaves together.
 #[test]
-fn queued_offers_sent_together_stay_within_a_cold_hosts_tolerance() {
+fn attempts_that_waited_for_a_connection_keep_the_slow_start_budget() {
     // The first part of the budget waits as long as it may, and the next comes at once.
     let delays = [[1.0; 78].as_slice(), &[0.0; 400]].concat();
     for wait in [SECOND / 4, SECOND, 2 * SECOND] {
@@ -197,18 +198,18 @@
 
 // The clocks of machines differ: one that starts may seem to start later than now.
 #[test]
-fn host_born_in_the_future_by_our_clock_is_as_cold_as_others() {
+fn host_that_starts_in_the_future_by_our_clock_is_warming_up_like_others() {
     let settings = Settings {
-        placers: 30,
-        cold_sends: 15.0,
-        fall: SECOND,
+        placer_count: 30,
+        slow_start_attempts: 15.0,
+        collapse_window: SECOND,
         ..Settings::example()
     };
     let born = 100 * SECOND;
     let sent = |me| {
         let mut instance = Instance::start(
             &Settings {
-                me,
+                placer_index: me,
                 ..settings.clone()
             },
             0,
@@ -244,7 +245,7 @@
 
 // Real processes: all are killed once they have sent their part, and start again at once.
 #[test]
-fn killed_and_restarted_processes_stay_within_a_cold_hosts_tolerance() {
+fn restarted_processes_keep_the_slow_start_budget() {
     let borne = 30.0;
     let mut feeds: Vec<Feed> = (0..3).map(|_| Feed::new()).collect();
     let host = Host::new("h0", "north");
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -35,7 +35,7 @@
     (config, AdminSocket(address))
 }
 
-// ---- AdminSocket ----
+// ---- Admin socket ----
 
 #[test]
 fn admin_commands_are_answered_beside_partial_ones() {
@@ -243,7 +243,7 @@
     assert_eq!(late.expect_message().cause(), 16);
     // Those that carry nothing end, the others do not.
     assert_eq!((idle.next_message(), late.next_message()), (None, None));
-    program.wait_for_log("phase=\"emptying\"");
+    program.wait_for_log("phase=\"draining\"");
     connections[0].report_running(&open);
     assert_eq!(busy.expect_message().kind, 9);
     connections[0].report_ended(&open, 16, "");
@@ -347,7 +347,7 @@
     old.wait_for_log("others=1");
     new.wait_for_log("others=1");
     old.terminate();
-    old.wait_for_log("phase=\"leaving\"");
+    old.wait_for_log("phase=\"shutting-down\"");
     assert_eq!(idle.next_message(), None, "it carries no task");
     assert!(stood.health_check(), "the placer serves");
     assert!(
