--- a/crates/load-test/src/run/evaluation.rs
+++ b/crates/load-test/src/run/evaluation.rs
@@ -1,7 +1,7 @@
 //! Evaluates a run once everything has stopped: checks the rules, and measures the impact on the hosts.
 
 use super::deployment::Deployment;
-use super::generator::GeneratorState;
+use super::state::GeneratorState;
 use crate::fault_injector::Action;
 use crate::load_profile::{LoadProfile, Micros};
 use crate::outcome::{Outcome, TaskRecord};
--- a/crates/load-test/src/run/generator.rs
+++ b/crates/load-test/src/run/generator.rs
@@ -1,39 +1,31 @@
 //! The generator: requests tasks when they are due, feeds the clients' state machine with responses, and carries its
 //! effects out. It runs on one thread; what its tasks share is borrowed one at a time and never over an `await`.
 
-use super::connection::Connection;
+use super::protocol::{
+    Attempt, CANCELLED, CAUSE, DESCRIPTION, END_ACKNOWLEDGED, MIGRATED, PLACED, RELEASED,
+    RETRY_AFTER_MS, RunningHost, encode_request, is_rejection, response,
+};
+use super::state::GeneratorState;
 use super::{MILLISECOND, SECOND, micros};
 use crate::arrivals::Arrival;
-use crate::clients::{Clients, Effect, EngineSettings, Event, Fate, Response, WantedTask};
-use crate::load_balancer::ZonalLoadBalancer;
+use crate::clients::{Effect, Event, Fate, Response, WantedTask};
 use crate::load_profile::{LoadProfile, Micros};
 use crate::outcome::TaskRecord;
 use crate::plan::Plan;
 use async_executor::LocalExecutor;
 use async_io::Timer;
-use emulator::cluster::describe;
 use emulator::event_log::{ClientNotice, Event as LogEvent, EventLog, fingerprint};
-use emulator::host_model::Offer;
 use emulator::load_balancer::polling::ServerAddresses;
 use emulator::{Message, encode_message};
 use futures_lite::future;
-use hdrhistogram::Histogram;
 use std::cell::{Cell, RefCell};
-use std::collections::{BTreeMap, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
 
 /// The key of the first task; the others follow.
 const FIRST_KEY: u64 = 0xabc0_0000;
-/// Maximum lateness that is recorded, in microseconds.
-const MAX_LATENESS_MICROS: u64 = 60_000_000;
-/// Significant digits of the recorded lateness.
-const LATENESS_DIGITS: u8 = 3;
 /// After so many tasks the sockets get their turn, even if the next tasks are due already.
 const TASKS_PER_TURN: usize = 64;
-/// How soon clients of lost tasks request them again.
-const MIN_RECONNECT_DELAY: Micros = 50 * MILLISECOND;
-const MAX_RECONNECT_DELAY: Micros = SECOND;
 /// Maximum time between two ticks of the clients, and minimum time.
 const MAX_TICK_INTERVAL: Micros = 20 * MILLISECOND;
 const MIN_TICK_INTERVAL: Micros = MILLISECOND;
@@ -41,97 +33,6 @@
 const SETTLING_CHECK_INTERVAL: Micros = 100 * MILLISECOND;
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Message types, parameters and causes of the protocol.
-const REQUEST: u8 = 1;
-const PLACED: u8 = 9;
-const RELEASED: u8 = 12;
-const END_ACKNOWLEDGED: u8 = 16;
-const MIGRATED: u8 = 51;
-const CLASS: u8 = 129;
-const WAIT_MS: u8 = 132;
-const TENANT: u8 = 135;
-const IS_RETRY: u8 = 138;
-const KEY: u8 = 141;
-const REQUIREMENTS: u8 = 144;
-const RETRY_AFTER_MS: u8 = 147;
-const CAUSE: u8 = 171;
-const DESCRIPTION: u8 = 174;
-const CAUSE_COMPLETE: u8 = 16;
-const CANCELLED: u8 = 16;
-
-/// Whether a cause says that a request was rejected without effect.
-fn is_rejection(cause: u8) -> bool {
-    matches!(cause, 34 | 42 | 102)
-}
-
-/// The number of a service on the wire.
-fn service_number(arrival: &Arrival) -> u64 {
-    ((arrival.class as u64 + 1) << 32) | (u64::from(arrival.service) + 1)
-}
-
-/// A request as it was sent.
-#[derive(Clone)]
-pub(super) struct SentRequest {
-    key: u64,
-    pub(super) bytes: Vec<u8>,
-    /// What the event log records once it is written.
-    pub(super) event: LogEvent,
-    /// Whether it was sent again on another connection.
-    pub(super) was_resent: bool,
-}
-
-/// An attempt that is about to be sent.
-struct Attempt {
-    id: u64,
-    wait: Micros,
-    placer: usize,
-    is_retry: bool,
-    /// The host that already runs the task.
-    running_at: Option<usize>,
-    now: Micros,
-}
-
-/// What the tasks of the generator share.
-pub(super) struct GeneratorState {
-    pub(super) clients: Clients,
-    pub(super) balancer: ZonalLoadBalancer,
-    pub(super) connections: BTreeMap<u64, Connection>,
-    pub(super) next_connection: u64,
-    pub(super) tasks: HashMap<u64, TaskRecord>,
-    pub(super) sent: HashMap<u64, SentRequest>,
-    /// How late tasks were requested, in microseconds.
-    pub(super) lateness: Histogram<u64>,
-    /// Counts requests, to spread those without a placer that is up.
-    request_count: usize,
-}
-
-impl GeneratorState {
-    fn new(plan: &Plan) -> GeneratorState {
-        let clients = &plan.clients;
-        let settings = EngineSettings {
-            policy: clients.retry_policy,
-            min_backoff: micros(clients.min_backoff),
-            max_backoff: micros(clients.max_backoff),
-            retry_budget: clients.retry_budget,
-            retry_after_compliance: clients.retry_after_compliance,
-            settle_time: micros(clients.settle_time),
-            reconnect_delay: (MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY),
-        };
-        let first_id = (plan.seed.wrapping_mul(0x9e37_79b9) << 24) | 1;
-        GeneratorState {
-            clients: Clients::new(settings, plan.seed, first_id),
-            balancer: ZonalLoadBalancer::new(plan.placers.count, plan.zones.len()),
-            connections: BTreeMap::new(),
-            next_connection: 0,
-            tasks: HashMap::new(),
-            sent: HashMap::new(),
-            lateness: Histogram::new_with_bounds(1, MAX_LATENESS_MICROS, LATENESS_DIGITS)
-                .unwrap_or_else(|_| Histogram::new(LATENESS_DIGITS).expect("3 digits")),
-            request_count: 0,
-        }
-    }
-}
-
 /// The generator.
 pub(super) struct Generator {
     pub(super) log: EventLog,
@@ -262,69 +163,13 @@
         state.sent.retain(|_, sent| sent.key != key);
     }
 
-    /// Encodes a request for a task.
-    fn encode_request(&self, task: &TaskRecord, attempt: &Attempt) -> SentRequest {
-        let arrival = &task.arrival;
-        let class = self.plan.classes.get(arrival.class);
-        let tenant = self.plan.tenants.get(arrival.tenant);
-        let offer = Offer {
-            id: attempt.id,
-            service: service_number(arrival),
-            cores: arrival.cores,
-            memory: arrival.memory,
-            priority: class.map_or(0, |class| class.priority),
-            run_time: self.remaining_run_time(task, attempt.now),
-            time_left: 0,
-        };
-        let description = describe(&offer, task.key);
-        let mut requirements = format!(
-            "cores:{};memory:{};service:{:016x}",
-            offer.cores, offer.memory, offer.service
-        );
-        let host_name = attempt.running_at.and_then(|host| self.log.host_name(host));
-        if let Some(name) = host_name {
-            requirements.push_str(&format!(";at:{name}"));
-        }
-        let wait_ms = (attempt.wait / MILLISECOND).to_string();
-        let key = format!("{:016x}", task.key);
-        let class_name = class.map_or("", |class| class.name.as_str());
-        let tenant_name = tenant.map_or("", |tenant| tenant.name.as_str());
-        let mut parameters: Vec<(u8, &[u8])> = vec![
-            (CLASS, class_name.as_bytes()),
-            (WAIT_MS, wait_ms.as_bytes()),
-            (TENANT, tenant_name.as_bytes()),
-        ];
-        if attempt.is_retry {
-            parameters.push((IS_RETRY, b"1"));
-        }
-        parameters.extend([
-            (KEY, key.as_bytes()),
-            (REQUIREMENTS, requirements.as_bytes()),
-            (DESCRIPTION, description.as_bytes()),
-        ]);
-        let event = LogEvent::TaskRequested {
-            id: attempt.id,
-            key: task.key,
-            class: arrival.class,
-            service: offer.service,
-            placer: attempt.placer,
-            wait: attempt.wait / MILLISECOND * MILLISECOND,
-            description: fingerprint(&description),
-            running_at: attempt.running_at,
-        };
-        SentRequest {
-            key: task.key,
-            bytes: encode_message(REQUEST, attempt.id, &parameters),
-            event,
-            was_resent: false,
-        }
-    }
-
     fn request_task(self: &Rc<Self>, now: Micros, key: u64, id: u64, wait: Micros, is_retry: bool) {
         let Some((task, placer)) = self.pick_placer(key) else {
             return;
         };
-        let sent = self.encode_request(
+        let run_time = self.remaining_run_time(&task, now);
+        let sent = encode_request(
+            &self.plan,
             &task,
             &Attempt {
                 id,
@@ -332,7 +177,7 @@
                 placer,
                 is_retry,
                 running_at: None,
-                now,
+                run_time,
             },
         );
         self.state.borrow_mut().sent.insert(id, sent.clone());
@@ -372,15 +217,20 @@
             task.and_then(|task| Some((task, placer.or_else(|| state.balancer.pick(zone))?)))
         };
         let Some((task, placer)) = picked else { return };
-        let sent = self.encode_request(
+        let run_time = self.remaining_run_time(&task, now);
+        let sent = encode_request(
+            &self.plan,
             &task,
             &Attempt {
                 id,
                 wait: 0,
                 placer,
                 is_retry: false,
-                running_at: Some(running.host),
-                now,
+                running_at: Some(RunningHost {
+                    number: running.host,
+                    name: self.log.host_name(running.host),
+                }),
+                run_time,
             },
         );
         self.log.record(sent.event.clone());
@@ -524,17 +374,3 @@
         }
     }
 }
-
-/// What a notice means for the client of a request.
-fn response(notice: ClientNotice, was_open: bool, retry_after: Option<Micros>) -> Response {
-    match notice {
-        ClientNotice::Placed(_) => Response::Placed,
-        ClientNotice::Migrated => Response::Migrated,
-        ClientNotice::Released(cause) if was_open && is_rejection(cause) => {
-            Response::Rejected(retry_after)
-        }
-        ClientNotice::Released(CAUSE_COMPLETE) => Response::Ended,
-        ClientNotice::Released(_) if was_open => Response::Failed,
-        ClientNotice::Released(_) => Response::Lost,
-    }
-}
--- a/crates/load-test/src/run/health_checks.rs
+++ b/crates/load-test/src/run/health_checks.rs
@@ -1,6 +1,7 @@
 //! The load balancer's health checks of placers and polls of their agents, for the whole run.
 
 use super::generator::Generator;
+use super::protocol::{CAUSE, END_ACKNOWLEDGED, RELEASED};
 use crate::clients::Event;
 use crate::load_balancer::HealthCheckResult;
 use crate::plan::Balancing;
@@ -18,12 +19,9 @@
 const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// The id of health checks on the wire.
 const CHECK_ID: u64 = 0xfe;
-/// Message types and parameters of the protocol.
+/// Message types of health checks.
 const CHECK: u8 = 52;
 const CHECK_RESULT: u8 = 53;
-const TASK_ENDED: u8 = 12;
-const END_ACKNOWLEDGED: u8 = 16;
-const CAUSE: u8 = 171;
 
 /// The connection of the health checks of one placer.
 #[derive(Default)]
@@ -126,7 +124,7 @@
                 }
                 // The end of a task may be notified on any connection.
                 self.handle_message(None, placer, &message);
-                if message.kind == TASK_ENDED {
+                if message.kind == RELEASED {
                     let acknowledgement = encode_message(END_ACKNOWLEDGED, message.id, &[]);
                     let _ = stream.write_all(&acknowledgement).await;
                 }
--- a/crates/load-test/src/run/mod.rs
+++ b/crates/load-test/src/run/mod.rs
@@ -8,6 +8,8 @@
 mod evaluation;
 mod generator;
 mod health_checks;
+mod protocol;
+mod state;
 mod transport;
 
 use crate::arrivals::{Arrival, arrivals};
--- /dev/null
+++ b/crates/load-test/src/run/state.rs
@@ -0,0 +1,61 @@
+//! What the tasks of the generator share.
+
+use super::connection::Connection;
+use super::protocol::SentRequest;
+use super::{MILLISECOND, SECOND, micros};
+use crate::clients::{Clients, EngineSettings};
+use crate::load_balancer::ZonalLoadBalancer;
+use crate::load_profile::Micros;
+use crate::outcome::TaskRecord;
+use crate::plan::Plan;
+use hdrhistogram::Histogram;
+use std::collections::{BTreeMap, HashMap};
+
+/// Maximum lateness that is recorded, in microseconds.
+const MAX_LATENESS_MICROS: u64 = 60_000_000;
+/// Significant digits of the recorded lateness.
+const LATENESS_DIGITS: u8 = 3;
+/// How soon clients of lost tasks request them again.
+const MIN_RECONNECT_DELAY: Micros = 50 * MILLISECOND;
+const MAX_RECONNECT_DELAY: Micros = SECOND;
+
+/// What the tasks of the generator share.
+pub(super) struct GeneratorState {
+    pub(super) clients: Clients,
+    pub(super) balancer: ZonalLoadBalancer,
+    pub(super) connections: BTreeMap<u64, Connection>,
+    pub(super) next_connection: u64,
+    pub(super) tasks: HashMap<u64, TaskRecord>,
+    pub(super) sent: HashMap<u64, SentRequest>,
+    /// How late tasks were requested, in microseconds.
+    pub(super) lateness: Histogram<u64>,
+    /// Counts requests, to spread those without a placer that is up.
+    pub(super) request_count: usize,
+}
+
+impl GeneratorState {
+    pub(super) fn new(plan: &Plan) -> GeneratorState {
+        let clients = &plan.clients;
+        let settings = EngineSettings {
+            policy: clients.retry_policy,
+            min_backoff: micros(clients.min_backoff),
+            max_backoff: micros(clients.max_backoff),
+            retry_budget: clients.retry_budget,
+            retry_after_compliance: clients.retry_after_compliance,
+            settle_time: micros(clients.settle_time),
+            reconnect_delay: (MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY),
+        };
+        let first_id = (plan.seed.wrapping_mul(0x9e37_79b9) << 24) | 1;
+        GeneratorState {
+            clients: Clients::new(settings, plan.seed, first_id),
+            balancer: ZonalLoadBalancer::new(plan.placers.count, plan.zones.len()),
+            connections: BTreeMap::new(),
+            next_connection: 0,
+            tasks: HashMap::new(),
+            sent: HashMap::new(),
+            lateness: Histogram::new_with_bounds(1, MAX_LATENESS_MICROS, LATENESS_DIGITS)
+                .unwrap_or_else(|_| Histogram::new(LATENESS_DIGITS).expect("3 digits")),
+            request_count: 0,
+        }
+    }
+}
