--- /dev/null
+++ b/tests/endings/feed.rs
@@ -0,0 +1,111 @@
+//! The subscription to the feed, and connections at the limit of descriptors.
+
+use super::*;
+
+#[test]
+fn feed_with_gaps_is_resubscribed_with_backoff() {
+    let mut feed = Feed::new();
+    let host = Host::new("h0", "north");
+    let program = Program::start(&single_placer_config(&feed, vec![host.entry("up", 0)]));
+    let mut calls = 0;
+    let start = Instant::now();
+    while start.elapsed() < Duration::from_secs(1) {
+        assert_eq!(feed.accept_subscription(), 1);
+        feed.send_host_state(9, &host, "draining");
+        calls += 1;
+    }
+    assert!((2..=9).contains(&calls), "{calls} calls in a second");
+    assert!(known(&program).health_check());
+}
+
+// The address that is called does not answer, and the configuration names another.
+#[test]
+fn feed_that_moves_during_a_hanging_connect_is_followed_at_once() {
+    let (program, mut feed, hosts, mut connections) = start_with_hosts(1);
+    let second = Feed::new();
+    let mut config = single_placer_config(&second, vec![hosts[0].entry("up", 0)]);
+    config["listen"] = program.address.to_string().into();
+    let held = feed.make_unreachable();
+    drop(feed.take_subscription());
+    program.wait_for_log("connection ended peer=\"feed\"");
+    let mut second = second;
+    let moved = Instant::now();
+    program.reload(&config.encode());
+    assert_eq!(second.accept_subscription(), 1);
+    assert!(
+        moved.elapsed() < Duration::from_millis(500),
+        "{:?}",
+        moved.elapsed()
+    );
+    second.send_host_state(2, &hosts[0], "draining");
+    second.send(&json!({ "n": 2 }));
+    let mut client = known(&program);
+    client.request_task(
+        1,
+        &TaskRequest {
+            wait_ms: 300,
+            ..ask(1)
+        },
+    );
+    assert_eq!(client.expect_message().kind, 12);
+    assert!(
+        connections[0]
+            .read_within(Duration::from_millis(20))
+            .is_none()
+    );
+    drop(held);
+}
+
+// Idle clients took the descriptors while few hosts were listed.
+#[test]
+fn idle_clients_at_the_limit_do_not_block_the_feed_hosts_or_other_clients() {
+    let sockets = 160;
+    let address = free_address();
+    let mut feed = Feed::bind(address);
+    let first = Host::new("h0", "north");
+    let mut config = single_placer_config(&feed, vec![first.entry("up", 0)]);
+    config["limits"] = json!({ "cores": 1.0, "memory_mb": 32, "sockets": sockets });
+    let program = Program::start_with_descriptors(&config, sockets);
+    feed.accept_subscription();
+    let mut connection = first.accept();
+    drop(feed.take_subscription());
+    // Discovery is away, and each that has said something once stays.
+    drop(feed);
+    let mut idle: Vec<Client> = Vec::new();
+    for _ in 0..sockets {
+        let mut client = program.client();
+        if client.health_check() {
+            idle.push(client);
+        }
+    }
+    assert!(
+        program.descriptors() < sockets as usize,
+        "{}",
+        program.descriptors()
+    );
+    let mut feed = Feed::bind(address);
+    feed.accept_subscription();
+    let hosts: Vec<Host> = (1..40)
+        .map(|n| Host::new(&format!("h{n}"), "south"))
+        .collect();
+    let mut entries: Vec<_> = hosts.iter().map(|host| host.entry("up", 0)).collect();
+    entries.push(first.entry("draining", 0));
+    feed.send(&endpoint_event(2, UpdateKind::Complete, entries));
+    let mut connections: Vec<HostConnection> = hosts.iter().map(Host::accept).collect();
+    assert!(
+        program.descriptors() < sockets as usize,
+        "{}",
+        program.descriptors()
+    );
+    assert!(
+        !program.log().contains("no-descriptor"),
+        "{}",
+        program.log()
+    );
+    let mut client = known(&program);
+    client.request_task(1, &ask(1));
+    let (at, id) = next_offer(&mut connections);
+    connections[at].report_running(&id);
+    assert_eq!(client.expect_message().kind, 9);
+    assert!(connection.read_within(Duration::from_millis(20)).is_none());
+}
--- /dev/null
+++ b/tests/endings/process.rs
@@ -0,0 +1,181 @@
+//! The start and the shutdown of the process.
+
+use super::*;
+
+#[test]
+fn request_partially_read_at_shutdown_is_answered() {
+    let (mut program, _feed, _hosts, mut connections) = start_with_hosts(1);
+    let mut client = known(&program);
+    let whole = encode_task_request(1, &ask(1), "half");
+    let (half, rest) = whole.split_at(whole.len() / 2);
+    client.send(half);
+    assert!(known(&program).health_check());
+    program.terminate();
+    program.wait_for_log("closing");
+    client.send(rest);
+    assert_eq!(connections[0].expect_offer(), hex(1));
+    connections[0].report_running(&hex(1));
+    assert_eq!(client.expect_message().kind, 9);
+    // Told a second time, and with a configuration that can't be read, it ends as it would have.
+    program.terminate();
+    program.reload("{");
+    program.wait_for_log("configuration not read again");
+    assert!(program.wait_exit().success());
+}
+
+// The end of a task is heard while the process ends, and told before it has.
+#[test]
+fn task_end_during_shutdown_is_notified() {
+    let (mut program, _feed, _hosts, mut connections) = start_with_hosts(1);
+    let mut client = known(&program);
+    client.request_task(1, &ask(1));
+    let id = connections[0].expect_offer();
+    connections[0].report_running(&id);
+    assert_eq!(client.expect_message().kind, 9);
+    program.terminate();
+    program.wait_for_log("closing");
+    program.while_stopped(|| connections[0].report_ended(&id, 16, ""));
+    let end = client.expect_message();
+    assert_eq!((end.kind, end.id, end.cause()), (12, 1, 16));
+    assert!(program.wait_exit().success());
+}
+
+/// A program whose configuration is a pipe: it has begun to read it once the pipe can be opened for writing.
+fn start_on_a_pipe(config: &simd_json::OwnedValue) -> (Program, std::path::PathBuf) {
+    let pipe = temp_path("pipe");
+    let made = std::process::Command::new("mkfifo").arg(&pipe).status();
+    assert!(made.expect("mkfifo runs").success());
+    (
+        Launch::new(config)
+            .env("LB_CONFIG", &pipe.to_string_lossy())
+            .start(),
+        pipe,
+    )
+}
+
+// SIGTERM comes when the program has just begun to read its file: it starts, and ends as it should.
+#[test]
+fn sigterm_during_the_start_shuts_down_gracefully() {
+    let feed = Feed::new();
+    let host = Host::new("h0", "north");
+    let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
+    let (mut program, pipe) = start_on_a_pipe(&config);
+    let mut file = OpenOptions::new()
+        .write(true)
+        .open(&pipe)
+        .expect("it reads");
+    program.terminate();
+    file.write_all(config.encode().as_bytes())
+        .expect("it reads");
+    drop(file);
+    // Who connects meanwhile is answered.
+    let mut client = program.client();
+    client.request_task(1, &ask(1));
+    let mut connection = host.accept();
+    let id = connection.expect_offer();
+    connection.report_running(&id);
+    assert_eq!(client.expect_message().kind, 9);
+    assert!(program.wait_exit().success());
+    let _ = std::fs::remove_file(&pipe);
+}
+
+// Far more than can be placed, beside clients that send what can't be read.
+#[test]
+fn every_request_of_a_flood_gets_one_answer_in_time() {
+    let mut feed = Feed::new();
+    let host = Host::new("h0", "north");
+    let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
+    let program = Program::start(&config);
+    feed.accept_subscription();
+    let _conn = host.accept();
+    let mut good: Vec<Client> = (0..20).map(|_| known(&program)).collect();
+    let mut bad: Vec<Client> = (0..20).map(|_| known(&program)).collect();
+    let wait = Duration::from_millis(900);
+    let start = Instant::now();
+    for n in 0..30 {
+        for (at, client) in good.iter_mut().enumerate() {
+            let id = 1 + at as u64 * 100 + n;
+            client.request_task(
+                id,
+                &TaskRequest {
+                    wait_ms: 900,
+                    ..ask(id)
+                },
+            );
+        }
+        for client in &mut bad {
+            let _ = client.0.write_all(&[0xff; 600]);
+        }
+    }
+    let sent = start.elapsed();
+    for client in &mut good {
+        let mut ids: Vec<u64> = (0..30).map(|_| client.expect_message().id).collect();
+        ids.sort_unstable();
+        ids.dedup();
+        assert_eq!(ids.len(), 30);
+        assert!(
+            start.elapsed() < sent + wait + Duration::from_millis(50),
+            "{:?} {sent:?}",
+            start.elapsed()
+        );
+        assert!(client.health_check());
+    }
+}
+
+// The platform ends a process after the longest wait of a client and 0.7 s more.
+#[test]
+fn shutdown_is_quick_with_short_client_timeouts() {
+    let mut feed = Feed::new();
+    let host = Host::new("h0", "north");
+    let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
+    for class in 0..2 {
+        config["settings"]["services"][class]["hard_limit"] = json!(200.0);
+        config["settings"]["services"][class]["aim"] = json!(100.0);
+    }
+    let mut program = Program::start(&config);
+    feed.accept_subscription();
+    let mut client = known(&program);
+    let told = Instant::now();
+    program.terminate();
+    program.wait_for_log("closing");
+    client.request_task(
+        1,
+        &TaskRequest {
+            wait_ms: 200,
+            ..ask(1)
+        },
+    );
+    assert_eq!(
+        (client.expect_message().kind, client.next_message()),
+        (12, None)
+    );
+    assert!(program.wait_exit().success());
+    assert!(
+        told.elapsed() < Duration::from_millis(900),
+        "{:?}",
+        told.elapsed()
+    );
+}
+
+// The file is a pipe, so that the signal comes when the program has just begun to read it.
+#[test]
+fn sighup_during_the_start_does_not_end_the_process() {
+    let feed = Feed::new();
+    let host = Host::new("h0", "north");
+    let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
+    let (mut program, pipe) = start_on_a_pipe(&config);
+    let write = |file: std::io::Result<std::fs::File>| {
+        file.and_then(|mut file| file.write_all(config.encode().as_bytes()))
+            .expect("it reads");
+    };
+    let open = || OpenOptions::new().write(true).open(&pipe);
+    let file = open();
+    program.signal("-HUP");
+    write(file);
+    // Once it listens it has read the file, and what it has to read again waits for a writer.
+    let mut client = program.client();
+    write(open());
+    program.wait_for_log("configuration read again");
+    assert!(client.health_check() && program.is_running());
+    let _ = std::fs::remove_file(&pipe);
+}
--- /dev/null
+++ b/tests/fronts/log.rs
@@ -0,0 +1,95 @@
+//! The log.
+
+use super::*;
+
+/// Makes connections that each leave a line.
+fn chatter(program: &Program, lines: usize) {
+    for _ in 0..lines {
+        let mut client = Client::connect(program.address).expect("it listens");
+        client.send(&[0, 1, 0]);
+        let _ = client.next_message();
+    }
+}
+
+#[test]
+fn blocked_or_closed_log_stops_nothing() {
+    for closed in [false, true] {
+        let books: Arc<Mutex<HostRecords>> = Arc::default();
+        let habits = HostBehavior {
+            start_time: Duration::from_millis(5),
+            run_time: SECOND,
+            capacity: 100,
+        };
+        let host = EmulatedHost::start("h0", "north", habits, books);
+        let feed = EmulatedFeed::start();
+        let config = emulator::placer_config("n0", 0, 1, &feed.address(), vec![host.entry("up")]);
+        let (reader, writer) = std::io::pipe().expect("a pipe");
+        let reader = if closed {
+            drop(reader);
+            None
+        } else {
+            Some(reader)
+        };
+        let mut program = Launch::new(&config)
+            .operator_file("[log]\nqueue-bytes = 4096\n")
+            .log_to(Stdio::from(writer))
+            .start();
+        drop(program.client());
+        // More than the pipe and the queue hold.
+        chatter(&program, 1_500);
+        let mut client = program.client();
+        client.request_task(1, &IDEMPOTENT_TASK);
+        assert_eq!(client.expect_message().kind, 9);
+        assert!(client.health_check());
+        if let Some(mut reader) = reader {
+            // Once it is read again, what was dropped is told.
+            let told = std::thread::spawn(move || {
+                let (mut text, mut chunk) = (String::new(), [0; 4096]);
+                while !text.contains("log lines dropped dropped=") {
+                    let n = reader.read(&mut chunk).expect("a pipe");
+                    assert!(n > 0, "ended: {text}");
+                    text.push_str(&String::from_utf8_lossy(&chunk[..n]));
+                }
+                text
+            });
+            let text = told.join().expect("a reader");
+            assert!(
+                text.contains("connection ended peer=\"client\"")
+                    && text.contains("reason=malformed:"),
+                "{text}"
+            );
+        }
+        program.terminate();
+        assert_eq!(program.wait_exit().code(), Some(0));
+    }
+}
+
+#[test]
+fn log_lines_can_be_json() {
+    let feed = Feed::new();
+    let mut program = Launch::new(&single_placer_config(&feed, vec![]))
+        .args(&["serve", "--log-format", "json"])
+        .start();
+    chatter(program_ready(&program), 1);
+    program.terminate();
+    assert_eq!(program.wait_exit().code(), Some(0));
+    let log = program.log();
+    let lines: Vec<simd_json::OwnedValue> = log
+        .lines()
+        .map(|line| simd_json::to_owned_value(&mut line.as_bytes().to_vec()).expect(line))
+        .collect();
+    let ended = lines.iter().find(|line| {
+        line.get_str("reason")
+            .is_some_and(|r| r.starts_with("malformed:"))
+    });
+    assert_eq!(
+        ended.and_then(|line| line.get_str("peer")),
+        Some("client"),
+        "{log}"
+    );
+}
+
+fn program_ready(program: &Program) -> &Program {
+    drop(program.client());
+    program
+}
