--- a/tests/balancers.rs
+++ b/tests/balancers.rs
@@ -1,5 +1,5 @@
-//! Whole installations on loopback: three placers behind a balancer that polls them, hosts and feeds that
-//! run by themselves, clients that arrive whatever became of those before. Every task is checked.
+//! Whole deployments on loopback: three placers behind a load balancer that polls them, emulated hosts and feeds, and
+//! clients that arrive in an open loop. Every task is checked.
 
 use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
 use emulator::load_balancer::clients::{ClientPopulation, TaskRecord};
@@ -11,8 +11,8 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// Quick to come up and back, so that the tests need not wait as long as people would.
-const BRISK: &str = r#"
+/// Short times of the health settings, so that tests are quick.
+const SHORT_HEALTH_TIMES: &str = r#"
 [health.weight]
 slow-start = "1s"
 hold = "1s"
@@ -25,7 +25,7 @@
 "#;
 
 struct Site {
-    books: Arc<Mutex<HostRecords>>,
+    records: Arc<Mutex<HostRecords>>,
     hosts: Vec<EmulatedHost>,
     feeds: Vec<EmulatedFeed>,
     placers: Vec<Program>,
@@ -34,16 +34,16 @@
 }
 
 impl Site {
-    /// Three placers over six hosts in two zones, polled each 500 ms.
-    fn start(habits: &HostBehavior) -> Site {
-        let books: Arc<Mutex<HostRecords>> = Arc::default();
+    /// Starts three placers over six hosts in two zones, polled every 500 ms.
+    fn start(behavior: &HostBehavior) -> Site {
+        let records: Arc<Mutex<HostRecords>> = Arc::default();
         let host = |n: usize| {
             let zone = if n.is_multiple_of(2) {
                 "north"
             } else {
                 "south"
             };
-            EmulatedHost::start(&format!("h{n}"), zone, habits.clone(), books.clone())
+            EmulatedHost::start(&format!("h{n}"), zone, behavior.clone(), records.clone())
         };
         let hosts: Vec<EmulatedHost> = (0..6).map(host).collect();
         let feeds: Vec<EmulatedFeed> = (0..3).map(|_| EmulatedFeed::start()).collect();
@@ -52,7 +52,10 @@
             let entries = hosts.iter().map(|host| host.entry("up")).collect();
             let config = placer_config(&format!("n{n}"), n as u64, 3, &feed.address(), entries);
             Launch::new(&config)
-                .operator_file(&format!("[health]\nagent = [\"{}\"]\n{BRISK}", agents[n]))
+                .operator_file(&format!(
+                    "[health]\nagent = [\"{}\"]\n{SHORT_HEALTH_TIMES}",
+                    agents[n]
+                ))
                 .start()
         };
         let placers: Vec<Program> = feeds.iter().enumerate().map(placer).collect();
@@ -72,7 +75,7 @@
         }
         let front = Arc::new(PollingLoadBalancer::start(&servers, MS(500), MS(1_500)));
         let site = Site {
-            books,
+            records,
             hosts,
             feeds,
             placers,
@@ -83,10 +86,10 @@
         site
     }
 
-    /// No task that must not start twice did.
-    fn nothing_started_twice(&self) {
+    /// Asserts that no non-idempotent task started twice.
+    fn assert_no_duplicate_starts(&self) {
         assert_eq!(
-            self.books
+            self.records
                 .lock()
                 .expect("books")
                 .started_more_than_once("once"),
@@ -95,14 +98,14 @@
     }
 }
 
-/// The weight that an agent tells.
+/// Returns the weight that an agent reports.
 fn weight(agent: SocketAddr) -> Option<u32> {
     let line = query_agent(agent, "test\n", Duration::from_secs(2))?;
     line.split([' ', '\n'])
         .find_map(|word| word.strip_suffix('%')?.parse().ok())
 }
 
-fn habits() -> HostBehavior {
+fn behavior() -> HostBehavior {
     HostBehavior {
         start_time: MS(20),
         run_time: MS(800),
@@ -110,14 +113,14 @@
     }
 }
 
-/// The share of the arrivals of the last while that came to a server.
+/// Returns the fraction of the latest arrivals that went to a server.
 fn share(clients: &ClientPopulation, server: usize, last: Duration) -> f64 {
     let counts = clients.tasks_per_server(3, Instant::now() - last);
     counts[server] as f64 / counts.iter().sum::<usize>().max(1) as f64
 }
 
-/// Each got exactly one answer.
-fn all_answered(records: &[TaskRecord]) {
+/// Asserts that each task got exactly one answer.
+fn assert_all_answered(records: &[TaskRecord]) {
     let bad: Vec<&TaskRecord> = records
         .iter()
         .filter(|r| r.answer.is_none() || r.extra_answers > 0)
@@ -132,7 +135,7 @@
 
 #[test]
 fn repeatedly_paused_placer_loses_traffic_and_regains_it() {
-    let site = Site::start(&habits());
+    let site = Site::start(&behavior());
     let clients = ClientPopulation::start(&site.front, 24.0, 1);
     std::thread::sleep(Duration::from_secs(3));
     let before = share(&clients, 0, Duration::from_secs(3));
@@ -149,7 +152,7 @@
     }
     let low = share(&clients, 0, Duration::from_secs(3));
     let ended = Instant::now();
-    wait_for("its portion is back", || {
+    wait_for("its traffic is back", || {
         (share(&clients, 0, Duration::from_secs(3)) > 0.75 * before).then_some(())
     });
     let back = ended.elapsed();
@@ -162,30 +165,30 @@
         "{halved:?}"
     );
     assert!(low < 0.5 * before, "{low} of {before}");
-    all_answered(&records);
-    // The others' aims hold all the while.
+    assert_all_answered(&records);
+    // The others meet their objectives all the time.
     let others: Vec<&TaskRecord> = records.iter().filter(|r| r.server != Some(0)).collect();
     let late = others
         .iter()
         .filter(|r| r.wait().is_none_or(|wait| wait > Duration::from_secs(1)))
         .count();
     assert!(late * 50 <= others.len(), "{late} of {} late", others.len());
-    site.nothing_started_twice();
+    site.assert_no_duplicate_starts();
 }
 
 #[test]
 fn silent_feed_lowers_the_weight_and_tasks_are_answered_even_if_all_feeds_are_silent() {
-    let site = Site::start(&habits());
+    let site = Site::start(&behavior());
     let clients = ClientPopulation::start(&site.front, 8.0, 1);
     site.feeds[0].silence();
     let begun = Instant::now();
-    let after = wait_for("less than all", || {
+    let after = wait_for("a reduced weight", || {
         weight(site.agents[0])
             .filter(|w| *w < 100)
             .map(|_| begun.elapsed())
     });
     eprintln!("under 100 after {after:?}");
-    // It counts from the feed's last word, which may be a second old.
+    // It counts from the feed's last heartbeat, which may be a second old.
     assert!(after <= Duration::from_secs(3), "{after:?}");
     assert_eq!(
         (weight(site.agents[1]), weight(site.agents[2])),
@@ -193,11 +196,11 @@
     );
     site.feeds.iter().for_each(|feed| feed.silence());
     for agent in &site.agents {
-        wait_for("less than all", || weight(*agent).filter(|w| *w < 100));
+        wait_for("a reduced weight", || weight(*agent).filter(|w| *w < 100));
     }
     std::thread::sleep(Duration::from_secs(3));
     let records = clients.finish();
-    all_answered(&records);
+    assert_all_answered(&records);
     let placed = records.iter().filter(|r| r.is_placed()).count();
     assert!(
         placed * 100 >= records.len() * 95,
@@ -206,21 +209,21 @@
     );
     let least = site.agents.iter().filter_map(|agent| weight(*agent)).min();
     assert!(least >= Some(40), "{least:?}");
-    site.nothing_started_twice();
+    site.assert_no_duplicate_starts();
 }
 
 #[test]
 fn sigterm_notifies_load_balancers_and_every_running_tasks_end_is_notified() {
     let mut site = Site::start(&HostBehavior {
         run_time: MS(5_000),
-        ..habits()
+        ..behavior()
     });
     let clients = ClientPopulation::start(&site.front, 8.0, 1);
     std::thread::sleep(Duration::from_secs(3));
     let signalled = Instant::now();
     site.placers[0].terminate();
-    // Within a poll, and the time of the poll itself.
-    wait_for("the balancer has it", || {
+    // Within a poll interval and the time of a poll.
+    wait_for("the load balancer notices", || {
         (site.front.weight(0) == 0).then_some(())
     });
     let seen = signalled.elapsed();
@@ -234,13 +237,13 @@
     );
     assert!(seen <= MS(900), "{seen:?}");
     assert_eq!(status.code(), Some(0), "{}", site.placers[0].log());
-    all_answered(&records);
+    assert_all_answered(&records);
     let untold: Vec<&TaskRecord> = records
         .iter()
         .filter(|r| r.is_placed() && r.ended_at.is_none())
         .collect();
     assert!(untold.is_empty(), "{untold:#?}");
-    // Nothing new came to it once the balancer had seen it.
+    // It got nothing new once the load balancer had noticed.
     let late = records
         .iter()
         .filter(|r| r.server == Some(0) && r.due > signalled + seen + MS(100))
@@ -257,12 +260,12 @@
     ] {
         assert!(log.contains(words), "{words}: {log}");
     }
-    site.nothing_started_twice();
+    site.assert_no_duplicate_starts();
 }
 
 #[test]
 fn full_hosts_do_not_collapse_weights_or_empty_a_placer() {
-    let site = Site::start(&habits());
+    let site = Site::start(&behavior());
     site.hosts.iter().for_each(|host| host.set_free_capacity(1));
     let clients = ClientPopulation::start(&site.front, 30.0, 1);
     let (begun, mut least) = (Instant::now(), 100);
@@ -294,6 +297,6 @@
     assert!(least >= 50, "{least}");
     let all: usize = counts.iter().sum();
     assert!(counts.iter().all(|n| n * 5 >= all), "{counts:?}");
-    all_answered(&records);
-    site.nothing_started_twice();
+    assert_all_answered(&records);
+    site.assert_no_duplicate_starts();
 }
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,4 +1,4 @@
-//! Rule 4 over the whole fleet: what all placers together send a cold machine, in any time in which it could fall.
+//! Rule 4 over the whole fleet: what all placers together send to a cold host, in any window in which it could crash.
 
 mod common;
 
@@ -12,20 +12,20 @@
 use std::time::{Duration, Instant};
 use task_placer::*;
 
-/// What a machine that bears so many is sent at most: the operators put so much more down to chance.
-fn most(borne: f64) -> usize {
-    (borne + 2.0 * borne.sqrt() + 2.0) as usize
+/// Returns the maximum number of offers to a host that tolerates so many; the operators allow for chance.
+fn max_offers(tolerated: f64) -> usize {
+    (tolerated + 2.0 * tolerated.sqrt() + 2.0) as usize
 }
 
-/// The most that came within the time of a fall.
-fn densest(mut times: Vec<Micros>, fall: Micros) -> usize {
+/// Returns the maximum number of offers within the window of a crash.
+fn max_within(mut times: Vec<Micros>, fall: Micros) -> usize {
     times.sort_unstable();
     let within =
         |(i, t): (usize, &Micros)| times[i..].iter().take_while(|u| **u - t < fall).count();
     times.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
-/// One placer of the fleet: a module that may be killed, with its clock off by so much.
+/// One placer of the fleet: a decision module that may be restarted, with a skewed clock.
 struct Instance {
     placer: TestPlacer,
     settings: Settings,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Asks for a task that waits for one step only, and refuses it there: how many were offered.
+    /// Requests a task that waits for one step only, and rejects it there. Returns how many offers it sent.
     fn step(&mut self, step: Micros) -> usize {
         self.asked += 1;
         let n = self.asked;
@@ -82,7 +82,7 @@
 /// part of the longest, `wait`. Answers when offers came.
 fn play(
     placers: usize,
-    borne: f64,
+    tolerated: f64,
     length: Micros,
     restarts: &[(Micros, f64)],
     wait: Micros,
@@ -92,7 +92,7 @@
     let born = 100 * SECOND;
     let settings = Settings {
         placer_count: placers,
-        slow_start_attempts: borne,
+        slow_start_attempts: tolerated,
         collapse_window: SECOND,
         slow_start: 17 * SECOND,
         connect_timeout: wait,
@@ -126,20 +126,20 @@
     times
 }
 
-// A process that has just started has forgotten what it sent, and many start again at once.
+// A restarted process does not know what it sent before, and many restart at once.
 #[test]
 fn fleet_keeps_the_slow_start_budget_through_restarts_and_uses_it() {
     for placers in [3, 20, 30] {
-        for borne in [22.0, 100.0] {
-            let quiet = play(placers, borne, 8 * SECOND, &[], 0, &[0.0]);
+        for tolerated in [22.0, 100.0] {
+            let quiet = play(placers, tolerated, 8 * SECOND, &[], 0, &[0.0]);
             assert!(
-                densest(quiet.clone(), SECOND) <= most(borne),
-                "{placers} {borne}"
+                max_within(quiet.clone(), SECOND) <= max_offers(tolerated),
+                "{placers} {tolerated}"
             );
-            // At least a quarter of what is borne comes through: a zone that returns does not starve.
+            // At least a quarter of the tolerated offers come through: a zone that returns does not starve.
             assert!(
-                quiet.len() as f64 > 8.0 * borne / 4.0,
-                "{placers} {borne}: {}",
+                quiet.len() as f64 > 8.0 * tolerated / 4.0,
+                "{placers} {tolerated}: {}",
                 quiet.len()
             );
             for part in [0.1, 0.7, 1.0] {
@@ -148,16 +148,16 @@
                     .to_vec();
                 let times = play(
                     placers,
-                    borne,
+                    tolerated,
                     6 * SECOND,
                     &restarts,
                     SECOND / 4,
                     &[1.0, 0.0, 0.5],
                 );
-                let densest = densest(times.clone(), SECOND);
+                let count = max_within(times.clone(), SECOND);
                 assert!(
-                    densest <= most(borne),
-                    "{placers} {borne} {part}: {densest}"
+                    count <= max_offers(tolerated),
+                    "{placers} {tolerated} {part}: {count}"
                 );
                 assert!(!times.is_empty());
             }
@@ -168,12 +168,12 @@
 // Connecting to a host that does not answer takes as long as the settings allow, and what waited leaves together.
 #[test]
 fn attempts_that_waited_for_a_connection_keep_the_slow_start_budget() {
-    // The first part of the budget waits as long as it may, and the next comes at once.
+    // The first part of the budget waits as long as allowed, and the next comes at once.
     let delays = [[1.0; 78].as_slice(), &[0.0; 400]].concat();
     for wait in [SECOND / 4, SECOND, 2 * SECOND] {
         for placers in [1, 3] {
-            let densest = densest(play(placers, 100.0, 8 * SECOND, &[], wait, &delays), SECOND);
-            assert!(densest <= most(100.0), "{placers} {wait}: {densest}");
+            let count = max_within(play(placers, 100.0, 8 * SECOND, &[], wait, &delays), SECOND);
+            assert!(count <= max_offers(100.0), "{placers} {wait}: {count}");
         }
     }
 }
@@ -181,22 +181,22 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// Whatever the fleet, what is borne, the restarts and the time that offers take.
+    /// For any fleet, tolerance, restarts and delays of offers.
     #[test]
     fn sum_over_all_placers_stays_within_tolerance(
         placers in 1usize..40,
-        borne in 2.0f64..120.0,
+        tolerated in 2.0f64..120.0,
         restarts in prop::collection::vec((0i64..4_000, 0.0f64..1.0), 0..6),
         wait in 0i64..2_000,
         delays in prop::collection::vec(0.0f64..1.0, 1..8),
     ) {
         let restarts: Vec<(Micros, f64)> = restarts.into_iter().map(|(ms, part)| (ms * MS, part)).collect();
-        let densest = densest(play(placers, borne, 5 * SECOND, &restarts, wait * MS, &delays), SECOND);
-        prop_assert!(densest <= most(borne), "{densest}");
+        let count = max_within(play(placers, tolerated, 5 * SECOND, &restarts, wait * MS, &delays), SECOND);
+        prop_assert!(count <= max_offers(tolerated), "{count}");
     }
 }
 
-// The clocks of machines differ: one that starts may seem to start later than now.
+// Clocks of hosts differ: a host may seem to start in the future.
 #[test]
 fn host_that_starts_in_the_future_by_our_clock_is_warming_up_like_others() {
     let settings = Settings {
@@ -218,10 +218,10 @@
         );
         (0..40).map(|_| instance.step(25 * MS)).sum::<usize>()
     };
-    assert!((0..30).map(sent).sum::<usize>() <= most(15.0));
+    assert!((0..30).map(sent).sum::<usize>() <= max_offers(15.0));
 }
 
-/// All offers that come to a host, and when; each is answered at once.
+/// Collects the offers that reach a host and their times; each is answered at once.
 fn collect(
     host: &Host,
     connections: &mut Vec<HostConnection>,
@@ -243,10 +243,10 @@
     }
 }
 
-// Real processes: all are killed once they have sent their part, and start again at once.
+// Real processes: all are killed once they have sent their part, and restarted at once.
 #[test]
 fn restarted_processes_keep_the_slow_start_budget() {
-    let borne = 30.0;
+    let tolerated = 30.0;
     let mut feeds: Vec<Feed> = (0..3).map(|_| Feed::new()).collect();
     let host = Host::new("h0", "north");
     let (start, mut times, mut connections) = (Instant::now(), Vec::new(), Vec::new());
@@ -261,7 +261,7 @@
                 &feed.address(),
                 vec![host.entry("up", born)],
             );
-            config["settings"]["family_info"]["young_limit"] = json!(borne);
+            config["settings"]["family_info"]["young_limit"] = json!(tolerated);
             // A cold host starts so many; none waits for its fellows of a service.
             config["settings"]["family_info"]["class_most"] = json!([50, 50]);
             let program = Program::start(&config);
@@ -300,6 +300,6 @@
         );
     }
     assert!(times.len() > 24, "{times:?}");
-    let densest = densest(times, SECOND);
-    assert!(densest <= most(borne), "{densest}");
+    let count = max_within(times, SECOND);
+    assert!(count <= max_offers(tolerated), "{count}");
 }
--- a/tests/endings/feed.rs
+++ b/tests/endings/feed.rs
@@ -15,10 +15,10 @@
         calls += 1;
     }
     assert!((2..=9).contains(&calls), "{calls} calls in a second");
-    assert!(known(&program).health_check());
+    assert!(checked_client(&program).health_check());
 }
 
-// The address that is called does not answer, and the configuration names another.
+// The address of the feed does not answer, and the configuration names another.
 #[test]
 fn feed_that_moves_during_a_hanging_connect_is_followed_at_once() {
     let (program, mut feed, hosts, mut connections) = start_with_hosts(1);
@@ -39,12 +39,12 @@
     );
     second.send_host_state(2, &hosts[0], "draining");
     second.send(&json!({ "n": 2 }));
-    let mut client = known(&program);
+    let mut client = checked_client(&program);
     client.request_task(
         1,
         &TaskRequest {
             wait_ms: 300,
-            ..ask(1)
+            ..request(1)
         },
     );
     assert_eq!(client.expect_message().kind, 12);
@@ -56,7 +56,7 @@
     drop(held);
 }
 
-// Idle clients took the descriptors while few hosts were listed.
+// Regression: idle clients took the descriptors while few hosts were listed.
 #[test]
 fn idle_clients_at_the_limit_do_not_block_the_feed_hosts_or_other_clients() {
     let sockets = 160;
@@ -69,7 +69,7 @@
     feed.accept_subscription();
     let mut connection = first.accept();
     drop(feed.take_subscription());
-    // Discovery is away, and each that has said something once stays.
+    // The feed is unreachable, and each client that has sent a message stays.
     drop(feed);
     let mut idle: Vec<Client> = Vec::new();
     for _ in 0..sockets {
@@ -102,8 +102,8 @@
         "{}",
         program.log()
     );
-    let mut client = known(&program);
-    client.request_task(1, &ask(1));
+    let mut client = checked_client(&program);
+    client.request_task(1, &request(1));
     let (at, id) = next_offer(&mut connections);
     connections[at].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
--- a/tests/endings/hosts.rs
+++ b/tests/endings/hosts.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-// The list tells while the connection is being made; the address may be another host's by then.
+// The list changes while the connection comes up; the address may belong to another host by then.
 #[test]
 fn queued_offers_are_withheld_once_their_host_drains_or_is_replaced() {
     for change in ["draining", "gone", "born", "moved"] {
@@ -10,14 +10,14 @@
         let host = Host::new("h0", "north");
         let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
         config["settings"]["caps"]["connect_timeout"] = json!(3_000.0);
-        // A process that has just started bears nothing.
+        // A process that has just started tolerates nothing.
         config["settings"]["family_info"]["young_limit"] = json!(0.0);
         let held = host.make_unreachable();
         let program = Program::start(&config);
         feed.accept_subscription();
-        let mut client = known(&program);
-        client.request_task(1, &ask(1));
-        assert!(client.health_check(), "the offer waits");
+        let mut client = checked_client(&program);
+        client.request_task(1, &request(1));
+        assert!(client.health_check(), "the offer is queued");
         let mut entry = host.entry("up", 0);
         match change {
             "draining" => feed.send_host_state(2, &host, "draining"),
@@ -39,8 +39,8 @@
         }
         feed.send(&json!({ "n": 2 }));
         assert!(client.health_check());
-        // Nor what is offered to it from now on, where it has another address.
-        client.request_task(2, &ask(2));
+        // Nor is anything offered to it from now on, where it has another address.
+        client.request_task(2, &request(2));
         assert!(client.health_check());
         host.make_reachable(held);
         if let Some(mut connection) = host.accept_within(Duration::from_millis(1_500)) {
@@ -49,11 +49,11 @@
     }
 }
 
-// The host closes an idle connection just before an offer is decided for it.
+// The host closes an idle connection just before an offer is sent on it.
 #[test]
 fn offer_is_not_written_to_a_connection_closed_by_its_host() {
     let (program, _feed, hosts, mut connections) = start_with_hosts(1);
-    let mut client = known(&program);
+    let mut client = checked_client(&program);
     program.while_stopped(|| {
         client.request_task(1, &NON_IDEMPOTENT_TASK);
         connections.drain(..).for_each(HostConnection::close);
@@ -64,7 +64,7 @@
     assert_eq!(client.expect_message().kind, 9);
 }
 
-// Words of a host that come in one read, in every order that could be taken for something else.
+// Messages of a host in one read, in every order that could be misread.
 #[test]
 fn host_messages_in_one_read_end_an_attempt_once() {
     let up = |id: &str| format!("{{\"t\":\"up\",\"ref\":\"{id}\",\"f\":{{}},\"d\":\"stands\"}}\n");
@@ -72,7 +72,7 @@
         format!("{{\"t\":\"down\",\"ref\":\"{id}\",\"f\":{{}},\"c\":{cause}}}\n")
     };
     let id = hex(1);
-    // What the host says, the client's words (type and cause), and whether the host is asked once more.
+    // What the host sends, what the client gets (type and cause), and whether the host gets another offer.
     let cases = [
         (
             "answered twice and ended",
@@ -107,11 +107,11 @@
     ];
     for (what, said, words, again) in cases {
         let (program, _feed, _hosts, mut connections) = start_with_hosts(2);
-        let mut client = known(&program);
-        client.request_task(1, &ask(1));
+        let mut client = checked_client(&program);
+        client.request_task(1, &request(1));
         let (at, offer) = next_offer(&mut connections);
         assert_eq!(offer, id);
-        // It has closed the connection, too, before a word of it is read.
+        // It has also closed the connection before any of it is read.
         let mut connection = connections.remove(at);
         program.while_stopped(|| {
             connection.send_bytes(said.as_bytes());
@@ -134,16 +134,16 @@
     }
 }
 
-// The host's answer has come and the client's time is over when both are read.
+// The host's answer has arrived and the client's timeout has passed when both are read.
 #[test]
 fn answer_and_timeout_in_one_iteration_give_one_final_answer() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
-    let mut client = known(&program);
+    let mut client = checked_client(&program);
     client.request_task(
         1,
         &TaskRequest {
             wait_ms: 300,
-            ..ask(1)
+            ..request(1)
         },
     );
     let id = connections[0].expect_offer();
@@ -153,7 +153,7 @@
     });
     let answer = client.expect_message();
     assert!(client.health_check(), "one answer");
-    // What was answered as failed does not stand on.
+    // A task that was answered as failed does not run on.
     if answer.kind == 12 {
         assert_eq!(
             connections[0].expect("down").get_str("ref"),
@@ -167,8 +167,8 @@
 #[test]
 fn complete_list_without_a_host_ends_its_attempts() {
     let (program, mut feed, hosts, mut connections) = start_with_hosts(2);
-    let mut client = known(&program);
-    client.request_task(1, &ask(1));
+    let mut client = checked_client(&program);
+    client.request_task(1, &request(1));
     let (at, id) = next_offer(&mut connections);
     client.request_task(
         2,
@@ -178,7 +178,7 @@
         },
     );
     let (other, once) = next_offer(&mut connections);
-    // Twice, and the second tells nothing new.
+    // Twice, and the second event changes nothing.
     let rest: Vec<_> = (0..2)
         .filter(|n| *n != at)
         .map(|n| hosts[n].entry("up", 0))
--- a/tests/endings/main.rs
+++ b/tests/endings/main.rs
@@ -1,5 +1,5 @@
-//! What ends a request, a connection, a host, the subscription or the process: in each test the peers force the
-//! bad order, and nothing owed is lost or begun too late.
+//! The end of a request, a connection, a host, the subscription or the process: in each test the peers force the
+//! unfavourable order, and nothing pending is lost or started too late.
 
 #![recursion_limit = "256"]
 
@@ -17,46 +17,46 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Ids of the request that comes last and shows that nothing else was under way.
+/// Id of the last request, which shows that nothing else was in flight.
 const LAST: u64 = 0x7fff;
 
-/// A set-up of a service of its own.
-fn ask(id: u64) -> TaskRequest<'static> {
+/// A request of a service of its own.
+fn request(id: u64) -> TaskRequest<'static> {
     TaskRequest {
         service: id + 100,
         ..IDEMPOTENT_TASK
     }
 }
 
-/// A connection that has been read before: what is said on it next is read at once.
-fn known(program: &Program) -> Client {
+/// A connection that the placer has read from: what is sent on it next is read at once.
+fn checked_client(program: &Program) -> Client {
     let mut client = program.client();
     assert!(client.health_check());
     client
 }
 
-/// Wide set-ups: three times what the system takes for a narrow host that reads nothing, and with two others as many
-/// as are out at one host.
-const WIDE: u64 = 6;
+/// Number of wide requests: three times what the kernel buffers for a host that reads nothing, and together with two
+/// others the maximum number in flight to one host.
+const WIDE_REQUESTS: u64 = 6;
 
-/// Asks for these on a connection of their own, which is silent from then on. They are not taken back: each that has
-/// not left waits before what is asked for later, however much the system still takes and whenever it does.
-fn clog(program: &Program) -> Client {
-    let mut client = known(program);
+/// Sends the wide requests on a connection of their own, which is silent from then on. They are not cancelled: each
+/// unsent offer is queued before later ones, whatever the kernel still buffers.
+fn fill_receive_buffer(program: &Program) -> Client {
+    let mut client = checked_client(program);
     let wide = "w".repeat(15_000);
-    (1..=WIDE).for_each(|id| client.request_task_with(id, &ask(id), &wide));
-    assert!(client.health_check(), "the set-ups were taken in");
+    (1..=WIDE_REQUESTS).for_each(|id| client.request_task_with(id, &request(id), &wide));
+    assert!(client.health_check(), "the requests were read");
     client
 }
 
-/// The ids offered to these hosts, on these connections and on those that are made, until the last request is.
-fn offered_until_last(
+/// Collects the ids offered to these hosts, on these connections and on new ones, until the last request is offered.
+fn offers_until_last(
     program: &Program,
     hosts: &[Host],
     connections: &mut Vec<HostConnection>,
 ) -> Vec<String> {
-    let mut client = known(program);
-    client.request_task(LAST, &ask(LAST));
+    let mut client = checked_client(program);
+    client.request_task(LAST, &request(LAST));
     let mut ids = Vec::new();
     let end = Instant::now() + TEST_TIMEOUT;
     loop {
@@ -84,4 +84,4 @@
     }
 }
 
-const NONE: [String; 0] = [];
+const NO_OFFERS: [String; 0] = [];
--- a/tests/endings/process.rs
+++ b/tests/endings/process.rs
@@ -5,30 +5,30 @@
 #[test]
 fn request_partially_read_at_shutdown_is_answered() {
     let (mut program, _feed, _hosts, mut connections) = start_with_hosts(1);
-    let mut client = known(&program);
-    let whole = encode_task_request(1, &ask(1), "half");
+    let mut client = checked_client(&program);
+    let whole = encode_task_request(1, &request(1), "half");
     let (half, rest) = whole.split_at(whole.len() / 2);
     client.send(half);
-    assert!(known(&program).health_check());
+    assert!(checked_client(&program).health_check());
     program.terminate();
     program.wait_for_log("closing");
     client.send(rest);
     assert_eq!(connections[0].expect_offer(), hex(1));
     connections[0].report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
-    // Told a second time, and with a configuration that can't be read, it ends as it would have.
+    // A second SIGTERM, and a reload of an invalid configuration, change nothing.
     program.terminate();
     program.reload("{");
     program.wait_for_log("configuration not read again");
     assert!(program.wait_exit().success());
 }
 
-// The end of a task is heard while the process ends, and told before it has.
+// The end of a task is reported during the shutdown, and its client notified before the exit.
 #[test]
 fn task_end_during_shutdown_is_notified() {
     let (mut program, _feed, _hosts, mut connections) = start_with_hosts(1);
-    let mut client = known(&program);
-    client.request_task(1, &ask(1));
+    let mut client = checked_client(&program);
+    client.request_task(1, &request(1));
     let id = connections[0].expect_offer();
     connections[0].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
@@ -40,8 +40,8 @@
     assert!(program.wait_exit().success());
 }
 
-/// A program whose configuration is a pipe: it has begun to read it once the pipe can be opened for writing.
-fn start_on_a_pipe(config: &simd_json::OwnedValue) -> (Program, std::path::PathBuf) {
+/// Starts a program whose configuration is a pipe: it has begun to read once the pipe can be opened for writing.
+fn start_reading_from_a_pipe(config: &simd_json::OwnedValue) -> (Program, std::path::PathBuf) {
     let pipe = temp_path("pipe");
     let made = std::process::Command::new("mkfifo").arg(&pipe).status();
     assert!(made.expect("mkfifo runs").success());
@@ -53,24 +53,24 @@
     )
 }
 
-// SIGTERM comes when the program has just begun to read its file: it starts, and ends as it should.
+// SIGTERM comes when the program has just begun to read its file: it starts, and shuts down gracefully.
 #[test]
 fn sigterm_during_the_start_shuts_down_gracefully() {
     let feed = Feed::new();
     let host = Host::new("h0", "north");
     let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
-    let (mut program, pipe) = start_on_a_pipe(&config);
+    let (mut program, pipe) = start_reading_from_a_pipe(&config);
     let mut file = OpenOptions::new()
         .write(true)
         .open(&pipe)
-        .expect("it reads");
+        .expect("the peer reads");
     program.terminate();
     file.write_all(config.encode().as_bytes())
-        .expect("it reads");
+        .expect("the peer reads");
     drop(file);
-    // Who connects meanwhile is answered.
+    // A client that connects meanwhile is answered.
     let mut client = program.client();
-    client.request_task(1, &ask(1));
+    client.request_task(1, &request(1));
     let mut connection = host.accept();
     let id = connection.expect_offer();
     connection.report_running(&id);
@@ -79,7 +79,7 @@
     let _ = std::fs::remove_file(&pipe);
 }
 
-// Far more than can be placed, beside clients that send what can't be read.
+// Far more requests than can be placed, beside clients that send malformed messages.
 #[test]
 fn every_request_of_a_flood_gets_one_answer_in_time() {
     let mut feed = Feed::new();
@@ -88,8 +88,8 @@
     let program = Program::start(&config);
     feed.accept_subscription();
     let _conn = host.accept();
-    let mut good: Vec<Client> = (0..20).map(|_| known(&program)).collect();
-    let mut bad: Vec<Client> = (0..20).map(|_| known(&program)).collect();
+    let mut good: Vec<Client> = (0..20).map(|_| checked_client(&program)).collect();
+    let mut bad: Vec<Client> = (0..20).map(|_| checked_client(&program)).collect();
     let wait = Duration::from_millis(900);
     let start = Instant::now();
     for n in 0..30 {
@@ -99,7 +99,7 @@
                 id,
                 &TaskRequest {
                     wait_ms: 900,
-                    ..ask(id)
+                    ..request(id)
                 },
             );
         }
@@ -122,7 +122,7 @@
     }
 }
 
-// The platform ends a process after the longest wait of a client and 0.7 s more.
+// The platform kills a process 0.7 s after the longest timeout of a client.
 #[test]
 fn shutdown_is_quick_with_short_client_timeouts() {
     let mut feed = Feed::new();
@@ -134,7 +134,7 @@
     }
     let mut program = Program::start(&config);
     feed.accept_subscription();
-    let mut client = known(&program);
+    let mut client = checked_client(&program);
     let told = Instant::now();
     program.terminate();
     program.wait_for_log("closing");
@@ -142,7 +142,7 @@
         1,
         &TaskRequest {
             wait_ms: 200,
-            ..ask(1)
+            ..request(1)
         },
     );
     assert_eq!(
@@ -163,16 +163,16 @@
     let feed = Feed::new();
     let host = Host::new("h0", "north");
     let config = single_placer_config(&feed, vec![host.entry("up", 0)]);
-    let (mut program, pipe) = start_on_a_pipe(&config);
+    let (mut program, pipe) = start_reading_from_a_pipe(&config);
     let write = |file: std::io::Result<std::fs::File>| {
         file.and_then(|mut file| file.write_all(config.encode().as_bytes()))
-            .expect("it reads");
+            .expect("the peer reads");
     };
     let open = || OpenOptions::new().write(true).open(&pipe);
     let file = open();
     program.signal("-HUP");
     write(file);
-    // Once it listens it has read the file, and what it has to read again waits for a writer.
+    // Once it listens it has read the file, and the reload waits for a writer.
     let mut client = program.client();
     write(open());
     program.wait_for_log("configuration read again");
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The program among fleets that are large against what it may hold.
+//! The program in fleets that are large against its limit of descriptors.
 
 use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
 use emulator::*;
@@ -8,24 +8,24 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// A placer among hosts that run by themselves.
+/// A placer among emulated hosts.
 struct Fleet {
     program: Program,
     _feed: EmulatedFeed,
     _hosts: Vec<EmulatedHost>,
-    _books: Arc<Mutex<HostRecords>>,
+    _records: Arc<Mutex<HostRecords>>,
 }
 
 impl Fleet {
-    /// With so many hosts and descriptors; the system holds the program to them, too.
-    fn start(hosts: usize, sockets: u32, habits: &HostBehavior) -> Fleet {
-        let books: Arc<Mutex<HostRecords>> = Arc::default();
+    /// Starts it with so many hosts and descriptors; the kernel enforces the limit as well.
+    fn start(hosts: usize, sockets: u32, behavior: &HostBehavior) -> Fleet {
+        let records: Arc<Mutex<HostRecords>> = Arc::default();
         let host = |n: usize| {
             EmulatedHost::start(
                 &format!("h{n}"),
                 ["north", "south"][n % 2],
-                habits.clone(),
-                books.clone(),
+                behavior.clone(),
+                records.clone(),
             )
         };
         let hosts: Vec<EmulatedHost> = (0..hosts).map(host).collect();
@@ -38,21 +38,21 @@
             program,
             _feed: feed,
             _hosts: hosts,
-            _books: books,
+            _records: records,
         }
     }
 }
 
-// The descriptors set apart for hundreds of hosts left clients with four connections, and the others were
-// closed with their set-ups unread.
+// Regression: the descriptors reserved for hundreds of hosts left clients four connections, and the others were closed
+// with their requests unread.
 #[test]
 fn clients_get_a_third_of_the_descriptors_for_any_fleet_size() {
-    let habits = HostBehavior {
+    let behavior = HostBehavior {
         start_time: Duration::from_millis(300),
         run_time: Duration::from_secs(60),
         capacity: 1_000,
     };
-    let fleet = Fleet::start(40, 160, &habits);
+    let fleet = Fleet::start(40, 160, &behavior);
     let mut clients: Vec<Client> = (0..53).map(|_| fleet.program.client()).collect();
     for (n, client) in clients.iter_mut().enumerate() {
         client.request_task(
@@ -69,15 +69,15 @@
     assert!(fleet.program.descriptors() < 160);
 }
 
-// One that comes while all others are busy has sent its set-up already: closed unread, that is lost.
+// A client that connects while all others are busy has sent its request already: closed unread, the request is lost.
 #[test]
 fn connection_beyond_the_budget_waits_for_an_answered_one() {
-    let habits = HostBehavior {
+    let behavior = HostBehavior {
         start_time: Duration::from_millis(300),
         run_time: Duration::from_secs(60),
         capacity: 1_000,
     };
-    let fleet = Fleet::start(1, 40, &habits);
+    let fleet = Fleet::start(1, 40, &behavior);
     let busy = |n: u64| {
         let mut client = fleet.program.client();
         client.request_task(
@@ -96,16 +96,16 @@
     fleet.program.wait_for_log("connection waits");
 }
 
-// Seven in ten placers that come back at once meet all clients at once. While the program is stopped the
-// connections wait in the system's queue, whose length is the program's to ask for.
+// Placers that return after an outage get the connections of all clients at once. While the program is stopped they
+// wait in the accept queue, whose length the program sets.
 #[test]
 fn hundreds_of_simultaneous_connections_are_accepted_and_answered() {
-    let habits = HostBehavior {
+    let behavior = HostBehavior {
         start_time: Duration::from_millis(20),
         run_time: Duration::from_secs(60),
         capacity: 1_000,
     };
-    let fleet = Fleet::start(40, 1_024, &habits);
+    let fleet = Fleet::start(40, 1_024, &behavior);
     drop(fleet.program.client());
     fleet.program.signal("-STOP");
     let comes = |n: u64| {
@@ -131,18 +131,18 @@
     }
 }
 
-// What waits in the accept queue at the end counts as taken. The hosts answer all that is owed at once, just
-// after the process could end, and those that were beyond the budget until then are still there.
+// Connections in the accept queue at shutdown count as accepted. The hosts answer everything pending at once, just
+// after the process could exit, and the connections beyond the budget are still there.
 #[test]
 fn shutdown_leaves_no_connection_in_the_accept_queue() {
-    let habits = HostBehavior {
+    let behavior = HostBehavior {
         start_time: Duration::from_millis(1_100),
         run_time: Duration::from_secs(60),
         capacity: 1_000,
     };
-    let mut fleet = Fleet::start(3, 36, &habits);
+    let mut fleet = Fleet::start(3, 36, &behavior);
     let mut waiting: Vec<Client> = (0..12).map(|_| fleet.program.client()).collect();
-    // The first eight fill the budget, and their set-ups come together.
+    // The first eight fill the budget, and their requests come together.
     for (n, client) in waiting.iter_mut().enumerate() {
         client.request_task(
             n as u64 + 1,
@@ -159,15 +159,15 @@
     assert!(fleet.program.wait_exit().success());
 }
 
-// A process that ends with unread input resets the connection, and an answer on its way may go with it.
+// A process that exits with unread input resets the connection, and a response on its way may be lost.
 #[test]
 fn shutdown_closes_connections_without_reset() {
-    let habits = HostBehavior {
+    let behavior = HostBehavior {
         start_time: Duration::from_millis(20),
         run_time: Duration::from_secs(60),
         capacity: 1_000,
     };
-    let mut fleet = Fleet::start(1, 256, &habits);
+    let mut fleet = Fleet::start(1, 256, &behavior);
     let mut clients: Vec<Client> = (0..20).map(|_| fleet.program.client()).collect();
     assert!(clients.iter_mut().all(Client::health_check));
     let flood: Vec<u8> = (0..2_000)
@@ -195,8 +195,8 @@
     assert!(fleet.program.wait_exit().success());
 }
 
-// Hundreds of placers that call all hosts at their start, and again whenever one is lost, make more
-// connections than there are tasks; where the settings price these, a host is called for its first offer.
+// Hundreds of placers that connect to all hosts at their start, and again whenever a connection is lost, make more
+// connections than there are tasks. Where the settings price connections, a host is connected for its first offer.
 #[test]
 fn priced_connections_are_opened_only_for_offers() {
     let mut feed = Feed::new();
@@ -216,7 +216,7 @@
             .all(|host| host.accept_within(QUIET_PERIOD / 2).is_none())
     );
     client.request_task(1, &IDEMPOTENT_TASK);
-    let mut connection = wait_for("a call", || {
+    let mut connection = wait_for("a connection", || {
         hosts
             .iter()
             .find_map(|host| host.accept_within(QUIET_PERIOD / 20))
@@ -254,7 +254,7 @@
     let program = Program::start_with_descriptors(&config, 256);
     let mut client = program.client();
     assert!(client.health_check());
-    // Only the last host has room.
+    // Only the last host has free capacity.
     client.request_task(1, &IDEMPOTENT_TASK);
     let mut connection = real.accept();
     assert_eq!(connection.expect_offer(), hex(1));
--- a/tests/fronts/checks.rs
+++ b/tests/fronts/checks.rs
@@ -4,49 +4,52 @@
 
 #[test]
 fn agent_and_http_checks_follow_the_state_from_start_to_drain_and_back() {
-    let mut fronts = start("");
-    wait_for("it is up", || {
-        agent(fronts.agent)
+    let mut deployment = start("");
+    wait_for("the placer is up", || {
+        agent(deployment.agent)
             .starts_with("up ready 100%")
             .then_some(())
     });
-    assert!(get(fronts.http, "/readyz").starts_with("HTTP/1.1 200"));
-    assert!(get(fronts.http, "/startupz").starts_with("HTTP/1.1 200"));
-    let health = get(fronts.http, "/health");
+    assert!(get(deployment.http, "/readyz").starts_with("HTTP/1.1 200"));
+    assert!(get(deployment.http, "/startupz").starts_with("HTTP/1.1 200"));
+    let health = get(deployment.http, "/health");
     assert!(
         health.contains("\"status\":\"pass\"") && health.contains("application/health+json"),
         "{health}"
     );
-    let mut client = fronts.program.client();
+    let mut client = deployment.program.client();
     assert!(client.health_check());
-    let (done, said) = ctl(&fronts.socket, &["drain"]);
+    let (done, said) = ctl(&deployment.socket, &["drain"]);
     assert!(done && said.starts_with("drain"), "{said}");
-    assert_eq!(agent(fronts.agent), "up drain # finishing what was taken\n");
-    let ready = get(fronts.http, "/readyz");
+    assert_eq!(
+        agent(deployment.agent),
+        "up drain # finishing what was taken\n"
+    );
+    let ready = get(deployment.http, "/readyz");
     assert!(
         ready.starts_with("HTTP/1.1 503")
             && ready.contains("x-envoy-immediate-health-check-fail: true")
     );
     assert!(
-        get(fronts.http, "/livez").starts_with("HTTP/1.1 200"),
-        "it lives, and must not be killed for draining"
+        get(deployment.http, "/livez").starts_with("HTTP/1.1 200"),
+        "alive: a draining placer must not be killed"
     );
     assert!(!client.health_check(), "nor do clients' tests pass");
-    // New work that still comes is placed.
+    // New requests that still come are placed.
     client.request_task(1, &IDEMPOTENT_TASK);
-    assert_eq!(fronts.connections[0].expect_offer(), hex(1));
-    fronts.connections[0].report_running(&hex(1));
+    assert_eq!(deployment.connections[0].expect_offer(), hex(1));
+    deployment.connections[0].report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
-    assert!(ctl(&fronts.socket, &["ready"]).0);
+    assert!(ctl(&deployment.socket, &["ready"]).0);
     assert!(
-        agent(fronts.agent).starts_with("up ready "),
-        "taken back by name"
+        agent(deployment.agent).starts_with("up ready "),
+        "the drain is cancelled explicitly"
     );
     assert!(client.health_check());
-    assert!(ctl(&fronts.socket, &["maint"]).0);
-    assert_eq!(agent(fronts.agent), "maint # by order\n");
-    assert!(ctl(&fronts.socket, &["ready"]).0);
-    let (done, state) = ctl(&fronts.socket, &["state", "--json"]);
+    assert!(ctl(&deployment.socket, &["maint"]).0);
+    assert_eq!(agent(deployment.agent), "maint # by order\n");
+    assert!(ctl(&deployment.socket, &["ready"]).0);
+    let (done, state) = ctl(&deployment.socket, &["state", "--json"]);
     let value = simd_json::to_owned_value(&mut state.clone().into_bytes()).expect("JSON");
     assert!(done && value.get_u64("v") == Some(1), "{state}");
     let signals = value.get_array("signals").expect("signals");
@@ -61,14 +64,16 @@
         history.ends_with(&["told-drain", "told-ready", "told-maint", "told-ready"]),
         "{history:?}"
     );
-    assert!(fronts.program.is_running() && fronts.feed.address() != fronts.hosts[0].name);
+    assert!(
+        deployment.program.is_running() && deployment.feed.address() != deployment.hosts[0].name
+    );
 }
 
 #[test]
 fn http_checks_support_keep_alive_and_pipelining_and_reject_ambiguous_requests() {
-    let fronts = start("");
+    let deployment = start("");
     let two = "GET /livez HTTP/1.1\r\nHost: t\r\n\r\nHEAD /nowhere HTTP/1.1\r\nHost: t\r\nConnection: close\r\n\r\n";
-    let answers = exchange(fronts.http, two.as_bytes());
+    let answers = exchange(deployment.http, two.as_bytes());
     assert_eq!(answers.matches("HTTP/1.1 ").count(), 2, "{answers}");
     assert!(
         answers.contains("HTTP/1.1 200")
@@ -88,7 +93,7 @@
         ("\x16\x03\x01\x00\u{1}", 400),
         ("DELETE /health HTTP/1.1\r\nHost: t\r\n\r\n", 405),
     ] {
-        let answer = exchange(fronts.http, bytes.as_bytes());
+        let answer = exchange(deployment.http, bytes.as_bytes());
         assert!(
             answer.starts_with(&format!("HTTP/1.1 {status} ")),
             "{bytes:?}: {answer}"
@@ -103,65 +108,65 @@
         "GET /livez HTTP/1.1\r\nHost: t\r\n{}",
         "X: yyyyyyyyyyyyyyyyyyyyyyyyyyyyyy\r\n".repeat(400)
     );
-    assert!(exchange(fronts.http, endless.as_bytes()).contains("431"));
-    // A sender that never comes to an end is sent away.
-    let mut slow = TcpStream::connect(fronts.http).expect("it listens");
-    slow.write_all(b"GET /livez HT").expect("it reads");
+    assert!(exchange(deployment.http, endless.as_bytes()).contains("431"));
+    // A sender whose request never ends is disconnected.
+    let mut slow = TcpStream::connect(deployment.http).expect("a listener");
+    slow.write_all(b"GET /livez HT").expect("the peer reads");
     slow.set_read_timeout(Some(10 * SECOND))
         .expect("a socket option");
     assert_eq!(
         slow.read(&mut [0; 16]).unwrap_or(0),
         0,
-        "closed with no answer"
+        "closed without a response"
     );
-    fronts.program.wait_for_log("reason=late");
+    deployment.program.wait_for_log("reason=late");
 }
 
 #[test]
 fn agent_check_accepts_one_short_line_or_nothing() {
-    let fronts = start("");
+    let deployment = start("");
     for line in ["", "front/p1\n", "front/p1\r\n"] {
-        let answer = query_agent(fronts.agent, line, 5 * SECOND).unwrap_or_default();
+        let answer = query_agent(deployment.agent, line, 5 * SECOND).unwrap_or_default();
         assert!(answer.starts_with("up ready "), "{line:?}: {answer:?}");
     }
     for bad in [&[0xff, b'\n'][..], &[b'x'; 600]] {
-        let mut stream = TcpStream::connect(fronts.agent).expect("it listens");
+        let mut stream = TcpStream::connect(deployment.agent).expect("a listener");
         stream
             .set_read_timeout(Some(5 * SECOND))
             .expect("a socket option");
-        stream.write_all(bad).expect("it reads");
+        stream.write_all(bad).expect("the peer reads");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
         assert!(answer.is_empty(), "{bad:?}");
     }
-    fronts.program.wait_for_log("reason=malformed");
+    deployment.program.wait_for_log("reason=malformed");
 }
 
 #[test]
 fn silent_pollers_take_no_client_descriptors_and_delay_no_placement() {
-    let mut fronts = start("");
-    let before = fronts.program.descriptors();
+    let mut deployment = start("");
+    let before = deployment.program.descriptors();
     let silent: Vec<TcpStream> = (0..500)
         .map(|n| {
             TcpStream::connect(if n % 2 == 0 {
-                fronts.agent
+                deployment.agent
             } else {
-                fronts.http
+                deployment.http
             })
-            .expect("it listens")
+            .expect("a listener")
         })
         .collect();
-    // One that does ask is answered all the same, and a placing goes on.
-    assert!(agent(fronts.agent).starts_with("up "));
-    let held = fronts.program.descriptors();
+    // A complete poll is answered all the same, and tasks are still placed.
+    assert!(agent(deployment.agent).starts_with("up "));
+    let held = deployment.program.descriptors();
     assert!(held <= before + 40, "{before} to {held}");
-    let mut client = fronts.program.client();
+    let mut client = deployment.program.client();
     let begun = Instant::now();
     client.request_task(1, &IDEMPOTENT_TASK);
-    assert_eq!(fronts.connections[0].expect_offer(), hex(1));
-    fronts.connections[0].report_running(&hex(1));
+    assert_eq!(deployment.connections[0].expect_offer(), hex(1));
+    deployment.connections[0].report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
     assert!(begun.elapsed() < SECOND, "{:?}", begun.elapsed());
-    fronts.program.wait_for_log("reason=shed");
+    deployment.program.wait_for_log("reason=shed");
     drop(silent);
 }
--- a/tests/fronts/log.rs
+++ b/tests/fronts/log.rs
@@ -2,10 +2,10 @@
 
 use super::*;
 
-/// Makes connections that each leave a line.
-fn chatter(program: &Program, lines: usize) {
+/// Makes connections that each log a line.
+fn open_connections(program: &Program, lines: usize) {
     for _ in 0..lines {
-        let mut client = Client::connect(program.address).expect("it listens");
+        let mut client = Client::connect(program.address).expect("a listener");
         client.send(&[0, 1, 0]);
         let _ = client.next_message();
     }
@@ -14,13 +14,13 @@
 #[test]
 fn blocked_or_closed_log_stops_nothing() {
     for closed in [false, true] {
-        let books: Arc<Mutex<HostRecords>> = Arc::default();
-        let habits = HostBehavior {
+        let records: Arc<Mutex<HostRecords>> = Arc::default();
+        let behavior = HostBehavior {
             start_time: Duration::from_millis(5),
             run_time: SECOND,
             capacity: 100,
         };
-        let host = EmulatedHost::start("h0", "north", habits, books);
+        let host = EmulatedHost::start("h0", "north", behavior, records);
         let feed = EmulatedFeed::start();
         let config = emulator::placer_config("n0", 0, 1, &feed.address(), vec![host.entry("up")]);
         let (reader, writer) = std::io::pipe().expect("a pipe");
@@ -35,14 +35,14 @@
             .log_to(Stdio::from(writer))
             .start();
         drop(program.client());
-        // More than the pipe and the queue hold.
-        chatter(&program, 1_500);
+        // More than the pipe and the queue can hold.
+        open_connections(&program, 1_500);
         let mut client = program.client();
         client.request_task(1, &IDEMPOTENT_TASK);
         assert_eq!(client.expect_message().kind, 9);
         assert!(client.health_check());
         if let Some(mut reader) = reader {
-            // Once it is read again, what was dropped is told.
+            // Once it is read again, the number of dropped lines is logged.
             let told = std::thread::spawn(move || {
                 let (mut text, mut chunk) = (String::new(), [0; 4096]);
                 while !text.contains("log lines dropped dropped=") {
@@ -70,7 +70,7 @@
     let mut program = Launch::new(&single_placer_config(&feed, vec![]))
         .args(&["serve", "--log-format", "json"])
         .start();
-    chatter(program_ready(&program), 1);
+    open_connections(ready(&program), 1);
     program.terminate();
     assert_eq!(program.wait_exit().code(), Some(0));
     let log = program.log();
@@ -89,7 +89,7 @@
     );
 }
 
-fn program_ready(program: &Program) -> &Program {
+fn ready(program: &Program) -> &Program {
     drop(program.client());
     program
 }
--- a/tests/fronts/main.rs
+++ b/tests/fronts/main.rs
@@ -1,4 +1,4 @@
-//! One placer's fronts for balancers and operators, on real sockets, with peers that misbehave.
+//! The interfaces of one placer for load balancers and operators, on real sockets, with misbehaving peers.
 
 mod checks;
 mod drains;
@@ -22,7 +22,7 @@
 
 const SECOND: Duration = Duration::from_secs(1);
 
-struct Fronts {
+struct Deployment {
     program: Program,
     feed: Feed,
     hosts: Vec<Host>,
@@ -32,8 +32,8 @@
     socket: PathBuf,
 }
 
-/// A placer with one scripted host and every front, its drain bounded as told.
-fn start(drain: &str) -> Fronts {
+/// Starts a placer with one scripted host and every interface, with these settings of the drain.
+fn start(drain: &str) -> Deployment {
     let mut feed = Feed::new();
     let hosts = vec![Host::new("h0", "north")];
     let (agent, http, socket) = (free_address(), free_address(), temp_path("sock"));
@@ -49,7 +49,7 @@
     assert_eq!(feed.accept_subscription(), 1);
     feed.send(&simd_json::json!({ "n": 1 }));
     let connections = hosts.iter().map(Host::accept).collect();
-    Fronts {
+    Deployment {
         program,
         feed,
         hosts,
@@ -64,13 +64,13 @@
     query_agent(address, "t\n", 5 * SECOND).unwrap_or_default()
 }
 
-/// Sends bytes and reads to the end, or until nothing comes.
+/// Sends bytes and returns what comes until the end or the timeout.
 fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).expect("it listens");
+    let mut stream = TcpStream::connect(address).expect("a listener");
     stream
         .set_read_timeout(Some(5 * SECOND))
         .expect("a socket option");
-    stream.write_all(bytes).expect("it reads");
+    stream.write_all(bytes).expect("the peer reads");
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     String::from_utf8_lossy(&answer).into_owned()
--- a/tests/fronts/start.rs
+++ b/tests/fronts/start.rs
@@ -105,10 +105,10 @@
     assert!(String::from_utf8_lossy(&out.stderr).contains("another process answers there"));
     assert!(ctl(&socket, &["state"]).0);
     // What is no order is answered with what is wrong, and the connection goes on.
-    let mut stream = UnixStream::connect(&socket).expect("it listens");
+    let mut stream = UnixStream::connect(&socket).expect("a listener");
     stream
         .write_all(b"{\"v\":9}\nnonsense\n{\"v\":1,\"do\":\"state\"}\n")
-        .expect("it reads");
+        .expect("the peer reads");
     stream
         .shutdown(std::net::Shutdown::Write)
         .expect("a socket");
@@ -121,7 +121,7 @@
             && lines[1].contains("not JSON")
             && lines[2].contains("\"ok\":true")
     );
-    let mut stream = UnixStream::connect(&socket).expect("it listens");
+    let mut stream = UnixStream::connect(&socket).expect("a listener");
     let _ = stream.write_all(&vec![b'x'; 10_000]);
     let mut answer = String::new();
     let _ = stream.read_to_string(&mut answer);
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -1,4 +1,4 @@
-//! Lists of thousands of hosts, and floods of the feed: what matters in them is acted on at once.
+//! Endpoint lists of thousands of hosts, and floods of events: what matters in them takes effect at once.
 
 use emulator::{
     Feed, Host, HostConnection, Program, QUIET_PERIOD, TEST_TIMEOUT, UpdateKind, endpoint_event,
@@ -10,12 +10,12 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// As many hosts as a fleet may have.
+/// Maximum number of hosts of a fleet.
 const FLEET: usize = 16_384;
-/// A whole list of so many is longer than a mebibyte.
+/// A complete list of so many is longer than a mebibyte.
 const LARGE: usize = 7_300;
 
-/// The entry of a host that is full: it is listed, and nothing is offered to it.
+/// The entry of a full host: it is listed, and gets no offers.
 fn full(n: usize, state: &str, free_cores: i32) -> OwnedValue {
     json!({
         "host": format!("worker-{n:06}"), "dial": format!("127.1.{}.{}:9", n / 250, 1 + n % 250),
@@ -24,7 +24,7 @@
     })
 }
 
-/// How many hosts the program says that it knows.
+/// Returns how many hosts the program reports as known.
 fn hosts_known(admin: &str) -> Option<u64> {
     let mut stream = TcpStream::connect(admin).ok()?;
     stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
@@ -43,14 +43,14 @@
     None
 }
 
-/// A program that may be called, with one host that takes tasks and a feed that it follows.
+/// Starts a program with an admin socket, a feed and one host that accepts tasks.
 fn start() -> (Program, Feed, Host, HostConnection, String) {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     let admin = emulator::free_address().to_string();
     config.insert("admin", admin.as_str()).expect("an object");
-    // Hosts are called when something is wanted of them.
+    // Hosts are connected only for offers.
     config["settings"]["prices"] = json!({ "fleet": 0.15, "moves": 0.07, "handshake": 0.01 });
     config["limits"]["sockets"] = json!(256);
     let program = Program::start(&config);
@@ -80,8 +80,7 @@
     connection
 }
 
-/// The whole list in one line is followed, whatever its length: the placer went round in calls to the feed, and knew
-/// nothing of what it told, where the list was longer than a mebibyte.
+/// Regression: with a list longer than a mebibyte the placer resubscribed again and again, and knew no hosts.
 #[test]
 fn complete_list_of_thousands_of_hosts_in_one_line_is_applied() {
     for count in [LARGE, FLEET] {
@@ -101,7 +100,7 @@
     }
 }
 
-/// So many entries in one line, and as many lines of one entry, come to the same.
+/// A number of entries in one line, and as many lines of one entry, have the same effect.
 #[test]
 fn one_line_of_a_thousand_entries_equals_a_thousand_lines_of_one() {
     let (program, mut feed, _host, mut connection, admin) = start();
@@ -140,8 +139,8 @@
     );
 }
 
-/// A drain that is told between thousands of other events, and a whole list among them, holds from when it was told:
-/// all that the program was told before it next runs is read before a task that came after it is placed.
+/// A drain among thousands of other events, a complete list among them, takes effect at once: all events that arrived
+/// before the program next runs are read before a later task is placed.
 #[test]
 fn drain_within_a_flood_of_events_is_applied_in_time() {
     let (program, mut feed, first, mut connection, _admin) = start();
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -1,4 +1,4 @@
-//! The real program as operators and the platform run it day by day: admin, figures, drains.
+//! The real program as operators and the platform run it day by day: admin commands, metrics, drains, upgrades.
 
 use emulator::admin_socket::AdminSocket;
 use emulator::*;
@@ -40,7 +40,7 @@
 #[test]
 fn admin_commands_are_answered_beside_partial_ones() {
     let (_program, admin, _feed, _hosts, _conns) = start_with_admin_socket(1);
-    wait_for("it serves", || admin.is_healthy().then_some(()));
+    wait_for("the placer serves", || admin.is_healthy().then_some(()));
     for (line, begins) in [
         ("checks", "fail "),
         ("", "fail "),
@@ -54,11 +54,11 @@
         );
     }
     assert!(admin.request(&"x".repeat(4_096)).starts_with("fail "));
-    // Three times as many as there are places.
+    // Three times as many connections as there are slots.
     let mut halves: Vec<_> = (0..24).map(|_| admin.connect()).collect();
     halves
         .iter_mut()
-        .for_each(|half| half.write_all(b"che").expect("it reads"));
+        .for_each(|half| half.write_all(b"che").expect("the peer reads"));
     for _ in 0..10 {
         let asked = Instant::now();
         assert!(admin.is_healthy());
@@ -78,7 +78,7 @@
     let program = Launch::new(&config)
         .env("LB_ADMIN", &second.0.to_string())
         .start();
-    wait_for("it serves", || second.is_healthy().then_some(()));
+    wait_for("the placer serves", || second.is_healthy().then_some(()));
     assert!(
         std::net::TcpStream::connect(first.0).is_err(),
         "{}",
@@ -97,7 +97,7 @@
     let feed = Feed::new();
     let (config, admin) = with_admin_socket(single_placer_config(&feed, Vec::new()));
     let _program = Program::start(&config);
-    wait_for("it serves", || admin.is_healthy().then_some(()));
+    wait_for("the placer serves", || admin.is_healthy().then_some(()));
     let at = admin.0.to_string();
     let nowhere = free_address().to_string();
     for (at, call, code, says) in [
@@ -133,7 +133,7 @@
 fn metrics_count_client_responses_and_open_work() {
     let (program, admin, mut feed, hosts, mut connections) = start_with_admin_socket(2);
     let mut client = program.client();
-    // Served at the second host; refused by both; failed without a host.
+    // Served by the second host; rejected by both; failed without a host.
     client.request_task(1, &IDEMPOTENT_TASK);
     let (first, id) = next_offer(&mut connections);
     connections[first].report_ended(&id, 34, "nc");
@@ -197,13 +197,13 @@
     assert_eq!(whole("attempts"), attempts + 3);
     connections[at].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
-    // A host that drains is known, and avoided.
+    // A draining host is known, and excluded.
     feed.send_host_state(2, &hosts[0], "draining");
-    wait_for("it avoids one", || {
+    wait_for("one host excluded", || {
         (admin.metrics().get_u64("hosts_excluded") == Some(1)).then_some(())
     });
     feed.send_host_state(3, &hosts[0], "removed");
-    wait_for("it forgets it", || {
+    wait_for("one host forgotten", || {
         (admin.metrics().get_u64("hosts_known") == Some(1)).then_some(())
     });
     assert_eq!(admin.metrics().get_u64("hosts_excluded"), Some(0));
@@ -214,34 +214,34 @@
 #[test]
 fn drain_closes_idle_connections_without_rejecting_work_and_can_be_cancelled() {
     let (program, admin, _feed, _hosts, mut connections) = start_with_admin_socket(1);
-    let (mut idle, mut stood, mut busy, mut half) = (
+    let (mut idle, mut running, mut busy, mut half) = (
         program.client(),
         program.client(),
         program.client(),
         program.client(),
     );
     assert!(idle.health_check() && busy.health_check() && half.health_check());
-    stood.request_task(1, &IDEMPOTENT_TASK);
+    running.request_task(1, &IDEMPOTENT_TASK);
     let standing = connections[0].expect_offer();
     connections[0].report_running(&standing);
-    assert_eq!(stood.expect_message().kind, 9);
+    assert_eq!(running.expect_message().kind, 9);
     busy.request_task(2, &NON_IDEMPOTENT_TASK);
     let open = connections[0].expect_offer();
     let whole = encode_message(52, 9, &[(171, &[0])]);
     half.send(&whole[..5]);
-    // Its first message, which is half said for longer than a connection counts as new.
+    // Its first message is partial for longer than a connection counts as new.
     let mut fresh = program.client();
     fresh.send(&whole[..5]);
     assert!(admin.request("drain-on").starts_with("ok"));
-    assert!(!admin.is_healthy(), "from its first moment on");
-    // A connection that is new to it still gets its answer: the front may not have heard.
+    assert!(!admin.is_healthy(), "from the beginning");
+    // A new connection still gets its response: the load balancer may not have been notified yet.
     let mut late = program.client();
     assert!(!late.health_check());
     late.request_task(3, &IDEMPOTENT_TASK);
     let crossed = connections[0].expect_offer();
     connections[0].report_ended(&crossed, 16, "");
     assert_eq!(late.expect_message().cause(), 16);
-    // Those that carry nothing end, the others do not.
+    // Idle connections are closed, the others are not.
     assert_eq!((idle.next_message(), late.next_message()), (None, None));
     program.wait_for_log("phase=\"draining\"");
     connections[0].report_running(&open);
@@ -261,7 +261,10 @@
         (53, None)
     );
     connections[0].report_ended(&standing, 16, "");
-    assert_eq!((stood.expect_message().id, stood.next_message()), (1, None));
+    assert_eq!(
+        (running.expect_message().id, running.next_message()),
+        (1, None)
+    );
     assert!(admin.request("drain-off").starts_with("ok") && admin.is_healthy());
     let mut back = program.client();
     assert!(back.health_check() && back.health_check(), "it stays open");
@@ -282,7 +285,7 @@
     let mut front = program.client();
     assert!(
         front.health_check() && front.health_check(),
-        "nothing but results comes on it"
+        "only results come on this connection"
     );
     let mut next = program.client();
     next.request_task(2, &IDEMPOTENT_TASK);
@@ -292,7 +295,7 @@
 
 // ---- Upgrades ----
 
-/// Processes of one placer: the listening socket and the folder that they share.
+/// Processes of one placer, with the listening socket and the folder that they share.
 struct Processes {
     config: OwnedValue,
     listener: TcpListener,
@@ -300,7 +303,7 @@
 }
 
 impl Processes {
-    /// None yet, of a placer with this configuration.
+    /// Returns the processes of a placer with this configuration; none is started yet.
     fn of(mut config: OwnedValue) -> Processes {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
@@ -312,7 +315,7 @@
         }
     }
 
-    /// Starts one more, which serves, and where it takes admin.
+    /// Starts one more process that serves, and returns it with its admin socket.
     fn start(&self) -> (Program, AdminSocket) {
         let admin = AdminSocket(free_address());
         let launch = Launch::new(&self.config).inherit_listener(&self.listener);
@@ -320,7 +323,7 @@
         let program = launch
             .env("TMPDIR", &self.folder.path().to_string_lossy())
             .start();
-        wait_for("it serves", || admin.is_healthy().then_some(()));
+        wait_for("the placer serves", || admin.is_healthy().then_some(()));
         (program, admin)
     }
 }
@@ -333,11 +336,11 @@
     assert_eq!(feed.accept_subscription(), 1);
     feed.send(&json!({ "n": 1 }));
     let mut connection = hosts[0].accept();
-    let (mut stood, mut busy, mut idle) = (old.client(), old.client(), old.client());
-    stood.request_task(1, &IDEMPOTENT_TASK);
+    let (mut running, mut busy, mut idle) = (old.client(), old.client(), old.client());
+    running.request_task(1, &IDEMPOTENT_TASK);
     let standing = connection.expect_offer();
     connection.report_running(&standing);
-    assert_eq!(stood.expect_message().kind, 9);
+    assert_eq!(running.expect_message().kind, 9);
     busy.request_task(2, &NON_IDEMPOTENT_TASK);
     let open = connection.expect_offer();
     assert!(idle.health_check());
@@ -348,8 +351,8 @@
     new.wait_for_log("others=1");
     old.terminate();
     old.wait_for_log("phase=\"shutting-down\"");
-    assert_eq!(idle.next_message(), None, "it carries no task");
-    assert!(stood.health_check(), "the placer serves");
+    assert_eq!(idle.next_message(), None, "its connection carries no task");
+    assert!(running.health_check(), "the placer serves");
     assert!(
         !admin.is_healthy() && second.is_healthy(),
         "this process does not"
@@ -357,7 +360,7 @@
     for order in ["drain-on", "drain-off"] {
         assert_eq!(admin.request(order), "fail the process ends\n", "{order}");
     }
-    // Whoever comes now is the new one's.
+    // New connections go to the new process.
     let mut next_conn = hosts[0].accept();
     let mut late = new.client();
     late.request_task(
@@ -370,12 +373,12 @@
     let id = next_conn.expect_offer();
     next_conn.report_running(&id);
     assert_eq!((late.expect_message().kind, late.health_check()), (9, true));
-    // What the old one has in hand is told on its connections.
+    // The old process notifies its open work on its connections.
     connection.report_ended(&standing, 16, "");
-    let end = stood.expect_message();
+    let end = running.expect_message();
     assert_eq!((end.kind, end.id), (12, 1));
-    stood.acknowledge_end(1);
-    assert!(old.is_running(), "an answer is owed");
+    running.acknowledge_end(1);
+    assert!(old.is_running(), "a response is pending");
     connection.report_running(&open);
     assert_eq!(busy.expect_message().kind, 9);
     let ending = Instant::now();
@@ -387,7 +390,7 @@
     );
     assert_eq!(busy.next_message(), None);
     new.wait_for_log("others=0");
-    // What still stood is named to the new one.
+    // A client reconnects to its running task through the new process.
     late.request_task(
         2,
         &TaskRequest {
@@ -399,7 +402,7 @@
     next_conn.report_ended(&open, 16, "");
     let end = late.expect_message();
     assert_eq!((end.kind, end.id), (12, 2));
-    // And the next upgrade finds it.
+    // The next upgrade finds the new process.
     let (last, _) = processes.start();
     last.wait_for_log("others=1");
     assert!(new.is_running());
@@ -408,12 +411,12 @@
 #[test]
 fn two_processes_share_the_slow_start_budget_of_one_placer() {
     let (mut feed, host) = (Feed::new(), Host::new("h0", "north"));
-    // It bears 3 offers a second: of these one placer sends two, and either of two processes one.
+    // It tolerates 3 offers a second: one placer sends two of these, and each of two processes one.
     let processes = Processes::of(single_placer_config(&feed, vec![host.entry("draining", 0)]));
     let ((first, _), (other, _)) = (processes.start(), processes.start());
     first.wait_for_log("others=1");
     other.wait_for_log("others=1");
-    // It starts once both are there: what one of them sent before it started it can't know.
+    // It starts once both run: a process does not know what another sent before it started.
     let starts = format!(
         "{}\n",
         endpoint_event(2, UpdateKind::Delta, vec![host.entry("up", unix_ms())]).encode()
@@ -421,7 +424,7 @@
     let _subscriptions = [0; 2].map(|_| {
         assert_eq!(feed.accept_subscription(), 1);
         let mut told = feed.take_subscription().expect("a subscription");
-        told.write_all(starts.as_bytes()).expect("it reads");
+        told.write_all(starts.as_bytes()).expect("the peer reads");
         told
     });
     let mut connections = [host.accept(), host.accept()];
@@ -478,7 +481,7 @@
         .inherit_listener(&listener)
         .env("TMPDIR", "/nowhere/at/all")
         .start();
-    wait_for("it serves", || admin.is_healthy().then_some(()));
+    wait_for("the placer serves", || admin.is_healthy().then_some(()));
     program.wait_for_log("processes do not meet");
     std::thread::sleep(QUIET_PERIOD);
     assert_eq!(
--- a/tests/placer/answers.rs
+++ b/tests/placer/answers.rs
@@ -22,7 +22,7 @@
         .expect("a time");
     assert!(left > 1_000 && left < 6_000, "{left}");
     connections[0].report_running(&hex(0x51));
-    // A host's second word is no second answer.
+    // A second message of a host is no second answer.
     connections[0].report_running(&hex(0x51));
     let answer = client.expect_message();
     assert_eq!(
@@ -33,7 +33,7 @@
         client.health_check(),
         "nothing else was written before the test's result"
     );
-    // The end of the task is told, with its cause.
+    // The client is notified of the end of the task, with its cause.
     connections[0].report_ended(&hex(0x51), 16, "");
     let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 0x51, 16));
@@ -124,8 +124,8 @@
     );
 }
 
-// Found in rehearsals: a host's answer and release were read at once, and the release went out on another
-// connection, where its client read it before the answer.
+// Regression: a host's start and end of a task were read at once, and the end went out on another connection, where
+// the client read it before the answer.
 #[test]
 fn end_of_a_task_is_notified_after_its_answer_on_the_same_connection() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
@@ -133,7 +133,7 @@
     for (id, client) in [(1, &mut other), (2, &mut first)] {
         client.request_task(id, &IDEMPOTENT_TASK);
         connections[0].expect_offer();
-        // The other has had a task placed, and is heard last.
+        // The other client has had a task placed, and sent a message last.
         if id == 1 {
             connections[0].report_running(&hex(1));
             assert_eq!(client.expect_message().kind, 9);
@@ -148,10 +148,10 @@
     let words =
         [first.expect_message(), first.expect_message()].map(|message| (message.kind, message.id));
     assert_eq!(words, [(9, 2), (12, 2)]);
-    assert!(other.health_check(), "nothing of it went there");
+    assert!(other.health_check(), "nothing of it was sent there");
 }
 
-// Found on fleet days: such a task was offered to every host in turn, and each was held for broken.
+// Regression: such a task was offered to every host in turn, and each was taken for faulty.
 #[test]
 fn task_whose_deadline_has_passed_is_not_retried() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(2);
--- a/tests/placer/capacity_limits.rs
+++ b/tests/placer/capacity_limits.rs
@@ -51,7 +51,7 @@
             now
         })
         .collect();
-    // Three in a second are borne; a fourth must be a whole second after the first.
+    // Three in a second are tolerated; a fourth must come a second after the first.
     assert!(
         times
             .windows(4)
@@ -71,7 +71,7 @@
         .for_each(|id| connections[0].report_running(id));
     assert!(
         connections[0].read_within(QUIET_PERIOD).is_none(),
-        "two stand, a third is held"
+        "two run, a third is held back"
     );
     connections[0].report_ended(&placed[0], 16, "");
     connections[0].expect("ack");
--- a/tests/placer/failing_peers.rs
+++ b/tests/placer/failing_peers.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-// Found on fleet days: a vanished host kept its open connection and swallowed offer after offer.
+// Regression: an unreachable host kept its open connection and lost offer after offer.
 #[test]
 fn connection_silent_during_an_offer_is_replaced() {
     let (program, _feed, hosts, mut connections) = start_with_hosts(1);
@@ -12,7 +12,7 @@
     let mut second = hosts[0].accept();
     client.request_task(2, &IDEMPOTENT_TASK);
     assert_eq!(second.expect_offer(), hex(2));
-    // The first is still heard.
+    // The first connection is still read.
     connections[0].report_running(&id);
     assert_eq!(
         (client.expect_message().id, client.0.peer_addr().is_ok()),
@@ -20,9 +20,9 @@
     );
 }
 
-/// Two hosts, one of which holds a task and has vanished with another offered to it: that one comes again on
-/// a new connection of the other, which is of the same cell, and is placed there.
-fn one_vanishes() -> (
+/// Starts two hosts of one cell. One runs a task and is unreachable with another offered to it; that one is retried on a
+/// new connection of the other host, and placed there.
+fn start_with_unreachable_host() -> (
     Program,
     Feed,
     Client,
@@ -46,19 +46,19 @@
     assert_eq!(beside.expect_offer(), hex(2));
     assert!(
         since.elapsed() < Duration::from_secs(3),
-        "well before its client gives up"
+        "well before the timeout of its client"
     );
     beside.report_running(&hex(2));
     assert_eq!(client.expect_message().kind, 9);
     (program, feed, client, hosts, at, held, heard)
 }
 
-// Found on days with hosts that are cut off for a while: offers to each stayed out there until their clients
-// gave up, and what stood there was called lost, though it ran on.
+// Regression with hosts that are unreachable for a while: offers to them stayed in flight until their clients gave up,
+// and their running tasks were reported as lost.
 #[test]
 fn unreachable_host_keeps_its_running_tasks_and_its_offers_are_retried_elsewhere() {
-    let (_program, _feed, mut client, hosts, at, held, _) = one_vanishes();
-    // Out of reach for longer than a lost task needs to be told, less than it may go untold.
+    let (_program, _feed, mut client, hosts, at, held, _) = start_with_unreachable_host();
+    // Unreachable for longer than the notice of a lost task takes, and shorter than it may take.
     let told = client.message_within(Duration::from_secs(4));
     assert!(told.is_err(), "{told:?}");
     hosts[at].make_reachable(held);
@@ -70,7 +70,7 @@
 
 #[test]
 fn tasks_of_a_host_that_stays_unreachable_are_lost_in_time() {
-    let (_program, _feed, mut client, _hosts, _at, _held, heard) = one_vanishes();
+    let (_program, _feed, mut client, _hosts, _at, _held, heard) = start_with_unreachable_host();
     let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
     assert!(
@@ -119,7 +119,7 @@
         client.send(bad);
         assert_eq!(client.next_message(), None, "{bad:?}");
     }
-    // A set-up of an unknown class, and one with nothing in it, fail; the connection goes on.
+    // A request of an unknown class and an empty one fail; the connection stays open.
     good.request_task(
         1,
         &TaskRequest {
@@ -136,7 +136,7 @@
         (good.expect_message().cause(), good.health_check()),
         (47, true)
     );
-    // A host that talks nonsense loses its connection only.
+    // A host that sends nonsense loses only its connection.
     connections[0].send_bytes(b"{\"t\":\"up\"\n");
     assert!(connections[0].read_within(TEST_TIMEOUT).is_none());
     assert!(good.health_check());
--- a/tests/placer/process.rs
+++ b/tests/placer/process.rs
@@ -55,7 +55,7 @@
         (late.expect_message().id, program.wait_exit().code()),
         (2, Some(0))
     );
-    // The host never answered the first: its client was told before the end.
+    // The host never answered the first offer: its client was notified before the exit.
     let answer = client.expect_message();
     assert_eq!((answer.kind, answer.id, answer.cause()), (12, 1, 42));
     assert_eq!(
--- a/tests/placer/running_tasks.rs
+++ b/tests/placer/running_tasks.rs
@@ -19,15 +19,15 @@
         client.expect_message();
     }
     drop(client);
-    // The host closes its connection: the tasks stand on, and it is called again.
+    // The host closes its connection: the tasks run on, and the placer connects again.
     drop(connections.remove(0));
     let mut connection = hosts[0].accept();
     connection.report_ended(&hex(1), 41, "ev");
     connection.report_ended(&hex(1), 41, "ev");
     connection.expect("ack");
     connection.expect("ack");
-    // With no client connected the end waits for the next one that asks for anything, and comes once.
-    // A client may end a task on any connection; the host's word then goes no further.
+    // With no client connected, the notice of the end waits for the next client that sends anything, and comes once.
+    // A client may end a task on any connection; the host's report is then not forwarded.
     let mut client = program.client();
     client.release(2, 31);
     let end = client.expect_message();
@@ -53,7 +53,7 @@
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
 }
 
-// Found on fleet days: of machines that died together, one with no offer out was missed until the feed told.
+// Regression: of hosts that died together, one without an offer in flight was not noticed until the feed listed it.
 #[test]
 fn death_of_a_host_process_reconnects_the_others_of_its_cell() {
     let (program, _feed, mut hosts, mut connections) = start_with_hosts(2);
@@ -68,7 +68,7 @@
         );
     }
     assert!(client.health_check());
-    // Nothing listens any more, but only the first connection shows it.
+    // Nothing listens any more, but only the first connection notices.
     hosts.clear();
     drop(connections.remove(0));
     let mut lost =
@@ -97,7 +97,7 @@
             ..IDEMPOTENT_TASK
         },
     );
-    // It may be named again, which changes nothing.
+    // The client may reconnect again, which changes nothing.
     client.request_task(
         2,
         &TaskRequest {
--- a/tests/rough.rs
+++ b/tests/rough.rs
@@ -1,4 +1,4 @@
-//! The program among clients, hosts and a feed that misbehave, one test for each guard.
+//! The program among misbehaving clients, hosts and feeds, one test for each guard.
 
 #![recursion_limit = "256"]
 
@@ -7,10 +7,10 @@
 use simd_json::prelude::*;
 use std::time::{Duration, Instant};
 
-/// A bad client is owed a word or a close within 3 s.
-const OWED: Duration = Duration::from_secs(3);
+/// A bad client gets a response or a close within 3 s.
+const RESPONSE_LIMIT: Duration = Duration::from_secs(3);
 
-/// The parameters of a set-up, for spoiling.
+/// The parameters of a request, to be made invalid.
 fn parameters<'a>(wait: &'a str, tenant: &'a str, figures: &'a str) -> Vec<(u8, &'a [u8])> {
     let key = b"000000000000abcd";
     let texts = [
@@ -30,8 +30,8 @@
 
 // ---- Bad clients ----
 
-// Found on days with bad clients: hosts close on an offer without an id, whatever else is open there, and
-// answer errors to others, for which they were held for broken.
+// Regression: hosts close the connection on an offer without an id, whatever else is open on it, and answer others
+// with errors, for which the placer took them for faulty.
 #[test]
 fn invalid_requests_are_rejected_at_once_and_reach_no_host() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
@@ -56,7 +56,7 @@
             "{wait} {tenant} {figures}"
         );
     }
-    // An id that is over is not used again.
+    // The id of an ended task can not be used again.
     client.request_task(9, &IDEMPOTENT_TASK);
     assert_eq!(connections[0].expect_offer(), hex(9));
     connections[0].report_ended(&hex(9), 16, "");
@@ -69,7 +69,7 @@
     assert!(connections[0].read_within(QUIET_PERIOD).is_none());
 }
 
-// Found there too: a bad client took an open id over and got the answer that another was owed.
+// Regression: a bad client took over an open id and got the response that was pending for another.
 #[test]
 fn open_request_id_can_not_be_taken_over() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
@@ -90,9 +90,9 @@
     assert_eq!(
         other.next_message(),
         None,
-        "nor is a failure under its id told"
+        "nor is a failure notified under its id"
     );
-    // Given up from elsewhere it is still owed.
+    // Cancelled from another connection, its response is still pending.
     let mut other = program.client();
     other.release(1, 16);
     assert_eq!(other.expect_message().kind, 16);
@@ -101,7 +101,7 @@
         (client.expect_message().kind, client.health_check()),
         (9, true)
     );
-    // Two set-ups under one number end their connection, and the offer is given up.
+    // Two requests under one id close their connection, and the offer is withdrawn.
     other.request_task(
         2,
         &TaskRequest {
@@ -139,7 +139,11 @@
     for client in [&mut silent, &mut half, &mut after] {
         assert_eq!(client.next_message(), None);
     }
-    assert!(started.elapsed() < OWED, "{:?}", started.elapsed());
+    assert!(
+        started.elapsed() < RESPONSE_LIMIT,
+        "{:?}",
+        started.elapsed()
+    );
     assert!(once.health_check());
 }
 
@@ -155,7 +159,7 @@
     );
     client.send(&encode_message(99, 5, &[]));
     assert_eq!(client.next_message(), None, "of an unknown type");
-    // The word comes before the end, though more is under way that nobody reads.
+    // The response comes before the close, though there is more input that nobody reads.
     let mut client = program.client();
     client.send(&encode_message(1, 4, &parameters("6000", "nobody", "")));
     client.send(&[0xff; 300_000]);
@@ -163,8 +167,8 @@
     assert_eq!(client.next_message(), None);
 }
 
-// Found on days with clients that ask once and keep their connection: at the limit every accept failed
-// first, and set-ups waited for seconds.
+// Regression with clients that request once and keep their connection: at the limit every accept failed first, and
+// requests waited for seconds.
 #[test]
 fn client_connections_stay_within_the_descriptor_budget_and_busy_ones_are_kept() {
     let mut feed = Feed::new();
@@ -198,7 +202,7 @@
     assert_eq!(
         stranger.expect_message().kind,
         16,
-        "heard last, and has no task"
+        "last to send a message, without a task"
     );
     connections[0].report_ended(&id, 16, "");
     assert_eq!(client.expect_message().id, 1);
@@ -206,7 +210,7 @@
     assert_eq!(
         stranger.expect_message().id,
         1,
-        "not heard there, so told again"
+        "not acknowledged there, so notified again"
     );
     stranger.send(&encode_message(16, 1, &[]));
     assert!(stranger.health_check());
@@ -235,12 +239,16 @@
         (client.expect_message().id, client.health_check()),
         (1, true)
     );
-    assert!(started.elapsed() < OWED, "{:?}", started.elapsed());
+    assert!(
+        started.elapsed() < RESPONSE_LIMIT,
+        "{:?}",
+        started.elapsed()
+    );
 }
 
 // ---- Feeds and new configurations ----
 
-// Found on days with new configurations: SIGHUP ended the process, and all that was open was lost.
+// Regression: SIGHUP ended the process, and everything open was lost.
 #[test]
 fn sighup_moves_the_feed_from_its_last_event_while_requests_continue() {
     let mut feed = Feed::new();
@@ -254,7 +262,7 @@
     client.request_task(1, &IDEMPOTENT_TASK);
     let id = connection.expect_offer();
     for n in 3..5 {
-        // A file that can't be read leaves the one before in force.
+        // An invalid file leaves the previous one in force.
         program.reload("{\"feed\":");
         feed.send_host_state(n, &host, "up");
         assert!(client.health_check());
@@ -280,7 +288,7 @@
         "\u{1}\u{2}\n",
     ] {
         let mut stream = feed.take_subscription().expect("a subscription");
-        std::io::Write::write_all(&mut stream, spoilt.as_bytes()).expect("it reads");
+        std::io::Write::write_all(&mut stream, spoilt.as_bytes()).expect("the peer reads");
         let broken = Instant::now();
         drop(stream);
         assert_eq!(feed.accept_subscription(), 1, "{spoilt}");
@@ -294,7 +302,7 @@
     assert_eq!(
         feed.accept_subscription(),
         1,
-        "it stays open and tells nothing"
+        "it stays open and sends nothing"
     );
     assert!(
         stopped.elapsed() < Duration::from_secs(4),
@@ -310,7 +318,7 @@
     let (program, _feed, hosts, mut connections) = start_with_hosts(2);
     let mut client = program.client();
     let up = |rest: &str| format!("{{\"t\":\"up\",\"ref\":\"{}\"{rest}", hex(1));
-    // Noise, no description, a line that never ends, one that stops short.
+    // Noise, no description, a line that never ends, a truncated one.
     let spoilt = [
         "\u{1}\u{2}\n".into(),
         up(",\"f\":{}}\n"),
@@ -339,7 +347,7 @@
             "{n}"
         );
     }
-    // What must not start twice fails.
+    // A non-idempotent task fails.
     client.request_task(9, &NON_IDEMPOTENT_TASK);
     let (at, _) = next_offer(&mut connections);
     connections[at].send_bytes(spoilt[1].as_bytes());
