--- a/crates/load-test/tests/rehearsal.rs
+++ b/crates/load-test/tests/rehearsal.rs
@@ -1,4 +1,4 @@
-//! Rehearsals on loopback with the real placer, short enough for CI.
+//! Load tests on loopback with the real placer, short enough for CI.
 
 use emulator::cluster::describe;
 use emulator::host_model::{Micros, Offer};
@@ -16,7 +16,7 @@
 
 const MILLI: Micros = 1_000;
 
-/// The placer, built on the way where the test runs alone. A lock keeps the runs apart: each needs the cores.
+/// Returns the path of the placer, which is built first where the test runs alone.
 fn placer() -> PathBuf {
     static BUILT: std::sync::Once = std::sync::Once::new();
     let binary = emulator::binary();
@@ -41,7 +41,7 @@
     binary
 }
 
-fn rehearse(plan: &str) -> (Outcome, tempfile::TempDir) {
+fn run_load_test(plan: &str) -> (Outcome, tempfile::TempDir) {
     static ALONE: Mutex<()> = Mutex::new(());
     let _alone = ALONE
         .lock()
@@ -58,11 +58,11 @@
     (run(&plan, &options).expect("a run"), folder)
 }
 
-fn clean(outcome: &Outcome) {
+fn assert_no_findings(outcome: &Outcome) {
     assert!(outcome.findings.is_empty(), "{}", findings_text(outcome, 3));
 }
 
-/// Short lives, so that the end of a run is not far.
+/// Short run times of tasks, so that runs end soon.
 const CLASSES: &str = "
 [clients]
 drain = \"6s\"
@@ -85,19 +85,19 @@
 ";
 
 #[test]
-fn eight_a_second_rising_to_forty_is_answered_and_counted_as_an_independent_count_has_it() {
+fn rising_load_is_answered_and_percentiles_match_an_independent_count() {
     let plan = format!(
         "seed = 5\n[arrivals]\nshape = \"8/s for 3s, rise to 40/s over 2s, hold 3s\"\n{CLASSES}"
     );
-    let (outcome, _folder) = rehearse(&plan);
-    clean(&outcome);
+    let (outcome, _folder) = run_load_test(&plan);
+    assert_no_findings(&outcome);
     let summary = summarize(&outcome);
     assert!(
         outcome.tasks.len() > 120 && outcome.tasks.iter().all(|t| t.started.is_some()),
         "{}",
         summary_text(&summary, &outcome)
     );
-    // Counted again from the raw times, by sorting: within the histogram's resolution, one in a thousand.
+    // Counted again from the raw times, by sorting: equal within the resolution of the histogram, one in a thousand.
     let mut raw: Vec<Micros> = outcome.tasks.iter().filter_map(|t| t.started).collect();
     raw.sort_unstable();
     let all = summary.group("all").expect("a group");
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn tasks_due_while_a_placer_stands_still_are_as_late_as_they_were() {
+fn latency_counts_from_the_due_time_while_a_placer_is_stopped() {
     let plan = "seed = 3
 rooms = [\"one\"]
 [placers]
@@ -142,22 +142,22 @@
 length = \"1s\"
 kind = \"placer-stop\"
 ";
-    let (outcome, _folder) = rehearse(plan);
-    clean(&outcome);
+    let (outcome, _folder) = run_load_test(plan);
+    assert_no_findings(&outcome);
     let within = |from: Micros, to: Micros| {
         outcome
             .tasks
             .iter()
             .filter(move |t| (from * MILLI..to * MILLI).contains(&t.arrival.due))
     };
-    // All that were due in the stall are there. The director acts up to its look late.
+    // All tasks that were due in the pause are there. The fault injector acts late by up to its poll interval.
     let stalled: Vec<Micros> = within(1_600, 2_450).filter_map(|t| t.started).collect();
     assert_eq!(
         (within(1_500, 2_500).count(), stalled.len()),
         (40, within(1_600, 2_450).count())
     );
     for task in within(1_600, 2_450) {
-        // It could not start before the placer went on.
+        // It could not start before the placer was resumed.
         let least = 2_500 * MILLI - task.arrival.due - 20 * MILLI;
         let started = task.started.expect("a start");
         assert!(
@@ -166,7 +166,7 @@
             task.arrival.due
         );
     }
-    // What a closed loop sees: one request at a time, the next when the one before is answered.
+    // What a closed loop measures: one request at a time, the next one when it is answered.
     let mut closed = Vec::new();
     let mut at = 0;
     while let Some(task) = outcome.tasks.iter().find(|t| t.arrival.due >= at) {
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn killed_restarted_and_drained_placers_dying_hosts_and_broken_feeds_leave_the_audit_clean() {
+fn faults_of_placers_hosts_and_feeds_break_no_rule() {
     let faults = [
         ("1500ms", "1500ms", "placer-kill", 0),
         ("4s", "2500ms", "placer-restart", 1),
@@ -213,8 +213,8 @@
         })
         .collect();
     let plan = format!("seed = 11\n[arrivals]\nshape = \"24/s for 8s\"\n{CLASSES}{faults}");
-    let (outcome, _folder) = rehearse(&plan);
-    clean(&outcome);
+    let (outcome, _folder) = run_load_test(&plan);
+    assert_no_findings(&outcome);
     let summary = summarize(&outcome);
     eprintln!("{}", summary_text(&summary, &outcome));
     let all = summary.group("all").expect("a group");
@@ -230,11 +230,11 @@
 }
 
 #[test]
-fn the_same_faults_with_a_rule_broken_on_purpose_are_found() {
-    // The audit of a real run, with one answer planted that no host gave.
+fn rule_broken_on_purpose_in_a_real_run_is_found() {
+    // The check of a real run with one added answer that no host gave.
     let plan = format!("seed = 5\n[arrivals]\nshape = \"8/s for 2s\"\n{CLASSES}");
-    let (outcome, folder) = rehearse(&plan);
-    clean(&outcome);
+    let (outcome, folder) = run_load_test(&plan);
+    assert_no_findings(&outcome);
     for n in 0..3 {
         let log =
             std::fs::read_to_string(folder.path().join(format!("placer-{n}.log"))).expect("a log");
@@ -250,18 +250,18 @@
 }
 
 #[test]
-fn a_placer_ends_with_the_keeper_that_was_killed() {
-    // The guard becomes a program that would run for ever; its keeper is killed.
+fn guarded_placer_dies_with_its_supervisor() {
+    // The guard becomes a program that would run for ever; the process that started it is killed.
     let guard = env!("CARGO_BIN_EXE_load-test");
     let script = format!("{guard} guard /usr/bin/yes > /dev/null & echo $!; wait");
-    let mut keeper = std::process::Command::new("sh")
+    let mut supervisor = std::process::Command::new("sh")
         .args(["-c", &script])
         .stdout(std::process::Stdio::piped())
         .spawn()
         .expect("a shell");
     let mut line = String::new();
     std::io::BufRead::read_line(
-        &mut std::io::BufReader::new(keeper.stdout.take().expect("a pipe")),
+        &mut std::io::BufReader::new(supervisor.stdout.take().expect("a pipe")),
         &mut line,
     )
     .expect("a line");
@@ -271,15 +271,15 @@
             .ok()
             .filter(|name| name.trim() == "yes")
     });
-    keeper.kill().expect("a child");
-    keeper.wait().expect("a child");
+    supervisor.kill().expect("a child");
+    supervisor.wait().expect("a child");
     emulator::wait_for("it has ended", || (!path.exists()).then_some(()));
 }
 
-/// A placer of the test's own, in a few lines: it answers each set-up after 30 ms, on threads, and counts
-/// with a clock of its own. The generator's figures must agree with it.
+/// A minimal placer of the test: it answers each request after 30 ms, on threads, and measures with its own clock.
+/// The generator's figures must agree with it.
 #[test]
-fn what_the_generator_counts_agrees_with_a_peer_that_counts_for_itself() {
+fn generator_latencies_agree_with_an_independent_peer() {
     type Seen = Arc<Mutex<HashMap<u64, (Instant, Instant)>>>;
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address");
@@ -352,7 +352,7 @@
 }
 
 #[test]
-fn clients_that_go_by_agents_lose_nothing_when_a_placer_drains() {
+fn clients_balanced_by_agent_weights_lose_nothing_in_a_drain() {
     let plan = format!(
         "seed = 4
 [placers]
@@ -376,14 +376,14 @@
 ",
         CLASSES.replace("[clients]", "[clients]\nspread = \"agent\"")
     );
-    let (outcome, folder) = rehearse(&plan);
-    clean(&outcome);
+    let (outcome, folder) = run_load_test(&plan);
+    assert_no_findings(&outcome);
     let log = std::fs::read_to_string(folder.path().join("placer-1.log")).expect("a log");
     assert!(
         log.contains("phase=\"drained\"") && log.matches("serves").count() == 2,
         "{log}"
     );
-    // A drain breaks nothing, so nobody had to come again for it.
+    // A drain breaks nothing, so no client had to retry.
     assert!(
         outcome.tasks.iter().all(|task| task.started.is_some()),
         "{}",
@@ -392,9 +392,9 @@
     assert_eq!(outcome.counts.failed_attempts, 0, "{:?}", outcome.counts);
 }
 
-// The connections of a placer to its hosts come from a bounded pool: what it needs less makes way.
+// The connections of a placer to its hosts come from a limited pool: the least needed are evicted.
 #[test]
-fn four_hundred_hosts_are_served_with_two_hundred_and_fifty_six_descriptors() {
+fn four_hundred_hosts_are_served_with_256_descriptors() {
     let plan = format!(
         "seed = 11
 [placers]
@@ -411,8 +411,8 @@
     )
     .replace("sizes = [[4.0, 6.0]]", "sizes = [[2.0, 4.0]]")
     .replace("name = \"pagina\"", "name = \"pagina\"\nmost-in-room = 9");
-    let (outcome, folder) = rehearse(&plan);
-    clean(&outcome);
+    let (outcome, folder) = run_load_test(&plan);
+    assert_no_findings(&outcome);
     let started = outcome
         .tasks
         .iter()
@@ -437,7 +437,7 @@
     );
 }
 
-/// Everything of `[overload]`, for a plan.
+/// All settings of `[overload]`, for a plan.
 const AS_ONE: &str = "
 [overload.line]
 enabled = true
@@ -451,8 +451,8 @@
 enabled = true
 ";
 
-/// A crowd at six hosts that start about 200 a second, with six placers.
-fn crowd(operator: &str) -> String {
+/// An overload of six hosts that start about 200 tasks a second, with six placers.
+fn overload_plan(operator: &str) -> String {
     format!(
         "seed = 2\n[placers]\ncount = 6\noperator = '''{operator}'''\n\
          [hosts]\ncount = 6\nstarts = 2\nstart = \"60ms\"\ncold-start = 1.0\ncores = 200.0\nmemory = 400.0\n\
@@ -464,7 +464,7 @@
     )
 }
 
-/// Three placers are killed in the crowd and come back, another is stopped in bursts, a host falls silent.
+/// Three placers are killed in the overload and restarted, another is paused repeatedly, a host goes silent.
 const TROUBLES: &str = "
 [[fault]]
 at = \"3s\"
@@ -486,11 +486,11 @@
 ";
 
 #[test]
-fn a_crowd_with_placers_killed_and_stopped_in_it_is_shed_as_one_and_over_with_it() {
-    let (before, _folder) = rehearse(&format!("{}{TROUBLES}", crowd("")));
-    let (as_one, folder) = rehearse(&format!("{}{TROUBLES}", crowd(AS_ONE)));
-    clean(&before);
-    clean(&as_one);
+fn overload_with_placer_faults_is_shed_in_step_and_ends_with_the_load() {
+    let (before, _folder) = run_load_test(&format!("{}{TROUBLES}", overload_plan("")));
+    let (as_one, folder) = run_load_test(&format!("{}{TROUBLES}", overload_plan(AS_ONE)));
+    assert_no_findings(&before);
+    assert_no_findings(&as_one);
     let after = |outcome: &Outcome| {
         summarize(outcome)
             .group("phase after")
@@ -533,8 +533,8 @@
     );
 }
 
-/// A plan of the repository, with the parts of its operator's file on or off.
-fn plan_file(name: &str, as_one: bool) -> String {
+/// Returns a plan of the repository, with the coordination of placers in its operator's file on or off.
+fn plan_from_file(name: &str, as_one: bool) -> String {
     let path = format!("{}/../../plans/{name}.toml", env!("CARGO_MANIFEST_DIR"));
     let text = std::fs::read_to_string(path).expect("a plan");
     if as_one {
@@ -544,8 +544,8 @@
     }
 }
 
-/// The part of the tasks due in a phase that started in aim, of those that `which` picks by their placer.
-fn in_aim(outcome: &Outcome, phase: &str, which: impl Fn(Option<usize>) -> bool) -> f64 {
+/// Returns the fraction of tasks of a phase that met their objective, of those whose placer `which` selects.
+fn within_objective(outcome: &Outcome, phase: &str, which: impl Fn(Option<usize>) -> bool) -> f64 {
     let number = outcome
         .profile
         .phases
@@ -567,9 +567,9 @@
 }
 
 #[test]
-fn one_placer_with_bad_links_to_half_of_the_hosts_is_not_taken_for_the_fleet() {
-    let (outcome, folder) = rehearse(&plan_file("one-bad-placer", true));
-    clean(&outcome);
+fn bad_links_of_one_placer_are_not_taken_for_a_fleet_problem() {
+    let (outcome, folder) = run_load_test(&plan_from_file("one-bad-placer", true));
+    assert_no_findings(&outcome);
     let told = || {
         format!(
             "{}{}",
@@ -578,17 +578,21 @@
         )
     };
     assert!(
-        in_aim(&outcome, "bad", |placer| placer != Some(0)) > 0.95,
+        within_objective(&outcome, "bad", |placer| placer != Some(0)) > 0.95,
+        "{}",
+        told()
+    );
+    assert!(
+        within_objective(&outcome, "after", |_| true) > 0.95,
         "{}",
         told()
     );
-    assert!(in_aim(&outcome, "after", |_| true) > 0.95, "{}", told());
     for n in 0..6 {
         let log =
             std::fs::read_to_string(folder.path().join(format!("placer-{n}.log"))).expect("a log");
         assert!(!log.contains("overload-step"), "placer {n} sheds: {log}");
     }
-    // The links were bad: what was offered there came to nothing in time.
+    // The links were bad: offers over them failed or timed out.
     assert!(
         outcome.counts.retries > 0 || outcome.impact.total(|second| second.abandoned_offers) > 0,
         "{}",
@@ -597,11 +601,11 @@
 }
 
 #[test]
-fn a_rack_cut_off_from_every_placer_and_back_at_once_is_no_second_trouble() {
-    let (before, _folder) = rehearse(&plan_file("rack-cut", false));
-    let (as_one, _folder) = rehearse(&plan_file("rack-cut", true));
-    clean(&before);
-    clean(&as_one);
+fn rack_that_returns_from_a_partition_causes_no_second_overload() {
+    let (before, _folder) = run_load_test(&plan_from_file("rack-cut", false));
+    let (as_one, _folder) = run_load_test(&plan_from_file("rack-cut", true));
+    assert_no_findings(&before);
+    assert_no_findings(&as_one);
     let told = |outcome: &Outcome| {
         format!(
             "{}{}",
@@ -609,7 +613,7 @@
             impact_text(&outcome.impact)
         )
     };
-    let after = |outcome: &Outcome| in_aim(outcome, "after", |_| true);
+    let after = |outcome: &Outcome| within_objective(outcome, "after", |_| true);
     assert!(after(&as_one) > 0.95, "{}", told(&as_one));
     assert!(
         after(&as_one) > after(&before) + 0.1,
@@ -617,7 +621,7 @@
         told(&before),
         told(&as_one)
     );
-    // Nothing came to the rack while it was cut off, and less came in vain when it was back.
+    // No offers reached the rack during the partition, and fewer failed when it was back.
     let cut = |outcome: &Outcome| {
         outcome.impact.offers_by_slot[..2]
             .iter()
