--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -38,7 +38,7 @@
     /// It sent a line longer than any command.
     TooLong,
     /// It took too long, or its descriptor is needed for another.
-    Late,
+    TimedOut,
 }
 
 impl fmt::Display for EndReason {
@@ -47,7 +47,7 @@
             EndReason::Closed => "closed",
             EndReason::Failed => "failed",
             EndReason::TooLong => "too-long",
-            EndReason::Late => "late",
+            EndReason::TimedOut => "timeout",
         })
     }
 }
@@ -119,7 +119,7 @@
 ) {
     let evicted = async {
         place.evicted().await;
-        EndReason::Late
+        EndReason::TimedOut
     };
     let served = serve_commands(&stream, &place, &limiter, &shared);
     let reason = future::or(served, evicted).await;
