--- a/src/descriptors/pool/tests.rs
+++ b/src/descriptors/pool/tests.rs
@@ -141,6 +141,89 @@
     assert_eq!(pool.evict(2), Some(1));
 }
 
+const PURPOSES: [ConnectPurpose; 4] = [
+    ConnectPurpose::Prewarm,
+    ConnectPurpose::ReadTaskEnds,
+    ConnectPurpose::ReportRelease,
+    ConnectPurpose::SendAttempt,
+];
+const PRIORITIES: [ConnectionPriority; 4] = [
+    ConnectionPriority::Replaced,
+    ConnectionPriority::Idle,
+    ConnectionPriority::HasRunningTasks,
+    ConnectionPriority::Busy,
+];
+
+/// A pool with the connections that its caller has open.
+struct Caller {
+    pool: ConnectionPool<u32, u32>,
+    open: BTreeMap<u32, ConnectionPriority>,
+    closing: BTreeSet<u32>,
+    next_conn: u32,
+}
+
+impl Caller {
+    fn new(capacity: usize) -> Caller {
+        Caller {
+            pool: ConnectionPool::new(capacity),
+            open: BTreeMap::new(),
+            closing: BTreeSet::new(),
+            next_conn: 100,
+        }
+    }
+
+    fn connect(&mut self, now: Micros) {
+        self.pool.occupy(now, self.next_conn);
+        self.open.insert(self.next_conn, ConnectionPriority::Busy);
+        self.next_conn += 1;
+    }
+
+    fn request_slot(&mut self, now: Micros, host: u32, purpose: ConnectPurpose) {
+        if self.pool.request_slot(now, host, purpose) == SlotDecision::Connect {
+            self.connect(now);
+        }
+        while let Some(conn) = self.pool.evict(now) {
+            assert_ne!(self.open[&conn], ConnectionPriority::Busy);
+            assert!(self.closing.insert(conn), "evicted once");
+        }
+    }
+
+    fn set_priority(&mut self, now: Micros, conn: u32, priority: ConnectionPriority) {
+        self.pool.set_priority(&conn, priority, Some(now));
+        if !self.closing.contains(&conn) {
+            self.open.insert(conn, priority);
+        }
+    }
+
+    fn release(&mut self, conn: u32) {
+        self.pool.release(&conn);
+        self.closing.remove(&conn);
+        self.open.remove(&conn);
+    }
+
+    fn connect_waiting(&mut self, now: Micros) {
+        while self.pool.next_to_connect().is_some() {
+            self.connect(now);
+        }
+    }
+
+    fn step(&mut self, now: Micros, kind: u8, number: u32) {
+        let index = number as usize;
+        let conn = self
+            .open
+            .keys()
+            .nth(index % self.open.len().max(1))
+            .copied();
+        match (kind, conn) {
+            (0 | 1, _) => self.request_slot(now, number, PURPOSES[index % PURPOSES.len()]),
+            (2, Some(conn)) => self.set_priority(now, conn, PRIORITIES[index % PRIORITIES.len()]),
+            (3, Some(conn)) => self.release(conn),
+            (4, _) => self.connect_waiting(now),
+            _ => {}
+        }
+    }
+}
+
 proptest! {
     /// Whatever happens, no more connections are opened than there are slots, a busy one is never evicted,
     /// and a waiting request is served once slots are released.
@@ -149,63 +232,18 @@
         capacity in 1usize..6,
         steps in prop::collection::vec((0u8..5, 0u32..8), 1..200),
     ) {
-        let mut pool: ConnectionPool<u32, u32> = ConnectionPool::new(capacity);
-        let mut live: BTreeMap<u32, ConnectionPriority> = BTreeMap::new();
-        let mut closing: BTreeSet<u32> = BTreeSet::new();
-        let mut next_conn: u32 = 100;
-        for (now, (step, n)) in steps.into_iter().enumerate() {
-            let now = now as Micros * 100 * MILLISECOND;
-            let conn = live.keys().nth(n as usize % live.len().max(1)).copied();
-            let mut connect = |pool: &mut ConnectionPool<u32, u32>, live: &mut BTreeMap<u32, ConnectionPriority>| {
-                pool.occupy(now, next_conn);
-                live.insert(next_conn, ConnectionPriority::Busy);
-                next_conn += 1;
-            };
-            match (step, conn) {
-                (0 | 1, _) => {
-                    let purpose = [
-                        ConnectPurpose::Prewarm,
-                        ConnectPurpose::ReadTaskEnds,
-                        ConnectPurpose::ReportRelease,
-                        ConnectPurpose::SendAttempt,
-                    ][n as usize % 4];
-                    match pool.request_slot(now, n, purpose) {
-                        SlotDecision::Connect => connect(&mut pool, &mut live),
-                        SlotDecision::Wait | SlotDecision::Skip => {}
-                    }
-                    while let Some(conn) = pool.evict(now) {
-                        prop_assert!(live[&conn] != ConnectionPriority::Busy && closing.insert(conn));
-                    }
-                }
-                (2, Some(conn)) => {
-                    let priority = [
-                        ConnectionPriority::Replaced,
-                        ConnectionPriority::Idle,
-                        ConnectionPriority::HasRunningTasks,
-                        ConnectionPriority::Busy,
-                    ][n as usize % 4];
-                    pool.set_priority(&conn, priority, Some(now));
-                    if !closing.contains(&conn) {
-                        live.insert(conn, priority);
-                    }
-                }
-                (3, Some(conn)) => {
-                    pool.release(&conn);
-                    closing.remove(&conn);
-                    live.remove(&conn);
-                }
-                (4, _) => {
-                    while pool.next_to_connect().is_some() {
-                        connect(&mut pool, &mut live);
-                    }
-                }
-                _ => {}
-            }
-            prop_assert!(live.len() <= capacity && pool.slots_in_use() == live.len());
+        let mut caller = Caller::new(capacity);
+        for (now, (kind, number)) in steps.into_iter().enumerate() {
+            caller.step(now as Micros * 100 * MILLISECOND, kind, number);
+            prop_assert!(caller.open.len() <= capacity);
+            prop_assert_eq!(caller.pool.slots_in_use(), caller.open.len());
         }
-        for conn in live.into_keys() {
+
+        let mut pool = caller.pool;
+        for conn in caller.open.into_keys() {
             pool.release(&conn);
         }
+
         let waiting = pool.waiting_requests();
         let served = std::iter::from_fn(|| pool.next_to_connect()).count();
         prop_assert_eq!((served, pool.waiting_requests()), (waiting, 0));
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -23,7 +23,7 @@
 //!   not polled still send them.
 //! - *closing idle*: connections without a request or task are closed; a new request is still served.
 //! - *awaiting tasks*: pending responses are sent, and the ends of running tasks are awaited and reported.
-//! - *answering all*: the module is told to answer everything within a time. Nothing leads back from here: what
+//! - *answering all*: the module is notified to answer everything within a time. Nothing leads back from here: what
 //!   the module has given up can't be restored.
 //!
 //! Pure: time is an argument, and there is no I/O. The phases' names in answers to operators are older than
@@ -82,7 +82,7 @@
     }
 }
 
-/// The drain can't be cancelled: the module has been told to answer everything.
+/// The drain can't be cancelled: the module has been notified to answer everything.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("too late: the process ends")]
 pub struct TooLateToCancel;
@@ -174,7 +174,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`TooLateToCancel`] once the module has been told to answer everything.
+    /// Returns [`TooLateToCancel`] once the module has been notified to answer everything.
     pub fn cancel(&mut self, now: Micros) -> Result<Vec<Effect>, TooLateToCancel> {
         match self.phase {
             Phase::Idle => Ok(Vec::new()),
--- a/src/operator/health.rs
+++ b/src/operator/health.rs
@@ -82,27 +82,7 @@
         |count| (1..=4_096).contains(count),
         "1 to 4096",
     );
-    let agent_line_timeout = reader.checked(
-        &mut section,
-        "agent-line-wait",
-        default.agent_line_timeout,
-        |timeout| *timeout <= SECOND,
-        "at most 1s",
-    );
-    let request_timeout = reader.checked(
-        &mut section,
-        "request-time",
-        default.request_timeout,
-        is_positive_up_to(MINUTE),
-        "1ms to 1m",
-    );
-    let idle_timeout = reader.checked(
-        &mut section,
-        "idle",
-        default.idle_timeout,
-        is_positive_up_to(10 * MINUTE),
-        "1ms to 10m",
-    );
+    let timeouts = read_timeouts(reader, &mut section, &default);
     let drain_status = reader.checked(
         &mut section,
         "drain-status",
@@ -124,9 +104,9 @@
         agent_addresses,
         http_addresses,
         max_connections: usize::try_from(max_connections).unwrap_or(default.max_connections),
-        agent_line_timeout,
-        request_timeout,
-        idle_timeout,
+        agent_line_timeout: timeouts.agent_line,
+        request_timeout: timeouts.request,
+        idle_timeout: timeouts.idle,
         drain_status: u16::try_from(drain_status).unwrap_or(default.drain_status),
         reports_maxconn,
         degraded_below: u8::try_from(degraded_below).unwrap_or(default.degraded_below),
@@ -134,6 +114,43 @@
     }
 }
 
+/// The timeouts of load balancers' connections.
+struct Timeouts {
+    agent_line: Duration,
+    request: Duration,
+    idle: Duration,
+}
+
+fn read_timeouts(
+    reader: &mut Reader<'_>,
+    section: &mut Section<'_>,
+    default: &HealthSettings,
+) -> Timeouts {
+    Timeouts {
+        agent_line: reader.checked(
+            section,
+            "agent-line-wait",
+            default.agent_line_timeout,
+            |timeout| *timeout <= SECOND,
+            "at most 1s",
+        ),
+        request: reader.checked(
+            section,
+            "request-time",
+            default.request_timeout,
+            is_positive_up_to(MINUTE),
+            "1ms to 1m",
+        ),
+        idle: reader.checked(
+            section,
+            "idle",
+            default.idle_timeout,
+            is_positive_up_to(10 * MINUTE),
+            "1ms to 10m",
+        ),
+    }
+}
+
 /// Reads the addresses of both kinds of checks, which must differ.
 fn read_addresses(
     reader: &mut Reader<'_>,
--- a/tests/health_random.rs
+++ b/tests/health_random.rs
@@ -12,38 +12,35 @@
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_000 * SECOND;
 
-/// An event, and how long after the one before it comes.
-fn step() -> impl Strategy<Value = (Micros, Event)> {
-    let gap = prop_oneof![
-        8 => 0..6_000i64,
-        3 => 0..300_000i64,
-        1 => 0..8 * SECOND,
-    ];
-    let zone = (0u32..6, 0u32..6, 0u32..6).prop_map(|(listed, refused, silent)| ZoneReachability {
+/// Any value that a gauge can have.
+fn gauge() -> impl Strategy<Value = f64> + Clone {
+    prop_oneof![Just(0.0), 0.0..6.0f64, Just(f64::NAN), Just(f64::INFINITY)]
+}
+
+fn zone() -> impl Strategy<Value = ZoneReachability> {
+    (0u32..6, 0u32..6, 0u32..6).prop_map(|(listed, refused, silent)| ZoneReachability {
         listed,
         refused: refused.min(listed),
         silent: silent.min(listed),
-    });
-    let figure = prop_oneof![Just(0.0), 0.0..6.0f64, Just(f64::NAN), Just(f64::INFINITY)];
-    let gauges = (
-        figure.clone(),
-        prop::collection::vec(zone, 0..4),
-        (prop::option::of(0.0..1.0f64), 0.0..1.0f64),
-        figure.clone(),
-        figure,
+    })
+}
+
+fn gauges() -> impl Strategy<Value = Gauges> {
+    let host_fractions = (prop::option::of(0.0..1.0f64), 0.0..1.0f64);
+    let zones = prop::collection::vec(zone(), 0..4);
+    (gauge(), zones, host_fractions, gauge(), gauge()).prop_map(
+        |(oldest_request, zones, (hosts_with_capacity, full_hosts), descriptors, queues)| Gauges {
+            oldest_request,
+            zones,
+            hosts_with_capacity,
+            full_hosts,
+            descriptors,
+            queues,
+        },
     )
-        .prop_map(
-            |(oldest_request, zones, (hosts_with_capacity, full_hosts), descriptors, queues)| {
-                Gauges {
-                    oldest_request,
-                    zones,
-                    hosts_with_capacity,
-                    full_hosts,
-                    descriptors,
-                    queues,
-                }
-            },
-        );
+}
+
+fn attempt_ended() -> impl Strategy<Value = Event> {
     let outcome = prop_oneof![
         Just(Outcome::Completed),
         Just(Outcome::Rejected),
@@ -56,30 +53,41 @@
         Just(OutcomeDetail::NoCores),
         Just(OutcomeDetail::NotEligible)
     ];
-    let attempt_ended =
-        (outcome, detail, 0.0..3.0f64).prop_map(|(outcome, detail, relative_duration)| {
-            Event::AttemptEnded {
-                outcome,
-                detail,
-                relative_duration,
-            }
-        });
+    (outcome, detail, 0.0..3.0f64).prop_map(|(outcome, detail, relative_duration)| {
+        Event::AttemptEnded {
+            outcome,
+            detail,
+            relative_duration,
+        }
+    })
+}
+
+fn event() -> impl Strategy<Value = Event> {
     let command = prop_oneof![
         Just(Command::Drain),
         Just(Command::Maint),
         Just(Command::Ready)
     ];
-    let event = prop_oneof![
+    prop_oneof![
         6 => Just(Event::LoopIteration),
-        4 => gauges.prop_map(Event::GaugesSampled),
+        4 => gauges().prop_map(Event::GaugesSampled),
         4 => any::<bool>().prop_map(|within_objective| Event::RequestAnswered { within_objective }),
-        4 => attempt_ended,
+        4 => attempt_ended(),
         2 => any::<bool>().prop_map(|rejected| Event::ClientConnected { rejected }),
         3 => Just(Event::DiscoveryUpdated),
         2 => (0..40u64).prop_map(|poller| Event::Polled { poller }),
         1 => command.prop_map(Event::CommandReceived),
+    ]
+}
+
+/// An event, and how long after the one before it comes.
+fn step() -> impl Strategy<Value = (Micros, Event)> {
+    let gap = prop_oneof![
+        8 => 0..6_000i64,
+        3 => 0..300_000i64,
+        1 => 0..8 * SECOND,
     ];
-    (gap, event)
+    (gap, event())
 }
 
 proptest! {
