--- a/crates/emulator/src/cluster/host_server.rs
+++ b/crates/emulator/src/cluster/host_server.rs
@@ -20,10 +20,6 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// With more pairs of a host and a placer than this, a host has one listener for all placers, since each listener
-/// takes a descriptor. Then it can't tell placers apart, and a report whose connection has ended goes to all.
-pub(super) const MAX_SEPARATE_LISTENERS: usize = 2_048;
-
 /// A connection to the process in a slot.
 #[derive(Clone, Copy)]
 struct ConnectionRef {
--- a/crates/emulator/src/cluster/runtime.rs
+++ b/crates/emulator/src/cluster/runtime.rs
@@ -1,6 +1,5 @@
 //! Starts a cluster and executes commands. Everything runs on one thread, as tasks of one executor.
 
-use super::host_server::MAX_SEPARATE_LISTENERS;
 use super::shared_state::SharedState;
 use super::state::{EndpointChange, HostSlot, PlacerFeed, State};
 use super::{ClusterCommand, ClusterConfig, HostFault, LoadSample};
@@ -18,6 +17,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+/// With more pairs of a host and a placer than this, a host has one listener for all placers, since each listener
+/// takes a descriptor. Then it can't tell placers apart, and a report whose connection has ended goes to all.
+const MAX_SEPARATE_LISTENERS: usize = 2_048;
 /// Sets the random delays apart from other draws with the same seed.
 const SEED_SALT: u64 = 0x7369_7465;
 /// How often a host that starts tries to listen at its address, which the kernel may hold for a moment.
--- a/crates/load-test/src/plan/parties.rs
+++ b/crates/load-test/src/plan/parties.rs
@@ -1,12 +1,10 @@
-//! The parties of a plan and the links between them.
+//! The parties of a plan, as faults of links name them.
 //!
 //! Parties are written as `placers 0..3, hosts 2`, `rooms 1` (the hosts and the placers of a zone), `racks 0`,
-//! `feeds` or `clients`; without numbers all of a kind are meant. A fault of links affects every link between a
-//! party of one side and a party of the other, whichever side connects.
+//! `feeds` or `clients`; without numbers all of a kind are meant.
 
 use super::Plan;
-use super::faults::{Fault, InvalidRange, Selection};
-use emulator::event_log::Peer;
+use super::selection::{InvalidRange, Selection};
 use emulator::fault_proxy::Party;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
@@ -213,46 +211,3 @@
         }
     }
 }
-
-/// A link of a placer.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Link {
-    /// The placer.
-    pub placer: usize,
-    /// The other end.
-    pub peer: Peer,
-}
-
-/// The link between two parties, the first of which connects: clients connect to placers; placers to hosts, and to
-/// their own feed.
-fn link(from: Party, to: Party) -> Option<Link> {
-    let (placer, peer) = match (from, to) {
-        (Party::Clients, Party::Placer(placer)) => (placer, Peer::Clients),
-        (Party::Placer(placer), Party::Host(slot)) => (placer, Peer::Host(slot)),
-        (Party::Placer(placer), Party::Feed(owner)) if placer == owner => (placer, Peer::Feed),
-        _ => return None,
-    };
-    Some(Link { placer, peer })
-}
-
-/// Returns the links that a fault affects.
-///
-/// # Errors
-///
-/// A side is invalid, or there is no link between the two.
-pub fn affected_links(plan: &Plan, fault: &Fault) -> Result<BTreeSet<Link>, InvalidParties> {
-    let from = fault.from.resolve(plan)?;
-    let to = fault.to.resolve(plan)?;
-    let pairs = from.iter().flat_map(|a| to.iter().map(move |b| (*a, *b)));
-    let links: BTreeSet<Link> = pairs
-        .flat_map(|(a, b)| [link(a, b), link(b, a)])
-        .flatten()
-        .collect();
-    if links.is_empty() {
-        return Err(InvalidParties::NotConnected {
-            from: fault.from.clone(),
-            to: fault.to.clone(),
-        });
-    }
-    Ok(links)
-}
--- a/crates/load-test/src/plan/validation.rs
+++ b/crates/load-test/src/plan/validation.rs
@@ -1,8 +1,9 @@
 //! Finds the values of a plan that are not allowed, section by section. All are reported at once.
 
 use super::error::InvalidField;
-use super::faults::{Fault, FaultKind, Selection};
-use super::parties::{Link, affected_links};
+use super::faults::{Fault, FaultKind};
+use super::links::{Link, affected_links};
+use super::selection::Selection;
 use super::{ArrivalProcess, Balancing, Plan, TaskClass};
 use crate::load_profile;
 use emulator::event_log::Peer;
