--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -4,7 +4,7 @@
 use super::clients::accept::pause_after_accept_error;
 use super::codec;
 use super::dispatch::Shared;
-use super::health::gate::{Gate, Place};
+use super::health::connection_limiter::{ConnectionLimiter, ConnectionPermit};
 use crate::ctl::{self, CommandError};
 use async_executor::LocalExecutor;
 use async_io::Async;
@@ -26,7 +26,7 @@
 /// Bytes that one read takes at most.
 const READ_BUFFER_BYTES: usize = 1_024;
 /// The mode bits that a new socket does not get: all but reading and writing by its owner.
-const OWNER_ONLY_UMASK: u32 = 0o177;
+const PRIVATE_UMASK: u32 = 0o177;
 
 /// Why a connection ended, as the log names it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -61,17 +61,17 @@
     path: &Path,
     executor: &Rc<LocalExecutor<'static>>,
     shared: &Shared,
-) -> io::Result<Rc<Gate>> {
+) -> io::Result<Rc<ConnectionLimiter>> {
     let with_path =
         |e: io::Error| io::Error::new(e.kind(), format!("ctl.socket: {}: {e}", path.display()));
     remove_stale_socket(path).map_err(with_path)?;
-    let listener = bind_for_owner(path).map_err(with_path)?;
-    let gate = Rc::new(Gate::new(MAX_CONNECTIONS));
+    let listener = bind_private(path).map_err(with_path)?;
+    let limiter = Rc::new(ConnectionLimiter::new(MAX_CONNECTIONS));
     executor
-        .spawn(accept(listener, gate.clone(), shared.clone()))
+        .spawn(accept(listener, limiter.clone(), shared.clone()))
         .detach();
-    info!(socket = %path.display(), "takes orders");
-    Ok(gate)
+    info!(socket = %path.display(), "control socket open");
+    Ok(limiter)
 }
 
 /// Removes the socket that a dead process left. One that answers is another placer's.
@@ -87,22 +87,22 @@
 }
 
 /// Binds the socket so that from its first moment on nobody but its owner may use it.
-fn bind_for_owner(path: &Path) -> io::Result<Async<UnixListener>> {
-    let before = umask(Mode::from_raw_mode(OWNER_ONLY_UMASK));
+fn bind_private(path: &Path) -> io::Result<Async<UnixListener>> {
+    let before = umask(Mode::from_raw_mode(PRIVATE_UMASK));
     let bound = Async::<UnixListener>::bind(path);
     umask(before);
     bound
 }
 
-async fn accept(listener: Async<UnixListener>, gate: Rc<Gate>, shared: Shared) {
+async fn accept(listener: Async<UnixListener>, limiter: Rc<ConnectionLimiter>, shared: Shared) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let dispatch = shared.borrow();
-                let place = gate.enter(dispatch.clock.now() + COMMAND_TIMEOUT);
+                let place = limiter.admit(dispatch.clock.now() + COMMAND_TIMEOUT);
                 dispatch
                     .tasks
-                    .spawn(serve(stream, place, gate.clone(), shared.clone()));
+                    .spawn(serve(stream, place, limiter.clone(), shared.clone()));
             }
             Err(e) => pause_after_accept_error(&shared, &e).await,
         }
@@ -111,22 +111,27 @@
 }
 
 /// Serves one connection until it ends or is evicted.
-async fn serve(stream: Async<UnixStream>, place: Place, gate: Rc<Gate>, shared: Shared) {
+async fn serve(
+    stream: Async<UnixStream>,
+    place: ConnectionPermit,
+    limiter: Rc<ConnectionLimiter>,
+    shared: Shared,
+) {
     let evicted = async {
-        place.away().await;
+        place.evicted().await;
         EndReason::Late
     };
-    let served = serve_commands(&stream, &place, &gate, &shared);
+    let served = serve_commands(&stream, &place, &limiter, &shared);
     let reason = future::or(served, evicted).await;
-    gate.leave(&place);
+    limiter.release(&place);
     info!(%reason, "ctl connection ended");
 }
 
 /// Reads commands, runs them, and writes their replies until the connection ends.
 async fn serve_commands(
     mut stream: &Async<UnixStream>,
-    place: &Place,
-    gate: &Gate,
+    place: &ConnectionPermit,
+    limiter: &ConnectionLimiter,
     shared: &Shared,
 ) -> EndReason {
     let (mut inbox, mut buffer) = (Vec::new(), [0; READ_BUFFER_BYTES]);
@@ -149,6 +154,6 @@
         if stream.write_all(&ctl::encode_reply(result)).await.is_err() {
             return EndReason::Failed;
         }
-        gate.stay(place, shared.borrow().clock.now() + COMMAND_TIMEOUT);
+        limiter.extend(place, shared.borrow().clock.now() + COMMAND_TIMEOUT);
     }
 }
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -48,10 +48,10 @@
 use super::config::{Config, Limits};
 use super::conn;
 use super::feed::FeedEvents;
-use super::health::gate::Gate;
-use super::health::watch::Watch;
+use super::health::connection_limiter::ConnectionLimiter;
+use super::health::reporter::HealthReporter;
 use super::hosts::{ConnectionId, HostLink};
-use super::wheel::Wheel;
+use super::timer_wheel::TimerWheel;
 use crate::operator::Operator;
 use async_executor::LocalExecutor;
 use overload_log::OverloadLog;
@@ -109,7 +109,7 @@
     /// The placer's name, for the log.
     name: String,
     facade: Facade,
-    wheel: Wheel<TimerEvent>,
+    timer_wheel: TimerWheel<TimerEvent>,
     hosts: BTreeMap<HostId, HostLink>,
     /// Hosts that have not taken what is queued for them, while attempts wait behind it.
     backlogged_hosts: BTreeSet<HostId>,
@@ -131,11 +131,11 @@
     /// When the shutdown began.
     shutdown_since: Option<Micros>,
     /// The health engine, where an operator's file asks for it.
-    pub(super) watch: Option<Watch>,
+    pub(super) health_reporter: Option<HealthReporter>,
     /// The connections of load balancers.
-    pub(super) gate: Rc<Gate>,
+    pub(super) balancer_connections: Rc<ConnectionLimiter>,
     /// The connections of operators and of the platform.
-    pub(super) orders: Vec<Rc<Gate>>,
+    pub(super) operator_connections: Vec<Rc<ConnectionLimiter>>,
     /// A drain is over, and the process may exit.
     is_drained: bool,
     /// Whether this process takes requests, by the platform's commands.
@@ -178,7 +178,7 @@
                 // The clock is the wall clock already.
                 0,
             ),
-            wheel: Wheel::new(now),
+            timer_wheel: TimerWheel::new(now),
             hosts: BTreeMap::new(),
             backlogged_hosts: BTreeSet::new(),
             active_hosts: 0,
@@ -191,9 +191,11 @@
             cached_updates: config.cached_updates,
             is_discovery_up: false,
             shutdown_since: None,
-            watch: operator.watches().then(|| Watch::new(operator, now)),
-            gate: Rc::new(Gate::new(operator.health.connections)),
-            orders: Vec::new(),
+            health_reporter: operator
+                .uses_health_monitor()
+                .then(|| HealthReporter::new(operator, now)),
+            balancer_connections: Rc::new(ConnectionLimiter::new(operator.health.max_connections)),
+            operator_connections: Vec::new(),
             is_drained: false,
             lifecycle: Lifecycle::default(),
             limits: config.limits,
@@ -208,7 +210,8 @@
     /// Starts the sweep, and takes in the endpoint list that the configuration holds.
     pub fn start(&mut self) {
         let now = self.clock.now();
-        self.wheel.add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
+        self.timer_wheel
+            .add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
         let cached_updates = std::mem::take(&mut self.cached_updates);
         for (index, message) in cached_updates.into_iter().enumerate() {
             self.endpoints_rejected(&message.rejected);
@@ -249,9 +252,9 @@
 /// Returns how many descriptors are set apart for load balancers, operators and the platform.
 fn reserved_descriptors(config: &Config, operator: &Operator) -> usize {
     let health = &operator.health;
-    let health_listeners = health.agent.len() + health.http.len();
+    let health_listeners = health.agent_addresses.len() + health.http_addresses.len();
     let health_connections = if health.listens() {
-        health.connections + CLOSING_HEALTH_CONNECTIONS
+        health.max_connections + CLOSING_HEALTH_CONNECTIONS
     } else {
         0
     };
@@ -260,7 +263,7 @@
     } else {
         0
     };
-    let ctl = if operator.ctl.is_some() {
+    let ctl = if operator.control_socket.is_some() {
         CTL_DESCRIPTORS
     } else {
         0
--- a/src/net/dispatch/admin_commands.rs
+++ b/src/net/dispatch/admin_commands.rs
@@ -4,11 +4,11 @@
 use super::Dispatch;
 use super::request::Request;
 use crate::ctl::{self, CommandError};
-use crate::net::health::watch::{Refused, Watch};
+use crate::net::health::reporter::HealthReporter;
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
 use task_placer::Micros;
-use task_placer::health::Order;
+use task_placer::health::Command;
 use task_placer::operation::admin::{self, AdminCommand, AdminError};
 use task_placer::operation::counters::ClassCounters;
 use task_placer::operation::lifecycle::{Effect, Event};
@@ -16,12 +16,15 @@
 use tracing::info;
 
 impl Dispatch {
-    /// Whether this process takes requests: what every health check is told.
+    /// Whether this process takes requests: the result of every health check.
     pub fn serves(&self) -> bool {
         self.is_listening
             && !self.is_shutting_down()
             && self.lifecycle.is_serving()
-            && self.watch.as_ref().is_none_or(Watch::serves)
+            && self
+                .health_reporter
+                .as_ref()
+                .is_none_or(HealthReporter::is_serving)
     }
 
     /// Whether the process has begun to shut down.
@@ -151,20 +154,26 @@
         let order = match command {
             ctl::Command::Overload => return self.overload_report(now),
             ctl::Command::State => None,
-            ctl::Command::Drain => Some(Order::Drain),
-            ctl::Command::Ready => Some(Order::Ready),
-            ctl::Command::Maint => Some(Order::Maint),
+            ctl::Command::Drain => Some(Command::Drain),
+            ctl::Command::Ready => Some(Command::Ready),
+            ctl::Command::Maint => Some(Command::Maint),
         };
-        let watch = self.watch.as_mut().ok_or(CommandError::HealthDisabled)?;
+        let reporter = self
+            .health_reporter
+            .as_mut()
+            .ok_or(CommandError::HealthDisabled)?;
         if let Some(order) = order {
             info!(?order, "ordered");
-            let tasks = watch
-                .order(now, order)
-                .map_err(|Refused(reason)| CommandError::NotNow(reason.to_string()))?;
+            let tasks = reporter
+                .execute(now, order)
+                .map_err(|rejected| CommandError::NotNow(rejected.to_string()))?;
             self.run_drain_tasks(now, tasks);
         }
-        let watch = self.watch.as_mut().ok_or(CommandError::HealthDisabled)?;
-        Ok(watch.state(now, pending_work))
+        let reporter = self
+            .health_reporter
+            .as_mut()
+            .ok_or(CommandError::HealthDisabled)?;
+        Ok(reporter.state_json(now, pending_work))
     }
 
     /// Returns the number of requests whose response is pending.
--- a/src/net/dispatch/health_inputs.rs
+++ b/src/net/dispatch/health_inputs.rs
@@ -5,7 +5,7 @@
 use crate::net::conn;
 use crate::net::hosts::HostLink;
 use std::collections::BTreeMap;
-use task_placer::health::{Event, Gauges, Zone};
+use task_placer::health::{Event, Gauges, ZoneReachability};
 use task_placer::{EndpointState, Micros, ZoneId};
 
 /// How long a host counts as full after it rejected an attempt for want of capacity.
@@ -14,7 +14,7 @@
 /// What the endpoint list and the connections show of the hosts in service.
 #[derive(Default)]
 struct HostCensus {
-    zones: BTreeMap<ZoneId, Zone>,
+    zones: BTreeMap<ZoneId, ZoneReachability>,
     listed: u32,
     /// Hosts on which an average task fits.
     with_capacity: u32,
@@ -25,21 +25,21 @@
 impl Dispatch {
     /// Notifies the health engine, where one runs.
     pub fn record_health_event(&mut self, now: Micros, event: Event) {
-        if let Some(watch) = &mut self.watch {
-            watch.tell(now, event);
+        if let Some(reporter) = &mut self.health_reporter {
+            reporter.notify(now, event);
         }
     }
 
     /// Shows the health engine the gauges, and runs what the drain asks for.
     pub(super) fn update_health(&mut self, now: Micros) {
-        if self.watch.is_none() {
+        if self.health_reporter.is_none() {
             return;
         }
         let gauges = self.gauges(now);
         let pending_work = self.pending_work();
-        if let Some(watch) = &mut self.watch {
-            watch.tell(now, Event::Look(gauges));
-            let tasks = watch.look(now, pending_work);
+        if let Some(reporter) = &mut self.health_reporter {
+            reporter.notify(now, Event::GaugesSampled(gauges));
+            let tasks = reporter.advance_drain(now, pending_work);
             self.run_drain_tasks(now, tasks);
         }
     }
@@ -54,11 +54,11 @@
         let has_mean_task = self.facade.mean_task().is_some();
         let connection_limit = self.clients.connection_limit(self.active_host_count());
         Gauges {
-            oldest: ages.fold(0.0, f64::max),
+            oldest_request: ages.fold(0.0, f64::max),
             zones: census.zones.into_values().collect(),
-            roomy: (has_mean_task && census.listed > 0)
+            hosts_with_capacity: (has_mean_task && census.listed > 0)
                 .then(|| f64::from(census.with_capacity) / f64::from(census.listed)),
-            full: f64::from(census.full) / f64::from(census.listed.max(1)),
+            full_hosts: f64::from(census.full) / f64::from(census.listed.max(1)),
             descriptors: self.clients.live_connections() as f64 / connection_limit as f64,
             queues: conn::queued_fraction(),
         }
--- a/src/net/dispatch/host_connections.rs
+++ b/src/net/dispatch/host_connections.rs
@@ -74,7 +74,7 @@
         if link.state != EndpointState::Removed {
             let backoff = link.reconnect_backoff();
             let backoff = backoff.max(self.health_check_delay(now, host));
-            self.wheel
+            self.timer_wheel
                 .add(now + backoff, TimerEvent::Reconnect(host.clone(), id));
         }
         if error == ConnectError::NoDescriptor {
@@ -167,21 +167,21 @@
         self.connection_pool.occupy(now, (host.clone(), id));
         self.reclaim_descriptors(now);
         let timer = TimerEvent::ConnectTimeout(host.clone(), id);
-        self.wheel.add(now + self.connect_timeout, timer);
+        self.timer_wheel.add(now + self.connect_timeout, timer);
         self.tasks
             .spawn(hosts::serve(host.clone(), id, address, stopped, shared));
         self.update_priorities(now, host, ConnectionUse::Unchanged);
     }
 
-    /// Returns how long this placer waits for its turn to call a host that did not answer, where turns are taken. While
-    /// tasks run there, their ends are awaited, and the host is called no more seldom than without turns.
+    /// Returns how long this placer waits for its slot to call a host that did not answer, where slots are taken. While
+    /// tasks run there, their ends are awaited, and the host is called no more seldom than without slots.
     fn health_check_delay(&self, now: Micros, host: &HostId) -> Micros {
         if self.request_index.has_running_tasks(host) {
             return 0;
         }
         self.facade
             .overload()
-            .and_then(|overload| overload.wait_for_turn(now, host))
+            .and_then(|overload| overload.wait_for_slot(now, host))
             .unwrap_or(0)
     }
 
@@ -248,7 +248,7 @@
         if link.tasks_lost_at != Some(lost_at) {
             link.tasks_lost_at = Some(lost_at);
             let timer = TimerEvent::HostUnreachable(host.clone(), since);
-            self.wheel.add(lost_at, timer);
+            self.timer_wheel.add(lost_at, timer);
         }
     }
 
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -4,7 +4,7 @@
 use super::request::RequestState;
 use super::timer_event::{SWEEP_INTERVAL, TimerEvent};
 use super::{Dispatch, MILLISECOND};
-use crate::net::codec::cause;
+use crate::net::codec::Cause;
 use crate::net::hosts::{ConnectError, ConnectionId, ConnectionState, HostEvents, HostLink};
 use task_placer::facade::Ticket;
 use task_placer::health::Event;
@@ -18,12 +18,12 @@
     /// Advances the wheel by one tick.
     pub fn tick(&mut self) {
         let now = self.clock.now();
-        self.record_health_event(now, Event::Turn);
+        self.record_health_event(now, Event::LoopIteration);
         self.handle_lifecycle_event(now, lifecycle::Event::Tick);
         for host in std::mem::take(&mut self.backlogged_hosts) {
             self.send_pending_attempts(now, &host);
         }
-        for timer in self.wheel.due(now) {
+        for timer in self.timer_wheel.due(now) {
             self.fire_timer(now, timer);
         }
         let decisions = self.facade.tick(now);
@@ -78,7 +78,7 @@
     fn end_unconfirmed_release(&mut self, now: Micros, ticket: Ticket) {
         let state = self.requests.get(&ticket).map(|request| &request.state);
         if let Some(RequestState::Releasing { .. }) = state {
-            self.end_running_task(now, ticket, cause::CANCELLED, OutcomeDetail::Unknown);
+            self.end_running_task(now, ticket, Cause::CANCELLED, OutcomeDetail::Unknown);
         }
     }
 
@@ -86,12 +86,15 @@
     fn sweep(&mut self, now: Micros) {
         self.clients.sweep(now);
         self.sweep_host_connections(now);
-        self.gate.sweep(now);
-        self.orders.iter().for_each(|gate| gate.sweep(now));
+        self.balancer_connections.evict_overdue(now);
+        for limiter in &self.operator_connections {
+            limiter.evict_overdue(now);
+        }
         self.update_health(now);
         self.log_overload(now);
         self.ended_tasks
             .retain(|_, ended| now - ended.ended_at < ENDED_TASK_RETENTION);
-        self.wheel.add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
+        self.timer_wheel
+            .add(now + SWEEP_INTERVAL, TimerEvent::Sweep);
     }
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -16,13 +16,14 @@
 mod hosts;
 mod inherit;
 pub mod log;
-mod wheel;
+mod timer_wheel;
 
 use crate::operator::Operator;
 use async_channel::Sender;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
-use async_signal::{Signal, Signals};
+use async_signal::Signal;
+pub use async_signal::Signals;
 use clients::accept::{self, Acceptor};
 use config::Config;
 use dispatch::{Dispatch, Shared};
@@ -112,8 +113,8 @@
         let new_addresses = self.follow_feed();
         self.handle_signals(signals, path, new_addresses);
         self.run_until_finished(&acceptor).await;
-        accept::linger(&self.shared).await;
-        if let Some(socket) = &self.operator.ctl {
+        accept::shutdown_connections(&self.shared).await;
+        if let Some(socket) = &self.operator.control_socket {
             let _ = std::fs::remove_file(socket);
         }
         Ok(())
@@ -122,13 +123,13 @@
     /// Opens the listeners of load balancers and operators, where the operator's file and the configuration have them.
     fn open_operator_listeners(&self) -> io::Result<()> {
         health::open(&self.operator.health, &self.executor, &self.shared)?;
-        if let Some(socket) = &self.operator.ctl {
-            let gate = ctl::open(socket, &self.executor, &self.shared)?;
-            self.shared.borrow_mut().orders.push(gate);
+        if let Some(socket) = &self.operator.control_socket {
+            let limiter = ctl::open(socket, &self.executor, &self.shared)?;
+            self.shared.borrow_mut().operator_connections.push(limiter);
         }
         if let Some(address) = self.addresses.admin {
-            let gate = admin::open(address, &self.executor, &self.shared)?;
-            self.shared.borrow_mut().orders.push(gate);
+            let limiter = admin::open(address, &self.executor, &self.shared)?;
+            self.shared.borrow_mut().operator_connections.push(limiter);
         }
         Ok(())
     }
@@ -198,7 +199,7 @@
 
     /// Drives the wheel and the log until the process may exit.
     async fn run_until_finished(&self, acceptor: &Acceptor<Dispatch>) {
-        let mut ticks = Timer::interval(Duration::from_micros(wheel::TICK.unsigned_abs()));
+        let mut ticks = Timer::interval(Duration::from_micros(timer_wheel::TICK.unsigned_abs()));
         while ticks.next().await.is_some() {
             log::pump();
             let is_finished = {
--- a/tests/fronts/checks.rs
+++ b/tests/fronts/checks.rs
@@ -119,7 +119,7 @@
         0,
         "closed without a response"
     );
-    deployment.program.wait_for_log("reason=late");
+    deployment.program.wait_for_log("reason=timeout");
 }
 
 #[test]
@@ -167,6 +167,6 @@
     deployment.connections[0].report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
     assert!(begun.elapsed() < SECOND, "{:?}", begun.elapsed());
-    deployment.program.wait_for_log("reason=shed");
+    deployment.program.wait_for_log("reason=evicted");
     drop(silent);
 }
