--- a/crates/scale-test/src/budget.rs
+++ b/crates/scale-test/src/budget.rs
@@ -178,6 +178,10 @@
 
 impl Machine {
     /// Reads `/proc/meminfo` and the limit of this process.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the system's memory figures cannot be read.
     pub fn read() -> io::Result<Machine> {
         let memory = Meminfo::current().map_err(io_error)?;
         let descriptors = getrlimit(Resource::Nofile).current;
@@ -248,6 +252,10 @@
 
 /// Refuses a run that needs over half of the machine's memory, more descriptors than a process may have, or
 /// more than [`MAX_PROCESSES`] processes.
+///
+/// # Errors
+///
+/// Returns every [`Excess`] if the run needs too much of anything.
 pub fn check(need: &Need, machine: &Machine) -> Result<(), BudgetError> {
     let found = [
         memory_excess(need, machine),
--- a/crates/scale-test/src/clients.rs
+++ b/crates/scale-test/src/clients.rs
@@ -96,6 +96,10 @@
 
 impl Clients {
     /// Starts them, with the tasks that stand.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the event loop or the thread cannot be created.
     pub fn start(
         settings: &Settings,
         running_tasks: &[RunningTask],
@@ -152,6 +156,10 @@
     }
 
     /// Ends them; their books.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error with which the thread ended.
     pub fn stop(mut self) -> io::Result<ClientAudit> {
         self.orders.send(ClientOrder::Stop);
         self.thread.join()
--- a/crates/scale-test/src/feeds.rs
+++ b/crates/scale-test/src/feeds.rs
@@ -59,6 +59,10 @@
 
 impl Feeds {
     /// Starts one for each placer that is counted.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a listener, the event loop or the thread cannot be created.
     pub fn start(settings: &Settings, counters: Vec<Arc<PlacerCounters>>) -> io::Result<Feeds> {
         let poll = Poll::new()?;
         let (orders, taken) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
@@ -88,6 +92,10 @@
     }
 
     /// A placer starts: the events that its configuration holds, as JSON.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the feed thread does not reply in time.
     pub fn known(&self, placer: PlacerId) -> io::Result<String> {
         let (reply, replied) = mpsc::channel();
         self.orders.send(FeedOrder::Start(placer, reply));
@@ -102,6 +110,10 @@
     }
 
     /// Ends them.
+    ///
+    /// # Errors
+    ///
+    /// Returns the error with which the thread ended.
     pub fn stop(mut self) -> io::Result<()> {
         self.orders.send(FeedOrder::Stop);
         self.thread.join()
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -68,6 +68,10 @@
 impl Fit {
     /// Fits a line to points of (size, measured figure), and judges their shape. Repeats are points of the
     /// same size; the order of points does not matter.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if there are too few distinct sizes, or a number cannot be fitted.
     pub fn line(points: &[(f64, f64)]) -> Result<Fit, FitError> {
         check_numbers(points)?;
         let points = sorted(points);
--- a/crates/scale-test/src/listener.rs
+++ b/crates/scale-test/src/listener.rs
@@ -58,6 +58,10 @@
 
 impl LoopbackListener {
     /// Listens. Bound to the loopback interface first: nothing from outside reaches it.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if no port is free or the system refuses the socket.
     pub fn open() -> io::Result<LoopbackListener> {
         let (socket, port) = on_free_port(|port| {
             let socket = socket()?;
@@ -75,6 +79,10 @@
     }
 
     /// A handle of the socket for an event loop.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the socket cannot be duplicated.
     pub fn handle(&self) -> io::Result<mio::net::TcpListener> {
         Ok(mio::net::TcpListener::from_std(
             self.socket.try_clone()?.into(),
@@ -82,11 +90,19 @@
     }
 
     /// Refuses calls from now on.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the socket cannot be shut down.
     pub fn refuse(&self) -> io::Result<()> {
         self.socket.shutdown(Shutdown::Read)
     }
 
     /// Takes calls again.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the socket cannot listen again.
     pub fn listen(&self) -> io::Result<()> {
         self.socket.listen(BACKLOG)
     }
@@ -98,6 +114,10 @@
 }
 
 /// Listens at one loopback address.
+///
+/// # Errors
+///
+/// Returns an error if no port is free or the system refuses the socket.
 pub fn listen_local() -> io::Result<(mio::net::TcpListener, SocketAddr)> {
     let (socket, port) = on_free_port(|port| {
         let socket = socket()?;
@@ -110,6 +130,10 @@
 }
 
 /// An address at which a program may listen.
+///
+/// # Errors
+///
+/// Returns an error if no port is free or the system refuses the socket.
 pub fn free_address() -> io::Result<SocketAddr> {
     let (_, port) =
         on_free_port(|port| bind(&socket()?, SocketAddr::from((Ipv4Addr::LOCALHOST, port))))?;
--- a/crates/scale-test/src/mailbox.rs
+++ b/crates/scale-test/src/mailbox.rs
@@ -43,6 +43,10 @@
 }
 
 /// A mailbox that wakes the poll of this registry with a token.
+///
+/// # Errors
+///
+/// Returns an error if the waker cannot be registered.
 pub fn mailbox<T>(registry: &Registry, token: Token) -> io::Result<(Sender<T>, Receiver<T>)> {
     let shared = Arc::new(Shared {
         queue: Mutex::default(),
--- a/crates/scale-test/src/placer_process.rs
+++ b/crates/scale-test/src/placer_process.rs
@@ -40,6 +40,10 @@
 
 impl PlacerProcess {
     /// Starts it on a configuration.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the configuration or the log cannot be written, or the program cannot be started.
     pub fn start(launch: Launch, configuration: &str) -> Result<PlacerProcess, RunError> {
         let mut process = PlacerProcess {
             launch,
@@ -51,6 +55,10 @@
     }
 
     /// Starts it in its place, on another configuration.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the configuration or the log cannot be written, or the program cannot be started.
     pub fn restart(&mut self, configuration: &str) -> Result<(), RunError> {
         self.kill();
         let config = self
@@ -123,6 +131,11 @@
     }
 
     /// An error if it has ended by itself.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`RunError::PlacerEnded`] if the process has exited by itself, or an error if its state cannot
+    /// be read.
     pub fn check(&mut self) -> Result<(), RunError> {
         let Some(child) = &mut self.child else {
             return Ok(());
--- a/crates/scale-test/src/process_sample.rs
+++ b/crates/scale-test/src/process_sample.rs
@@ -20,5 +20,9 @@
 /// Reads the figures of processes.
 pub trait Sampler {
     /// Reads the figures of one process.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the process does not exist or its figures cannot be read.
     fn sample(&mut self, pid: u32) -> std::io::Result<ProcessSample>;
 }
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -88,6 +88,10 @@
 }
 
 /// Refuses settings that can't be meant, or that need more than the machine has for a run.
+///
+/// # Errors
+///
+/// Returns an error if a setting is invalid, the run needs too much, or the machine cannot be read.
 pub fn admit(settings: &Settings) -> Result<(), RunError> {
     settings.check()?;
     let machine = Machine::read().map_err(RunError::system("read what the machine has"))?;
@@ -96,6 +100,11 @@
 }
 
 /// Runs these settings with this program as placer.
+///
+/// # Errors
+///
+/// Returns an error if the run is not admitted, a placer or a peer thread fails, or the watcher stops the
+/// run.
 pub fn run(
     settings: &Settings,
     program: &Path,
--- a/crates/scale-test/src/settings.rs
+++ b/crates/scale-test/src/settings.rs
@@ -177,6 +177,10 @@
 
 impl Settings {
     /// Reads them out of TOML, without the checks.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error that names the first setting that cannot be read.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         toml::from_str(text).map_err(|error| {
             let line = error
@@ -188,6 +192,10 @@
     }
 
     /// Reads them out of a file, without the checks.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file cannot be read or a setting in it cannot be read.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|error| {
             SettingsError::new(
--- a/crates/scale-test/src/settings/check.rs
+++ b/crates/scale-test/src/settings/check.rs
@@ -22,6 +22,10 @@
 impl Settings {
     /// Checks them all; the first that can't be meant is named. Whether the machine has what they need is said by
     /// [`crate::budget`].
+    ///
+    /// # Errors
+    ///
+    /// Returns an error that names the first invalid setting, with what was expected and found.
     pub fn check(&self) -> Checked {
         self.check_values()?;
         self.check_spans()?;
--- a/crates/scale-test/src/settings/flags.rs
+++ b/crates/scale-test/src/settings/flags.rs
@@ -56,6 +56,10 @@
 
 impl SettingsArgs {
     /// The settings that file and flags say together, without the checks.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the file cannot be read, or a setting or flag cannot be parsed.
     pub fn settings(&self) -> Result<Settings, SettingsError> {
         let mut settings = match &self.plan {
             Some(path) => Settings::load(path)?,
@@ -100,6 +104,10 @@
 
 impl Settings {
     /// Sets each setting that is named by a text such as `workers=2000`.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error that names the first setting that is unknown or cannot be parsed.
     pub fn set_pairs(&mut self, pairs: &[String]) -> Result<(), SettingsError> {
         pairs
             .iter()
--- a/crates/scale-test/src/socket.rs
+++ b/crates/scale-test/src/socket.rs
@@ -46,6 +46,10 @@
 
 impl Connection {
     /// Takes over a stream. Without a kind it counts as a call to an idle worker until it is given one.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the stream cannot be registered with the event loop.
     pub fn new(
         mut stream: TcpStream,
         token: Token,
--- a/crates/scale-test/src/sweep.rs
+++ b/crates/scale-test/src/sweep.rs
@@ -30,6 +30,10 @@
 
     /// Makes one run at the base point, with one axis at a value. Repeats are counted from 0; a run that is
     /// made again has the number of the one that it replaces.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the run cannot be made at all. An unusable run is no error.
     fn run(&mut self, axis: Axis, value: f64, repeat: u32) -> Result<Measured, Self::Error>;
 }
 
@@ -128,6 +132,10 @@
 }
 
 /// Sweeps each axis of the plan, and fits what was measured.
+///
+/// # Errors
+///
+/// Returns an error if the plan is invalid, or the runner cannot make a run.
 pub fn sweep<R: Runner>(
     plan: &SweepPlan,
     runner: &mut R,
--- a/crates/scale-test/src/sweep/plan.rs
+++ b/crates/scale-test/src/sweep/plan.rs
@@ -118,6 +118,10 @@
 
 impl SweepPlan {
     /// Whether it can be swept; names the first thing that keeps it from that.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error that names the first reason why the plan cannot be swept.
     pub fn check(&self) -> Result<(), PlanError> {
         if self.repeats < MIN_REPEATS {
             return Err(PlanError::TooFewRepeats {
--- a/crates/scale-test/src/sweep/report.rs
+++ b/crates/scale-test/src/sweep/report.rs
@@ -82,11 +82,19 @@
 
 impl SweepReport {
     /// As JSON for programs, in lines for people.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a value cannot be serialized.
     pub fn to_json(&self) -> serde_json::Result<String> {
         serde_json::to_string_pretty(self)
     }
 
     /// From what [`SweepReport::to_json`] gave.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the text is not the JSON of a report.
     pub fn from_json(text: &str) -> serde_json::Result<SweepReport> {
         serde_json::from_str(text)
     }
--- a/crates/scale-test/src/sweep_runner.rs
+++ b/crates/scale-test/src/sweep_runner.rs
@@ -98,6 +98,10 @@
 }
 
 /// The settings of a run: those of the base point, with one number replaced.
+///
+/// # Errors
+///
+/// Returns an error if the axis takes whole numbers and the value is none in its range.
 pub fn settings_at(base: &Settings, axis: Axis, value: f64) -> Result<Settings, SettingsError> {
     let mut settings = base.clone();
     match axis {
@@ -141,6 +145,10 @@
 }
 
 /// Refuses a plan of which a run can't be meant, or needs more than the machine has for it.
+///
+/// # Errors
+///
+/// Returns an error that names the first point that cannot be run.
 pub fn admit_all(plan: &SweepPlan, base: &Settings) -> Result<(), PointError> {
     let points = plan
         .axes
--- a/crates/scale-test/src/timing.rs
+++ b/crates/scale-test/src/timing.rs
@@ -15,6 +15,10 @@
 
 impl Times {
     /// None yet.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if the histogram cannot be created with its bounds.
     pub fn new() -> io::Result<Times> {
         Histogram::new_with_bounds(1, LONGEST, DIGITS)
             .map(Times)
--- a/crates/scale-test/src/wire/binary.rs
+++ b/crates/scale-test/src/wire/binary.rs
@@ -136,6 +136,10 @@
 }
 
 /// Reads the first message of these bytes, its task and its length; none if more must come.
+///
+/// # Errors
+///
+/// Returns an error if the bytes are not a message of the protocol.
 pub fn read(bytes: &[u8]) -> Result<Option<(SetupId, PlacerMessage, usize)>, WireError> {
     let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
--- a/crates/scale-test/src/wire/lines.rs
+++ b/crates/scale-test/src/wire/lines.rs
@@ -78,6 +78,10 @@
 }
 
 /// Reads one line, without its line feed.
+///
+/// # Errors
+///
+/// Returns an error if the line is not a message of the protocol.
 pub fn read(line: &[u8]) -> Result<PlacerLine, WireError> {
     let raw: RawLine<'_> = serde_json::from_slice(line).map_err(|_| WireError::BadJson)?;
     let id = SetupId::parse(&raw.id).ok_or(WireError::BadField("ref"))?;
@@ -102,6 +106,10 @@
 }
 
 /// The end of the first line of these bytes, if it has come whole.
+///
+/// # Errors
+///
+/// Returns [`WireError::TooLong`] if the first line exceeds the longest message.
 pub fn line_end(bytes: &[u8]) -> Result<Option<usize>, WireError> {
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) if end < MAX_MESSAGE_BYTES => Ok(Some(end)),
--- a/crates/scale-test/src/workers.rs
+++ b/crates/scale-test/src/workers.rs
@@ -122,6 +122,10 @@
 
 impl Workers {
     /// Starts them, with the tasks that stand.
+    ///
+    /// # Errors
+    ///
+    /// Returns an error if a listener, an event loop or a thread cannot be created.
     pub fn start(
         setup: &WorkerSetup,
         running_tasks: &[RunningTask],
@@ -204,6 +208,10 @@
     }
 
     /// Ends them; what they noted.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first error with which a thread ended.
     pub fn stop(mut self) -> io::Result<WorkerReport> {
         self.order(WorkerOrder::Stop);
         let mut all = WorkerReport {
