--- a/crates/scale-test/src/audit.rs
+++ b/crates/scale-test/src/audit.rs
@@ -4,12 +4,12 @@
 use crate::identity::PlacerId;
 use crate::results::FleetTotals;
 use crate::wire::cause;
-use crate::workers::{TaskBook, WorkerAudit};
+use crate::workers::{WorkerAudit, WorkerTaskRecord};
 use std::time::{Duration, Instant};
 
 /// A placer that confirms the end of a task to its worker may be killed before its word reaches the client:
 /// the way from one to the other takes far less.
-const ON_ITS_WAY: Duration = Duration::from_secs(2);
+const MAX_DELIVERY_TIME: Duration = Duration::from_secs(2);
 
 /// A placer was killed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -35,7 +35,7 @@
         count_starts(totals, record, &book);
         match record.state {
             TaskState::Running(_) => count_running(totals, record, &book, kills),
-            TaskState::Over(cause) => count_over(totals, record, &book, cause),
+            TaskState::Ended(cause) => count_over(totals, record, &book, cause),
             _ => {}
         }
     }
@@ -48,18 +48,20 @@
 /// How the set-up of a task that was due was answered.
 fn count_answer(totals: &mut FleetTotals, record: &TaskRecord) {
     let count = match record.state {
-        TaskState::Running(_) | TaskState::Over(_) => &mut totals.started,
+        TaskState::Running(_) | TaskState::Ended(_) => &mut totals.started,
         TaskState::Refused => &mut totals.refused,
         TaskState::Failed => &mut totals.failed,
-        TaskState::Cut => &mut totals.cut,
+        TaskState::PlacerKilled => &mut totals.cut,
         TaskState::NoPlacer => &mut totals.no_placer,
-        TaskState::Waiting { .. } | TaskState::Unanswered | TaskState::Broken => &mut totals.lost,
+        TaskState::Waiting { .. } | TaskState::Unanswered | TaskState::ConnectionLost => {
+            &mut totals.lost
+        }
     };
     *count += 1;
 }
 
 /// Whether the workers started it as often as they may.
-fn count_starts(totals: &mut FleetTotals, record: &TaskRecord, book: &TaskBook) {
+fn count_starts(totals: &mut FleetTotals, record: &TaskRecord, book: &WorkerTaskRecord) {
     let wanted = 1 + u32::from(record.moves);
     let more = u32::from(book.starts) > wanted;
     if more && record.class.once() {
@@ -67,20 +69,28 @@
     } else if more {
         totals.restarted += 1;
     }
-    let answered = matches!(record.state, TaskState::Running(_) | TaskState::Over(_));
+    let answered = matches!(record.state, TaskState::Running(_) | TaskState::Ended(_));
     if answered && book.starts == 0 {
         totals.never_started += 1;
     }
 }
 
 /// A task that stands as far as its client knows: a worker has to hold it.
-fn count_running(totals: &mut FleetTotals, record: &TaskRecord, book: &TaskBook, kills: &[Kill]) {
+fn count_running(
+    totals: &mut FleetTotals,
+    record: &TaskRecord,
+    book: &WorkerTaskRecord,
+    kills: &[Kill],
+) {
     if book.active_copies > 0 || book.starts == 0 {
         return;
     }
     let taken_along = |kill: &Kill| {
-        let heard = book.heard.filter(|heard| *heard <= kill.at + ON_ITS_WAY);
-        kill.placer == record.placer && heard.is_some_and(|heard| heard + ON_ITS_WAY >= kill.at)
+        let heard = book
+            .heard
+            .filter(|heard| *heard <= kill.at + MAX_DELIVERY_TIME);
+        kill.placer == record.placer
+            && heard.is_some_and(|heard| heard + MAX_DELIVERY_TIME >= kill.at)
     };
     if kills.iter().any(taken_along) {
         totals.lost_with_placer += 1;
@@ -90,7 +100,7 @@
 }
 
 /// A task that is over as far as its client knows: no worker may hold it.
-fn count_over(totals: &mut FleetTotals, record: &TaskRecord, book: &TaskBook, cause: u8) {
+fn count_over(totals: &mut FleetTotals, record: &TaskRecord, book: &WorkerTaskRecord, cause: u8) {
     if cause == cause::NORMAL {
         totals.ended += 1;
     } else {
--- a/crates/scale-test/src/audit/tests.rs
+++ b/crates/scale-test/src/audit/tests.rs
@@ -12,7 +12,7 @@
 fn totals(
     once: bool,
     client: &[Word],
-    note: impl FnOnce(&mut TaskBook),
+    note: impl FnOnce(&mut WorkerTaskRecord),
     kills: &[Kill],
 ) -> FleetTotals {
     let (once_share, urgent_share) = (f64::from(u8::from(once)), 0.0);
@@ -46,10 +46,10 @@
 
 #[test]
 fn a_task_that_stands_or_is_over_at_both_ends_breaks_no_rule() {
-    let stands = |book: &mut TaskBook| (book.starts, book.active_copies) = (1, 1);
+    let stands = |book: &mut WorkerTaskRecord| (book.starts, book.active_copies) = (1, 1);
     let found = totals(true, &[Word::Answer], stands, &[]);
     assert_eq!((found.due, found.started, found.rules_broken()), (1, 1, 0));
-    let ended = |book: &mut TaskBook| (book.starts, book.ended) = (1, 1);
+    let ended = |book: &mut WorkerTaskRecord| (book.starts, book.ended) = (1, 1);
     let found = totals(
         true,
         &[Word::Answer, Word::Release(cause::NORMAL)],
@@ -57,7 +57,7 @@
         &[],
     );
     assert_eq!((found.ended, found.rules_broken()), (1, 0));
-    let vanished = |book: &mut TaskBook| (book.starts, book.vanished) = (1, 1);
+    let vanished = |book: &mut WorkerTaskRecord| (book.starts, book.vanished) = (1, 1);
     let found = totals(true, &[Word::Answer, Word::Release(41)], vanished, &[]);
     assert_eq!((found.reset, found.rules_broken()), (1, 0));
     let found = totals(true, &[Word::Release(cause::FULL)], |_| {}, &[]);
@@ -67,16 +67,17 @@
 #[test]
 fn what_was_never_answered_or_never_told_is_lost() {
     assert_eq!(totals(false, &[], |_| {}, &[]).lost, 1);
-    let ended = |book: &mut TaskBook| (book.starts, book.ended) = (1, 1);
+    let ended = |book: &mut WorkerTaskRecord| (book.starts, book.ended) = (1, 1);
     assert_eq!(totals(false, &[Word::Answer], ended, &[]).lost, 1);
-    let vanished = |book: &mut TaskBook| (book.starts, book.vanished) = (1, 1);
+    let vanished = |book: &mut WorkerTaskRecord| (book.starts, book.vanished) = (1, 1);
     assert_eq!(totals(false, &[Word::Answer], vanished, &[]).lost, 1);
 }
 
 #[test]
 fn an_end_that_a_killed_placer_had_just_confirmed_is_lost_with_it_and_no_other() {
     let now = Instant::now();
-    let ended = |book: &mut TaskBook| (book.starts, book.ended, book.heard) = (1, 1, Some(now));
+    let ended =
+        |book: &mut WorkerTaskRecord| (book.starts, book.ended, book.heard) = (1, 1, Some(now));
     let kill = |placer, after| Kill {
         placer,
         at: now + Duration::from_secs(after),
@@ -95,7 +96,7 @@
 
 #[test]
 fn two_starts_break_a_rule_only_where_a_task_must_not_start_twice() {
-    let twice = |book: &mut TaskBook| (book.starts, book.active_copies) = (2, 1);
+    let twice = |book: &mut WorkerTaskRecord| (book.starts, book.active_copies) = (2, 1);
     let found = totals(true, &[Word::Answer], twice, &[]);
     assert_eq!((found.started_twice, found.restarted), (1, 0));
     let found = totals(false, &[Word::Answer], twice, &[]);
@@ -107,12 +108,12 @@
 
 #[test]
 fn an_end_that_did_not_happen_and_a_start_that_did_not_are_found() {
-    let held = |book: &mut TaskBook| (book.starts, book.active_copies) = (1, 1);
+    let held = |book: &mut WorkerTaskRecord| (book.starts, book.active_copies) = (1, 1);
     assert_eq!(
         totals(false, &[Word::Answer, Word::Release(41)], held, &[]).ended_wrongly,
         1
     );
-    let made_up = |book: &mut TaskBook| (book.starts, book.vanished) = (1, 1);
+    let made_up = |book: &mut WorkerTaskRecord| (book.starts, book.vanished) = (1, 1);
     let words = [Word::Answer, Word::Release(cause::NORMAL)];
     assert_eq!(totals(false, &words, made_up, &[]).ended_wrongly, 1);
     assert_eq!(totals(false, &[Word::Answer], |_| {}, &[]).never_started, 1);
--- a/crates/scale-test/src/cli/terminal.rs
+++ b/crates/scale-test/src/cli/terminal.rs
@@ -49,9 +49,9 @@
             repeat,
             done,
             total,
-            step,
+            event,
         } = progress;
-        let again = if matches!(step, sweep::Step::Repeated { .. }) {
+        let again = if matches!(event, sweep::RunEvent::Retried { .. }) {
             " again"
         } else {
             ""
@@ -77,7 +77,7 @@
 impl Watcher for Terminal {
     fn progress(&mut self, progress: &Progress) {
         let Progress {
-            step,
+            phase,
             seconds,
             started,
             refused,
@@ -87,12 +87,12 @@
         } = progress;
         let label = self.label.borrow();
         self.show(&format!(
-            "{label}{step} {seconds} s: {started} started, {refused} refused, {waiting} wait, \
+            "{label}{phase} {seconds} s: {started} started, {refused} refused, {waiting} wait, \
              {held} held, {connections} connections"
         ));
     }
 
-    fn stop_wanted(&self) -> bool {
+    fn should_stop(&self) -> bool {
         self.stop.load(Ordering::Relaxed)
     }
 }
--- a/crates/scale-test/src/clients.rs
+++ b/crates/scale-test/src/clients.rs
@@ -17,7 +17,7 @@
 use crate::mailbox::{self, Sender};
 use crate::peer_thread::PeerThread;
 use crate::settings::Settings;
-use crate::timing::Times;
+use crate::timing::LatencyHistogram;
 use crate::traffic::PlacerCounters;
 use crate::workers::RunningTask;
 use mio::Poll;
@@ -40,13 +40,13 @@
 
 /// What the clients are told to do.
 #[derive(Debug, Clone, Copy)]
-pub enum ClientOrder {
+pub enum ClientCommand {
     /// A placer has been started at this address: it is tested until a test passes, and is then in service.
-    Started(PlacerId, SocketAddr),
+    PlacerStarted(PlacerId, SocketAddr),
     /// A placer is killed: what it owes goes with it.
-    Killed(PlacerId),
+    PlacerKilled(PlacerId),
     /// Tasks arrive.
-    Begin(ArrivalWindow),
+    StartArrivals(ArrivalWindow),
     /// The thread ends.
     Stop,
 }
@@ -66,19 +66,19 @@
     pub refused: u64,
 }
 
-/// Times to start, and the generator's own lateness, of the tasks that count.
+/// LatencyHistogram to start, and the generator's own lateness, of the tasks that count.
 pub struct Timings {
     /// By class, in the order of [`Class::ALL`]: from when the task was due to its answer.
-    pub to_start: [Times; Class::ALL.len()],
+    pub to_start: [LatencyHistogram; Class::ALL.len()],
     /// From when the task was due to when its set-up was sent.
-    pub lateness: Times,
+    pub lateness: LatencyHistogram,
 }
 
 /// What the clients noted.
 pub struct ClientAudit {
     /// What became of each task.
     pub tasks: TaskTable,
-    /// Times of the tasks that count.
+    /// LatencyHistogram of the tasks that count.
     pub timings: Timings,
     /// Answers that came for a task that had been answered.
     pub second_answers: u64,
@@ -88,9 +88,9 @@
 
 /// All hollow clients.
 pub struct Clients {
-    orders: Sender<ClientOrder>,
+    orders: Sender<ClientCommand>,
     state: Arc<Mutex<ClientState>>,
-    doomed: Arc<[AtomicBool]>,
+    kill_announced: Arc<[AtomicBool]>,
     thread: PeerThread<ClientAudit>,
 }
 
@@ -113,32 +113,33 @@
         }));
         let arrivals = Arrivals::new(settings);
         let tasks = TaskTable::new(running_tasks, &arrivals);
-        let doomed: Arc<[AtomicBool]> = counters.iter().map(|_| AtomicBool::new(false)).collect();
+        let kill_announced: Arc<[AtomicBool]> =
+            counters.iter().map(|_| AtomicBool::new(false)).collect();
         let shared = thread::Shared {
             counters,
             orders: taken,
             state: Arc::clone(&state),
-            doomed: doomed.clone(),
+            kill_announced: kill_announced.clone(),
         };
         let running = thread::ClientThread::new(poll, settings, tasks, arrivals, shared)?;
         let thread = PeerThread::spawn("clients", move || running.run())?;
         Ok(Clients {
             orders,
             state,
-            doomed,
+            kill_announced,
             thread,
         })
     }
 
     /// Tells them something.
-    pub fn order(&self, order: ClientOrder) {
+    pub fn order(&self, order: ClientCommand) {
         self.orders.send(order);
     }
 
     /// A placer is about to be killed, or lives again: connections that end meanwhile end with it.
-    pub fn doom(&self, placer: PlacerId, doomed: bool) {
-        if let Some(flag) = self.doomed.get(placer.index()) {
-            flag.store(doomed, Ordering::SeqCst);
+    pub fn doom(&self, placer: PlacerId, kill_announced: bool) {
+        if let Some(flag) = self.kill_announced.get(placer.index()) {
+            flag.store(kill_announced, Ordering::SeqCst);
         }
     }
 
@@ -161,14 +162,14 @@
     ///
     /// Returns the error with which the thread ended.
     pub fn stop(mut self) -> io::Result<ClientAudit> {
-        self.orders.send(ClientOrder::Stop);
+        self.orders.send(ClientCommand::Stop);
         self.thread.join()
     }
 }
 
 impl Drop for Clients {
     fn drop(&mut self) {
-        self.orders.send(ClientOrder::Stop);
+        self.orders.send(ClientCommand::Stop);
         // It has ended already where the run came to its end.
         let _ = self.thread.join();
     }
--- a/crates/scale-test/src/clients/arrivals.rs
+++ b/crates/scale-test/src/clients/arrivals.rs
@@ -13,7 +13,7 @@
 /// Sets the draws of what stands at the start apart from those of what arrives.
 const RUNNING_TASKS_STREAM: u64 = 0x7374_616e_6469_6e67;
 /// The shortest life: a worker tells an answer and an end apart.
-const SHORTEST_LIFE: Duration = Duration::from_millis(1);
+const MIN_LIFETIME: Duration = Duration::from_millis(1);
 
 /// A task that is due.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -67,7 +67,7 @@
     /// What a task of this class is at its worker, with a life of its own.
     fn shape(&mut self, class: Class) -> TaskShape {
         let part: f64 = Exp1.sample(&mut self.draws);
-        let life = self.life.mul_f64(part).max(SHORTEST_LIFE);
+        let life = self.life.mul_f64(part).max(MIN_LIFETIME);
         TaskShape {
             cores: self.cores,
             memory: self.memory,
--- a/crates/scale-test/src/clients/link.rs
+++ b/crates/scale-test/src/clients/link.rs
@@ -17,14 +17,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
     /// Tests, as a front makes them.
-    Test,
+    HealthCheck,
     /// Tasks; its place among those kept to its placer.
     Tasks(usize),
 }
 
 /// A set-up that waits for its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct OpenSetup {
+pub struct PendingSetUp {
     /// Which.
     pub id: SetupId,
     /// It has crossed the end of a connection before.
@@ -40,7 +40,7 @@
     /// What for.
     pub purpose: Purpose,
     /// Set-ups on it that wait for their answer.
-    pub open: Vec<OpenSetup>,
+    pub open: Vec<PendingSetUp>,
 }
 
 /// One placer, as clients see it.
@@ -132,7 +132,7 @@
         if link.test.is_some() {
             return Ok(link.test);
         }
-        let made = self.open(placer, Purpose::Test, registry)?;
+        let made = self.open(placer, Purpose::HealthCheck, registry)?;
         if let Some(link) = self.get_mut(placer) {
             link.test = made;
         }
@@ -176,7 +176,7 @@
             return Ok(None);
         };
         let kind = match purpose {
-            Purpose::Test => TrafficKind::Test,
+            Purpose::HealthCheck => TrafficKind::HealthCheck,
             Purpose::Tasks(_) => TrafficKind::Client,
         };
         let token = Token(FIRST_CONNECTION + self.table.vacant_key());
@@ -197,7 +197,7 @@
         let closed = self.table.try_remove(place)?;
         if let Some(link) = self.links.get_mut(closed.placer.index()) {
             match closed.purpose {
-                Purpose::Test => link.test = None,
+                Purpose::HealthCheck => link.test = None,
                 Purpose::Tasks(slot) => {
                     if let Some(kept) = link.kept.get_mut(slot) {
                         *kept = None;
--- a/crates/scale-test/src/clients/tasks.rs
+++ b/crates/scale-test/src/clients/tasks.rs
@@ -19,7 +19,7 @@
     /// It stands at a worker.
     Running(WorkerId),
     /// It stood, and the placer has told that it is over, with this cause.
-    Over(u8),
+    Ended(u8),
     /// Refused: trying again would have been harmless.
     Refused,
     /// Failed: nothing is promised.
@@ -27,9 +27,9 @@
     /// No answer came in its time.
     Unanswered,
     /// Its connection ended with no answer, and its placer lived.
-    Broken,
+    ConnectionLost,
     /// Its placer was killed before it answered.
-    Cut,
+    PlacerKilled,
     /// No placer was in service when it was due.
     NoPlacer,
 }
@@ -163,12 +163,14 @@
                 record.state = TaskState::Running(worker);
                 AnswerEffect::First
             }
-            TaskState::Unanswered | TaskState::Broken | TaskState::Cut | TaskState::NoPlacer => {
-                AnswerEffect::Stale
-            }
-            TaskState::Running(_) | TaskState::Over(_) | TaskState::Refused | TaskState::Failed => {
-                AnswerEffect::Second
-            }
+            TaskState::Unanswered
+            | TaskState::ConnectionLost
+            | TaskState::PlacerKilled
+            | TaskState::NoPlacer => AnswerEffect::Stale,
+            TaskState::Running(_)
+            | TaskState::Ended(_)
+            | TaskState::Refused
+            | TaskState::Failed => AnswerEffect::Second,
         }
     }
 
@@ -188,7 +190,7 @@
                 ReleaseEffect::Final
             }
             TaskState::Running(_) => {
-                record.state = TaskState::Over(cause);
+                record.state = TaskState::Ended(cause);
                 ReleaseEffect::Ended
             }
             _ => ReleaseEffect::Known,
@@ -207,7 +209,7 @@
     }
 
     /// Its set-up is over without an answer: whether it still waited for one.
-    pub fn ends_unanswered(&mut self, id: SetupId, how: TaskState) -> bool {
+    pub fn close_unanswered(&mut self, id: SetupId, how: TaskState) -> bool {
         let waiting = self
             .latest(id)
             .filter(|record| matches!(record.state, TaskState::Waiting { .. }));
@@ -218,7 +220,7 @@
     }
 
     /// When the set-up that waits under this id was sent.
-    pub fn waits_since(&self, id: SetupId) -> Option<Instant> {
+    pub fn waiting_since(&self, id: SetupId) -> Option<Instant> {
         let (task, attempt) = id.parts()?;
         match self
             .get(task)
--- a/crates/scale-test/src/clients/tasks/tests.rs
+++ b/crates/scale-test/src/clients/tasks/tests.rs
@@ -25,7 +25,7 @@
 #[test]
 fn a_task_is_answered_once_stands_and_is_over() {
     let (mut table, id) = waiting();
-    assert!(table.waits_since(id).is_some());
+    assert!(table.waiting_since(id).is_some());
     assert_eq!(table.answered(id, WORKER), AnswerEffect::First);
     assert_eq!(table.answered(id, WORKER), AnswerEffect::Second);
     assert_eq!(table.running_at(PLACER).count(), 1);
@@ -36,7 +36,7 @@
         ReleaseEffect::Known,
         "told again"
     );
-    assert_eq!(state(&table), TaskState::Over(cause::NORMAL));
+    assert_eq!(state(&table), TaskState::Ended(cause::NORMAL));
     assert_eq!(table.answered(id, WORKER), AnswerEffect::Second);
 }
 
@@ -76,11 +76,11 @@
 #[test]
 fn a_set_up_that_ends_unanswered_does_so_once_and_a_late_answer_is_stale() {
     let (mut table, id) = waiting();
-    assert!(table.ends_unanswered(id, TaskState::Cut));
-    assert!(!table.ends_unanswered(id, TaskState::Unanswered));
-    assert_eq!(state(&table), TaskState::Cut);
+    assert!(table.close_unanswered(id, TaskState::PlacerKilled));
+    assert!(!table.close_unanswered(id, TaskState::Unanswered));
+    assert_eq!(state(&table), TaskState::PlacerKilled);
     assert_eq!(table.answered(id, WORKER), AnswerEffect::Stale);
-    assert_eq!(table.waits_since(id), None);
+    assert_eq!(table.waiting_since(id), None);
 }
 
 #[test]
--- a/crates/scale-test/src/clients/thread.rs
+++ b/crates/scale-test/src/clients/thread.rs
@@ -1,16 +1,16 @@
 //! The event loop of the clients: sends what is due, reads what placers say, and tests them.
 
 use super::arrivals::{Arrival, Arrivals};
-use super::link::{FIRST_CONNECTION, Links, OpenSetup};
+use super::link::{FIRST_CONNECTION, Links, PendingSetUp};
 use super::tasks::{AnswerEffect, ReleaseEffect, TaskRecord, TaskState, TaskTable};
-use super::{ArrivalWindow, ClientAudit, ClientOrder, ClientState, Timings};
+use super::{ArrivalWindow, ClientAudit, ClientCommand, ClientState, Timings};
 use crate::deployment::Class;
 use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId};
 use crate::mailbox::Receiver;
 use crate::settings::Settings;
 use crate::socket::{Connection, Liveness};
 use crate::timers::TimerQueue;
-use crate::timing::Times;
+use crate::timing::LatencyHistogram;
 use crate::traffic::PlacerCounters;
 use crate::wire::binary::{self, PlacerMessage, SetUp};
 use crate::wire::{WireError, description};
@@ -23,38 +23,38 @@
 /// Where orders come in.
 pub const MAILBOX: Token = Token(0);
 /// Events taken in one turn.
-const EVENTS: usize = 1_024;
+const EVENTS_PER_POLL: usize = 1_024;
 /// The longest wait for events.
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(100);
 /// How often a placer that starts is called until a test passes.
-const CALL_PERIOD: Duration = Duration::from_millis(10);
+const STARTUP_CHECK_PERIOD: Duration = Duration::from_millis(10);
 /// How often a placer in service is tested, as by a front.
-const TEST_PERIOD: Duration = Duration::from_secs(1);
+const HEALTH_CHECK_PERIOD: Duration = Duration::from_secs(1);
 /// How long an answer may be late before it counts as missing.
 const ANSWER_GRACE: Duration = Duration::from_secs(1);
 /// A set-up that crosses a close within this time goes out again, once (the protocol's figure).
-const CROSSED: Duration = Duration::from_millis(50);
+const RESEND_WINDOW: Duration = Duration::from_millis(50);
 
 /// What the clients share with others.
 pub struct Shared {
     /// The counters of each placer.
     pub counters: Vec<Arc<PlacerCounters>>,
     /// What the clients are told to do.
-    pub orders: Receiver<ClientOrder>,
+    pub orders: Receiver<ClientCommand>,
     /// How they are.
     pub state: Arc<Mutex<ClientState>>,
     /// The placers that are about to be killed, or are.
-    pub doomed: Arc<[AtomicBool]>,
+    pub kill_announced: Arc<[AtomicBool]>,
 }
 
 /// What is due at a time.
-enum Due {
+enum TimerEvent {
     /// A placer is called or tested, if this is still its start.
-    Test(PlacerId, u64),
+    CheckHealth(PlacerId, u64),
     /// A task.
-    Arrival(Arrival),
+    TaskArrives(Arrival),
     /// The time of a set-up that was sent then.
-    Overdue(SetupId, Instant),
+    AnswerTimeout(SetupId, Instant),
 }
 
 /// The clients' thread.
@@ -64,7 +64,7 @@
     tasks: TaskTable,
     arrivals: Arrivals,
     window: Option<ArrivalWindow>,
-    timers: TimerQueue<Due>,
+    timers: TimerQueue<TimerEvent>,
     tenant_names: Vec<String>,
     timings: Timings,
     state: ClientState,
@@ -89,8 +89,12 @@
             ..ClientState::default()
         };
         let timings = Timings {
-            to_start: [Times::new()?, Times::new()?, Times::new()?],
-            lateness: Times::new()?,
+            to_start: [
+                LatencyHistogram::new()?,
+                LatencyHistogram::new()?,
+                LatencyHistogram::new()?,
+            ],
+            lateness: LatencyHistogram::new()?,
         };
         Ok(ClientThread {
             poll,
@@ -111,21 +115,21 @@
 
     /// Runs until it is stopped; the books.
     pub fn run(mut self) -> io::Result<ClientAudit> {
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !self.stopped {
-            let wait = self.timers.wait(Instant::now(), LONGEST_WAIT);
+            let wait = self.timers.wait(Instant::now(), MAX_POLL_WAIT);
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
                 _ => {}
             }
             // What is due goes first: the time of a task counts from when it was due.
-            self.do_what_is_due()?;
+            self.run_due_timers()?;
             for event in &events {
                 if event.token() != MAILBOX {
                     self.serve(event.token().0 - FIRST_CONNECTION)?;
                 }
             }
-            self.obey()?;
+            self.handle_commands()?;
             self.publish_progress();
         }
         let ClientThread {
@@ -158,24 +162,24 @@
 
     // ---- Orders ----
 
-    fn obey(&mut self) -> io::Result<()> {
+    fn handle_commands(&mut self) -> io::Result<()> {
         for order in self.shared.orders.take() {
             match order {
-                ClientOrder::Started(placer, address) => {
+                ClientCommand::PlacerStarted(placer, address) => {
                     let Some(link) = self.links.get_mut(placer) else {
                         continue;
                     };
                     link.address = Some(address);
                     link.start += 1;
                     self.timers
-                        .add(Instant::now(), Due::Test(placer, link.start));
+                        .add(Instant::now(), TimerEvent::CheckHealth(placer, link.start));
                 }
-                ClientOrder::Killed(placer) => self.killed(placer)?,
-                ClientOrder::Begin(window) => {
+                ClientCommand::PlacerKilled(placer) => self.killed(placer)?,
+                ClientCommand::StartArrivals(window) => {
                     self.window = Some(window);
                     self.add_arrival(window);
                 }
-                ClientOrder::Stop => self.stopped = true,
+                ClientCommand::Stop => self.stopped = true,
             }
         }
         Ok(())
@@ -198,13 +202,13 @@
 
     // ---- Time ----
 
-    fn do_what_is_due(&mut self) -> io::Result<()> {
+    fn run_due_timers(&mut self) -> io::Result<()> {
         // As of each look: what became due while another was sent is not left waiting.
         while let Some((at, due)) = self.timers.pop_due(Instant::now()) {
             match due {
-                Due::Test(placer, start) => self.test(placer, start)?,
-                Due::Arrival(arrival) => self.arrive(at, &arrival)?,
-                Due::Overdue(id, sent) => self.overdue(id, sent),
+                TimerEvent::CheckHealth(placer, start) => self.test(placer, start)?,
+                TimerEvent::TaskArrives(arrival) => self.arrive(at, &arrival)?,
+                TimerEvent::AnswerTimeout(id, sent) => self.overdue(id, sent),
             }
         }
         Ok(())
@@ -216,7 +220,7 @@
         };
         let due = window.start + arrival.due;
         if due < window.end {
-            self.timers.add(due, Due::Arrival(arrival));
+            self.timers.add(due, TimerEvent::TaskArrives(arrival));
         }
     }
 
@@ -249,11 +253,13 @@
             return Ok(());
         };
         let wait = Duration::from_millis(record.class.wait_ms());
-        self.timers
-            .add(now + wait + ANSWER_GRACE, Due::Overdue(id, now));
+        self.timers.add(
+            now + wait + ANSWER_GRACE,
+            TimerEvent::AnswerTimeout(id, now),
+        );
         self.state.waiting += 1;
         self.send_set_up(
-            OpenSetup {
+            PendingSetUp {
                 id,
                 is_resent: false,
             },
@@ -262,7 +268,7 @@
     }
 
     /// Sends the set-up of a task that waits.
-    fn send_set_up(&mut self, set_up: OpenSetup, placer: PlacerId) -> io::Result<()> {
+    fn send_set_up(&mut self, set_up: PendingSetUp, placer: PlacerId) -> io::Result<()> {
         let id = set_up.id;
         let Some(record) = id.parts().and_then(|(task, _)| self.tasks.get(task)) else {
             return Ok(());
@@ -272,7 +278,7 @@
         let place = self.links.next_for_tasks(placer, self.poll.registry())?;
         let found = place.and_then(|place| self.links.connection(place));
         let Some(found) = found else {
-            self.ends_unanswered(id, TaskState::NoPlacer);
+            self.close_unanswered(id, TaskState::NoPlacer);
             return Ok(());
         };
         found.open.push(set_up);
@@ -281,13 +287,13 @@
 
     /// The time of a set-up is over.
     fn overdue(&mut self, id: SetupId, sent: Instant) {
-        if self.tasks.waits_since(id) == Some(sent) {
-            self.ends_unanswered(id, TaskState::Unanswered);
+        if self.tasks.waiting_since(id) == Some(sent) {
+            self.close_unanswered(id, TaskState::Unanswered);
         }
     }
 
-    fn ends_unanswered(&mut self, id: SetupId, how: TaskState) {
-        if self.tasks.ends_unanswered(id, how) {
+    fn close_unanswered(&mut self, id: SetupId, how: TaskState) {
+        if self.tasks.close_unanswered(id, how) {
             self.state.waiting = self.state.waiting.saturating_sub(1);
         }
     }
@@ -302,9 +308,15 @@
         if link.start != start || link.address.is_none() {
             return Ok(());
         }
-        let period = if link.ready { TEST_PERIOD } else { CALL_PERIOD };
-        self.timers
-            .add(Instant::now() + period, Due::Test(placer, start));
+        let period = if link.ready {
+            HEALTH_CHECK_PERIOD
+        } else {
+            STARTUP_CHECK_PERIOD
+        };
+        self.timers.add(
+            Instant::now() + period,
+            TimerEvent::CheckHealth(placer, start),
+        );
         let known = self.links.places(placer);
         let place = self.links.test(placer, self.poll.registry())?;
         let made = place.is_some_and(|place| !known.contains(&place));
@@ -367,7 +379,7 @@
         let placer = found.placer;
         let flushed = found.connection.flush();
         let filled = found.connection.fill();
-        let read = take_messages(&mut found.connection);
+        let read = read_messages(&mut found.connection);
         let Ok(messages) = read else {
             self.bad_messages += 1;
             return self.close(place);
@@ -396,31 +408,31 @@
             .links
             .get(placer)
             .is_some_and(|link| link.address.is_some());
-        let doomed = self
+        let kill_announced = self
             .shared
-            .doomed
+            .kill_announced
             .get(placer.index())
-            .is_some_and(|doomed| doomed.load(Ordering::SeqCst));
-        for OpenSetup {
+            .is_some_and(|kill_announced| kill_announced.load(Ordering::SeqCst));
+        for PendingSetUp {
             id,
             is_resent: again,
         } in closed.open
         {
-            let Some(sent) = self.tasks.waits_since(id) else {
+            let Some(sent) = self.tasks.waiting_since(id) else {
                 continue;
             };
-            if !there || doomed {
-                self.ends_unanswered(id, TaskState::Cut);
-            } else if !again && sent.elapsed() <= CROSSED {
+            if !there || kill_announced {
+                self.close_unanswered(id, TaskState::PlacerKilled);
+            } else if !again && sent.elapsed() <= RESEND_WINDOW {
                 self.send_set_up(
-                    OpenSetup {
+                    PendingSetUp {
                         id,
                         is_resent: true,
                     },
                     placer,
                 )?;
             } else {
-                self.ends_unanswered(id, TaskState::Broken);
+                self.close_unanswered(id, TaskState::ConnectionLost);
             }
         }
         Ok(())
@@ -441,13 +453,13 @@
                 None => self.bad_messages += 1,
             },
             PlacerMessage::Release(cause) => return Ok(self.released(place, id, cause)),
-            PlacerMessage::Move => {
+            PlacerMessage::Migrate => {
                 if let Some(task) = self.tasks.moved(id) {
                     self.set_up(task, placer)?;
                 }
             }
-            PlacerMessage::Tested { passed: true } => self.passed(placer)?,
-            PlacerMessage::Tested { passed: false } | PlacerMessage::Heard => {}
+            PlacerMessage::HealthChecked { passed: true } => self.passed(placer)?,
+            PlacerMessage::HealthChecked { passed: false } | PlacerMessage::EndAcknowledged => {}
         }
         Ok(Reply::Nothing)
     }
@@ -538,7 +550,7 @@
 }
 
 /// Takes the whole messages off what has come.
-fn take_messages(connection: &mut Connection) -> Result<Vec<(SetupId, PlacerMessage)>, WireError> {
+fn read_messages(connection: &mut Connection) -> Result<Vec<(SetupId, PlacerMessage)>, WireError> {
     let mut found = Vec::new();
     let mut taken = 0;
     while let Some((id, message, length)) =
--- a/crates/scale-test/src/deployment.rs
+++ b/crates/scale-test/src/deployment.rs
@@ -68,7 +68,7 @@
 }
 
 /// Where a placer stands in its deployment.
-pub struct Place<'a> {
+pub struct PlacerInstance<'a> {
     /// Which it is.
     pub placer: PlacerId,
     /// How often it was started before.
@@ -82,7 +82,7 @@
 }
 
 /// The configuration file of a placer.
-pub fn configuration(settings: &Settings, place: &Place<'_>) -> String {
+pub fn configuration(settings: &Settings, place: &PlacerInstance<'_>) -> String {
     // Another seed with each start, and alike in each run of the same settings.
     let seed =
         settings.seed ^ (u64::from(place.placer.0) << 32) ^ (u64::from(place.restarts) << 48);
--- a/crates/scale-test/src/feeds.rs
+++ b/crates/scale-test/src/feeds.rs
@@ -5,7 +5,7 @@
 //! it knows which workers have changed since its placer was last told of them, so that a placer which
 //! subscribes again is told the present state of these under the next numbers.
 
-mod journal;
+mod cursor;
 mod thread;
 
 use crate::identity::{PlacerId, WorkerId, ZoneId};
@@ -35,24 +35,24 @@
 }
 
 /// What the feeds are told.
-pub enum FeedOrder {
+pub enum FeedCommand {
     /// The ports at which a placer reaches the workers of each zone.
-    Ports(PlacerId, Vec<u16>),
+    SetWorkerPorts(PlacerId, Vec<u16>),
     /// The rooms of workers have changed.
-    Rooms(Vec<FreeResources>),
+    UpdateResources(Vec<FreeResources>),
     /// The workers of a zone were removed.
-    Remove(ZoneId),
+    RemoveZone(ZoneId),
     /// They are up again, as processes that started at this Unix millisecond.
-    Return(ZoneId, u64),
+    RestoreZone(ZoneId, u64),
     /// A placer starts: its numbers begin anew, and its configuration holds the events so far.
-    Start(PlacerId, mpsc::Sender<String>),
+    StartPlacer(PlacerId, mpsc::Sender<String>),
     /// The thread ends.
     Stop,
 }
 
 /// All control feeds.
 pub struct Feeds {
-    orders: Sender<FeedOrder>,
+    orders: Sender<FeedCommand>,
     thread: PeerThread<()>,
     addresses: Vec<SocketAddr>,
 }
@@ -82,7 +82,7 @@
     }
 
     /// Where orders are sent.
-    pub fn orders(&self) -> Sender<FeedOrder> {
+    pub fn orders(&self) -> Sender<FeedCommand> {
         self.orders.clone()
     }
 
@@ -98,7 +98,7 @@
     /// Returns an error if the feed thread does not reply in time.
     pub fn known(&self, placer: PlacerId) -> io::Result<String> {
         let (reply, replied) = mpsc::channel();
-        self.orders.send(FeedOrder::Start(placer, reply));
+        self.orders.send(FeedCommand::StartPlacer(placer, reply));
         replied
             .recv_timeout(REPLY_LIMIT)
             .map_err(|_| io::Error::other("no reply of the feeds"))
@@ -115,14 +115,14 @@
     ///
     /// Returns the error with which the thread ended.
     pub fn stop(mut self) -> io::Result<()> {
-        self.orders.send(FeedOrder::Stop);
+        self.orders.send(FeedCommand::Stop);
         self.thread.join()
     }
 }
 
 impl Drop for Feeds {
     fn drop(&mut self) {
-        self.orders.send(FeedOrder::Stop);
+        self.orders.send(FeedCommand::Stop);
         // It has ended already where the run came to its end.
         let _ = self.thread.join();
     }
--- a/crates/scale-test/src/feeds/journal.rs
+++ b/crates/scale-test/src/feeds/cursor.rs
@@ -83,9 +83,9 @@
     }
 }
 
-/// Lines for one placer, with what they hold.
+/// FeedBatch for one placer, with what they hold.
 #[derive(Default)]
-pub struct Lines {
+pub struct FeedBatch {
     /// Whole lines.
     pub bytes: Vec<u8>,
     /// How many.
@@ -96,7 +96,7 @@
 
 /// How far one placer has been told.
 #[derive(Default)]
-pub struct Journal {
+pub struct FeedCursor {
     /// The number of the last event.
     last_number: u64,
     /// At which port the placer reaches the workers of each zone.
@@ -107,7 +107,7 @@
     is_stale: Vec<bool>,
 }
 
-impl Journal {
+impl FeedCursor {
     /// The placer reaches the workers of each zone at these ports.
     pub fn set_ports(&mut self, ports: Vec<u16>) {
         self.ports = ports;
@@ -149,7 +149,7 @@
     }
 
     /// Whether there is something to tell.
-    pub fn is_behind(&self) -> bool {
+    pub fn has_pending_changes(&self) -> bool {
         !self.stale.is_empty()
     }
 
@@ -163,7 +163,12 @@
     }
 
     /// Tells all changes: each in an event of its own, or in as few events as may be.
-    pub fn write_changes(&mut self, rule: FeedRule, workers: &ListedWorkers, lines: &mut Lines) {
+    pub fn write_changes(
+        &mut self,
+        rule: FeedRule,
+        workers: &ListedWorkers,
+        lines: &mut FeedBatch,
+    ) {
         let in_one = match rule {
             FeedRule::EachChange => 1,
             FeedRule::Gathered => MAX_ENTRIES,
@@ -176,12 +181,17 @@
     }
 
     /// Tells the entry of one worker again.
-    pub fn write_repeat(&mut self, worker: WorkerId, workers: &ListedWorkers, lines: &mut Lines) {
+    pub fn write_repeat(
+        &mut self,
+        worker: WorkerId,
+        workers: &ListedWorkers,
+        lines: &mut FeedBatch,
+    ) {
         self.event(workers, &[worker], false, lines);
     }
 
     /// Tells the whole list.
-    pub fn write_complete_list(&mut self, workers: &ListedWorkers, lines: &mut Lines) {
+    pub fn write_complete_list(&mut self, workers: &ListedWorkers, lines: &mut FeedBatch) {
         self.clear();
         let up: Vec<WorkerId> = workers
             .ids()
@@ -191,7 +201,7 @@
     }
 
     /// Tells the number of the last event.
-    pub fn write_number(&self, lines: &mut Lines) {
+    pub fn write_sequence_number(&self, lines: &mut FeedBatch) {
         feed::number(&mut lines.bytes, self.last_number);
         lines.bytes.push(b'\n');
         lines.messages += 1;
@@ -203,7 +213,7 @@
         workers: &ListedWorkers,
         changed: &[WorkerId],
         whole: bool,
-        lines: &mut Lines,
+        lines: &mut FeedBatch,
     ) {
         self.last_number += 1;
         let entries = changed
--- a/crates/scale-test/src/feeds/journal/tests.rs
+++ b/crates/scale-test/src/feeds/cursor/tests.rs
@@ -6,15 +6,15 @@
     ListedWorkers::new(5, vec!["z0".to_string(), "z1".to_string()], 4.0, 8.0)
 }
 
-fn journal(workers: &ListedWorkers) -> Journal {
-    let mut journal = Journal::default();
-    journal.set_ports(vec![20_000, 20_001]);
-    journal.start(workers);
-    journal
+fn cursor(workers: &ListedWorkers) -> FeedCursor {
+    let mut cursor = FeedCursor::default();
+    cursor.set_ports(vec![20_000, 20_001]);
+    cursor.start(workers);
+    cursor
 }
 
 /// The number, whether it is whole, and the names of each event.
-fn told(lines: &Lines) -> Vec<(u64, Option<bool>, Vec<String>)> {
+fn told(lines: &FeedBatch) -> Vec<(u64, Option<bool>, Vec<String>)> {
     let text = std::str::from_utf8(&lines.bytes).expect("text");
     let event = |line: &str| {
         let value: serde_json::Value = serde_json::from_str(line).expect("JSON");
@@ -39,9 +39,9 @@
 fn a_start_names_all_that_are_up_at_the_port_of_their_zone() {
     let mut workers = workers();
     workers.set_up(WorkerId(3), false, 0);
-    let mut journal = Journal::default();
-    journal.set_ports(vec![20_000, 20_001]);
-    let known: serde_json::Value = serde_json::from_str(&journal.start(&workers)).expect("JSON");
+    let mut cursor = FeedCursor::default();
+    cursor.set_ports(vec![20_000, 20_001]);
+    let known: serde_json::Value = serde_json::from_str(&cursor.start(&workers)).expect("JSON");
     assert_eq!(known["n"], 1);
     let hosts = known["events"][0]["members"]["hosts"]
         .as_array()
@@ -65,22 +65,22 @@
 #[test]
 fn numbers_follow_each_other_under_both_rules_and_a_change_is_told_once() {
     let mut workers = workers();
-    let mut journal = journal(&workers);
+    let mut cursor = cursor(&workers);
     workers.set_free_resources(FreeResources {
         worker: WorkerId(1),
         free_cores: 1.0,
         free_memory: 2.0,
     });
     for worker in [1, 4, 1] {
-        journal.mark(WorkerId(worker));
+        cursor.mark(WorkerId(worker));
     }
-    let mut lines = Lines::default();
-    journal.write_changes(FeedRule::EachChange, &workers, &mut lines);
-    journal.write_number(&mut lines);
-    journal.mark(WorkerId(0));
-    journal.mark(WorkerId(2));
-    journal.write_changes(FeedRule::Gathered, &workers, &mut lines);
-    assert!(!journal.is_behind());
+    let mut lines = FeedBatch::default();
+    cursor.write_changes(FeedRule::EachChange, &workers, &mut lines);
+    cursor.write_sequence_number(&mut lines);
+    cursor.mark(WorkerId(0));
+    cursor.mark(WorkerId(2));
+    cursor.write_changes(FeedRule::Gathered, &workers, &mut lines);
+    assert!(!cursor.has_pending_changes());
     let found = told(&lines);
     let numbers: Vec<u64> = found.iter().map(|(n, _, _)| *n).collect();
     assert_eq!(numbers, [2, 3, 3, 4]);
@@ -97,14 +97,14 @@
 #[test]
 fn a_placer_that_subscribes_again_after_a_loss_is_told_the_present_state_of_all() {
     let workers = workers();
-    let mut journal = journal(&workers);
-    journal.mark(WorkerId(1));
-    journal.write_changes(FeedRule::EachChange, &workers, &mut Lines::default());
-    journal.subscribe(2, &workers);
-    assert!(!journal.is_behind(), "nothing was lost");
-    journal.subscribe(1, &workers);
-    let mut lines = Lines::default();
-    journal.write_changes(FeedRule::Gathered, &workers, &mut lines);
+    let mut cursor = cursor(&workers);
+    cursor.mark(WorkerId(1));
+    cursor.write_changes(FeedRule::EachChange, &workers, &mut FeedBatch::default());
+    cursor.subscribe(2, &workers);
+    assert!(!cursor.has_pending_changes(), "nothing was lost");
+    cursor.subscribe(1, &workers);
+    let mut lines = FeedBatch::default();
+    cursor.write_changes(FeedRule::Gathered, &workers, &mut lines);
     let found = told(&lines);
     assert_eq!((found.len(), found[0].0, found[0].2.len()), (1, 2, 5));
 }
@@ -112,14 +112,14 @@
 #[test]
 fn what_was_removed_is_told_and_missing_in_the_whole_list() {
     let mut workers = workers();
-    let mut journal = journal(&workers);
+    let mut cursor = cursor(&workers);
     for worker in workers.in_zone(ZoneId(1)) {
         workers.set_up(worker, false, 0);
-        journal.mark(worker);
+        cursor.mark(worker);
     }
-    let mut lines = Lines::default();
-    journal.write_changes(FeedRule::Gathered, &workers, &mut lines);
-    journal.write_complete_list(&workers, &mut lines);
+    let mut lines = FeedBatch::default();
+    cursor.write_changes(FeedRule::Gathered, &workers, &mut lines);
+    cursor.write_complete_list(&workers, &mut lines);
     let found = told(&lines);
     assert_eq!(
         found[0].2,
--- a/crates/scale-test/src/feeds/thread.rs
+++ b/crates/scale-test/src/feeds/thread.rs
@@ -1,7 +1,7 @@
 //! The event loop of the control feeds.
 
-use super::journal::{Journal, Lines, ListedWorkers};
-use super::{FeedOrder, FreeResources};
+use super::cursor::{FeedBatch, FeedCursor, ListedWorkers};
+use super::{FeedCommand, FreeResources};
 use crate::identity::{WorkerId, ZoneId};
 use crate::mailbox::Receiver;
 use crate::settings::{FeedRule, Settings};
@@ -24,35 +24,35 @@
 /// The first of the connections, by placer: above all listeners.
 const FIRST_CONNECTION: usize = 1 << 16;
 /// Events taken in one turn.
-const EVENTS: usize = 256;
+const EVENTS_PER_POLL: usize = 256;
 /// The longest wait for events.
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(100);
 /// How often a line with just the number is told (the protocol's figure).
 const NUMBER_PERIOD: Duration = Duration::from_secs(1);
 /// With so many bytes waiting for a placer that reads slowly, changes are gathered until it has read them.
 const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
 /// The longest line that a placer says.
-const LONGEST_SUBSCRIPTION: usize = 64;
+const MAX_SUBSCRIPTION_BYTES: usize = 64;
 /// Sets the draws of extra events apart from all other draws of a run.
 const EVENTS_STREAM: u64 = 0x6576_656e_7473;
 
 /// What is due at a time.
-enum Due {
+enum TimerEvent {
     /// Gathered changes.
-    Gathered,
-    /// Lines with just the number.
-    Numbers,
+    WriteChanges,
+    /// FeedBatch with just the number.
+    WriteNumber,
     /// The whole list.
-    Whole,
+    WriteCompleteList,
     /// An extra event.
-    Extra,
+    WriteExtraEvent,
 }
 
 struct PlacerFeed {
     listener: TcpListener,
     connection: Option<Connection>,
     subscribed: bool,
-    journal: Journal,
+    cursor: FeedCursor,
     counters: Arc<PlacerCounters>,
 }
 
@@ -66,7 +66,7 @@
                 .is_some_and(|found| found.queued() < MAX_QUEUED_BYTES)
     }
 
-    fn send(&mut self, lines: &Lines) {
+    fn send(&mut self, lines: &FeedBatch) {
         let Some(connection) = &mut self.connection else {
             return;
         };
@@ -85,10 +85,10 @@
 /// The feeds' thread.
 pub struct FeedThread {
     poll: Poll,
-    orders: Receiver<FeedOrder>,
+    orders: Receiver<FeedCommand>,
     workers: ListedWorkers,
     feeds: Vec<PlacerFeed>,
-    timers: TimerQueue<Due>,
+    timers: TimerQueue<TimerEvent>,
     rule: FeedRule,
     period: Duration,
     whole_every: Duration,
@@ -105,19 +105,19 @@
         settings: &Settings,
         listeners: Vec<TcpListener>,
         counters: Vec<Arc<PlacerCounters>>,
-        orders: Receiver<FeedOrder>,
+        orders: Receiver<FeedCommand>,
     ) -> io::Result<FeedThread> {
         let mut feeds = Vec::new();
         for (place, (mut listener, counters)) in listeners.into_iter().zip(counters).enumerate() {
             let token = Token(FIRST_LISTENER + place);
             poll.registry()
                 .register(&mut listener, token, Interest::READABLE)?;
-            let journal = Journal::default();
+            let cursor = FeedCursor::default();
             feeds.push(PlacerFeed {
                 listener,
                 connection: None,
                 subscribed: false,
-                journal,
+                cursor,
                 counters,
             });
         }
@@ -151,9 +151,9 @@
     /// Runs until it is stopped.
     pub fn run(&mut self) -> io::Result<()> {
         self.set_timers(Instant::now());
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !self.stopped {
-            let wait = self.timers.wait(Instant::now(), LONGEST_WAIT);
+            let wait = self.timers.wait(Instant::now(), MAX_POLL_WAIT);
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
                 _ => {}
@@ -167,8 +167,8 @@
                     Token(token) => self.accept(token - FIRST_LISTENER)?,
                 }
             }
-            self.obey();
-            self.do_what_is_due();
+            self.handle_commands();
+            self.run_due_timers();
             if self.rule == FeedRule::EachChange {
                 self.write_changes();
             }
@@ -177,41 +177,43 @@
     }
 
     fn set_timers(&mut self, now: Instant) {
-        self.timers.add(now + NUMBER_PERIOD, Due::Numbers);
+        self.timers
+            .add(now + NUMBER_PERIOD, TimerEvent::WriteNumber);
         if self.rule == FeedRule::Gathered {
-            self.timers.add(now + self.period, Due::Gathered);
+            self.timers.add(now + self.period, TimerEvent::WriteChanges);
         }
         if !self.whole_every.is_zero() {
-            self.timers.add(now + self.whole_every, Due::Whole);
+            self.timers
+                .add(now + self.whole_every, TimerEvent::WriteCompleteList);
         }
         if let Some(gap) = self.extra_gap {
-            self.timers.add(now + gap, Due::Extra);
+            self.timers.add(now + gap, TimerEvent::WriteExtraEvent);
         }
     }
 
     // ---- Orders ----
 
-    fn obey(&mut self) {
+    fn handle_commands(&mut self) {
         for order in self.orders.take() {
             match order {
-                FeedOrder::Ports(placer, ports) => {
+                FeedCommand::SetWorkerPorts(placer, ports) => {
                     if let Some(feed) = self.feeds.get_mut(placer.index()) {
-                        feed.journal.set_ports(ports);
+                        feed.cursor.set_ports(ports);
                     }
                 }
-                FeedOrder::Rooms(rooms) => rooms
+                FeedCommand::UpdateResources(rooms) => rooms
                     .into_iter()
                     .for_each(|room| self.set_free_resources(room)),
-                FeedOrder::Remove(zone) => self.set_zone(zone, false, 0),
-                FeedOrder::Return(zone, born_ms) => self.set_zone(zone, true, born_ms),
-                FeedOrder::Start(placer, reply) => {
+                FeedCommand::RemoveZone(zone) => self.set_zone(zone, false, 0),
+                FeedCommand::RestoreZone(zone, born_ms) => self.set_zone(zone, true, born_ms),
+                FeedCommand::StartPlacer(placer, reply) => {
                     if let Some(feed) = self.feeds.get_mut(placer.index()) {
                         feed.end();
                         // Who asked waits only so long, and may have gone.
-                        let _ = reply.send(feed.journal.start(&self.workers));
+                        let _ = reply.send(feed.cursor.start(&self.workers));
                     }
                 }
-                FeedOrder::Stop => self.stopped = true,
+                FeedCommand::Stop => self.stopped = true,
             }
         }
     }
@@ -219,7 +221,7 @@
     fn mark(&mut self, worker: WorkerId) {
         self.feeds
             .iter_mut()
-            .for_each(|feed| feed.journal.mark(worker));
+            .for_each(|feed| feed.cursor.mark(worker));
     }
 
     fn set_free_resources(&mut self, room: FreeResources) {
@@ -271,7 +273,7 @@
         let inbox = connection.inbox();
         let end = inbox.iter().position(|byte| *byte == b'\n');
         let number = end.and_then(|end| feed::subscription(inbox.get(..end)?));
-        let too_long = inbox.len() > LONGEST_SUBSCRIPTION;
+        let too_long = inbox.len() > MAX_SUBSCRIPTION_BYTES;
         if flushed == Liveness::Ended || filled == Liveness::Ended || too_long {
             return feed.end();
         }
@@ -282,33 +284,33 @@
         connection.consume(end + 1);
         connection.count_read(1);
         feed.subscribed = true;
-        feed.journal.subscribe(number, &self.workers);
-        let mut lines = Lines::default();
-        feed.journal
+        feed.cursor.subscribe(number, &self.workers);
+        let mut lines = FeedBatch::default();
+        feed.cursor
             .write_changes(self.rule, &self.workers, &mut lines);
-        feed.journal.write_number(&mut lines);
+        feed.cursor.write_sequence_number(&mut lines);
         feed.send(&lines);
     }
 
     // ---- Telling ----
 
-    fn do_what_is_due(&mut self) {
+    fn run_due_timers(&mut self) {
         let now = Instant::now();
         while let Some((at, due)) = self.timers.pop_due(now) {
             let next = match due {
-                Due::Gathered => {
+                TimerEvent::WriteChanges => {
                     self.write_changes();
                     at + self.period
                 }
-                Due::Numbers => {
-                    self.write_to_all(|journal, _, lines| journal.write_number(lines));
+                TimerEvent::WriteNumber => {
+                    self.write_to_all(|cursor, _, lines| cursor.write_sequence_number(lines));
                     at + NUMBER_PERIOD
                 }
-                Due::Whole => {
-                    self.write_to_all(Journal::write_complete_list);
+                TimerEvent::WriteCompleteList => {
+                    self.write_to_all(FeedCursor::write_complete_list);
                     at + self.whole_every
                 }
-                Due::Extra => {
+                TimerEvent::WriteExtraEvent => {
                     self.write_extra();
                     at + self.extra_gap.unwrap_or(NUMBER_PERIOD)
                 }
@@ -317,10 +319,10 @@
         }
     }
 
-    fn write_to_all(&mut self, tell: impl Fn(&mut Journal, &ListedWorkers, &mut Lines)) {
+    fn write_to_all(&mut self, tell: impl Fn(&mut FeedCursor, &ListedWorkers, &mut FeedBatch)) {
         for feed in self.feeds.iter_mut().filter(|feed| feed.takes_more()) {
-            let mut lines = Lines::default();
-            tell(&mut feed.journal, &self.workers, &mut lines);
+            let mut lines = FeedBatch::default();
+            tell(&mut feed.cursor, &self.workers, &mut lines);
             feed.send(&lines);
         }
     }
@@ -330,10 +332,10 @@
         for feed in self
             .feeds
             .iter_mut()
-            .filter(|feed| feed.journal.is_behind() && feed.takes_more())
+            .filter(|feed| feed.cursor.has_pending_changes() && feed.takes_more())
         {
-            let mut lines = Lines::default();
-            feed.journal.write_changes(rule, &self.workers, &mut lines);
+            let mut lines = FeedBatch::default();
+            feed.cursor.write_changes(rule, &self.workers, &mut lines);
             feed.send(&lines);
         }
     }
@@ -342,6 +344,6 @@
         let count = self.workers.ids().count();
         let drawn = self.draws.random_range(0..count.max(1));
         let worker = WorkerId(u32::try_from(drawn).unwrap_or(0));
-        self.write_to_all(|journal, workers, lines| journal.write_repeat(worker, workers, lines));
+        self.write_to_all(|cursor, workers, lines| cursor.write_repeat(worker, workers, lines));
     }
 }
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -13,8 +13,8 @@
 
 use least_squares::Line;
 pub use shape::{
-    Exponents, FARTHEST_FROM_CURVE, FLAT_NOISE, FLAT_SPREAD, NOISE_ERRORS, STRAIGHT_EXPONENTS,
-    Shape, WIDEST_EXPONENTS,
+    Exponents, FLAT_NOISE, FLAT_SPREAD, MAX_CURVE_DISTANCE, MAX_EXPONENT_RANGE, NOISE_ERRORS,
+    STRAIGHT_EXPONENTS, Shape,
 };
 
 /// Distinct sizes without which nothing is fitted. A curve has three coefficients (scale, exponent,
@@ -105,7 +105,7 @@
 
 /// How far a measurement lies from what was projected.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Apart {
+pub struct ProjectionComparison {
     /// Measured over projected; none where the projection is 0 or either is no finite number.
     pub ratio: Option<f64>,
     /// Whether they differ by more than [`PROJECTION_TOLERANCE`] of the projection, or cannot be compared.
@@ -113,11 +113,11 @@
 }
 
 /// Compares a projected figure with the measured one. Two zeros agree.
-pub fn compare(projected: f64, measured: f64) -> Apart {
+pub fn compare(projected: f64, measured: f64) -> ProjectionComparison {
     let comparable = projected.is_finite() && measured.is_finite();
     let ratio = Some(measured / projected).filter(|ratio| comparable && ratio.is_finite());
     let within = (measured - projected).abs() <= PROJECTION_TOLERANCE * projected.abs();
-    Apart {
+    ProjectionComparison {
         ratio,
         over_20_percent: !(comparable && within),
     }
--- a/crates/scale-test/src/fit/shape.rs
+++ b/crates/scale-test/src/fit/shape.rs
@@ -26,11 +26,11 @@
 
 /// The widest range of exponents that says anything: with a wider one, straight growth cannot be told from
 /// growth with the root or the square of the size.
-pub const WIDEST_EXPONENTS: f64 = 1.0;
+pub const MAX_EXPONENT_RANGE: f64 = 1.0;
 
 /// The part of the spread of the sizes' means by which one of them may lie off the best curve. Steps and
 /// humps lie further off.
-pub const FARTHEST_FROM_CURVE: f64 = 0.25;
+pub const MAX_CURVE_DISTANCE: f64 = 0.25;
 
 /// The F statistic (1 and 9 degrees of freedom, 99 %, rounded) up to which an exponent agrees with the
 /// points as well as the best one.
@@ -39,9 +39,9 @@
 /// Coefficients of a curve: offset, scale, exponent.
 const COEFFICIENTS: f64 = 3.0;
 
-/// Exponents are looked at from `1 / EXPONENT_STEPS` to `HIGHEST_EXPONENT`, in steps of `1 / EXPONENT_STEPS`.
+/// Exponents are looked at from `1 / EXPONENT_STEPS` to `MAX_EXPONENT`, in steps of `1 / EXPONENT_STEPS`.
 const EXPONENT_STEPS: u32 = 20;
-const HIGHEST_EXPONENT: u32 = 4;
+const MAX_EXPONENT: u32 = 4;
 
 /// Differences below this part of the largest figure come from the arithmetic.
 const ROUNDING: f64 = 1e-9;
@@ -51,10 +51,10 @@
 /// 1. Flat if the means of the sizes spread over at most [`FLAT_SPREAD`] of the mean figure.
 /// 2. If the best curve's rise is at most [`NOISE_ERRORS`] of its standard errors: flat if these are at
 ///    most [`FLAT_NOISE`] of the mean figure, else unclear.
-/// 3. Unclear if the mean of a size lies off the best curve by over [`FARTHEST_FROM_CURVE`] of the spread.
+/// 3. Unclear if the mean of a size lies off the best curve by over [`MAX_CURVE_DISTANCE`] of the spread.
 /// 4. Faster if all exponents that agree with the points are above [`STRAIGHT_EXPONENTS`], slower if all are
 ///    below.
-/// 5. Unclear if these exponents span over [`WIDEST_EXPONENTS`].
+/// 5. Unclear if these exponents span over [`MAX_EXPONENT_RANGE`].
 /// 6. Straight if the best exponent is one of [`STRAIGHT_EXPONENTS`], or 1 agrees with the points.
 /// 7. Else unclear.
 ///
@@ -147,7 +147,7 @@
     if let Some(shape) = within_noise(best, points, mean) {
         return Judgement::without_exponents(shape);
     }
-    if farthest(best, &means) > FARTHEST_FROM_CURVE * spread {
+    if farthest(best, &means) > MAX_CURVE_DISTANCE * spread {
         return Judgement::without_exponents(Shape::Unclear);
     }
     let exponents = agreeing_exponents(&curves, best, points);
@@ -173,7 +173,7 @@
 /// One for each exponent of the grid.
 fn curves(points: &[(f64, f64)]) -> Vec<Curve> {
     let largest_size = points.iter().map(|(size, _)| *size).fold(0.0, f64::max);
-    (1..=HIGHEST_EXPONENT * EXPONENT_STEPS)
+    (1..=MAX_EXPONENT * EXPONENT_STEPS)
         .map(|step| f64::from(step) / f64::from(EXPONENT_STEPS))
         .map(|exponent| Curve::through(points, exponent, largest_size))
         .filter(|curve| curve.line.is_finite())
@@ -246,7 +246,7 @@
     if exponents.high < *STRAIGHT_EXPONENTS.start() {
         return Shape::Slower;
     }
-    if exponents.high - exponents.low > WIDEST_EXPONENTS {
+    if exponents.high - exponents.low > MAX_EXPONENT_RANGE {
         return Shape::Unclear;
     }
     let one_agrees = exponents.low <= 1.0 && exponents.high >= 1.0;
--- a/crates/scale-test/src/identity.rs
+++ b/crates/scale-test/src/identity.rs
@@ -24,7 +24,7 @@
     }
 
     /// The worker that was called at an address, if there are so many workers.
-    pub fn at(address: IpAddr, workers: u32) -> Option<WorkerId> {
+    pub fn from_address(address: IpAddr, workers: u32) -> Option<WorkerId> {
         let IpAddr::V4(address) = address else {
             return None;
         };
@@ -33,7 +33,7 @@
     }
 
     /// The worker of this name.
-    pub fn named(name: &str) -> Option<WorkerId> {
+    pub fn from_name(name: &str) -> Option<WorkerId> {
         name.strip_prefix('w')
             .and_then(|digits| digits.parse().ok())
             .map(WorkerId)
@@ -93,7 +93,7 @@
     }
 
     /// The task of this key.
-    pub fn of_key(key: u64) -> Option<TaskIndex> {
+    pub fn from_key(key: u64) -> Option<TaskIndex> {
         key.checked_sub(FIRST_KEY)
             .and_then(|index| u32::try_from(index).ok())
             .map(TaskIndex)
--- a/crates/scale-test/src/listener/tests.rs
+++ b/crates/scale-test/src/listener/tests.rs
@@ -17,7 +17,7 @@
         let _calling = call(worker, listener.port()).expect("a connection");
         let (accepted, peer) = accepting.accept().expect("a connection");
         let address = accepted.local_addr().expect("an address").ip();
-        assert_eq!(WorkerId::at(address, 16_384), Some(worker));
+        assert_eq!(WorkerId::from_address(address, 16_384), Some(worker));
         assert!(is_loopback(address) && is_loopback(peer.ip()));
     }
 }
--- a/crates/scale-test/src/placer_process.rs
+++ b/crates/scale-test/src/placer_process.rs
@@ -12,12 +12,12 @@
 
 /// The variable that names a placer's configuration.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
-/// Lines of a placer's log that an error shows.
+/// FeedBatch of a placer's log that an error shows.
 const SHOWN_LINES: usize = 12;
 
 /// How a placer is started.
 #[derive(Debug, Clone)]
-pub struct Launch {
+pub struct LaunchOptions {
     /// Which.
     pub placer: PlacerId,
     /// Its program.
@@ -32,7 +32,7 @@
 
 /// A placer's process; ended when it is dropped.
 pub struct PlacerProcess {
-    launch: Launch,
+    launch: LaunchOptions,
     child: Option<Child>,
     /// When it was last started.
     pub started: Instant,
@@ -44,7 +44,7 @@
     /// # Errors
     ///
     /// Returns an error if the configuration or the log cannot be written, or the program cannot be started.
-    pub fn start(launch: Launch, configuration: &str) -> Result<PlacerProcess, RunError> {
+    pub fn start(launch: LaunchOptions, configuration: &str) -> Result<PlacerProcess, RunError> {
         let mut process = PlacerProcess {
             launch,
             child: None,
--- a/crates/scale-test/src/results.rs
+++ b/crates/scale-test/src/results.rs
@@ -5,7 +5,7 @@
 pub use table::print;
 
 use crate::settings::Settings;
-use crate::timing::Times;
+use crate::timing::LatencyHistogram;
 use crate::traffic::{ControlTraffic, FeedCounts, ServiceTraffic, Traffic};
 use serde::{Deserialize, Serialize};
 
@@ -57,7 +57,7 @@
     pub failed: u64,
     /// Cut with a placer that was killed before it answered.
     pub cut: u64,
-    /// Due when no placer was in service.
+    /// TimerEvent when no placer was in service.
     pub no_placer: u64,
     /// Lost: never answered, or over with no word to the client, through no fault of the client's, the
     /// worker's or a kill.
@@ -93,9 +93,9 @@
     pub bad_messages: u64,
     /// Measured starts a second.
     pub starts_per_s: f64,
-    /// Times to start of all measured tasks.
+    /// LatencyHistogram to start of all measured tasks.
     pub all_start_times: Percentiles,
-    /// Times to start of the measured tasks, by class.
+    /// LatencyHistogram to start of the measured tasks, by class.
     pub start_times: Vec<ClassTimes>,
     /// The generator's own lateness: from when tasks were due to when their set-ups were sent.
     pub lateness: Percentiles,
@@ -114,7 +114,7 @@
     }
 }
 
-/// Times to start of one class.
+/// LatencyHistogram to start of one class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassTimes {
     /// Its name.
@@ -327,7 +327,7 @@
 
 impl Percentiles {
     /// Of these times.
-    pub fn of(times: &Times) -> Percentiles {
+    pub fn of(times: &LatencyHistogram) -> Percentiles {
         let times = times.histogram();
         let at = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1e3;
         if times.is_empty() {
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -4,42 +4,42 @@
 //! placers start ─ first tests pass ─ standing tasks told ─ warm-up ─ measured, with faults ─ drain ─ audit
 //! ```
 //!
-//! Every step has its time, so that a run always ends by itself; whatever happens, what it has started ends
+//! Every phase has its time, so that a run always ends by itself; whatever happens, what it has started ends
 //! with it.
 
+mod environment;
 mod machine;
 mod meter;
 mod schedule;
-mod stage;
 
 use crate::audit::{Kill, audit};
 use crate::budget::{self, Machine, Need};
-use crate::clients::{ArrivalWindow, ClientAudit, ClientOrder};
+use crate::clients::{ArrivalWindow, ClientAudit, ClientCommand};
 use crate::deployment::Class;
 use crate::error::RunError;
 use crate::process_sample::Sampler;
 use crate::results::{ClassTimes, FleetTotals, Percentiles, RunResult};
 use crate::settings::Settings;
-use crate::timing::Times;
-use crate::workers::{WorkerOrder, WorkerReport};
+use crate::timing::LatencyHistogram;
+use crate::workers::{WorkerCommand, WorkerReport};
+use environment::TestEnvironment;
 use meter::Meter;
 use rustix::process::{Resource, getrlimit};
 use schedule::Schedule;
-use stage::Stage;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
 /// How long placers may take until a test passes.
 const READY_LIMIT: Duration = Duration::from_secs(30);
 /// How long it may take to tell them what stands.
-const TELLING_LIMIT: Duration = Duration::from_secs(30);
+const ANNOUNCE_LIMIT: Duration = Duration::from_secs(30);
 /// How long placers get to call the workers of what stands, before load begins.
-const SETTLING: Duration = Duration::from_secs(1);
+const SETTLE_TIME: Duration = Duration::from_secs(1);
 /// How often the run looks after everything.
-const LOOK: Duration = Duration::from_millis(10);
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 /// How long after the load nothing may be owed before the audit: a placer may take 2 s to find that a task
 /// which it was told of stands nowhere.
-const QUIET: Duration = Duration::from_millis(2_500);
+const MIN_DRAIN_TIME: Duration = Duration::from_millis(2_500);
 /// The longest drain: the longest wait of a client, and the time in which the end of a task has to be told
 /// (the protocol's 8 s), with some to spare.
 const DRAIN_LIMIT: Duration = Duration::from_secs(14);
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
     /// What it does.
-    pub step: &'static str,
+    pub phase: &'static str,
     /// Seconds of it that have passed.
     pub seconds: u64,
     /// Tasks that were answered so far.
@@ -71,16 +71,16 @@
     fn progress(&mut self, _progress: &Progress) {}
 
     /// Whether the run is to end now.
-    fn stop_wanted(&self) -> bool {
+    fn should_stop(&self) -> bool {
         false
     }
 }
 
 /// Nobody.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Unwatched;
+pub struct NoWatcher;
 
-impl Watcher for Unwatched {}
+impl Watcher for NoWatcher {}
 
 /// The descriptors that this process may hold.
 pub fn own_descriptors() -> u64 {
@@ -113,21 +113,23 @@
 ) -> Result<RunResult, RunError> {
     admit(settings)?;
     let mut run = Run {
-        stage: Stage::start(settings, program)?,
+        environment: TestEnvironment::start(settings, program)?,
         watcher,
         kills: Vec::new(),
     };
-    run.make_ready()?;
+    run.wait_until_ready()?;
     let window = run.begin(settings);
-    let mut meter = Meter::new(run.stage.counters(), window.measured_from);
-    run.carry_load(settings, window, sampler, &mut meter)?;
+    let mut meter = Meter::new(run.environment.counters(), window.measured_from);
+    run.run_load(settings, window, sampler, &mut meter)?;
     run.drain()?;
-    let Run { stage, kills, .. } = run;
-    finish(settings, stage, meter, &kills)
+    let Run {
+        environment, kills, ..
+    } = run;
+    finish(settings, environment, meter, &kills)
 }
 
 struct Run<'a> {
-    stage: Stage,
+    environment: TestEnvironment,
     watcher: &'a mut dyn Watcher,
     kills: Vec<Kill>,
 }
@@ -135,16 +137,16 @@
 impl Run<'_> {
     /// Looks after everything that may have gone wrong.
     fn look(&mut self) -> Result<(), RunError> {
-        if self.watcher.stop_wanted() {
+        if self.watcher.should_stop() {
             return Err(RunError::Interrupted);
         }
-        self.stage.check()
+        self.environment.check()
     }
 
-    fn report(&mut self, step: &'static str, since: Instant) {
-        let (clients, workers) = self.stage.states();
+    fn report(&mut self, phase: &'static str, since: Instant) {
+        let (clients, workers) = self.environment.states();
         self.watcher.progress(&Progress {
-            step,
+            phase,
             seconds: since.elapsed().as_secs(),
             started: clients.started,
             refused: clients.refused,
@@ -157,39 +159,41 @@
     /// Waits until something holds, or its time is over: whether it holds.
     fn wait(
         &mut self,
-        step: &'static str,
+        phase: &'static str,
         limit: Duration,
-        holds: impl Fn(&Stage) -> bool,
+        holds: impl Fn(&TestEnvironment) -> bool,
     ) -> Result<bool, RunError> {
         let start = Instant::now();
         let mut reported = start;
-        while !holds(&self.stage) {
+        while !holds(&self.environment) {
             self.look()?;
-            self.stage.note_ready();
+            self.environment.note_ready();
             if start.elapsed() >= limit {
                 return Ok(false);
             }
             if reported.elapsed() >= SECOND {
                 reported = Instant::now();
-                self.report(step, start);
+                self.report(phase, start);
             }
-            std::thread::sleep(LOOK);
+            std::thread::sleep(CHECK_INTERVAL);
         }
         Ok(true)
     }
 
     /// Until all placers pass tests and know what stands.
-    fn make_ready(&mut self) -> Result<(), RunError> {
-        self.wait("placers start", READY_LIMIT, |stage| stage.all_ready())?;
-        self.stage.note_ready();
-        if let Some(late) = self.stage.not_ready() {
+    fn wait_until_ready(&mut self) -> Result<(), RunError> {
+        self.wait("placers start", READY_LIMIT, |environment| {
+            environment.all_ready()
+        })?;
+        self.environment.note_ready();
+        if let Some(late) = self.environment.not_ready() {
             return Err(late.into_error(READY_LIMIT));
         }
-        self.wait("standing tasks told", TELLING_LIMIT, |stage| {
-            stage.states().0.queued == 0
+        self.wait("standing tasks told", ANNOUNCE_LIMIT, |environment| {
+            environment.states().0.queued == 0
         })?;
-        let settled = Instant::now() + SETTLING;
-        self.wait("placers settle", 2 * SETTLING, |_| {
+        let settled = Instant::now() + SETTLE_TIME;
+        self.wait("placers settle", 2 * SETTLE_TIME, |_| {
             Instant::now() >= settled
         })?;
         Ok(())
@@ -204,13 +208,17 @@
             measured_from,
             end: measured_from + settings.duration,
         };
-        self.stage.workers().order(WorkerOrder::Begin);
-        self.stage.clients().order(ClientOrder::Begin(window));
+        self.environment
+            .workers()
+            .order(WorkerCommand::StartLifetimes);
+        self.environment
+            .clients()
+            .order(ClientCommand::StartArrivals(window));
         window
     }
 
     /// Until the end of the measured time: faults as they are due, and a row each second.
-    fn carry_load(
+    fn run_load(
         &mut self,
         settings: &Settings,
         window: ArrivalWindow,
@@ -218,46 +226,48 @@
         meter: &mut Meter,
     ) -> Result<(), RunError> {
         let mut schedule = Schedule::new(settings, window.measured_from);
-        meter.begin(&self.stage, sampler);
+        meter.begin(&self.environment, sampler);
         let mut next = row_end(window.start, &window);
         loop {
             self.look()?;
-            self.stage.note_ready();
-            if let Some(late) = self.stage.overdue(READY_LIMIT) {
+            self.environment.note_ready();
+            if let Some(late) = self.environment.overdue(READY_LIMIT) {
                 return Err(late.into_error(READY_LIMIT));
             }
             let now = Instant::now();
             while let Some(action) = schedule.next_due(now) {
-                self.stage.act(action, &mut self.kills)?;
+                self.environment.act(action, &mut self.kills)?;
             }
             if now >= next {
-                meter.row(&self.stage, sampler);
-                let step = if now >= window.measured_from {
+                meter.row(&self.environment, sampler);
+                let phase = if now >= window.measured_from {
                     "measured"
                 } else {
                     "warm-up"
                 };
-                self.report(step, window.start);
+                self.report(phase, window.start);
                 if next >= window.end {
                     return Ok(());
                 }
                 next = row_end(next, &window);
             }
             let left = next.saturating_duration_since(Instant::now());
-            std::thread::sleep(left.min(LOOK));
+            std::thread::sleep(left.min(CHECK_INTERVAL));
         }
     }
 
     /// Until all that is owed was told.
     fn drain(&mut self) -> Result<(), RunError> {
-        self.stage.workers().order(WorkerOrder::Freeze);
-        let quiet = Instant::now() + QUIET;
-        self.wait("drain", DRAIN_LIMIT, |stage| {
-            let (clients, workers) = stage.states();
+        self.environment
+            .workers()
+            .order(WorkerCommand::StopEndingTasks);
+        let quiet = Instant::now() + MIN_DRAIN_TIME;
+        self.wait("drain", DRAIN_LIMIT, |environment| {
+            let (clients, workers) = environment.states();
             Instant::now() >= quiet
                 && clients.waiting == 0
                 && workers.unacknowledged == 0
-                && stage.all_ready()
+                && environment.all_ready()
         })?;
         Ok(())
     }
@@ -276,11 +286,11 @@
 /// Ends everything, and puts the result together.
 fn finish(
     settings: &Settings,
-    stage: Stage,
+    environment: TestEnvironment,
     meter: Meter,
     kills: &[Kill],
 ) -> Result<RunResult, RunError> {
-    let ended = stage.stop()?;
+    let ended = environment.stop()?;
     let fleet = fleet_totals(settings, &ended.clients, &ended.workers, kills)?;
     let (memory, processes) = (meter.memory(), 1 + usize::from(settings.placers));
     let machine_busy = meter.machine_busy();
@@ -325,8 +335,8 @@
 }
 
 /// The times of all classes together.
-fn all_times(classes: &[Times]) -> Result<Times, RunError> {
-    let mut all = Times::new().map_err(RunError::system("make a histogram"))?;
+fn all_times(classes: &[LatencyHistogram]) -> Result<LatencyHistogram, RunError> {
+    let mut all = LatencyHistogram::new().map_err(RunError::system("make a histogram"))?;
     classes.iter().for_each(|times| all.merge(times));
     Ok(all)
 }
--- a/crates/scale-test/src/run/stage.rs
+++ b/crates/scale-test/src/run/environment.rs
@@ -2,16 +2,16 @@
 
 use super::schedule::Action;
 use crate::audit::Kill;
-use crate::clients::{ClientAudit, ClientOrder, ClientState, Clients, running_tasks};
-use crate::deployment::{Place, configuration};
+use crate::clients::{ClientAudit, ClientCommand, ClientState, Clients, running_tasks};
+use crate::deployment::{PlacerInstance, configuration};
 use crate::error::RunError;
-use crate::feeds::{FeedOrder, Feeds};
+use crate::feeds::{FeedCommand, Feeds};
 use crate::identity::PlacerId;
 use crate::listener::free_address;
-use crate::placer_process::{Launch, PlacerProcess};
+use crate::placer_process::{LaunchOptions, PlacerProcess};
 use crate::settings::Settings;
 use crate::traffic::{Direction, PlacerCounters, TrafficKind, Volume};
-use crate::workers::{WorkerOrder, WorkerReport, WorkerSetup, WorkerState, Workers};
+use crate::workers::{WorkerCommand, WorkerReport, WorkerSetup, WorkerState, Workers};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -36,7 +36,7 @@
 }
 
 /// What is left when all has ended.
-pub struct Ended {
+pub struct FinalReports {
     /// What the clients noted.
     pub clients: ClientAudit,
     /// What the workers noted.
@@ -78,7 +78,7 @@
     }
 }
 
-struct Member {
+struct PlacerSlot {
     process: PlacerProcess,
     restarts: u32,
     /// Its latest start was not followed by a passed test yet.
@@ -87,8 +87,8 @@
 }
 
 /// Everything that takes part. Placers end first: fields are dropped in their order.
-pub struct Stage {
-    members: Vec<Member>,
+pub struct TestEnvironment {
+    members: Vec<PlacerSlot>,
     clients: Clients,
     workers: Workers,
     feeds: Feeds,
@@ -97,9 +97,9 @@
     folder: Folder,
 }
 
-impl Stage {
+impl TestEnvironment {
     /// Starts the hollow peers, then the placers.
-    pub fn start(settings: &Settings, program: &Path) -> Result<Stage, RunError> {
+    pub fn start(settings: &Settings, program: &Path) -> Result<TestEnvironment, RunError> {
         let folder = Folder::open(settings)?;
         let counters: Vec<Arc<PlacerCounters>> =
             (0..settings.placers).map(|_| Arc::default()).collect();
@@ -117,7 +117,7 @@
             Clients::start(settings, &standing, counters.clone()).map_err(peers("clients"))?;
         let settings = settings.clone();
         let members = Vec::new();
-        let mut stage = Stage {
+        let mut environment = TestEnvironment {
             members,
             clients,
             workers,
@@ -126,18 +126,18 @@
             settings,
             folder,
         };
-        for placer in (0..stage.settings.placers).map(PlacerId) {
-            stage.start_placer(placer, program)?;
+        for placer in (0..environment.settings.placers).map(PlacerId) {
+            environment.start_placer(placer, program)?;
         }
-        Ok(stage)
+        Ok(environment)
     }
 
     fn start_placer(&mut self, placer: PlacerId, program: &Path) -> Result<(), RunError> {
-        self.feeds.orders().send(FeedOrder::Ports(
+        self.feeds.orders().send(FeedCommand::SetWorkerPorts(
             placer,
             self.workers.ports(placer).to_vec(),
         ));
-        let launch = Launch {
+        let launch = LaunchOptions {
             placer,
             program: program.to_path_buf(),
             folder: self.folder.path().to_path_buf(),
@@ -147,13 +147,14 @@
         let address = launch.address;
         let text = self.configuration(placer, 0, address)?;
         let process = PlacerProcess::start(launch, &text)?;
-        self.members.push(Member {
+        self.members.push(PlacerSlot {
             process,
             restarts: 0,
             starts: true,
             ready_ms: Vec::new(),
         });
-        self.clients.order(ClientOrder::Started(placer, address));
+        self.clients
+            .order(ClientCommand::PlacerStarted(placer, address));
         Ok(())
     }
 
@@ -176,7 +177,7 @@
         })?;
         let text = configuration(
             &self.settings,
-            &Place {
+            &PlacerInstance {
                 placer,
                 restarts,
                 listen,
@@ -282,17 +283,17 @@
     /// Does what is due.
     pub fn act(&mut self, action: Action, kills: &mut Vec<Kill>) -> Result<(), RunError> {
         match action {
-            Action::ZoneVanishes(zone) => self.workers.order(WorkerOrder::Vanish(zone)),
-            Action::ZoneIsReportedRemoved(zone) => {
-                self.feeds.orders().send(FeedOrder::Remove(zone))
+            Action::CrashZone(zone) => self.workers.order(WorkerCommand::CrashZone(zone)),
+            Action::ReportZoneRemoved(zone) => {
+                self.feeds.orders().send(FeedCommand::RemoveZone(zone))
             }
-            Action::ZoneReturns(zone) => {
-                self.workers.order(WorkerOrder::Return(zone));
+            Action::RestoreZone(zone) => {
+                self.workers.order(WorkerCommand::RestoreZone(zone));
                 self.feeds
                     .orders()
-                    .send(FeedOrder::Return(zone, unix_millis()));
+                    .send(FeedCommand::RestoreZone(zone, unix_millis()));
             }
-            Action::PlacerIsKilled(placer) => {
+            Action::KillPlacer(placer) => {
                 self.clients.doom(placer, true);
                 kills.push(Kill {
                     placer,
@@ -301,10 +302,10 @@
                 if let Some(member) = self.members.get_mut(placer.index()) {
                     member.process.kill();
                 }
-                self.clients.order(ClientOrder::Killed(placer));
+                self.clients.order(ClientCommand::PlacerKilled(placer));
             }
-            Action::PlacerReturns(placer) => self.restart(placer)?,
-            Action::Garbage(workers) => self.workers.order(WorkerOrder::Garbage(workers)),
+            Action::RestartPlacer(placer) => self.restart(placer)?,
+            Action::SendGarbage(workers) => self.workers.order(WorkerCommand::SendGarbage(workers)),
         }
         Ok(())
     }
@@ -321,15 +322,16 @@
             member.process.restart(&text)?;
         }
         self.clients.doom(placer, false);
-        self.clients.order(ClientOrder::Started(placer, address));
+        self.clients
+            .order(ClientCommand::PlacerStarted(placer, address));
         Ok(())
     }
 
     // ---- End ----
 
     /// Ends everything.
-    pub fn stop(self) -> Result<Ended, RunError> {
-        let Stage {
+    pub fn stop(self) -> Result<FinalReports, RunError> {
+        let TestEnvironment {
             members,
             clients,
             workers,
@@ -345,7 +347,7 @@
             .into_iter()
             .map(|member| member.ready_ms.clone())
             .collect();
-        Ok(Ended {
+        Ok(FinalReports {
             clients,
             workers,
             ready,
--- a/crates/scale-test/src/run/meter.rs
+++ b/crates/scale-test/src/run/meter.rs
@@ -1,8 +1,8 @@
 //! A row for each placer and second: what it used, and what went to and from it.
 
-use super::LOOK;
+use super::CHECK_INTERVAL;
+use super::environment::TestEnvironment;
 use super::machine::MachineTime;
-use super::stage::Stage;
 use crate::identity::PlacerId;
 use crate::process_sample::{ProcessSample, Sampler};
 use crate::results::{
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 /// One placer as it was last seen.
-struct Seen {
+struct PlacerMeter {
     process: Option<u32>,
     sample: ProcessSample,
     traffic: Traffic,
@@ -26,7 +26,7 @@
 /// Makes the rows.
 pub struct Meter {
     counters: Vec<Arc<PlacerCounters>>,
-    placers: Vec<Seen>,
+    placers: Vec<PlacerMeter>,
     measured_from: Instant,
     last_sample_at: Instant,
     second: u32,
@@ -38,7 +38,7 @@
 impl Meter {
     /// A meter of placers with these counters.
     pub fn new(counters: Vec<Arc<PlacerCounters>>, measured_from: Instant) -> Meter {
-        let seen = |_: &Arc<PlacerCounters>| Seen {
+        let seen = |_: &Arc<PlacerCounters>| PlacerMeter {
             process: None,
             sample: ProcessSample::default(),
             traffic: Traffic::default(),
@@ -58,14 +58,14 @@
     }
 
     /// The first row begins.
-    pub fn begin(&mut self, stage: &Stage, sampler: &mut dyn Sampler) {
+    pub fn begin(&mut self, environment: &TestEnvironment, sampler: &mut dyn Sampler) {
         self.last_sample_at = Instant::now();
         self.begin_measured();
         for ((seen, counters), process) in self
             .placers
             .iter_mut()
             .zip(&self.counters)
-            .zip(stage.process_ids())
+            .zip(environment.process_ids())
         {
             (seen.process, seen.sample) = sampled(process, sampler);
             (seen.traffic, seen.feed) = (counters.traffic(), counters.feed());
@@ -73,7 +73,7 @@
     }
 
     /// A row ends, and the next begins.
-    pub fn row(&mut self, stage: &Stage, sampler: &mut dyn Sampler) {
+    pub fn row(&mut self, environment: &TestEnvironment, sampler: &mut dyn Sampler) {
         let start = std::mem::replace(&mut self.last_sample_at, Instant::now());
         let length = self.last_sample_at.saturating_duration_since(start);
         let measured = counts(start, self.measured_from);
@@ -86,7 +86,7 @@
             .placers
             .iter_mut()
             .zip(&self.counters)
-            .zip(stage.process_ids())
+            .zip(environment.process_ids())
         {
             let row = seen.row(counters, process, sampler, length);
             let row = PlacerSecond {
@@ -130,16 +130,18 @@
     /// The results of all placers, with their times from start to ready.
     pub fn finish(self, ready: Vec<Vec<f64>>) -> Vec<PlacerResult> {
         let all = self.placers.into_iter().zip(self.counters).zip(ready);
-        let result =
-            |(place, ((seen, counters), ready_ms)): (u16, ((Seen, Arc<PlacerCounters>), _))| {
-                PlacerResult {
-                    name: PlacerId(place).to_string(),
-                    ready_ms,
-                    totals: totals(&seen),
-                    all_traffic: counters.traffic(),
-                    seconds: seen.rows,
-                }
-            };
+        let result = |(place, ((seen, counters), ready_ms)): (
+            u16,
+            ((PlacerMeter, Arc<PlacerCounters>), _),
+        )| {
+            PlacerResult {
+                name: PlacerId(place).to_string(),
+                ready_ms,
+                totals: totals(&seen),
+                all_traffic: counters.traffic(),
+                seconds: seen.rows,
+            }
+        };
         (0..).zip(all).map(result).collect()
     }
 }
@@ -147,7 +149,7 @@
 /// Whether a row that begins at this time counts. None reaches over the start of the measured time, but for
 /// the time of a look.
 fn counts(start: Instant, measured_from: Instant) -> bool {
-    start + LOOK >= measured_from
+    start + CHECK_INTERVAL >= measured_from
 }
 
 /// A process's figures; none where it does not run.
@@ -160,7 +162,7 @@
     )
 }
 
-impl Seen {
+impl PlacerMeter {
     fn row(
         &mut self,
         counters: &PlacerCounters,
@@ -195,7 +197,7 @@
     }
 }
 
-fn totals(seen: &Seen) -> PlacerTotals {
+fn totals(seen: &PlacerMeter) -> PlacerTotals {
     let rows: Vec<&PlacerSecond> = seen.rows.iter().filter(|row| row.measured).collect();
     let seconds: f64 = rows.iter().map(|row| row.length_s).sum();
     let (mut traffic, mut feed) = (Traffic::default(), FeedCounts::default());
--- a/crates/scale-test/src/run/schedule.rs
+++ b/crates/scale-test/src/run/schedule.rs
@@ -8,17 +8,17 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// The workers of a zone vanish.
-    ZoneVanishes(ZoneId),
+    CrashZone(ZoneId),
     /// The feeds tell that they were removed.
-    ZoneIsReportedRemoved(ZoneId),
+    ReportZoneRemoved(ZoneId),
     /// They are back cold, and the feeds tell so.
-    ZoneReturns(ZoneId),
+    RestoreZone(ZoneId),
     /// A placer is killed.
-    PlacerIsKilled(PlacerId),
+    KillPlacer(PlacerId),
     /// It is started again.
-    PlacerReturns(PlacerId),
+    RestartPlacer(PlacerId),
     /// So many workers send bytes that are no message.
-    Garbage(u32),
+    SendGarbage(u32),
 }
 
 /// What is to happen.
@@ -57,16 +57,16 @@
         Fault::Zone {
             at,
             zone,
-            reported_after: told_after,
+            reported_after,
             back_after,
         } => {
             let Some(zone) = settings.zone(zone) else {
                 return Vec::new();
             };
             vec![
-                (*at, Action::ZoneVanishes(zone)),
-                (*at + *told_after, Action::ZoneIsReportedRemoved(zone)),
-                (*at + *back_after, Action::ZoneReturns(zone)),
+                (*at, Action::CrashZone(zone)),
+                (*at + *reported_after, Action::ReportZoneRemoved(zone)),
+                (*at + *back_after, Action::RestoreZone(zone)),
             ]
         }
         Fault::Placer {
@@ -74,10 +74,10 @@
             placer,
             back_after,
         } => vec![
-            (*at, Action::PlacerIsKilled(PlacerId(*placer))),
-            (*at + *back_after, Action::PlacerReturns(PlacerId(*placer))),
+            (*at, Action::KillPlacer(PlacerId(*placer))),
+            (*at + *back_after, Action::RestartPlacer(PlacerId(*placer))),
         ],
-        Fault::Garbage { at, workers } => vec![(*at, Action::Garbage(*workers))],
+        Fault::Garbage { at, workers } => vec![(*at, Action::SendGarbage(*workers))],
     }
 }
 
--- a/crates/scale-test/src/run/schedule/tests.rs
+++ b/crates/scale-test/src/run/schedule/tests.rs
@@ -35,12 +35,12 @@
         }
     }
     let expected = [
-        (1, Action::PlacerIsKilled(PlacerId(2))),
-        (2, Action::ZoneVanishes(ZoneId(1))),
-        (4, Action::ZoneIsReportedRemoved(ZoneId(1))),
-        (4, Action::Garbage(3)),
-        (5, Action::PlacerReturns(PlacerId(2))),
-        (8, Action::ZoneReturns(ZoneId(1))),
+        (1, Action::KillPlacer(PlacerId(2))),
+        (2, Action::CrashZone(ZoneId(1))),
+        (4, Action::ReportZoneRemoved(ZoneId(1))),
+        (4, Action::SendGarbage(3)),
+        (5, Action::RestartPlacer(PlacerId(2))),
+        (8, Action::RestoreZone(ZoneId(1))),
     ];
     assert_eq!(found, expected);
 }
--- a/crates/scale-test/src/settings/check.rs
+++ b/crates/scale-test/src/settings/check.rs
@@ -140,7 +140,7 @@
         match fault {
             Fault::Zone {
                 zone,
-                reported_after: told_after,
+                reported_after,
                 back_after,
                 ..
             } => {
@@ -154,7 +154,7 @@
                 }
                 span_within(
                     &format!("{name}: told-after"),
-                    *told_after,
+                    *reported_after,
                     Duration::ZERO..=*back_after,
                 )?;
             }
--- a/crates/scale-test/src/settings/fault.rs
+++ b/crates/scale-test/src/settings/fault.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// One failure. Times count from the start of the measured time.
+/// One failure. LatencyHistogram count from the start of the measured time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(
     tag = "kind",
@@ -20,7 +20,7 @@
         /// Its name.
         zone: String,
         /// How long until the feed tells that they were removed.
-        #[serde(with = "humantime_serde", default = "usual_telling")]
+        #[serde(with = "humantime_serde", default = "default_reported_after")]
         #[serde(rename = "told-after")]
         reported_after: Duration,
         /// How long until they are back, holding nothing.
@@ -49,7 +49,7 @@
 }
 
 /// How long it usually takes until a removal is told.
-fn usual_telling() -> Duration {
+fn default_reported_after() -> Duration {
     Duration::from_secs(2)
 }
 
--- a/crates/scale-test/src/socket.rs
+++ b/crates/scale-test/src/socket.rs
@@ -11,7 +11,7 @@
 /// Bytes read at a time.
 const CHUNK: usize = 16 * 1024;
 /// An empty buffer above this is given back: thousands of connections are idle at a time.
-const KEPT_CAPACITY: usize = 1_024;
+const MAX_IDLE_CAPACITY: usize = 1_024;
 /// Bytes that may wait for a placer that reads slowly. The standing tasks of a start are the most.
 const MAX_QUEUED_BYTES: usize = 64 * 1024 * 1024;
 
@@ -70,13 +70,13 @@
             ended: false,
         };
         if let Some(kind) = kind {
-            connection.use_for(kind);
+            connection.start_using_as(kind);
         }
         Ok(connection)
     }
 
     /// It is of this kind, and about to be written to.
-    fn use_for(&self, kind: TrafficKind) {
+    fn start_using_as(&self, kind: TrafficKind) {
         self.counters.add_connection(kind);
         // Without it small messages wait for the peer's acknowledgements. It is no harm where it fails.
         if kind != TrafficKind::IdleWorker {
@@ -90,12 +90,12 @@
     }
 
     /// From now on it is of this kind, if it was of none.
-    pub fn becomes(&mut self, kind: TrafficKind) {
+    pub fn assign_kind(&mut self, kind: TrafficKind) {
         if self.kind.is_some() {
             return;
         }
         self.kind = Some(kind);
-        self.use_for(kind);
+        self.start_using_as(kind);
         let Uncounted {
             to_placer,
             from_placer,
@@ -150,7 +150,7 @@
     /// Takes so many bytes off what has come.
     pub fn consume(&mut self, bytes: usize) {
         self.inbox.drain(..bytes.min(self.inbox.len()));
-        if self.inbox.is_empty() && self.inbox.capacity() > KEPT_CAPACITY {
+        if self.inbox.is_empty() && self.inbox.capacity() > MAX_IDLE_CAPACITY {
             self.inbox = Vec::new();
         }
     }
@@ -186,7 +186,7 @@
         }
         self.written = 0;
         self.outbox.clear();
-        if self.outbox.capacity() > KEPT_CAPACITY {
+        if self.outbox.capacity() > MAX_IDLE_CAPACITY {
             self.outbox = Vec::new();
         }
         self.liveness()
@@ -214,7 +214,7 @@
 
 impl Drop for Connection {
     fn drop(&mut self) {
-        self.becomes(TrafficKind::IdleWorker);
+        self.assign_kind(TrafficKind::IdleWorker);
     }
 }
 
--- a/crates/scale-test/src/sweep.rs
+++ b/crates/scale-test/src/sweep.rs
@@ -92,16 +92,16 @@
     /// Runs that the plan asks for, of all axes.
     pub total: usize,
     /// What happened.
-    pub step: Step,
+    pub event: RunEvent,
 }
 
 /// What happened in a sweep.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Step {
+pub enum RunEvent {
     /// A run starts.
-    Starts,
+    Started,
     /// It was unusable, and is made again.
-    Repeated {
+    Retried {
         /// Why it was unusable.
         reason: String,
     },
@@ -158,14 +158,14 @@
                 value,
                 repeat,
             } = run;
-            let mut notify = |step| {
+            let mut notify = |event| {
                 progress(&Progress {
                     axis: varied,
                     value,
                     repeat,
                     done,
                     total,
-                    step,
+                    event,
                 })
             };
             match attempt(run, runner, &mut notify) {
@@ -211,7 +211,7 @@
 fn attempt<R: Runner>(
     run: PlannedRun,
     runner: &mut R,
-    notify: &mut dyn FnMut(Step),
+    notify: &mut dyn FnMut(RunEvent),
 ) -> Result<Outcome, R::Error> {
     let PlannedRun {
         axis,
@@ -219,11 +219,11 @@
         repeat,
     } = run;
     let mut reasons = Vec::new();
-    notify(Step::Starts);
+    notify(RunEvent::Started);
     loop {
         let measured = runner.run(axis, value, repeat)?;
         let Some(reason) = measured.fault() else {
-            notify(Step::Measured);
+            notify(RunEvent::Measured);
             return Ok(Outcome {
                 run,
                 metrics: Some(measured.metrics),
@@ -232,13 +232,13 @@
         };
         reasons.push(reason.clone());
         if reasons.len() == ATTEMPTS {
-            notify(Step::LeftOut { reason });
+            notify(RunEvent::LeftOut { reason });
             return Ok(Outcome {
                 run,
                 metrics: None,
                 reasons,
             });
         }
-        notify(Step::Repeated { reason });
+        notify(RunEvent::Retried { reason });
     }
 }
--- a/crates/scale-test/src/sweep/tests.rs
+++ b/crates/scale-test/src/sweep/tests.rs
@@ -3,8 +3,8 @@
 use strum::IntoEnumIterator;
 
 use super::{
-    Axis, AxisPlan, Base, FitResult, Measured, Metric, MetricReport, PlanError, Progress, Runner,
-    Step, SweepError, SweepPlan, SweepReport, sweep,
+    Axis, AxisPlan, Base, FitResult, Measured, Metric, MetricReport, PlanError, Progress, RunEvent,
+    Runner, SweepError, SweepPlan, SweepReport, sweep,
 };
 use crate::fit::{Fit, MIN_SIZES, Shape};
 
@@ -400,14 +400,14 @@
     })
     .expect("a report");
     let reason = "late".to_string();
-    let first: Vec<&Step> = told[..4].iter().map(|progress| &progress.step).collect();
+    let first: Vec<&RunEvent> = told[..4].iter().map(|progress| &progress.event).collect();
     assert_eq!(
         first,
         [
-            &Step::Starts,
-            &Step::Repeated { reason },
-            &Step::Measured,
-            &Step::Starts
+            &RunEvent::Started,
+            &RunEvent::Retried { reason },
+            &RunEvent::Measured,
+            &RunEvent::Started
         ]
     );
     assert_eq!(told.len(), 25);
--- a/crates/scale-test/src/timing.rs
+++ b/crates/scale-test/src/timing.rs
@@ -5,23 +5,23 @@
 use std::time::Duration;
 
 /// The longest time that is told apart, in microseconds: above all waits.
-const LONGEST: u64 = 600_000_000;
+const MAX_MICROS: u64 = 600_000_000;
 /// Significant digits.
 const DIGITS: u8 = 3;
 
-/// Times, in microseconds.
+/// LatencyHistogram, in microseconds.
 #[derive(Debug, Clone)]
-pub struct Times(Histogram<u64>);
+pub struct LatencyHistogram(Histogram<u64>);
 
-impl Times {
+impl LatencyHistogram {
     /// None yet.
     ///
     /// # Errors
     ///
     /// Returns an error if the histogram cannot be created with its bounds.
-    pub fn new() -> io::Result<Times> {
-        Histogram::new_with_bounds(1, LONGEST, DIGITS)
-            .map(Times)
+    pub fn new() -> io::Result<LatencyHistogram> {
+        Histogram::new_with_bounds(1, MAX_MICROS, DIGITS)
+            .map(LatencyHistogram)
             .map_err(io::Error::other)
     }
 
@@ -32,7 +32,7 @@
     }
 
     /// Adds all of others.
-    pub fn merge(&mut self, others: &Times) {
+    pub fn merge(&mut self, others: &LatencyHistogram) {
         // Both have the same bounds, so that it does not fail.
         let _ = self.0.add(&others.0);
     }
--- a/crates/scale-test/src/traffic.rs
+++ b/crates/scale-test/src/traffic.rs
@@ -14,7 +14,7 @@
     /// Control: the control feed.
     Feed,
     /// Control: tests of a front, and their results.
-    Test,
+    HealthCheck,
     /// Control: a call to a worker that never carried a task.
     IdleWorker,
     /// Control: the configuration that a placer reads at its start.
@@ -98,7 +98,7 @@
     pub change_events: u64,
     /// Events that hold the whole list.
     pub whole_events: u64,
-    /// Lines that hold a number alone.
+    /// FeedBatch that hold a number alone.
     pub number_lines: u64,
     /// Entries of workers that are up.
     pub entries_up: u64,
@@ -284,7 +284,7 @@
         let [feed, test, idle_worker, configuration, worker, client] = &self.kinds;
         match kind {
             TrafficKind::Feed => feed,
-            TrafficKind::Test => test,
+            TrafficKind::HealthCheck => test,
             TrafficKind::IdleWorker => idle_worker,
             TrafficKind::Configuration => configuration,
             TrafficKind::Worker => worker,
@@ -330,7 +330,7 @@
         Traffic {
             control: ControlTraffic {
                 feed: read(TrafficKind::Feed),
-                test: read(TrafficKind::Test),
+                test: read(TrafficKind::HealthCheck),
                 idle_worker: read(TrafficKind::IdleWorker),
                 configuration: read(TrafficKind::Configuration),
             },
--- a/crates/scale-test/src/traffic/tests.rs
+++ b/crates/scale-test/src/traffic/tests.rs
@@ -4,7 +4,7 @@
 
 const ALL: [TrafficKind; KINDS] = [
     TrafficKind::Feed,
-    TrafficKind::Test,
+    TrafficKind::HealthCheck,
     TrafficKind::IdleWorker,
     TrafficKind::Configuration,
     TrafficKind::Worker,
--- a/crates/scale-test/src/wire/binary.rs
+++ b/crates/scale-test/src/wire/binary.rs
@@ -29,7 +29,7 @@
 /// The bytes of a message's length.
 const LENGTH_BYTES: usize = 2;
 /// The fewest bytes of a message after its length: its type and its task.
-const MIN_BYTES: usize = 9;
+const HEADER_BYTES: usize = 9;
 
 /// What a placer says to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -39,11 +39,11 @@
     /// A refusal, a failure or the end of a task.
     Release(u8),
     /// The task moves: its client comes again.
-    Move,
+    Migrate,
     /// A release of the client was heard.
-    Heard,
+    EndAcknowledged,
     /// The result of a test.
-    Tested {
+    HealthChecked {
         /// Whether the placer takes tasks.
         passed: bool,
     },
@@ -115,7 +115,7 @@
 }
 
 fn message(out: &mut Vec<u8>, kind: u8, id: u64, parameters: &[(u8, &[u8])]) {
-    let length = MIN_BYTES
+    let length = HEADER_BYTES
         + parameters
             .iter()
             .map(|(_, value)| 3 + value.len())
@@ -148,7 +148,7 @@
     if length + LENGTH_BYTES > MAX_MESSAGE_BYTES {
         return Err(WireError::TooLong);
     }
-    if length < MIN_BYTES {
+    if length < HEADER_BYTES {
         return Err(WireError::BadLength);
     }
     let Some(body) = rest.get(..length) else {
@@ -160,9 +160,9 @@
     let message = match *kind {
         kind::ANSWER => PlacerMessage::Answer(description(parameters)?),
         kind::RELEASE => PlacerMessage::Release(one_byte(parameters)?),
-        kind::MOVE => PlacerMessage::Move,
-        kind::HEARD => PlacerMessage::Heard,
-        kind::TESTED => PlacerMessage::Tested {
+        kind::MOVE => PlacerMessage::Migrate,
+        kind::HEARD => PlacerMessage::EndAcknowledged,
+        kind::TESTED => PlacerMessage::HealthChecked {
             passed: one_byte(parameters)? == 1,
         },
         _ => return Err(WireError::BadField("type")),
--- a/crates/scale-test/src/wire/description.rs
+++ b/crates/scale-test/src/wire/description.rs
@@ -55,7 +55,7 @@
 
 /// The worker that answered.
 pub fn read_answer(text: &str) -> Option<WorkerId> {
-    field(text, "worker").and_then(WorkerId::named)
+    field(text, "worker").and_then(WorkerId::from_name)
 }
 
 fn field<'a>(text: &'a str, name: &str) -> Option<&'a str> {
--- a/crates/scale-test/src/wire/lines.rs
+++ b/crates/scale-test/src/wire/lines.rs
@@ -17,12 +17,12 @@
         id: SetupId,
     },
     /// The end of a task was heard.
-    Heard {
+    EndAcknowledged {
         /// The set-up.
         id: SetupId,
     },
     /// A test of the connection.
-    Test {
+    HealthCheck {
         /// The id to answer with.
         id: SetupId,
     },
@@ -99,8 +99,8 @@
             })
         }
         "down" => PlacerLine::Release { id },
-        "ack" => PlacerLine::Heard { id },
-        "hb" => PlacerLine::Test { id },
+        "ack" => PlacerLine::EndAcknowledged { id },
+        "hb" => PlacerLine::HealthCheck { id },
         _ => PlacerLine::Other,
     })
 }
--- a/crates/scale-test/src/wire/tests.rs
+++ b/crates/scale-test/src/wire/tests.rs
@@ -63,7 +63,7 @@
         Ok(Some((id(), PlacerMessage::Release(34), 15)))
     );
     let tested = [&[0, 13, 53][..], &[0xff; 8], &[171, 0, 1, 1]].concat();
-    let passed = PlacerMessage::Tested { passed: true };
+    let passed = PlacerMessage::HealthChecked { passed: true };
     assert_eq!(
         binary::read(&tested),
         Ok(Some((SetupId(u64::MAX), passed, 15)))
@@ -109,7 +109,10 @@
     let release = br#"{"t":"down","ref":"0000000000000008","f":{},"c":16}"#;
     assert_eq!(lines::read(release), Ok(PlacerLine::Release { id: id() }));
     let heard = br#"{"t":"ack","ref":"0000000000000008","f":{}}"#;
-    assert_eq!(lines::read(heard), Ok(PlacerLine::Heard { id: id() }));
+    assert_eq!(
+        lines::read(heard),
+        Ok(PlacerLine::EndAcknowledged { id: id() })
+    );
     let mut out = Vec::new();
     lines::up(&mut out, id(), &description::write_answer(WorkerId(9)));
     lines::full(&mut out, id(), NoCapacity::Memory);
--- a/crates/scale-test/src/workers.rs
+++ b/crates/scale-test/src/workers.rs
@@ -6,20 +6,20 @@
 //! messages between it and the connections. Zones share nothing, so that each thread has the workers of some
 //! zones to itself.
 
-mod audit;
 mod connections;
 pub mod fleet;
+mod task_records;
 mod thread;
 
-pub use audit::{TaskBook, WorkerAudit};
+pub use task_records::{WorkerAudit, WorkerTaskRecord};
 
-use crate::feeds::FeedOrder;
+use crate::feeds::FeedCommand;
 use crate::identity::{PlacerId, TaskIndex, WorkerId, ZoneId};
 use crate::listener::LoopbackListener;
 use crate::mailbox::{self, Sender};
 use crate::peer_thread::PeerThread;
 use crate::settings::Settings;
-use crate::timing::Times;
+use crate::timing::LatencyHistogram;
 use crate::traffic::PlacerCounters;
 use crate::wire::description::TaskShape;
 use mio::Poll;
@@ -42,17 +42,17 @@
 
 /// What the workers are told to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum WorkerOrder {
+pub enum WorkerCommand {
     /// Tasks that stand at the start begin to live.
-    Begin,
+    StartLifetimes,
     /// All workers of a zone vanish.
-    Vanish(ZoneId),
+    CrashZone(ZoneId),
     /// They are back, holding nothing.
-    Return(ZoneId),
+    RestoreZone(ZoneId),
     /// So many workers send bytes that are no message on all their connections.
-    Garbage(u32),
+    SendGarbage(u32),
     /// No task ends from now on: what has ended is to be heard.
-    Freeze,
+    StopEndingTasks,
     /// The thread ends.
     Stop,
 }
@@ -73,7 +73,7 @@
     /// What they noted.
     pub audit: WorkerAudit,
     /// From when an answer was due to when it was sent.
-    pub lateness: Times,
+    pub lateness: LatencyHistogram,
 }
 
 /// How all workers are set up.
@@ -109,7 +109,7 @@
 
 /// One thread with the workers of some zones.
 struct Group {
-    orders: Sender<WorkerOrder>,
+    orders: Sender<WorkerCommand>,
     state: Arc<Mutex<WorkerState>>,
     thread: PeerThread<WorkerReport>,
 }
@@ -130,7 +130,7 @@
         setup: &WorkerSetup,
         running_tasks: &[RunningTask],
         counters: &[Arc<PlacerCounters>],
-        feeds: &Sender<FeedOrder>,
+        feeds: &Sender<FeedCommand>,
     ) -> io::Result<Workers> {
         let listeners = open_listeners(counters.len(), setup.zones)?;
         let ports = listeners
@@ -172,13 +172,15 @@
     }
 
     /// Tells them something: of a zone to those who have it, garbage to the first, the rest to all.
-    pub fn order(&self, order: WorkerOrder) {
+    pub fn order(&self, order: WorkerCommand) {
         let only = match order {
-            WorkerOrder::Vanish(zone) | WorkerOrder::Return(zone) => {
+            WorkerCommand::CrashZone(zone) | WorkerCommand::RestoreZone(zone) => {
                 Some(group_of(zone, self.groups.len()))
             }
-            WorkerOrder::Garbage(_) => Some(0),
-            WorkerOrder::Begin | WorkerOrder::Freeze | WorkerOrder::Stop => None,
+            WorkerCommand::SendGarbage(_) => Some(0),
+            WorkerCommand::StartLifetimes
+            | WorkerCommand::StopEndingTasks
+            | WorkerCommand::Stop => None,
         };
         let told = self
             .groups
@@ -213,10 +215,10 @@
     ///
     /// Returns the first error with which a thread ended.
     pub fn stop(mut self) -> io::Result<WorkerReport> {
-        self.order(WorkerOrder::Stop);
+        self.order(WorkerCommand::Stop);
         let mut all = WorkerReport {
             audit: WorkerAudit::default(),
-            lateness: Times::new()?,
+            lateness: LatencyHistogram::new()?,
         };
         for group in &mut self.groups {
             let report = group.thread.join()?;
@@ -229,7 +231,7 @@
 
 impl Drop for Workers {
     fn drop(&mut self) {
-        self.order(WorkerOrder::Stop);
+        self.order(WorkerCommand::Stop);
         // They have ended already where the run came to its end.
         self.groups
             .iter_mut()
@@ -240,7 +242,7 @@
 /// What one thread takes part with.
 struct GroupParts {
     counters: Vec<Arc<PlacerCounters>>,
-    feeds: Sender<FeedOrder>,
+    feeds: Sender<FeedCommand>,
     listeners: Vec<ZoneListener>,
 }
 
@@ -261,7 +263,7 @@
         let state = Arc::default();
         let mut fleet = fleet::Fleet::new(setup.clone(), running_tasks);
         // Before any placer starts: its configuration shows what stands.
-        feeds.send(FeedOrder::Rooms(fleet.take_changed_rooms()));
+        feeds.send(FeedCommand::UpdateResources(fleet.take_changed_resources()));
         let shared = thread::Shared {
             counters,
             feeds,
--- a/crates/scale-test/src/workers/fleet.rs
+++ b/crates/scale-test/src/workers/fleet.rs
@@ -1,6 +1,6 @@
 //! What the workers hold: pure, and the only place that decides what a worker says.
 
-use super::audit::WorkerAudit;
+use super::task_records::WorkerAudit;
 use super::{RunningTask, WorkerSetup};
 use crate::feeds::FreeResources;
 use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId, ZoneId};
@@ -19,13 +19,13 @@
 
 /// How far a task is at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum TaskPhase {
     /// It starts; its placer waits.
     Starting,
     /// It stands.
     Running,
     /// It is over, with this cause, and its placer has not confirmed that yet.
-    Over(u8),
+    Ended(u8),
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -33,7 +33,7 @@
     task: TaskIndex,
     placer: PlacerId,
     shape: TaskShape,
-    stage: Stage,
+    phase: TaskPhase,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -42,7 +42,7 @@
     free_memory: f64,
     is_removed: bool,
     /// Whether it has come back cold.
-    returned: bool,
+    restarted: bool,
 }
 
 /// What a worker says to an offer.
@@ -72,7 +72,7 @@
 
 /// What comes due for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Step {
+pub enum TaskTimer {
     /// Its answer.
     Answer,
     /// Its end.
@@ -87,7 +87,7 @@
     /// Ends that placers have not confirmed.
     unacknowledged: HashMap<(WorkerId, PlacerId), Vec<SetupId>>,
     unacknowledged_count: usize,
-    in_hand: usize,
+    active_count: usize,
     changed: BTreeSet<WorkerId>,
     frozen: bool,
     /// What was noted so far.
@@ -96,20 +96,20 @@
 
 impl Fleet {
     /// Workers that hold these tasks.
-    pub fn new(setup: WorkerSetup, standing: &[RunningTask]) -> Fleet {
+    pub fn new(setup: WorkerSetup, running_tasks: &[RunningTask]) -> Fleet {
         let worker = Worker {
             free_cores: setup.cores,
             free_memory: setup.memory,
             is_removed: false,
-            returned: false,
+            restarted: false,
         };
         let mut fleet = Fleet {
             workers: vec![worker; setup.workers as usize],
             setup,
-            active_tasks: HashMap::with_capacity(2 * standing.len()),
+            active_tasks: HashMap::with_capacity(2 * running_tasks.len()),
             unacknowledged: HashMap::new(),
             unacknowledged_count: 0,
-            in_hand: 0,
+            active_count: 0,
             changed: BTreeSet::new(),
             frozen: false,
             audit: WorkerAudit::default(),
@@ -119,15 +119,15 @@
             worker,
             placer,
             shape,
-        } in standing
+        } in running_tasks
         {
-            let held = ActiveTask {
+            let active_task = ActiveTask {
                 task: *task,
                 placer: *placer,
                 shape: *shape,
-                stage: Stage::Running,
+                phase: TaskPhase::Running,
             };
-            fleet.add_active((*worker, SetupId::new(*task, 0)), held);
+            fleet.add_active((*worker, SetupId::new(*task, 0)), active_task);
             fleet.audit.note(*task, |book| book.starts += 1);
         }
         fleet
@@ -139,8 +139,8 @@
     }
 
     /// Tasks that stand or start.
-    pub fn in_hand(&self) -> usize {
-        self.in_hand
+    pub fn active_count(&self) -> usize {
+        self.active_count
     }
 
     /// Ends that placers have not confirmed.
@@ -156,7 +156,7 @@
     }
 
     /// The rooms that have changed since the last look.
-    pub fn take_changed_rooms(&mut self) -> Vec<FreeResources> {
+    pub fn take_changed_resources(&mut self) -> Vec<FreeResources> {
         let changed = std::mem::take(&mut self.changed).into_iter();
         let rooms = changed.filter_map(|worker| {
             let Worker {
@@ -175,27 +175,28 @@
 
     /// The tasks that stand, and how long each still does.
     pub fn lives(&self) -> impl Iterator<Item = (ActiveTaskId, Duration)> {
-        let standing = self
+        let running_tasks = self
             .active_tasks
             .iter()
-            .filter(|(_, held)| held.stage == Stage::Running);
-        standing.map(|(id, held)| (*id, held.shape.life))
+            .filter(|(_, active_task)| active_task.phase == TaskPhase::Running);
+        running_tasks.map(|(id, active_task)| (*id, active_task.shape.life))
     }
 
-    fn add_active(&mut self, id: ActiveTaskId, held: ActiveTask) {
-        self.active_tasks.insert(id, held);
-        self.audit.note(held.task, |book| book.active_copies += 1);
-        self.in_hand += 1;
-        self.use_capacity(id.0, held.shape, 1.0);
+    fn add_active(&mut self, id: ActiveTaskId, active_task: ActiveTask) {
+        self.active_tasks.insert(id, active_task);
+        self.audit
+            .note(active_task.task, |book| book.active_copies += 1);
+        self.active_count += 1;
+        self.use_capacity(id.0, active_task.shape, 1.0);
     }
 
     /// A task gives its room back.
-    fn let_go(&mut self, worker: WorkerId, held: &ActiveTask) {
-        self.audit.note(held.task, |book| {
+    fn release_capacity(&mut self, worker: WorkerId, active_task: &ActiveTask) {
+        self.audit.note(active_task.task, |book| {
             book.active_copies = book.active_copies.saturating_sub(1)
         });
-        self.in_hand = self.in_hand.saturating_sub(1);
-        self.use_capacity(worker, held.shape, -1.0);
+        self.active_count = self.active_count.saturating_sub(1);
+        self.use_capacity(worker, active_task.shape, -1.0);
     }
 
     fn use_capacity(&mut self, id: WorkerId, shape: TaskShape, sign: f64) {
@@ -216,7 +217,7 @@
         else {
             return OfferReply::Silent;
         };
-        let task = TaskIndex::of_key(offer.key).filter(|task| task.0 < MAX_TASKS);
+        let task = TaskIndex::from_key(offer.key).filter(|task| task.0 < MAX_TASKS);
         let (Some(task), Some(shape)) = (task, TaskShape::read(&offer.description)) else {
             self.audit.bad_offers += 1;
             return OfferReply::Unreadable;
@@ -241,7 +242,7 @@
                 task,
                 placer,
                 shape,
-                stage: Stage::Starting,
+                phase: TaskPhase::Starting,
             },
         );
         OfferReply::Starts {
@@ -251,18 +252,18 @@
 
     /// The answer of a task is due: how long it stands from now on, if it still starts.
     pub fn answer(&mut self, id: ActiveTaskId) -> Option<Duration> {
-        let held = self
+        let active_task = self
             .active_tasks
             .get_mut(&id)
-            .filter(|held| held.stage == Stage::Starting)?;
-        held.stage = Stage::Running;
-        let (task, life) = (held.task, held.shape.life);
+            .filter(|active_task| active_task.phase == TaskPhase::Starting)?;
+        active_task.phase = TaskPhase::Running;
+        let (task, life) = (active_task.task, active_task.shape.life);
         self.audit
             .note(task, |book| book.starts = book.starts.saturating_add(1));
         if self
             .workers
             .get(id.0.index())
-            .is_some_and(|worker| worker.returned)
+            .is_some_and(|worker| worker.restarted)
         {
             self.audit.starts_after_return += 1;
         }
@@ -274,29 +275,30 @@
         if self.frozen {
             return None;
         }
-        let held = self
+        let active_task = self
             .active_tasks
             .get(&id)
             .copied()
-            .filter(|held| held.stage == Stage::Running)?;
-        self.audit
-            .note(held.task, |book| book.ended = book.ended.saturating_add(1));
-        self.finish(id, &held, cause::NORMAL);
-        Some(held.placer)
+            .filter(|active_task| active_task.phase == TaskPhase::Running)?;
+        self.audit.note(active_task.task, |book| {
+            book.ended = book.ended.saturating_add(1)
+        });
+        self.finish(id, &active_task, cause::NORMAL);
+        Some(active_task.placer)
     }
 
     /// A task that stood is over; its placer is to hear of it.
-    fn finish(&mut self, id: ActiveTaskId, held: &ActiveTask, cause: u8) {
-        self.let_go(id.0, held);
+    fn finish(&mut self, id: ActiveTaskId, active_task: &ActiveTask, cause: u8) {
+        self.release_capacity(id.0, active_task);
         self.active_tasks.insert(
             id,
             ActiveTask {
-                stage: Stage::Over(cause),
-                ..*held
+                phase: TaskPhase::Ended(cause),
+                ..*active_task
             },
         );
         self.unacknowledged
-            .entry((id.0, held.placer))
+            .entry((id.0, active_task.placer))
             .or_default()
             .push(id.1);
         self.unacknowledged_count += 1;
@@ -304,48 +306,50 @@
 
     /// A placer gives an offer up, or ends a task.
     pub fn release(&mut self, id: ActiveTaskId) -> ReleaseReply {
-        let Some(held) = self.active_tasks.get(&id).copied() else {
+        let Some(active_task) = self.active_tasks.get(&id).copied() else {
             return ReleaseReply::Nothing;
         };
-        match held.stage {
-            Stage::Starting => {
+        match active_task.phase {
+            TaskPhase::Starting => {
                 self.forget_offer(id);
                 ReleaseReply::Nothing
             }
-            Stage::Running => {
-                self.audit
-                    .note(held.task, |book| book.cut = book.cut.saturating_add(1));
-                self.finish(id, &held, cause::CANCELLED);
+            TaskPhase::Running => {
+                self.audit.note(active_task.task, |book| {
+                    book.cut = book.cut.saturating_add(1)
+                });
+                self.finish(id, &active_task, cause::CANCELLED);
                 ReleaseReply::Ended(cause::CANCELLED)
             }
-            Stage::Over(cause) => ReleaseReply::Ended(cause),
+            TaskPhase::Ended(cause) => ReleaseReply::Ended(cause),
         }
     }
 
     /// An offer that was not answered yet is given up, or its connection has ended.
     pub fn forget_offer(&mut self, id: ActiveTaskId) {
-        if let Some(held) = self
+        if let Some(active_task) = self
             .active_tasks
             .get(&id)
             .copied()
-            .filter(|held| held.stage == Stage::Starting)
+            .filter(|active_task| active_task.phase == TaskPhase::Starting)
         {
             self.active_tasks.remove(&id);
-            self.let_go(id.0, &held);
+            self.release_capacity(id.0, &active_task);
         }
     }
 
     /// A placer confirms the end of a task.
     pub fn heard(&mut self, id: ActiveTaskId, now: Instant) {
-        let Some(held) = self.active_tasks.get(&id).copied() else {
+        let Some(active_task) = self.active_tasks.get(&id).copied() else {
             return;
         };
-        if !matches!(held.stage, Stage::Over(_)) {
+        if !matches!(active_task.phase, TaskPhase::Ended(_)) {
             return;
         }
         self.active_tasks.remove(&id);
-        self.audit.note(held.task, |book| book.heard = Some(now));
-        let key = (id.0, held.placer);
+        self.audit
+            .note(active_task.task, |book| book.heard = Some(now));
+        let key = (id.0, active_task.placer);
         let Some(ids) = self.unacknowledged.get_mut(&key) else {
             return;
         };
@@ -365,9 +369,9 @@
             .get(&(worker, placer))
             .into_iter()
             .flatten();
-        let over = ids.filter_map(|id| match self.active_tasks.get(&(worker, *id))?.stage {
-            Stage::Over(cause) => Some((*id, cause)),
-            Stage::Starting | Stage::Running => None,
+        let over = ids.filter_map(|id| match self.active_tasks.get(&(worker, *id))?.phase {
+            TaskPhase::Ended(cause) => Some((*id, cause)),
+            TaskPhase::Starting | TaskPhase::Running => None,
         });
         over.collect()
     }
@@ -378,14 +382,14 @@
         let lost = |id: &ActiveTaskId| id.0.zone(zones) == zone;
         let ids: Vec<ActiveTaskId> = self.active_tasks.keys().copied().filter(lost).collect();
         for id in ids {
-            let Some(held) = self.active_tasks.remove(&id) else {
+            let Some(active_task) = self.active_tasks.remove(&id) else {
                 continue;
             };
-            if !matches!(held.stage, Stage::Over(_)) {
-                self.audit.note(held.task, |book| {
+            if !matches!(active_task.phase, TaskPhase::Ended(_)) {
+                self.audit.note(active_task.task, |book| {
                     book.vanished = book.vanished.saturating_add(1)
                 });
-                self.let_go(id.0, &held);
+                self.release_capacity(id.0, &active_task);
             }
         }
         self.unacknowledged.retain(|(worker, _), ids| {
@@ -399,14 +403,14 @@
     }
 
     /// They are back, holding nothing.
-    pub fn bring_back(&mut self, zone: ZoneId) {
+    pub fn restore_zone(&mut self, zone: ZoneId) {
         let (free_cores, free_memory) = (self.setup.cores, self.setup.memory);
         self.in_zone(zone, |worker| {
             *worker = Worker {
                 free_cores,
                 free_memory,
                 is_removed: false,
-                returned: true,
+                restarted: true,
             };
         });
         let zones = self.setup.zones;
--- a/crates/scale-test/src/workers/fleet/tests.rs
+++ b/crates/scale-test/src/workers/fleet/tests.rs
@@ -62,7 +62,7 @@
         free_cores: 1.0,
         free_memory: 6.0,
     };
-    assert_eq!(fleet.take_changed_rooms(), [room]);
+    assert_eq!(fleet.take_changed_resources(), [room]);
     assert_eq!(fleet.end(id(0)), Some(PLACER));
     assert_eq!(fleet.end(id(0)), None, "it ends once");
     assert_eq!(
@@ -70,7 +70,7 @@
         [(id(0).1, cause::NORMAL)]
     );
     assert_eq!(
-        fleet.take_changed_rooms(),
+        fleet.take_changed_resources(),
         [FreeResources {
             free_cores: 2.0,
             free_memory: 8.0,
@@ -78,7 +78,7 @@
         }]
     );
     fleet.heard(id(0), Instant::now());
-    assert_eq!((fleet.unacknowledged_count(), fleet.in_hand()), (0, 0));
+    assert_eq!((fleet.unacknowledged_count(), fleet.active_count()), (0, 0));
     let book = fleet.audit.task(TaskIndex(0));
     assert_eq!((book.starts, book.ended, book.active_copies), (1, 1, 0));
     assert!(book.heard.is_some());
@@ -130,18 +130,18 @@
     stands(&mut fleet, 1);
     assert_eq!(fleet.end(id(1)), Some(PLACER));
     let zone = WORKER.zone(2);
-    fleet.take_changed_rooms();
+    fleet.take_changed_resources();
     fleet.vanish(zone);
-    assert_eq!((fleet.in_hand(), fleet.unacknowledged_count()), (0, 0));
+    assert_eq!((fleet.active_count(), fleet.unacknowledged_count()), (0, 0));
     assert!(fleet.gone(WORKER) && !fleet.gone(WorkerId(0)));
-    assert_eq!(fleet.take_changed_rooms(), [], "nobody sees it");
+    assert_eq!(fleet.take_changed_resources(), [], "nobody sees it");
     assert_eq!(
         fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))),
         OfferReply::Silent
     );
     assert_eq!(fleet.end(id(0)), None);
-    fleet.bring_back(zone);
-    let rooms = fleet.take_changed_rooms();
+    fleet.restore_zone(zone);
+    let rooms = fleet.take_changed_resources();
     assert_eq!(rooms.len(), 2);
     assert!(
         rooms
@@ -192,5 +192,5 @@
     stands(&mut fleet, 0);
     fleet.freeze();
     assert_eq!(fleet.end(id(0)), None);
-    assert_eq!(fleet.in_hand(), 1);
+    assert_eq!(fleet.active_count(), 1);
 }
--- a/crates/scale-test/src/workers/audit.rs
+++ b/crates/scale-test/src/workers/task_records.rs
@@ -5,7 +5,7 @@
 
 /// What became of one task at the workers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct TaskBook {
+pub struct WorkerTaskRecord {
     /// How often it was started.
     pub starts: u8,
     /// How often an offer of it was refused for want of room.
@@ -25,7 +25,7 @@
 /// What the workers noted.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WorkerAudit {
-    tasks: Vec<TaskBook>,
+    tasks: Vec<WorkerTaskRecord>,
     /// Offers of tasks that no client has set up, or that can't be read.
     pub bad_offers: u64,
     /// Ends that placers have not confirmed, at the end.
@@ -42,14 +42,15 @@
 
 impl WorkerAudit {
     /// What became of a task.
-    pub fn task(&self, task: TaskIndex) -> TaskBook {
+    pub fn task(&self, task: TaskIndex) -> WorkerTaskRecord {
         self.tasks.get(task.index()).copied().unwrap_or_default()
     }
 
     /// Notes something of a task.
-    pub fn note(&mut self, task: TaskIndex, note: impl FnOnce(&mut TaskBook)) {
+    pub fn note(&mut self, task: TaskIndex, note: impl FnOnce(&mut WorkerTaskRecord)) {
         if self.tasks.len() <= task.index() {
-            self.tasks.resize(task.index() + 1, TaskBook::default());
+            self.tasks
+                .resize(task.index() + 1, WorkerTaskRecord::default());
         }
         if let Some(book) = self.tasks.get_mut(task.index()) {
             note(book);
@@ -59,7 +60,7 @@
     /// Adds what others noted.
     pub fn add(&mut self, others: &WorkerAudit) {
         for (task, other) in (0..).map(TaskIndex).zip(&others.tasks) {
-            if *other != TaskBook::default() {
+            if *other != WorkerTaskRecord::default() {
                 self.note(task, |book| book.add(other));
             }
         }
@@ -72,8 +73,8 @@
     }
 }
 
-impl TaskBook {
-    fn add(&mut self, other: &TaskBook) {
+impl WorkerTaskRecord {
+    fn add(&mut self, other: &WorkerTaskRecord) {
         self.starts = self.starts.saturating_add(other.starts);
         self.refusals = self.refusals.saturating_add(other.refusals);
         self.ended = self.ended.saturating_add(other.ended);
--- a/crates/scale-test/src/workers/thread.rs
+++ b/crates/scale-test/src/workers/thread.rs
@@ -2,15 +2,15 @@
 //! has changed.
 
 use super::connections::{ConnectionId, Connections};
-use super::fleet::{ActiveTaskId, Fleet, OfferReply, ReleaseReply, Step};
-use super::{WorkerOrder, WorkerReport, WorkerState, ZoneListener};
-use crate::feeds::FeedOrder;
+use super::fleet::{ActiveTaskId, Fleet, OfferReply, ReleaseReply, TaskTimer};
+use super::{WorkerCommand, WorkerReport, WorkerState, ZoneListener};
+use crate::feeds::FeedCommand;
 use crate::identity::{PlacerId, SetupId, WorkerId, ZoneId};
 use crate::listener::is_loopback;
 use crate::mailbox::{Receiver, Sender};
 use crate::socket::{Connection, Liveness};
 use crate::timers::TimerQueue;
-use crate::timing::Times;
+use crate::timing::LatencyHistogram;
 use crate::traffic::{PlacerCounters, TrafficKind};
 use crate::wire::lines::{self, Offer, PlacerLine};
 use crate::wire::{WireError, cause, description};
@@ -28,13 +28,13 @@
 /// The first of the connections: above all listeners.
 const FIRST_CONNECTION: usize = 1 << 24;
 /// Events taken in one turn.
-const EVENTS: usize = 128;
+const EVENTS_PER_POLL: usize = 128;
 /// Connections of one listener that are accepted in one turn.
-const ACCEPTS: usize = 32;
+const MAX_ACCEPTS_PER_TURN: usize = 32;
 /// The longest wait for events.
-const LONGEST_WAIT: Duration = Duration::from_millis(100);
+const MAX_POLL_WAIT: Duration = Duration::from_millis(100);
 /// How soon accepting is tried again where the system had no descriptor left.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// What no placer can read.
 const GARBAGE: &[u8] = b"\x00\xffnot a message{{{\n";
 
@@ -43,19 +43,19 @@
     /// The counters of each placer.
     pub counters: Vec<Arc<PlacerCounters>>,
     /// Where changes of room are told.
-    pub feeds: Sender<FeedOrder>,
+    pub feeds: Sender<FeedCommand>,
     /// What the workers are told to do.
-    pub orders: Receiver<WorkerOrder>,
+    pub orders: Receiver<WorkerCommand>,
     /// What they have in hand.
     pub state: Arc<Mutex<WorkerState>>,
 }
 
 /// What is due at a time.
-enum Due {
+enum TimerEvent {
     /// A step of a task, and the connection that its offer came on.
-    Step(Step, ActiveTaskId, Option<ConnectionId>),
+    Task(TaskTimer, ActiveTaskId, Option<ConnectionId>),
     /// Accepting is tried again.
-    Accept(usize),
+    RetryAccept(usize),
 }
 
 struct Listener {
@@ -71,9 +71,9 @@
     fleet: Fleet,
     listeners: Vec<Listener>,
     connections: Connections,
-    timers: TimerQueue<Due>,
+    timers: TimerQueue<TimerEvent>,
     shared: Shared,
-    lateness: Times,
+    lateness: LatencyHistogram,
     stopped: bool,
 }
 
@@ -90,7 +90,7 @@
             .map(|zone| Listener { zone, handle: None })
             .collect();
         let (connections, timers) = (Connections::default(), TimerQueue::default());
-        let (lateness, stopped) = (Times::new()?, false);
+        let (lateness, stopped) = (LatencyHistogram::new()?, false);
         let mut thread = WorkerThread {
             poll,
             fleet,
@@ -102,16 +102,16 @@
             stopped,
         };
         for place in 0..thread.listeners.len() {
-            thread.take_calls(place)?;
+            thread.start_listening(place)?;
         }
         Ok(thread)
     }
 
     /// Runs until it is stopped; what was noted.
     pub fn run(mut self) -> io::Result<WorkerReport> {
-        let mut events = Events::with_capacity(EVENTS);
+        let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !self.stopped {
-            let wait = self.timers.wait(Instant::now(), LONGEST_WAIT);
+            let wait = self.timers.wait(Instant::now(), MAX_POLL_WAIT);
             match self.poll.poll(&mut events, Some(wait)) {
                 Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
                 _ => {}
@@ -125,8 +125,8 @@
                     Token(token) => self.accept(token - FIRST_LISTENER)?,
                 }
             }
-            self.obey()?;
-            self.do_what_is_due()?;
+            self.handle_commands()?;
+            self.run_due_timers()?;
             self.publish_state();
         }
         self.fleet.audit.unacknowledged = self.fleet.unacknowledged_count() as u64;
@@ -138,12 +138,12 @@
 
     /// Tells the feeds what has changed, and the run what is in hand.
     fn publish_state(&mut self) {
-        let rooms = self.fleet.take_changed_rooms();
+        let rooms = self.fleet.take_changed_resources();
         if !rooms.is_empty() {
-            self.shared.feeds.send(FeedOrder::Rooms(rooms));
+            self.shared.feeds.send(FeedCommand::UpdateResources(rooms));
         }
         let state = WorkerState {
-            active_tasks: self.fleet.in_hand(),
+            active_tasks: self.fleet.active_count(),
             unacknowledged: self.fleet.unacknowledged_count(),
             connections: self.connections.len(),
         };
@@ -156,15 +156,15 @@
 
     // ---- Orders ----
 
-    fn obey(&mut self) -> io::Result<()> {
+    fn handle_commands(&mut self) -> io::Result<()> {
         for order in self.shared.orders.take() {
             match order {
-                WorkerOrder::Begin => self.begin(),
-                WorkerOrder::Vanish(zone) => self.vanish(zone)?,
-                WorkerOrder::Return(zone) => self.bring_back(zone)?,
-                WorkerOrder::Garbage(workers) => self.send_garbage(workers),
-                WorkerOrder::Freeze => self.fleet.freeze(),
-                WorkerOrder::Stop => self.stopped = true,
+                WorkerCommand::StartLifetimes => self.begin(),
+                WorkerCommand::CrashZone(zone) => self.vanish(zone)?,
+                WorkerCommand::RestoreZone(zone) => self.restore_zone(zone)?,
+                WorkerCommand::SendGarbage(workers) => self.send_garbage(workers),
+                WorkerCommand::StopEndingTasks => self.fleet.freeze(),
+                WorkerCommand::Stop => self.stopped = true,
             }
         }
         Ok(())
@@ -173,7 +173,8 @@
     fn begin(&mut self) {
         let now = Instant::now();
         for (id, life) in self.fleet.lives() {
-            self.timers.add(now + life, Due::Step(Step::End, id, None));
+            self.timers
+                .add(now + life, TimerEvent::Task(TaskTimer::End, id, None));
         }
     }
 
@@ -201,15 +202,15 @@
         Ok(())
     }
 
-    fn bring_back(&mut self, zone: ZoneId) -> io::Result<()> {
-        self.fleet.bring_back(zone);
+    fn restore_zone(&mut self, zone: ZoneId) -> io::Result<()> {
+        self.fleet.restore_zone(zone);
         for place in 0..self.listeners.len() {
             if self
                 .listeners
                 .get(place)
                 .is_some_and(|listener| listener.zone.zone == zone)
             {
-                self.take_calls(place)?;
+                self.start_listening(place)?;
             }
         }
         Ok(())
@@ -241,7 +242,7 @@
     // ---- Connections ----
 
     /// A listener takes calls from now on.
-    fn take_calls(&mut self, place: usize) -> io::Result<()> {
+    fn start_listening(&mut self, place: usize) -> io::Result<()> {
         let Some(listener) = self.listeners.get_mut(place) else {
             return Ok(());
         };
@@ -256,7 +257,7 @@
     }
 
     fn accept(&mut self, place: usize) -> io::Result<()> {
-        for _ in 0..ACCEPTS {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(listener) = self.listeners.get(place) else {
                 return Ok(());
             };
@@ -265,7 +266,7 @@
             };
             let (placer, zone) = (listener.zone.placer, listener.zone.zone);
             match handle.accept() {
-                Ok((stream, _)) => self.welcome(stream, placer, zone)?,
+                Ok((stream, _)) => self.add_connection(stream, placer, zone)?,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error)
                     if matches!(
@@ -274,24 +275,32 @@
                     ) => {}
                 Err(_) => {
                     // No descriptor is left. What waits makes no further event, so that it is looked at again.
-                    self.timers
-                        .add(Instant::now() + ACCEPT_PAUSE, Due::Accept(place));
+                    self.timers.add(
+                        Instant::now() + ACCEPT_RETRY_DELAY,
+                        TimerEvent::RetryAccept(place),
+                    );
                     return Ok(());
                 }
             }
         }
         // More may wait, and makes no further event; others have their turn first.
-        self.timers.add(Instant::now(), Due::Accept(place));
+        self.timers
+            .add(Instant::now(), TimerEvent::RetryAccept(place));
         Ok(())
     }
 
     /// Takes a call that is for a worker of this zone; any other is dropped.
-    fn welcome(&mut self, stream: TcpStream, placer: PlacerId, zone: ZoneId) -> io::Result<()> {
+    fn add_connection(
+        &mut self,
+        stream: TcpStream,
+        placer: PlacerId,
+        zone: ZoneId,
+    ) -> io::Result<()> {
         let setup = self.fleet.setup();
         let Ok(address) = stream.local_addr() else {
             return Ok(());
         };
-        let called = WorkerId::at(address.ip(), setup.workers)
+        let called = WorkerId::from_address(address.ip(), setup.workers)
             .filter(|worker| worker.zone(setup.zones) == zone);
         let (Some(worker), Some(counters)) = (called, self.shared.counters.get(placer.index()))
         else {
@@ -305,12 +314,12 @@
         let connection =
             Connection::new(stream, token, self.poll.registry(), counters.clone(), None)?;
         self.connections.add(connection, worker, placer);
-        self.repeat_ends(place, worker, placer);
+        self.resend_unacknowledged_ends(place, worker, placer);
         Ok(())
     }
 
     /// A new connection begins with the ends that its placer has not confirmed.
-    fn repeat_ends(&mut self, place: usize, worker: WorkerId, placer: PlacerId) {
+    fn resend_unacknowledged_ends(&mut self, place: usize, worker: WorkerId, placer: PlacerId) {
         let ends = self.fleet.unacknowledged(worker, placer);
         let mut bytes = Vec::new();
         ends.iter()
@@ -325,7 +334,7 @@
         let Some(found) = self.connections.get_mut(place) else {
             return;
         };
-        found.connection.becomes(TrafficKind::Worker);
+        found.connection.assign_kind(TrafficKind::Worker);
         if found.connection.send(bytes, messages) == Liveness::Ended {
             self.close(place);
         }
@@ -352,13 +361,13 @@
         };
         let flushed = found.connection.flush();
         let filled = found.connection.fill();
-        let read = take_lines(&mut found.connection);
+        let read = read_lines(&mut found.connection);
         let (worker, placer) = (found.worker, found.placer);
         let mut replies = Replies::default();
         match read {
             Ok(lines) => lines
                 .into_iter()
-                .for_each(|line| self.take_line(place, worker, placer, line, &mut replies)),
+                .for_each(|line| self.handle_message(place, worker, placer, line, &mut replies)),
             Err(_) => {
                 self.fleet.audit.bad_messages += 1;
                 return self.close(place);
@@ -372,7 +381,7 @@
         }
     }
 
-    fn take_line(
+    fn handle_message(
         &mut self,
         place: usize,
         worker: WorkerId,
@@ -381,20 +390,20 @@
         replies: &mut Replies,
     ) {
         match line {
-            PlacerLine::Offer(offer) => self.take_offer(place, worker, placer, &offer, replies),
+            PlacerLine::Offer(offer) => self.handle_offer(place, worker, placer, &offer, replies),
             PlacerLine::Release { id } => {
                 self.answered(place, id);
                 if let ReleaseReply::Ended(cause) = self.fleet.release((worker, id)) {
                     replies.add(|bytes| lines::down(bytes, id, cause));
                 }
             }
-            PlacerLine::Heard { id } => self.fleet.heard((worker, id), Instant::now()),
-            PlacerLine::Test { id } => replies.add(|bytes| lines::test_passed(bytes, id)),
+            PlacerLine::EndAcknowledged { id } => self.fleet.heard((worker, id), Instant::now()),
+            PlacerLine::HealthCheck { id } => replies.add(|bytes| lines::test_passed(bytes, id)),
             PlacerLine::Other => {}
         }
     }
 
-    fn take_offer(
+    fn handle_offer(
         &mut self,
         place: usize,
         worker: WorkerId,
@@ -405,11 +414,11 @@
         match self.fleet.offer(worker, placer, offer) {
             OfferReply::Starts { after } => {
                 let id = self.connections.id(place);
-                let step = Due::Step(Step::Answer, (worker, offer.id), id);
+                let step = TimerEvent::Task(TaskTimer::Answer, (worker, offer.id), id);
                 self.timers.add(Instant::now() + after, step);
                 if let Some(found) = self.connections.get_mut(place) {
                     found.open.push(offer.id);
-                    found.connection.becomes(TrafficKind::Worker);
+                    found.connection.assign_kind(TrafficKind::Worker);
                 }
             }
             OfferReply::Full(why) => replies.add(|bytes| lines::full(bytes, offer.id, why)),
@@ -429,13 +438,13 @@
 
     // ---- Time ----
 
-    fn do_what_is_due(&mut self) -> io::Result<()> {
+    fn run_due_timers(&mut self) -> io::Result<()> {
         let now = Instant::now();
         while let Some((at, due)) = self.timers.pop_due(now) {
             match due {
-                Due::Step(Step::Answer, id, on) => self.answer(at, id, on),
-                Due::Step(Step::End, id, on) => self.end(id, on),
-                Due::Accept(place) => self.accept(place)?,
+                TimerEvent::Task(TaskTimer::Answer, id, on) => self.answer(at, id, on),
+                TimerEvent::Task(TaskTimer::End, id, on) => self.end(id, on),
+                TimerEvent::RetryAccept(place) => self.accept(place)?,
             }
         }
         Ok(())
@@ -446,7 +455,8 @@
             return;
         };
         self.lateness.add(at.elapsed());
-        self.timers.add(at + life, Due::Step(Step::End, id, on));
+        self.timers
+            .add(at + life, TimerEvent::Task(TaskTimer::End, id, on));
         // Its connection is there: the offer would be forgotten without it.
         let Some(on) = on else { return };
         self.answered(on.place, id.1);
@@ -482,7 +492,7 @@
 }
 
 /// Takes the whole lines off what has come.
-fn take_lines(connection: &mut Connection) -> Result<Vec<PlacerLine>, WireError> {
+fn read_lines(connection: &mut Connection) -> Result<Vec<PlacerLine>, WireError> {
     let mut found = Vec::new();
     let mut taken = 0;
     while let Some(end) = lines::line_end(connection.inbox().get(taken..).unwrap_or_default())? {
--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -6,7 +6,7 @@
 use scale_test::sweep::{Axis, Metric, Runner};
 use scale_test::sweep_runner::ScaleRunner;
 use scale_test::traffic::FeedCounts;
-use scale_test::{RunResult, Settings, Unwatched, run};
+use scale_test::{NoWatcher, RunResult, Settings, run};
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 use strum::IntoEnumIterator;
@@ -30,7 +30,7 @@
 }
 
 fn run_of(settings: &Settings) -> RunResult {
-    run(settings, &program(), &mut ProcSampler, &mut Unwatched).expect("a result")
+    run(settings, &program(), &mut ProcSampler, &mut NoWatcher).expect("a result")
 }
 
 #[test]
@@ -173,7 +173,7 @@
 
 #[test]
 fn a_run_of_a_sweep_has_every_figure_that_a_run_can_have() {
-    let (mut sampler, mut watcher) = (ProcSampler, Unwatched);
+    let (mut sampler, mut watcher) = (ProcSampler, NoWatcher);
     let (sampler, watcher) = (&mut sampler, &mut watcher);
     let mut runner = ScaleRunner {
         settings: short(),
