--- a/crates/scale-test/src/audit.rs
+++ b/crates/scale-test/src/audit.rs
@@ -1,4 +1,6 @@
-//! Holds what clients were told against what workers did, task by task.
+//! Compares what clients were notified of with what workers did, task by task.
+//!
+//! Pure: reads the records of a finished run, and counts into [`FleetTotals`].
 
 use crate::clients::{TaskRecord, TaskState, TaskTable};
 use crate::identity::PlacerId;
@@ -7,47 +9,52 @@
 use crate::workers::{WorkerAudit, WorkerTaskRecord};
 use std::time::{Duration, Instant};
 
-/// A placer that confirms the end of a task to its worker may be killed before its word reaches the client:
-/// the way from one to the other takes far less.
+/// The longest time from a placer's acknowledgement of an end to the notification of its client. A placer that
+/// is killed in between loses the notification.
 const MAX_DELIVERY_TIME: Duration = Duration::from_secs(2);
 
-/// A placer was killed.
+/// The killing of a placer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Kill {
-    /// Which.
+    /// The placer.
     pub placer: PlacerId,
-    /// When.
+    /// When it was killed.
     pub at: Instant,
 }
 
-/// Adds what became of all tasks to the totals.
-pub fn audit(totals: &mut FleetTotals, tasks: &TaskTable, books: &WorkerAudit, kills: &[Kill]) {
-    for (task, record) in tasks.iter() {
-        let book = books.task(task);
-        if record.due.is_some() {
+/// Adds the outcomes of all tasks to the totals.
+pub fn audit(
+    totals: &mut FleetTotals,
+    tasks: &TaskTable,
+    worker_audit: &WorkerAudit,
+    kills: &[Kill],
+) {
+    for (task, client_record) in tasks.iter() {
+        let worker_record = worker_audit.task(task);
+        if client_record.due.is_some() {
             totals.due += 1;
-            count_answer(totals, record);
+            count_answer(totals, client_record);
         } else {
             totals.running_at_start += 1;
         }
-        totals.moved += u64::from(record.moves);
-        totals.worker_refusals += u64::from(book.refusals);
-        count_starts(totals, record, &book);
-        match record.state {
-            TaskState::Running(_) => count_running(totals, record, &book, kills),
-            TaskState::Ended(cause) => count_over(totals, record, &book, cause),
+        totals.moved += u64::from(client_record.moves);
+        totals.worker_refusals += u64::from(worker_record.refusals);
+        count_starts(totals, client_record, &worker_record);
+        match client_record.state {
+            TaskState::Running(_) => count_running(totals, client_record, &worker_record, kills),
+            TaskState::Ended(cause) => count_ended(totals, client_record, &worker_record, cause),
             _ => {}
         }
     }
-    totals.bad_messages += books.bad_messages + books.bad_offers;
-    totals.garbage_sent = books.garbage_sent;
-    totals.garbage_dropped = books.garbage_dropped;
-    totals.starts_after_return = books.starts_after_return;
+    totals.bad_messages += worker_audit.bad_messages + worker_audit.bad_offers;
+    totals.garbage_sent = worker_audit.garbage_sent;
+    totals.garbage_dropped = worker_audit.garbage_dropped;
+    totals.starts_after_return = worker_audit.starts_after_return;
 }
 
-/// How the set-up of a task that was due was answered.
-fn count_answer(totals: &mut FleetTotals, record: &TaskRecord) {
-    let count = match record.state {
+/// Counts how the set-up of an arrived task was answered.
+fn count_answer(totals: &mut FleetTotals, client_record: &TaskRecord) {
+    let count = match client_record.state {
         TaskState::Running(_) | TaskState::Ended(_) => &mut totals.started,
         TaskState::Refused => &mut totals.refused,
         TaskState::Failed => &mut totals.failed,
@@ -60,56 +67,68 @@
     *count += 1;
 }
 
-/// Whether the workers started it as often as they may.
-fn count_starts(totals: &mut FleetTotals, record: &TaskRecord, book: &WorkerTaskRecord) {
-    let wanted = 1 + u32::from(record.moves);
-    let more = u32::from(book.starts) > wanted;
-    if more && record.class.once() {
+/// Counts a task that workers started more or less often than its client was told.
+fn count_starts(
+    totals: &mut FleetTotals,
+    client_record: &TaskRecord,
+    worker_record: &WorkerTaskRecord,
+) {
+    let expected = 1 + u32::from(client_record.moves);
+    let has_extra_starts = u32::from(worker_record.starts) > expected;
+    if has_extra_starts && client_record.class.is_non_idempotent() {
         totals.started_twice += 1;
-    } else if more {
+    } else if has_extra_starts {
         totals.restarted += 1;
     }
-    let answered = matches!(record.state, TaskState::Running(_) | TaskState::Ended(_));
-    if answered && book.starts == 0 {
+    let was_answered = matches!(
+        client_record.state,
+        TaskState::Running(_) | TaskState::Ended(_)
+    );
+    if was_answered && worker_record.starts == 0 {
         totals.never_started += 1;
     }
 }
 
-/// A task that stands as far as its client knows: a worker has to hold it.
+/// Checks a task that its client believes to be running: a worker must run it.
 fn count_running(
     totals: &mut FleetTotals,
-    record: &TaskRecord,
-    book: &WorkerTaskRecord,
+    client_record: &TaskRecord,
+    worker_record: &WorkerTaskRecord,
     kills: &[Kill],
 ) {
-    if book.active_copies > 0 || book.starts == 0 {
+    if worker_record.active_copies > 0 || worker_record.starts == 0 {
         return;
     }
-    let taken_along = |kill: &Kill| {
-        let heard = book
-            .heard
-            .filter(|heard| *heard <= kill.at + MAX_DELIVERY_TIME);
-        kill.placer == record.placer
-            && heard.is_some_and(|heard| heard + MAX_DELIVERY_TIME >= kill.at)
+    let lost_in_kill = |kill: &Kill| {
+        let acknowledged_at = worker_record
+            .end_acknowledged_at
+            .filter(|at| *at <= kill.at + MAX_DELIVERY_TIME);
+        kill.placer == client_record.placer
+            && acknowledged_at.is_some_and(|at| at + MAX_DELIVERY_TIME >= kill.at)
     };
-    if kills.iter().any(taken_along) {
+    if kills.iter().any(lost_in_kill) {
         totals.lost_with_placer += 1;
     } else {
         totals.lost += 1;
     }
 }
 
-/// A task that is over as far as its client knows: no worker may hold it.
-fn count_over(totals: &mut FleetTotals, record: &TaskRecord, book: &WorkerTaskRecord, cause: u8) {
+/// Checks a task that its client believes to have ended: no worker may run it.
+fn count_ended(
+    totals: &mut FleetTotals,
+    client_record: &TaskRecord,
+    worker_record: &WorkerTaskRecord,
+    cause: u8,
+) {
     if cause == cause::NORMAL {
         totals.ended += 1;
     } else {
         totals.reset += 1;
     }
-    // Of a task that was started again elsewhere, what a worker still holds is what is left of it there.
-    let once = u32::from(book.starts) <= 1 + u32::from(record.moves);
-    let made_up = cause == cause::NORMAL && book.ended == 0;
-    if once && (book.active_copies > 0 || made_up) {
+    // After a restart at another worker, the copy that is left at the first one breaks no rule.
+    let has_no_extra_starts = u32::from(worker_record.starts) <= 1 + u32::from(client_record.moves);
+    let never_ended = cause == cause::NORMAL && worker_record.ended == 0;
+    if has_no_extra_starts && (worker_record.active_copies > 0 || never_ended) {
         totals.ended_wrongly += 1;
     }
 }
--- a/crates/scale-test/src/audit/tests.rs
+++ b/crates/scale-test/src/audit/tests.rs
@@ -1,24 +1,32 @@
-//! What the audit finds.
+//! The rules that the audit checks, each on one task.
 
 use super::*;
 use crate::clients::Arrivals;
+use crate::deployment::Class;
 use crate::identity::{TaskIndex, WorkerId};
 use crate::settings::Settings;
 
 const PLACER: PlacerId = PlacerId(0);
 const TASK: TaskIndex = TaskIndex(0);
+/// The cause of an end that is not the regular one.
+const WORKER_LOST: u8 = 41;
 
-/// The totals of one task of which the client has heard this, and its worker noted that.
-fn totals(
-    once: bool,
-    client: &[Word],
-    note: impl FnOnce(&mut WorkerTaskRecord),
+/// A message that the client received.
+enum Received {
+    Answer,
+    Release(u8),
+}
+
+/// Returns the totals of one task of class `standard`, or `once` if it is not idempotent.
+fn totals_of_class(
+    class: Class,
+    received: &[Received],
+    record: impl FnOnce(&mut WorkerTaskRecord),
     kills: &[Kill],
 ) -> FleetTotals {
-    let (once_share, urgent_share) = (f64::from(u8::from(once)), 0.0);
     let settings = Settings {
-        once_share,
-        urgent_share,
+        once_share: if class == Class::Once { 1.0 } else { 0.0 },
+        urgent_share: 0.0,
         ..Settings::default()
     };
     let mut arrivals = Arrivals::new(&settings);
@@ -26,80 +34,129 @@
     let arrival = arrivals.next().expect("an arrival");
     let task = tasks.add(&arrival, Instant::now(), true).expect("room");
     let id = tasks.sent(task, PLACER, Instant::now()).expect("a task");
-    for word in client {
-        match word {
-            Word::Answer => drop(tasks.answered(id, WorkerId(0))),
-            Word::Release(cause) => drop(tasks.released(id, *cause)),
+    for message in received {
+        match message {
+            Received::Answer => drop(tasks.answered(id, WorkerId(0))),
+            Received::Release(cause) => drop(tasks.released(id, *cause)),
         }
     }
-    let mut books = WorkerAudit::default();
-    books.note(TASK, note);
+    let mut worker_audit = WorkerAudit::default();
+    worker_audit.update(TASK, record);
     let mut totals = FleetTotals::default();
-    audit(&mut totals, &tasks, &books, kills);
+    audit(&mut totals, &tasks, &worker_audit, kills);
     totals
 }
 
-enum Word {
-    Answer,
-    Release(u8),
+fn totals(received: &[Received], record: impl FnOnce(&mut WorkerTaskRecord)) -> FleetTotals {
+    totals_of_class(Class::Standard, received, record, &[])
+}
+
+fn running(record: &mut WorkerTaskRecord) {
+    (record.starts, record.active_copies) = (1, 1);
 }
 
+fn ended(record: &mut WorkerTaskRecord) {
+    (record.starts, record.ended) = (1, 1);
+}
+
+fn lost_with_worker(record: &mut WorkerTaskRecord) {
+    (record.starts, record.lost_with_worker) = (1, 1);
+}
+
+fn never_offered(_: &mut WorkerTaskRecord) {}
+
 #[test]
-fn a_task_that_stands_or_is_over_at_both_ends_breaks_no_rule() {
-    let stands = |book: &mut WorkerTaskRecord| (book.starts, book.active_copies) = (1, 1);
-    let found = totals(true, &[Word::Answer], stands, &[]);
+fn task_that_runs_for_client_and_worker_breaks_no_rule() {
+    let found = totals_of_class(Class::Once, &[Received::Answer], running, &[]);
+
     assert_eq!((found.due, found.started, found.rules_broken()), (1, 1, 0));
-    let ended = |book: &mut WorkerTaskRecord| (book.starts, book.ended) = (1, 1);
-    let found = totals(
-        true,
-        &[Word::Answer, Word::Release(cause::NORMAL)],
-        ended,
-        &[],
-    );
+}
+
+#[test]
+fn task_that_ended_for_client_and_worker_breaks_no_rule() {
+    let received = [Received::Answer, Received::Release(cause::NORMAL)];
+    let found = totals_of_class(Class::Once, &received, ended, &[]);
+
     assert_eq!((found.ended, found.rules_broken()), (1, 0));
-    let vanished = |book: &mut WorkerTaskRecord| (book.starts, book.vanished) = (1, 1);
-    let found = totals(true, &[Word::Answer, Word::Release(41)], vanished, &[]);
+}
+
+#[test]
+fn task_lost_with_its_worker_and_reported_is_reset_and_breaks_no_rule() {
+    let received = [Received::Answer, Received::Release(WORKER_LOST)];
+    let found = totals_of_class(Class::Once, &received, lost_with_worker, &[]);
+
     assert_eq!((found.reset, found.rules_broken()), (1, 0));
-    let found = totals(true, &[Word::Release(cause::FULL)], |_| {}, &[]);
+}
+
+#[test]
+fn refused_task_breaks_no_rule() {
+    let received = [Received::Release(cause::FULL)];
+    let found = totals_of_class(Class::Once, &received, never_offered, &[]);
+
     assert_eq!((found.refused, found.rules_broken()), (1, 0));
 }
 
 #[test]
-fn what_was_never_answered_or_never_told_is_lost() {
-    assert_eq!(totals(false, &[], |_| {}, &[]).lost, 1);
-    let ended = |book: &mut WorkerTaskRecord| (book.starts, book.ended) = (1, 1);
-    assert_eq!(totals(false, &[Word::Answer], ended, &[]).lost, 1);
-    let vanished = |book: &mut WorkerTaskRecord| (book.starts, book.vanished) = (1, 1);
-    assert_eq!(totals(false, &[Word::Answer], vanished, &[]).lost, 1);
+fn unanswered_task_is_lost() {
+    assert_eq!(totals(&[], never_offered).lost, 1);
+}
+
+#[test]
+fn task_whose_end_was_not_reported_is_lost() {
+    assert_eq!(totals(&[Received::Answer], ended).lost, 1);
 }
 
 #[test]
-fn an_end_that_a_killed_placer_had_just_confirmed_is_lost_with_it_and_no_other() {
+fn task_whose_worker_crashed_without_a_report_is_lost() {
+    assert_eq!(totals(&[Received::Answer], lost_with_worker).lost, 1);
+}
+
+/// Returns the totals of a task whose end was acknowledged so long before a kill, and never reported.
+fn totals_with_kill(placer: PlacerId, seconds_after_end: u64) -> FleetTotals {
     let now = Instant::now();
-    let ended =
-        |book: &mut WorkerTaskRecord| (book.starts, book.ended, book.heard) = (1, 1, Some(now));
-    let kill = |placer, after| Kill {
+    let acknowledged = |record: &mut WorkerTaskRecord| {
+        ended(record);
+        record.end_acknowledged_at = Some(now);
+    };
+    let kill = Kill {
         placer,
-        at: now + Duration::from_secs(after),
+        at: now + Duration::from_secs(seconds_after_end),
     };
-    let found = totals(false, &[Word::Answer], ended, &[kill(PLACER, 1)]);
+    totals_of_class(Class::Standard, &[Received::Answer], acknowledged, &[kill])
+}
+
+#[test]
+fn end_acknowledged_just_before_its_placer_was_killed_is_lost_with_the_placer() {
+    let found = totals_with_kill(PLACER, 1);
+
     assert_eq!((found.lost, found.lost_with_placer), (0, 1));
-    assert_eq!(
-        totals(false, &[Word::Answer], ended, &[kill(PLACER, 9)]).lost,
-        1
-    );
-    assert_eq!(
-        totals(false, &[Word::Answer], ended, &[kill(PlacerId(1), 1)]).lost,
-        1
-    );
 }
 
 #[test]
-fn two_starts_break_a_rule_only_where_a_task_must_not_start_twice() {
-    let twice = |book: &mut WorkerTaskRecord| (book.starts, book.active_copies) = (2, 1);
-    let found = totals(true, &[Word::Answer], twice, &[]);
+fn end_acknowledged_long_before_its_placer_was_killed_is_lost() {
+    assert_eq!(totals_with_kill(PLACER, 9).lost, 1);
+}
+
+#[test]
+fn kill_of_another_placer_does_not_excuse_a_lost_end() {
+    assert_eq!(totals_with_kill(PlacerId(1), 1).lost, 1);
+}
+
+fn started_twice(record: &mut WorkerTaskRecord) {
+    (record.starts, record.active_copies) = (2, 1);
+}
+
+#[test]
+fn second_start_of_a_non_idempotent_task_breaks_a_rule() {
+    let found = totals_of_class(Class::Once, &[Received::Answer], started_twice, &[]);
+
     assert_eq!((found.started_twice, found.restarted), (1, 0));
-    let found = totals(false, &[Word::Answer], twice, &[]);
+}
+
+#[test]
+fn second_start_of_an_idempotent_task_breaks_no_rule() {
+    let found = totals(&[Received::Answer], started_twice);
+
     assert_eq!(
         (found.started_twice, found.restarted, found.rules_broken()),
         (0, 1, 0)
@@ -107,14 +164,20 @@
 }
 
 #[test]
-fn an_end_that_did_not_happen_and_a_start_that_did_not_are_found() {
-    let held = |book: &mut WorkerTaskRecord| (book.starts, book.active_copies) = (1, 1);
-    assert_eq!(
-        totals(false, &[Word::Answer, Word::Release(41)], held, &[]).ended_wrongly,
-        1
-    );
-    let made_up = |book: &mut WorkerTaskRecord| (book.starts, book.vanished) = (1, 1);
-    let words = [Word::Answer, Word::Release(cause::NORMAL)];
-    assert_eq!(totals(false, &words, made_up, &[]).ended_wrongly, 1);
-    assert_eq!(totals(false, &[Word::Answer], |_| {}, &[]).never_started, 1);
+fn reported_end_of_a_task_that_still_runs_is_wrong() {
+    let received = [Received::Answer, Received::Release(WORKER_LOST)];
+
+    assert_eq!(totals(&received, running).ended_wrongly, 1);
+}
+
+#[test]
+fn reported_regular_end_of_a_task_that_never_ended_is_wrong() {
+    let received = [Received::Answer, Received::Release(cause::NORMAL)];
+
+    assert_eq!(totals(&received, lost_with_worker).ended_wrongly, 1);
+}
+
+#[test]
+fn answer_for_a_task_that_no_worker_started_is_found() {
+    assert_eq!(totals(&[Received::Answer], never_offered).never_started, 1);
 }
--- a/crates/scale-test/src/clients.rs
+++ b/crates/scale-test/src/clients.rs
@@ -68,7 +68,7 @@
 
 /// LatencyHistogram to start, and the generator's own lateness, of the tasks that count.
 pub struct Timings {
-    /// By class, in the order of [`Class::ALL`]: from when the task was due to its answer.
+    /// By class, in the command of [`Class::ALL`]: from when the task was due to its answer.
     pub to_start: [LatencyHistogram; Class::ALL.len()],
     /// From when the task was due to when its set-up was sent.
     pub lateness: LatencyHistogram,
@@ -88,7 +88,7 @@
 
 /// All hollow clients.
 pub struct Clients {
-    orders: Sender<ClientCommand>,
+    commands: Sender<ClientCommand>,
     state: Arc<Mutex<ClientState>>,
     kill_announced: Arc<[AtomicBool]>,
     thread: PeerThread<ClientAudit>,
@@ -106,7 +106,7 @@
         counters: Vec<Arc<PlacerCounters>>,
     ) -> io::Result<Clients> {
         let poll = Poll::new()?;
-        let (orders, taken) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
+        let (commands, received) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
         let state = Arc::new(Mutex::new(ClientState {
             ready: vec![None; counters.len()],
             ..ClientState::default()
@@ -117,14 +117,14 @@
             counters.iter().map(|_| AtomicBool::new(false)).collect();
         let shared = thread::Shared {
             counters,
-            orders: taken,
+            commands: received,
             state: Arc::clone(&state),
             kill_announced: kill_announced.clone(),
         };
         let running = thread::ClientThread::new(poll, settings, tasks, arrivals, shared)?;
         let thread = PeerThread::spawn("clients", move || running.run())?;
         Ok(Clients {
-            orders,
+            commands,
             state,
             kill_announced,
             thread,
@@ -132,8 +132,8 @@
     }
 
     /// Tells them something.
-    pub fn order(&self, order: ClientCommand) {
-        self.orders.send(order);
+    pub fn send(&self, command: ClientCommand) {
+        self.commands.send(command);
     }
 
     /// A placer is about to be killed, or lives again: connections that end meanwhile end with it.
@@ -162,14 +162,14 @@
     ///
     /// Returns the error with which the thread ended.
     pub fn stop(mut self) -> io::Result<ClientAudit> {
-        self.orders.send(ClientCommand::Stop);
+        self.commands.send(ClientCommand::Stop);
         self.thread.join()
     }
 }
 
 impl Drop for Clients {
     fn drop(&mut self) {
-        self.orders.send(ClientCommand::Stop);
+        self.commands.send(ClientCommand::Stop);
         // It has ended already where the run came to its end.
         let _ = self.thread.join();
     }
--- a/crates/scale-test/src/clients/arrivals.rs
+++ b/crates/scale-test/src/clients/arrivals.rs
@@ -12,7 +12,7 @@
 
 /// Sets the draws of what stands at the start apart from those of what arrives.
 const RUNNING_TASKS_STREAM: u64 = 0x7374_616e_6469_6e67;
-/// The shortest life: a worker tells an answer and an end apart.
+/// The shortest lifetime: a worker tells an answer and an end apart.
 const MIN_LIFETIME: Duration = Duration::from_millis(1);
 
 /// A task that is due.
@@ -44,7 +44,7 @@
     services: u32,
     cores: f64,
     memory: f64,
-    life: Duration,
+    lifetime: Duration,
 }
 
 impl Arrivals {
@@ -60,19 +60,19 @@
             services: settings.services.max(1),
             cores: settings.task_cores,
             memory: settings.task_memory,
-            life: settings.life,
+            lifetime: settings.life,
         }
     }
 
-    /// What a task of this class is at its worker, with a life of its own.
+    /// What a task of this class is at its worker, with a lifetime of its own.
     fn shape(&mut self, class: Class) -> TaskShape {
         let part: f64 = Exp1.sample(&mut self.draws);
-        let life = self.life.mul_f64(part).max(MIN_LIFETIME);
+        let lifetime = self.lifetime.mul_f64(part).max(MIN_LIFETIME);
         TaskShape {
             cores: self.cores,
             memory: self.memory,
-            life,
-            once: class.once(),
+            lifetime,
+            once: class.is_non_idempotent(),
         }
     }
 
@@ -121,7 +121,7 @@
 }
 
 /// The tasks that stand at the start: dealt out to the workers in turn, and to the placers in turn round by
-/// round. What is left of an exponential life is exponential, too.
+/// round. What is left of an exponential lifetime is exponential, too.
 pub fn running_tasks(settings: &Settings) -> Vec<RunningTask> {
     let seed = settings.seed ^ RUNNING_TASKS_STREAM;
     let mut arrivals = Arrivals {
--- a/crates/scale-test/src/clients/arrivals/tests.rs
+++ b/crates/scale-test/src/clients/arrivals/tests.rs
@@ -40,7 +40,7 @@
         .collect();
     let (gap, life) = (
         mean(gaps.clone()),
-        mean(all.iter().map(|a| a.shape.life.as_secs_f64()).collect()),
+        mean(all.iter().map(|a| a.shape.lifetime.as_secs_f64()).collect()),
     );
     assert!((gap * 200.0 - 1.0).abs() < 0.03, "{gap}");
     assert!((life / 20.0 - 1.0).abs() < 0.03, "{life}");
--- a/crates/scale-test/src/clients/tasks/tests.rs
+++ b/crates/scale-test/src/clients/tasks/tests.rs
@@ -89,7 +89,7 @@
     let shape = TaskShape {
         cores: 1.0,
         memory: 2.0,
-        life: Duration::from_secs(3),
+        lifetime: Duration::from_secs(3),
         once: false,
     };
     let standing = RunningTask {
--- a/crates/scale-test/src/clients/thread.rs
+++ b/crates/scale-test/src/clients/thread.rs
@@ -20,7 +20,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Where orders come in.
+/// Where commands come in.
 pub const MAILBOX: Token = Token(0);
 /// Events taken in one turn.
 const EVENTS_PER_POLL: usize = 1_024;
@@ -40,7 +40,7 @@
     /// The counters of each placer.
     pub counters: Vec<Arc<PlacerCounters>>,
     /// What the clients are told to do.
-    pub orders: Receiver<ClientCommand>,
+    pub commands: Receiver<ClientCommand>,
     /// How they are.
     pub state: Arc<Mutex<ClientState>>,
     /// The placers that are about to be killed, or are.
@@ -163,8 +163,8 @@
     // ---- Orders ----
 
     fn handle_commands(&mut self) -> io::Result<()> {
-        for order in self.shared.orders.take() {
-            match order {
+        for command in self.shared.commands.take() {
+            match command {
                 ClientCommand::PlacerStarted(placer, address) => {
                     let Some(link) = self.links.get_mut(placer) else {
                         continue;
--- a/crates/scale-test/src/deployment.rs
+++ b/crates/scale-test/src/deployment.rs
@@ -49,13 +49,17 @@
         }
     }
 
-    /// Whether a task of it must not start twice.
-    pub fn once(self) -> bool {
+    /// Returns whether a task of this class must not start twice.
+    pub fn is_non_idempotent(self) -> bool {
         self == Class::Once
     }
 
     fn semantics(self) -> &'static str {
-        if self.once() { "unsafe" } else { "safe" }
+        if self.is_non_idempotent() {
+            "unsafe"
+        } else {
+            "safe"
+        }
     }
 
     fn as_setting(self) -> Value {
--- a/crates/scale-test/src/feeds.rs
+++ b/crates/scale-test/src/feeds.rs
@@ -52,7 +52,7 @@
 
 /// All control feeds.
 pub struct Feeds {
-    orders: Sender<FeedCommand>,
+    commands: Sender<FeedCommand>,
     thread: PeerThread<()>,
     addresses: Vec<SocketAddr>,
 }
@@ -65,25 +65,25 @@
     /// Returns an error if a listener, the event loop or the thread cannot be created.
     pub fn start(settings: &Settings, counters: Vec<Arc<PlacerCounters>>) -> io::Result<Feeds> {
         let poll = Poll::new()?;
-        let (orders, taken) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
+        let (commands, received) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
         let (mut listeners, mut addresses) = (Vec::<TcpListener>::new(), Vec::new());
         for _ in &counters {
             let (listener, address) = crate::listener::listen_local()?;
             listeners.push(listener);
             addresses.push(address);
         }
-        let mut running = thread::FeedThread::new(poll, settings, listeners, counters, taken)?;
+        let mut running = thread::FeedThread::new(poll, settings, listeners, counters, received)?;
         let thread = PeerThread::spawn("feeds", move || running.run())?;
         Ok(Feeds {
-            orders,
+            commands,
             thread,
             addresses,
         })
     }
 
-    /// Where orders are sent.
-    pub fn orders(&self) -> Sender<FeedCommand> {
-        self.orders.clone()
+    /// Where commands are sent.
+    pub fn commands(&self) -> Sender<FeedCommand> {
+        self.commands.clone()
     }
 
     /// Where a placer subscribes.
@@ -98,7 +98,7 @@
     /// Returns an error if the feed thread does not reply in time.
     pub fn known(&self, placer: PlacerId) -> io::Result<String> {
         let (reply, replied) = mpsc::channel();
-        self.orders.send(FeedCommand::StartPlacer(placer, reply));
+        self.commands.send(FeedCommand::StartPlacer(placer, reply));
         replied
             .recv_timeout(REPLY_LIMIT)
             .map_err(|_| io::Error::other("no reply of the feeds"))
@@ -115,14 +115,14 @@
     ///
     /// Returns the error with which the thread ended.
     pub fn stop(mut self) -> io::Result<()> {
-        self.orders.send(FeedCommand::Stop);
+        self.commands.send(FeedCommand::Stop);
         self.thread.join()
     }
 }
 
 impl Drop for Feeds {
     fn drop(&mut self) {
-        self.orders.send(FeedCommand::Stop);
+        self.commands.send(FeedCommand::Stop);
         // It has ended already where the run came to its end.
         let _ = self.thread.join();
     }
--- a/crates/scale-test/src/feeds/thread.rs
+++ b/crates/scale-test/src/feeds/thread.rs
@@ -17,7 +17,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Where orders come in.
+/// Where commands come in.
 pub const MAILBOX: Token = Token(0);
 /// The first of the listeners, by placer.
 const FIRST_LISTENER: usize = 1;
@@ -85,7 +85,7 @@
 /// The feeds' thread.
 pub struct FeedThread {
     poll: Poll,
-    orders: Receiver<FeedCommand>,
+    commands: Receiver<FeedCommand>,
     workers: ListedWorkers,
     feeds: Vec<PlacerFeed>,
     timers: TimerQueue<TimerEvent>,
@@ -105,7 +105,7 @@
         settings: &Settings,
         listeners: Vec<TcpListener>,
         counters: Vec<Arc<PlacerCounters>>,
-        orders: Receiver<FeedCommand>,
+        commands: Receiver<FeedCommand>,
     ) -> io::Result<FeedThread> {
         let mut feeds = Vec::new();
         for (place, (mut listener, counters)) in listeners.into_iter().zip(counters).enumerate() {
@@ -129,7 +129,7 @@
         } = *settings;
         Ok(FeedThread {
             poll,
-            orders,
+            commands,
             workers: ListedWorkers::new(
                 workers,
                 settings.zone_names(),
@@ -194,8 +194,8 @@
     // ---- Orders ----
 
     fn handle_commands(&mut self) {
-        for order in self.orders.take() {
-            match order {
+        for command in self.commands.take() {
+            match command {
                 FeedCommand::SetWorkerPorts(placer, ports) => {
                     if let Some(feed) = self.feeds.get_mut(placer.index()) {
                         feed.cursor.set_ports(ports);
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -210,10 +210,10 @@
         };
         self.environment
             .workers()
-            .order(WorkerCommand::StartLifetimes);
+            .send(WorkerCommand::StartLifetimes);
         self.environment
             .clients()
-            .order(ClientCommand::StartArrivals(window));
+            .send(ClientCommand::StartArrivals(window));
         window
     }
 
@@ -260,7 +260,7 @@
     fn drain(&mut self) -> Result<(), RunError> {
         self.environment
             .workers()
-            .order(WorkerCommand::StopEndingTasks);
+            .send(WorkerCommand::StopEndingTasks);
         let quiet = Instant::now() + MIN_DRAIN_TIME;
         self.wait("drain", DRAIN_LIMIT, |environment| {
             let (clients, workers) = environment.states();
--- a/crates/scale-test/src/run/environment.rs
+++ b/crates/scale-test/src/run/environment.rs
@@ -110,7 +110,7 @@
             &WorkerSetup::of(settings),
             &standing,
             &counters,
-            &feeds.orders(),
+            &feeds.commands(),
         );
         let workers = workers.map_err(peers("workers"))?;
         let clients =
@@ -133,7 +133,7 @@
     }
 
     fn start_placer(&mut self, placer: PlacerId, program: &Path) -> Result<(), RunError> {
-        self.feeds.orders().send(FeedCommand::SetWorkerPorts(
+        self.feeds.commands().send(FeedCommand::SetWorkerPorts(
             placer,
             self.workers.ports(placer).to_vec(),
         ));
@@ -154,7 +154,7 @@
             ready_ms: Vec::new(),
         });
         self.clients
-            .order(ClientCommand::PlacerStarted(placer, address));
+            .send(ClientCommand::PlacerStarted(placer, address));
         Ok(())
     }
 
@@ -283,14 +283,14 @@
     /// Does what is due.
     pub fn act(&mut self, action: Action, kills: &mut Vec<Kill>) -> Result<(), RunError> {
         match action {
-            Action::CrashZone(zone) => self.workers.order(WorkerCommand::CrashZone(zone)),
+            Action::CrashZone(zone) => self.workers.send(WorkerCommand::CrashZone(zone)),
             Action::ReportZoneRemoved(zone) => {
-                self.feeds.orders().send(FeedCommand::RemoveZone(zone))
+                self.feeds.commands().send(FeedCommand::RemoveZone(zone))
             }
             Action::RestoreZone(zone) => {
-                self.workers.order(WorkerCommand::RestoreZone(zone));
+                self.workers.send(WorkerCommand::RestoreZone(zone));
                 self.feeds
-                    .orders()
+                    .commands()
                     .send(FeedCommand::RestoreZone(zone, unix_millis()));
             }
             Action::KillPlacer(placer) => {
@@ -302,10 +302,10 @@
                 if let Some(member) = self.members.get_mut(placer.index()) {
                     member.process.kill();
                 }
-                self.clients.order(ClientCommand::PlacerKilled(placer));
+                self.clients.send(ClientCommand::PlacerKilled(placer));
             }
             Action::RestartPlacer(placer) => self.restart(placer)?,
-            Action::SendGarbage(workers) => self.workers.order(WorkerCommand::SendGarbage(workers)),
+            Action::SendGarbage(workers) => self.workers.send(WorkerCommand::SendGarbage(workers)),
         }
         Ok(())
     }
@@ -323,7 +323,7 @@
         }
         self.clients.doom(placer, false);
         self.clients
-            .order(ClientCommand::PlacerStarted(placer, address));
+            .send(ClientCommand::PlacerStarted(placer, address));
         Ok(())
     }
 
--- a/crates/scale-test/src/wire/description.rs
+++ b/crates/scale-test/src/wire/description.rs
@@ -11,7 +11,7 @@
     /// Memory it holds.
     pub memory: f64,
     /// How long it stands.
-    pub life: Duration,
+    pub lifetime: Duration,
     /// Whether it must not start twice.
     pub once: bool,
 }
@@ -22,12 +22,12 @@
         let TaskShape {
             cores,
             memory,
-            life,
+            lifetime,
             once,
         } = self;
         format!(
             "cores={cores} memory={memory} life-us={} once={once}",
-            life.as_micros()
+            lifetime.as_micros()
         )
     }
 
@@ -42,7 +42,7 @@
         Some(TaskShape {
             cores: figure(field(text, "cores")?)?,
             memory: figure(field(text, "memory")?)?,
-            life: Duration::from_micros(field(text, "life-us")?.parse().ok()?),
+            lifetime: Duration::from_micros(field(text, "life-us")?.parse().ok()?),
             once: field(text, "once")?.parse().ok()?,
         })
     }
--- a/crates/scale-test/src/wire/lines.rs
+++ b/crates/scale-test/src/wire/lines.rs
@@ -144,7 +144,7 @@
 }
 
 /// Writes that a test has passed.
-pub fn test_passed(out: &mut Vec<u8>, id: SetupId) {
+pub fn health_check_passed(out: &mut Vec<u8>, id: SetupId) {
     line(
         out,
         format_args!(r#"{{"t":"hb_ok","ref":"{id}","f":{{}},"c":1}}"#),
--- a/crates/scale-test/src/wire/tests.rs
+++ b/crates/scale-test/src/wire/tests.rs
@@ -117,7 +117,7 @@
     lines::up(&mut out, id(), &description::write_answer(WorkerId(9)));
     lines::full(&mut out, id(), NoCapacity::Memory);
     lines::down(&mut out, id(), cause::NORMAL);
-    lines::test_passed(&mut out, id());
+    lines::health_check_passed(&mut out, id());
     let text = String::from_utf8(out).expect("text");
     let values: Vec<serde_json::Value> = text
         .lines()
@@ -137,7 +137,7 @@
     let shape = TaskShape {
         cores: 1.5,
         memory: 2.0,
-        life: Duration::from_micros(12_345_678),
+        lifetime: Duration::from_micros(12_345_678),
         once: true,
     };
     assert_eq!(TaskShape::read(&shape.write()), Some(shape));
--- a/crates/scale-test/src/workers.rs
+++ b/crates/scale-test/src/workers.rs
@@ -1,13 +1,13 @@
 //! Thousands of hollow workers on a few threads.
 //!
-//! Each placer reaches each worker at an address of the worker and a port of the placer and the worker's
-//! zone, so that one listening socket serves all workers of a zone, and the port tells who calls. What the
-//! workers hold is in [`fleet::Fleet`], which knows nothing of sockets; `thread::WorkerThread` moves
-//! messages between it and the connections. Zones share nothing, so that each thread has the workers of some
-//! zones to itself.
+//! A placer reaches a worker at an address of the worker and a port of the placer and the worker's zone. One
+//! listening socket therefore serves all workers of a zone, and the port identifies the calling placer. The
+//! state of the workers is in [`fleet::Fleet`], which does no I/O; `thread::WorkerThread` moves messages between
+//! it and the connections. Zones share nothing, so each thread owns all workers of some zones.
 
 mod connections;
 pub mod fleet;
+mod replies;
 mod task_records;
 mod thread;
 
@@ -27,72 +27,72 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A task that stands at the start.
+/// A task that runs when the test starts.
 #[derive(Debug, Clone, Copy)]
 pub struct RunningTask {
-    /// Which.
+    /// The task.
     pub task: TaskIndex,
-    /// Where.
+    /// The worker that runs it.
     pub worker: WorkerId,
-    /// Whose.
+    /// The placer that owns it.
     pub placer: PlacerId,
-    /// What it holds, and how long it still stands.
+    /// Its resources and its remaining lifetime.
     pub shape: TaskShape,
 }
 
-/// What the workers are told to do.
+/// A command to the workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerCommand {
-    /// Tasks that stand at the start begin to live.
+    /// Starts the lifetimes of the tasks that run at the start.
     StartLifetimes,
-    /// All workers of a zone vanish.
+    /// Crashes all workers of a zone.
     CrashZone(ZoneId),
-    /// They are back, holding nothing.
+    /// Restores all workers of a zone, with no tasks.
     RestoreZone(ZoneId),
-    /// So many workers send bytes that are no message on all their connections.
+    /// Makes so many workers send invalid bytes on all their connections.
     SendGarbage(u32),
-    /// No task ends from now on: what has ended is to be heard.
+    /// Stops tasks from ending, so that pending ends can be delivered.
     StopEndingTasks,
-    /// The thread ends.
+    /// Stops the thread.
     Stop,
 }
 
-/// What the workers have in hand just now.
+/// The present load of the workers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerState {
-    /// Tasks that stand or start.
+    /// Tasks that start or run.
     pub active_tasks: usize,
-    /// Ends that placers have not confirmed.
+    /// Ends that placers have not acknowledged.
     pub unacknowledged: usize,
-    /// Connections of placers.
+    /// Open connections of placers.
     pub connections: usize,
 }
 
-/// What the workers noted, and how well they did.
+/// What the workers recorded, and how late they were.
 pub struct WorkerReport {
-    /// What they noted.
+    /// What they recorded.
     pub audit: WorkerAudit,
-    /// From when an answer was due to when it was sent.
+    /// The time from when an answer was due to when it was sent.
     pub lateness: LatencyHistogram,
 }
 
-/// How all workers are set up.
+/// The setup that all workers share.
 #[derive(Debug, Clone)]
 pub struct WorkerSetup {
-    /// How many.
+    /// The number of workers.
     pub workers: u32,
-    /// In so many zones.
+    /// The number of zones.
     pub zones: u32,
-    /// The cores of each.
+    /// The cores of each worker.
     pub cores: f64,
-    /// The memory of each.
+    /// The memory of each worker.
     pub memory: f64,
-    /// Time from an offer to its answer.
+    /// The time from an offer to its answer.
     pub start_time: Duration,
 }
 
 impl WorkerSetup {
-    /// As the settings say.
+    /// Returns the setup that the settings describe.
     pub fn of(settings: &Settings) -> WorkerSetup {
         WorkerSetup {
             workers: settings.workers,
@@ -104,12 +104,12 @@
     }
 }
 
-/// Threads at the most: with more, placers on the same machine have less of it.
+/// The largest number of threads. More would take processor time from the placers on this machine.
 const MAX_THREADS: usize = 4;
 
-/// One thread with the workers of some zones.
+/// One thread, which owns the workers of some zones.
 struct Group {
-    orders: Sender<WorkerCommand>,
+    commands: Sender<WorkerCommand>,
     state: Arc<Mutex<WorkerState>>,
     thread: PeerThread<WorkerReport>,
 }
@@ -121,7 +121,7 @@
 }
 
 impl Workers {
-    /// Starts them, with the tasks that stand.
+    /// Starts the workers, with the tasks that run at the start.
     ///
     /// # Errors
     ///
@@ -137,43 +137,35 @@
             .iter()
             .map(|zones| zones.iter().map(LoopbackListener::port).collect())
             .collect();
-        let count = MAX_THREADS.min(setup.zones as usize).max(1);
-        let mut dealt: Vec<Vec<ZoneListener>> = (0..count).map(|_| Vec::new()).collect();
-        for (placer, zones) in (0_u16..).map(PlacerId).zip(listeners) {
-            for (zone, socket) in (0_u32..).map(ZoneId).zip(zones) {
-                if let Some(group) = dealt.get_mut(group_of(zone, count)) {
-                    group.push(ZoneListener {
-                        placer,
-                        zone,
-                        socket,
-                    });
-                }
-            }
-        }
+        let group_count = MAX_THREADS.min(setup.zones as usize).max(1);
         let mut groups = Vec::new();
-        for (number, listeners) in dealt.into_iter().enumerate() {
-            let here =
-                |task: &&RunningTask| group_of(task.worker.zone(setup.zones), count) == number;
-            let running_tasks: Vec<RunningTask> =
-                running_tasks.iter().filter(here).copied().collect();
-            let shared = GroupParts {
+        for (number, listeners) in listeners_by_group(listeners, group_count)
+            .into_iter()
+            .enumerate()
+        {
+            let in_group = |task: &&RunningTask| {
+                group_of(task.worker.zone(setup.zones), group_count) == number
+            };
+            let tasks_of_group: Vec<RunningTask> =
+                running_tasks.iter().filter(in_group).copied().collect();
+            let resources = GroupResources {
                 counters: counters.to_vec(),
                 feeds: feeds.clone(),
                 listeners,
             };
-            groups.push(Group::start(number, setup, &running_tasks, shared)?);
+            groups.push(Group::start(number, setup, &tasks_of_group, resources)?);
         }
         Ok(Workers { groups, ports })
     }
 
-    /// The port at which a placer reaches the workers of each zone.
+    /// Returns the ports at which a placer reaches the workers, by zone.
     pub fn ports(&self, placer: PlacerId) -> &[u16] {
         self.ports.get(placer.index()).map_or(&[], Vec::as_slice)
     }
 
-    /// Tells them something: of a zone to those who have it, garbage to the first, the rest to all.
-    pub fn order(&self, order: WorkerCommand) {
-        let only = match order {
+    /// Sends a command: for a zone to the thread that owns it, for garbage to the first, else to all.
+    pub fn send(&self, command: WorkerCommand) {
+        let only_group = match command {
             WorkerCommand::CrashZone(zone) | WorkerCommand::RestoreZone(zone) => {
                 Some(group_of(zone, self.groups.len()))
             }
@@ -182,15 +174,14 @@
             | WorkerCommand::StopEndingTasks
             | WorkerCommand::Stop => None,
         };
-        let told = self
-            .groups
+        self.groups
             .iter()
             .enumerate()
-            .filter(|(n, _)| only.is_none_or(|only| only == *n));
-        told.for_each(|(_, group)| group.orders.send(order));
+            .filter(|(number, _)| only_group.is_none_or(|only| only == *number))
+            .for_each(|(_, group)| group.commands.send(command));
     }
 
-    /// What they have in hand.
+    /// Returns the present load of all workers.
     pub fn state(&self) -> WorkerState {
         let mut all = WorkerState::default();
         for group in &self.groups {
@@ -202,27 +193,27 @@
         all
     }
 
-    /// The error on which a thread of theirs has ended, if one has.
+    /// Returns the error on which a worker thread has ended, if one has.
     pub fn failure(&mut self) -> Option<io::Error> {
         self.groups
             .iter_mut()
             .find_map(|group| group.thread.failure())
     }
 
-    /// Ends them; what they noted.
+    /// Stops the workers and returns what they recorded.
     ///
     /// # Errors
     ///
     /// Returns the first error with which a thread ended.
     pub fn stop(mut self) -> io::Result<WorkerReport> {
-        self.order(WorkerCommand::Stop);
+        self.send(WorkerCommand::Stop);
         let mut all = WorkerReport {
             audit: WorkerAudit::default(),
             lateness: LatencyHistogram::new()?,
         };
         for group in &mut self.groups {
             let report = group.thread.join()?;
-            all.audit.add(&report.audit);
+            all.audit.merge(&report.audit);
             all.lateness.merge(&report.lateness);
         }
         Ok(all)
@@ -231,16 +222,16 @@
 
 impl Drop for Workers {
     fn drop(&mut self) {
-        self.order(WorkerCommand::Stop);
-        // They have ended already where the run came to its end.
+        self.send(WorkerCommand::Stop);
+        // After `stop` the threads have ended already.
         self.groups
             .iter_mut()
             .for_each(|group| drop(group.thread.join()));
     }
 }
 
-/// What one thread takes part with.
-struct GroupParts {
+/// What one thread needs beside its workers.
+struct GroupResources {
     counters: Vec<Arc<PlacerCounters>>,
     feeds: Sender<FeedCommand>,
     listeners: Vec<ZoneListener>,
@@ -251,52 +242,72 @@
         number: usize,
         setup: &WorkerSetup,
         running_tasks: &[RunningTask],
-        parts: GroupParts,
+        resources: GroupResources,
     ) -> io::Result<Group> {
-        let GroupParts {
+        let GroupResources {
             counters,
             feeds,
             listeners,
-        } = parts;
+        } = resources;
         let poll = Poll::new()?;
-        let (orders, taken) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
+        let (commands, received) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
         let state = Arc::default();
         let mut fleet = fleet::Fleet::new(setup.clone(), running_tasks);
-        // Before any placer starts: its configuration shows what stands.
+        // Sent before any placer starts, whose configuration lists the free capacity.
         feeds.send(FeedCommand::UpdateResources(fleet.take_changed_resources()));
         let shared = thread::Shared {
             counters,
             feeds,
-            orders: taken,
+            commands: received,
             state: Arc::clone(&state),
         };
         let running = thread::WorkerThread::new(poll, fleet, listeners, shared)?;
         let thread = PeerThread::spawn(&format!("workers-{number}"), move || running.run())?;
         Ok(Group {
-            orders,
+            commands,
             state,
             thread,
         })
     }
 }
 
-/// The thread that has the workers of a zone.
+/// Returns the number of the thread that owns a zone.
 fn group_of(zone: ZoneId, groups: usize) -> usize {
     zone.0 as usize % groups.max(1)
 }
 
-/// A socket that listens for the calls of one placer to the workers of one zone.
+/// A socket for the connections of one placer to the workers of one zone.
 pub struct ZoneListener {
-    /// Whose calls.
+    /// The placer that connects.
     pub placer: PlacerId,
-    /// To which workers.
+    /// The zone of the workers.
     pub zone: ZoneId,
     /// The socket.
     pub socket: LoopbackListener,
 }
 
-/// The listeners of each placer, by zone.
+/// Opens the listeners of each placer, by zone.
 fn open_listeners(placers: usize, zones: u32) -> io::Result<Vec<Vec<LoopbackListener>>> {
     let for_zones = || (0..zones).map(|_| LoopbackListener::open()).collect();
     (0..placers).map(|_| for_zones()).collect()
 }
+
+/// Sorts the listeners by the thread that owns their zone.
+fn listeners_by_group(
+    listeners: Vec<Vec<LoopbackListener>>,
+    group_count: usize,
+) -> Vec<Vec<ZoneListener>> {
+    let mut by_group: Vec<Vec<ZoneListener>> = (0..group_count).map(|_| Vec::new()).collect();
+    for (placer, zones) in (0_u16..).map(PlacerId).zip(listeners) {
+        for (zone, socket) in (0_u32..).map(ZoneId).zip(zones) {
+            if let Some(group) = by_group.get_mut(group_of(zone, group_count)) {
+                group.push(ZoneListener {
+                    placer,
+                    zone,
+                    socket,
+                });
+            }
+        }
+    }
+    by_group
+}
--- a/crates/scale-test/src/workers/connections.rs
+++ b/crates/scale-test/src/workers/connections.rs
@@ -1,44 +1,44 @@
-//! The connections of placers to workers, and which of them reach a worker.
+//! The connections of placers to hollow workers, and which of them reaches a worker.
 
 use crate::identity::{PlacerId, SetupId, WorkerId};
 use crate::socket::Connection;
 use slab::Slab;
 use std::collections::HashMap;
 
-/// A connection, told apart from another that takes its place in the table.
+/// Identifies a connection, also after its slot is used again.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionId {
-    /// Its place in the table.
-    pub place: usize,
+    /// The slot in the table.
+    pub slot: usize,
     serial: u64,
 }
 
 /// One connection of a placer to a worker.
 pub struct WorkerConnection {
-    /// The connection itself.
+    /// The socket.
     pub connection: Connection,
-    /// Who was called.
+    /// The worker that was called.
     pub worker: WorkerId,
-    /// Who called.
+    /// The placer that called.
     pub placer: PlacerId,
-    /// Offers on it that were not answered yet.
-    pub open: Vec<SetupId>,
-    /// Bytes that are no message were sent on it.
-    pub garbage: bool,
+    /// Offers received on it that are not answered yet.
+    pub pending_offers: Vec<SetupId>,
+    /// Whether invalid bytes were sent on it.
+    pub garbage_sent: bool,
     serial: u64,
 }
 
-/// All connections.
+/// All connections, by slot and by worker and placer.
 #[derive(Default)]
 pub struct Connections {
     table: Slab<WorkerConnection>,
     by_pair: HashMap<(WorkerId, PlacerId), Vec<usize>>,
-    next: u64,
+    next_serial: u64,
 }
 
 impl Connections {
-    /// The place that the next connection gets.
-    pub fn next_place(&self) -> usize {
+    /// Returns the slot that the next connection gets.
+    pub fn next_slot(&self) -> usize {
         self.table.vacant_key()
     }
 
@@ -49,77 +49,74 @@
         worker: WorkerId,
         placer: PlacerId,
     ) -> ConnectionId {
-        let serial = self.next;
-        self.next += 1;
-        let (open, garbage) = (Vec::new(), false);
-        let place = self.table.insert(WorkerConnection {
+        let serial = self.next_serial;
+        self.next_serial += 1;
+        let slot = self.table.insert(WorkerConnection {
             connection,
             worker,
             placer,
-            open,
-            garbage,
+            pending_offers: Vec::new(),
+            garbage_sent: false,
             serial,
         });
-        self.by_pair
-            .entry((worker, placer))
-            .or_default()
-            .push(place);
-        ConnectionId { place, serial }
+        self.by_pair.entry((worker, placer)).or_default().push(slot);
+        ConnectionId { slot, serial }
     }
 
-    /// Takes a connection out.
-    pub fn remove(&mut self, place: usize) -> Option<WorkerConnection> {
-        let removed = self.table.try_remove(place)?;
+    /// Removes and returns a connection.
+    pub fn remove(&mut self, slot: usize) -> Option<WorkerConnection> {
+        let removed = self.table.try_remove(slot)?;
         let pair = (removed.worker, removed.placer);
-        if let Some(places) = self.by_pair.get_mut(&pair) {
-            places.retain(|other| *other != place);
-            if places.is_empty() {
+        if let Some(slots) = self.by_pair.get_mut(&pair) {
+            slots.retain(|other| *other != slot);
+            if slots.is_empty() {
                 self.by_pair.remove(&pair);
             }
         }
         Some(removed)
     }
 
-    /// A connection by its place.
-    pub fn get_mut(&mut self, place: usize) -> Option<&mut WorkerConnection> {
-        self.table.get_mut(place)
+    /// Returns the connection in a slot.
+    pub fn get_mut(&mut self, slot: usize) -> Option<&mut WorkerConnection> {
+        self.table.get_mut(slot)
     }
 
-    /// The identity of the connection at a place.
-    pub fn id(&self, place: usize) -> Option<ConnectionId> {
-        self.table.get(place).map(|connection| ConnectionId {
-            place,
+    /// Returns the identity of the connection in a slot.
+    pub fn id(&self, slot: usize) -> Option<ConnectionId> {
+        self.table.get(slot).map(|connection| ConnectionId {
+            slot,
             serial: connection.serial,
         })
     }
 
-    /// Where a worker reaches a placer: on this connection, else on the latest that is open.
-    pub fn reach(
+    /// Returns the slot through which a worker reaches a placer: the preferred connection while it is open,
+    /// else the latest one.
+    pub fn route(
         &self,
         worker: WorkerId,
         placer: PlacerId,
         preferred: Option<ConnectionId>,
     ) -> Option<usize> {
         if let Some(id) = preferred
-            && self.id(id.place) == Some(id)
+            && self.id(id.slot) == Some(id)
         {
-            return Some(id.place);
+            return Some(id.slot);
         }
         self.by_pair
             .get(&(worker, placer))
-            .and_then(|places| places.last().copied())
+            .and_then(|slots| slots.last().copied())
     }
 
-    /// The places of all connections for which this holds.
-    pub fn places(&self, wanted: impl Fn(&WorkerConnection) -> bool) -> Vec<usize> {
+    /// Returns the slots of all connections that match.
+    pub fn slots_where(&self, matches: impl Fn(&WorkerConnection) -> bool) -> Vec<usize> {
         self.table
             .iter()
-            .filter(|(_, found)| wanted(found))
-            .map(|(place, _)| place)
+            .filter(|(_, connection)| matches(connection))
+            .map(|(slot, _)| slot)
             .collect()
     }
 
-    /// How many there are.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.table.len()
     }
--- a/crates/scale-test/src/workers/fleet.rs
+++ b/crates/scale-test/src/workers/fleet.rs
@@ -1,30 +1,33 @@
-//! What the workers hold: pure, and the only place that decides what a worker says.
+//! The state of all hollow workers: their free capacity and their tasks.
+//!
+//! Pure: time is an argument, and there is no I/O. This is the only place that decides what a worker replies.
 
+mod zone_faults;
+
+use super::replies::{ActiveTaskId, OfferReply, ReleaseReply};
 use super::task_records::WorkerAudit;
 use super::{RunningTask, WorkerSetup};
 use crate::feeds::FreeResources;
-use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId, ZoneId};
+use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId};
 use crate::wire::cause;
 use crate::wire::description::TaskShape;
 use crate::wire::lines::{NoCapacity, Offer};
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// An offer or a task at a worker: the same set-up may come to several workers.
-pub type ActiveTaskId = (WorkerId, SetupId);
-/// Rounding may leave a task short of so little room.
-const ROUNDING: f64 = 1e-9;
-/// The most tasks that a run can name: a bound on what a placer can make the books hold.
+/// Capacity that a task may lack because of floating-point rounding.
+const CAPACITY_ROUNDING: f64 = 1e-9;
+/// The largest number of tasks in a run. Bounds the memory that a placer can make the audit use.
 const MAX_TASKS: u32 = 20_000_000;
 
-/// How far a task is at its worker.
+/// The phase of a task at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TaskPhase {
-    /// It starts; its placer waits.
+    /// The task starts; its placer waits for the answer.
     Starting,
-    /// It stands.
+    /// The task runs.
     Running,
-    /// It is over, with this cause, and its placer has not confirmed that yet.
+    /// The task has ended with this cause, and its placer has not acknowledged the end.
     Ended(u8),
 }
 
@@ -41,67 +44,41 @@
     free_cores: f64,
     free_memory: f64,
     is_removed: bool,
-    /// Whether it has come back cold.
-    restarted: bool,
-}
-
-/// What a worker says to an offer.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum OfferReply {
-    /// It starts the task, and answers after this time.
-    Starts {
-        /// How long that takes.
-        after: Duration,
-    },
-    /// It is full.
-    Full(NoCapacity),
-    /// The offer can't be read.
-    Unreadable,
-    /// It holds the task already, or is not there: it says nothing.
-    Silent,
+    /// Whether the worker has been restored after a zone crash.
+    is_restored: bool,
 }
 
-/// What a worker says to a placer's release.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReleaseReply {
-    /// Nothing: the offer is forgotten, or was never known.
-    Nothing,
-    /// The task that stood is over, with this cause.
-    Ended(u8),
-}
-
-/// What comes due for a task.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TaskTimer {
-    /// Its answer.
-    Answer,
-    /// Its end.
-    End,
+/// Whether a task takes capacity of a worker or gives it back.
+#[derive(Debug, Clone, Copy)]
+enum CapacityChange {
+    Reserve,
+    Release,
 }
 
-/// All workers, and what they hold.
+/// All workers and their tasks.
 pub struct Fleet {
     setup: WorkerSetup,
     workers: Vec<Worker>,
     active_tasks: HashMap<ActiveTaskId, ActiveTask>,
-    /// Ends that placers have not confirmed.
+    /// Ends that placers have not acknowledged.
     unacknowledged: HashMap<(WorkerId, PlacerId), Vec<SetupId>>,
     unacknowledged_count: usize,
     active_count: usize,
+    /// Workers whose free capacity has changed since it was last taken.
     changed: BTreeSet<WorkerId>,
-    frozen: bool,
-    /// What was noted so far.
+    tasks_may_end: bool,
+    /// What has been recorded so far.
     pub audit: WorkerAudit,
 }
 
 impl Fleet {
-    /// Workers that hold these tasks.
+    /// Returns workers that run these tasks.
     pub fn new(setup: WorkerSetup, running_tasks: &[RunningTask]) -> Fleet {
         let worker = Worker {
             free_cores: setup.cores,
             free_memory: setup.memory,
             is_removed: false,
-            restarted: false,
+            is_restored: false,
         };
         let mut fleet = Fleet {
             workers: vec![worker; setup.workers as usize],
@@ -111,95 +88,93 @@
             unacknowledged_count: 0,
             active_count: 0,
             changed: BTreeSet::new(),
-            frozen: false,
+            tasks_may_end: true,
             audit: WorkerAudit::default(),
         };
-        for RunningTask {
-            task,
-            worker,
-            placer,
-            shape,
-        } in running_tasks
-        {
+        for running in running_tasks {
             let active_task = ActiveTask {
-                task: *task,
-                placer: *placer,
-                shape: *shape,
+                task: running.task,
+                placer: running.placer,
+                shape: running.shape,
                 phase: TaskPhase::Running,
             };
-            fleet.add_active((*worker, SetupId::new(*task, 0)), active_task);
-            fleet.audit.note(*task, |book| book.starts += 1);
+            fleet.add_active((running.worker, SetupId::new(running.task, 0)), active_task);
+            fleet
+                .audit
+                .update(running.task, |record| record.starts += 1);
         }
         fleet
     }
 
-    /// How all workers are set up.
+    /// Returns the setup that all workers share.
     pub fn setup(&self) -> &WorkerSetup {
         &self.setup
     }
 
-    /// Tasks that stand or start.
+    /// Returns the number of tasks that start or run.
     pub fn active_count(&self) -> usize {
         self.active_count
     }
 
-    /// Ends that placers have not confirmed.
+    /// Returns the number of ends that placers have not acknowledged.
     pub fn unacknowledged_count(&self) -> usize {
         self.unacknowledged_count
     }
 
-    /// Whether a worker is not there.
-    pub fn gone(&self, worker: WorkerId) -> bool {
+    /// Returns whether a worker does not exist or is down.
+    pub fn is_removed(&self, worker: WorkerId) -> bool {
         self.workers
             .get(worker.index())
             .is_none_or(|worker| worker.is_removed)
     }
 
-    /// The rooms that have changed since the last look.
+    /// Returns the free capacity of the workers where it has changed since the last call.
     pub fn take_changed_resources(&mut self) -> Vec<FreeResources> {
         let changed = std::mem::take(&mut self.changed).into_iter();
-        let rooms = changed.filter_map(|worker| {
-            let Worker {
-                free_cores,
-                free_memory,
-                ..
-            } = *self.workers.get(worker.index())?;
+        let resources = changed.filter_map(|id| {
+            let worker = self.workers.get(id.index())?;
             Some(FreeResources {
-                worker,
-                free_cores,
-                free_memory,
+                worker: id,
+                free_cores: worker.free_cores,
+                free_memory: worker.free_memory,
             })
         });
-        rooms.collect()
+        resources.collect()
     }
 
-    /// The tasks that stand, and how long each still does.
-    pub fn lives(&self) -> impl Iterator<Item = (ActiveTaskId, Duration)> {
-        let running_tasks = self
+    /// Returns the running tasks with their remaining lifetimes.
+    pub fn remaining_lifetimes(&self) -> impl Iterator<Item = (ActiveTaskId, Duration)> {
+        let running = self
             .active_tasks
             .iter()
             .filter(|(_, active_task)| active_task.phase == TaskPhase::Running);
-        running_tasks.map(|(id, active_task)| (*id, active_task.shape.life))
+        running.map(|(id, active_task)| (*id, active_task.shape.lifetime))
     }
 
+    // ---- Capacity ----
+
     fn add_active(&mut self, id: ActiveTaskId, active_task: ActiveTask) {
         self.active_tasks.insert(id, active_task);
         self.audit
-            .note(active_task.task, |book| book.active_copies += 1);
+            .update(active_task.task, |record| record.active_copies += 1);
         self.active_count += 1;
-        self.use_capacity(id.0, active_task.shape, 1.0);
+        self.change_capacity(id.0, active_task.shape, CapacityChange::Reserve);
     }
 
-    /// A task gives its room back.
+    /// Gives the capacity of a task back.
     fn release_capacity(&mut self, worker: WorkerId, active_task: &ActiveTask) {
-        self.audit.note(active_task.task, |book| {
-            book.active_copies = book.active_copies.saturating_sub(1)
+        self.audit.update(active_task.task, |record| {
+            record.active_copies = record.active_copies.saturating_sub(1)
         });
         self.active_count = self.active_count.saturating_sub(1);
-        self.use_capacity(worker, active_task.shape, -1.0);
+        self.change_capacity(worker, active_task.shape, CapacityChange::Release);
     }
 
-    fn use_capacity(&mut self, id: WorkerId, shape: TaskShape, sign: f64) {
+    fn change_capacity(&mut self, id: WorkerId, shape: TaskShape, change: CapacityChange) {
+        let sign = match change {
+            CapacityChange::Reserve => 1.0,
+            CapacityChange::Release => -1.0,
+        };
         if let Some(worker) = self.workers.get_mut(id.index()) {
             worker.free_cores -= sign * shape.cores;
             worker.free_memory -= sign * shape.memory;
@@ -207,7 +182,9 @@
         }
     }
 
-    /// A placer offers a task.
+    // ---- Start ----
+
+    /// Handles a placer's offer of a task.
     pub fn offer(&mut self, id: WorkerId, placer: PlacerId, offer: &Offer) -> OfferReply {
         let Some(worker) = self
             .workers
@@ -226,53 +203,50 @@
             self.audit.bad_offers += 1;
             return OfferReply::Silent;
         }
-        let why = if worker.free_cores + ROUNDING < shape.cores {
-            Some(NoCapacity::Cores)
-        } else {
-            (worker.free_memory + ROUNDING < shape.memory).then_some(NoCapacity::Memory)
-        };
-        if let Some(why) = why {
-            self.audit
-                .note(task, |book| book.refusals = book.refusals.saturating_add(1));
-            return OfferReply::Full(why);
+        if let Some(reason) = worker.missing_capacity(shape) {
+            self.audit.update(task, |record| {
+                record.refusals = record.refusals.saturating_add(1)
+            });
+            return OfferReply::Full(reason);
         }
-        self.add_active(
-            (id, offer.id),
-            ActiveTask {
-                task,
-                placer,
-                shape,
-                phase: TaskPhase::Starting,
-            },
-        );
+        let active_task = ActiveTask {
+            task,
+            placer,
+            shape,
+            phase: TaskPhase::Starting,
+        };
+        self.add_active((id, offer.id), active_task);
         OfferReply::Starts {
             after: self.setup.start_time,
         }
     }
 
-    /// The answer of a task is due: how long it stands from now on, if it still starts.
-    pub fn answer(&mut self, id: ActiveTaskId) -> Option<Duration> {
+    /// Completes the start of a task. Returns its lifetime from now on, if it was starting.
+    pub fn complete_start(&mut self, id: ActiveTaskId) -> Option<Duration> {
         let active_task = self
             .active_tasks
             .get_mut(&id)
             .filter(|active_task| active_task.phase == TaskPhase::Starting)?;
         active_task.phase = TaskPhase::Running;
-        let (task, life) = (active_task.task, active_task.shape.life);
-        self.audit
-            .note(task, |book| book.starts = book.starts.saturating_add(1));
+        let (task, lifetime) = (active_task.task, active_task.shape.lifetime);
+        self.audit.update(task, |record| {
+            record.starts = record.starts.saturating_add(1)
+        });
         if self
             .workers
             .get(id.0.index())
-            .is_some_and(|worker| worker.restarted)
+            .is_some_and(|worker| worker.is_restored)
         {
             self.audit.starts_after_return += 1;
         }
-        Some(life)
+        Some(lifetime)
     }
 
-    /// The end of a task is due: its placer, if it still stands and tasks may end.
-    pub fn end(&mut self, id: ActiveTaskId) -> Option<PlacerId> {
-        if self.frozen {
+    // ---- End ----
+
+    /// Ends a task at the end of its lifetime. Returns its placer, if it runs and tasks may end.
+    pub fn end_task(&mut self, id: ActiveTaskId) -> Option<PlacerId> {
+        if !self.tasks_may_end {
             return None;
         }
         let active_task = self
@@ -280,23 +254,21 @@
             .get(&id)
             .copied()
             .filter(|active_task| active_task.phase == TaskPhase::Running)?;
-        self.audit.note(active_task.task, |book| {
-            book.ended = book.ended.saturating_add(1)
+        self.audit.update(active_task.task, |record| {
+            record.ended = record.ended.saturating_add(1)
         });
         self.finish(id, &active_task, cause::NORMAL);
         Some(active_task.placer)
     }
 
-    /// A task that stood is over; its placer is to hear of it.
+    /// Marks a running task as ended until its placer acknowledges it.
     fn finish(&mut self, id: ActiveTaskId, active_task: &ActiveTask, cause: u8) {
         self.release_capacity(id.0, active_task);
-        self.active_tasks.insert(
-            id,
-            ActiveTask {
-                phase: TaskPhase::Ended(cause),
-                ..*active_task
-            },
-        );
+        let ended = ActiveTask {
+            phase: TaskPhase::Ended(cause),
+            ..*active_task
+        };
+        self.active_tasks.insert(id, ended);
         self.unacknowledged
             .entry((id.0, active_task.placer))
             .or_default()
@@ -304,19 +276,19 @@
         self.unacknowledged_count += 1;
     }
 
-    /// A placer gives an offer up, or ends a task.
+    /// Handles a placer's release: withdraws an offer, or cancels a running task.
     pub fn release(&mut self, id: ActiveTaskId) -> ReleaseReply {
         let Some(active_task) = self.active_tasks.get(&id).copied() else {
             return ReleaseReply::Nothing;
         };
         match active_task.phase {
             TaskPhase::Starting => {
-                self.forget_offer(id);
+                self.withdraw_offer(id);
                 ReleaseReply::Nothing
             }
             TaskPhase::Running => {
-                self.audit.note(active_task.task, |book| {
-                    book.cut = book.cut.saturating_add(1)
+                self.audit.update(active_task.task, |record| {
+                    record.cancelled = record.cancelled.saturating_add(1)
                 });
                 self.finish(id, &active_task, cause::CANCELLED);
                 ReleaseReply::Ended(cause::CANCELLED)
@@ -325,8 +297,8 @@
         }
     }
 
-    /// An offer that was not answered yet is given up, or its connection has ended.
-    pub fn forget_offer(&mut self, id: ActiveTaskId) {
+    /// Drops an offer that is not answered yet: it was withdrawn, or its connection has closed.
+    pub fn withdraw_offer(&mut self, id: ActiveTaskId) {
         if let Some(active_task) = self
             .active_tasks
             .get(&id)
@@ -338,8 +310,8 @@
         }
     }
 
-    /// A placer confirms the end of a task.
-    pub fn heard(&mut self, id: ActiveTaskId, now: Instant) {
+    /// Records that a placer acknowledged the end of a task.
+    pub fn acknowledge_end(&mut self, id: ActiveTaskId, now: Instant) {
         let Some(active_task) = self.active_tasks.get(&id).copied() else {
             return;
         };
@@ -347,91 +319,49 @@
             return;
         }
         self.active_tasks.remove(&id);
-        self.audit
-            .note(active_task.task, |book| book.heard = Some(now));
-        let key = (id.0, active_task.placer);
-        let Some(ids) = self.unacknowledged.get_mut(&key) else {
+        self.audit.update(active_task.task, |record| {
+            record.end_acknowledged_at = Some(now)
+        });
+        let pair = (id.0, active_task.placer);
+        let Some(ids) = self.unacknowledged.get_mut(&pair) else {
             return;
         };
         let before = ids.len();
         ids.retain(|other| *other != id.1);
         self.unacknowledged_count = self.unacknowledged_count.saturating_sub(before - ids.len());
         if ids.is_empty() {
-            self.unacknowledged.remove(&key);
+            self.unacknowledged.remove(&pair);
         }
     }
 
-    /// The ends at a worker that a placer has not confirmed, with their causes: a new connection begins with
-    /// them.
+    /// Returns the ends at a worker that a placer has not acknowledged, with their causes. They are sent again
+    /// on each new connection.
     pub fn unacknowledged(&self, worker: WorkerId, placer: PlacerId) -> Vec<(SetupId, u8)> {
         let ids = self
             .unacknowledged
             .get(&(worker, placer))
             .into_iter()
             .flatten();
-        let over = ids.filter_map(|id| match self.active_tasks.get(&(worker, *id))?.phase {
+        let ended = ids.filter_map(|id| match self.active_tasks.get(&(worker, *id))?.phase {
             TaskPhase::Ended(cause) => Some((*id, cause)),
             TaskPhase::Starting | TaskPhase::Running => None,
         });
-        over.collect()
-    }
-
-    /// All workers of a zone vanish with what they hold.
-    pub fn vanish(&mut self, zone: ZoneId) {
-        let zones = self.setup.zones;
-        let lost = |id: &ActiveTaskId| id.0.zone(zones) == zone;
-        let ids: Vec<ActiveTaskId> = self.active_tasks.keys().copied().filter(lost).collect();
-        for id in ids {
-            let Some(active_task) = self.active_tasks.remove(&id) else {
-                continue;
-            };
-            if !matches!(active_task.phase, TaskPhase::Ended(_)) {
-                self.audit.note(active_task.task, |book| {
-                    book.vanished = book.vanished.saturating_add(1)
-                });
-                self.release_capacity(id.0, &active_task);
-            }
-        }
-        self.unacknowledged.retain(|(worker, _), ids| {
-            let keep = worker.zone(zones) != zone;
-            self.unacknowledged_count -= if keep { 0 } else { ids.len() };
-            keep
-        });
-        self.in_zone(zone, |worker| worker.is_removed = true);
-        // Nobody sees a machine that has vanished give its room back.
-        self.changed.retain(|worker| worker.zone(zones) != zone);
-    }
-
-    /// They are back, holding nothing.
-    pub fn restore_zone(&mut self, zone: ZoneId) {
-        let (free_cores, free_memory) = (self.setup.cores, self.setup.memory);
-        self.in_zone(zone, |worker| {
-            *worker = Worker {
-                free_cores,
-                free_memory,
-                is_removed: false,
-                restarted: true,
-            };
-        });
-        let zones = self.setup.zones;
-        let back = (0..self.setup.workers)
-            .map(WorkerId)
-            .filter(|worker| worker.zone(zones) == zone);
-        self.changed.extend(back);
+        ended.collect()
     }
 
-    fn in_zone(&mut self, zone: ZoneId, change: impl Fn(&mut Worker)) {
-        let step = self.setup.zones.max(1) as usize;
-        self.workers
-            .iter_mut()
-            .skip(zone.0 as usize)
-            .step_by(step)
-            .for_each(change);
+    /// Stops tasks from ending by themselves, so that every end can be delivered before the audit.
+    pub fn stop_ending_tasks(&mut self) {
+        self.tasks_may_end = false;
     }
+}
 
-    /// No task ends by itself from now on.
-    pub fn freeze(&mut self) {
-        self.frozen = true;
+impl Worker {
+    /// Returns the resource that a task lacks at this worker, if any.
+    fn missing_capacity(&self, shape: TaskShape) -> Option<NoCapacity> {
+        if self.free_cores + CAPACITY_ROUNDING < shape.cores {
+            return Some(NoCapacity::Cores);
+        }
+        (self.free_memory + CAPACITY_ROUNDING < shape.memory).then_some(NoCapacity::Memory)
     }
 }
 
--- a/crates/scale-test/src/workers/fleet/tests.rs
+++ b/crates/scale-test/src/workers/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! What workers hold and say.
+//! Capacity, replies and records of the workers.
 
 use super::*;
 
@@ -23,7 +23,7 @@
     TaskShape {
         cores,
         memory,
-        life: Duration::from_secs(7),
+        lifetime: Duration::from_secs(7),
         once: false,
     }
 }
@@ -41,8 +41,8 @@
     (WORKER, SetupId::new(TaskIndex(index), 0))
 }
 
-/// Offers a task and has it stand.
-fn stands(fleet: &mut Fleet, index: u32) {
+/// Offers a task and completes its start.
+fn start_running_task(fleet: &mut Fleet, index: u32) {
     let reply = fleet.offer(WORKER, PLACER, &offer(index, shape(1.0, 2.0)));
     assert_eq!(
         reply,
@@ -50,147 +50,207 @@
             after: Duration::from_millis(200)
         }
     );
-    assert_eq!(fleet.answer(id(index)), Some(Duration::from_secs(7)));
+    assert_eq!(
+        fleet.complete_start(id(index)),
+        Some(Duration::from_secs(7))
+    );
+}
+
+/// The free capacity of [`WORKER`].
+fn free(free_cores: f64, free_memory: f64) -> FreeResources {
+    FreeResources {
+        worker: WORKER,
+        free_cores,
+        free_memory,
+    }
+}
+
+fn starts() -> OfferReply {
+    OfferReply::Starts {
+        after: Duration::from_millis(200),
+    }
 }
 
 #[test]
-fn a_task_starts_stands_ends_and_its_end_is_kept_until_it_is_heard() {
+fn started_task_takes_capacity() {
     let mut fleet = fleet();
-    stands(&mut fleet, 0);
-    let room = FreeResources {
-        worker: WORKER,
-        free_cores: 1.0,
-        free_memory: 6.0,
-    };
-    assert_eq!(fleet.take_changed_resources(), [room]);
-    assert_eq!(fleet.end(id(0)), Some(PLACER));
-    assert_eq!(fleet.end(id(0)), None, "it ends once");
-    assert_eq!(
-        fleet.unacknowledged(WORKER, PLACER),
-        [(id(0).1, cause::NORMAL)]
-    );
-    assert_eq!(
-        fleet.take_changed_resources(),
-        [FreeResources {
-            free_cores: 2.0,
-            free_memory: 8.0,
-            ..room
-        }]
-    );
-    fleet.heard(id(0), Instant::now());
-    assert_eq!((fleet.unacknowledged_count(), fleet.active_count()), (0, 0));
-    let book = fleet.audit.task(TaskIndex(0));
-    assert_eq!((book.starts, book.ended, book.active_copies), (1, 1, 0));
-    assert!(book.heard.is_some());
+
+    start_running_task(&mut fleet, 0);
+
+    assert_eq!(fleet.take_changed_resources(), [free(1.0, 6.0)]);
 }
 
 #[test]
-fn a_full_worker_says_what_it_lacks_and_an_offer_that_is_given_up_frees_its_room() {
+fn ended_task_frees_capacity_and_ends_only_once() {
     let mut fleet = fleet();
-    stands(&mut fleet, 0);
-    let starts = OfferReply::Starts {
-        after: Duration::from_millis(200),
-    };
-    assert_eq!(
-        fleet.offer(WORKER, PLACER, &offer(1, shape(1.0, 6.0))),
-        starts
-    );
-    let full = |why| OfferReply::Full(why);
-    assert_eq!(
-        fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))),
-        full(NoCapacity::Cores)
-    );
-    assert_eq!(
-        fleet.offer(WORKER, PLACER, &offer(2, shape(0.0, 1.0))),
-        full(NoCapacity::Memory)
-    );
-    assert_eq!(fleet.release(id(1)), ReleaseReply::Nothing);
-    assert_eq!(fleet.answer(id(1)), None, "it was given up");
+    start_running_task(&mut fleet, 0);
+    fleet.take_changed_resources();
+
+    assert_eq!(fleet.end_task(id(0)), Some(PLACER));
+
+    assert_eq!(fleet.end_task(id(0)), None, "it ends once");
+    assert_eq!(fleet.take_changed_resources(), [free(2.0, 8.0)]);
+}
+
+#[test]
+fn end_is_kept_until_it_is_acknowledged() {
+    let mut fleet = fleet();
+    start_running_task(&mut fleet, 0);
+    fleet.end_task(id(0));
+    let pending = [(id(0).1, cause::NORMAL)];
+    assert_eq!(fleet.unacknowledged(WORKER, PLACER), pending);
+
+    fleet.acknowledge_end(id(0), Instant::now());
+
+    assert_eq!((fleet.unacknowledged_count(), fleet.active_count()), (0, 0));
+    let record = fleet.audit.task(TaskIndex(0));
     assert_eq!(
-        fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))),
-        starts
+        (record.starts, record.ended, record.active_copies),
+        (1, 1, 0)
     );
+    assert!(record.end_acknowledged_at.is_some());
+}
+
+/// A worker with one running task and one offer that is not answered, and no cores left.
+fn full_fleet() -> Fleet {
+    let mut fleet = fleet();
+    start_running_task(&mut fleet, 0);
+    let reply = fleet.offer(WORKER, PLACER, &offer(1, shape(1.0, 6.0)));
+    assert_eq!(reply, starts());
+    fleet
+}
+
+#[test]
+fn full_worker_names_the_resource_that_it_lacks() {
+    let mut fleet = full_fleet();
+
+    let too_many_cores = fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0)));
+    let too_much_memory = fleet.offer(WORKER, PLACER, &offer(2, shape(0.0, 1.0)));
+
+    assert_eq!(too_many_cores, OfferReply::Full(NoCapacity::Cores));
+    assert_eq!(too_much_memory, OfferReply::Full(NoCapacity::Memory));
     assert_eq!(fleet.audit.task(TaskIndex(2)).refusals, 2);
 }
 
 #[test]
-fn a_placer_cuts_what_stands_and_hears_so_each_time_that_it_asks() {
+fn withdrawn_offer_frees_its_capacity() {
+    let mut fleet = full_fleet();
+
+    assert_eq!(fleet.release(id(1)), ReleaseReply::Nothing);
+
+    assert_eq!(fleet.complete_start(id(1)), None, "it was withdrawn");
+    let reply = fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0)));
+    assert_eq!(reply, starts());
+}
+
+#[test]
+fn repeated_cancellation_gets_the_same_reply_and_counts_once() {
     let mut fleet = fleet();
-    stands(&mut fleet, 0);
-    let cut = ReleaseReply::Ended(cause::CANCELLED);
-    assert_eq!([fleet.release(id(0)), fleet.release(id(0))], [cut, cut]);
+    start_running_task(&mut fleet, 0);
+
+    let replies = [fleet.release(id(0)), fleet.release(id(0))];
+
+    let cancelled = ReleaseReply::Ended(cause::CANCELLED);
+    assert_eq!(replies, [cancelled, cancelled]);
     assert_eq!(fleet.unacknowledged_count(), 1);
-    assert_eq!(fleet.audit.task(TaskIndex(0)).cut, 1);
+    assert_eq!(fleet.audit.task(TaskIndex(0)).cancelled, 1);
 }
 
-#[test]
-fn a_zone_that_vanishes_takes_its_tasks_along_and_comes_back_empty() {
+/// A fleet whose zone of [`WORKER`] has crashed with one running and one ended task.
+fn crashed_fleet() -> Fleet {
     let mut fleet = fleet();
-    stands(&mut fleet, 0);
-    stands(&mut fleet, 1);
-    assert_eq!(fleet.end(id(1)), Some(PLACER));
-    let zone = WORKER.zone(2);
+    start_running_task(&mut fleet, 0);
+    start_running_task(&mut fleet, 1);
+    assert_eq!(fleet.end_task(id(1)), Some(PLACER));
     fleet.take_changed_resources();
-    fleet.vanish(zone);
+    fleet.crash_zone(WORKER.zone(2));
+    fleet
+}
+
+#[test]
+fn crashed_zone_loses_its_tasks_and_its_pending_ends() {
+    let mut fleet = crashed_fleet();
+
     assert_eq!((fleet.active_count(), fleet.unacknowledged_count()), (0, 0));
-    assert!(fleet.gone(WORKER) && !fleet.gone(WorkerId(0)));
+    assert_eq!(fleet.end_task(id(0)), None);
+    let record = fleet.audit.task(TaskIndex(0));
+    assert_eq!((record.lost_with_worker, record.active_copies), (1, 0));
+}
+
+#[test]
+fn crashed_zone_is_silent_and_reports_no_free_capacity() {
+    let mut fleet = crashed_fleet();
+
+    assert!(fleet.is_removed(WORKER) && !fleet.is_removed(WorkerId(0)));
     assert_eq!(fleet.take_changed_resources(), [], "nobody sees it");
-    assert_eq!(
-        fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0))),
-        OfferReply::Silent
-    );
-    assert_eq!(fleet.end(id(0)), None);
-    fleet.restore_zone(zone);
-    let rooms = fleet.take_changed_resources();
-    assert_eq!(rooms.len(), 2);
+    let reply = fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0)));
+    assert_eq!(reply, OfferReply::Silent);
+}
+
+#[test]
+fn restored_zone_is_empty_and_counts_its_starts() {
+    let mut fleet = crashed_fleet();
+
+    fleet.restore_zone(WORKER.zone(2));
+
+    let resources = fleet.take_changed_resources();
+    assert_eq!(resources.len(), 2);
     assert!(
-        rooms
+        resources
             .iter()
-            .all(|room| room.free_cores == 2.0 && room.free_memory == 8.0)
+            .all(|worker| worker.free_cores == 2.0 && worker.free_memory == 8.0)
     );
     assert_eq!(fleet.audit.starts_after_return, 0);
-    stands(&mut fleet, 3);
+    start_running_task(&mut fleet, 3);
     assert_eq!(fleet.audit.starts_after_return, 1);
-    let book = fleet.audit.task(TaskIndex(0));
-    assert_eq!((book.vanished, book.active_copies), (1, 0));
 }
 
 #[test]
-fn offers_that_no_client_has_made_are_counted_and_start_nothing() {
+fn unreadable_offers_are_counted_and_start_nothing() {
     let mut fleet = fleet();
-    let unknown = Offer {
+    let unknown_key = Offer {
         key: 7,
         ..offer(0, shape(1.0, 1.0))
     };
-    let garbled = Offer {
+    let bad_description = Offer {
         description: "cores=NaN".to_string(),
         ..offer(0, shape(1.0, 1.0))
     };
-    assert_eq!(
-        fleet.offer(WORKER, PLACER, &unknown),
-        OfferReply::Unreadable
-    );
-    assert_eq!(
-        fleet.offer(WORKER, PLACER, &garbled),
-        OfferReply::Unreadable
-    );
-    stands(&mut fleet, 0);
-    assert_eq!(
-        fleet.offer(WORKER, PLACER, &offer(0, shape(1.0, 1.0))),
-        OfferReply::Silent
-    );
-    assert_eq!(fleet.audit.bad_offers, 3);
-    assert_eq!(
-        fleet.offer(WorkerId(99), PLACER, &offer(1, shape(1.0, 1.0))),
-        OfferReply::Silent
-    );
+
+    for unreadable in [unknown_key, bad_description] {
+        let reply = fleet.offer(WORKER, PLACER, &unreadable);
+        assert_eq!(reply, OfferReply::Unreadable);
+    }
+
+    assert_eq!(fleet.audit.bad_offers, 2);
+    assert_eq!(fleet.active_count(), 0);
 }
 
 #[test]
-fn nothing_ends_by_itself_once_the_fleet_is_frozen() {
+fn second_offer_of_a_running_task_is_counted_and_gets_no_reply() {
     let mut fleet = fleet();
-    stands(&mut fleet, 0);
-    fleet.freeze();
-    assert_eq!(fleet.end(id(0)), None);
+    start_running_task(&mut fleet, 0);
+
+    let reply = fleet.offer(WORKER, PLACER, &offer(0, shape(1.0, 1.0)));
+
+    assert_eq!(reply, OfferReply::Silent);
+    assert_eq!(fleet.audit.bad_offers, 1);
+}
+
+#[test]
+fn offer_to_a_worker_that_does_not_exist_gets_no_reply() {
+    let reply = fleet().offer(WorkerId(99), PLACER, &offer(1, shape(1.0, 1.0)));
+
+    assert_eq!(reply, OfferReply::Silent);
+}
+
+#[test]
+fn no_task_ends_by_itself_after_the_fleet_stopped_ending_tasks() {
+    let mut fleet = fleet();
+    start_running_task(&mut fleet, 0);
+
+    fleet.stop_ending_tasks();
+
+    assert_eq!(fleet.end_task(id(0)), None);
     assert_eq!(fleet.active_count(), 1);
 }
--- a/crates/scale-test/src/workers/task_records.rs
+++ b/crates/scale-test/src/workers/task_records.rs
@@ -1,67 +1,67 @@
-//! What the workers note of each task, for the audit.
+//! What the hollow workers record of each task, for the audit at the end of a run.
 
 use crate::identity::TaskIndex;
 use std::time::Instant;
 
-/// What became of one task at the workers.
+/// What happened to one task at all workers. Counters saturate.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerTaskRecord {
-    /// How often it was started.
+    /// Starts.
     pub starts: u8,
-    /// How often an offer of it was refused for want of room.
+    /// Offers that a worker refused because it was full.
     pub refusals: u8,
-    /// How often it ended by itself.
+    /// Ends at the end of the task's lifetime.
     pub ended: u8,
-    /// How often a placer cut it.
-    pub cut: u8,
-    /// How often it went with its worker.
-    pub vanished: u8,
-    /// Whether it stands or starts at this time.
+    /// Cancellations by a placer.
+    pub cancelled: u8,
+    /// Copies lost with a crashed worker.
+    pub lost_with_worker: u8,
+    /// Copies that start or run now.
     pub active_copies: u8,
-    /// When a placer last confirmed its end.
-    pub heard: Option<Instant>,
+    /// When a placer last acknowledged the end of the task.
+    pub end_acknowledged_at: Option<Instant>,
 }
 
-/// What the workers noted.
+/// Everything that the workers recorded.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WorkerAudit {
     tasks: Vec<WorkerTaskRecord>,
-    /// Offers of tasks that no client has set up, or that can't be read.
+    /// Offers that no client has requested, or that cannot be read.
     pub bad_offers: u64,
-    /// Ends that placers have not confirmed, at the end.
+    /// Ends that placers had not acknowledged when the workers stopped.
     pub unacknowledged: u64,
-    /// Connections on which bytes that are no message were sent.
+    /// Connections on which invalid bytes were sent.
     pub garbage_sent: u64,
     /// Those of them that the placer has closed.
     pub garbage_dropped: u64,
-    /// Messages of placers that can't be read.
+    /// Messages of placers that cannot be read.
     pub bad_messages: u64,
-    /// Tasks started at workers that had come back cold.
+    /// Starts at workers that were restored after a crash.
     pub starts_after_return: u64,
 }
 
 impl WorkerAudit {
-    /// What became of a task.
+    /// Returns the record of a task.
     pub fn task(&self, task: TaskIndex) -> WorkerTaskRecord {
         self.tasks.get(task.index()).copied().unwrap_or_default()
     }
 
-    /// Notes something of a task.
-    pub fn note(&mut self, task: TaskIndex, note: impl FnOnce(&mut WorkerTaskRecord)) {
+    /// Changes the record of a task.
+    pub fn update(&mut self, task: TaskIndex, change: impl FnOnce(&mut WorkerTaskRecord)) {
         if self.tasks.len() <= task.index() {
             self.tasks
                 .resize(task.index() + 1, WorkerTaskRecord::default());
         }
-        if let Some(book) = self.tasks.get_mut(task.index()) {
-            note(book);
+        if let Some(record) = self.tasks.get_mut(task.index()) {
+            change(record);
         }
     }
 
-    /// Adds what others noted.
-    pub fn add(&mut self, others: &WorkerAudit) {
+    /// Adds what other workers recorded.
+    pub fn merge(&mut self, others: &WorkerAudit) {
         for (task, other) in (0..).map(TaskIndex).zip(&others.tasks) {
             if *other != WorkerTaskRecord::default() {
-                self.note(task, |book| book.add(other));
+                self.update(task, |record| record.merge(other));
             }
         }
         self.bad_offers += others.bad_offers;
@@ -74,13 +74,13 @@
 }
 
 impl WorkerTaskRecord {
-    fn add(&mut self, other: &WorkerTaskRecord) {
+    fn merge(&mut self, other: &WorkerTaskRecord) {
         self.starts = self.starts.saturating_add(other.starts);
         self.refusals = self.refusals.saturating_add(other.refusals);
         self.ended = self.ended.saturating_add(other.ended);
-        self.cut = self.cut.saturating_add(other.cut);
-        self.vanished = self.vanished.saturating_add(other.vanished);
+        self.cancelled = self.cancelled.saturating_add(other.cancelled);
+        self.lost_with_worker = self.lost_with_worker.saturating_add(other.lost_with_worker);
         self.active_copies = self.active_copies.saturating_add(other.active_copies);
-        self.heard = self.heard.max(other.heard);
+        self.end_acknowledged_at = self.end_acknowledged_at.max(other.end_acknowledged_at);
     }
 }
--- /dev/null
+++ b/crates/scale-test/src/workers/thread/messages.rs
@@ -0,0 +1,153 @@
+//! Reads the messages of placers, and writes the replies of workers.
+
+use super::{TimerEvent, WorkerThread};
+use crate::identity::{PlacerId, SetupId, WorkerId};
+use crate::socket::{Connection, Liveness};
+use crate::traffic::TrafficKind;
+use crate::wire::lines::{self, Offer, PlacerLine};
+use crate::wire::{WireError, cause};
+use crate::workers::replies::{OfferReply, ReleaseReply, TaskTimer};
+use std::time::Instant;
+
+/// The replies to the messages of one read.
+#[derive(Default)]
+struct Replies {
+    bytes: Vec<u8>,
+    messages: u64,
+}
+
+impl Replies {
+    fn add(&mut self, write: impl FnOnce(&mut Vec<u8>)) {
+        write(&mut self.bytes);
+        self.messages += 1;
+    }
+}
+
+/// The two ends of a connection.
+#[derive(Debug, Clone, Copy)]
+struct Route {
+    slot: usize,
+    worker: WorkerId,
+    placer: PlacerId,
+}
+
+impl WorkerThread {
+    /// Sends messages that carry tasks on a connection.
+    pub(super) fn send(&mut self, slot: usize, bytes: &[u8], messages: u64) {
+        let Some(entry) = self.connections.get_mut(slot) else {
+            return;
+        };
+        entry.connection.assign_kind(TrafficKind::Worker);
+        if entry.connection.send(bytes, messages) == Liveness::Ended {
+            self.close(slot);
+        }
+    }
+
+    fn close(&mut self, slot: usize) {
+        let Some(closed) = self.connections.remove(slot) else {
+            return;
+        };
+        if closed.garbage_sent {
+            self.fleet.audit.garbage_dropped += 1;
+        }
+        // Closing a connection withdraws the offers that came on it.
+        closed
+            .pending_offers
+            .iter()
+            .for_each(|id| self.fleet.withdraw_offer((closed.worker, *id)));
+    }
+
+    /// Reads and writes a connection that is ready.
+    pub(super) fn handle_readiness(&mut self, slot: usize) {
+        let Some(entry) = self.connections.get_mut(slot) else {
+            return;
+        };
+        let flushed = entry.connection.flush();
+        let filled = entry.connection.fill();
+        let read = read_lines(&mut entry.connection);
+        let route = Route {
+            slot,
+            worker: entry.worker,
+            placer: entry.placer,
+        };
+        let mut replies = Replies::default();
+        match read {
+            Ok(lines) => lines
+                .into_iter()
+                .for_each(|line| self.handle_message(route, line, &mut replies)),
+            Err(_) => {
+                self.fleet.audit.bad_messages += 1;
+                return self.close(slot);
+            }
+        }
+        if flushed == Liveness::Ended || filled == Liveness::Ended {
+            return self.close(slot);
+        }
+        if replies.messages > 0 {
+            self.send(slot, &replies.bytes, replies.messages);
+        }
+    }
+
+    fn handle_message(&mut self, route: Route, line: PlacerLine, replies: &mut Replies) {
+        match line {
+            PlacerLine::Offer(offer) => self.handle_offer(route, &offer, replies),
+            PlacerLine::Release { id } => {
+                self.remove_pending_offer(route.slot, id);
+                if let ReleaseReply::Ended(cause) = self.fleet.release((route.worker, id)) {
+                    replies.add(|bytes| lines::down(bytes, id, cause));
+                }
+            }
+            PlacerLine::EndAcknowledged { id } => self
+                .fleet
+                .acknowledge_end((route.worker, id), Instant::now()),
+            PlacerLine::HealthCheck { id } => {
+                replies.add(|bytes| lines::health_check_passed(bytes, id))
+            }
+            PlacerLine::Other => {}
+        }
+    }
+
+    fn handle_offer(&mut self, route: Route, offer: &Offer, replies: &mut Replies) {
+        match self.fleet.offer(route.worker, route.placer, offer) {
+            OfferReply::Starts { after } => {
+                let connection = self.connections.id(route.slot);
+                let id = (route.worker, offer.id);
+                let event = TimerEvent::Task(TaskTimer::Answer, id, connection);
+                self.timers.add(Instant::now() + after, event);
+                if let Some(entry) = self.connections.get_mut(route.slot) {
+                    entry.pending_offers.push(offer.id);
+                    entry.connection.assign_kind(TrafficKind::Worker);
+                }
+            }
+            OfferReply::Full(reason) => replies.add(|bytes| lines::full(bytes, offer.id, reason)),
+            OfferReply::Unreadable => {
+                replies.add(|bytes| lines::down(bytes, offer.id, cause::FAILED))
+            }
+            OfferReply::Silent => {}
+        }
+    }
+
+    /// Removes an offer from the pending ones of its connection: it was answered or released.
+    pub(super) fn remove_pending_offer(&mut self, slot: usize, id: SetupId) {
+        if let Some(entry) = self.connections.get_mut(slot) {
+            entry.pending_offers.retain(|pending| *pending != id);
+        }
+    }
+}
+
+/// Takes the complete lines out of a connection's inbox.
+fn read_lines(connection: &mut Connection) -> Result<Vec<PlacerLine>, WireError> {
+    let mut messages = Vec::new();
+    let mut consumed = 0;
+    loop {
+        let unread = connection.inbox().get(consumed..).unwrap_or_default();
+        let Some(end) = lines::line_end(unread)? else {
+            break;
+        };
+        messages.push(lines::read(unread.get(..end).unwrap_or_default())?);
+        consumed += end + 1;
+    }
+    connection.consume(consumed);
+    connection.count_read(messages.len() as u64);
+    Ok(messages)
+}
