--- a/crates/scale-test/src/clients.rs
+++ b/crates/scale-test/src/clients.rs
@@ -1,8 +1,8 @@
-//! The hollow clients: open-loop arrivals, their connections to all placers, and what becomes of each task.
+//! The hollow clients: open-loop arrivals, connections to all placers, and the outcome of each task.
 //!
-//! A task is due at a time that does not depend on any answer; its time to start runs from then. On a refusal
-//! it does not come again: each arrival is answered once. A client whose task moves comes again, as the
-//! protocol wants it.
+//! A task arrives at a time that does not depend on any answer, and its time to start is measured from then.
+//! Clients never retry after a refusal: each arrival is answered once. A client whose task migrates sends its
+//! set-up again, as the protocol specifies.
 
 mod arrivals;
 mod link;
@@ -27,62 +27,62 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// When tasks arrive, and which of them count.
+/// The time in which tasks arrive, and the part of it that is measured.
 #[derive(Debug, Clone, Copy)]
 pub struct ArrivalWindow {
-    /// The first may be due from here on.
+    /// The first task may arrive from this time on.
     pub start: Instant,
-    /// Those count that are due from here on.
+    /// Tasks that arrive from this time on are measured.
     pub measured_from: Instant,
-    /// None is due from here on.
+    /// No task arrives from this time on.
     pub end: Instant,
 }
 
-/// What the clients are told to do.
+/// A command to the clients.
 #[derive(Debug, Clone, Copy)]
 pub enum ClientCommand {
-    /// A placer has been started at this address: it is tested until a test passes, and is then in service.
+    /// A placer was started at this address. Its health is checked until a check passes; then it is in service.
     PlacerStarted(PlacerId, SocketAddr),
-    /// A placer is killed: what it owes goes with it.
+    /// A placer was killed, and its pending answers are lost.
     PlacerKilled(PlacerId),
-    /// Tasks arrive.
+    /// Starts the arrival of tasks.
     StartArrivals(ArrivalWindow),
-    /// The thread ends.
+    /// Stops the thread.
     Stop,
 }
 
-/// How the clients are just now.
+/// The present state of the clients.
 #[derive(Debug, Clone, Default)]
 pub struct ClientState {
-    /// When the first test of each placer passed, since it was last started.
+    /// When the first health check of each placer passed, since its latest start.
     pub ready: Vec<Option<Instant>>,
     /// Bytes that wait to be written.
     pub queued: usize,
     /// Set-ups that wait for an answer.
     pub waiting: u64,
-    /// Tasks that were answered.
+    /// Tasks that have started.
     pub started: u64,
-    /// Tasks that were refused.
+    /// Tasks that were refused or have failed before their start.
     pub refused: u64,
 }
 
-/// LatencyHistogram to start, and the generator's own lateness, of the tasks that count.
+/// The times to start, and the load generator's own lateness, of the measured tasks.
 pub struct Timings {
-    /// By class, in the command of [`Class::ALL`]: from when the task was due to its answer.
+    /// The times from arrival to answer, by class in the order of [`Class::ALL`].
     pub to_start: [LatencyHistogram; Class::ALL.len()],
-    /// From when the task was due to when its set-up was sent.
+    /// The time from when a task was due to when its set-up was sent.
     pub lateness: LatencyHistogram,
 }
 
-/// What the clients noted.
+/// What the clients recorded.
 pub struct ClientAudit {
-    /// What became of each task.
+    /// The outcome of each task.
     pub tasks: TaskTable,
-    /// LatencyHistogram of the tasks that count.
+    /// The times of the measured tasks.
     pub timings: Timings,
-    /// Answers that came for a task that had been answered.
+    /// Answers for a task that had been answered before.
     pub second_answers: u64,
-    /// Messages of placers that can't be read.
+    /// Messages of placers that cannot be read.
     pub bad_messages: u64,
 }
 
@@ -95,7 +95,7 @@
 }
 
 impl Clients {
-    /// Starts them, with the tasks that stand.
+    /// Starts the clients, with the tasks that run at the start.
     ///
     /// # Errors
     ///
@@ -131,19 +131,29 @@
         })
     }
 
-    /// Tells them something.
+    /// Sends a command to the clients.
     pub fn send(&self, command: ClientCommand) {
         self.commands.send(command);
     }
 
-    /// A placer is about to be killed, or lives again: connections that end meanwhile end with it.
-    pub fn doom(&self, placer: PlacerId, kill_announced: bool) {
+    /// Announces that a placer is about to be killed. Connections that close from now on close because of it,
+    /// also if they close before the clients handle [`ClientCommand::PlacerKilled`].
+    pub fn announce_kill(&self, placer: PlacerId) {
+        self.set_kill_announced(placer, true);
+    }
+
+    /// Takes the announcement back, when the placer has been restarted.
+    pub fn clear_kill(&self, placer: PlacerId) {
+        self.set_kill_announced(placer, false);
+    }
+
+    fn set_kill_announced(&self, placer: PlacerId, announced: bool) {
         if let Some(flag) = self.kill_announced.get(placer.index()) {
-            flag.store(kill_announced, Ordering::SeqCst);
+            flag.store(announced, Ordering::SeqCst);
         }
     }
 
-    /// How they are.
+    /// Returns the present state of the clients.
     pub fn state(&self) -> ClientState {
         self.state
             .lock()
@@ -151,12 +161,12 @@
             .clone()
     }
 
-    /// The error on which their thread has ended, if it has.
+    /// Returns the error on which the thread has ended, if it has.
     pub fn failure(&mut self) -> Option<io::Error> {
         self.thread.failure()
     }
 
-    /// Ends them; their books.
+    /// Stops the clients and returns what they recorded.
     ///
     /// # Errors
     ///
@@ -170,7 +180,7 @@
 impl Drop for Clients {
     fn drop(&mut self) {
         self.commands.send(ClientCommand::Stop);
-        // It has ended already where the run came to its end.
+        // After `stop` the thread has ended already.
         let _ = self.thread.join();
     }
 }
--- a/crates/scale-test/src/clients/arrivals.rs
+++ b/crates/scale-test/src/clients/arrivals.rs
@@ -1,4 +1,4 @@
-//! When tasks are due and what they are: a Poisson process, and the same for the same settings.
+//! The arrivals of tasks: a Poisson process, determined by the settings and their seed.
 
 use crate::deployment::Class;
 use crate::identity::{PlacerId, TaskIndex, WorkerId};
@@ -10,33 +10,33 @@
 use rand_distr::{Distribution, Exp1};
 use std::time::Duration;
 
-/// Sets the draws of what stands at the start apart from those of what arrives.
+/// Separates the random numbers of the tasks that run at the start from those of the arrivals.
 const RUNNING_TASKS_STREAM: u64 = 0x7374_616e_6469_6e67;
-/// The shortest lifetime: a worker tells an answer and an end apart.
+/// The shortest lifetime, so that an answer and an end are at different times.
 const MIN_LIFETIME: Duration = Duration::from_millis(1);
 
-/// A task that is due.
+/// A task that arrives.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// When, from the start of all arrivals.
+    /// The time of arrival, from the start of all arrivals.
     pub due: Duration,
-    /// Its class.
+    /// The class.
     pub class: Class,
-    /// Its tenant.
+    /// The index of the tenant.
     pub tenant: u32,
-    /// Its service.
+    /// The index of the service.
     pub service: u32,
-    /// What it is at its worker.
+    /// The resources and the lifetime.
     pub shape: TaskShape,
-    /// A number for the choice of its placer among those in service.
-    pub lot: u32,
+    /// A random number that chooses its placer among those in service.
+    pub placer_choice: u32,
 }
 
-/// The arrivals of a run, one after the other.
+/// An endless iterator over the arrivals of a run.
 #[derive(Debug, Clone)]
 pub struct Arrivals {
-    draws: ChaCha8Rng,
-    at: Duration,
+    random: ChaCha8Rng,
+    next_due: Duration,
     rate: f64,
     urgent_share: f64,
     once_share: f64,
@@ -48,11 +48,11 @@
 }
 
 impl Arrivals {
-    /// As the settings say.
+    /// Returns the arrivals that the settings describe.
     pub fn new(settings: &Settings) -> Arrivals {
         Arrivals {
-            draws: ChaCha8Rng::seed_from_u64(settings.seed),
-            at: Duration::ZERO,
+            random: ChaCha8Rng::seed_from_u64(settings.seed),
+            next_due: Duration::ZERO,
             rate: settings.rate,
             urgent_share: settings.urgent_share,
             once_share: settings.once_share,
@@ -64,10 +64,10 @@
         }
     }
 
-    /// What a task of this class is at its worker, with a lifetime of its own.
+    /// Returns the shape of a task of this class, with a random lifetime.
     fn shape(&mut self, class: Class) -> TaskShape {
-        let part: f64 = Exp1.sample(&mut self.draws);
-        let lifetime = self.lifetime.mul_f64(part).max(MIN_LIFETIME);
+        let factor: f64 = Exp1.sample(&mut self.random);
+        let lifetime = self.lifetime.mul_f64(factor).max(MIN_LIFETIME);
         TaskShape {
             cores: self.cores,
             memory: self.memory,
@@ -77,7 +77,7 @@
     }
 
     fn class(&mut self) -> Class {
-        let drawn: f64 = self.draws.random();
+        let drawn: f64 = self.random.random();
         if drawn < self.urgent_share {
             Class::Urgent
         } else if drawn < self.urgent_share + self.once_share {
@@ -89,8 +89,8 @@
 
     fn tenant_and_service(&mut self) -> (u32, u32) {
         (
-            self.draws.random_range(0..self.tenants),
-            self.draws.random_range(0..self.services),
+            self.random.random_range(0..self.tenants),
+            self.random.random_range(0..self.services),
         )
     }
 }
@@ -102,30 +102,30 @@
         if self.rate <= 0.0 {
             return None;
         }
-        let gap: f64 = Exp1.sample(&mut self.draws);
-        self.at = self
-            .at
+        let gap: f64 = Exp1.sample(&mut self.random);
+        self.next_due = self
+            .next_due
             .checked_add(Duration::try_from_secs_f64(gap / self.rate).ok()?)?;
         let class = self.class();
         let (tenant, service) = self.tenant_and_service();
         let shape = self.shape(class);
         Some(Arrival {
-            due: self.at,
+            due: self.next_due,
             class,
             tenant,
             service,
             shape,
-            lot: self.draws.random(),
+            placer_choice: self.random.random(),
         })
     }
 }
 
-/// The tasks that stand at the start: dealt out to the workers in turn, and to the placers in turn round by
-/// round. What is left of an exponential lifetime is exponential, too.
+/// Returns the tasks that run at the start: assigned to the workers in turn, and to the placers in turn, shifted
+/// by one each round. Lifetimes are drawn anew, as the rest of an exponential lifetime is exponential, too.
 pub fn running_tasks(settings: &Settings) -> Vec<RunningTask> {
     let seed = settings.seed ^ RUNNING_TASKS_STREAM;
     let mut arrivals = Arrivals {
-        draws: ChaCha8Rng::seed_from_u64(seed),
+        random: ChaCha8Rng::seed_from_u64(seed),
         ..Arrivals::new(settings)
     };
     let (workers, placers) = (settings.workers.max(1), u32::from(settings.placers.max(1)));
@@ -142,7 +142,7 @@
 }
 
 impl Arrivals {
-    /// The tenant and the service of a task that stands at the start.
+    /// Returns the tenant and the service of a task that runs at the start.
     pub fn of_running_tasks(&self, task: TaskIndex) -> (u32, u32) {
         (task.0 % self.tenants, task.0 % self.services)
     }
--- a/crates/scale-test/src/clients/link.rs
+++ b/crates/scale-test/src/clients/link.rs
@@ -1,4 +1,4 @@
-//! The clients' connections to all placers.
+//! The clients' links to all placers: connection pools, health-check connections and readiness.
 
 use crate::identity::{PlacerId, SetupId};
 use crate::socket::Connection;
@@ -10,79 +10,82 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The first of the connections' tokens.
+/// The first token of the connections.
 pub const FIRST_CONNECTION: usize = 1;
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// Tests, as a front makes them.
+    /// Health checks, as by a load balancer.
     HealthCheck,
-    /// Tasks; its place among those kept to its placer.
-    Tasks(usize),
+    /// Tasks.
+    Tasks {
+        /// The index in the connection pool of its placer.
+        pool_index: usize,
+    },
 }
 
 /// A set-up that waits for its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingSetUp {
-    /// Which.
+    /// The set-up.
     pub id: SetupId,
-    /// It has crossed the end of a connection before.
+    /// Whether it was sent again after its first connection closed.
     pub is_resent: bool,
 }
 
 /// One connection to a placer.
 pub struct ClientConnection {
-    /// The connection itself.
+    /// The socket.
     pub connection: Connection,
-    /// To whom.
+    /// The placer.
     pub placer: PlacerId,
-    /// What for.
+    /// What the connection is for.
     pub purpose: Purpose,
-    /// Set-ups on it that wait for their answer.
-    pub open: Vec<PendingSetUp>,
+    /// Set-ups sent on it that wait for their answer.
+    pub pending: Vec<PendingSetUp>,
 }
 
-/// One placer, as clients see it.
+/// The link to one placer.
 pub struct Link {
-    /// Where it listens, while it is there.
+    /// The address of the placer, while it runs.
     pub address: Option<SocketAddr>,
-    /// Counts its starts, so that what was meant for an earlier one is told apart.
-    pub start: u64,
-    /// A test has passed since its start.
-    pub ready: bool,
-    /// The connection for tests.
-    test: Option<usize>,
-    /// The connections for tasks.
-    kept: Vec<Option<usize>>,
-    /// The next of them to be used.
-    next: usize,
+    /// The number of starts, which identifies events that belong to an earlier start.
+    pub start_number: u64,
+    /// Whether a health check has passed since the latest start.
+    pub is_ready: bool,
+    /// The slot of the health-check connection.
+    health_check: Option<usize>,
+    /// The slots of the connections for tasks.
+    pool: Vec<Option<usize>>,
+    /// The index in the pool that is used next.
+    next_pool_index: usize,
     counters: Arc<PlacerCounters>,
 }
 
 impl Link {
-    /// Whether tasks go to it.
-    pub fn in_service(&self) -> bool {
-        self.ready && self.test.is_some()
+    /// Returns whether tasks are sent to the placer.
+    pub fn is_in_service(&self) -> bool {
+        self.is_ready && self.health_check.is_some()
     }
 }
 
-/// All placers and the connections to them.
+/// The links to all placers, and the table of all connections.
 pub struct Links {
     links: Vec<Link>,
     table: Slab<ClientConnection>,
 }
 
 impl Links {
-    /// Links to placers that are not there yet, with so many connections for tasks to each.
-    pub fn new(counters: Vec<Arc<PlacerCounters>>, kept: usize) -> Links {
+    /// Returns links to placers that do not run yet, each with a pool of so many connections.
+    pub fn new(counters: Vec<Arc<PlacerCounters>>, pool_size: usize) -> Links {
         let link = |counters| Link {
             address: None,
-            start: 0,
-            ready: false,
-            test: None,
-            kept: vec![None; kept],
-            next: 0,
+            start_number: 0,
+            is_ready: false,
+            health_check: None,
+            pool: vec![None; pool_size],
+            next_pool_index: 0,
             counters,
         };
         Links {
@@ -91,56 +94,64 @@
         }
     }
 
-    /// One placer.
+    /// Returns the link to a placer.
     pub fn get(&self, placer: PlacerId) -> Option<&Link> {
         self.links.get(placer.index())
     }
 
-    /// One placer.
+    /// Returns the link to a placer.
     pub fn get_mut(&mut self, placer: PlacerId) -> Option<&mut Link> {
         self.links.get_mut(placer.index())
     }
 
-    /// Of the placers in service, the one that a lot draws.
-    pub fn draw(&self, lot: u32) -> Option<PlacerId> {
-        let count = self.links.iter().filter(|link| link.in_service()).count();
-        let chosen = (lot as usize).checked_rem(count)?;
-        let in_service = self
+    /// Returns one of the placers in service, chosen by a number modulo their count.
+    pub fn choose_in_service(&self, choice: u32) -> Option<PlacerId> {
+        let count = self
+            .links
+            .iter()
+            .filter(|link| link.is_in_service())
+            .count();
+        let chosen = (choice as usize).checked_rem(count)?;
+        let (index, _) = self
             .links
             .iter()
             .enumerate()
-            .filter(|(_, link)| link.in_service());
-        let (place, _) = in_service.into_iter().nth(chosen)?;
-        u16::try_from(place).ok().map(PlacerId)
+            .filter(|(_, link)| link.is_in_service())
+            .nth(chosen)?;
+        u16::try_from(index).ok().map(PlacerId)
     }
 
-    /// A connection by its place.
-    pub fn connection(&mut self, place: usize) -> Option<&mut ClientConnection> {
-        self.table.get_mut(place)
+    /// Returns the connection in a slot.
+    pub fn connection(&mut self, slot: usize) -> Option<&mut ClientConnection> {
+        self.table.get_mut(slot)
     }
 
-    /// All connections.
+    /// Returns all connections.
     pub fn connections(&self) -> impl Iterator<Item = &ClientConnection> {
-        self.table.iter().map(|(_, found)| found)
+        self.table.iter().map(|(_, connection)| connection)
     }
 
-    /// The connection for tests, made if there is none.
-    pub fn test(&mut self, placer: PlacerId, registry: &Registry) -> io::Result<Option<usize>> {
+    /// Returns the slot of the health-check connection, opening it if there is none.
+    pub fn health_check_connection(
+        &mut self,
+        placer: PlacerId,
+        registry: &Registry,
+    ) -> io::Result<Option<usize>> {
         let Some(link) = self.get(placer) else {
             return Ok(None);
         };
-        if link.test.is_some() {
-            return Ok(link.test);
+        if link.health_check.is_some() {
+            return Ok(link.health_check);
         }
-        let made = self.open(placer, Purpose::HealthCheck, registry)?;
+        let opened = self.open(placer, Purpose::HealthCheck, registry)?;
         if let Some(link) = self.get_mut(placer) {
-            link.test = made;
+            link.health_check = opened;
         }
-        Ok(made)
+        Ok(opened)
     }
 
-    /// The next connection for tasks, made if there is none in its place.
-    pub fn next_for_tasks(
+    /// Returns the slot of the pool's next connection in turn, opening it if there is none.
+    pub fn next_task_connection(
         &mut self,
         placer: PlacerId,
         registry: &Registry,
@@ -148,19 +159,19 @@
         let Some(link) = self.get_mut(placer) else {
             return Ok(None);
         };
-        let slot = link.next % link.kept.len().max(1);
-        link.next = slot + 1;
-        if let Some(Some(place)) = link.kept.get(slot) {
-            return Ok(Some(*place));
+        let pool_index = link.next_pool_index % link.pool.len().max(1);
+        link.next_pool_index = pool_index + 1;
+        if let Some(Some(slot)) = link.pool.get(pool_index) {
+            return Ok(Some(*slot));
         }
-        let made = self.open(placer, Purpose::Tasks(slot), registry)?;
-        if let Some(kept) = self
+        let opened = self.open(placer, Purpose::Tasks { pool_index }, registry)?;
+        if let Some(pooled) = self
             .get_mut(placer)
-            .and_then(|link| link.kept.get_mut(slot))
+            .and_then(|link| link.pool.get_mut(pool_index))
         {
-            *kept = made;
+            *pooled = opened;
         }
-        Ok(made)
+        Ok(opened)
     }
 
     fn open(
@@ -177,30 +188,29 @@
         };
         let kind = match purpose {
             Purpose::HealthCheck => TrafficKind::HealthCheck,
-            Purpose::Tasks(_) => TrafficKind::Client,
+            Purpose::Tasks { .. } => TrafficKind::Client,
         };
         let token = Token(FIRST_CONNECTION + self.table.vacant_key());
         let stream = TcpStream::connect(address)?;
         let connection =
             Connection::new(stream, token, registry, link.counters.clone(), Some(kind))?;
-        let open = Vec::new();
         Ok(Some(self.table.insert(ClientConnection {
             connection,
             placer,
             purpose,
-            open,
+            pending: Vec::new(),
         })))
     }
 
-    /// A connection is over.
-    pub fn close(&mut self, place: usize) -> Option<ClientConnection> {
-        let closed = self.table.try_remove(place)?;
+    /// Removes a connection from the table and from its link.
+    pub fn close(&mut self, slot: usize) -> Option<ClientConnection> {
+        let closed = self.table.try_remove(slot)?;
         if let Some(link) = self.links.get_mut(closed.placer.index()) {
             match closed.purpose {
-                Purpose::HealthCheck => link.test = None,
-                Purpose::Tasks(slot) => {
-                    if let Some(kept) = link.kept.get_mut(slot) {
-                        *kept = None;
+                Purpose::HealthCheck => link.health_check = None,
+                Purpose::Tasks { pool_index } => {
+                    if let Some(pooled) = link.pool.get_mut(pool_index) {
+                        *pooled = None;
                     }
                 }
             }
@@ -208,12 +218,12 @@
         Some(closed)
     }
 
-    /// The places of all connections to a placer.
-    pub fn places(&self, placer: PlacerId) -> Vec<usize> {
+    /// Returns the slots of all connections to a placer.
+    pub fn slots_of(&self, placer: PlacerId) -> Vec<usize> {
         self.table
             .iter()
-            .filter(|(_, found)| found.placer == placer)
-            .map(|(place, _)| place)
+            .filter(|(_, connection)| connection.placer == placer)
+            .map(|(slot, _)| slot)
             .collect()
     }
 }
--- a/crates/scale-test/src/clients/tasks.rs
+++ b/crates/scale-test/src/clients/tasks.rs
@@ -1,4 +1,6 @@
-//! What becomes of each task, as its client sees it. Pure.
+//! The outcome of each task, as its client sees it.
+//!
+//! Pure: time is an argument, and there is no I/O.
 
 use super::arrivals::{Arrival, Arrivals};
 use crate::deployment::Class;
@@ -8,87 +10,87 @@
 use crate::workers::RunningTask;
 use std::time::Instant;
 
-/// How a task is.
+/// The state of a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskState {
-    /// Its set-up waits for an answer.
+    /// The set-up waits for an answer.
     Waiting {
-        /// Since it was sent.
+        /// When it was sent.
         sent: Instant,
     },
-    /// It stands at a worker.
+    /// The task runs at a worker.
     Running(WorkerId),
-    /// It stood, and the placer has told that it is over, with this cause.
+    /// The task ran and has ended with this cause.
     Ended(u8),
-    /// Refused: trying again would have been harmless.
+    /// Refused with no effect; a retry would be safe.
     Refused,
-    /// Failed: nothing is promised.
+    /// Failed, possibly with an effect.
     Failed,
-    /// No answer came in its time.
+    /// No answer came in time.
     Unanswered,
-    /// Its connection ended with no answer, and its placer lived.
+    /// The connection closed before an answer, though the placer was alive.
     ConnectionLost,
-    /// Its placer was killed before it answered.
+    /// The placer was killed before it answered.
     PlacerKilled,
-    /// No placer was in service when it was due.
+    /// No placer was in service when the task arrived.
     NoPlacer,
 }
 
-/// One task.
+/// The record of one task.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskRecord {
-    /// When it was due; none for one that stood at the start.
+    /// When it arrived; `None` if it ran at the start of the test.
     pub due: Option<Instant>,
-    /// Its class.
+    /// The class.
     pub class: Class,
-    /// Its tenant.
+    /// The index of the tenant.
     pub tenant: u32,
-    /// Its service.
+    /// The index of the service.
     pub service: u32,
-    /// What it is at its worker.
+    /// The resources and the lifetime.
     pub shape: TaskShape,
-    /// The placer that has it, or had it last.
+    /// The placer that its latest set-up was sent to.
     pub placer: PlacerId,
-    /// Set-ups of it so far.
+    /// The number of the latest attempt, from 0.
     pub attempt: u8,
-    /// How often it was moved.
+    /// The number of migrations.
     pub moves: u8,
-    /// Whether it counts.
+    /// Whether its time to start is measured.
     pub measured: bool,
-    /// How it is.
+    /// The state.
     pub state: TaskState,
 }
 
-/// What an answer means.
+/// The effect of an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEffect {
-    /// The task stands now.
+    /// The task has started.
     First,
-    /// It had been answered.
+    /// The task had been answered before.
     Second,
-    /// It is of an attempt that is over, or of no task.
+    /// The answer belongs to a closed attempt, or to no task.
     Stale,
 }
 
-/// What a release means.
+/// The effect of a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseEffect {
-    /// The set-up is refused, or has failed.
+    /// The set-up was refused, or has failed.
     Final,
-    /// A task that stood is over: that is to be confirmed.
+    /// A running task has ended. The end must be acknowledged.
     Ended,
-    /// It was known, or is of no task; if it stood it is to be confirmed.
+    /// The end was known, or belongs to no task. It is acknowledged again.
     Known,
 }
 
-/// All tasks.
+/// The records of all tasks.
 pub struct TaskTable {
     tasks: Vec<TaskRecord>,
 }
 
 impl TaskTable {
-    /// A table with what stands at the start.
-    pub fn new(standing: &[RunningTask], arrivals: &Arrivals) -> TaskTable {
+    /// Returns a table with the tasks that run at the start.
+    pub fn new(running_tasks: &[RunningTask], arrivals: &Arrivals) -> TaskTable {
         let record = |task: &RunningTask| {
             let (tenant, service) = arrivals.of_running_tasks(task.task);
             TaskRecord {
@@ -105,11 +107,11 @@
             }
         };
         TaskTable {
-            tasks: standing.iter().map(record).collect(),
+            tasks: running_tasks.iter().map(record).collect(),
         }
     }
 
-    /// Adds a task that is due; none if there are more than can be named.
+    /// Adds a task that arrives. Returns `None` if there are more tasks than indexes.
     pub fn add(&mut self, arrival: &Arrival, due: Instant, measured: bool) -> Option<TaskIndex> {
         let index = u32::try_from(self.tasks.len()).ok()?;
         self.tasks.push(TaskRecord {
@@ -127,17 +129,17 @@
         Some(TaskIndex(index))
     }
 
-    /// All tasks, with their names.
+    /// Returns all records, with the indexes of their tasks.
     pub fn iter(&self) -> impl Iterator<Item = (TaskIndex, &TaskRecord)> {
         (0..).map(TaskIndex).zip(&self.tasks)
     }
 
-    /// A task.
+    /// Returns the record of a task.
     pub fn get(&self, task: TaskIndex) -> Option<&TaskRecord> {
         self.tasks.get(task.index())
     }
 
-    /// A task, if this is the id of its latest attempt.
+    /// Returns the record of a task, if the id is that of its latest attempt.
     fn latest(&mut self, id: SetupId) -> Option<&mut TaskRecord> {
         let (task, attempt) = id.parts()?;
         self.tasks
@@ -145,7 +147,7 @@
             .filter(|record| record.attempt == attempt)
     }
 
-    /// Its set-up goes to a placer.
+    /// Records that the set-up of a task is sent to a placer. Returns the id of the set-up.
     pub fn sent(&mut self, task: TaskIndex, placer: PlacerId, sent: Instant) -> Option<SetupId> {
         let record = self.tasks.get_mut(task.index())?;
         record.placer = placer;
@@ -153,7 +155,7 @@
         Some(SetupId::new(task, record.attempt))
     }
 
-    /// An answer has come.
+    /// Records an answer.
     pub fn answered(&mut self, id: SetupId, worker: WorkerId) -> AnswerEffect {
         let Some(record) = self.latest(id) else {
             return AnswerEffect::Stale;
@@ -174,7 +176,7 @@
         }
     }
 
-    /// A release has come.
+    /// Records a release.
     pub fn released(&mut self, id: SetupId, cause: u8) -> ReleaseEffect {
         let Some(record) = self.latest(id) else {
             return ReleaseEffect::Known;
@@ -197,8 +199,8 @@
         }
     }
 
-    /// A task moves: whether its client comes again.
-    pub fn moved(&mut self, id: SetupId) -> Option<TaskIndex> {
+    /// Begins the next attempt of a running task that migrates. Returns the task if it was running.
+    pub fn begin_migration(&mut self, id: SetupId) -> Option<TaskIndex> {
         let record = self
             .latest(id)
             .filter(|record| matches!(record.state, TaskState::Running(_)))?;
@@ -208,18 +210,18 @@
         id.parts().map(|(task, _)| task)
     }
 
-    /// Its set-up is over without an answer: whether it still waited for one.
-    pub fn close_unanswered(&mut self, id: SetupId, how: TaskState) -> bool {
+    /// Closes a set-up without an answer. Returns whether it was still waiting for one.
+    pub fn close_unanswered(&mut self, id: SetupId, state: TaskState) -> bool {
         let waiting = self
             .latest(id)
             .filter(|record| matches!(record.state, TaskState::Waiting { .. }));
         waiting.is_some_and(|record| {
-            record.state = how;
+            record.state = state;
             true
         })
     }
 
-    /// When the set-up that waits under this id was sent.
+    /// Returns when the set-up was sent, if it still waits for an answer.
     pub fn waiting_since(&self, id: SetupId) -> Option<Instant> {
         let (task, attempt) = id.parts()?;
         match self
@@ -232,7 +234,7 @@
         }
     }
 
-    /// The tasks that stand and belong to a placer, with their ids and their workers.
+    /// Returns the running tasks of a placer, with their set-up ids and their workers.
     pub fn running_at(
         &self,
         placer: PlacerId,
--- a/crates/scale-test/src/clients/tasks/tests.rs
+++ b/crates/scale-test/src/clients/tasks/tests.rs
@@ -1,4 +1,4 @@
-//! What messages of placers mean for a task.
+//! The effects of placers' messages on a task.
 
 use super::*;
 use crate::settings::Settings;
@@ -7,7 +7,7 @@
 const PLACER: PlacerId = PlacerId(1);
 const WORKER: WorkerId = WorkerId(5);
 
-/// A table with one task that waits, and its id.
+/// Returns a table with one task that waits for its answer, and the id of its set-up.
 fn waiting() -> (TaskTable, SetupId) {
     let settings = Settings::default();
     let mut arrivals = Arrivals::new(&settings);
@@ -23,25 +23,41 @@
 }
 
 #[test]
-fn a_task_is_answered_once_stands_and_is_over() {
+fn first_answer_starts_the_task_at_its_placer() {
     let (mut table, id) = waiting();
     assert!(table.waiting_since(id).is_some());
+
     assert_eq!(table.answered(id, WORKER), AnswerEffect::First);
-    assert_eq!(table.answered(id, WORKER), AnswerEffect::Second);
+
     assert_eq!(table.running_at(PLACER).count(), 1);
     assert_eq!(table.running_at(PlacerId(0)).count(), 0);
+}
+
+#[test]
+fn second_answer_is_recognized_while_the_task_runs_and_after_its_end() {
+    let (mut table, id) = waiting();
+    table.answered(id, WORKER);
+
+    assert_eq!(table.answered(id, WORKER), AnswerEffect::Second);
+
+    table.released(id, cause::NORMAL);
+    assert_eq!(table.answered(id, WORKER), AnswerEffect::Second);
+}
+
+#[test]
+fn release_ends_a_running_task_and_a_repeated_one_is_known() {
+    let (mut table, id) = waiting();
+    table.answered(id, WORKER);
+
     assert_eq!(table.released(id, cause::NORMAL), ReleaseEffect::Ended);
-    assert_eq!(
-        table.released(id, cause::NORMAL),
-        ReleaseEffect::Known,
-        "told again"
-    );
+
+    let repeated = table.released(id, cause::NORMAL);
+    assert_eq!(repeated, ReleaseEffect::Known, "released again");
     assert_eq!(state(&table), TaskState::Ended(cause::NORMAL));
-    assert_eq!(table.answered(id, WORKER), AnswerEffect::Second);
 }
 
 #[test]
-fn a_release_before_the_answer_is_a_refusal_or_a_failure() {
+fn release_before_the_answer_is_a_refusal_or_a_failure() {
     for (cause, expected) in [
         (cause::FULL, TaskState::Refused),
         (cause::REFUSED, TaskState::Refused),
@@ -60,12 +76,20 @@
 }
 
 #[test]
-fn a_task_that_moves_comes_again_under_another_id_and_the_old_one_means_nothing() {
+fn task_that_does_not_run_is_not_migrated() {
+    let (mut table, id) = waiting();
+
+    assert_eq!(table.begin_migration(id), None);
+}
+
+#[test]
+fn migrated_task_gets_a_new_id_and_the_old_one_is_stale() {
     let (mut table, old) = waiting();
-    assert_eq!(table.moved(old), None, "it does not stand");
     table.answered(old, WORKER);
-    let task = table.moved(old).expect("it stands");
+
+    let task = table.begin_migration(old).expect("it runs");
     let id = table.sent(task, PLACER, Instant::now()).expect("a task");
+
     assert_ne!(id, old);
     assert_eq!(table.answered(old, WORKER), AnswerEffect::Stale);
     assert_eq!(table.released(old, cause::CANCELLED), ReleaseEffect::Known);
@@ -74,34 +98,44 @@
 }
 
 #[test]
-fn a_set_up_that_ends_unanswered_does_so_once_and_a_late_answer_is_stale() {
+fn unanswered_set_up_is_closed_only_once() {
     let (mut table, id) = waiting();
+
     assert!(table.close_unanswered(id, TaskState::PlacerKilled));
     assert!(!table.close_unanswered(id, TaskState::Unanswered));
+
     assert_eq!(state(&table), TaskState::PlacerKilled);
+}
+
+#[test]
+fn answer_to_a_closed_set_up_is_stale() {
+    let (mut table, id) = waiting();
+    table.close_unanswered(id, TaskState::PlacerKilled);
+
     assert_eq!(table.answered(id, WORKER), AnswerEffect::Stale);
     assert_eq!(table.waiting_since(id), None);
 }
 
 #[test]
-fn what_stands_at_the_start_is_told_to_its_placer() {
-    let settings = Settings::default();
+fn task_that_runs_at_the_start_belongs_to_its_placer() {
     let shape = TaskShape {
         cores: 1.0,
         memory: 2.0,
         lifetime: Duration::from_secs(3),
         once: false,
     };
-    let standing = RunningTask {
+    let running_task = RunningTask {
         task: TaskIndex(0),
         worker: WORKER,
         placer: PLACER,
         shape,
     };
-    let table = TaskTable::new(&[standing], &Arrivals::new(&settings));
-    let told: Vec<(SetupId, WorkerId)> = table
+
+    let table = TaskTable::new(&[running_task], &Arrivals::new(&Settings::default()));
+
+    let found: Vec<(SetupId, WorkerId)> = table
         .running_at(PLACER)
         .map(|(id, _, worker)| (id, worker))
         .collect();
-    assert_eq!(told, [(SetupId::new(TaskIndex(0), 0), WORKER)]);
+    assert_eq!(found, [(SetupId::new(TaskIndex(0), 0), WORKER)]);
 }
--- a/crates/scale-test/src/clients/thread.rs
+++ b/crates/scale-test/src/clients/thread.rs
@@ -1,59 +1,55 @@
-//! The event loop of the clients: sends what is due, reads what placers say, and tests them.
+//! The event loop of the hollow clients.
+//!
+//! Sends set-ups when they are due, reads the messages of placers, and checks the health of placers. The
+//! outcome of each task is kept by [`TaskTable`].
+
+mod connections;
+mod health_checks;
+mod messages;
+mod requests;
 
 use super::arrivals::{Arrival, Arrivals};
-use super::link::{FIRST_CONNECTION, Links, PendingSetUp};
-use super::tasks::{AnswerEffect, ReleaseEffect, TaskRecord, TaskState, TaskTable};
+use super::link::{FIRST_CONNECTION, Links};
+use super::tasks::TaskTable;
 use super::{ArrivalWindow, ClientAudit, ClientCommand, ClientState, Timings};
-use crate::deployment::Class;
-use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId};
+use crate::identity::{PlacerId, SetupId};
 use crate::mailbox::Receiver;
 use crate::settings::Settings;
-use crate::socket::{Connection, Liveness};
 use crate::timers::TimerQueue;
 use crate::timing::LatencyHistogram;
 use crate::traffic::PlacerCounters;
-use crate::wire::binary::{self, PlacerMessage, SetUp};
-use crate::wire::{WireError, description};
 use mio::{Events, Poll, Token};
 use std::io::{self, ErrorKind};
-use std::sync::atomic::{AtomicBool, Ordering};
+use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Where commands come in.
+/// The token of the command mailbox.
 pub const MAILBOX: Token = Token(0);
-/// Events taken in one turn.
+/// Events taken from the poll at a time.
 const EVENTS_PER_POLL: usize = 1_024;
 /// The longest wait for events.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(100);
-/// How often a placer that starts is called until a test passes.
-const STARTUP_CHECK_PERIOD: Duration = Duration::from_millis(10);
-/// How often a placer in service is tested, as by a front.
-const HEALTH_CHECK_PERIOD: Duration = Duration::from_secs(1);
-/// How long an answer may be late before it counts as missing.
-const ANSWER_GRACE: Duration = Duration::from_secs(1);
-/// A set-up that crosses a close within this time goes out again, once (the protocol's figure).
-const RESEND_WINDOW: Duration = Duration::from_millis(50);
 
-/// What the clients share with others.
+/// What the thread shares with others.
 pub struct Shared {
-    /// The counters of each placer.
+    /// The traffic counters of each placer.
     pub counters: Vec<Arc<PlacerCounters>>,
-    /// What the clients are told to do.
+    /// The commands to this thread.
     pub commands: Receiver<ClientCommand>,
-    /// How they are.
+    /// The state that this thread publishes.
     pub state: Arc<Mutex<ClientState>>,
-    /// The placers that are about to be killed, or are.
+    /// For each placer, whether it is about to be killed or is killed.
     pub kill_announced: Arc<[AtomicBool]>,
 }
 
-/// What is due at a time.
+/// What a timer triggers.
 enum TimerEvent {
-    /// A placer is called or tested, if this is still its start.
+    /// A health check of a placer, if this is still its current start.
     CheckHealth(PlacerId, u64),
-    /// A task.
+    /// The arrival of a task.
     TaskArrives(Arrival),
-    /// The time of a set-up that was sent then.
+    /// The end of the wait for an answer to the set-up that was sent at this time.
     AnswerTimeout(SetupId, Instant),
 }
 
@@ -75,7 +71,7 @@
 }
 
 impl ClientThread {
-    /// Clients that know these tasks.
+    /// Creates the thread's state, with the tasks that run at the start.
     pub fn new(
         poll: Poll,
         settings: &Settings,
@@ -83,7 +79,7 @@
         arrivals: Arrivals,
         shared: Shared,
     ) -> io::Result<ClientThread> {
-        let kept = usize::from(settings.client_connections);
+        let pool_size = usize::from(settings.client_connections);
         let state = ClientState {
             ready: vec![None; shared.counters.len()],
             ..ClientState::default()
@@ -98,7 +94,7 @@
         };
         Ok(ClientThread {
             poll,
-            links: Links::new(shared.counters.clone(), kept),
+            links: Links::new(shared.counters.clone(), pool_size),
             tasks,
             arrivals,
             window: None,
@@ -113,7 +109,7 @@
         })
     }
 
-    /// Runs until it is stopped; the books.
+    /// Runs until the stop command, and returns what was recorded.
     pub fn run(mut self) -> io::Result<ClientAudit> {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !self.stopped {
@@ -122,36 +118,29 @@
                 Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
                 _ => {}
             }
-            // What is due goes first: the time of a task counts from when it was due.
+            // Due timers go first: the latency of a task counts from when it was due.
             self.run_due_timers()?;
             for event in &events {
                 if event.token() != MAILBOX {
-                    self.serve(event.token().0 - FIRST_CONNECTION)?;
+                    self.handle_readiness(event.token().0 - FIRST_CONNECTION)?;
                 }
             }
             self.handle_commands()?;
-            self.publish_progress();
+            self.publish_state();
         }
-        let ClientThread {
-            tasks,
-            timings,
-            second_answers,
-            bad_messages,
-            ..
-        } = self;
         Ok(ClientAudit {
-            tasks,
-            timings,
-            second_answers,
-            bad_messages,
+            tasks: self.tasks,
+            timings: self.timings,
+            second_answers: self.second_answers,
+            bad_messages: self.bad_messages,
         })
     }
 
-    fn publish_progress(&mut self) {
+    fn publish_state(&mut self) {
         self.state.queued = self
             .links
             .connections()
-            .map(|found| found.connection.queued())
+            .map(|entry| entry.connection.queued())
             .sum();
         self.shared
             .state
@@ -160,7 +149,7 @@
             .clone_from(&self.state);
     }
 
-    // ---- Orders ----
+    // ---- Commands ----
 
     fn handle_commands(&mut self) -> io::Result<()> {
         for command in self.shared.commands.take() {
@@ -170,14 +159,14 @@
                         continue;
                     };
                     link.address = Some(address);
-                    link.start += 1;
-                    self.timers
-                        .add(Instant::now(), TimerEvent::CheckHealth(placer, link.start));
+                    link.start_number += 1;
+                    let event = TimerEvent::CheckHealth(placer, link.start_number);
+                    self.timers.add(Instant::now(), event);
                 }
-                ClientCommand::PlacerKilled(placer) => self.killed(placer)?,
+                ClientCommand::PlacerKilled(placer) => self.remove_placer(placer)?,
                 ClientCommand::StartArrivals(window) => {
                     self.window = Some(window);
-                    self.add_arrival(window);
+                    self.schedule_next_arrival(window);
                 }
                 ClientCommand::Stop => self.stopped = true,
             }
@@ -185,381 +174,34 @@
         Ok(())
     }
 
-    /// A placer is gone, and with it what it owed.
-    fn killed(&mut self, placer: PlacerId) -> io::Result<()> {
+    /// Takes a killed placer out of service. Its pending answers are lost with it.
+    fn remove_placer(&mut self, placer: PlacerId) -> io::Result<()> {
         if let Some(link) = self.links.get_mut(placer) {
             link.address = None;
-            link.ready = false;
+            link.is_ready = false;
         }
         if let Some(ready) = self.state.ready.get_mut(placer.index()) {
             *ready = None;
         }
-        for place in self.links.places(placer) {
-            self.close(place)?;
+        for slot in self.links.slots_of(placer) {
+            self.close(slot)?;
         }
         Ok(())
     }
 
-    // ---- Time ----
+    // ---- Timers ----
 
     fn run_due_timers(&mut self) -> io::Result<()> {
-        // As of each look: what became due while another was sent is not left waiting.
-        while let Some((at, due)) = self.timers.pop_due(Instant::now()) {
-            match due {
-                TimerEvent::CheckHealth(placer, start) => self.test(placer, start)?,
-                TimerEvent::TaskArrives(arrival) => self.arrive(at, &arrival)?,
-                TimerEvent::AnswerTimeout(id, sent) => self.overdue(id, sent),
-            }
-        }
-        Ok(())
-    }
-
-    fn add_arrival(&mut self, window: ArrivalWindow) {
-        let Some(arrival) = self.arrivals.next() else {
-            return;
-        };
-        let due = window.start + arrival.due;
-        if due < window.end {
-            self.timers.add(due, TimerEvent::TaskArrives(arrival));
-        }
-    }
-
-    /// A task is due.
-    fn arrive(&mut self, due: Instant, arrival: &Arrival) -> io::Result<()> {
-        let Some(window) = self.window else {
-            return Ok(());
-        };
-        self.add_arrival(window);
-        let measured = due >= window.measured_from;
-        let Some(task) = self.tasks.add(arrival, due, measured) else {
-            return Ok(());
-        };
-        if let Some(placer) = self.links.draw(arrival.lot) {
-            self.set_up(task, placer)?;
-        }
-        if measured {
-            let late = Instant::now().saturating_duration_since(due);
-            self.timings.lateness.add(late);
-        }
-        Ok(())
-    }
-
-    fn set_up(&mut self, task: TaskIndex, placer: PlacerId) -> io::Result<()> {
-        let now = Instant::now();
-        let Some(id) = self.tasks.sent(task, placer, now) else {
-            return Ok(());
-        };
-        let Some(record) = self.tasks.get(task) else {
-            return Ok(());
-        };
-        let wait = Duration::from_millis(record.class.wait_ms());
-        self.timers.add(
-            now + wait + ANSWER_GRACE,
-            TimerEvent::AnswerTimeout(id, now),
-        );
-        self.state.waiting += 1;
-        self.send_set_up(
-            PendingSetUp {
-                id,
-                is_resent: false,
-            },
-            placer,
-        )
-    }
-
-    /// Sends the set-up of a task that waits.
-    fn send_set_up(&mut self, set_up: PendingSetUp, placer: PlacerId) -> io::Result<()> {
-        let id = set_up.id;
-        let Some(record) = id.parts().and_then(|(task, _)| self.tasks.get(task)) else {
-            return Ok(());
-        };
-        let mut bytes = Vec::new();
-        write_set_up(&mut bytes, id, record, None, &self.tenant_names);
-        let place = self.links.next_for_tasks(placer, self.poll.registry())?;
-        let found = place.and_then(|place| self.links.connection(place));
-        let Some(found) = found else {
-            self.close_unanswered(id, TaskState::NoPlacer);
-            return Ok(());
-        };
-        found.open.push(set_up);
-        self.send(place, &bytes, 1)
-    }
-
-    /// The time of a set-up is over.
-    fn overdue(&mut self, id: SetupId, sent: Instant) {
-        if self.tasks.waiting_since(id) == Some(sent) {
-            self.close_unanswered(id, TaskState::Unanswered);
-        }
-    }
-
-    fn close_unanswered(&mut self, id: SetupId, how: TaskState) {
-        if self.tasks.close_unanswered(id, how) {
-            self.state.waiting = self.state.waiting.saturating_sub(1);
-        }
-    }
-
-    // ---- Tests ----
-
-    /// Calls and tests a placer, again and again for as long as it has not been started anew.
-    fn test(&mut self, placer: PlacerId, start: u64) -> io::Result<()> {
-        let Some(link) = self.links.get(placer) else {
-            return Ok(());
-        };
-        if link.start != start || link.address.is_none() {
-            return Ok(());
-        }
-        let period = if link.ready {
-            HEALTH_CHECK_PERIOD
-        } else {
-            STARTUP_CHECK_PERIOD
-        };
-        self.timers.add(
-            Instant::now() + period,
-            TimerEvent::CheckHealth(placer, start),
-        );
-        let known = self.links.places(placer);
-        let place = self.links.test(placer, self.poll.registry())?;
-        let made = place.is_some_and(|place| !known.contains(&place));
-        // Until it is ready there is one test on each call: the first answer counts.
-        if made || self.links.get(placer).is_some_and(|link| link.ready) {
-            let mut bytes = Vec::new();
-            binary::test(&mut bytes);
-            self.send(place, &bytes, 1)?;
-        }
-        Ok(())
-    }
-
-    /// A test has passed: the first since its start makes a placer ready, and it is told what stands.
-    fn passed(&mut self, placer: PlacerId) -> io::Result<()> {
-        let Some(link) = self.links.get_mut(placer) else {
-            return Ok(());
-        };
-        if std::mem::replace(&mut link.ready, true) {
-            return Ok(());
-        }
-        if let Some(ready) = self.state.ready.get_mut(placer.index()) {
-            *ready = Some(Instant::now());
-        }
-        self.announce_running_tasks(placer)
-    }
-
-    /// Tells a placer that starts of the tasks that stand.
-    fn announce_running_tasks(&mut self, placer: PlacerId) -> io::Result<()> {
-        let mut bytes = Vec::new();
-        let mut messages = 0;
-        for (id, record, worker) in self.tasks.running_at(placer) {
-            write_set_up(&mut bytes, id, record, Some(worker), &self.tenant_names);
-            messages += 1;
-        }
-        if messages == 0 {
-            return Ok(());
-        }
-        let place = self.links.next_for_tasks(placer, self.poll.registry())?;
-        self.send(place, &bytes, messages)
-    }
-
-    // ---- Connections ----
-
-    fn send(&mut self, place: Option<usize>, bytes: &[u8], messages: u64) -> io::Result<()> {
-        let Some(place) = place else { return Ok(()) };
-        let Some(found) = self.links.connection(place) else {
-            return Ok(());
-        };
-        if found.connection.send(bytes, messages) == Liveness::Ended {
-            self.close(place)?;
-        }
-        Ok(())
-    }
-
-    /// Something has happened on a connection.
-    fn serve(&mut self, place: usize) -> io::Result<()> {
-        let Some(found) = self.links.connection(place) else {
-            return Ok(());
-        };
-        let placer = found.placer;
-        let flushed = found.connection.flush();
-        let filled = found.connection.fill();
-        let read = read_messages(&mut found.connection);
-        let Ok(messages) = read else {
-            self.bad_messages += 1;
-            return self.close(place);
-        };
-        let mut replies = Vec::new();
-        let mut count = 0;
-        for (id, message) in messages {
-            if self.take(place, placer, id, message)? == Reply::Heard {
-                binary::heard(&mut replies, id);
-                count += 1;
-            }
-        }
-        if flushed == Liveness::Ended || filled == Liveness::Ended {
-            return self.close(place);
-        }
-        self.send(Some(place), &replies, count)
-    }
-
-    /// A connection is over: a set-up that crossed its end goes out again, the others are lost with it.
-    fn close(&mut self, place: usize) -> io::Result<()> {
-        let Some(closed) = self.links.close(place) else {
-            return Ok(());
-        };
-        let placer = closed.placer;
-        let there = self
-            .links
-            .get(placer)
-            .is_some_and(|link| link.address.is_some());
-        let kill_announced = self
-            .shared
-            .kill_announced
-            .get(placer.index())
-            .is_some_and(|kill_announced| kill_announced.load(Ordering::SeqCst));
-        for PendingSetUp {
-            id,
-            is_resent: again,
-        } in closed.open
-        {
-            let Some(sent) = self.tasks.waiting_since(id) else {
-                continue;
-            };
-            if !there || kill_announced {
-                self.close_unanswered(id, TaskState::PlacerKilled);
-            } else if !again && sent.elapsed() <= RESEND_WINDOW {
-                self.send_set_up(
-                    PendingSetUp {
-                        id,
-                        is_resent: true,
-                    },
-                    placer,
-                )?;
-            } else {
-                self.close_unanswered(id, TaskState::ConnectionLost);
-            }
-        }
-        Ok(())
-    }
-
-    // ---- Messages ----
-
-    fn take(
-        &mut self,
-        place: usize,
-        placer: PlacerId,
-        id: SetupId,
-        message: PlacerMessage,
-    ) -> io::Result<Reply> {
-        match message {
-            PlacerMessage::Answer(text) => match description::read_answer(&text) {
-                Some(worker) => self.answered(place, id, worker),
-                None => self.bad_messages += 1,
-            },
-            PlacerMessage::Release(cause) => return Ok(self.released(place, id, cause)),
-            PlacerMessage::Migrate => {
-                if let Some(task) = self.tasks.moved(id) {
-                    self.set_up(task, placer)?;
-                }
-            }
-            PlacerMessage::HealthChecked { passed: true } => self.passed(placer)?,
-            PlacerMessage::HealthChecked { passed: false } | PlacerMessage::EndAcknowledged => {}
-        }
-        Ok(Reply::Nothing)
-    }
-
-    fn answered(&mut self, place: usize, id: SetupId, worker: WorkerId) {
-        match self.tasks.answered(id, worker) {
-            AnswerEffect::First => {
-                self.no_longer_open(place, id);
-                self.state.started += 1;
-                let record = id.parts().and_then(|(task, _)| self.tasks.get(task));
-                // The time of a task that has moved was taken when it first stood.
-                if let Some(TaskRecord {
-                    due: Some(due),
-                    class,
-                    measured: true,
-                    moves: 0,
-                    ..
-                }) = record
-                    && let Some(times) = self.timings.to_start.get_mut(place_of(*class))
-                {
-                    times.add(due.elapsed());
+        // Reads the clock for each timer, so that one that becomes due meanwhile runs now.
+        while let Some((due, event)) = self.timers.pop_due(Instant::now()) {
+            match event {
+                TimerEvent::CheckHealth(placer, start_number) => {
+                    self.check_health(placer, start_number)?
                 }
+                TimerEvent::TaskArrives(arrival) => self.handle_arrival(due, &arrival)?,
+                TimerEvent::AnswerTimeout(id, sent) => self.handle_answer_timeout(id, sent),
             }
-            AnswerEffect::Second => self.second_answers += 1,
-            AnswerEffect::Stale => {}
-        }
-    }
-
-    fn released(&mut self, place: usize, id: SetupId, cause: u8) -> Reply {
-        match self.tasks.released(id, cause) {
-            ReleaseEffect::Final => {
-                self.no_longer_open(place, id);
-                self.state.refused += 1;
-                Reply::Nothing
-            }
-            ReleaseEffect::Ended | ReleaseEffect::Known => Reply::Heard,
-        }
-    }
-
-    /// A set-up has its answer.
-    fn no_longer_open(&mut self, place: usize, id: SetupId) {
-        self.state.waiting = self.state.waiting.saturating_sub(1);
-        if let Some(found) = self.links.connection(place) {
-            found.open.retain(|open| open.id != id);
         }
+        Ok(())
     }
 }
-
-/// Whether a message wants to be confirmed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Reply {
-    Nothing,
-    Heard,
-}
-
-/// The place of a class among all.
-fn place_of(class: Class) -> usize {
-    Class::ALL
-        .iter()
-        .position(|other| *other == class)
-        .unwrap_or(0)
-}
-
-fn write_set_up(
-    out: &mut Vec<u8>,
-    id: SetupId,
-    record: &TaskRecord,
-    at: Option<WorkerId>,
-    tenant_names: &[String],
-) {
-    let tenant = tenant_names
-        .get(record.tenant as usize)
-        .map_or("", String::as_str);
-    let key = id.parts().map_or(0, |(task, _)| task.key());
-    let set_up = SetUp {
-        id,
-        class: record.class.name(),
-        wait_ms: record.class.wait_ms(),
-        tenant,
-        key,
-        cores: record.shape.cores,
-        memory: record.shape.memory,
-        service: u64::from(record.service),
-        at,
-        description: &record.shape.write(),
-    };
-    binary::set_up(out, &set_up);
-}
-
-/// Takes the whole messages off what has come.
-fn read_messages(connection: &mut Connection) -> Result<Vec<(SetupId, PlacerMessage)>, WireError> {
-    let mut found = Vec::new();
-    let mut taken = 0;
-    while let Some((id, message, length)) =
-        binary::read(connection.inbox().get(taken..).unwrap_or_default())?
-    {
-        found.push((id, message));
-        taken += length;
-    }
-    connection.consume(taken);
-    connection.count_read(found.len() as u64);
-    Ok(found)
-}
--- a/crates/scale-test/src/feeds/cursor.rs
+++ b/crates/scale-test/src/feeds/cursor.rs
@@ -83,7 +83,7 @@
     }
 }
 
-/// FeedBatch for one placer, with what they hold.
+/// Lines to be sent to one placer, with counts of their content.
 #[derive(Default)]
 pub struct FeedBatch {
     /// Whole lines.
--- a/crates/scale-test/src/feeds/thread.rs
+++ b/crates/scale-test/src/feeds/thread.rs
@@ -40,7 +40,7 @@
 enum TimerEvent {
     /// Gathered changes.
     WriteChanges,
-    /// FeedBatch with just the number.
+    /// Writes the sequence number alone.
     WriteNumber,
     /// The whole list.
     WriteCompleteList,
--- a/crates/scale-test/src/placer_process.rs
+++ b/crates/scale-test/src/placer_process.rs
@@ -12,7 +12,7 @@
 
 /// The variable that names a placer's configuration.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
-/// FeedBatch of a placer's log that an error shows.
+/// Lines of a placer's log that an error shows.
 const SHOWN_LINES: usize = 12;
 
 /// How a placer is started.
--- a/crates/scale-test/src/results.rs
+++ b/crates/scale-test/src/results.rs
@@ -93,9 +93,9 @@
     pub bad_messages: u64,
     /// Measured starts a second.
     pub starts_per_s: f64,
-    /// LatencyHistogram to start of all measured tasks.
+    /// Times to start of all measured tasks.
     pub all_start_times: Percentiles,
-    /// LatencyHistogram to start of the measured tasks, by class.
+    /// Times to start of the measured tasks, by class.
     pub start_times: Vec<ClassTimes>,
     /// The generator's own lateness: from when tasks were due to when their set-ups were sent.
     pub lateness: Percentiles,
@@ -114,7 +114,7 @@
     }
 }
 
-/// LatencyHistogram to start of one class.
+/// Times to start of one class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassTimes {
     /// Its name.
--- a/crates/scale-test/src/run/environment.rs
+++ b/crates/scale-test/src/run/environment.rs
@@ -294,7 +294,7 @@
                     .send(FeedCommand::RestoreZone(zone, unix_millis()));
             }
             Action::KillPlacer(placer) => {
-                self.clients.doom(placer, true);
+                self.clients.announce_kill(placer);
                 kills.push(Kill {
                     placer,
                     at: Instant::now(),
@@ -321,7 +321,7 @@
         if let Some(member) = self.members.get_mut(placer.index()) {
             member.process.restart(&text)?;
         }
-        self.clients.doom(placer, false);
+        self.clients.clear_kill(placer);
         self.clients
             .send(ClientCommand::PlacerStarted(placer, address));
         Ok(())
--- a/crates/scale-test/src/settings.rs
+++ b/crates/scale-test/src/settings.rs
@@ -55,7 +55,7 @@
     All,
 }
 
-/// What is run. LatencyHistogram are written as `30s`, `200ms`, `2m`.
+/// The settings of a run. Times are written as `30s`, `200ms`, `2m`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Settings {
@@ -94,7 +94,7 @@
     /// Time with load before the figures count.
     #[serde(with = "humantime_serde")]
     pub warm_up: Duration,
-    /// Time over which the figures count. LatencyHistogram of faults count from its start.
+    /// Time over which the figures count. Times of faults count from its start.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
     /// When placers connect to workers.
--- a/crates/scale-test/src/settings/fault.rs
+++ b/crates/scale-test/src/settings/fault.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// One failure. LatencyHistogram count from the start of the measured time.
+/// One failure. Times count from the start of the measured time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(
     tag = "kind",
--- a/crates/scale-test/src/sweep_runner/metrics.rs
+++ b/crates/scale-test/src/sweep_runner/metrics.rs
@@ -61,7 +61,7 @@
     (Metric::ReadyMs, |placer| placer.ready_ms.first().copied()),
 ];
 
-/// LatencyHistogram to start over the fleet.
+/// Returns the times to start over the fleet.
 fn start_times(result: &RunResult) -> Vec<(Metric, f64)> {
     let mut found = Vec::new();
     let all = result.fleet.all_start_times;
--- a/crates/scale-test/src/timing.rs
+++ b/crates/scale-test/src/timing.rs
@@ -9,7 +9,7 @@
 /// Significant digits.
 const DIGITS: u8 = 3;
 
-/// LatencyHistogram, in microseconds.
+/// A histogram of times, in microseconds.
 #[derive(Debug, Clone)]
 pub struct LatencyHistogram(Histogram<u64>);
 
--- a/crates/scale-test/src/traffic.rs
+++ b/crates/scale-test/src/traffic.rs
@@ -98,7 +98,7 @@
     pub change_events: u64,
     /// Events that hold the whole list.
     pub whole_events: u64,
-    /// FeedBatch that hold a number alone.
+    /// Lines that hold only a sequence number.
     pub number_lines: u64,
     /// Entries of workers that are up.
     pub entries_up: u64,
--- a/crates/scale-test/src/wire/binary.rs
+++ b/crates/scale-test/src/wire/binary.rs
@@ -1,7 +1,7 @@
 //! The binary messages of clients: `length:2 type:1 task:8 parameters`, each parameter
 //! `code:1 length:2 value`, all big-endian.
 
-use super::{MAX_MESSAGE_BYTES, WireError, cause};
+use super::{MAX_MESSAGE_BYTES, WireError};
 use crate::identity::{SetupId, WorkerId};
 
 mod kind {
@@ -69,13 +69,13 @@
     /// The service it belongs to.
     pub service: u64,
     /// The worker that holds the task already.
-    pub at: Option<WorkerId>,
+    pub running_at: Option<WorkerId>,
     /// What goes on to the worker.
     pub description: &'a str,
 }
 
 /// Writes a set-up.
-pub fn set_up(out: &mut Vec<u8>, set_up: &SetUp<'_>) {
+pub fn write_set_up(out: &mut Vec<u8>, set_up: &SetUp<'_>) {
     let SetUp {
         cores,
         memory,
@@ -83,7 +83,7 @@
         ..
     } = set_up;
     let mut figures = format!("cores:{cores};memory:{memory};service:{service:016x}");
-    if let Some(worker) = set_up.at {
+    if let Some(worker) = set_up.running_at {
         figures.push_str(&format!(";at:{worker}"));
     }
     let wait = set_up.wait_ms.to_string();
@@ -99,18 +99,13 @@
     message(out, kind::SET_UP, set_up.id.0, &parameters);
 }
 
-/// Writes that a set-up is given up.
-pub fn give_up(out: &mut Vec<u8>, id: SetupId) {
-    message(out, kind::RELEASE, id.0, &[(code::CAUSE, &[cause::NORMAL])]);
-}
-
 /// Writes that the end of a task was heard.
-pub fn heard(out: &mut Vec<u8>, id: SetupId) {
+pub fn write_end_acknowledged(out: &mut Vec<u8>, id: SetupId) {
     message(out, kind::HEARD, id.0, &[]);
 }
 
 /// Writes a test.
-pub fn test(out: &mut Vec<u8>) {
+pub fn write_health_check(out: &mut Vec<u8>) {
     message(out, kind::TEST, TEST_ID, &[(code::CAUSE, &[0])]);
 }
 
--- a/crates/scale-test/src/wire/tests.rs
+++ b/crates/scale-test/src/wire/tests.rs
@@ -24,10 +24,10 @@
         cores: 1.0,
         memory: 2.0,
         service: 0xb4,
-        at: Some(WorkerId(12)),
+        running_at: Some(WorkerId(12)),
         description: "cores=1",
     };
-    binary::set_up(&mut out, &set_up);
+    binary::write_set_up(&mut out, &set_up);
     assert_eq!(
         usize::from(u16::from_be_bytes([out[0], out[1]])),
         out.len() - 2
