--- a/crates/scale-test/src/clients/thread.rs
+++ b/crates/scale-test/src/clients/thread.rs
@@ -14,12 +14,13 @@
 use super::{ArrivalWindow, ClientAudit, ClientCommand, ClientState, Timings};
 use crate::identity::{PlacerId, SetupId};
 use crate::mailbox::Receiver;
+use crate::peer_thread::wait_for_events;
 use crate::settings::Settings;
 use crate::timers::TimerQueue;
 use crate::timing::LatencyHistogram;
 use crate::traffic::PlacerCounters;
 use mio::{Events, Poll, Token};
-use std::io::{self, ErrorKind};
+use std::io;
 use std::sync::atomic::AtomicBool;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
@@ -114,10 +115,7 @@
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !self.stopped {
             let wait = self.timers.wait(Instant::now(), MAX_POLL_WAIT);
-            match self.poll.poll(&mut events, Some(wait)) {
-                Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
-                _ => {}
-            }
+            wait_for_events(&mut self.poll, &mut events, wait)?;
             // Due timers go first: the latency of a task counts from when it was due.
             self.run_due_timers()?;
             for event in &events {
--- a/crates/scale-test/src/feeds.rs
+++ b/crates/scale-test/src/feeds.rs
@@ -1,12 +1,13 @@
 //! The control feeds: one for each placer, all on one thread.
 //!
-//! Each feed numbers its events from 1 at each start of its placer and tells what stands at the workers. How
-//! often it does is the settings' rule ([`FeedRule`](crate::settings::FeedRule)). A feed keeps no history:
-//! it knows which workers have changed since its placer was last told of them, so that a placer which
-//! subscribes again is told the present state of these under the next numbers.
+//! A feed reports the list of workers and their free resources. Its events are numbered from 1 at each start of
+//! its placer. How changes are grouped is set by [`FeedRule`](crate::settings::FeedRule). A feed keeps no history,
+//! only the set of workers that have changed since its placer last saw them: a placer that subscribes again gets
+//! the present state of these under the next sequence numbers.
 
 mod cursor;
 mod thread;
+mod worker_list;
 
 use crate::identity::{PlacerId, WorkerId, ZoneId};
 use crate::mailbox::{self, Sender};
@@ -20,37 +21,37 @@
 use std::sync::{Arc, mpsc};
 use std::time::Duration;
 
-/// How long the feeds' thread may take to answer.
+/// The longest wait for a reply of the feed thread.
 const REPLY_LIMIT: Duration = Duration::from_secs(10);
 
-/// The room of a worker.
+/// The free resources of a worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FreeResources {
-    /// Whose.
+    /// The worker.
     pub worker: WorkerId,
-    /// Cores that nobody has asked for.
+    /// Cores that no task has asked for.
     pub free_cores: f64,
-    /// Memory that nobody has asked for.
+    /// Memory that no task has asked for.
     pub free_memory: f64,
 }
 
-/// What the feeds are told.
+/// A command to the feeds.
 pub enum FeedCommand {
-    /// The ports at which a placer reaches the workers of each zone.
+    /// Sets the ports at which a placer reaches the workers, by zone.
     SetWorkerPorts(PlacerId, Vec<u16>),
-    /// The rooms of workers have changed.
+    /// Updates the free resources of workers.
     UpdateResources(Vec<FreeResources>),
-    /// The workers of a zone were removed.
+    /// Reports the workers of a zone as removed.
     RemoveZone(ZoneId),
-    /// They are up again, as processes that started at this Unix millisecond.
+    /// Reports the workers of a zone as up, started at this Unix millisecond.
     RestoreZone(ZoneId, u64),
-    /// A placer starts: its numbers begin anew, and its configuration holds the events so far.
+    /// Starts the feed of a placer anew, and replies with the first event for its configuration.
     StartPlacer(PlacerId, mpsc::Sender<String>),
-    /// The thread ends.
+    /// Stops the thread.
     Stop,
 }
 
-/// All control feeds.
+/// All control feeds, one for each placer.
 pub struct Feeds {
     commands: Sender<FeedCommand>,
     thread: PeerThread<()>,
@@ -58,7 +59,7 @@
 }
 
 impl Feeds {
-    /// Starts one for each placer that is counted.
+    /// Starts a feed for each placer, one for each set of counters.
     ///
     /// # Errors
     ///
@@ -81,22 +82,22 @@
         })
     }
 
-    /// Where commands are sent.
+    /// Returns the sender of commands.
     pub fn commands(&self) -> Sender<FeedCommand> {
         self.commands.clone()
     }
 
-    /// Where a placer subscribes.
+    /// Returns the address at which a placer subscribes.
     pub fn address(&self, placer: PlacerId) -> Option<SocketAddr> {
         self.addresses.get(placer.index()).copied()
     }
 
-    /// A placer starts: the events that its configuration holds, as JSON.
+    /// Starts the feed of a placer anew. Returns the events that its configuration contains, as JSON.
     ///
     /// # Errors
     ///
     /// Returns an error if the feed thread does not reply in time.
-    pub fn known(&self, placer: PlacerId) -> io::Result<String> {
+    pub fn start_placer(&self, placer: PlacerId) -> io::Result<String> {
         let (reply, replied) = mpsc::channel();
         self.commands.send(FeedCommand::StartPlacer(placer, reply));
         replied
@@ -104,12 +105,12 @@
             .map_err(|_| io::Error::other("no reply of the feeds"))
     }
 
-    /// The error on which their thread has ended, if it has.
+    /// Returns the error on which the thread has ended, if it has.
     pub fn failure(&mut self) -> Option<io::Error> {
         self.thread.failure()
     }
 
-    /// Ends them.
+    /// Stops the feeds.
     ///
     /// # Errors
     ///
@@ -123,7 +124,7 @@
 impl Drop for Feeds {
     fn drop(&mut self) {
         self.commands.send(FeedCommand::Stop);
-        // It has ended already where the run came to its end.
+        // After `stop` the thread has ended already.
         let _ = self.thread.join();
     }
 }
--- a/crates/scale-test/src/feeds/cursor/tests.rs
+++ b/crates/scale-test/src/feeds/cursor/tests.rs
@@ -1,58 +1,70 @@
-//! What a placer is told, and under which numbers.
+//! The lines that a placer gets, and their sequence numbers.
 
 use super::*;
+use crate::feeds::FreeResources;
+use crate::identity::ZoneId;
 
-fn workers() -> ListedWorkers {
-    ListedWorkers::new(5, vec!["z0".to_string(), "z1".to_string()], 4.0, 8.0)
+fn workers() -> WorkerList {
+    WorkerList::new(5, vec!["z0".to_string(), "z1".to_string()], 4.0, 8.0)
 }
 
-fn cursor(workers: &ListedWorkers) -> FeedCursor {
+/// A cursor whose placer has started.
+fn cursor(workers: &WorkerList) -> FeedCursor {
     let mut cursor = FeedCursor::default();
     cursor.set_ports(vec![20_000, 20_001]);
     cursor.start(workers);
     cursor
 }
 
-/// The number, whether it is whole, and the names of each event.
-fn told(lines: &FeedBatch) -> Vec<(u64, Option<bool>, Vec<String>)> {
-    let text = std::str::from_utf8(&lines.bytes).expect("text");
+/// An event as a placer reads it.
+struct ReadEvent {
+    sequence_number: u64,
+    is_complete: Option<bool>,
+    /// The name and the health of each worker.
+    workers: Vec<String>,
+}
+
+fn read(batch: &FeedBatch) -> Vec<ReadEvent> {
+    let text = std::str::from_utf8(&batch.bytes).expect("text");
     let event = |line: &str| {
         let value: serde_json::Value = serde_json::from_str(line).expect("JSON");
         let hosts = value["members"]["hosts"]
             .as_array()
             .cloned()
             .unwrap_or_default();
-        let names = hosts
+        let workers = hosts
             .iter()
             .map(|host| format!("{} {}", host["host"], host["health"]))
             .collect();
-        (
-            value["n"].as_u64().expect("a number"),
-            value["members"]["whole"].as_bool(),
-            names,
-        )
+        ReadEvent {
+            sequence_number: value["n"].as_u64().expect("a number"),
+            is_complete: value["members"]["whole"].as_bool(),
+            workers,
+        }
     };
     text.lines().map(event).collect()
 }
 
 #[test]
-fn a_start_names_all_that_are_up_at_the_port_of_their_zone() {
+fn first_event_lists_the_workers_that_are_up_at_the_port_of_their_zone() {
     let mut workers = workers();
-    workers.set_up(WorkerId(3), false, 0);
+    workers.set_removed(WorkerId(3));
     let mut cursor = FeedCursor::default();
     cursor.set_ports(vec![20_000, 20_001]);
+
     let known: serde_json::Value = serde_json::from_str(&cursor.start(&workers)).expect("JSON");
+
     assert_eq!(known["n"], 1);
     let hosts = known["events"][0]["members"]["hosts"]
         .as_array()
         .expect("a list")
         .clone();
-    let dials: Vec<&str> = hosts
+    let addresses: Vec<&str> = hosts
         .iter()
         .filter_map(|host| host["dial"].as_str())
         .collect();
     assert_eq!(
-        dials,
+        addresses,
         [
             "127.16.0.0:20000",
             "127.16.0.1:20001",
@@ -62,8 +74,8 @@
     );
 }
 
-#[test]
-fn numbers_follow_each_other_under_both_rules_and_a_change_is_told_once() {
+/// Writes two changes under one rule, a sequence number, and two changes under the other rule.
+fn batch_of_both_rules() -> FeedBatch {
     let mut workers = workers();
     let mut cursor = cursor(&workers);
     workers.set_free_resources(FreeResources {
@@ -72,62 +84,90 @@
         free_memory: 2.0,
     });
     for worker in [1, 4, 1] {
-        cursor.mark(WorkerId(worker));
+        cursor.mark_changed(WorkerId(worker));
     }
-    let mut lines = FeedBatch::default();
-    cursor.write_changes(FeedRule::EachChange, &workers, &mut lines);
-    cursor.write_sequence_number(&mut lines);
-    cursor.mark(WorkerId(0));
-    cursor.mark(WorkerId(2));
-    cursor.write_changes(FeedRule::Gathered, &workers, &mut lines);
+    let mut batch = FeedBatch::default();
+    cursor.write_changes(FeedRule::EachChange, &workers, &mut batch);
+    cursor.write_sequence_number(&mut batch);
+    cursor.mark_changed(WorkerId(0));
+    cursor.mark_changed(WorkerId(2));
+    cursor.write_changes(FeedRule::Gathered, &workers, &mut batch);
     assert!(!cursor.has_pending_changes());
-    let found = told(&lines);
-    let numbers: Vec<u64> = found.iter().map(|(n, _, _)| *n).collect();
+    batch
+}
+
+#[test]
+fn sequence_numbers_are_consecutive_under_both_rules() {
+    let events = read(&batch_of_both_rules());
+
+    let numbers: Vec<u64> = events.iter().map(|event| event.sequence_number).collect();
     assert_eq!(numbers, [2, 3, 3, 4]);
-    assert_eq!(found[3].2.len(), 2);
+}
+
+#[test]
+fn gathered_changes_share_an_event_and_each_change_is_written_once() {
+    let batch = batch_of_both_rules();
+
+    assert_eq!(read(&batch)[3].workers.len(), 2);
     let counts = FeedCounts {
         change_events: 3,
         number_lines: 1,
         entries_up: 4,
         ..FeedCounts::default()
     };
-    assert_eq!((lines.counts, lines.messages), (counts, 4));
+    assert_eq!((batch.counts, batch.messages), (counts, 4));
 }
 
 #[test]
-fn a_placer_that_subscribes_again_after_a_loss_is_told_the_present_state_of_all() {
+fn subscription_from_the_last_event_has_no_pending_changes() {
     let workers = workers();
     let mut cursor = cursor(&workers);
-    cursor.mark(WorkerId(1));
+    cursor.mark_changed(WorkerId(1));
     cursor.write_changes(FeedRule::EachChange, &workers, &mut FeedBatch::default());
+
     cursor.subscribe(2, &workers);
+
     assert!(!cursor.has_pending_changes(), "nothing was lost");
+}
+
+#[test]
+fn subscription_after_a_loss_gets_the_present_state_of_all_workers() {
+    let workers = workers();
+    let mut cursor = cursor(&workers);
+    cursor.mark_changed(WorkerId(1));
+    cursor.write_changes(FeedRule::EachChange, &workers, &mut FeedBatch::default());
+
     cursor.subscribe(1, &workers);
-    let mut lines = FeedBatch::default();
-    cursor.write_changes(FeedRule::Gathered, &workers, &mut lines);
-    let found = told(&lines);
-    assert_eq!((found.len(), found[0].0, found[0].2.len()), (1, 2, 5));
+
+    let mut batch = FeedBatch::default();
+    cursor.write_changes(FeedRule::Gathered, &workers, &mut batch);
+    let events = read(&batch);
+    assert_eq!(events.len(), 1);
+    assert_eq!((events[0].sequence_number, events[0].workers.len()), (2, 5));
 }
 
 #[test]
-fn what_was_removed_is_told_and_missing_in_the_whole_list() {
+fn removed_workers_are_in_the_changes_and_not_in_the_complete_list() {
     let mut workers = workers();
     let mut cursor = cursor(&workers);
     for worker in workers.in_zone(ZoneId(1)) {
-        workers.set_up(worker, false, 0);
-        cursor.mark(worker);
+        workers.set_removed(worker);
+        cursor.mark_changed(worker);
     }
-    let mut lines = FeedBatch::default();
-    cursor.write_changes(FeedRule::Gathered, &workers, &mut lines);
-    cursor.write_complete_list(&workers, &mut lines);
-    let found = told(&lines);
+
+    let mut batch = FeedBatch::default();
+    cursor.write_changes(FeedRule::Gathered, &workers, &mut batch);
+    cursor.write_complete_list(&workers, &mut batch);
+
+    let events = read(&batch);
     assert_eq!(
-        found[0].2,
+        events[0].workers,
         ["\"w00001\" \"removed\"", "\"w00003\" \"removed\""]
     );
-    assert_eq!((found[1].1, found[1].2.len()), (Some(true), 3));
+    assert_eq!(events[1].is_complete, Some(true));
+    assert_eq!(events[1].workers.len(), 3);
     assert_eq!(
-        (lines.counts.entries_removed, lines.counts.whole_events),
+        (batch.counts.entries_removed, batch.counts.whole_events),
         (2, 1)
     );
 }
--- a/crates/scale-test/src/feeds/thread.rs
+++ b/crates/scale-test/src/feeds/thread.rs
@@ -1,9 +1,13 @@
 //! The event loop of the control feeds.
+//!
+//! Owns the sockets and timers of all feeds. What is written is decided by [`FeedCursor`].
 
-use super::cursor::{FeedBatch, FeedCursor, ListedWorkers};
+use super::cursor::{FeedBatch, FeedCursor};
+use super::worker_list::WorkerList;
 use super::{FeedCommand, FreeResources};
 use crate::identity::{WorkerId, ZoneId};
 use crate::mailbox::Receiver;
+use crate::peer_thread::wait_for_events;
 use crate::settings::{FeedRule, Settings};
 use crate::socket::{Connection, Liveness};
 use crate::timers::TimerQueue;
@@ -17,89 +21,90 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Where commands come in.
+/// The token of the command mailbox.
 pub const MAILBOX: Token = Token(0);
-/// The first of the listeners, by placer.
+/// The first token of the listeners, which follow each other by placer.
 const FIRST_LISTENER: usize = 1;
-/// The first of the connections, by placer: above all listeners.
+/// The first token of the connections, by placer: above all listeners.
 const FIRST_CONNECTION: usize = 1 << 16;
-/// Events taken in one turn.
+/// Events taken from the poll at a time.
 const EVENTS_PER_POLL: usize = 256;
 /// The longest wait for events.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(100);
-/// How often a line with just the number is told (the protocol's figure).
+/// The period of lines that hold only a sequence number, as the protocol specifies.
 const NUMBER_PERIOD: Duration = Duration::from_secs(1);
-/// With so many bytes waiting for a placer that reads slowly, changes are gathered until it has read them.
+/// With so many bytes queued for a placer that reads slowly, its changes are gathered until it has read them.
 const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
-/// The longest line that a placer says.
+/// The longest line that a placer sends.
 const MAX_SUBSCRIPTION_BYTES: usize = 64;
-/// Sets the draws of extra events apart from all other draws of a run.
+/// Separates the random numbers of extra events from all others of a run.
 const EVENTS_STREAM: u64 = 0x6576_656e_7473;
 
-/// What is due at a time.
+/// What a timer triggers.
 enum TimerEvent {
-    /// Gathered changes.
+    /// Writes the gathered changes.
     WriteChanges,
     /// Writes the sequence number alone.
     WriteNumber,
-    /// The whole list.
+    /// Writes the complete list.
     WriteCompleteList,
-    /// An extra event.
+    /// Writes an extra event.
     WriteExtraEvent,
 }
 
+/// The feed of one placer.
 struct PlacerFeed {
     listener: TcpListener,
     connection: Option<Connection>,
-    subscribed: bool,
+    is_subscribed: bool,
     cursor: FeedCursor,
     counters: Arc<PlacerCounters>,
 }
 
 impl PlacerFeed {
-    /// Whether it can be told something now.
-    fn takes_more(&self) -> bool {
-        self.subscribed
+    /// Returns whether the placer is subscribed and reads fast enough.
+    fn accepts_more(&self) -> bool {
+        self.is_subscribed
             && self
                 .connection
                 .as_ref()
-                .is_some_and(|found| found.queued() < MAX_QUEUED_BYTES)
+                .is_some_and(|connection| connection.queued() < MAX_QUEUED_BYTES)
     }
 
-    fn send(&mut self, lines: &FeedBatch) {
+    fn send(&mut self, batch: &FeedBatch) {
         let Some(connection) = &mut self.connection else {
             return;
         };
-        self.counters.add_feed(lines.counts);
-        if connection.send(&lines.bytes, lines.messages) == Liveness::Ended {
-            self.end();
+        self.counters.add_feed(batch.counts);
+        if connection.send(&batch.bytes, batch.messages) == Liveness::Ended {
+            self.close();
         }
     }
 
-    fn end(&mut self) {
+    fn close(&mut self) {
         self.connection = None;
-        self.subscribed = false;
+        self.is_subscribed = false;
     }
 }
 
-/// The feeds' thread.
+/// The thread of all feeds.
 pub struct FeedThread {
     poll: Poll,
     commands: Receiver<FeedCommand>,
-    workers: ListedWorkers,
+    workers: WorkerList,
     feeds: Vec<PlacerFeed>,
     timers: TimerQueue<TimerEvent>,
     rule: FeedRule,
-    period: Duration,
-    whole_every: Duration,
-    /// The time from one extra event to the next, if there are any.
-    extra_gap: Option<Duration>,
-    draws: ChaCha8Rng,
+    change_period: Duration,
+    complete_list_period: Duration,
+    /// The period of extra events, if there are any.
+    extra_event_period: Option<Duration>,
+    random: ChaCha8Rng,
     stopped: bool,
 }
 
 impl FeedThread {
-    /// Feeds at these listeners, one for each placer.
+    /// Creates the thread's state, with one listener for each placer.
     pub fn new(
         poll: Poll,
         settings: &Settings,
@@ -108,61 +113,52 @@
         commands: Receiver<FeedCommand>,
     ) -> io::Result<FeedThread> {
         let mut feeds = Vec::new();
-        for (place, (mut listener, counters)) in listeners.into_iter().zip(counters).enumerate() {
-            let token = Token(FIRST_LISTENER + place);
+        for (index, (mut listener, counters)) in listeners.into_iter().zip(counters).enumerate() {
+            let token = Token(FIRST_LISTENER + index);
             poll.registry()
                 .register(&mut listener, token, Interest::READABLE)?;
-            let cursor = FeedCursor::default();
             feeds.push(PlacerFeed {
                 listener,
                 connection: None,
-                subscribed: false,
-                cursor,
+                is_subscribed: false,
+                cursor: FeedCursor::default(),
                 counters,
             });
         }
-        let Settings {
-            workers,
-            worker_cores,
-            worker_memory,
-            ..
-        } = *settings;
+        let workers = WorkerList::new(
+            settings.workers,
+            settings.zone_names(),
+            settings.worker_cores,
+            settings.worker_memory,
+        );
         Ok(FeedThread {
             poll,
             commands,
-            workers: ListedWorkers::new(
-                workers,
-                settings.zone_names(),
-                worker_cores,
-                worker_memory,
-            ),
+            workers,
             feeds,
             timers: TimerQueue::default(),
             rule: settings.feed,
-            period: settings.feed_period,
-            whole_every: settings.whole_list_every,
-            extra_gap: (settings.events > 0.0)
+            change_period: settings.feed_period,
+            complete_list_period: settings.whole_list_every,
+            extra_event_period: (settings.events > 0.0)
                 .then(|| Duration::from_secs_f64(1.0 / settings.events)),
-            draws: ChaCha8Rng::seed_from_u64(settings.seed ^ EVENTS_STREAM),
+            random: ChaCha8Rng::seed_from_u64(settings.seed ^ EVENTS_STREAM),
             stopped: false,
         })
     }
 
-    /// Runs until it is stopped.
+    /// Runs until the stop command.
     pub fn run(&mut self) -> io::Result<()> {
         self.set_timers(Instant::now());
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !self.stopped {
             let wait = self.timers.wait(Instant::now(), MAX_POLL_WAIT);
-            match self.poll.poll(&mut events, Some(wait)) {
-                Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
-                _ => {}
-            }
+            wait_for_events(&mut self.poll, &mut events, wait)?;
             for event in &events {
                 match event.token() {
                     MAILBOX => {}
                     Token(token) if token >= FIRST_CONNECTION => {
-                        self.serve(token - FIRST_CONNECTION)
+                        self.handle_readiness(token - FIRST_CONNECTION)
                     }
                     Token(token) => self.accept(token - FIRST_LISTENER)?,
                 }
@@ -176,22 +172,7 @@
         Ok(())
     }
 
-    fn set_timers(&mut self, now: Instant) {
-        self.timers
-            .add(now + NUMBER_PERIOD, TimerEvent::WriteNumber);
-        if self.rule == FeedRule::Gathered {
-            self.timers.add(now + self.period, TimerEvent::WriteChanges);
-        }
-        if !self.whole_every.is_zero() {
-            self.timers
-                .add(now + self.whole_every, TimerEvent::WriteCompleteList);
-        }
-        if let Some(gap) = self.extra_gap {
-            self.timers.add(now + gap, TimerEvent::WriteExtraEvent);
-        }
-    }
-
-    // ---- Orders ----
+    // ---- Commands ----
 
     fn handle_commands(&mut self) {
         for command in self.commands.take() {
@@ -201,15 +182,17 @@
                         feed.cursor.set_ports(ports);
                     }
                 }
-                FeedCommand::UpdateResources(rooms) => rooms
+                FeedCommand::UpdateResources(changed) => changed
                     .into_iter()
-                    .for_each(|room| self.set_free_resources(room)),
-                FeedCommand::RemoveZone(zone) => self.set_zone(zone, false, 0),
-                FeedCommand::RestoreZone(zone, born_ms) => self.set_zone(zone, true, born_ms),
+                    .for_each(|resources| self.set_free_resources(resources)),
+                FeedCommand::RemoveZone(zone) => self.remove_zone(zone),
+                FeedCommand::RestoreZone(zone, started_at_unix_ms) => {
+                    self.restore_zone(zone, started_at_unix_ms)
+                }
                 FeedCommand::StartPlacer(placer, reply) => {
                     if let Some(feed) = self.feeds.get_mut(placer.index()) {
-                        feed.end();
-                        // Who asked waits only so long, and may have gone.
+                        feed.close();
+                        // The caller waits only for a limited time, and may have given up.
                         let _ = reply.send(feed.cursor.start(&self.workers));
                     }
                 }
@@ -218,36 +201,47 @@
         }
     }
 
-    fn mark(&mut self, worker: WorkerId) {
+    fn mark_changed(&mut self, worker: WorkerId) {
         self.feeds
             .iter_mut()
-            .for_each(|feed| feed.cursor.mark(worker));
+            .for_each(|feed| feed.cursor.mark_changed(worker));
     }
 
-    fn set_free_resources(&mut self, room: FreeResources) {
-        self.workers.set_free_resources(room);
-        self.mark(room.worker);
+    fn set_free_resources(&mut self, resources: FreeResources) {
+        self.workers.set_free_resources(resources);
+        self.mark_changed(resources.worker);
     }
 
-    fn set_zone(&mut self, zone: ZoneId, up: bool, born_ms: u64) {
+    fn remove_zone(&mut self, zone: ZoneId) {
         for worker in self.workers.in_zone(zone) {
-            self.workers.set_up(worker, up, born_ms);
-            self.mark(worker);
+            self.workers.set_removed(worker);
+            self.mark_changed(worker);
+        }
+    }
+
+    fn restore_zone(&mut self, zone: ZoneId, started_at_unix_ms: u64) {
+        for worker in self.workers.in_zone(zone) {
+            self.workers.set_up(worker, started_at_unix_ms);
+            self.mark_changed(worker);
         }
     }
 
     // ---- Connections ----
 
-    fn accept(&mut self, place: usize) -> io::Result<()> {
-        while let Some(feed) = self.feeds.get_mut(place) {
+    fn accept(&mut self, index: usize) -> io::Result<()> {
+        while let Some(feed) = self.feeds.get_mut(index) {
             match feed.listener.accept() {
                 Ok((stream, _)) => {
-                    let (token, registry) = (Token(FIRST_CONNECTION + place), self.poll.registry());
-                    let (counters, kind) = (feed.counters.clone(), Some(TrafficKind::Feed));
-                    // A placer that calls again has given the connection before up.
-                    feed.end();
-                    feed.connection =
-                        Some(Connection::new(stream, token, registry, counters, kind)?);
+                    let token = Token(FIRST_CONNECTION + index);
+                    // A placer that connects again has given its former connection up.
+                    feed.close();
+                    feed.connection = Some(Connection::new(
+                        stream,
+                        token,
+                        self.poll.registry(),
+                        feed.counters.clone(),
+                        Some(TrafficKind::Feed),
+                    )?);
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
                 Err(error)
@@ -261,8 +255,9 @@
         Ok(())
     }
 
-    fn serve(&mut self, place: usize) {
-        let Some(feed) = self.feeds.get_mut(place) else {
+    /// Reads and writes a connection that is ready; answers its subscription.
+    fn handle_readiness(&mut self, index: usize) {
+        let Some(feed) = self.feeds.get_mut(index) else {
             return;
         };
         let Some(connection) = &mut feed.connection else {
@@ -271,59 +266,76 @@
         let flushed = connection.flush();
         let filled = connection.fill();
         let inbox = connection.inbox();
-        let end = inbox.iter().position(|byte| *byte == b'\n');
-        let number = end.and_then(|end| feed::subscription(inbox.get(..end)?));
-        let too_long = inbox.len() > MAX_SUBSCRIPTION_BYTES;
-        if flushed == Liveness::Ended || filled == Liveness::Ended || too_long {
-            return feed.end();
+        let line_end = inbox.iter().position(|byte| *byte == b'\n');
+        let subscription = line_end.and_then(|end| feed::read_subscription(inbox.get(..end)?));
+        let is_too_long = inbox.len() > MAX_SUBSCRIPTION_BYTES;
+        if flushed == Liveness::Ended || filled == Liveness::Ended || is_too_long {
+            return feed.close();
         }
-        let Some(end) = end else { return };
-        let Some(number) = number else {
-            return feed.end();
+        let Some(line_end) = line_end else { return };
+        let Some(from) = subscription else {
+            return feed.close();
         };
-        connection.consume(end + 1);
+        connection.consume(line_end + 1);
         connection.count_read(1);
-        feed.subscribed = true;
-        feed.cursor.subscribe(number, &self.workers);
-        let mut lines = FeedBatch::default();
+        feed.is_subscribed = true;
+        feed.cursor.subscribe(from, &self.workers);
+        let mut batch = FeedBatch::default();
         feed.cursor
-            .write_changes(self.rule, &self.workers, &mut lines);
-        feed.cursor.write_sequence_number(&mut lines);
-        feed.send(&lines);
+            .write_changes(self.rule, &self.workers, &mut batch);
+        feed.cursor.write_sequence_number(&mut batch);
+        feed.send(&batch);
     }
 
-    // ---- Telling ----
+    // ---- Timers ----
+
+    fn set_timers(&mut self, now: Instant) {
+        self.timers
+            .add(now + NUMBER_PERIOD, TimerEvent::WriteNumber);
+        if self.rule == FeedRule::Gathered {
+            self.timers
+                .add(now + self.change_period, TimerEvent::WriteChanges);
+        }
+        if !self.complete_list_period.is_zero() {
+            let due = now + self.complete_list_period;
+            self.timers.add(due, TimerEvent::WriteCompleteList);
+        }
+        if let Some(period) = self.extra_event_period {
+            self.timers.add(now + period, TimerEvent::WriteExtraEvent);
+        }
+    }
 
+    /// Runs the timers that are due, and sets each to its next time.
     fn run_due_timers(&mut self) {
         let now = Instant::now();
-        while let Some((at, due)) = self.timers.pop_due(now) {
-            let next = match due {
+        while let Some((due, event)) = self.timers.pop_due(now) {
+            let period = match event {
                 TimerEvent::WriteChanges => {
                     self.write_changes();
-                    at + self.period
+                    self.change_period
                 }
                 TimerEvent::WriteNumber => {
-                    self.write_to_all(|cursor, _, lines| cursor.write_sequence_number(lines));
-                    at + NUMBER_PERIOD
+                    self.write_to_all(|cursor, _, batch| cursor.write_sequence_number(batch));
+                    NUMBER_PERIOD
                 }
                 TimerEvent::WriteCompleteList => {
                     self.write_to_all(FeedCursor::write_complete_list);
-                    at + self.whole_every
+                    self.complete_list_period
                 }
                 TimerEvent::WriteExtraEvent => {
-                    self.write_extra();
-                    at + self.extra_gap.unwrap_or(NUMBER_PERIOD)
+                    self.write_extra_event();
+                    self.extra_event_period.unwrap_or(NUMBER_PERIOD)
                 }
             };
-            self.timers.add(next, due);
+            self.timers.add(due + period, event);
         }
     }
 
-    fn write_to_all(&mut self, tell: impl Fn(&mut FeedCursor, &ListedWorkers, &mut FeedBatch)) {
-        for feed in self.feeds.iter_mut().filter(|feed| feed.takes_more()) {
-            let mut lines = FeedBatch::default();
-            tell(&mut feed.cursor, &self.workers, &mut lines);
-            feed.send(&lines);
+    fn write_to_all(&mut self, write: impl Fn(&mut FeedCursor, &WorkerList, &mut FeedBatch)) {
+        for feed in self.feeds.iter_mut().filter(|feed| feed.accepts_more()) {
+            let mut batch = FeedBatch::default();
+            write(&mut feed.cursor, &self.workers, &mut batch);
+            feed.send(&batch);
         }
     }
 
@@ -332,18 +344,19 @@
         for feed in self
             .feeds
             .iter_mut()
-            .filter(|feed| feed.cursor.has_pending_changes() && feed.takes_more())
+            .filter(|feed| feed.cursor.has_pending_changes() && feed.accepts_more())
         {
-            let mut lines = FeedBatch::default();
-            feed.cursor.write_changes(rule, &self.workers, &mut lines);
-            feed.send(&lines);
+            let mut batch = FeedBatch::default();
+            feed.cursor.write_changes(rule, &self.workers, &mut batch);
+            feed.send(&batch);
         }
     }
 
-    fn write_extra(&mut self) {
+    /// Writes the entry of a random worker again.
+    fn write_extra_event(&mut self) {
         let count = self.workers.ids().count();
-        let drawn = self.draws.random_range(0..count.max(1));
-        let worker = WorkerId(u32::try_from(drawn).unwrap_or(0));
-        self.write_to_all(|cursor, workers, lines| cursor.write_repeat(worker, workers, lines));
+        let index = self.random.random_range(0..count.max(1));
+        let worker = WorkerId(u32::try_from(index).unwrap_or(0));
+        self.write_to_all(|cursor, workers, batch| cursor.write_repeat(worker, workers, batch));
     }
 }
--- a/crates/scale-test/src/peer_thread.rs
+++ b/crates/scale-test/src/peer_thread.rs
@@ -1,13 +1,15 @@
-//! A thread of hollow peers that ends only when it is told to, or on an error.
+//! A thread that plays hollow peers until it is commanded to stop, or fails.
 
-use std::io;
+use mio::{Events, Poll};
+use std::io::{self, ErrorKind};
 use std::thread::{Builder, JoinHandle};
+use std::time::Duration;
 
-/// A thread that gives a value when it is told to end.
+/// A thread that returns a value when it stops.
 pub struct PeerThread<T>(Option<JoinHandle<io::Result<T>>>);
 
 impl<T: Send + 'static> PeerThread<T> {
-    /// Starts it.
+    /// Starts a thread.
     pub fn spawn(
         name: &str,
         run: impl FnOnce() -> io::Result<T> + Send + 'static,
@@ -16,17 +18,17 @@
         Ok(PeerThread(Some(handle)))
     }
 
-    /// The error on which it has ended, if it has.
+    /// Returns the error on which the thread has ended, if it has.
     pub fn failure(&mut self) -> Option<io::Error> {
-        let finished = self.0.as_ref().is_some_and(JoinHandle::is_finished);
-        finished.then(|| {
+        let is_finished = self.0.as_ref().is_some_and(JoinHandle::is_finished);
+        is_finished.then(|| {
             self.join()
                 .err()
                 .unwrap_or_else(|| io::Error::other("it ended too early"))
         })
     }
 
-    /// Waits for its end; its value.
+    /// Waits for the end of the thread, and returns its value.
     pub fn join(&mut self) -> io::Result<T> {
         let handle = self
             .0
@@ -37,3 +39,11 @@
             .unwrap_or_else(|_| Err(io::Error::other("it panicked")))
     }
 }
+
+/// Waits for events, at most so long. A signal ends the wait early, with no events.
+pub fn wait_for_events(poll: &mut Poll, events: &mut Events, wait: Duration) -> io::Result<()> {
+    match poll.poll(events, Some(wait)) {
+        Err(error) if error.kind() != ErrorKind::Interrupted => Err(error),
+        _ => Ok(()),
+    }
+}
--- a/crates/scale-test/src/run/environment.rs
+++ b/crates/scale-test/src/run/environment.rs
@@ -170,7 +170,7 @@
             source: io::Error::other("no such feed"),
         };
         let feed = self.feeds.address(placer).ok_or_else(no_feed)?;
-        let known = self.feeds.known(placer);
+        let known = self.feeds.start_placer(placer);
         let known = known.map_err(|source| RunError::Peers {
             peers: "feeds",
             source,
--- a/crates/scale-test/src/wire/tests.rs
+++ b/crates/scale-test/src/wire/tests.rs
@@ -4,7 +4,7 @@
 use crate::identity::{SetupId, TaskIndex, WorkerId};
 use binary::PlacerMessage;
 use description::TaskShape;
-use feed::{Entry, ListedWorker};
+use feed::{Entry, EventKind, ListedWorker};
 use lines::{NoCapacity, Offer, PlacerLine};
 use std::time::Duration;
 
@@ -156,8 +156,8 @@
 #[test]
 fn events_of_the_feed_are_json_with_what_the_protocol_names() {
     let listed = ListedWorker {
-        up: true,
-        born_ms: 5,
+        is_up: true,
+        started_at_unix_ms: 5,
         free_cores: 15.5,
         free_memory: 30.0,
     };
@@ -169,13 +169,13 @@
     };
     let gone = Entry {
         listed: ListedWorker {
-            up: false,
+            is_up: false,
             ..listed
         },
         ..entry
     };
     let mut out = Vec::new();
-    feed::event(&mut out, 41, false, [entry, gone].into_iter());
+    feed::write_event(&mut out, 41, EventKind::Delta, [entry, gone].into_iter());
     let value: serde_json::Value = serde_json::from_slice(&out).expect("JSON");
     assert_eq!(value["n"], 41);
     let hosts = &value["members"]["hosts"];
@@ -186,6 +186,6 @@
         (&"up".into(), &"removed".into())
     );
     assert_eq!(hosts[0]["block"], 9);
-    assert_eq!(feed::subscription(b"SUB 12"), Some(12));
-    assert_eq!(feed::subscription(b"SUB x"), None);
+    assert_eq!(feed::read_subscription(b"SUB 12"), Some(12));
+    assert_eq!(feed::read_subscription(b"SUB x"), None);
 }
--- a/crates/scale-test/src/workers/thread.rs
+++ b/crates/scale-test/src/workers/thread.rs
@@ -13,6 +13,7 @@
 use super::{WorkerCommand, WorkerReport, WorkerState, ZoneListener};
 use crate::feeds::FeedCommand;
 use crate::mailbox::{Receiver, Sender};
+use crate::peer_thread::wait_for_events;
 use crate::timers::TimerQueue;
 use crate::timing::LatencyHistogram;
 use crate::traffic::PlacerCounters;
@@ -20,7 +21,7 @@
 use crate::wire::{cause, description};
 use mio::net::TcpListener;
 use mio::{Events, Poll, Token};
-use std::io::{self, ErrorKind};
+use std::io;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
@@ -108,10 +109,7 @@
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !self.stopped {
             let wait = self.timers.wait(Instant::now(), MAX_POLL_WAIT);
-            match self.poll.poll(&mut events, Some(wait)) {
-                Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
-                _ => {}
-            }
+            wait_for_events(&mut self.poll, &mut events, wait)?;
             for event in &events {
                 match event.token() {
                     MAILBOX => {}
