--- a/crates/scale-test/src/budget/tests.rs
+++ b/crates/scale-test/src/budget/tests.rs
@@ -25,7 +25,7 @@
 };
 
 #[test]
-fn what_is_within_the_limits_passes_and_what_is_beyond_is_named() {
+fn need_within_the_limits_is_admitted_and_each_excess_is_named() {
     let memory = |needed_kb| Excess::Memory {
         needed_kb,
         allowed_kb: 12 * GIB_IN_KB,
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_machine_without_a_limit_on_descriptors_refuses_none() {
+fn machine_without_a_descriptor_limit_admits_any_number() {
     let machine = Machine {
         descriptors: None,
         ..MACHINE
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn each_excess_is_one_line_that_says_what_to_do() {
+fn each_excess_is_one_line_with_a_remedy() {
     let need = Need {
         memory_kb: 14 * GIB_IN_KB + GIB_IN_KB / 10,
         descriptors_here: 20_001,
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn every_number_of_a_run_adds_to_what_it_needs() {
+fn each_number_of_a_run_adds_to_its_need() {
     let base = RunSize {
         workers: 10,
         placers: 2,
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn a_placer_holds_no_more_connections_than_its_configuration_lets_it() {
+fn connections_of_a_placer_are_limited_by_its_configuration() {
     let few = Need::of(&RunSize {
         workers: 1024,
         placers: 4,
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn workers_get_the_connections_that_are_not_promised_to_clients() {
+fn workers_get_the_connections_that_are_not_reserved_for_clients() {
     let idle = Need::of(&RunSize {
         placers: 2,
         placer_sockets: 900,
@@ -222,12 +222,12 @@
 }
 
 #[test]
-fn a_run_of_nothing_is_one_process() {
+fn empty_run_needs_one_process() {
     assert_eq!(Need::of(&NOTHING).processes, 1);
 }
 
 #[test]
-fn numbers_beyond_all_bounds_are_refused_and_do_not_overflow() {
+fn largest_numbers_are_rejected_without_overflow() {
     let most = u64::MAX;
     let size = RunSize {
         workers: most,
@@ -241,14 +241,14 @@
 }
 
 #[test]
-fn this_machine_is_read() {
+fn resources_of_this_machine_are_read() {
     let machine = Machine::read().expect("a machine with /proc");
     assert!(machine.memory_kb > 0);
     assert_ne!(machine.descriptors, Some(0));
 }
 
 #[test]
-fn settings_with_more_placers_than_descriptors_are_refused_and_the_default_is_not() {
+fn default_settings_are_admitted_and_too_many_placers_are_rejected() {
     let need = Need::of_settings(&Settings::default());
     assert_eq!(check(&need, &MACHINE), Ok(()));
     let settings = Settings {
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn the_size_of_a_run_is_that_of_its_settings() {
+fn run_size_is_taken_from_the_settings() {
     let settings = Settings {
         workers: 70,
         placers: 5,
--- a/crates/scale-test/src/clients/arrivals.rs
+++ b/crates/scale-test/src/clients/arrivals.rs
@@ -72,7 +72,7 @@
             cores: self.cores,
             memory: self.memory,
             lifetime,
-            once: class.is_non_idempotent(),
+            non_idempotent: class.is_non_idempotent(),
         }
     }
 
--- a/crates/scale-test/src/clients/arrivals/tests.rs
+++ b/crates/scale-test/src/clients/arrivals/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_same_settings_give_the_same_arrivals_and_another_seed_others() {
+fn arrivals_are_determined_by_the_settings_and_the_seed() {
     let of = |seed| -> Vec<Arrival> {
         Arrivals::new(&Settings { seed, ..settings() })
             .take(500)
@@ -25,25 +25,28 @@
 }
 
 #[test]
-fn gaps_shares_and_lives_are_as_stated() {
+fn gaps_class_shares_and_lifetimes_match_the_settings() {
     let all: Vec<Arrival> = Arrivals::new(&settings()).take(20_000).collect();
     assert!(all.windows(2).all(|pair| pair[0].due <= pair[1].due));
     let share = |class| all.iter().filter(|a| a.class == class).count() as f64 / all.len() as f64;
     // Four standard deviations of a share of 20,000.
     assert!((share(Class::Urgent) - 0.3).abs() < 0.013);
     assert!((share(Class::Once) - 0.1).abs() < 0.009);
-    assert!(all.iter().all(|a| a.shape.once == (a.class == Class::Once)));
+    assert!(
+        all.iter()
+            .all(|a| a.shape.non_idempotent == (a.class == Class::Once))
+    );
     let mean = |values: Vec<f64>| values.iter().sum::<f64>() / values.len() as f64;
     let gaps: Vec<f64> = all
         .windows(2)
         .map(|pair| (pair[1].due - pair[0].due).as_secs_f64())
         .collect();
-    let (gap, life) = (
+    let (gap, lifetime) = (
         mean(gaps.clone()),
         mean(all.iter().map(|a| a.shape.lifetime.as_secs_f64()).collect()),
     );
     assert!((gap * 200.0 - 1.0).abs() < 0.03, "{gap}");
-    assert!((life / 20.0 - 1.0).abs() < 0.03, "{life}");
+    assert!((lifetime / 20.0 - 1.0).abs() < 0.03, "{lifetime}");
     // A Poisson process: the gaps' deviation is their mean.
     let variance = gaps.iter().map(|value| (value - gap).powi(2)).sum::<f64>() / gaps.len() as f64;
     assert!((variance.sqrt() / gap - 1.0).abs() < 0.05);
@@ -51,7 +54,7 @@
 }
 
 #[test]
-fn without_a_rate_nothing_arrives() {
+fn no_task_arrives_at_rate_zero() {
     assert_eq!(
         Arrivals::new(&Settings {
             rate: 0.0,
@@ -63,7 +66,7 @@
 }
 
 #[test]
-fn what_stands_at_the_start_is_spread_over_workers_and_placers() {
+fn running_tasks_are_spread_over_workers_and_placers() {
     let settings = Settings {
         workers: 300,
         placers: 3,
--- a/crates/scale-test/src/clients/tasks/tests.rs
+++ b/crates/scale-test/src/clients/tasks/tests.rs
@@ -122,7 +122,7 @@
         cores: 1.0,
         memory: 2.0,
         lifetime: Duration::from_secs(3),
-        once: false,
+        non_idempotent: false,
     };
     let running_task = RunningTask {
         task: TaskIndex(0),
--- a/crates/scale-test/src/fit/tests.rs
+++ b/crates/scale-test/src/fit/tests.rs
@@ -110,7 +110,7 @@
     }
 
     #[test]
-    fn growth_with_the_root_is_slower(sizes in sizes(), scale in 0.001..10.0_f64) {
+    fn square_root_growth_is_slower(sizes in sizes(), scale in 0.001..10.0_f64) {
         prop_assert_eq!(shape(&points(&sizes, &[], |size| scale * size.sqrt())), Shape::Slower);
     }
 
@@ -131,12 +131,12 @@
     }
 
     #[test]
-    fn odd_input_never_panics(points in proptest::collection::vec((any::<f64>(), any::<f64>()), 0..12)) {
+    fn arbitrary_input_never_panics(points in proptest::collection::vec((any::<f64>(), any::<f64>()), 0..12)) {
         let _ = Fit::line(&points);
     }
 
     #[test]
-    fn what_is_fitted_is_finite(
+    fn fit_is_finite(
         points in proptest::collection::vec((0.0..1e300_f64, -1e300..1e300_f64), 4..12),
     ) {
         if let Ok(fit) = Fit::line(&points) {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn fewer_than_four_sizes_are_refused() {
+fn fewer_than_four_sizes_are_rejected() {
     let three = points(&[1.0, 2.0, 3.0], &[], |size| size);
     assert_eq!(Fit::line(&three), Err(FitError::TooFewSizes { found: 3 }));
     assert_eq!(Fit::line(&[]), Err(FitError::TooFewSizes { found: 0 }));
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn numbers_that_cannot_be_fitted_are_refused() {
+fn numbers_that_cannot_be_fitted_are_rejected() {
     let with = |odd| [(1.0, 1.0), (2.0, 2.0), (3.0, 3.0), odd];
     assert_eq!(Fit::line(&with((4.0, f64::NAN))), Err(FitError::NotFinite));
     assert_eq!(
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn the_largest_residual_is_told() {
+fn largest_residual_is_reported() {
     let points = [(1.0, 9.0), (2.0, 11.0), (3.0, 11.0), (4.0, 9.0)];
     let fit = Fit::line(&points).expect("a fit");
     assert_eq!((fit.slope, fit.intercept), (0.0, 10.0));
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn zeros_are_flat_and_have_no_part_of_their_mean() {
+fn zeros_are_flat_and_have_no_relative_residual() {
     let fit = Fit::line(&points(&WORKERS, &[], |_| 0.0)).expect("a fit");
     assert_eq!(fit.shape, Shape::Flat);
     assert_eq!(fit.largest_residual_part, None);
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_measurement_is_compared_with_its_projection() {
+fn measurement_is_compared_with_its_projection() {
     let table = [
         (100.0, 100.0, Some(1.0), false),
         (100.0, 120.0, Some(1.2), false),
--- a/crates/scale-test/src/identity/tests.rs
+++ b/crates/scale-test/src/identity/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_worker_is_found_by_its_address_and_its_name() {
+fn worker_is_found_by_its_address_and_its_name() {
     for index in [0, 1, 255, 256, 7_299, MAX_WORKERS - 1] {
         let worker = WorkerId(index);
         assert_eq!(
--- a/crates/scale-test/src/listener/tests.rs
+++ b/crates/scale-test/src/listener/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn it_is_reached_at_every_worker_and_tells_which_was_called() {
+fn listener_accepts_at_every_worker_address_and_identifies_the_worker() {
     let listener = LoopbackListener::open().expect("a port");
     let accepting = std::net::TcpListener::from(listener.socket.try_clone().expect("a handle"));
     accepting.set_nonblocking(false).expect("a socket option");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn it_refuses_while_it_has_vanished_keeps_its_port_and_is_reached_again() {
+fn refusing_listener_keeps_its_port_and_can_listen_again() {
     let listener = LoopbackListener::open().expect("a port");
     let _held = call(WorkerId(1), listener.port()).expect("a connection");
     listener.refuse().expect("it vanishes");
--- a/crates/scale-test/src/run/machine/tests.rs
+++ b/crates/scale-test/src/run/machine/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_busy_part_is_what_was_neither_idle_nor_waiting() {
+fn busy_fraction_excludes_idle_time_and_waits_for_io() {
     let before = MachineTime::read("cpu  100 0 50 800 50 0 0 0 9 0\ncpu0 1 2 3\n").expect("times");
     let after = MachineTime::read("cpu  130 0 70 840 60 0 0 0 19 0\n").expect("times");
     assert_eq!(
--- a/crates/scale-test/src/sample/tests.rs
+++ b/crates/scale-test/src/sample/tests.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_process_that_is_gone_is_an_error() {
+fn ended_process_is_an_error() {
     let mut child = Command::new("true").spawn().expect("it starts");
     let pid = child.id();
     child.wait().expect("it ends");
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_pid_that_cannot_be_is_an_error() {
+fn impossible_process_id_is_an_error() {
     let error = ProcSampler.sample(u32::MAX).expect_err("nothing to sample");
     assert_eq!(error.kind(), ErrorKind::InvalidInput);
 }
--- a/crates/scale-test/src/settings/tests.rs
+++ b/crates/scale-test/src/settings/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn no_settings_are_the_default_which_holds_and_survives_the_way_through_toml() {
+fn empty_file_gives_the_valid_default_which_survives_toml() {
     let settings = Settings::parse("").expect("settings");
     assert_eq!(settings, Settings::default());
     assert_eq!(settings.check(), Ok(()));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn faults_are_read_and_survive_the_way_through_toml() {
+fn faults_are_read_and_survive_toml() {
     let text = "[[fault]]\nkind = \"zone\"\nat = \"5s\"\nzone = \"z2\"\nback-after = \"6s\"\n\
                 [[fault]]\nkind = \"placer\"\nat = \"7s\"\nplacer = 1\nback-after = \"500ms\"\n\
                 [[fault]]\nkind = \"garbage\"\nat = \"9s\"\nworkers = 3\n";
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn what_can_not_be_meant_is_named_with_what_was_expected_and_found_in_one_line() {
+fn invalid_setting_is_named_with_expected_and_found_in_one_line() {
     let zone = |rest: &str| format!("[[fault]]\nkind = \"zone\"\n{rest}\n");
     for (text, says) in [
         (
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn zones_are_named_by_their_regions_where_there_are_several() {
+fn zone_names_contain_the_region_if_there_are_several() {
     let settings = Settings {
         zones: 4,
         regions: 2,
--- a/crates/scale-test/src/sweep_runner/tests.rs
+++ b/crates/scale-test/src/sweep_runner/tests.rs
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn one_number_is_replaced_and_all_else_stays() {
+fn point_replaces_one_setting_and_keeps_the_others() {
     let base = Settings::default();
     for axis in Axis::iter() {
         let at = settings_at(&base, axis, 120.0).expect("settings");
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_value_that_is_no_count_is_refused_where_a_count_is_needed() {
+fn fractional_value_is_rejected_on_an_axis_of_counts() {
     let base = Settings::default();
     for value in [20.5, -1.0, 1e12, f64::NAN, f64::INFINITY] {
         let error = settings_at(&base, Axis::Workers, value)
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn figures_are_means_over_placers_and_start_times_are_the_fleets() {
+fn metrics_are_means_over_placers_and_start_times_of_the_fleet() {
     let placers = vec![
         placer(0.1, 10.0, vec![30.0, 900.0]),
         placer(0.3, 30.0, vec![50.0]),
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_figure_that_a_run_does_not_have_is_missing_and_not_0() {
+fn metric_without_a_value_is_missing_and_not_zero() {
     let figures = metrics(&result(
         vec![placer(0.1, 0.0, Vec::new())],
         FleetTotals::default(),
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn default_values_hold_at_a_small_base_too() {
+fn default_values_are_scaled_to_a_small_base() {
     let base = Settings::default();
     let standing = default_axis(&base, Axis::RunningTasks);
     // Up to six tenths of what 300 workers of 32 tasks hold.
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_point_that_can_not_be_meant_is_named_before_any_run() {
+fn invalid_point_is_named_before_any_run() {
     let base = Settings {
         running_tasks: 9_000,
         ..Settings::default()
--- a/crates/scale-test/src/timers/tests.rs
+++ b/crates/scale-test/src/timers/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn timers_go_off_in_the_order_of_their_times_and_not_before() {
+fn timers_fire_in_the_order_of_their_times_and_never_early() {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
     let mut timers = TimerQueue::default();
--- a/crates/scale-test/src/traffic/tests.rs
+++ b/crates/scale-test/src/traffic/tests.rs
@@ -12,7 +12,7 @@
 ];
 
 #[test]
-fn kinds_add_up_to_the_total_and_each_is_counted_apart() {
+fn kinds_are_counted_separately_and_add_up_to_the_total() {
     let counters = PlacerCounters::default();
     for (n, kind) in ALL.into_iter().enumerate() {
         let bytes = 10_u64.pow(n as u32);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_difference_is_what_was_counted_between() {
+fn difference_is_what_was_counted_in_between() {
     let counters = PlacerCounters::default();
     counters.add(
         TrafficKind::Feed,
--- a/crates/scale-test/src/wire/binary.rs
+++ b/crates/scale-test/src/wire/binary.rs
@@ -1,19 +1,27 @@
-//! The binary messages of clients: `length:2 type:1 task:8 parameters`, each parameter
-//! `code:1 length:2 value`, all big-endian.
+//! The binary messages of clients.
+//!
+//! A message is `length:2 type:1 task:8 parameters`, a parameter is `code:1 length:2 value`; all numbers are
+//! big-endian. The comments on the constants name the protocol's words.
 
 use super::{MAX_MESSAGE_BYTES, WireError};
 use crate::identity::{SetupId, WorkerId};
 
+/// The types of messages.
 mod kind {
     pub const SET_UP: u8 = 1;
     pub const ANSWER: u8 = 9;
     pub const RELEASE: u8 = 12;
-    pub const HEARD: u8 = 16;
-    pub const MOVE: u8 = 51;
-    pub const TEST: u8 = 52;
-    pub const TESTED: u8 = 53;
+    /// The acknowledgement of a release.
+    pub const END_ACKNOWLEDGED: u8 = 16;
+    /// The task moves.
+    pub const MIGRATE: u8 = 51;
+    /// A test.
+    pub const HEALTH_CHECK: u8 = 52;
+    /// The result of a test.
+    pub const HEALTH_CHECKED: u8 = 53;
 }
 
+/// The codes of parameters.
 mod code {
     pub const CLASS: u8 = 129;
     pub const WAIT: u8 = 132;
@@ -24,57 +32,57 @@
     pub const DESCRIPTION: u8 = 174;
 }
 
-/// The id of a test: no task carries it.
-const TEST_ID: u64 = u64::MAX;
-/// The bytes of a message's length.
+/// The id of a health check, which is the id of no task.
+const HEALTH_CHECK_ID: u64 = u64::MAX;
+/// The bytes of a length.
 const LENGTH_BYTES: usize = 2;
-/// The fewest bytes of a message after its length: its type and its task.
+/// The bytes of a message between its length and its parameters: its type and its task.
 const HEADER_BYTES: usize = 9;
 
-/// What a placer says to a client.
+/// A message of a placer to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacerMessage {
-    /// The task stands; the worker's description.
+    /// The task has started; the worker's description.
     Answer(String),
-    /// A refusal, a failure or the end of a task.
+    /// A refusal, a failure or the end of a task, with its cause.
     Release(u8),
-    /// The task moves: its client comes again.
+    /// The task migrates: its client sends the set-up again.
     Migrate,
-    /// A release of the client was heard.
+    /// A release by the client is acknowledged.
     EndAcknowledged,
-    /// The result of a test.
+    /// The result of a health check.
     HealthChecked {
-        /// Whether the placer takes tasks.
+        /// Whether the placer accepts tasks.
         passed: bool,
     },
 }
 
-/// A set-up, as a client writes it.
+/// The set-up of a task, as a client sends it.
 #[derive(Debug, Clone)]
 pub struct SetUp<'a> {
-    /// Its id.
+    /// The id of the set-up.
     pub id: SetupId,
-    /// The name of its class.
+    /// The name of the class.
     pub class: &'a str,
     /// How long the client waits for the answer, in milliseconds.
     pub wait_ms: u64,
-    /// The name of its tenant.
+    /// The name of the tenant.
     pub tenant: &'a str,
-    /// The key of the task.
+    /// The idempotency key of the task.
     pub key: u64,
-    /// Cores asked for.
+    /// Requested cores.
     pub cores: f64,
-    /// Memory asked for.
+    /// Requested memory.
     pub memory: f64,
-    /// The service it belongs to.
+    /// The service of the task.
     pub service: u64,
-    /// The worker that holds the task already.
+    /// The worker that runs the task already, if any.
     pub running_at: Option<WorkerId>,
-    /// What goes on to the worker.
+    /// The description that the placer forwards to the worker.
     pub description: &'a str,
 }
 
-/// Writes a set-up.
+/// Writes the set-up of a task.
 pub fn write_set_up(out: &mut Vec<u8>, set_up: &SetUp<'_>) {
     let SetUp {
         cores,
@@ -96,41 +104,47 @@
         (code::RESOURCES, figures.as_bytes()),
         (code::DESCRIPTION, set_up.description.as_bytes()),
     ];
-    message(out, kind::SET_UP, set_up.id.0, &parameters);
+    write_message(out, kind::SET_UP, set_up.id.0, &parameters);
 }
 
-/// Writes that the end of a task was heard.
+/// Writes the acknowledgement of the end of a task.
 pub fn write_end_acknowledged(out: &mut Vec<u8>, id: SetupId) {
-    message(out, kind::HEARD, id.0, &[]);
+    write_message(out, kind::END_ACKNOWLEDGED, id.0, &[]);
 }
 
-/// Writes a test.
+/// Writes a health check.
 pub fn write_health_check(out: &mut Vec<u8>) {
-    message(out, kind::TEST, TEST_ID, &[(code::CAUSE, &[0])]);
+    write_message(
+        out,
+        kind::HEALTH_CHECK,
+        HEALTH_CHECK_ID,
+        &[(code::CAUSE, &[0])],
+    );
 }
 
-fn message(out: &mut Vec<u8>, kind: u8, id: u64, parameters: &[(u8, &[u8])]) {
+fn write_message(out: &mut Vec<u8>, kind: u8, id: u64, parameters: &[(u8, &[u8])]) {
     let length = HEADER_BYTES
         + parameters
             .iter()
             .map(|(_, value)| 3 + value.len())
             .sum::<usize>();
-    out.extend(short(length));
+    out.extend(length_bytes(length));
     out.push(kind);
     out.extend(id.to_be_bytes());
     for (code, value) in parameters {
         out.push(*code);
-        out.extend(short(value.len()));
+        out.extend(length_bytes(value.len()));
         out.extend(*value);
     }
 }
 
-/// A length on the wire. What is written here is far shorter than the longest.
-fn short(length: usize) -> [u8; LENGTH_BYTES] {
+/// Returns a length as on the wire. All that is written here is far shorter than the longest.
+fn length_bytes(length: usize) -> [u8; LENGTH_BYTES] {
     u16::try_from(length).unwrap_or(u16::MAX).to_be_bytes()
 }
 
-/// Reads the first message of these bytes, its task and its length; none if more must come.
+/// Reads the first message of these bytes. Returns its task, the message and its length in bytes, or `None` if the
+/// message is not complete yet.
 ///
 /// # Errors
 ///
@@ -155,9 +169,9 @@
     let message = match *kind {
         kind::ANSWER => PlacerMessage::Answer(description(parameters)?),
         kind::RELEASE => PlacerMessage::Release(one_byte(parameters)?),
-        kind::MOVE => PlacerMessage::Migrate,
-        kind::HEARD => PlacerMessage::EndAcknowledged,
-        kind::TESTED => PlacerMessage::HealthChecked {
+        kind::MIGRATE => PlacerMessage::Migrate,
+        kind::END_ACKNOWLEDGED => PlacerMessage::EndAcknowledged,
+        kind::HEALTH_CHECKED => PlacerMessage::HealthChecked {
             passed: one_byte(parameters)? == 1,
         },
         _ => return Err(WireError::BadField("type")),
--- a/crates/scale-test/src/wire/description.rs
+++ b/crates/scale-test/src/wire/description.rs
@@ -1,59 +1,61 @@
-//! What a client writes for the worker, and what a worker answers: figures that placers pass on unread.
+//! The description of a task, which a client writes for the worker, and the answer of the worker.
+//!
+//! Placers forward both without reading them, so the format is private to this program.
 
 use crate::identity::WorkerId;
 use std::time::Duration;
 
-/// What a task is at its worker.
+/// The resources and the lifetime of a task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct TaskShape {
-    /// Cores it holds.
+    /// Cores that the task uses.
     pub cores: f64,
-    /// Memory it holds.
+    /// Memory that the task uses.
     pub memory: f64,
-    /// How long it stands.
+    /// The time from the start to the end of the task.
     pub lifetime: Duration,
-    /// Whether it must not start twice.
-    pub once: bool,
+    /// Whether the task must not start twice.
+    pub non_idempotent: bool,
 }
 
 impl TaskShape {
-    /// As a description.
+    /// Returns the shape as a description.
     pub fn write(&self) -> String {
         let TaskShape {
             cores,
             memory,
             lifetime,
-            once,
+            non_idempotent,
         } = self;
         format!(
-            "cores={cores} memory={memory} life-us={} once={once}",
+            "cores={cores} memory={memory} life-us={} once={non_idempotent}",
             lifetime.as_micros()
         )
     }
 
-    /// Out of a description.
+    /// Reads the shape from a description.
     pub fn read(text: &str) -> Option<TaskShape> {
-        let figure = |value: &str| {
+        let number = |value: &str| {
             value
                 .parse::<f64>()
                 .ok()
-                .filter(|v| v.is_finite() && *v >= 0.0)
+                .filter(|number| number.is_finite() && *number >= 0.0)
         };
         Some(TaskShape {
-            cores: figure(field(text, "cores")?)?,
-            memory: figure(field(text, "memory")?)?,
+            cores: number(field(text, "cores")?)?,
+            memory: number(field(text, "memory")?)?,
             lifetime: Duration::from_micros(field(text, "life-us")?.parse().ok()?),
-            once: field(text, "once")?.parse().ok()?,
+            non_idempotent: field(text, "once")?.parse().ok()?,
         })
     }
 }
 
-/// What a worker answers: its name, for a placer that starts again.
+/// Returns the answer of a worker: its name, which a client announces to a restarted placer.
 pub fn write_answer(worker: WorkerId) -> String {
     format!("worker={worker}")
 }
 
-/// The worker that answered.
+/// Reads the worker from an answer.
 pub fn read_answer(text: &str) -> Option<WorkerId> {
     field(text, "worker").and_then(WorkerId::from_name)
 }
--- a/crates/scale-test/src/wire/lines.rs
+++ b/crates/scale-test/src/wire/lines.rs
@@ -1,4 +1,4 @@
-//! The JSON lines that placers and workers exchange.
+//! The JSON lines that placers and workers exchange. The names in the JSON are those of the protocol.
 
 use super::{MAX_MESSAGE_BYTES, WireError};
 use crate::identity::SetupId;
@@ -6,42 +6,42 @@
 use std::borrow::Cow;
 use std::io::Write;
 
-/// What a placer says to a worker.
+/// A message of a placer to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacerLine {
-    /// A task is offered.
+    /// The offer of a task.
     Offer(Offer),
-    /// An offer is given up, or a task that stands is ended.
+    /// The withdrawal of an offer, or the cancellation of a running task.
     Release {
         /// The set-up.
         id: SetupId,
     },
-    /// The end of a task was heard.
+    /// The acknowledgement of the end of a task.
     EndAcknowledged {
         /// The set-up.
         id: SetupId,
     },
-    /// A test of the connection.
+    /// A health check of the connection.
     HealthCheck {
-        /// The id to answer with.
+        /// The id that the answer repeats.
         id: SetupId,
     },
-    /// A message that asks for nothing.
+    /// A message that needs no reply.
     Other,
 }
 
-/// A task that is offered.
+/// The offer of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Offer {
     /// The set-up.
     pub id: SetupId,
-    /// The key of the task.
+    /// The idempotency key of the task.
     pub key: u64,
-    /// What the client wrote for the worker.
+    /// The description that the client wrote for the worker.
     pub description: String,
 }
 
-/// Why a worker refuses.
+/// The resource that a worker lacks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoCapacity {
     /// Not enough cores.
@@ -51,6 +51,7 @@
 }
 
 impl NoCapacity {
+    /// The `note` of the protocol.
     fn note(self) -> &'static str {
         match self {
             NoCapacity::Cores => "nc",
@@ -105,7 +106,7 @@
     })
 }
 
-/// The end of the first line of these bytes, if it has come whole.
+/// Returns the index of the first line feed, if the line is complete.
 ///
 /// # Errors
 ///
@@ -118,40 +119,40 @@
     }
 }
 
-/// Writes that a task stands. The description needs no escapes in JSON.
+/// Writes that a task has started. The description must need no escapes in JSON.
 pub fn up(out: &mut Vec<u8>, id: SetupId, description: &str) {
-    line(
+    write_line(
         out,
         format_args!(r#"{{"t":"up","ref":"{id}","f":{{}},"d":"{description}"}}"#),
     );
 }
 
-/// Writes that a worker is full.
-pub fn full(out: &mut Vec<u8>, id: SetupId, why: NoCapacity) {
-    let (note, cause) = (why.note(), super::cause::FULL);
-    line(
+/// Writes that a worker lacks a resource for a task.
+pub fn full(out: &mut Vec<u8>, id: SetupId, lacking: NoCapacity) {
+    let (note, cause) = (lacking.note(), super::cause::FULL);
+    write_line(
         out,
         format_args!(r#"{{"t":"down","ref":"{id}","f":{{"note":"{note}"}},"c":{cause}}}"#),
     );
 }
 
-/// Writes the end of a task, or an error.
+/// Writes the end of a task, or the failure of an offer.
 pub fn down(out: &mut Vec<u8>, id: SetupId, cause: u8) {
-    line(
+    write_line(
         out,
         format_args!(r#"{{"t":"down","ref":"{id}","f":{{}},"c":{cause}}}"#),
     );
 }
 
-/// Writes that a test has passed.
+/// Writes that a health check has passed.
 pub fn health_check_passed(out: &mut Vec<u8>, id: SetupId) {
-    line(
+    write_line(
         out,
         format_args!(r#"{{"t":"hb_ok","ref":"{id}","f":{{}},"c":1}}"#),
     );
 }
 
-fn line(out: &mut Vec<u8>, text: std::fmt::Arguments<'_>) {
+fn write_line(out: &mut Vec<u8>, text: std::fmt::Arguments<'_>) {
     // Writing to memory does not fail.
     let _ = writeln!(out, "{text}");
 }
--- a/crates/scale-test/src/wire/tests.rs
+++ b/crates/scale-test/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Messages as they stand on the wire, and bytes that are none.
+//! Messages as on the wire, and bytes that are not messages.
 
 use super::*;
 use crate::identity::{SetupId, TaskIndex, WorkerId};
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn a_set_up_holds_what_the_protocol_names() {
+fn set_up_has_the_fields_of_the_protocol() {
     let mut out = Vec::new();
     let set_up = binary::SetUp {
         id: id(),
@@ -43,41 +43,65 @@
 }
 
 #[test]
-fn answers_ends_and_results_of_tests_are_read_and_half_of_one_waits() {
-    let answer = [
+fn answer_is_read() {
+    let answer = answer();
+
+    let (found, message, length) = binary::read(&answer)
+        .expect("a message")
+        .expect("a complete one");
+
+    assert_eq!((found, length), (id(), answer.len()));
+    assert_eq!(message, PlacerMessage::Answer("stands".to_string()));
+}
+
+fn answer() -> Vec<u8> {
+    [
         &[0, 18, 9][..],
         &id().0.to_be_bytes(),
         &[174, 0, 6],
         b"stands",
     ]
-    .concat();
-    let (found, message, length) = binary::read(&answer)
-        .expect("a message")
-        .expect("a whole one");
-    assert_eq!((found, length), (id(), answer.len()));
-    assert_eq!(message, PlacerMessage::Answer("stands".to_string()));
-    assert_eq!(binary::read(&answer[..12]), Ok(None));
+    .concat()
+}
+
+#[test]
+fn incomplete_message_waits_for_the_rest() {
+    assert_eq!(binary::read(&answer()[..12]), Ok(None));
+}
+
+#[test]
+fn release_is_read_with_its_cause() {
     let released = [&[0, 13, 12][..], &id().0.to_be_bytes(), &[171, 0, 1, 34]].concat();
+
     assert_eq!(
         binary::read(&released),
         Ok(Some((id(), PlacerMessage::Release(34), 15)))
     );
-    let tested = [&[0, 13, 53][..], &[0xff; 8], &[171, 0, 1, 1]].concat();
+}
+
+#[test]
+fn result_of_a_health_check_is_read() {
+    let checked = [&[0, 13, 53][..], &[0xff; 8], &[171, 0, 1, 1]].concat();
+
     let passed = PlacerMessage::HealthChecked { passed: true };
     assert_eq!(
-        binary::read(&tested),
+        binary::read(&checked),
         Ok(Some((SetupId(u64::MAX), passed, 15)))
     );
 }
 
 #[test]
-fn bytes_that_are_no_message_are_named_and_never_taken() {
+fn bytes_that_are_no_binary_message_are_an_error() {
     assert_eq!(binary::read(&[0, 3, 9]), Err(WireError::BadLength));
     assert_eq!(binary::read(&[0xff, 0xff, 9]), Err(WireError::TooLong));
     let cut = [&[0, 13, 12][..], &[1; 8], &[171, 0, 9, 34]].concat();
     assert_eq!(binary::read(&cut), Err(WireError::BadLength));
     let unknown = [&[0, 9, 77][..], &[1; 8]].concat();
     assert_eq!(binary::read(&unknown), Err(WireError::BadField("type")));
+}
+
+#[test]
+fn lines_that_are_no_message_are_an_error() {
     for line in [
         &b"\0\xff"[..],
         b"[]",
@@ -91,14 +115,19 @@
         lines::read(br#"{"t":"ack","ref":"1"}"#),
         Err(WireError::BadField("ref"))
     );
+}
+
+#[test]
+fn end_of_a_line_is_found_and_its_length_is_limited() {
     let long = vec![b'a'; MAX_MESSAGE_BYTES];
+
     assert_eq!(lines::line_end(&long), Err(WireError::TooLong));
     assert_eq!(lines::line_end(b"abc"), Ok(None));
     assert_eq!(lines::line_end(b"abc\ndef\n"), Ok(Some(3)));
 }
 
 #[test]
-fn lines_of_placers_are_read_and_lines_of_workers_are_json() {
+fn lines_of_placers_are_read() {
     let offer = br#"{"t":"new","ref":"0000000000000008","f":{"class":"standard","key":"a000000000000007","left":"1500"},"d":"a\r\nb"}"#;
     let read = Offer {
         id: id(),
@@ -113,6 +142,10 @@
         lines::read(heard),
         Ok(PlacerLine::EndAcknowledged { id: id() })
     );
+}
+
+#[test]
+fn lines_of_workers_are_json() {
     let mut out = Vec::new();
     lines::up(&mut out, id(), &description::write_answer(WorkerId(9)));
     lines::full(&mut out, id(), NoCapacity::Memory);
@@ -133,19 +166,28 @@
 }
 
 #[test]
-fn a_task_and_an_answer_survive_the_way_as_descriptions() {
+fn task_shape_survives_as_a_description() {
     let shape = TaskShape {
         cores: 1.5,
         memory: 2.0,
         lifetime: Duration::from_micros(12_345_678),
-        once: true,
+        non_idempotent: true,
     };
+
     assert_eq!(TaskShape::read(&shape.write()), Some(shape));
+}
+
+#[test]
+fn invalid_description_is_not_read() {
     assert_eq!(
         TaskShape::read("cores=1 memory=-2 life-us=1 once=false"),
         None
     );
     assert_eq!(TaskShape::read(""), None);
+}
+
+#[test]
+fn worker_survives_as_an_answer() {
     assert_eq!(
         description::read_answer(&description::write_answer(WorkerId(3))),
         Some(WorkerId(3))
@@ -154,7 +196,7 @@
 }
 
 #[test]
-fn events_of_the_feed_are_json_with_what_the_protocol_names() {
+fn feed_event_has_the_fields_of_the_protocol() {
     let listed = ListedWorker {
         is_up: true,
         started_at_unix_ms: 5,
@@ -167,7 +209,7 @@
         zone: "z6",
         listed,
     };
-    let gone = Entry {
+    let removed = Entry {
         listed: ListedWorker {
             is_up: false,
             ..listed
@@ -175,7 +217,7 @@
         ..entry
     };
     let mut out = Vec::new();
-    feed::write_event(&mut out, 41, EventKind::Delta, [entry, gone].into_iter());
+    feed::write_event(&mut out, 41, EventKind::Delta, [entry, removed].into_iter());
     let value: serde_json::Value = serde_json::from_slice(&out).expect("JSON");
     assert_eq!(value["n"], 41);
     let hosts = &value["members"]["hosts"];
@@ -186,6 +228,10 @@
         (&"up".into(), &"removed".into())
     );
     assert_eq!(hosts[0]["block"], 9);
+}
+
+#[test]
+fn subscription_is_read() {
     assert_eq!(feed::read_subscription(b"SUB 12"), Some(12));
     assert_eq!(feed::read_subscription(b"SUB x"), None);
 }
--- a/crates/scale-test/src/workers/fleet/tests.rs
+++ b/crates/scale-test/src/workers/fleet/tests.rs
@@ -24,7 +24,7 @@
         cores,
         memory,
         lifetime: Duration::from_secs(7),
-        once: false,
+        non_idempotent: false,
     }
 }
 
--- a/crates/scale-test/tests/command_line.rs
+++ b/crates/scale-test/tests/command_line.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn settings_that_can_not_be_meant_end_with_code_2_and_one_line_that_names_them() {
+fn invalid_settings_exit_with_2_and_one_line_that_names_them() {
     let small = plan("small.toml");
     let small = small.to_str().expect("a path");
     for (args, says) in [
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_sweep_that_can_not_be_meant_ends_with_code_2_and_one_line_before_any_run() {
+fn invalid_sweep_exits_with_2_and_one_line_before_any_run() {
     let small = plan("small.toml");
     let small = small.to_str().expect("a path");
     let of_workers = |rest: &[&'static str]| [&["sweep", "--axis", "workers"][..], rest].concat();
@@ -154,7 +154,7 @@
 ];
 
 #[test]
-fn a_run_that_needs_too_much_ends_with_code_2_and_a_line_for_each_excess() {
+fn run_that_needs_too_much_exits_with_2_and_one_line_for_each_excess() {
     let of_rate = ["sweep", "--axis", "rate"];
     for (command, prefix) in [
         (&["run"][..], ""),
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_run_that_fails_ends_the_sweep_with_its_cause_and_what_was_measured_is_written_as_partial() {
+fn failed_run_ends_the_sweep_and_writes_a_partial_report() {
     let folder = tempfile::tempdir().expect("a folder");
     let json = folder.path().join("sweep.json");
     let values = [
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_plan_is_found_by_a_path_that_is_relative() {
+fn plan_is_found_by_a_relative_path() {
     let mut command = tool();
     command
         .args(["check", "plans/minute.toml"])
@@ -230,7 +230,7 @@
 }
 
 #[test]
-fn the_plans_that_come_with_the_package_hold() {
+fn packaged_plans_are_valid() {
     for name in ["small.toml", "minute.toml", "sweep.toml", "target.toml"] {
         let out = tool()
             .arg("check")
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_program_that_can_not_be_started_is_named_and_nothing_is_left() {
+fn program_that_cannot_be_started_is_named_and_leaves_nothing_behind() {
     let out = output(&[
         "run",
         "--program",
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn a_placer_that_ends_by_itself_ends_the_run_with_its_log() {
+fn placer_that_exits_ends_the_run_with_its_log() {
     let out = output(&[
         "run",
         "--program",
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn sigterm_ends_the_run_and_every_placer_with_it() {
+fn sigterm_ends_the_run_and_every_placer() {
     let program = std::env::var_os("TASK_PLACER_BIN").map(PathBuf::from);
     let beside = PathBuf::from(env!("CARGO_BIN_EXE_scale-test")).with_file_name("task-placer");
     let program = program.unwrap_or(beside);
--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn through_a_lost_zone_a_killed_placer_and_garbage_every_task_is_answered_once_and_none_is_lost() {
+fn no_task_is_lost_or_answered_twice_through_a_zone_crash_a_placer_kill_and_garbage() {
     let settings = small_plan();
     let result = run_of(&settings);
     let fleet = &result.fleet;
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn each_change_is_told_alone_whole_lists_and_extra_events_come_and_all_workers_are_called() {
+fn feed_sends_single_changes_complete_lists_and_extra_events_and_all_workers_are_connected() {
     let settings = Settings {
         feed: FeedRule::EachChange,
         connect: Connect::All,
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_run_of_a_sweep_has_every_figure_that_a_run_can_have() {
+fn sweep_run_measures_every_metric() {
     let (mut sampler, mut watcher) = (ProcSampler, NoWatcher);
     let (sampler, watcher) = (&mut sampler, &mut watcher);
     let mut runner = ScaleRunner {
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_result_survives_the_way_through_json() {
+fn result_survives_json() {
     let settings = short();
     let result = run_of(&settings);
     let json = serde_json::to_string(&result).expect("JSON");
