--- a/crates/scale-test/src/budget/tests.rs
+++ b/crates/scale-test/src/budget/tests.rs
@@ -1,3 +1,5 @@
+//! What a run needs of the machine, and what is rejected.
+
 use super::{BudgetError, Excess, MAX_PROCESSES, Machine, Need, RunSize, check};
 use crate::settings::Settings;
 
@@ -25,6 +27,7 @@
 };
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn need_within_the_limits_is_admitted_and_each_excess_is_named() {
     let memory = |needed_kb| Excess::Memory {
         needed_kb,
--- a/crates/scale-test/src/feeds/thread.rs
+++ b/crates/scale-test/src/feeds/thread.rs
@@ -40,16 +40,16 @@
 /// Separates the random numbers of extra events from all others of a run.
 const EVENTS_STREAM: u64 = 0x6576_656e_7473;
 
-/// What a timer triggers.
-enum TimerEvent {
-    /// Writes the gathered changes.
-    WriteChanges,
-    /// Writes the sequence number alone.
-    WriteNumber,
-    /// Writes the complete list.
-    WriteCompleteList,
-    /// Writes an extra event.
-    WriteExtraEvent,
+/// What a timer writes.
+enum FeedTimer {
+    /// The gathered changes.
+    Changes,
+    /// The sequence number alone.
+    SequenceNumber,
+    /// The complete list.
+    CompleteList,
+    /// An extra event.
+    ExtraEvent,
 }
 
 /// The feed of one placer.
@@ -93,7 +93,7 @@
     commands: Receiver<FeedCommand>,
     workers: WorkerList,
     feeds: Vec<PlacerFeed>,
-    timers: TimerQueue<TimerEvent>,
+    timers: TimerQueue<FeedTimer>,
     rule: FeedRule,
     change_period: Duration,
     complete_list_period: Duration,
@@ -291,17 +291,17 @@
 
     fn set_timers(&mut self, now: Instant) {
         self.timers
-            .add(now + NUMBER_PERIOD, TimerEvent::WriteNumber);
+            .add(now + NUMBER_PERIOD, FeedTimer::SequenceNumber);
         if self.rule == FeedRule::Gathered {
             self.timers
-                .add(now + self.change_period, TimerEvent::WriteChanges);
+                .add(now + self.change_period, FeedTimer::Changes);
         }
         if !self.complete_list_period.is_zero() {
             let due = now + self.complete_list_period;
-            self.timers.add(due, TimerEvent::WriteCompleteList);
+            self.timers.add(due, FeedTimer::CompleteList);
         }
         if let Some(period) = self.extra_event_period {
-            self.timers.add(now + period, TimerEvent::WriteExtraEvent);
+            self.timers.add(now + period, FeedTimer::ExtraEvent);
         }
     }
 
@@ -310,19 +310,19 @@
         let now = Instant::now();
         while let Some((due, event)) = self.timers.pop_due(now) {
             let period = match event {
-                TimerEvent::WriteChanges => {
+                FeedTimer::Changes => {
                     self.write_changes();
                     self.change_period
                 }
-                TimerEvent::WriteNumber => {
+                FeedTimer::SequenceNumber => {
                     self.write_to_all(|cursor, _, batch| cursor.write_sequence_number(batch));
                     NUMBER_PERIOD
                 }
-                TimerEvent::WriteCompleteList => {
+                FeedTimer::CompleteList => {
                     self.write_to_all(FeedCursor::write_complete_list);
                     self.complete_list_period
                 }
-                TimerEvent::WriteExtraEvent => {
+                FeedTimer::ExtraEvent => {
                     self.write_extra_event();
                     self.extra_event_period.unwrap_or(NUMBER_PERIOD)
                 }
--- a/crates/scale-test/src/settings/tests.rs
+++ b/crates/scale-test/src/settings/tests.rs
@@ -1,9 +1,9 @@
-//! Settings that can be meant, and what is said of those that can't.
+//! Reading and checking of settings, and the messages for invalid ones.
 
 use super::*;
 
-/// The line that these settings get.
-fn refused(text: &str) -> String {
+/// Returns the error of these settings.
+fn error_of(text: &str) -> String {
     let checked = Settings::parse(text).and_then(|settings| settings.check());
     checked.expect_err(text).to_string()
 }
@@ -29,9 +29,10 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn invalid_setting_is_named_with_expected_and_found_in_one_line() {
     let zone = |rest: &str| format!("[[fault]]\nkind = \"zone\"\n{rest}\n");
-    for (text, says) in [
+    for (text, expected) in [
         (
             "workers = 0",
             "setting workers: expected 1 to 16384, found 0",
@@ -139,14 +140,14 @@
             "unknown field `zone`",
         ),
     ] {
-        let line = refused(text);
-        assert!(line.contains(says), "{text}: {line}");
+        let line = error_of(text);
+        assert!(line.contains(expected), "{text}: {line}");
         assert_eq!(line.lines().count(), 1, "{line}");
     }
 }
 
 #[test]
-fn flags_go_before_the_file_and_say_the_same_of_what_can_not_be_meant() {
+fn flags_take_precedence_over_the_file() {
     let args = SettingsArgs {
         workers: Some("900".into()),
         set: vec!["life=90s".into(), "feed=each-change".into()],
@@ -159,6 +160,10 @@
         (900, 90, FeedRule::EachChange)
     );
     assert_eq!(settings.faults.len(), 1);
+}
+
+#[test]
+fn invalid_flag_is_named_like_an_invalid_setting() {
     let bad = |set: &str| {
         let args = SettingsArgs {
             set: vec![set.to_string()],
--- a/crates/scale-test/src/sweep_runner/tests.rs
+++ b/crates/scale-test/src/sweep_runner/tests.rs
@@ -148,30 +148,37 @@
 }
 
 #[test]
-fn a_run_of_no_use_says_why_and_one_that_breaks_a_rule_is_an_error() {
+fn unusable_run_carries_its_reason() {
     let late = RunResult {
         usable: false,
         reason: Some("late".into()),
         ..result(Vec::new(), fleet())
     };
-    assert_eq!(
-        measured(&late).expect("measured").unusable.as_deref(),
-        Some("late")
-    );
-    assert_eq!(
-        measured(&result(Vec::new(), fleet()))
-            .expect("measured")
-            .unusable,
-        None
-    );
+
+    let unusable = measured(&late).expect("measured").unusable;
+
+    assert_eq!(unusable.as_deref(), Some("late"));
+}
+
+#[test]
+fn usable_run_has_no_reason() {
+    let measured = measured(&result(Vec::new(), fleet())).expect("measured");
+
+    assert_eq!(measured.unusable, None);
+}
+
+#[test]
+fn run_that_breaks_a_rule_is_an_error() {
     let lost = FleetTotals {
         lost: 1,
         started_twice: 2,
         ..fleet()
     };
+
     let error = measured(&result(Vec::new(), lost))
         .expect_err("a broken rule")
         .to_string();
+
     assert!(
         error.starts_with("a rule is broken: 1 lost, 2 started twice, 0 answered twice"),
         "{error}"
--- a/crates/scale-test/tests/command_line.rs
+++ b/crates/scale-test/tests/command_line.rs
@@ -75,6 +75,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn invalid_sweep_exits_with_2_and_one_line_before_any_run() {
     let small = plan("small.toml");
     let small = small.to_str().expect("a path");
