--- a/crates/scale-test/src/clients/thread.rs
+++ b/crates/scale-test/src/clients/thread.rs
@@ -150,7 +150,7 @@
     // ---- Commands ----
 
     fn handle_commands(&mut self) -> io::Result<()> {
-        for command in self.shared.commands.take() {
+        for command in self.shared.commands.take_all() {
             match command {
                 ClientCommand::PlacerStarted(placer, address) => {
                     let Some(link) = self.links.get_mut(placer) else {
--- a/crates/scale-test/src/deployment.rs
+++ b/crates/scale-test/src/deployment.rs
@@ -1,4 +1,4 @@
-//! The configuration that a placer reads at its start.
+//! The configuration that a placer reads at its start. The names in the JSON are those of the protocol.
 
 use crate::identity::PlacerId;
 use crate::settings::{Connect, Settings};
@@ -6,25 +6,25 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// What a connection costs where placers are to make them on demand; any price above 0 says so.
-const PRICE_OF_A_CONNECTION: f64 = 0.05;
+/// The price of a connection if placers should connect on demand. Any price above 0 has this effect.
+const CONNECTION_PRICE: f64 = 0.05;
 
-/// The classes of tasks.
+/// A class of tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// Safe to repeat.
+    /// Idempotent.
     Standard,
-    /// Safe to repeat, with a short aim.
+    /// Idempotent, with a short latency objective.
     Urgent,
-    /// Must not start twice.
+    /// Not idempotent: must not start twice.
     Once,
 }
 
 impl Class {
-    /// All of them, in the order of the settings.
+    /// All classes, in the order of the settings.
     pub const ALL: [Class; 3] = [Class::Standard, Class::Urgent, Class::Once];
 
-    /// Its name in the settings.
+    /// Returns the name in the settings.
     pub fn name(self) -> &'static str {
         match self {
             Class::Standard => "standard",
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The time to an answer that is aimed for, in milliseconds.
+    /// Returns the latency objective in milliseconds, the `aim` of the settings.
     pub fn latency_objective_ms(self) -> u64 {
         match self {
             Class::Standard | Class::Once => 4_000,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// How long a client waits for an answer, in milliseconds.
+    /// Returns how long a client waits for an answer, in milliseconds.
     pub fn wait_ms(self) -> u64 {
         match self {
             Class::Standard | Class::Once => 8_000,
@@ -71,37 +71,37 @@
     }
 }
 
-/// Where a placer stands in its deployment.
+/// One placer of the deployment, at one of its starts.
 pub struct PlacerInstance<'a> {
-    /// Which it is.
+    /// The placer.
     pub placer: PlacerId,
-    /// How often it was started before.
+    /// The number of earlier starts.
     pub restarts: u32,
-    /// Where clients call it.
+    /// The address at which clients connect.
     pub listen: SocketAddr,
-    /// Its control feed.
+    /// The address of the control feed.
     pub feed: SocketAddr,
     /// The feed's events so far, as JSON.
-    pub known: &'a str,
+    pub known_events: &'a str,
 }
 
-/// The configuration file of a placer.
-pub fn configuration(settings: &Settings, place: &PlacerInstance<'_>) -> String {
-    // Another seed with each start, and alike in each run of the same settings.
+/// Returns the configuration file of a placer.
+pub fn configuration(settings: &Settings, instance: &PlacerInstance<'_>) -> String {
+    // Each start has a seed of its own, and each run of the same settings has the same seeds.
     let seed =
-        settings.seed ^ (u64::from(place.placer.0) << 32) ^ (u64::from(place.restarts) << 48);
+        settings.seed ^ (u64::from(instance.placer.0) << 32) ^ (u64::from(instance.restarts) << 48);
     let head = json!({
-        "name": place.placer.to_string(), "listen": place.listen, "feed": place.feed,
+        "name": instance.placer.to_string(), "listen": instance.listen, "feed": instance.feed,
         "seed": format!("{seed:016x}"),
         "limits": {
             "cores": 1.0, "memory_mb": settings.placer_memory_mb, "sockets": settings.placer_sockets
         },
-        "settings": deployment(settings, place.placer),
+        "settings": deployment(settings, instance.placer),
     });
-    // The events are text already, and long: they are put in as they are.
+    // The events are JSON already, and long: they are inserted as text.
     let head = head.to_string();
     let open = head.strip_suffix('}').unwrap_or(&head);
-    format!("{open},\"known\":{}}}", place.known)
+    format!("{open},\"known\":{}}}", instance.known_events)
 }
 
 fn deployment(settings: &Settings, placer: PlacerId) -> Value {
@@ -109,7 +109,7 @@
     let own_zone = zones.get(placer.index() % zones.len().max(1));
     let tenants = settings.tenant_names();
     let share = 1.0 / tenants.len().max(1) as f64;
-    // Twice the whole rate: no tenant is held back in a run that keeps to its settings.
+    // Twice the total rate, so that no tenant is limited at the rate of the settings.
     let allowance = 2.0 * settings.rate.max(1.0);
     let tenants = tenants
         .iter()
@@ -149,7 +149,7 @@
 
 fn prices(settings: &Settings) -> Value {
     let handshake = match settings.connect {
-        Connect::OnDemand => PRICE_OF_A_CONNECTION,
+        Connect::OnDemand => CONNECTION_PRICE,
         Connect::All => 0.0,
     };
     json!({ "fleet": 0.15, "moves": 0.07, "handshake": handshake })
--- a/crates/scale-test/src/feeds/thread.rs
+++ b/crates/scale-test/src/feeds/thread.rs
@@ -175,7 +175,7 @@
     // ---- Commands ----
 
     fn handle_commands(&mut self) {
-        for command in self.commands.take() {
+        for command in self.commands.take_all() {
             match command {
                 FeedCommand::SetWorkerPorts(placer, ports) => {
                     if let Some(feed) = self.feeds.get_mut(placer.index()) {
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,8 +1,8 @@
-//! Scale runs: real placers among thousands of hollow workers, and what each placer costs by second.
+//! Scale tests: real placers with thousands of hollow workers, and the resource usage of each placer by second.
 //!
-//! The placers are processes of the real program. Everything round them is played by this process: workers
-//! ([`workers`]), control feeds ([`feeds`]) and clients ([`clients`]), each on one thread. [`run`] puts them
-//! together, carries out faults, audits every task and gives a typed result.
+//! The placers are processes of the real program. This process plays all their peers on a few threads: workers
+//! ([`workers`]), control feeds ([`feeds`]) and clients ([`clients`]). [`run`] starts everything, injects faults,
+//! audits every task and returns a typed result. [`sweep`] varies one setting over many runs.
 
 pub mod audit;
 pub mod budget;
--- a/crates/scale-test/src/mailbox.rs
+++ b/crates/scale-test/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! Orders to a thread that waits for events: they are queued, and the thread is woken.
+//! A queue of commands to a thread that waits in an event loop, which is woken when a command arrives.
 
 use mio::{Registry, Token, Waker};
 use std::io;
@@ -9,7 +9,7 @@
     waker: Waker,
 }
 
-/// Where orders are sent from.
+/// The sending end of a mailbox.
 pub struct Sender<T>(Arc<Shared<T>>);
 
 impl<T> Clone for Sender<T> {
@@ -19,30 +19,30 @@
 }
 
 impl<T> Sender<T> {
-    /// Queues an order.
-    pub fn send(&self, order: T) {
+    /// Queues a command, and wakes the thread.
+    pub fn send(&self, command: T) {
         let mut queue = self.0.queue.lock().unwrap_or_else(PoisonError::into_inner);
-        let first = queue.is_empty();
-        queue.push(order);
+        let was_empty = queue.is_empty();
+        queue.push(command);
         drop(queue);
-        if first {
-            // It fails only where the thread has ended, which its owner learns from the thread.
+        if was_empty {
+            // Fails only if the thread has ended, which its owner learns from the thread itself.
             let _ = self.0.waker.wake();
         }
     }
 }
 
-/// Where a thread takes its orders.
+/// The receiving end of a mailbox.
 pub struct Receiver<T>(Arc<Shared<T>>);
 
 impl<T> Receiver<T> {
-    /// All orders that have come, in order.
-    pub fn take(&self) -> Vec<T> {
+    /// Removes and returns all queued commands, in the order of their arrival.
+    pub fn take_all(&self) -> Vec<T> {
         std::mem::take(&mut *self.0.queue.lock().unwrap_or_else(PoisonError::into_inner))
     }
 }
 
-/// A mailbox that wakes the poll of this registry with a token.
+/// Returns a mailbox that wakes the poll of this registry with an event of this token.
 ///
 /// # Errors
 ///
--- a/crates/scale-test/src/placer_process.rs
+++ b/crates/scale-test/src/placer_process.rs
@@ -1,4 +1,4 @@
-//! A real placer as a process: started, killed, and started again in its place.
+//! The process of a real placer: its start, kill and restart. Owns the child process and its files.
 
 use crate::error::RunError;
 use crate::identity::PlacerId;
@@ -10,36 +10,36 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Instant;
 
-/// The variable that names a placer's configuration.
+/// The environment variable with the path of the placer's configuration.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
-/// Lines of a placer's log that an error shows.
-const SHOWN_LINES: usize = 12;
+/// The number of log lines that an error shows.
+const LOG_TAIL_LINES: usize = 12;
 
-/// How a placer is started.
+/// How to start a placer.
 #[derive(Debug, Clone)]
 pub struct LaunchOptions {
-    /// Which.
+    /// The placer.
     pub placer: PlacerId,
-    /// Its program.
+    /// The path of the program.
     pub program: PathBuf,
-    /// Where its files go.
+    /// The folder of its configuration and log.
     pub folder: PathBuf,
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
-    /// The descriptors that it may hold.
-    pub sockets: u64,
+    /// The limit on its descriptors.
+    pub max_descriptors: u64,
 }
 
-/// A placer's process; ended when it is dropped.
+/// The process of a placer, which is killed when this value is dropped.
 pub struct PlacerProcess {
     launch: LaunchOptions,
     child: Option<Child>,
-    /// When it was last started.
+    /// When the process was last started.
     pub started: Instant,
 }
 
 impl PlacerProcess {
-    /// Starts it on a configuration.
+    /// Starts the process with a configuration.
     ///
     /// # Errors
     ///
@@ -54,7 +54,7 @@
         Ok(process)
     }
 
-    /// Starts it in its place, on another configuration.
+    /// Kills the process and starts it again with another configuration.
     ///
     /// # Errors
     ///
@@ -79,11 +79,11 @@
             source,
         })?;
         let limit = Rlimit {
-            current: Some(self.launch.sockets),
-            maximum: Some(self.launch.sockets),
+            current: Some(self.launch.max_descriptors),
+            maximum: Some(self.launch.max_descriptors),
         };
         let limited = prlimit(Some(Pid::from_child(&child)), Resource::Nofile, limit);
-        // From here on it is ended with this value, also where it could not be limited.
+        // Stored before the limit is checked, so that the child is killed in any case.
         self.child = Some(child);
         limited
             .map_err(io::Error::from)
@@ -96,41 +96,40 @@
         command
             .env(CONFIG_VARIABLE, config)
             .env_remove("LB_ADMIN")
-            .env_remove("LB_ACCEPT_FD");
-        command.env_remove("TASK_PLACER_OPERATOR");
-        command.env_remove("ANISEHEAD_OPERATOR");
-        command
+            .env_remove("LB_ACCEPT_FD")
+            .env_remove("TASK_PLACER_OPERATOR")
+            .env_remove("ANISEHEAD_OPERATOR")
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log);
         command.spawn()
     }
 
-    /// Which placer it is.
+    /// Returns the placer.
     pub fn placer(&self) -> PlacerId {
         self.launch.placer
     }
 
-    /// Where it listens.
+    /// Returns the address at which the placer listens.
     pub fn address(&self) -> SocketAddr {
         self.launch.address
     }
 
-    /// Its process, while it runs.
+    /// Returns the process id, while the process runs.
     pub fn id(&self) -> Option<u32> {
         self.child.as_ref().map(Child::id)
     }
 
-    /// Kills it.
+    /// Kills the process.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // Fails if the process has exited by itself.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// An error if it has ended by itself.
+    /// Checks that the process has not exited by itself.
     ///
     /// # Errors
     ///
@@ -148,18 +147,18 @@
             Some(status) => Err(RunError::PlacerEnded {
                 placer: self.launch.placer,
                 status: status.to_string(),
-                log: self.log_end(),
+                log: self.log_tail(),
             }),
         }
     }
 
-    /// The last lines of its log.
-    pub fn log_end(&self) -> String {
+    /// Returns the last lines of the log.
+    pub fn log_tail(&self) -> String {
         let log = fs::read(self.log_path()).unwrap_or_default();
         let text = String::from_utf8_lossy(&log);
         let lines: Vec<&str> = text.lines().collect();
         lines
-            .get(lines.len().saturating_sub(SHOWN_LINES)..)
+            .get(lines.len().saturating_sub(LOG_TAIL_LINES)..)
             .unwrap_or_default()
             .join("\n")
     }
--- a/crates/scale-test/src/process_sample.rs
+++ b/crates/scale-test/src/process_sample.rs
@@ -1,25 +1,25 @@
-//! What is read of a process at a time: its share of the processors, its memory and its descriptors.
+//! The resource usage of a process at a point in time: processor time, memory and descriptors.
 
 use std::time::Duration;
 
-/// The figures of one process at one time.
+/// The resource usage of one process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProcessSample {
-    /// Processor time since its start, of the process itself and on its behalf.
+    /// Processor time since the start of the process, in user and system mode.
     pub cpu: Duration,
     /// Resident memory, in kB.
     pub rss_kb: u64,
     /// Resident memory with each shared page divided among the processes that map it, in kB.
     pub pss_kb: u64,
-    /// The most resident memory since its start, in kB.
+    /// Peak resident memory since the start of the process, in kB.
     pub peak_kb: u64,
     /// Open descriptors.
     pub descriptors: usize,
 }
 
-/// Reads the figures of processes.
+/// Reads the resource usage of processes.
 pub trait Sampler {
-    /// Reads the figures of one process.
+    /// Reads the resource usage of one process.
     ///
     /// # Errors
     ///
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -1,11 +1,11 @@
 //! One run from its start to its result.
 //!
 //! ```text
-//! placers start ─ first tests pass ─ standing tasks told ─ warm-up ─ measured, with faults ─ drain ─ audit
+//! start placers ─ health checks pass ─ announce running tasks ─ warm up ─ measure, with faults ─ drain ─ audit
 //! ```
 //!
-//! Every phase has its time, so that a run always ends by itself; whatever happens, what it has started ends
-//! with it.
+//! Every phase has a time limit, so a run always ends by itself. All processes and threads that it has started end
+//! with it, also after an error.
 
 mod environment;
 mod machine;
@@ -29,35 +29,34 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// How long placers may take until a test passes.
+/// The longest time from a placer's start to its first passed health check.
 const READY_LIMIT: Duration = Duration::from_secs(30);
-/// How long it may take to tell them what stands.
+/// The longest time for the announcement of the running tasks.
 const ANNOUNCE_LIMIT: Duration = Duration::from_secs(30);
-/// How long placers get to call the workers of what stands, before load begins.
+/// The time that placers get to connect to the workers of the running tasks, before load begins.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// How often the run looks after everything.
+/// The interval of the run's checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// How long after the load nothing may be owed before the audit: a placer may take 2 s to find that a task
-/// which it was told of stands nowhere.
+/// The shortest drain. A placer may take 2 s to find that an announced task runs nowhere.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(2_500);
-/// The longest drain: the longest wait of a client, and the time in which the end of a task has to be told
-/// (the protocol's 8 s), with some to spare.
+/// The longest drain: above the longest wait of a client, and above the 8 s in which the protocol demands that the
+/// end of a task is reported.
 const DRAIN_LIMIT: Duration = Duration::from_secs(14);
-/// Rows are so long.
+/// The length of a row of the result.
 const SECOND: Duration = Duration::from_secs(1);
 
-/// How a run goes on.
+/// The progress of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
-    /// What it does.
+    /// The present phase.
     pub phase: &'static str,
-    /// Seconds of it that have passed.
+    /// The seconds since the start of the phase.
     pub seconds: u64,
-    /// Tasks that were answered so far.
+    /// Tasks that have started so far.
     pub started: u64,
     /// Tasks that were refused so far.
     pub refused: u64,
-    /// Set-ups that wait.
+    /// Set-ups that wait for their answer.
     pub waiting: u64,
     /// Tasks at workers.
     pub active_tasks: usize,
@@ -65,29 +64,29 @@
     pub connections: usize,
 }
 
-/// Who watches a run.
+/// Observes a run, and can stop it.
 pub trait Watcher {
-    /// The run goes on; about once a second.
+    /// Reports progress, about once a second.
     fn progress(&mut self, _progress: &Progress) {}
 
-    /// Whether the run is to end now.
+    /// Returns whether the run should stop now.
     fn should_stop(&self) -> bool {
         false
     }
 }
 
-/// Nobody.
+/// A watcher that does nothing.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NoWatcher;
 
 impl Watcher for NoWatcher {}
 
-/// The descriptors that this process may hold.
+/// Returns the number of descriptors that this process may hold.
 pub fn own_descriptors() -> u64 {
     getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX)
 }
 
-/// Refuses settings that can't be meant, or that need more than the machine has for a run.
+/// Rejects settings that are invalid, or need more than the machine has for a run.
 ///
 /// # Errors
 ///
@@ -99,7 +98,7 @@
     Ok(())
 }
 
-/// Runs these settings with this program as placer.
+/// Runs these settings, with this program as the placer.
 ///
 /// # Errors
 ///
@@ -118,7 +117,7 @@
         kills: Vec::new(),
     };
     run.wait_until_ready()?;
-    let window = run.begin(settings);
+    let window = run.start_load(settings);
     let mut meter = Meter::new(run.environment.counters(), window.measured_from);
     run.run_load(settings, window, sampler, &mut meter)?;
     run.drain()?;
@@ -135,14 +134,15 @@
 }
 
 impl Run<'_> {
-    /// Looks after everything that may have gone wrong.
-    fn look(&mut self) -> Result<(), RunError> {
+    /// Checks whether the run must end early.
+    fn check(&mut self) -> Result<(), RunError> {
         if self.watcher.should_stop() {
             return Err(RunError::Interrupted);
         }
         self.environment.check()
     }
 
+    /// Reports progress to the watcher.
     fn report(&mut self, phase: &'static str, since: Instant) {
         let (clients, workers) = self.environment.states();
         self.watcher.progress(&Progress {
@@ -156,23 +156,23 @@
         });
     }
 
-    /// Waits until something holds, or its time is over: whether it holds.
+    /// Waits until a condition holds, at most so long. Returns whether it holds.
     fn wait(
         &mut self,
         phase: &'static str,
         limit: Duration,
-        holds: impl Fn(&TestEnvironment) -> bool,
+        is_done: impl Fn(&TestEnvironment) -> bool,
     ) -> Result<bool, RunError> {
         let start = Instant::now();
-        let mut reported = start;
-        while !holds(&self.environment) {
-            self.look()?;
+        let mut last_report = start;
+        while !is_done(&self.environment) {
+            self.check()?;
             self.environment.note_ready();
             if start.elapsed() >= limit {
                 return Ok(false);
             }
-            if reported.elapsed() >= SECOND {
-                reported = Instant::now();
+            if last_report.elapsed() >= SECOND {
+                last_report = Instant::now();
                 self.report(phase, start);
             }
             std::thread::sleep(CHECK_INTERVAL);
@@ -180,7 +180,7 @@
         Ok(true)
     }
 
-    /// Until all placers pass tests and know what stands.
+    /// Waits until all placers pass health checks and know the running tasks.
     fn wait_until_ready(&mut self) -> Result<(), RunError> {
         self.wait("placers start", READY_LIMIT, |environment| {
             environment.all_ready()
@@ -192,15 +192,15 @@
         self.wait("standing tasks told", ANNOUNCE_LIMIT, |environment| {
             environment.states().0.queued == 0
         })?;
-        let settled = Instant::now() + SETTLE_TIME;
+        let settled_at = Instant::now() + SETTLE_TIME;
         self.wait("placers settle", 2 * SETTLE_TIME, |_| {
-            Instant::now() >= settled
+            Instant::now() >= settled_at
         })?;
         Ok(())
     }
 
-    /// Load begins.
-    fn begin(&mut self, settings: &Settings) -> ArrivalWindow {
+    /// Starts the load.
+    fn start_load(&mut self, settings: &Settings) -> ArrivalWindow {
         let start = Instant::now();
         let measured_from = start + settings.warm_up;
         let window = ArrivalWindow {
@@ -217,7 +217,7 @@
         window
     }
 
-    /// Until the end of the measured time: faults as they are due, and a row each second.
+    /// Runs until the end of the measured time: injects faults when they are due, and measures a row each second.
     fn run_load(
         &mut self,
         settings: &Settings,
@@ -226,45 +226,45 @@
         meter: &mut Meter,
     ) -> Result<(), RunError> {
         let mut schedule = Schedule::new(settings, window.measured_from);
-        meter.begin(&self.environment, sampler);
-        let mut next = row_end(window.start, &window);
+        meter.start_rows(&self.environment, sampler);
+        let mut next_row = row_end(window.start, &window);
         loop {
-            self.look()?;
+            self.check()?;
             self.environment.note_ready();
             if let Some(late) = self.environment.overdue(READY_LIMIT) {
                 return Err(late.into_error(READY_LIMIT));
             }
             let now = Instant::now();
             while let Some(action) = schedule.next_due(now) {
-                self.environment.act(action, &mut self.kills)?;
+                self.environment.apply(action, &mut self.kills)?;
             }
-            if now >= next {
-                meter.row(&self.environment, sampler);
+            if now >= next_row {
+                meter.complete_row(&self.environment, sampler);
                 let phase = if now >= window.measured_from {
                     "measured"
                 } else {
                     "warm-up"
                 };
                 self.report(phase, window.start);
-                if next >= window.end {
+                if next_row >= window.end {
                     return Ok(());
                 }
-                next = row_end(next, &window);
+                next_row = row_end(next_row, &window);
             }
-            let left = next.saturating_duration_since(Instant::now());
+            let left = next_row.saturating_duration_since(Instant::now());
             std::thread::sleep(left.min(CHECK_INTERVAL));
         }
     }
 
-    /// Until all that is owed was told.
+    /// Waits until no answer and no acknowledgement is pending.
     fn drain(&mut self) -> Result<(), RunError> {
         self.environment
             .workers()
             .send(WorkerCommand::StopEndingTasks);
-        let quiet = Instant::now() + MIN_DRAIN_TIME;
+        let earliest_end = Instant::now() + MIN_DRAIN_TIME;
         self.wait("drain", DRAIN_LIMIT, |environment| {
             let (clients, workers) = environment.states();
-            Instant::now() >= quiet
+            Instant::now() >= earliest_end
                 && clients.waiting == 0
                 && workers.unacknowledged == 0
                 && environment.all_ready()
@@ -273,7 +273,7 @@
     }
 }
 
-/// The end of the row that begins here: none reaches over the start of the measured time.
+/// Returns the end of the row that starts at this time. No row contains the start of the measured time.
 fn row_end(start: Instant, window: &ArrivalWindow) -> Instant {
     let end = start + SECOND;
     if start < window.measured_from {
@@ -283,15 +283,15 @@
     }
 }
 
-/// Ends everything, and puts the result together.
+/// Stops everything, and assembles the result.
 fn finish(
     settings: &Settings,
     environment: TestEnvironment,
     meter: Meter,
     kills: &[Kill],
 ) -> Result<RunResult, RunError> {
-    let ended = environment.stop()?;
-    let fleet = fleet_totals(settings, &ended.clients, &ended.workers, kills)?;
+    let reports = environment.stop()?;
+    let fleet = fleet_totals(settings, &reports.clients, &reports.workers, kills)?;
     let (memory, processes) = (meter.memory(), 1 + usize::from(settings.placers));
     let machine_busy = meter.machine_busy();
     let reason = late_reason(settings, &fleet).or_else(|| full_reason(settings, machine_busy));
@@ -304,7 +304,7 @@
         memory,
         machine_busy,
         fleet,
-        placers: meter.finish(ended.ready),
+        placers: meter.finish(reports.ready_ms),
     })
 }
 
@@ -334,14 +334,14 @@
     Ok(totals)
 }
 
-/// The times of all classes together.
+/// Merges the times of all classes.
 fn all_times(classes: &[LatencyHistogram]) -> Result<LatencyHistogram, RunError> {
     let mut all = LatencyHistogram::new().map_err(RunError::system("make a histogram"))?;
     classes.iter().for_each(|times| all.merge(times));
     Ok(all)
 }
 
-/// Why the hollow peers' own lateness makes a run of no use, if it does.
+/// Returns why the hollow peers' own lateness makes a run unusable, if it does.
 fn late_reason(settings: &Settings, fleet: &FleetTotals) -> Option<String> {
     let limit_ms = settings.lateness_limit.as_secs_f64() * 1e3;
     let limit = humantime::format_duration(settings.lateness_limit);
@@ -355,7 +355,7 @@
     })
 }
 
-/// Why a full machine makes a run of no use, if it was full.
+/// Returns why a full machine makes a run unusable, if it was full.
 fn full_reason(settings: &Settings, busy: f64) -> Option<String> {
     let limit = settings.busy_limit;
     let percent = |part: f64| 100.0 * part;
--- a/crates/scale-test/src/run/environment.rs
+++ b/crates/scale-test/src/run/environment.rs
@@ -1,4 +1,6 @@
-//! Everything that takes part in a run: the hollow peers and the real placers.
+//! The environment of a run: the hollow peers and the real placers.
+//!
+//! Owns all threads and processes of the run, starts and stops them, and applies faults. Measures nothing.
 
 use super::schedule::Action;
 use crate::audit::Kill;
@@ -18,14 +20,14 @@
 use std::time::{Duration, Instant, SystemTime};
 use tempfile::TempDir;
 
-/// A placer that passes no test.
+/// A placer that has not passed a health check.
 pub struct NotReady {
     placer: PlacerId,
     log: String,
 }
 
 impl NotReady {
-    /// As the error that ends a run.
+    /// Returns the error that ends the run.
     pub fn into_error(self, limit: Duration) -> RunError {
         RunError::NotReady {
             placer: self.placer,
@@ -35,21 +37,21 @@
     }
 }
 
-/// What is left when all has ended.
+/// What remains after the environment has stopped.
 pub struct FinalReports {
-    /// What the clients noted.
+    /// What the clients recorded.
     pub clients: ClientAudit,
-    /// What the workers noted.
+    /// What the workers recorded.
     pub workers: WorkerReport,
-    /// From each start of each placer to its first passed test, in milliseconds.
-    pub ready: Vec<Vec<f64>>,
+    /// By placer: the milliseconds from each start to the first passed health check.
+    pub ready_ms: Vec<Vec<f64>>,
 }
 
-/// Where the placers' files are.
+/// The folder of the placers' files.
 enum Folder {
-    /// It goes with this value.
+    /// A folder that is removed with this value.
     Temporary(TempDir),
-    /// It stays.
+    /// A folder that is kept.
     Kept(PathBuf),
 }
 
@@ -78,17 +80,18 @@
     }
 }
 
+/// One placer of the run, in its present process.
 struct PlacerSlot {
     process: PlacerProcess,
     restarts: u32,
-    /// Its latest start was not followed by a passed test yet.
-    starts: bool,
+    /// Whether no health check has passed since the latest start.
+    is_starting: bool,
     ready_ms: Vec<f64>,
 }
 
-/// Everything that takes part. Placers end first: fields are dropped in their order.
+/// The hollow peers and the placers. Fields are dropped in their order, so placers end first.
 pub struct TestEnvironment {
-    members: Vec<PlacerSlot>,
+    placers: Vec<PlacerSlot>,
     clients: Clients,
     workers: Workers,
     feeds: Feeds,
@@ -104,21 +107,21 @@
         let counters: Vec<Arc<PlacerCounters>> =
             (0..settings.placers).map(|_| Arc::default()).collect();
         let peers = |peers| move |source| RunError::Peers { peers, source };
-        let standing = running_tasks(settings);
+        let running_tasks = running_tasks(settings);
         let feeds = Feeds::start(settings, counters.clone()).map_err(peers("feeds"))?;
         let workers = Workers::start(
             &WorkerSetup::of(settings),
-            &standing,
+            &running_tasks,
             &counters,
             &feeds.commands(),
         );
         let workers = workers.map_err(peers("workers"))?;
         let clients =
-            Clients::start(settings, &standing, counters.clone()).map_err(peers("clients"))?;
+            Clients::start(settings, &running_tasks, counters.clone()).map_err(peers("clients"))?;
         let settings = settings.clone();
-        let members = Vec::new();
+        let placers = Vec::new();
         let mut environment = TestEnvironment {
-            members,
+            placers,
             clients,
             workers,
             feeds,
@@ -142,15 +145,15 @@
             program: program.to_path_buf(),
             folder: self.folder.path().to_path_buf(),
             address: free_address().map_err(RunError::system("find a free port"))?,
-            sockets: self.settings.placer_sockets,
+            max_descriptors: self.settings.placer_sockets,
         };
         let address = launch.address;
         let text = self.configuration(placer, 0, address)?;
         let process = PlacerProcess::start(launch, &text)?;
-        self.members.push(PlacerSlot {
+        self.placers.push(PlacerSlot {
             process,
             restarts: 0,
-            starts: true,
+            is_starting: true,
             ready_ms: Vec::new(),
         });
         self.clients
@@ -158,7 +161,7 @@
         Ok(())
     }
 
-    /// The configuration of a placer that starts now. It is counted as sent to it.
+    /// Returns the configuration of a placer that starts now, and counts it as traffic.
     fn configuration(
         &self,
         placer: PlacerId,
@@ -170,8 +173,8 @@
             source: io::Error::other("no such feed"),
         };
         let feed = self.feeds.address(placer).ok_or_else(no_feed)?;
-        let known = self.feeds.start_placer(placer);
-        let known = known.map_err(|source| RunError::Peers {
+        let known_events = self.feeds.start_placer(placer);
+        let known_events = known_events.map_err(|source| RunError::Peers {
             peers: "feeds",
             source,
         })?;
@@ -182,7 +185,7 @@
                 restarts,
                 listen,
                 feed,
-                known: &known,
+                known_events: &known_events,
             },
         );
         if let Some(counters) = self.counters.get(placer.index()) {
@@ -196,32 +199,32 @@
         Ok(text)
     }
 
-    /// The counters of all placers.
+    /// Returns the traffic counters of all placers.
     pub fn counters(&self) -> Vec<Arc<PlacerCounters>> {
         self.counters.clone()
     }
 
-    /// The clients.
+    /// Returns the clients.
     pub fn clients(&self) -> &Clients {
         &self.clients
     }
 
-    /// The workers.
+    /// Returns the workers.
     pub fn workers(&self) -> &Workers {
         &self.workers
     }
 
-    /// The processes of all placers; none for one that is killed.
+    /// Returns the process ids of all placers, `None` for one that is killed.
     pub fn process_ids(&self) -> impl Iterator<Item = Option<u32>> + '_ {
-        self.members.iter().map(|member| member.process.id())
+        self.placers.iter().map(|slot| slot.process.id())
     }
 
-    /// How clients and workers are.
+    /// Returns the states of clients and workers.
     pub fn states(&self) -> (ClientState, WorkerState) {
         (self.clients.state(), self.workers.state())
     }
 
-    /// An error if a placer or a thread of the peers has ended by itself.
+    /// Returns an error if a placer or a peer thread has ended by itself.
     pub fn check(&mut self) -> Result<(), RunError> {
         let failures = [
             ("workers", self.workers.failure()),
@@ -233,55 +236,55 @@
                 return Err(RunError::Peers { peers, source });
             }
         }
-        self.members
+        self.placers
             .iter_mut()
-            .try_for_each(|member| member.process.check())
+            .try_for_each(|slot| slot.process.check())
     }
 
     // ---- Ready ----
 
-    /// Takes over which placers have passed a test since their start.
+    /// Records the start times of the placers that have become ready.
     pub fn note_ready(&mut self) {
         let ready = self.clients.state().ready;
-        for (member, ready) in self.members.iter_mut().zip(ready) {
-            if let Some(ready) = ready.filter(|_| member.starts) {
-                member.starts = false;
-                let took = ready.saturating_duration_since(member.process.started);
-                member.ready_ms.push(took.as_secs_f64() * 1e3);
+        for (slot, ready) in self.placers.iter_mut().zip(ready) {
+            if let Some(ready) = ready.filter(|_| slot.is_starting) {
+                slot.is_starting = false;
+                let took = ready.saturating_duration_since(slot.process.started);
+                slot.ready_ms.push(took.as_secs_f64() * 1e3);
             }
         }
     }
 
-    /// Whether all placers that run have passed a test.
+    /// Returns whether all running placers have passed a health check.
     pub fn all_ready(&self) -> bool {
         let ready = self.clients.state().ready;
-        let all = self.members.iter().zip(ready);
+        let all = self.placers.iter().zip(ready);
         all.into_iter()
-            .all(|(member, ready)| member.process.id().is_none() || ready.is_some())
+            .all(|(slot, ready)| slot.process.id().is_none() || ready.is_some())
     }
 
-    /// A placer that starts and has not passed a test yet.
+    /// Returns a placer that is starting and not ready, if there is one.
     pub fn not_ready(&self) -> Option<NotReady> {
         self.overdue(Duration::ZERO)
     }
 
-    /// A placer that has not passed a test for so long since its start.
+    /// Returns a placer that is not ready so long after its start, if there is one.
     pub fn overdue(&self, limit: Duration) -> Option<NotReady> {
-        let late = self.members.iter().find(|member| {
-            member.starts
-                && member.process.id().is_some()
-                && member.process.started.elapsed() > limit
+        let late = self.placers.iter().find(|slot| {
+            slot.is_starting
+                && slot.process.id().is_some()
+                && slot.process.started.elapsed() > limit
         });
-        late.map(|member| NotReady {
-            placer: member.process.placer(),
-            log: member.process.log_end(),
+        late.map(|slot| NotReady {
+            placer: slot.process.placer(),
+            log: slot.process.log_tail(),
         })
     }
 
     // ---- Faults ----
 
-    /// Does what is due.
-    pub fn act(&mut self, action: Action, kills: &mut Vec<Kill>) -> Result<(), RunError> {
+    /// Applies one action of the fault schedule.
+    pub fn apply(&mut self, action: Action, kills: &mut Vec<Kill>) -> Result<(), RunError> {
         match action {
             Action::CrashZone(zone) => self.workers.send(WorkerCommand::CrashZone(zone)),
             Action::ReportZoneRemoved(zone) => {
@@ -299,8 +302,8 @@
                     placer,
                     at: Instant::now(),
                 });
-                if let Some(member) = self.members.get_mut(placer.index()) {
-                    member.process.kill();
+                if let Some(slot) = self.placers.get_mut(placer.index()) {
+                    slot.process.kill();
                 }
                 self.clients.send(ClientCommand::PlacerKilled(placer));
             }
@@ -311,15 +314,15 @@
     }
 
     fn restart(&mut self, placer: PlacerId) -> Result<(), RunError> {
-        let Some(member) = self.members.get_mut(placer.index()) else {
+        let Some(slot) = self.placers.get_mut(placer.index()) else {
             return Ok(());
         };
-        member.restarts += 1;
-        member.starts = true;
-        let (restarts, address) = (member.restarts, member.process.address());
+        slot.restarts += 1;
+        slot.is_starting = true;
+        let (restarts, address) = (slot.restarts, slot.process.address());
         let text = self.configuration(placer, restarts, address)?;
-        if let Some(member) = self.members.get_mut(placer.index()) {
-            member.process.restart(&text)?;
+        if let Some(slot) = self.placers.get_mut(placer.index()) {
+            slot.process.restart(&text)?;
         }
         self.clients.clear_kill(placer);
         self.clients
@@ -329,33 +332,33 @@
 
     // ---- End ----
 
-    /// Ends everything.
+    /// Stops everything, and returns what was recorded.
     pub fn stop(self) -> Result<FinalReports, RunError> {
         let TestEnvironment {
-            members,
+            placers,
             clients,
             workers,
             feeds,
             ..
         } = self;
         let peers = |peers| move |source| RunError::Peers { peers, source };
-        // Peers end first: what the end of a placer would make them say is not owed any more.
+        // Peers stop first: they need not react to the end of the placers.
         let clients = clients.stop().map_err(peers("clients"))?;
         let workers = workers.stop().map_err(peers("workers"))?;
         feeds.stop().map_err(peers("feeds"))?;
-        let ready = members
+        let ready_ms = placers
             .into_iter()
-            .map(|member| member.ready_ms.clone())
+            .map(|slot| slot.ready_ms.clone())
             .collect();
         Ok(FinalReports {
             clients,
             workers,
-            ready,
+            ready_ms,
         })
     }
 }
 
-/// The system's time in Unix milliseconds.
+/// Returns the system's time in Unix milliseconds.
 fn unix_millis() -> u64 {
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/scale-test/src/run/machine.rs
+++ b/crates/scale-test/src/run/machine.rs
@@ -1,14 +1,15 @@
-//! How busy the whole machine is: placers that wait for processors cost and do other than they would alone.
+//! The processor usage of the whole machine. On a full machine, the figures of a placer mean little.
 
 use std::fs;
 
-/// Fields of the first line of `/proc/stat`, from 0: time idle, and idle while something is read or written.
-const IDLE: usize = 3;
-const WAITING: usize = 4;
-/// Fields that count: what follows them is part of the first.
-const COUNTED: usize = 8;
+/// The index of the idle time in the first line of `/proc/stat`.
+const IDLE_FIELD: usize = 3;
+/// The index of the time spent idle while waiting for I/O.
+const IO_WAIT_FIELD: usize = 4;
+/// The number of fields that are summed. Later ones (guest time) are contained in the first.
+const SUMMED_FIELDS: usize = 8;
 
-/// Time of all processors, in the system's ticks.
+/// Processor time of all processors since boot, in ticks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MachineTime {
     idle: u64,
@@ -16,7 +17,7 @@
 }
 
 impl MachineTime {
-    /// Up to now; nothing where the system does not tell.
+    /// Returns the present values, or zeros if the system does not provide them.
     pub fn now() -> MachineTime {
         fs::read_to_string("/proc/stat")
             .ok()
@@ -28,17 +29,17 @@
         let line = text.lines().next()?.strip_prefix("cpu ")?;
         let fields: Vec<u64> = line
             .split_whitespace()
-            .take(COUNTED)
+            .take(SUMMED_FIELDS)
             .map(str::parse)
             .collect::<Result<_, _>>()
             .ok()?;
         Some(MachineTime {
-            idle: fields.get(IDLE)? + fields.get(WAITING)?,
+            idle: fields.get(IDLE_FIELD)? + fields.get(IO_WAIT_FIELD)?,
             all: fields.iter().sum(),
         })
     }
 
-    /// The part of the processors that was busy since then.
+    /// Returns the fraction of processor time that was busy since an earlier reading.
     pub fn busy_since(self, before: MachineTime) -> f64 {
         let all = self.all.saturating_sub(before.all);
         let idle = self.idle.saturating_sub(before.idle);
--- a/crates/scale-test/src/run/meter.rs
+++ b/crates/scale-test/src/run/meter.rs
@@ -1,4 +1,6 @@
-//! A row for each placer and second: what it used, and what went to and from it.
+//! Measures each placer once a second: resources of its process, and traffic to and from it.
+//!
+//! Owns the rows of the result. Reads processes and counters, and changes nothing in the environment.
 
 use super::CHECK_INTERVAL;
 use super::environment::TestEnvironment;
@@ -12,18 +14,19 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// One placer as it was last seen.
+/// One placer with its latest readings and its rows.
 struct PlacerMeter {
+    /// The process that was sampled last; another one after a restart.
     process: Option<u32>,
     sample: ProcessSample,
     traffic: Traffic,
     feed: FeedCounts,
     rows: Vec<PlacerSecond>,
-    /// Processor time within the rows that count.
+    /// Processor time within the measured rows.
     cpu: Duration,
 }
 
-/// Makes the rows.
+/// Measures all placers and the machine.
 pub struct Meter {
     counters: Vec<Arc<PlacerCounters>>,
     placers: Vec<PlacerMeter>,
@@ -31,14 +34,21 @@
     last_sample_at: Instant,
     second: u32,
     memory: MemoryTotals,
-    /// The machine's time at the start and at the end of the rows that count.
-    machine: Option<(MachineTime, MachineTime)>,
+    /// The machine's processor time over the measured rows, once they have begun.
+    machine: Option<MachineSpan>,
+}
+
+/// The machine's processor time at the start and at the end of a span.
+#[derive(Debug, Clone, Copy)]
+struct MachineSpan {
+    start: MachineTime,
+    end: MachineTime,
 }
 
 impl Meter {
-    /// A meter of placers with these counters.
+    /// Returns a meter of the placers with these counters.
     pub fn new(counters: Vec<Arc<PlacerCounters>>, measured_from: Instant) -> Meter {
-        let seen = |_: &Arc<PlacerCounters>| PlacerMeter {
+        let meter = |_: &Arc<PlacerCounters>| PlacerMeter {
             process: None,
             sample: ProcessSample::default(),
             traffic: Traffic::default(),
@@ -47,7 +57,7 @@
             cpu: Duration::ZERO,
         };
         Meter {
-            placers: counters.iter().map(seen).collect(),
+            placers: counters.iter().map(meter).collect(),
             counters,
             measured_from,
             last_sample_at: Instant::now(),
@@ -57,38 +67,38 @@
         }
     }
 
-    /// The first row begins.
-    pub fn begin(&mut self, environment: &TestEnvironment, sampler: &mut dyn Sampler) {
+    /// Starts the first row.
+    pub fn start_rows(&mut self, environment: &TestEnvironment, sampler: &mut dyn Sampler) {
         self.last_sample_at = Instant::now();
-        self.begin_measured();
-        for ((seen, counters), process) in self
+        self.start_measured();
+        for ((placer, counters), process) in self
             .placers
             .iter_mut()
             .zip(&self.counters)
             .zip(environment.process_ids())
         {
-            (seen.process, seen.sample) = sampled(process, sampler);
-            (seen.traffic, seen.feed) = (counters.traffic(), counters.feed());
+            (placer.process, placer.sample) = sampled(process, sampler);
+            (placer.traffic, placer.feed) = (counters.traffic(), counters.feed());
         }
     }
 
-    /// A row ends, and the next begins.
-    pub fn row(&mut self, environment: &TestEnvironment, sampler: &mut dyn Sampler) {
+    /// Completes a row, and starts the next.
+    pub fn complete_row(&mut self, environment: &TestEnvironment, sampler: &mut dyn Sampler) {
         let start = std::mem::replace(&mut self.last_sample_at, Instant::now());
         let length = self.last_sample_at.saturating_duration_since(start);
-        let measured = counts(start, self.measured_from);
+        let measured = is_measured(start, self.measured_from);
         match &mut self.machine {
-            Some((_, end)) if measured => *end = MachineTime::now(),
+            Some(span) if measured => span.end = MachineTime::now(),
             _ => {}
         }
         let mut all_kb = 0;
-        for ((seen, counters), process) in self
+        for ((placer, counters), process) in self
             .placers
             .iter_mut()
             .zip(&self.counters)
             .zip(environment.process_ids())
         {
-            let row = seen.row(counters, process, sampler, length);
+            let row = placer.next_row(counters, process, sampler, length);
             let row = PlacerSecond {
                 second: self.second,
                 measured,
@@ -96,65 +106,68 @@
             };
             all_kb += row.pss_kb;
             if measured {
-                seen.cpu += length.mul_f64(row.cpu_share);
+                placer.cpu += length.mul_f64(row.cpu_share);
             }
-            seen.rows.push(row);
+            placer.rows.push(row);
         }
         if let Ok(own) = sampler.sample(std::process::id()) {
             self.memory.own_peak_kb = self.memory.own_peak_kb.max(own.peak_kb);
             self.memory.all_peak_kb = self.memory.all_peak_kb.max(all_kb + own.pss_kb);
         }
         self.second += 1;
-        self.begin_measured();
+        self.start_measured();
     }
 
-    /// The rows that count begin, if this is their time and they have not begun.
-    fn begin_measured(&mut self) {
-        if self.machine.is_none() && counts(self.last_sample_at, self.measured_from) {
+    /// Starts the measured rows, if it is time and they have not begun.
+    fn start_measured(&mut self) {
+        if self.machine.is_none() && is_measured(self.last_sample_at, self.measured_from) {
             let now = MachineTime::now();
-            self.machine = Some((now, now));
+            self.machine = Some(MachineSpan {
+                start: now,
+                end: now,
+            });
         }
     }
 
-    /// The part of the machine's processors that was busy while the rows counted.
+    /// Returns the fraction of the machine's processor time that was busy over the measured rows.
     pub fn machine_busy(&self) -> f64 {
         self.machine
-            .map_or(0.0, |(start, end)| end.busy_since(start))
+            .map_or(0.0, |span| span.end.busy_since(span.start))
     }
 
-    /// Memory at its most.
+    /// Returns the peak memory of the run.
     pub fn memory(&self) -> MemoryTotals {
         self.memory
     }
 
-    /// The results of all placers, with their times from start to ready.
-    pub fn finish(self, ready: Vec<Vec<f64>>) -> Vec<PlacerResult> {
-        let all = self.placers.into_iter().zip(self.counters).zip(ready);
-        let result = |(place, ((seen, counters), ready_ms)): (
+    /// Returns the results of all placers, with their times from start to ready.
+    pub fn finish(self, ready_ms: Vec<Vec<f64>>) -> Vec<PlacerResult> {
+        let all = self.placers.into_iter().zip(self.counters).zip(ready_ms);
+        let result = |(index, ((placer, counters), ready_ms)): (
             u16,
             ((PlacerMeter, Arc<PlacerCounters>), _),
         )| {
             PlacerResult {
-                name: PlacerId(place).to_string(),
+                name: PlacerId(index).to_string(),
                 ready_ms,
-                totals: totals(&seen),
+                totals: totals(&placer),
                 all_traffic: counters.traffic(),
-                seconds: seen.rows,
+                seconds: placer.rows,
             }
         };
         (0..).zip(all).map(result).collect()
     }
 }
 
-/// Whether a row that begins at this time counts. None reaches over the start of the measured time, but for
-/// the time of a look.
-fn counts(start: Instant, measured_from: Instant) -> bool {
+/// Returns whether a row that starts at this time is measured. A row may overlap the start of the measured time by
+/// the interval of the run's checks.
+fn is_measured(start: Instant, measured_from: Instant) -> bool {
     start + CHECK_INTERVAL >= measured_from
 }
 
-/// A process's figures; none where it does not run.
+/// Samples a process. Returns no process and zeros if it does not run.
 fn sampled(process: Option<u32>, sampler: &mut dyn Sampler) -> (Option<u32>, ProcessSample) {
-    // A process that ends just now has none.
+    // A process that is just ending cannot be sampled.
     let sample = process.and_then(|id| sampler.sample(id).ok());
     (
         process.filter(|_| sample.is_some()),
@@ -163,7 +176,8 @@
 }
 
 impl PlacerMeter {
-    fn row(
+    /// Returns the row since the last readings, and takes the present ones over.
+    fn next_row(
         &mut self,
         counters: &PlacerCounters,
         process: Option<u32>,
@@ -171,7 +185,7 @@
         length: Duration,
     ) -> PlacerSecond {
         let (process, sample) = sampled(process, sampler);
-        // Of a process that is new all its time is of this row; what one that is gone had used is not known.
+        // All time of a new process belongs to this row. What an ended process used since its last row is unknown.
         let before = if process == self.process {
             self.sample.cpu
         } else {
@@ -197,25 +211,25 @@
     }
 }
 
-fn totals(seen: &PlacerMeter) -> PlacerTotals {
-    let rows: Vec<&PlacerSecond> = seen.rows.iter().filter(|row| row.measured).collect();
+fn totals(placer: &PlacerMeter) -> PlacerTotals {
+    let rows: Vec<&PlacerSecond> = placer.rows.iter().filter(|row| row.measured).collect();
     let seconds: f64 = rows.iter().map(|row| row.length_s).sum();
     let (mut traffic, mut feed) = (Traffic::default(), FeedCounts::default());
     for row in &rows {
         traffic += row.traffic;
         feed += row.feed;
     }
-    let most =
+    let peak =
         |figure: fn(&PlacerSecond) -> u64| rows.iter().map(|row| figure(row)).max().unwrap_or(0);
     PlacerTotals {
         cpu_share: if seconds > 0.0 {
-            seen.cpu.as_secs_f64() / seconds
+            placer.cpu.as_secs_f64() / seconds
         } else {
             0.0
         },
-        rss_peak_kb: most(|row| row.rss_kb),
-        pss_peak_kb: most(|row| row.pss_kb),
-        peak_kb: most(|row| row.peak_kb),
+        rss_peak_kb: peak(|row| row.rss_kb),
+        pss_peak_kb: peak(|row| row.pss_kb),
+        peak_kb: peak(|row| row.peak_kb),
         descriptors_peak: rows.iter().map(|row| row.descriptors).max().unwrap_or(0),
         control: ControlRates::of(&traffic.control, seconds),
         service: ServiceRates::of(&traffic.service, seconds),
--- a/crates/scale-test/src/run/schedule.rs
+++ b/crates/scale-test/src/run/schedule.rs
@@ -1,48 +1,48 @@
-//! The faults of a run as single actions, in the order of their times.
+//! The schedule of a run's faults: single actions in the order of their times. Pure: time is an argument.
 
 use crate::identity::{PlacerId, ZoneId};
 use crate::settings::{Fault, Settings};
 use std::time::{Duration, Instant};
 
-/// One thing that happens to the fleet.
+/// One action of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
-    /// The workers of a zone vanish.
+    /// Crashes the workers of a zone.
     CrashZone(ZoneId),
-    /// The feeds tell that they were removed.
+    /// Makes the feeds report these workers as removed.
     ReportZoneRemoved(ZoneId),
-    /// They are back cold, and the feeds tell so.
+    /// Restores the workers, empty, and makes the feeds report them as up.
     RestoreZone(ZoneId),
-    /// A placer is killed.
+    /// Kills a placer.
     KillPlacer(PlacerId),
-    /// It is started again.
+    /// Starts a killed placer again.
     RestartPlacer(PlacerId),
-    /// So many workers send bytes that are no message.
+    /// Makes so many workers send invalid bytes.
     SendGarbage(u32),
 }
 
-/// What is to happen.
+/// The actions that are left.
 pub struct Schedule {
-    /// The latest first.
+    /// In reverse order of their times.
     left: Vec<(Duration, Action)>,
     start: Instant,
 }
 
 impl Schedule {
-    /// The faults of these settings, counted from the start of the measured time.
+    /// Returns the schedule of these settings' faults, whose times count from this start.
     pub fn new(settings: &Settings, start: Instant) -> Schedule {
         let mut left: Vec<(Duration, Action)> = settings
             .faults
             .iter()
             .flat_map(|fault| actions(settings, fault))
             .collect();
-        // Stable: of what is due at one time the first stays first.
+        // The sort is stable: actions of the same time keep the order of the settings.
         left.sort_by_key(|(at, _)| *at);
         left.reverse();
         Schedule { left, start }
     }
 
-    /// The next action that is due by now.
+    /// Removes and returns the next action that is due.
     pub fn next_due(&mut self, now: Instant) -> Option<Action> {
         let (at, _) = self.left.last()?;
         if self.start + *at > now {
--- a/crates/scale-test/src/timers.rs
+++ b/crates/scale-test/src/timers.rs
@@ -1,19 +1,19 @@
-//! One queue of everything that is due at a time.
+//! A queue of timers, ordered by their times. Pure: time is an argument.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
 struct Timer<T> {
-    at: Instant,
-    /// Tells timers of one instant apart: the first that was added goes off first.
-    number: u64,
-    what: T,
+    due: Instant,
+    /// Orders timers of the same instant: the one that was added first fires first.
+    sequence: u64,
+    event: T,
 }
 
 impl<T> PartialEq for Timer<T> {
     fn eq(&self, other: &Self) -> bool {
-        self.number == other.number
+        self.sequence == other.sequence
     }
 }
 
@@ -26,51 +26,51 @@
 }
 
 impl<T> Ord for Timer<T> {
-    /// Reversed: the heap hands out its greatest first.
+    /// Reversed, because the heap returns its greatest element first.
     fn cmp(&self, other: &Self) -> Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.due, other.sequence).cmp(&(self.due, self.sequence))
     }
 }
 
-/// Timers in the order of their times. None is taken back: whoever takes one out looks whether it still
-/// means anything.
+/// Timers in the order of their times. Timers cannot be cancelled: the caller checks whether a timer that fires is
+/// still relevant.
 pub struct TimerQueue<T> {
     heap: BinaryHeap<Timer<T>>,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl<T> Default for TimerQueue<T> {
     fn default() -> TimerQueue<T> {
         TimerQueue {
             heap: BinaryHeap::new(),
-            next: 0,
+            next_sequence: 0,
         }
     }
 }
 
 impl<T> TimerQueue<T> {
     /// Adds a timer.
-    pub fn add(&mut self, at: Instant, what: T) {
+    pub fn add(&mut self, due: Instant, event: T) {
         self.heap.push(Timer {
-            at,
-            number: self.next,
-            what,
+            due,
+            sequence: self.next_sequence,
+            event,
         });
-        self.next += 1;
+        self.next_sequence += 1;
     }
 
-    /// Takes the next timer that is due by now, and when it was due.
+    /// Removes the next timer if it is due. Returns when it was due, and its event.
     pub fn pop_due(&mut self, now: Instant) -> Option<(Instant, T)> {
-        if self.heap.peek()?.at > now {
+        if self.heap.peek()?.due > now {
             return None;
         }
-        self.heap.pop().map(|timer| (timer.at, timer.what))
+        self.heap.pop().map(|timer| (timer.due, timer.event))
     }
 
-    /// How long until the next timer, at most so long.
-    pub fn wait(&self, now: Instant, most: Duration) -> Duration {
-        self.heap.peek().map_or(most, |timer| {
-            timer.at.saturating_duration_since(now).min(most)
+    /// Returns the time until the next timer, limited to a maximum.
+    pub fn wait(&self, now: Instant, max_wait: Duration) -> Duration {
+        self.heap.peek().map_or(max_wait, |timer| {
+            timer.due.saturating_duration_since(now).min(max_wait)
         })
     }
 }
--- a/crates/scale-test/src/timing.rs
+++ b/crates/scale-test/src/timing.rs
@@ -1,43 +1,43 @@
-//! Histograms of times.
+//! A histogram of latencies.
 
 use hdrhistogram::Histogram;
 use std::io;
 use std::time::Duration;
 
-/// The longest time that is told apart, in microseconds: above all waits.
+/// The longest time of the histogram, in microseconds: above all waits.
 const MAX_MICROS: u64 = 600_000_000;
-/// Significant digits.
-const DIGITS: u8 = 3;
+/// The precision of the histogram.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 /// A histogram of times, in microseconds.
 #[derive(Debug, Clone)]
 pub struct LatencyHistogram(Histogram<u64>);
 
 impl LatencyHistogram {
-    /// None yet.
+    /// Returns an empty histogram.
     ///
     /// # Errors
     ///
     /// Returns an error if the histogram cannot be created with its bounds.
     pub fn new() -> io::Result<LatencyHistogram> {
-        Histogram::new_with_bounds(1, MAX_MICROS, DIGITS)
+        Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS)
             .map(LatencyHistogram)
             .map_err(io::Error::other)
     }
 
-    /// Adds a time; one beyond the longest counts as the longest.
+    /// Adds a time. A longer one counts as the longest time of the histogram.
     pub fn add(&mut self, time: Duration) {
         self.0
             .saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
     }
 
-    /// Adds all of others.
-    pub fn merge(&mut self, others: &LatencyHistogram) {
-        // Both have the same bounds, so that it does not fail.
-        let _ = self.0.add(&others.0);
+    /// Adds all times of another histogram.
+    pub fn merge(&mut self, other: &LatencyHistogram) {
+        // Does not fail: both have the same bounds.
+        let _ = self.0.add(&other.0);
     }
 
-    /// All of them.
+    /// Returns the counts.
     pub fn histogram(&self) -> &Histogram<u64> {
         &self.0
     }
--- a/crates/scale-test/src/workers/thread.rs
+++ b/crates/scale-test/src/workers/thread.rs
@@ -151,7 +151,7 @@
     }
 
     fn handle_commands(&mut self) -> io::Result<()> {
-        for command in self.shared.commands.take() {
+        for command in self.shared.commands.take_all() {
             match command {
                 WorkerCommand::StartLifetimes => self.start_lifetimes(),
                 WorkerCommand::CrashZone(zone) => self.crash_zone(zone)?,
