--- a/crates/scale-test/src/budget.rs
+++ b/crates/scale-test/src/budget.rs
@@ -1,7 +1,7 @@
-//! What a run needs of the machine, reckoned before it starts, and the refusal of one that needs too much.
+//! Estimates what a run needs of the machine, and rejects a run that needs too much.
 //!
-//! The costs are allowances, set high on purpose: a run that is refused can be made smaller, whereas one that
-//! drives the machine out of memory or descriptors measures nothing and disturbs all that runs beside it.
+//! The estimates are high on purpose: a rejected run can be made smaller, but a run that exhausts memory or
+//! descriptors measures nothing and disturbs everything else on the machine.
 
 use std::fmt;
 use std::io;
@@ -16,76 +16,76 @@
 #[cfg(test)]
 mod tests;
 
-/// The most processes of a run, this one included.
+/// The largest number of processes of a run, this one included.
 pub const MAX_PROCESSES: u64 = 300;
 
-/// The part of the machine's memory that a run may need is one over this. The rest is for the system, its
-/// cache, and what the allowances miss.
+/// A run may need the machine's memory divided by this. The rest is for the system, its cache, and errors of the
+/// estimate.
 pub const MEMORY_DIVISOR: u64 = 2;
 
 const BYTES_PER_KB: u64 = 1024;
 const KB_PER_MB: u64 = 1024;
 const KB_PER_GIB: f64 = 1024.0 * 1024.0;
 
-/// Memory of this process before it plays anything.
-const MEMORY_KB_HERE: u64 = 64 * KB_PER_MB;
+/// Memory of this process without peers.
+const MEMORY_KB_OWN: u64 = 64 * KB_PER_MB;
 
 /// Memory of a placer that knows no worker: its program, buffers and allocator.
 const MEMORY_KB_PLACER: u64 = 32 * KB_PER_MB;
 
-/// Memory of a hollow worker here. All of them share one listening socket.
+/// Memory of a hollow worker in this process.
 const MEMORY_KB_WORKER: u64 = 4;
 
 /// Memory of a worker in the list of one placer.
 const MEMORY_KB_LISTED_WORKER: u64 = 4;
 
-/// Memory of a standing task, in its placer, its worker and its client together.
+/// Memory of a running task, in its placer, its worker and its client together.
 const MEMORY_KB_RUNNING_TASK: u64 = 8;
 
 /// Memory of a connection: the buffers of the programs at both ends and of the system's two sockets.
 const MEMORY_KB_CONNECTION: u64 = 64;
 
-/// Descriptors of this process that are not of a connection or of a placer: standard streams, the workers'
-/// listening socket, event queues, its result files, and room for samples of `/proc`.
-const DESCRIPTORS_HERE: u64 = 64;
+/// Descriptors of this process that belong to no connection and no placer: standard streams, the workers'
+/// listening socket, event queues, its result files, and samples of `/proc`.
+const DESCRIPTORS_OWN: u64 = 64;
 
 /// Descriptors of this process for each placer: its two output pipes, its feed's listening sockets and
-/// connections, a listening socket and its handle in the event loop for each of some zones, and the calls that
-/// ask how it does.
-const DESCRIPTORS_HERE_PER_PLACER: u64 = 32;
+/// connections, a listening socket and its handle in the event loop for each of some zones, and its health
+/// checks.
+const DESCRIPTORS_OWN_PER_PLACER: u64 = 32;
 
-/// The most connections that a placer holds to one worker.
+/// The largest number of connections of a placer to one worker.
 const CONNECTIONS_PER_WORKER: u64 = 3;
 
-/// A placer keeps its connections over this for clients; workers get what is left.
+/// A placer reserves its connections divided by this for clients; the rest is for workers.
 const CLIENTS_SHARE_DIVISOR: u64 = 3;
 
 /// Descriptors of a placer that are not a worker's or a client's: standard streams, the event queue,
 /// listening sockets, its feed, signals.
 const DESCRIPTORS_PLACER: u64 = 32;
 
-/// The plain numbers of a run.
+/// The size of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunSize {
-    /// Hollow workers, all played by this process.
+    /// Hollow workers, all in this process.
     pub workers: u64,
-    /// Placers, a process each.
+    /// Placers, each a process.
     pub placers: u64,
-    /// Tasks that stand at a time, over all placers.
+    /// Tasks that run at a time, over all placers.
     pub running_tasks: u64,
     /// Connections of clients, over all placers.
     pub connections: u64,
-    /// The most connections that a placer holds, by its configuration.
+    /// The limit on the connections of a placer, by its configuration.
     pub placer_sockets: u64,
 }
 
-/// What a run needs.
+/// The estimated need of a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Need {
-    /// Memory of all its processes, and of the system for their connections.
+    /// Memory of all processes, and of the system for their connections.
     pub memory_kb: u64,
     /// Descriptors of this process.
-    pub descriptors_here: u64,
+    pub descriptors_own: u64,
     /// Descriptors of each placer.
     pub descriptors_placer: u64,
     /// Processes, this one included.
@@ -93,7 +93,7 @@
 }
 
 impl RunSize {
-    /// The size of a run of these settings.
+    /// Returns the size of a run of these settings.
     pub fn of(settings: &Settings) -> RunSize {
         let placers = u64::from(settings.placers);
         RunSize {
@@ -107,29 +107,29 @@
 }
 
 impl Need {
-    /// What a run of these settings needs. The settings know how many zones listen for each placer, so that this
-    /// process's descriptors are theirs.
+    /// Returns the need of a run of these settings. The descriptors of this process are computed by the settings,
+    /// because they depend on the number of zones.
     pub fn of_settings(settings: &Settings) -> Need {
         Need {
-            descriptors_here: settings.descriptors_needed(),
+            descriptors_own: settings.descriptors_needed(),
             ..Need::of(&RunSize::of(settings))
         }
     }
 
-    /// What a run of this size needs. Each placer is taken to hold all connections to workers that it may.
+    /// Returns the need of a run of this size. Each placer is assumed to use all its connections to workers.
     pub fn of(size: &RunSize) -> Need {
         let worker_connections = size.placers.saturating_mul(worker_connections(size));
         let connections = worker_connections.saturating_add(size.connections);
         Need {
             memory_kb: memory_kb(size, connections),
-            descriptors_here: descriptors_here(size, connections),
+            descriptors_own: descriptors_own(size, connections),
             descriptors_placer: descriptors_placer(size),
             processes: size.placers.saturating_add(1),
         }
     }
 }
 
-/// Connections of one placer to workers.
+/// Returns the connections of one placer to workers.
 fn worker_connections(size: &RunSize) -> u64 {
     let allowed = size.placer_sockets - size.placer_sockets / CLIENTS_SHARE_DIVISOR;
     size.workers
@@ -140,7 +140,7 @@
 fn memory_kb(size: &RunSize, connections: u64) -> u64 {
     let listed_workers = size.placers.saturating_mul(size.workers);
     sum(&[
-        MEMORY_KB_HERE,
+        MEMORY_KB_OWN,
         size.placers.saturating_mul(MEMORY_KB_PLACER),
         size.workers.saturating_mul(MEMORY_KB_WORKER),
         listed_workers.saturating_mul(MEMORY_KB_LISTED_WORKER),
@@ -149,13 +149,13 @@
     ])
 }
 
-/// This process holds one end of every connection.
-fn descriptors_here(size: &RunSize, connections: u64) -> u64 {
-    let for_placers = size.placers.saturating_mul(DESCRIPTORS_HERE_PER_PLACER);
-    sum(&[DESCRIPTORS_HERE, for_placers, connections])
+/// Returns the descriptors of this process, which has one end of every connection.
+fn descriptors_own(size: &RunSize, connections: u64) -> u64 {
+    let for_placers = size.placers.saturating_mul(DESCRIPTORS_OWN_PER_PLACER);
+    sum(&[DESCRIPTORS_OWN, for_placers, connections])
 }
 
-/// A placer holds its connections to workers and its clients'; all clients may come to one.
+/// Returns the descriptors of a placer: its connections to workers and to clients, all of which may use one placer.
 fn descriptors_placer(size: &RunSize) -> u64 {
     let connections = worker_connections(size).saturating_add(size.connections);
     DESCRIPTORS_PLACER.saturating_add(connections.min(size.placer_sockets))
@@ -167,17 +167,17 @@
         .fold(0, |total, term| total.saturating_add(*term))
 }
 
-/// What the machine has.
+/// The resources of the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Machine {
-    /// Memory of the machine, used or not.
+    /// Total memory, used or not.
     pub memory_kb: u64,
-    /// Soft limit on the descriptors of this process, which its children inherit; none where unlimited.
+    /// The soft limit on the descriptors of this process, which its children inherit; `None` if unlimited.
     pub descriptors: Option<u64>,
 }
 
 impl Machine {
-    /// Reads `/proc/meminfo` and the limit of this process.
+    /// Reads `/proc/meminfo` and the descriptor limit of this process.
     ///
     /// # Errors
     ///
@@ -192,7 +192,7 @@
     }
 }
 
-/// One thing of which a run needs too much.
+/// One resource of which a run needs too much.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Excess {
     /// Memory, against half of the machine's.
@@ -211,7 +211,7 @@
         "needs {needed} descriptors in this process, its limit (ulimit -n) is {allowed}: fewer workers, \
          placers or connections, or a higher limit"
     )]
-    DescriptorsHere {
+    DescriptorsOwn {
         /// What the run needs.
         needed: u64,
         /// The soft limit.
@@ -236,10 +236,10 @@
     },
 }
 
-/// Why a run is refused: everything of which it needs too much, a line each.
+/// Why a run is rejected: every resource of which it needs too much. Displays as a line for each.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct BudgetError {
-    /// In the order of [`Need`]'s fields, at least one.
+    /// The excesses in the order of [`Need`]'s fields, at least one.
     pub excesses: Vec<Excess>,
 }
 
@@ -250,7 +250,7 @@
     }
 }
 
-/// Refuses a run that needs over half of the machine's memory, more descriptors than a process may have, or
+/// Rejects a run that needs over half of the machine's memory, more descriptors than a process may have, or
 /// more than [`MAX_PROCESSES`] processes.
 ///
 /// # Errors
@@ -282,8 +282,8 @@
 
 fn descriptors_here_excess(need: &Need, machine: &Machine) -> Option<Excess> {
     let allowed = machine.descriptors?;
-    let needed = need.descriptors_here;
-    (needed > allowed).then_some(Excess::DescriptorsHere { needed, allowed })
+    let needed = need.descriptors_own;
+    (needed > allowed).then_some(Excess::DescriptorsOwn { needed, allowed })
 }
 
 fn descriptors_placer_excess(need: &Need, machine: &Machine) -> Option<Excess> {
@@ -297,7 +297,7 @@
     (needed > MAX_PROCESSES).then_some(Excess::Processes { needed })
 }
 
-/// Memory in kilobytes, shown in GiB.
+/// Memory in kilobytes, displayed in GiB.
 struct Gib(u64);
 
 impl fmt::Display for Gib {
--- a/crates/scale-test/src/budget/tests.rs
+++ b/crates/scale-test/src/budget/tests.rs
@@ -13,7 +13,7 @@
 
 const SMALL: Need = Need {
     memory_kb: GIB_IN_KB,
-    descriptors_here: 1000,
+    descriptors_own: 1000,
     descriptors_placer: 500,
     processes: 5,
 };
@@ -33,7 +33,7 @@
         needed_kb,
         allowed_kb: 12 * GIB_IN_KB,
     };
-    let here = |needed| Excess::DescriptorsHere {
+    let here = |needed| Excess::DescriptorsOwn {
         needed,
         allowed: 20_000,
     };
@@ -59,14 +59,14 @@
         ),
         (
             Need {
-                descriptors_here: 20_000,
+                descriptors_own: 20_000,
                 ..SMALL
             },
             vec![],
         ),
         (
             Need {
-                descriptors_here: 20_001,
+                descriptors_own: 20_001,
                 ..SMALL
             },
             vec![here(20_001)],
@@ -125,7 +125,7 @@
         ..MACHINE
     };
     let need = Need {
-        descriptors_here: u64::MAX,
+        descriptors_own: u64::MAX,
         descriptors_placer: u64::MAX,
         ..SMALL
     };
@@ -136,7 +136,7 @@
 fn each_excess_is_one_line_with_a_remedy() {
     let need = Need {
         memory_kb: 14 * GIB_IN_KB + GIB_IN_KB / 10,
-        descriptors_here: 20_001,
+        descriptors_own: 20_001,
         descriptors_placer: 20_002,
         processes: 301,
     };
@@ -166,13 +166,13 @@
         ..base
     });
     assert_eq!(
-        more_workers.descriptors_here,
-        need.descriptors_here + 3 * base.placers
+        more_workers.descriptors_own,
+        need.descriptors_own + 3 * base.placers
     );
     assert_eq!(more_workers.descriptors_placer, need.descriptors_placer + 3);
     assert!(more_workers.memory_kb > need.memory_kb);
     let more_placers = Need::of(&RunSize { placers: 3, ..base });
-    assert!(more_placers.descriptors_here >= need.descriptors_here + 3 * base.workers);
+    assert!(more_placers.descriptors_own >= need.descriptors_own + 3 * base.workers);
     assert_eq!(more_placers.processes, need.processes + 1);
     assert!(more_placers.memory_kb > need.memory_kb);
     let more_standing = Need::of(&RunSize {
@@ -184,7 +184,7 @@
         connections: 5,
         ..base
     });
-    assert_eq!(more_connections.descriptors_here, need.descriptors_here + 1);
+    assert_eq!(more_connections.descriptors_own, need.descriptors_own + 1);
     assert_eq!(
         more_connections.descriptors_placer,
         need.descriptors_placer + 1
@@ -204,7 +204,7 @@
         ..NOTHING
     });
     assert_eq!(many.descriptors_placer, few.descriptors_placer);
-    assert_eq!(many.descriptors_here, few.descriptors_here);
+    assert_eq!(many.descriptors_own, few.descriptors_own);
 }
 
 #[test]
@@ -221,7 +221,7 @@
         ..NOTHING
     });
     assert_eq!(full.descriptors_placer, idle.descriptors_placer + 600);
-    assert_eq!(full.descriptors_here, idle.descriptors_here + 2 * 600);
+    assert_eq!(full.descriptors_own, idle.descriptors_own + 2 * 600);
 }
 
 #[test]
@@ -259,7 +259,7 @@
         ..Settings::default()
     };
     let needed = settings.descriptors_needed();
-    let here = Excess::DescriptorsHere {
+    let here = Excess::DescriptorsOwn {
         needed,
         allowed: 20_000,
     };
--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -92,8 +92,8 @@
     fn code(&self) -> u8 {
         match self {
             Failure::Plan(_) => REFUSED,
-            Failure::Run(error) if error.is_refusal() => REFUSED,
-            Failure::Point(error) if error.source.is_refusal() => REFUSED,
+            Failure::Run(error) if error.is_rejection() => REFUSED,
+            Failure::Point(error) if error.source.is_rejection() => REFUSED,
             Failure::Sweep(SweepError::Plan(_)) => REFUSED,
             Failure::Sweep(SweepError::Run {
                 source: SweepRunError::RuleBroken { .. },
--- a/crates/scale-test/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -1,4 +1,4 @@
-//! What goes wrong in a run.
+//! The errors that end a run without a result.
 
 use crate::budget::BudgetError;
 use crate::identity::PlacerId;
@@ -7,72 +7,72 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Why there is no result.
+/// Why a run has no result.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// The settings can't be meant.
+    /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
     /// The run needs more than the machine has for it.
     #[error(transparent)]
     Budget(#[from] BudgetError),
-    /// A placer's program could not be started.
+    /// The program of a placer could not be started.
     #[error("placer program {program}: {source}")]
     Program {
         /// The program.
         program: PathBuf,
-        /// Why.
+        /// The error of the system.
         source: io::Error,
     },
-    /// A placer ended by itself.
+    /// A placer exited by itself.
     #[error("placer {placer} ended by itself ({status}); the end of its log:\n{log}")]
     PlacerEnded {
-        /// Which.
+        /// The placer.
         placer: PlacerId,
-        /// How.
+        /// The exit status.
         status: String,
         /// The last lines of its log.
         log: String,
     },
-    /// A placer passed no test in time.
+    /// A placer passed no health check in time.
     #[error("placer {placer} passed no test within {}; the end of its log:\n{log}", humantime::format_duration(*.limit))]
     NotReady {
-        /// Which.
+        /// The placer.
         placer: PlacerId,
-        /// How long it had.
+        /// The time limit.
         limit: Duration,
         /// The last lines of its log.
         log: String,
     },
-    /// A thread of hollow peers ended.
+    /// A thread of hollow peers ended early.
     #[error("the thread of {peers} has ended: {source}")]
     Peers {
-        /// Whose.
+        /// The kind of peers.
         peers: &'static str,
-        /// Why.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The run was ended from outside.
+    /// A signal or the watcher stopped the run.
     #[error("ended by a signal")]
     Interrupted,
-    /// The system refused something.
-    #[error("{what}: {source}")]
+    /// An operation of the system failed.
+    #[error("{operation}: {source}")]
     System {
-        /// What was wanted.
-        what: &'static str,
-        /// Why it was not given.
+        /// The operation.
+        operation: &'static str,
+        /// The error of the system.
         source: io::Error,
     },
 }
 
 impl RunError {
-    /// Whether the run was refused before anything started: it can't be meant, or needs too much.
-    pub fn is_refusal(&self) -> bool {
+    /// Returns whether the run was rejected before anything started: it is invalid, or needs too much.
+    pub fn is_rejection(&self) -> bool {
         matches!(self, RunError::Settings(_) | RunError::Budget(_))
     }
 
-    /// Names what the system refused.
-    pub fn system(what: &'static str) -> impl FnOnce(io::Error) -> RunError {
-        move |source| RunError::System { what, source }
+    /// Returns a function that wraps the error of an operation.
+    pub fn system(operation: &'static str) -> impl FnOnce(io::Error) -> RunError {
+        move |source| RunError::System { operation, source }
     }
 }
--- a/crates/scale-test/src/settings.rs
+++ b/crates/scale-test/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a run: a TOML file, flags that go before it, and the checks of both at the start.
+//! The settings of a run: a TOML file, command-line flags that take precedence, and the checks of both.
 
 mod check;
 mod fault;
@@ -12,19 +12,20 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// Settings that can't be meant: one line that names the setting, what was expected and what was found.
+/// An invalid setting. Displays as one line with its name, what was expected and what was found.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("setting {name}: expected {expected}, found {found}")]
 pub struct SettingsError {
-    /// The setting.
+    /// The name of the setting.
     pub name: String,
-    /// What it may be.
+    /// What was expected.
     pub expected: String,
-    /// What it is.
+    /// What was found.
     pub found: String,
 }
 
 impl SettingsError {
+    /// Returns an error whose texts are joined into one line.
     pub(crate) fn new(name: &str, expected: impl ToString, found: impl ToString) -> SettingsError {
         let one_line = |text: String| text.split_whitespace().collect::<Vec<_>>().join(" ");
         SettingsError {
@@ -35,13 +36,13 @@
     }
 }
 
-/// How the control feed tells changes.
+/// How the control feed groups changes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FeedRule {
-    /// Each change of a worker is an event of its own, at once.
+    /// Each change of a worker is sent at once, as an event of its own.
     EachChange,
-    /// All workers that changed are told in one event, each period.
+    /// All workers that have changed are sent in one event, each period.
     Gathered,
 }
 
@@ -49,9 +50,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Connect {
-    /// When something is wanted of them: the deployment states a price for a connection.
+    /// On demand: the deployment has a price for a connection.
     OnDemand,
-    /// To all that are listed, as far as descriptors go: connections have no price.
+    /// To all listed workers, as far as descriptors allow: connections have no price.
     All,
 }
 
@@ -59,49 +60,49 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Settings {
-    /// Seed of all that is drawn.
+    /// The seed of all random numbers.
     pub seed: u64,
     /// Hollow workers.
     pub workers: u32,
-    /// Zones; workers are dealt out to them in turn.
+    /// Zones. Workers are assigned to them in turn.
     pub zones: u32,
-    /// Regions; zones are dealt out to them in turn. With one, zones are named `z0` and so on, with more
+    /// Regions. Zones are assigned to them in turn. With one region zones are named `z0` and so on, with several
     /// `r0-z0`.
     pub regions: u32,
     /// Real placer processes.
     pub placers: u16,
-    /// Placers that the deployment's settings state: at least as many as really run. 0: as many.
+    /// The number of placers in the deployment's settings: at least as many as really run, or 0 for as many.
     pub instances: u32,
-    /// Starts a second, over all placers that really run.
+    /// Task arrivals per second, over all placers that really run.
     pub rate: f64,
-    /// The part of the starts that is of class `urgent`.
+    /// The fraction of the arrivals that is of class `urgent`.
     pub urgent_share: f64,
-    /// The part of the starts that is of class `once`, which must not start twice.
+    /// The fraction of the arrivals that is of class `once`, which must not start twice.
     pub once_share: f64,
-    /// Mean life of a task, from its answer; lives are exponential.
+    /// The mean lifetime of a task, from its answer. Lifetimes are exponentially distributed.
     #[serde(with = "humantime_serde")]
     pub life: Duration,
-    /// Time from an offer to the worker's answer.
+    /// The time from an offer to the worker's answer.
     #[serde(with = "humantime_serde")]
     pub start_time: Duration,
-    /// Tasks that stand at the start, over all placers that really run.
+    /// Tasks that run at the start, over all placers that really run.
     #[serde(rename = "standing")]
     pub running_tasks: u32,
     /// Tenants.
     pub tenants: u32,
-    /// Services that tasks belong to.
+    /// Services.
     pub services: u32,
-    /// Time with load before the figures count.
+    /// The time with load before the measurement.
     #[serde(with = "humantime_serde")]
     pub warm_up: Duration,
-    /// Time over which the figures count. Times of faults count from its start.
+    /// The duration of the measurement. The times of faults count from its start.
     #[serde(with = "humantime_serde")]
     pub duration: Duration,
     /// When placers connect to workers.
     pub connect: Connect,
-    /// The memory that a placer is told it may hold, in MB.
+    /// The memory limit in a placer's configuration, in MB.
     pub placer_memory_mb: u64,
-    /// The descriptors that a placer may hold.
+    /// The limit on a placer's descriptors.
     pub placer_sockets: u64,
     /// Connections that clients keep to each placer.
     pub client_connections: u16,
@@ -109,29 +110,29 @@
     pub worker_cores: f64,
     /// Memory of a worker.
     pub worker_memory: f64,
-    /// Cores that a task asks for.
+    /// Cores that a task requests.
     pub task_cores: f64,
-    /// Memory that a task asks for.
+    /// Memory that a task requests.
     pub task_memory: f64,
-    /// Over this at the 99th percentile of the hollow peers' own lateness, the run is of no use.
+    /// The limit on the 99th percentile of the hollow peers' own lateness, above which a run is unusable.
     #[serde(with = "humantime_serde")]
     pub lateness_limit: Duration,
-    /// Over this part of the machine's processors busy, the run is of no use.
+    /// The limit on the busy fraction of the machine's processors, above which a run is unusable.
     pub busy_limit: f64,
-    /// How the control feed tells changes.
+    /// How the control feed groups changes.
     pub feed: FeedRule,
-    /// The period of `gathered`.
+    /// The period of the rule `gathered`.
     #[serde(with = "humantime_serde")]
     pub feed_period: Duration,
-    /// How often the whole list is told; 0s: never.
+    /// The period of complete lists on the control feed; 0s for none.
     #[serde(with = "humantime_serde")]
     pub whole_list_every: Duration,
-    /// List events a second beyond those that the run itself makes: each tells one worker's entry again.
+    /// Extra list events per second, each of which repeats one worker's entry.
     pub events: f64,
-    /// A folder in which the placers' configurations and logs stay; without it they go with the run.
+    /// The folder in which the placers' configurations and logs are kept. Without it they are removed after the run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub keep_files: Option<PathBuf>,
-    /// What fails, and when.
+    /// The faults that are injected.
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -176,7 +177,7 @@
 }
 
 impl Settings {
-    /// Reads them out of TOML, without the checks.
+    /// Reads settings from TOML, without checking them.
     ///
     /// # Errors
     ///
@@ -191,7 +192,7 @@
         })
     }
 
-    /// Reads them out of a file, without the checks.
+    /// Reads settings from a file, without checking them.
     ///
     /// # Errors
     ///
@@ -207,7 +208,7 @@
         Settings::parse(&text)
     }
 
-    /// The names of the zones.
+    /// Returns the names of the zones.
     pub fn zone_names(&self) -> Vec<String> {
         let name = |zone: u32| match self.regions {
             0 | 1 => format!("z{zone}"),
@@ -216,42 +217,42 @@
         (0..self.zones).map(name).collect()
     }
 
-    /// The zone of this name.
+    /// Returns the zone with this name.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
-        let place = self.zone_names().iter().position(|zone| zone == name)?;
-        u32::try_from(place).ok().map(ZoneId)
+        let index = self.zone_names().iter().position(|zone| zone == name)?;
+        u32::try_from(index).ok().map(ZoneId)
     }
 
-    /// The names of the tenants.
+    /// Returns the names of the tenants.
     pub fn tenant_names(&self) -> Vec<String> {
         (0..self.tenants)
             .map(|tenant| format!("t{tenant}"))
             .collect()
     }
 
-    /// Placers that the deployment's settings state.
+    /// Returns the number of placers in the deployment's settings.
     pub fn stated_placers(&self) -> u32 {
         self.instances.max(u32::from(self.placers))
     }
 
-    /// Tasks that one worker can hold.
+    /// Returns the number of tasks that one worker can run.
     pub fn max_tasks_per_worker(&self) -> u32 {
         let cores = self.worker_cores / self.task_cores;
         let memory = self.worker_memory / self.task_memory;
-        // More than a worker ever has; a cast from a number out of range gives the nearest.
+        // The cast saturates at the largest number, which is more than any worker has.
         cores.min(memory).floor() as u32
     }
 
-    /// As TOML.
+    /// Returns the settings as TOML.
     pub fn to_toml(&self) -> String {
         toml::to_string(self).unwrap_or_default()
     }
 }
 
-/// The key on this line of a file, for an error's name.
+/// Returns the key on this line of a file, as the name in an error.
 fn key_at(text: &str, line: usize) -> String {
-    let found = text.lines().nth(line.saturating_sub(1)).unwrap_or_default();
-    let key = found.split('=').next().unwrap_or_default().trim();
+    let content = text.lines().nth(line.saturating_sub(1)).unwrap_or_default();
+    let key = content.split('=').next().unwrap_or_default().trim();
     if key.is_empty() {
         format!("file, line {line}")
     } else {
--- a/crates/scale-test/src/settings/check.rs
+++ b/crates/scale-test/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! The checks of settings: each value by itself, then what they say together.
+//! The checks of settings: each value by itself, then their combinations.
 
 use super::{Fault, FeedRule, Settings, SettingsError};
 use crate::identity::MAX_WORKERS;
@@ -6,30 +6,30 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Descriptors of the run's own process beside its connections.
+/// Descriptors of the run's own process besides its connections.
 const OWN_DESCRIPTORS: u64 = 100;
-/// Connections beside those kept to each placer: its test, its feed, and listeners that are counted apart.
-const EACH_PLACER: u64 = 3;
-/// The fewest descriptors with which a placer serves anyone.
+/// Connections to each placer besides those for tasks: its health check, its feed, and one in reserve.
+const EXTRA_CONNECTIONS_PER_PLACER: u64 = 3;
+/// The smallest number of descriptors with which a placer works.
 const MIN_SOCKETS: u64 = 64;
-/// The longest time that a setting may name.
-const DAY: Duration = Duration::from_secs(86_400);
-/// The most processes of a run.
+/// The longest time of a setting.
+const ONE_DAY: Duration = Duration::from_secs(86_400);
+/// The largest number of placers of a run.
 const MAX_PLACERS: u16 = 299;
 
+/// The result of a check.
 type Checked = Result<(), SettingsError>;
 
 impl Settings {
-    /// Checks them all; the first that can't be meant is named. Whether the machine has what they need is said by
-    /// [`crate::budget`].
+    /// Checks all settings. Whether the machine has enough for them is checked by [`crate::budget`].
     ///
     /// # Errors
     ///
     /// Returns an error that names the first invalid setting, with what was expected and found.
     pub fn check(&self) -> Checked {
         self.check_values()?;
-        self.check_spans()?;
-        self.check_together()?;
+        self.check_times()?;
+        self.check_combinations()?;
         self.faults
             .iter()
             .enumerate()
@@ -37,63 +37,63 @@
     }
 
     fn check_values(&self) -> Checked {
-        within("workers", self.workers, 1..=MAX_WORKERS)?;
-        within("zones", self.zones, 1..=self.workers.min(256))?;
-        within("regions", self.regions, 1..=self.zones)?;
-        within("placers", self.placers, 0..=MAX_PLACERS)?;
-        within("tenants", self.tenants, 1..=1_000)?;
-        within("services", self.services, 1..=1_000_000)?;
-        within("rate", self.rate, 0.0..=100_000.0)?;
-        within("urgent-share", self.urgent_share, 0.0..=1.0)?;
-        within("once-share", self.once_share, 0.0..=1.0)?;
-        within("busy-limit", self.busy_limit, 0.0..=1.0)?;
-        within("events", self.events, 0.0..=100_000.0)?;
-        within("placer-memory-mb", self.placer_memory_mb, 8..=65_536)?;
-        within(
+        check_range("workers", self.workers, 1..=MAX_WORKERS)?;
+        check_range("zones", self.zones, 1..=self.workers.min(256))?;
+        check_range("regions", self.regions, 1..=self.zones)?;
+        check_range("placers", self.placers, 0..=MAX_PLACERS)?;
+        check_range("tenants", self.tenants, 1..=1_000)?;
+        check_range("services", self.services, 1..=1_000_000)?;
+        check_range("rate", self.rate, 0.0..=100_000.0)?;
+        check_range("urgent-share", self.urgent_share, 0.0..=1.0)?;
+        check_range("once-share", self.once_share, 0.0..=1.0)?;
+        check_range("busy-limit", self.busy_limit, 0.0..=1.0)?;
+        check_range("events", self.events, 0.0..=100_000.0)?;
+        check_range("placer-memory-mb", self.placer_memory_mb, 8..=65_536)?;
+        check_range(
             "placer-sockets",
             self.placer_sockets,
             MIN_SOCKETS..=1_048_576,
         )?;
-        within("client-connections", self.client_connections, 1..=256)?;
-        within("worker-cores", self.worker_cores, 0.1..=100_000.0)?;
-        within("worker-memory", self.worker_memory, 0.1..=100_000.0)?;
-        within("task-cores", self.task_cores, 0.001..=self.worker_cores)?;
-        within("task-memory", self.task_memory, 0.001..=self.worker_memory)
+        check_range("client-connections", self.client_connections, 1..=256)?;
+        check_range("worker-cores", self.worker_cores, 0.1..=100_000.0)?;
+        check_range("worker-memory", self.worker_memory, 0.1..=100_000.0)?;
+        check_range("task-cores", self.task_cores, 0.001..=self.worker_cores)?;
+        check_range("task-memory", self.task_memory, 0.001..=self.worker_memory)
     }
 
-    fn check_spans(&self) -> Checked {
-        let milli = Duration::from_millis(1);
-        span_within("duration", self.duration, Duration::from_secs(1)..=DAY)?;
-        span_within("warm-up", self.warm_up, Duration::ZERO..=DAY)?;
-        span_within("life", self.life, milli..=DAY)?;
-        span_within(
+    fn check_times(&self) -> Checked {
+        let one_milli = Duration::from_millis(1);
+        check_time_range("duration", self.duration, Duration::from_secs(1)..=ONE_DAY)?;
+        check_time_range("warm-up", self.warm_up, Duration::ZERO..=ONE_DAY)?;
+        check_time_range("life", self.life, one_milli..=ONE_DAY)?;
+        check_time_range(
             "start-time",
             self.start_time,
             Duration::ZERO..=Duration::from_secs(60),
         )?;
-        span_within(
+        check_time_range(
             "lateness-limit",
             self.lateness_limit,
-            milli..=Duration::from_secs(60),
+            one_milli..=Duration::from_secs(60),
         )?;
         if self.feed == FeedRule::Gathered {
-            span_within(
+            check_time_range(
                 "feed-period",
                 self.feed_period,
-                milli..=Duration::from_secs(60),
+                one_milli..=Duration::from_secs(60),
             )?;
         }
         if !self.whole_list_every.is_zero() {
-            span_within(
+            check_time_range(
                 "whole-list-every",
                 self.whole_list_every,
-                Duration::from_millis(100)..=DAY,
+                Duration::from_millis(100)..=ONE_DAY,
             )?;
         }
         Ok(())
     }
 
-    fn check_together(&self) -> Checked {
+    fn check_combinations(&self) -> Checked {
         if self.urgent_share + self.once_share > 1.0 {
             let expected = format!(
                 "at most 1 together with urgent-share = {}",
@@ -112,10 +112,10 @@
             let expected = format!("0, or at least placers = {}", self.placers);
             return Err(SettingsError::new("instances", expected, self.instances));
         }
-        let hold = u64::from(self.workers) * u64::from(self.max_tasks_per_worker());
-        if u64::from(self.running_tasks) > hold {
+        let capacity = u64::from(self.workers) * u64::from(self.max_tasks_per_worker());
+        if u64::from(self.running_tasks) > capacity {
             let expected = format!(
-                "at most the {hold} that {} workers of {} tasks hold",
+                "at most the {capacity} that {} workers of {} tasks hold",
                 self.workers,
                 self.max_tasks_per_worker()
             );
@@ -124,16 +124,16 @@
         Ok(())
     }
 
-    /// Descriptors that the hollow peers may need at a time.
+    /// Returns the largest number of descriptors that the hollow peers may need at a time.
     pub fn descriptors_needed(&self) -> u64 {
         let placers = u64::from(self.placers);
-        // A placer's own share for clients is a third of its descriptors; the rest may be calls to workers.
-        let calls =
+        // A placer reserves a third of its descriptors for clients. The rest may be connections to workers.
+        let worker_connections =
             (self.placer_sockets - self.placer_sockets / 3).min(3 * u64::from(self.workers));
-        let kept = u64::from(self.client_connections) + EACH_PLACER;
-        // A listener takes two: its socket, and the handle of the event loop.
+        let client_connections = u64::from(self.client_connections) + EXTRA_CONNECTIONS_PER_PLACER;
+        // A listener takes two descriptors: its socket, and the handle of the event loop.
         let listeners = 2 * u64::from(self.zones) + 2;
-        OWN_DESCRIPTORS + placers * (calls + kept + listeners)
+        OWN_DESCRIPTORS + placers * (worker_connections + client_connections + listeners)
     }
 
     fn check_fault(&self, name: &str, fault: &Fault) -> Checked {
@@ -152,7 +152,7 @@
                         zone,
                     ));
                 }
-                span_within(
+                check_time_range(
                     &format!("{name}: told-after"),
                     *reported_after,
                     Duration::ZERO..=*back_after,
@@ -160,13 +160,13 @@
             }
             Fault::Placer { placer, .. } => {
                 let last = self.placers.saturating_sub(1);
-                within(&format!("{name}: placer"), *placer, 0..=last)?;
+                check_range(&format!("{name}: placer"), *placer, 0..=last)?;
             }
             Fault::Garbage { workers, .. } => {
-                within(&format!("{name}: workers"), *workers, 1..=self.workers)?;
+                check_range(&format!("{name}: workers"), *workers, 1..=self.workers)?;
             }
         }
-        span_within(
+        check_time_range(
             &format!("{name}: at"),
             fault.at(),
             Duration::ZERO..=self.duration,
@@ -174,20 +174,21 @@
         if fault.end() > self.duration {
             let expected = format!(
                 "at and back-after within duration = {}",
-                span(self.duration)
+                formatted(self.duration)
             );
-            return Err(SettingsError::new(name, expected, span(fault.end())));
+            return Err(SettingsError::new(name, expected, formatted(fault.end())));
         }
         Ok(())
     }
 }
 
-fn span(span: Duration) -> String {
-    humantime::format_duration(span).to_string()
+/// Returns a time as in the settings file.
+fn formatted(time: Duration) -> String {
+    humantime::format_duration(time).to_string()
 }
 
-/// Whether a number lies between two others. One that is none lies nowhere.
-fn within<T: PartialOrd + Display>(name: &str, value: T, range: RangeInclusive<T>) -> Checked {
+/// Checks that a number is in a range, which NaN never is.
+fn check_range<T: PartialOrd + Display>(name: &str, value: T, range: RangeInclusive<T>) -> Checked {
     if range.contains(&value) {
         return Ok(());
     }
@@ -195,11 +196,15 @@
     Err(SettingsError::new(name, expected, value))
 }
 
-/// Whether a time lies between two others.
-fn span_within(name: &str, value: Duration, range: RangeInclusive<Duration>) -> Checked {
+/// Checks that a time is in a range.
+fn check_time_range(name: &str, value: Duration, range: RangeInclusive<Duration>) -> Checked {
     if range.contains(&value) {
         return Ok(());
     }
-    let expected = format!("{} to {}", span(*range.start()), span(*range.end()));
-    Err(SettingsError::new(name, expected, span(value)))
+    let expected = format!(
+        "{} to {}",
+        formatted(*range.start()),
+        formatted(*range.end())
+    );
+    Err(SettingsError::new(name, expected, formatted(value)))
 }
--- a/crates/scale-test/src/settings/fault.rs
+++ b/crates/scale-test/src/settings/fault.rs
@@ -1,9 +1,9 @@
-//! What fails in a run, and when.
+//! The faults that a run injects.
 
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// One failure. Times count from the start of the measured time.
+/// One fault. Times count from the start of the measurement.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(
     tag = "kind",
@@ -12,56 +12,56 @@
     deny_unknown_fields
 )]
 pub enum Fault {
-    /// All workers of a zone vanish at once, and come back cold.
+    /// All workers of a zone crash at once, and are restored empty.
     Zone {
-        /// When.
+        /// When the fault begins.
         #[serde(with = "humantime_serde")]
         at: Duration,
-        /// Its name.
+        /// The name of the zone.
         zone: String,
-        /// How long until the feed tells that they were removed.
+        /// The time until the feed reports the workers as removed.
         #[serde(with = "humantime_serde", default = "default_reported_after")]
         #[serde(rename = "told-after")]
         reported_after: Duration,
-        /// How long until they are back, holding nothing.
+        /// The time until the workers are restored.
         #[serde(with = "humantime_serde")]
         back_after: Duration,
     },
-    /// A placer is killed, and started again in its place.
+    /// A placer is killed, and started again.
     Placer {
-        /// When.
+        /// When the fault begins.
         #[serde(with = "humantime_serde")]
         at: Duration,
-        /// Its number, from 0.
+        /// The number of the placer, from 0.
         placer: u16,
-        /// How long until it is started again.
+        /// The time until the placer is started again.
         #[serde(with = "humantime_serde")]
         back_after: Duration,
     },
-    /// Workers send bytes that are no message, on all their connections.
+    /// Workers send invalid bytes on all their connections.
     Garbage {
-        /// When.
+        /// When the fault begins.
         #[serde(with = "humantime_serde")]
         at: Duration,
-        /// So many workers, of those that have connections.
+        /// The number of workers, of those that have connections.
         workers: u32,
     },
 }
 
-/// How long it usually takes until a removal is told.
+/// The default time until a removal is reported.
 fn default_reported_after() -> Duration {
     Duration::from_secs(2)
 }
 
 impl Fault {
-    /// When it begins.
+    /// Returns when the fault begins.
     pub fn at(&self) -> Duration {
         match self {
             Fault::Zone { at, .. } | Fault::Placer { at, .. } | Fault::Garbage { at, .. } => *at,
         }
     }
 
-    /// When all of it is over.
+    /// Returns when the last effect of the fault is undone.
     pub fn end(&self) -> Duration {
         match self {
             Fault::Zone { at, back_after, .. } | Fault::Placer { at, back_after, .. } => {
--- a/crates/scale-test/src/settings/flags.rs
+++ b/crates/scale-test/src/settings/flags.rs
@@ -1,4 +1,4 @@
-//! Settings on the command line: a file, and flags that go before what it says.
+//! Settings on the command line: a file, and flags that take precedence over it.
 
 use super::{Connect, Fault, FeedRule, Settings, SettingsError};
 use clap::Args;
@@ -55,7 +55,7 @@
 }
 
 impl SettingsArgs {
-    /// The settings that file and flags say together, without the checks.
+    /// Returns the settings of file and flags together, without checking them.
     ///
     /// # Errors
     ///
@@ -69,14 +69,14 @@
         Ok(settings)
     }
 
-    /// Sets what the flags say.
+    /// Applies the flags to settings.
     fn apply(&self, settings: &mut Settings) -> Result<(), SettingsError> {
         for (name, value) in self.named() {
             set(settings, name, value)?;
         }
         settings.set_pairs(&self.set)?;
         for table in &self.faults {
-            settings.faults.push(fault(table)?);
+            settings.faults.push(parse_fault(table)?);
         }
         Ok(())
     }
@@ -103,7 +103,7 @@
 }
 
 impl Settings {
-    /// Sets each setting that is named by a text such as `workers=2000`.
+    /// Sets each setting that is given by a text such as `workers=2000`.
     ///
     /// # Errors
     ///
@@ -118,45 +118,45 @@
     }
 }
 
-/// Sets one setting to a text.
+/// Sets one setting from a text.
 fn set(settings: &mut Settings, name: &str, text: &str) -> Result<(), SettingsError> {
     match name {
-        "seed" => number(&mut settings.seed, name, text),
-        "workers" => number(&mut settings.workers, name, text),
-        "zones" => number(&mut settings.zones, name, text),
-        "regions" => number(&mut settings.regions, name, text),
-        "placers" => number(&mut settings.placers, name, text),
-        "instances" => number(&mut settings.instances, name, text),
-        "rate" => number(&mut settings.rate, name, text),
-        "urgent-share" => number(&mut settings.urgent_share, name, text),
-        "once-share" => number(&mut settings.once_share, name, text),
-        "standing" => number(&mut settings.running_tasks, name, text),
-        "tenants" => number(&mut settings.tenants, name, text),
-        "services" => number(&mut settings.services, name, text),
-        "placer-memory-mb" => number(&mut settings.placer_memory_mb, name, text),
-        "placer-sockets" => number(&mut settings.placer_sockets, name, text),
-        "client-connections" => number(&mut settings.client_connections, name, text),
-        "worker-cores" => number(&mut settings.worker_cores, name, text),
-        "worker-memory" => number(&mut settings.worker_memory, name, text),
-        "task-cores" => number(&mut settings.task_cores, name, text),
-        "task-memory" => number(&mut settings.task_memory, name, text),
-        "busy-limit" => number(&mut settings.busy_limit, name, text),
-        "events" => number(&mut settings.events, name, text),
-        "life" => span(&mut settings.life, name, text),
-        "start-time" => span(&mut settings.start_time, name, text),
-        "warm-up" => span(&mut settings.warm_up, name, text),
-        "duration" => span(&mut settings.duration, name, text),
-        "lateness-limit" => span(&mut settings.lateness_limit, name, text),
-        "feed-period" => span(&mut settings.feed_period, name, text),
-        "whole-list-every" => span(&mut settings.whole_list_every, name, text),
+        "seed" => set_number(&mut settings.seed, name, text),
+        "workers" => set_number(&mut settings.workers, name, text),
+        "zones" => set_number(&mut settings.zones, name, text),
+        "regions" => set_number(&mut settings.regions, name, text),
+        "placers" => set_number(&mut settings.placers, name, text),
+        "instances" => set_number(&mut settings.instances, name, text),
+        "rate" => set_number(&mut settings.rate, name, text),
+        "urgent-share" => set_number(&mut settings.urgent_share, name, text),
+        "once-share" => set_number(&mut settings.once_share, name, text),
+        "standing" => set_number(&mut settings.running_tasks, name, text),
+        "tenants" => set_number(&mut settings.tenants, name, text),
+        "services" => set_number(&mut settings.services, name, text),
+        "placer-memory-mb" => set_number(&mut settings.placer_memory_mb, name, text),
+        "placer-sockets" => set_number(&mut settings.placer_sockets, name, text),
+        "client-connections" => set_number(&mut settings.client_connections, name, text),
+        "worker-cores" => set_number(&mut settings.worker_cores, name, text),
+        "worker-memory" => set_number(&mut settings.worker_memory, name, text),
+        "task-cores" => set_number(&mut settings.task_cores, name, text),
+        "task-memory" => set_number(&mut settings.task_memory, name, text),
+        "busy-limit" => set_number(&mut settings.busy_limit, name, text),
+        "events" => set_number(&mut settings.events, name, text),
+        "life" => set_time(&mut settings.life, name, text),
+        "start-time" => set_time(&mut settings.start_time, name, text),
+        "warm-up" => set_time(&mut settings.warm_up, name, text),
+        "duration" => set_time(&mut settings.duration, name, text),
+        "lateness-limit" => set_time(&mut settings.lateness_limit, name, text),
+        "feed-period" => set_time(&mut settings.feed_period, name, text),
+        "whole-list-every" => set_time(&mut settings.whole_list_every, name, text),
         "keep-files" => {
             settings.keep_files = Some(PathBuf::from(text));
             Ok(())
         }
         "feed" => {
-            parsed_word::<FeedRule>(&mut settings.feed, name, "each-change or gathered", text)
+            set_keyword::<FeedRule>(&mut settings.feed, name, "each-change or gathered", text)
         }
-        "connect" => parsed_word::<Connect>(&mut settings.connect, name, "on-demand or all", text),
+        "connect" => set_keyword::<Connect>(&mut settings.connect, name, "on-demand or all", text),
         _ => Err(SettingsError::new(
             name,
             "the name of a setting",
@@ -165,43 +165,47 @@
     }
 }
 
-fn number<T: std::str::FromStr>(
-    place: &mut T,
+/// Sets a number.
+fn set_number<T: std::str::FromStr>(
+    target: &mut T,
     name: &str,
     text: &str,
 ) -> Result<(), SettingsError> {
-    *place = text
+    *target = text
         .parse()
         .map_err(|_| SettingsError::new(name, "a number in its range", text))?;
     Ok(())
 }
 
-fn span(place: &mut std::time::Duration, name: &str, text: &str) -> Result<(), SettingsError> {
+/// Sets a time.
+fn set_time(target: &mut std::time::Duration, name: &str, text: &str) -> Result<(), SettingsError> {
     let parsed = humantime::parse_duration(text);
-    *place = parsed.map_err(|_| SettingsError::new(name, "a time such as 30s", text))?;
+    *target = parsed.map_err(|_| SettingsError::new(name, "a time such as 30s", text))?;
     Ok(())
 }
 
-fn parsed_word<T: DeserializeOwned>(
-    place: &mut T,
+/// Sets one of several keywords.
+fn set_keyword<T: DeserializeOwned>(
+    target: &mut T,
     name: &str,
     expected: &str,
     text: &str,
 ) -> Result<(), SettingsError> {
     let value = toml::Value::String(text.to_string());
-    *place = value
+    *target = value
         .try_into()
         .map_err(|_| SettingsError::new(name, expected, text))?;
     Ok(())
 }
 
-fn fault(table: &str) -> Result<Fault, SettingsError> {
+/// Reads a fault from an inline table.
+fn parse_fault(table: &str) -> Result<Fault, SettingsError> {
     #[derive(serde::Deserialize)]
-    struct One {
+    struct Document {
         fault: Fault,
     }
-    let parsed: Result<One, toml::de::Error> = toml::from_str(&format!("fault = {table}"));
-    parsed.map(|one| one.fault).map_err(|error| {
+    let parsed: Result<Document, toml::de::Error> = toml::from_str(&format!("fault = {table}"));
+    parsed.map(|document| document.fault).map_err(|error| {
         SettingsError::new("fault", "a table such as one of [[fault]]", error.message())
     })
 }
