--- a/crates/scale-test/src/budget/tests.rs
+++ b/crates/scale-test/src/budget/tests.rs
@@ -1,3 +1,5 @@
+//! What a run needs of the machine, and what is rejected.
+
 use super::{BudgetError, Excess, MAX_PROCESSES, Machine, Need, RunSize, check};
 use crate::settings::Settings;
 
@@ -11,7 +13,7 @@
 
 const SMALL: Need = Need {
     memory_kb: GIB_IN_KB,
-    descriptors_here: 1000,
+    descriptors_own: 1000,
     descriptors_placer: 500,
     processes: 5,
 };
@@ -25,12 +27,13 @@
 };
 
 #[test]
-fn what_is_within_the_limits_passes_and_what_is_beyond_is_named() {
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
+fn need_within_the_limits_is_admitted_and_each_excess_is_named() {
     let memory = |needed_kb| Excess::Memory {
         needed_kb,
         allowed_kb: 12 * GIB_IN_KB,
     };
-    let here = |needed| Excess::DescriptorsHere {
+    let here = |needed| Excess::DescriptorsOwn {
         needed,
         allowed: 20_000,
     };
@@ -56,14 +59,14 @@
         ),
         (
             Need {
-                descriptors_here: 20_000,
+                descriptors_own: 20_000,
                 ..SMALL
             },
             vec![],
         ),
         (
             Need {
-                descriptors_here: 20_001,
+                descriptors_own: 20_001,
                 ..SMALL
             },
             vec![here(20_001)],
@@ -116,13 +119,13 @@
 }
 
 #[test]
-fn a_machine_without_a_limit_on_descriptors_refuses_none() {
+fn machine_without_a_descriptor_limit_admits_any_number() {
     let machine = Machine {
         descriptors: None,
         ..MACHINE
     };
     let need = Need {
-        descriptors_here: u64::MAX,
+        descriptors_own: u64::MAX,
         descriptors_placer: u64::MAX,
         ..SMALL
     };
@@ -130,10 +133,10 @@
 }
 
 #[test]
-fn each_excess_is_one_line_that_says_what_to_do() {
+fn each_excess_is_one_line_with_a_remedy() {
     let need = Need {
         memory_kb: 14 * GIB_IN_KB + GIB_IN_KB / 10,
-        descriptors_here: 20_001,
+        descriptors_own: 20_001,
         descriptors_placer: 20_002,
         processes: 301,
     };
@@ -149,7 +152,7 @@
 }
 
 #[test]
-fn every_number_of_a_run_adds_to_what_it_needs() {
+fn each_number_of_a_run_adds_to_its_need() {
     let base = RunSize {
         workers: 10,
         placers: 2,
@@ -163,13 +166,13 @@
         ..base
     });
     assert_eq!(
-        more_workers.descriptors_here,
-        need.descriptors_here + 3 * base.placers
+        more_workers.descriptors_own,
+        need.descriptors_own + 3 * base.placers
     );
     assert_eq!(more_workers.descriptors_placer, need.descriptors_placer + 3);
     assert!(more_workers.memory_kb > need.memory_kb);
     let more_placers = Need::of(&RunSize { placers: 3, ..base });
-    assert!(more_placers.descriptors_here >= need.descriptors_here + 3 * base.workers);
+    assert!(more_placers.descriptors_own >= need.descriptors_own + 3 * base.workers);
     assert_eq!(more_placers.processes, need.processes + 1);
     assert!(more_placers.memory_kb > need.memory_kb);
     let more_standing = Need::of(&RunSize {
@@ -181,7 +184,7 @@
         connections: 5,
         ..base
     });
-    assert_eq!(more_connections.descriptors_here, need.descriptors_here + 1);
+    assert_eq!(more_connections.descriptors_own, need.descriptors_own + 1);
     assert_eq!(
         more_connections.descriptors_placer,
         need.descriptors_placer + 1
@@ -189,7 +192,7 @@
 }
 
 #[test]
-fn a_placer_holds_no_more_connections_than_its_configuration_lets_it() {
+fn connections_of_a_placer_are_limited_by_its_configuration() {
     let few = Need::of(&RunSize {
         workers: 1024,
         placers: 4,
@@ -201,11 +204,11 @@
         ..NOTHING
     });
     assert_eq!(many.descriptors_placer, few.descriptors_placer);
-    assert_eq!(many.descriptors_here, few.descriptors_here);
+    assert_eq!(many.descriptors_own, few.descriptors_own);
 }
 
 #[test]
-fn workers_get_the_connections_that_are_not_promised_to_clients() {
+fn workers_get_the_connections_that_are_not_reserved_for_clients() {
     let idle = Need::of(&RunSize {
         placers: 2,
         placer_sockets: 900,
@@ -218,16 +221,16 @@
         ..NOTHING
     });
     assert_eq!(full.descriptors_placer, idle.descriptors_placer + 600);
-    assert_eq!(full.descriptors_here, idle.descriptors_here + 2 * 600);
+    assert_eq!(full.descriptors_own, idle.descriptors_own + 2 * 600);
 }
 
 #[test]
-fn a_run_of_nothing_is_one_process() {
+fn empty_run_needs_one_process() {
     assert_eq!(Need::of(&NOTHING).processes, 1);
 }
 
 #[test]
-fn numbers_beyond_all_bounds_are_refused_and_do_not_overflow() {
+fn largest_numbers_are_rejected_without_overflow() {
     let most = u64::MAX;
     let size = RunSize {
         workers: most,
@@ -241,14 +244,14 @@
 }
 
 #[test]
-fn this_machine_is_read() {
+fn resources_of_this_machine_are_read() {
     let machine = Machine::read().expect("a machine with /proc");
     assert!(machine.memory_kb > 0);
     assert_ne!(machine.descriptors, Some(0));
 }
 
 #[test]
-fn settings_with_more_placers_than_descriptors_are_refused_and_the_default_is_not() {
+fn default_settings_are_admitted_and_too_many_placers_are_rejected() {
     let need = Need::of_settings(&Settings::default());
     assert_eq!(check(&need, &MACHINE), Ok(()));
     let settings = Settings {
@@ -256,7 +259,7 @@
         ..Settings::default()
     };
     let needed = settings.descriptors_needed();
-    let here = Excess::DescriptorsHere {
+    let here = Excess::DescriptorsOwn {
         needed,
         allowed: 20_000,
     };
@@ -270,7 +273,7 @@
 }
 
 #[test]
-fn the_size_of_a_run_is_that_of_its_settings() {
+fn run_size_is_taken_from_the_settings() {
     let settings = Settings {
         workers: 70,
         placers: 5,
--- a/crates/scale-test/src/results.rs
+++ b/crates/scale-test/src/results.rs
@@ -5,7 +5,7 @@
 pub use table::print;
 
 use crate::settings::Settings;
-use crate::timing::Times;
+use crate::timing::LatencyHistogram;
 use crate::traffic::{ControlTraffic, FeedCounts, ServiceTraffic, Traffic};
 use serde::{Deserialize, Serialize};
 
@@ -57,7 +57,7 @@
     pub failed: u64,
     /// Cut with a placer that was killed before it answered.
     pub cut: u64,
-    /// Due when no placer was in service.
+    /// TimerEvent when no placer was in service.
     pub no_placer: u64,
     /// Lost: never answered, or over with no word to the client, through no fault of the client's, the
     /// worker's or a kill.
@@ -327,7 +327,7 @@
 
 impl Percentiles {
     /// Of these times.
-    pub fn of(times: &Times) -> Percentiles {
+    pub fn of(times: &LatencyHistogram) -> Percentiles {
         let times = times.histogram();
         let at = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1e3;
         if times.is_empty() {
