--- a/crates/emulator/src/admin_socket.rs
+++ b/crates/emulator/src/admin_socket.rs
@@ -12,6 +12,10 @@
 
 impl AdminSocket {
     /// Connects as soon as it listens.
+    ///
+    /// # Panics
+    ///
+    /// If the socket cannot be set up.
     pub fn connect(&self) -> TcpStream {
         let stream = wait_for("the admin socket listens", || {
             TcpStream::connect(self.0).ok()
@@ -23,6 +27,10 @@
     }
 
     /// Sends a command and returns the complete reply.
+    ///
+    /// # Panics
+    ///
+    /// If the placer does not reply.
     pub fn request(&self, line: &str) -> String {
         let mut stream = self.connect();
         stream
@@ -34,6 +42,10 @@
     }
 
     /// Returns the result of the health check `check`.
+    ///
+    /// # Panics
+    ///
+    /// If the reply is neither `ok` nor `fail`.
     pub fn is_healthy(&self) -> bool {
         match self.request("check") {
             reply if reply.starts_with("ok") => true,
@@ -43,6 +55,10 @@
     }
 
     /// Returns the metrics that `vars` reports.
+    ///
+    /// # Panics
+    ///
+    /// If the placer does not reply, or not with one line of JSON.
     pub fn metrics(&self) -> OwnedValue {
         let mut stream = self.connect();
         stream.write_all(b"vars\n").expect("the placer reads");
@@ -58,6 +74,10 @@
     }
 
     /// Returns a request counter of a class.
+    ///
+    /// # Panics
+    ///
+    /// If the placer does not report this counter.
     pub fn request_count(&self, class: &str, counter: &str) -> u64 {
         let metrics = self.metrics();
         let counts = metrics
--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -50,12 +50,20 @@
     }
 
     /// Returns a parameter as text.
+    ///
+    /// # Panics
+    ///
+    /// If the parameter is no text.
     pub fn text(&self, code: u8) -> Option<&str> {
         self.get(code)
             .map(|value| std::str::from_utf8(value).expect("text"))
     }
 
     /// Returns the cause, which must be there.
+    ///
+    /// # Panics
+    ///
+    /// If the message carries no cause.
     pub fn cause(&self) -> u8 {
         match self.get(171) {
             Some([cause]) => *cause,
@@ -131,6 +139,10 @@
 
 impl Client {
     /// Sends bytes.
+    ///
+    /// # Panics
+    ///
+    /// If the placer does not read.
     pub fn send(&mut self, bytes: &[u8]) {
         self.0.write_all(bytes).expect("the placer reads");
     }
@@ -151,6 +163,10 @@
     }
 
     /// Sends a health check and returns whether it passed.
+    ///
+    /// # Panics
+    ///
+    /// If something else than the result of the check comes.
     pub fn health_check(&mut self) -> bool {
         self.send(&encode_message(52, 0xfe, &[(171, &[0])]));
         let result = self.expect_message();
@@ -159,6 +175,10 @@
     }
 
     /// Reads the next message; none where the connection ends.
+    ///
+    /// # Panics
+    ///
+    /// If the connection fails or nothing comes in time.
     pub fn next_message(&mut self) -> Option<Message> {
         self.try_message()
             .unwrap_or_else(|e| panic!("no message: {e}"))
@@ -206,6 +226,10 @@
 
     /// Closes the connection now. If it were only dropped, a process that another test is just forking could keep
     /// a copy open until it executes its program.
+    ///
+    /// # Panics
+    ///
+    /// If the connection has ended already.
     pub fn close(self) {
         self.0
             .shutdown(Shutdown::Write)
@@ -218,6 +242,10 @@
     }
 
     /// Reads the next message, which must come.
+    ///
+    /// # Panics
+    ///
+    /// If no message comes in time.
     pub fn expect_message(&mut self) -> Message {
         self.next_message().expect("a message")
     }
--- a/crates/emulator/src/feed.rs
+++ b/crates/emulator/src/feed.rs
@@ -22,6 +22,10 @@
     }
 
     /// Returns a feed that listens at an address.
+    ///
+    /// # Panics
+    ///
+    /// If the address is in use.
     pub fn bind(address: SocketAddr) -> Feed {
         Feed {
             listener: TcpListener::bind(address).expect("a free port"),
@@ -30,6 +34,10 @@
     }
 
     /// Returns where it listens.
+    ///
+    /// # Panics
+    ///
+    /// If the listener has no address.
     pub fn address(&self) -> String {
         self.listener.local_addr().expect("an address").to_string()
     }
@@ -39,6 +47,10 @@
     }
 
     /// Waits for a subscription and returns the number of its first event.
+    ///
+    /// # Panics
+    ///
+    /// If no subscription comes in time.
     pub fn accept_subscription(&mut self) -> u64 {
         let subscription = accept(&self.listener, TEST_TIMEOUT).expect("a subscription");
         let mut line = String::new();
@@ -62,6 +74,10 @@
     }
 
     /// Sends a line.
+    ///
+    /// # Panics
+    ///
+    /// If the placer does not read.
     pub fn send(&mut self, line: &OwnedValue) {
         let text = format!("{}\n", line.encode());
         self.subscription
--- a/crates/emulator/src/fixtures.rs
+++ b/crates/emulator/src/fixtures.rs
@@ -20,6 +20,10 @@
 }
 
 /// Starts the program like [`start_with_hosts`], on an adjusted configuration.
+///
+/// # Panics
+///
+/// If the placer does not start or subscribe.
 pub fn start_configured(
     count: usize,
     adjust: impl FnOnce(OwnedValue) -> OwnedValue,
@@ -51,6 +55,10 @@
 
 /// Requests an idempotent task of a service of its own and waits until it is placed. Ends of earlier tasks are
 /// acknowledged; any other message panics.
+///
+/// # Panics
+///
+/// If the task is neither placed nor ended.
 pub fn place_task(client: &mut Client, id: u64) {
     let request = TaskRequest {
         class: "quick",
@@ -70,6 +78,10 @@
 }
 
 /// Waits until the placed tasks have ended, and acknowledges their ends.
+///
+/// # Panics
+///
+/// If the tasks do not end in time.
 pub fn wait_until_tasks_ended(client: &mut Client, records: &Mutex<HostRecords>) {
     wait_for("the end of all tasks", || {
         while let Ok(Some(message)) = client.message_within(Duration::from_millis(5)) {
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -30,6 +30,10 @@
     }
 
     /// The same with a small receive buffer, so that a connection that is not read soon blocks.
+    ///
+    /// # Panics
+    ///
+    /// If the socket cannot be set up.
     pub fn with_small_receive_buffer(name: &str, zone: &'static str) -> Host {
         let host = Host::new(name, zone);
         rustix::net::sockopt::set_socket_recv_buffer_size(&host.listener, 4_096)
@@ -43,6 +47,10 @@
     }
 
     /// Returns its entry in the endpoint list.
+    ///
+    /// # Panics
+    ///
+    /// If the listener has no address.
     pub fn entry(&self, state: &str, born_ms: u64) -> OwnedValue {
         let address = self.listener.local_addr().expect("an address").to_string();
         json!({
@@ -52,6 +60,10 @@
     }
 
     /// Waits for the next connection, which must come.
+    ///
+    /// # Panics
+    ///
+    /// If no connection comes in time.
     pub fn accept(&self) -> HostConnection {
         let stream = accept(&self.listener, TEST_TIMEOUT).expect("a connection");
         HostConnection {
@@ -91,6 +103,10 @@
     }
 
     /// Makes it reachable again.
+    ///
+    /// # Panics
+    ///
+    /// If the port cannot listen again.
     pub fn make_reachable(&self, unreachable: Unreachable) {
         rustix::net::listen(&self.listener, 128).expect("a listener");
         unreachable
@@ -107,6 +123,10 @@
 
 impl HostConnection {
     /// Reads the next message; none if there is none within the limit.
+    ///
+    /// # Panics
+    ///
+    /// If the socket cannot be set up, or what comes is no message.
     pub fn read_within(&mut self, limit: Duration) -> Option<OwnedValue> {
         self.reader
             .get_ref()
@@ -120,6 +140,10 @@
     }
 
     /// Waits for the placer to close the connection, whatever it still sends. Returns whether it did.
+    ///
+    /// # Panics
+    ///
+    /// If the socket cannot be set up.
     pub fn wait_closed(&mut self) -> bool {
         self.reader
             .get_ref()
@@ -138,6 +162,10 @@
 
     /// Closes the connection now. If it were only dropped, a process that another test is just forking could keep
     /// a copy open until it executes its program.
+    ///
+    /// # Panics
+    ///
+    /// If the connection has ended already.
     pub fn close(self) {
         self.reader
             .get_ref()
@@ -146,6 +174,10 @@
     }
 
     /// Reads the next message, which must come and be of this type.
+    ///
+    /// # Panics
+    ///
+    /// If no message of this kind comes in time.
     pub fn expect(&mut self, kind: &str) -> OwnedValue {
         let message = self
             .read_within(TEST_TIMEOUT)
@@ -155,6 +187,10 @@
     }
 
     /// Reads the next message, which must be an offer, and returns its id.
+    ///
+    /// # Panics
+    ///
+    /// If no attempt comes in time.
     pub fn expect_offer(&mut self) -> String {
         self.expect("new")
             .get_str("ref")
@@ -168,6 +204,10 @@
     }
 
     /// Sends bytes as they are.
+    ///
+    /// # Panics
+    ///
+    /// If the placer has closed the connection.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.reader
             .get_ref()
--- a/crates/emulator/src/host_emulator/feed.rs
+++ b/crates/emulator/src/host_emulator/feed.rs
@@ -63,6 +63,10 @@
     }
 
     /// Adds an event with these endpoints.
+    ///
+    /// # Panics
+    ///
+    /// If a thread of the feed has panicked.
     pub fn send_update(&self, endpoints: Vec<OwnedValue>) {
         let mut events = self.state.events.lock().expect("no subscription panicked");
         let number = events.len() as u64 + FIRST_EVENT;
--- a/crates/emulator/src/host_model/tests.rs
+++ b/crates/emulator/src/host_model/tests.rs
@@ -73,6 +73,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn offers_are_rejected_with_the_resource_that_is_short() {
     let mut host = HostModel::new(
         HostSpec {
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -45,6 +45,10 @@
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// Polls every 5 ms until there is something, and returns it. Panics after [`TEST_TIMEOUT`].
+///
+/// # Panics
+///
+/// If it does not happen within [`TEST_TIMEOUT`].
 pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
@@ -57,6 +61,10 @@
 }
 
 /// Returns the Unix time in milliseconds.
+///
+/// # Panics
+///
+/// If the clock is before 1970.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -70,6 +78,10 @@
 
 /// Returns a free address for the program. It is on a loopback network of its own, so that no other socket of the
 /// tests takes the port before the program does.
+///
+/// # Panics
+///
+/// If no port is free.
 pub fn free_address() -> SocketAddr {
     static NEXT: AtomicU32 = AtomicU32::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -110,6 +122,10 @@
 }
 
 /// Returns the index of the connection on which the next offer comes, and its id.
+///
+/// # Panics
+///
+/// If no attempt comes in time, or another message.
 pub fn next_offer(connections: &mut [HostConnection]) -> (usize, String) {
     let deadline = Instant::now() + TEST_TIMEOUT;
     while Instant::now() < deadline {
--- a/crates/emulator/src/load_balancer/clients.rs
+++ b/crates/emulator/src/load_balancer/clients.rs
@@ -130,6 +130,10 @@
     }
 
     /// Ends the arrivals, and waits until every client is done.
+    ///
+    /// # Panics
+    ///
+    /// If a thread of the clients has panicked.
     pub fn finish(mut self) -> Vec<TaskRecord> {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(arrivals) = self.arrivals.take() {
--- a/crates/emulator/src/program.rs
+++ b/crates/emulator/src/program.rs
@@ -12,6 +12,10 @@
 use std::time::{Duration, Instant};
 
 /// Returns the path of the program under test: `TASK_PLACER_BIN`, or the one built with the running test.
+///
+/// # Panics
+///
+/// If the folder of the tests is unknown.
 pub fn binary() -> PathBuf {
     if let Some(named) = std::env::var_os("TASK_PLACER_BIN") {
         return PathBuf::from(named);
@@ -58,6 +62,10 @@
     }
 
     /// Launches it on a configuration of this text.
+    ///
+    /// # Panics
+    ///
+    /// If the file cannot be written.
     pub fn from_text(config: &str) -> Launch {
         let path = temp_path("json");
         std::fs::write(&path, config).expect("a temporary file");
@@ -82,6 +90,10 @@
     }
 
     /// Gives it an operator's file of this text.
+    ///
+    /// # Panics
+    ///
+    /// If the file cannot be written.
     pub fn operator_file(mut self, text: &str) -> Launch {
         let path = temp_path("toml");
         std::fs::write(&path, text).expect("a temporary file");
@@ -106,6 +118,10 @@
     }
 
     /// Gives it this listener as descriptor 5, as the platform does for every process of a placer.
+    ///
+    /// # Panics
+    ///
+    /// If the descriptor cannot be duplicated.
     pub fn inherit_listener(mut self, listener: &TcpListener) -> Launch {
         self.inherited = Some(listener.try_clone().expect("a descriptor"));
         self.env("LB_ACCEPT_FD", "5")
@@ -141,6 +157,10 @@
     }
 
     /// Runs it to its end, or until the timeout of tests.
+    ///
+    /// # Panics
+    ///
+    /// If the program cannot be started or does not exit in time.
     pub fn output(self) -> Output {
         let pipes = self
             .command()
@@ -164,6 +184,10 @@
     }
 
     /// Starts it and returns at once.
+    ///
+    /// # Panics
+    ///
+    /// If the program cannot be started or is not ready in time.
     pub fn start(mut self) -> Program {
         let log = temp_path("log");
         let file = File::create(&log).expect("a temporary file");
@@ -249,6 +273,10 @@
     }
 
     /// Sends a signal by its name, such as `-TERM`.
+    ///
+    /// # Panics
+    ///
+    /// If the signal cannot be sent.
     pub fn signal(&self, name: &str) {
         let sent = Command::new("kill")
             .args([name, &self.child.id().to_string()])
@@ -258,6 +286,10 @@
 
     /// Acts while the program is stopped by a signal: once it continues, everything sent meanwhile is there at
     /// once. Waits for the kernel to deliver what was sent.
+    ///
+    /// # Panics
+    ///
+    /// If the program does not stop.
     pub fn while_stopped(&self, act: impl FnOnce()) {
         self.signal("-STOP");
         let stat =
@@ -278,12 +310,20 @@
     }
 
     /// Replaces its configuration and has it reload.
+    ///
+    /// # Panics
+    ///
+    /// If the configuration cannot be written.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config, config).expect("a temporary file");
         self.signal("-HUP");
     }
 
     /// Whether it is still running.
+    ///
+    /// # Panics
+    ///
+    /// If the state of the program cannot be read.
     pub fn is_running(&mut self) -> bool {
         self.child.try_wait().expect("a child").is_none()
     }
@@ -294,6 +334,10 @@
     }
 
     /// Waits until it exits, at most so long.
+    ///
+    /// # Panics
+    ///
+    /// If the program does not exit in time.
     pub fn wait_exit_within(&mut self, limit: Duration) -> ExitStatus {
         let end = Instant::now() + limit;
         loop {
@@ -321,6 +365,10 @@
 }
 
 /// Runs it on a configuration that it must reject, and returns whether it failed and its standard error.
+///
+/// # Panics
+///
+/// If the program does not start, or its output is no text.
 pub fn run_with_invalid_config(config: &str) -> (bool, String) {
     let out = Launch::from_text(config).output();
     (
@@ -331,6 +379,10 @@
 
 impl Client {
     /// Connects, if something listens there.
+    ///
+    /// # Panics
+    ///
+    /// If the socket cannot be set up.
     pub fn connect(address: SocketAddr) -> Option<Client> {
         let stream = TcpStream::connect(address).ok()?;
         stream
--- a/crates/emulator/src/rule_check/tests.rs
+++ b/crates/emulator/src/rule_check/tests.rs
@@ -122,6 +122,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn each_violation_is_found_and_nothing_else() {
     let none = |_: &Event| false;
     let late = 40 * SECOND;
@@ -331,6 +332,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn placer_is_excused_for_what_it_could_not_do() {
     let unanswered = |n: &Event| *n == notified(9, ClientNotice::Released(42));
     for (why, events) in [
@@ -434,6 +436,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn only_an_outage_of_the_link_concerned_excuses_a_violation() {
     // A rule, a run that violates it, when it shows, and the link that could be the cause.
     type Case = (Rule, Vec<TimedEvent>, Micros, Peer);
--- a/crates/load-test/src/results/mod.rs
+++ b/crates/load-test/src/results/mod.rs
@@ -22,6 +22,10 @@
 const LATENCY_DIGITS: u8 = 3;
 
 /// Returns an empty histogram of latencies in microseconds.
+///
+/// # Panics
+///
+/// Never: the number of digits is valid.
 pub fn latency_histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, MAX_LATENCY_MICROS, LATENCY_DIGITS)
         .unwrap_or_else(|_| Histogram::new(LATENCY_DIGITS).expect("3 digits"))
--- a/crates/load-test/tests/rehearsal.rs
+++ b/crates/load-test/tests/rehearsal.rs
@@ -115,6 +115,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn latency_counts_from_the_due_time_while_a_placer_is_stopped() {
     let plan = "seed = 3
 rooms = [\"one\"]
--- a/tests/endings/hosts.rs
+++ b/tests/endings/hosts.rs
@@ -66,6 +66,7 @@
 
 // Messages of a host in one read, in every order that could be misread.
 #[test]
+#[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn host_messages_in_one_read_end_an_attempt_once() {
     let up = |id: &str| format!("{{\"t\":\"up\",\"ref\":\"{id}\",\"f\":{{}},\"d\":\"stands\"}}\n");
     let down = |id: &str, cause: u8| {
--- a/tests/fronts/checks.rs
+++ b/tests/fronts/checks.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn agent_and_http_checks_follow_the_state_from_start_to_drain_and_back() {
     let mut deployment = start("");
     wait_for("the placer is up", || {
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -130,6 +130,7 @@
 // ---- Figures ----
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn metrics_count_client_responses_and_open_work() {
     let (program, admin, mut feed, hosts, mut connections) = start_with_admin_socket(2);
     let mut client = program.client();
@@ -329,6 +330,7 @@
 }
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn leaving_process_answers_accepted_requests_and_its_successor_accepts_the_rest() {
     let (mut feed, hosts) = (Feed::new(), [Host::new("h0", "north")]);
     let processes = Processes::of(single_placer_config(&feed, vec![hosts[0].entry("up", 0)]));
