--- a/crates/scale-test/src/audit.rs
+++ b/crates/scale-test/src/audit.rs
@@ -58,7 +58,7 @@
         TaskState::Running(_) | TaskState::Ended(_) => &mut totals.started,
         TaskState::Refused => &mut totals.refused,
         TaskState::Failed => &mut totals.failed,
-        TaskState::PlacerKilled => &mut totals.cut,
+        TaskState::PlacerKilled => &mut totals.placer_killed,
         TaskState::NoPlacer => &mut totals.no_placer,
         TaskState::Waiting { .. } | TaskState::Unanswered | TaskState::ConnectionLost => {
             &mut totals.lost
--- a/crates/scale-test/src/feeds/cursor.rs
+++ b/crates/scale-test/src/feeds/cursor.rs
@@ -154,7 +154,7 @@
         batch.counts.entries_up += up;
         batch.counts.entries_removed += listed.len() as u64 - up;
         match kind {
-            EventKind::CompleteList => batch.counts.whole_events += 1,
+            EventKind::CompleteList => batch.counts.complete_list_events += 1,
             EventKind::Delta => batch.counts.change_events += 1,
         }
     }
--- a/crates/scale-test/src/feeds/cursor/tests.rs
+++ b/crates/scale-test/src/feeds/cursor/tests.rs
@@ -167,7 +167,10 @@
     assert_eq!(events[1].is_complete, Some(true));
     assert_eq!(events[1].workers.len(), 3);
     assert_eq!(
-        (batch.counts.entries_removed, batch.counts.whole_events),
+        (
+            batch.counts.entries_removed,
+            batch.counts.complete_list_events
+        ),
         (2, 1)
     );
 }
--- a/crates/scale-test/src/identity.rs
+++ b/crates/scale-test/src/identity.rs
@@ -1,4 +1,4 @@
-//! The numbers that name workers, placers, zones and tasks, and their forms on the wire.
+//! The ids of workers, placers, zones and tasks, and their forms on the wire.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -6,24 +6,24 @@
 
 /// The address of worker 0, 127.16.0.0; the others follow it within 127.0.0.0/8.
 const FIRST_ADDRESS: u32 = 0x7f10_0000;
-/// The most workers of a run: what a run's figures were made for.
+/// The largest number of workers of a run.
 pub const MAX_WORKERS: u32 = 16_384;
-/// The bits of a task's id on the wire that hold its index; the attempt stands above them.
+/// The number of bits of a set-up id that contain the task's index; the higher bits contain the attempt.
 const INDEX_BITS: u32 = 40;
-/// What is added to a task's index for its key, so that keys and ids differ.
+/// The key of task 0. Far above all ids, so that keys and ids differ.
 const FIRST_KEY: u64 = 0xa000_0000_0000_0000;
 
-/// A hollow worker, by its place in the list.
+/// A hollow worker, by its index in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u32);
 
 impl WorkerId {
-    /// The loopback address that placers call.
+    /// Returns the loopback address at which placers reach the worker.
     pub fn address(self) -> Ipv4Addr {
         Ipv4Addr::from_bits(FIRST_ADDRESS + self.0)
     }
 
-    /// The worker that was called at an address, if there are so many workers.
+    /// Returns the worker with an address, if it is one of so many workers.
     pub fn from_address(address: IpAddr, workers: u32) -> Option<WorkerId> {
         let IpAddr::V4(address) = address else {
             return None;
@@ -32,19 +32,19 @@
         (index < workers).then_some(WorkerId(index))
     }
 
-    /// The worker of this name.
+    /// Returns the worker with a name.
     pub fn from_name(name: &str) -> Option<WorkerId> {
         name.strip_prefix('w')
             .and_then(|digits| digits.parse().ok())
             .map(WorkerId)
     }
 
-    /// Its place among the workers.
+    /// Returns the index among the workers.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 
-    /// Its zone: workers are dealt out to zones in turn.
+    /// Returns the zone. Workers are assigned to zones in turn.
     pub fn zone(self, zones: u32) -> ZoneId {
         ZoneId(self.0 % zones.max(1))
     }
@@ -56,16 +56,16 @@
     }
 }
 
-/// A zone, by its place in the settings.
+/// A zone, by its index in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A real placer, by its place among those of the run.
+/// A real placer, by its index among those of the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlacerId(pub u16);
 
 impl PlacerId {
-    /// Its place among the placers.
+    /// Returns the index among the placers.
     pub fn index(self) -> usize {
         usize::from(self.0)
     }
@@ -77,22 +77,22 @@
     }
 }
 
-/// A task, by its place in the run. All its attempts carry the same key.
+/// A task, by its index in the run. All its attempts have the same idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskIndex(pub u32);
 
 impl TaskIndex {
-    /// Its place among the tasks.
+    /// Returns the index among the tasks.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 
-    /// Its key, which names it at every worker that it comes to.
+    /// Returns the idempotency key, which identifies the task at every worker.
     pub fn key(self) -> u64 {
         FIRST_KEY + u64::from(self.0)
     }
 
-    /// The task of this key.
+    /// Returns the task with a key.
     pub fn from_key(key: u64) -> Option<TaskIndex> {
         key.checked_sub(FIRST_KEY)
             .and_then(|index| u32::try_from(index).ok())
@@ -100,24 +100,24 @@
     }
 }
 
-/// One set-up of a task: each attempt of the client has an id of its own.
+/// One set-up of a task. Each attempt of the client has an id of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SetupId(pub u64);
 
 impl SetupId {
-    /// The id of a task's attempt; never 0.
+    /// Returns the id of an attempt of a task, which is never 0.
     pub fn new(task: TaskIndex, attempt: u8) -> SetupId {
         SetupId((u64::from(attempt) << INDEX_BITS) | (u64::from(task.0) + 1))
     }
 
-    /// The task and the attempt of this id.
+    /// Returns the task and the attempt.
     pub fn parts(self) -> Option<(TaskIndex, u8)> {
-        let below = self.0 & ((1 << INDEX_BITS) - 1);
-        let index = u32::try_from(below.checked_sub(1)?).ok()?;
+        let index_bits = self.0 & ((1 << INDEX_BITS) - 1);
+        let index = u32::try_from(index_bits.checked_sub(1)?).ok()?;
         Some((TaskIndex(index), u8::try_from(self.0 >> INDEX_BITS).ok()?))
     }
 
-    /// The id that these 16 hex digits name.
+    /// Reads an id from 16 hex digits.
     pub fn parse(text: &str) -> Option<SetupId> {
         (text.len() == 16)
             .then(|| u64::from_str_radix(text, 16).ok())
--- a/crates/scale-test/src/listener.rs
+++ b/crates/scale-test/src/listener.rs
@@ -5,27 +5,28 @@
 use std::net::{IpAddr, Ipv4Addr, Shutdown, SocketAddr};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// Ports below those that the system hands out by itself, so that no outgoing connection holds one.
+/// The first port to try. The range is below the ephemeral ports, so that no outgoing connection uses one.
 const FIRST_PORT: u32 = 20_000;
-const PORTS: u32 = 12_000;
-/// Connections that may wait to be accepted: thousands of calls come at once.
+/// The number of ports to try.
+const PORT_COUNT: u32 = 12_000;
+/// The number of connections that may wait to be accepted. Thousands arrive at once.
 const BACKLOG: i32 = 4_096;
-/// The interface that calls from this machine come in on.
+/// The loopback interface.
 const LOOPBACK_INTERFACE: &[u8] = b"lo";
 
-/// Where the next search for a port begins, in this process.
-static NEXT: AtomicU32 = AtomicU32::new(0);
+/// The number of the next port to try, in this process.
+static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
 
-/// The next port to try. Processes begin at different ports.
+/// Returns the next port to try. Processes begin at different ports.
 fn next_port() -> u16 {
     let process = std::process::id().wrapping_mul(97);
-    let number = process.wrapping_add(NEXT.fetch_add(1, Ordering::Relaxed));
-    u16::try_from(FIRST_PORT + number % PORTS).unwrap_or(u16::MAX)
+    let number = process.wrapping_add(NEXT_PORT.fetch_add(1, Ordering::Relaxed));
+    u16::try_from(FIRST_PORT + number % PORT_COUNT).unwrap_or(u16::MAX)
 }
 
-/// Tries ports until one is free.
+/// Tries ports until one is free, and returns it with what was bound.
 fn on_free_port<T>(mut bind: impl FnMut(u16) -> io::Result<T>) -> io::Result<(T, u16)> {
-    for _ in 0..PORTS {
+    for _ in 0..PORT_COUNT {
         let port = next_port();
         match bind(port) {
             Ok(bound) => return Ok((bound, port)),
@@ -36,28 +37,29 @@
     Err(io::Error::new(ErrorKind::AddrInUse, "no free port"))
 }
 
+/// Returns a non-blocking TCP socket.
 fn socket() -> io::Result<Socket> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
     Ok(socket)
 }
 
-/// Binds, strictly: a port that anybody holds is not free. Only then may addresses be used again, so that a
-/// socket whose connections were reset can listen once more.
+/// Binds a socket to a port that no other socket uses. Address reuse is allowed only after that, so that a socket
+/// whose connections were reset can listen again.
 fn bind(socket: &Socket, address: SocketAddr) -> io::Result<()> {
     socket.bind(&address.into())?;
     socket.set_reuse_address(true)
 }
 
-/// One socket that listens at all loopback addresses, on a port of its own. It can stop listening and keep
-/// its port, so that calls are refused as by a machine that has vanished.
+/// A socket that listens at all loopback addresses, on a port of its own. It can refuse connections and keep its
+/// port, as the address of a crashed machine does.
 pub struct LoopbackListener {
     socket: Socket,
     port: u16,
 }
 
 impl LoopbackListener {
-    /// Listens. Bound to the loopback interface first: nothing from outside reaches it.
+    /// Opens a listener. It is bound to the loopback interface first, so nothing from outside can reach it.
     ///
     /// # Errors
     ///
@@ -73,12 +75,12 @@
         Ok(LoopbackListener { socket, port })
     }
 
-    /// Its port.
+    /// Returns the port.
     pub fn port(&self) -> u16 {
         self.port
     }
 
-    /// A handle of the socket for an event loop.
+    /// Returns a handle of the socket for an event loop.
     ///
     /// # Errors
     ///
@@ -89,7 +91,7 @@
         ))
     }
 
-    /// Refuses calls from now on.
+    /// Refuses connections from now on.
     ///
     /// # Errors
     ///
@@ -98,7 +100,7 @@
         self.socket.shutdown(Shutdown::Read)
     }
 
-    /// Takes calls again.
+    /// Accepts connections again.
     ///
     /// # Errors
     ///
@@ -108,12 +110,12 @@
     }
 }
 
-/// Whether an address is of this machine alone.
+/// Returns whether an address is an IPv4 loopback address.
 pub fn is_loopback(address: IpAddr) -> bool {
     matches!(address, IpAddr::V4(address) if address.is_loopback())
 }
 
-/// Listens at one loopback address.
+/// Opens a listener at one loopback address.
 ///
 /// # Errors
 ///
@@ -129,7 +131,7 @@
     Ok((mio::net::TcpListener::from_std(socket.into()), address))
 }
 
-/// An address at which a program may listen.
+/// Returns a loopback address at which a program can listen.
 ///
 /// # Errors
 ///
--- a/crates/scale-test/src/results.rs
+++ b/crates/scale-test/src/results.rs
@@ -1,4 +1,6 @@
-//! What a run has found: typed, written as JSON, and printed as a table.
+//! The result of a run: typed, written as JSON, and printed as a table.
+//!
+//! The names in the JSON are those of earlier versions, whose results are still read.
 
 mod table;
 
@@ -14,25 +16,25 @@
 pub struct RunResult {
     /// The settings that were used.
     pub settings: Settings,
-    /// Whether the figures can be used.
+    /// Whether the measurements can be used.
     pub usable: bool,
-    /// Why not, if so.
+    /// Why the measurements cannot be used, if so.
     pub reason: Option<String>,
-    /// The measured time, in seconds.
+    /// The duration of the measurement, in seconds.
     pub duration_s: f64,
-    /// Processes of the run: its own and the placers'.
+    /// The number of processes of the run: its own and the placers'.
     pub processes: usize,
-    /// The part of the machine's processors that was busy over the measured time, whoever used them.
+    /// The fraction of the machine's processor time that was busy during the measurement, by any process.
     pub machine_busy: f64,
-    /// Memory of the run.
+    /// Peak memory of the run.
     pub memory: MemoryTotals,
-    /// All tasks.
+    /// The outcomes of all tasks.
     pub fleet: FleetTotals,
-    /// Each real placer.
+    /// The results of the real placers.
     pub placers: Vec<PlacerResult>,
 }
 
-/// Memory of a run, at its most.
+/// Peak memory of a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemoryTotals {
     /// Resident memory of the hollow peers' process, in kB.
@@ -41,70 +43,71 @@
     pub all_peak_kb: u64,
 }
 
-/// What became of all tasks.
+/// The number of tasks by outcome, and times over all placers.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetTotals {
-    /// Tasks that stood at the start.
+    /// Tasks that ran at the start.
     #[serde(rename = "standing")]
     pub running_at_start: u64,
-    /// Tasks that were due, over the whole run.
+    /// Tasks that arrived, over the whole run.
     pub due: u64,
-    /// Of these, tasks that were answered: they stood.
+    /// Arrived tasks that have started.
     pub started: u64,
-    /// Refused.
+    /// Arrived tasks that were refused.
     pub refused: u64,
-    /// Failed.
+    /// Arrived tasks whose set-up failed.
     pub failed: u64,
-    /// Cut with a placer that was killed before it answered.
-    pub cut: u64,
-    /// TimerEvent when no placer was in service.
+    /// Arrived tasks whose placer was killed before it answered.
+    #[serde(rename = "cut")]
+    pub placer_killed: u64,
+    /// Tasks that arrived when no placer was in service.
     pub no_placer: u64,
-    /// Lost: never answered, or over with no word to the client, through no fault of the client's, the
-    /// worker's or a kill.
+    /// Tasks that were never answered, or ended without a notification of the client, and not because of the client,
+    /// the worker or a kill.
     pub lost: u64,
-    /// Over with no word to the client, since the placer was killed while it had the word.
+    /// Tasks that ended without a notification because the placer was killed just before sending it.
     pub lost_with_placer: u64,
-    /// Told to be over while their workers still held them.
+    /// Tasks reported as ended while a worker still ran them.
     pub ended_wrongly: u64,
-    /// Answered more than once.
+    /// Tasks answered more than once.
     pub answered_twice: u64,
-    /// Answered, though no worker has started them.
+    /// Tasks answered though no worker has started them.
     pub never_started: u64,
-    /// Of the class that must not start twice: started more often than they were set up.
+    /// Non-idempotent tasks that were started more often than they were set up.
     pub started_twice: u64,
-    /// Of the classes that may: started again at another worker.
+    /// Idempotent tasks that were started again at another worker.
     #[serde(rename = "started_again")]
     pub restarted: u64,
-    /// Moved by their placer.
+    /// Migrations by placers.
     pub moved: u64,
-    /// Ended by themselves, and told so.
+    /// Tasks that ended by themselves, with a notification.
     pub ended: u64,
-    /// Lost with their workers, and told so.
+    /// Tasks lost with their workers, with a notification.
     pub reset: u64,
-    /// Offers that workers refused for want of room.
+    /// Offers that workers refused for lack of capacity.
     pub worker_refusals: u64,
-    /// Tasks started at workers that had come back cold.
+    /// Tasks started at workers that were restored after a crash.
     pub starts_after_return: u64,
-    /// Connections on which workers sent bytes that are no message.
+    /// Connections on which workers sent invalid bytes.
     pub garbage_sent: u64,
-    /// Those of them that placers have closed.
+    /// Those of them that placers closed.
     pub garbage_dropped: u64,
-    /// Messages of placers that can't be read, and offers that no client has set up.
+    /// Messages of placers that cannot be read, and offers that no client has requested.
     pub bad_messages: u64,
-    /// Measured starts a second.
+    /// Measured starts per second.
     pub starts_per_s: f64,
     /// Times to start of all measured tasks.
     pub all_start_times: Percentiles,
     /// Times to start of the measured tasks, by class.
     pub start_times: Vec<ClassTimes>,
-    /// The generator's own lateness: from when tasks were due to when their set-ups were sent.
+    /// The load generator's own lateness: from when tasks were due to when their set-ups were sent.
     pub lateness: Percentiles,
     /// The workers' own lateness: from when answers were due to when they were sent, over the whole run.
     pub worker_lateness: Percentiles,
 }
 
 impl FleetTotals {
-    /// Tasks with which a placer has broken a rule.
+    /// Returns the number of violations of the rules that every placer must keep.
     pub fn rules_broken(&self) -> u64 {
         self.lost
             + self.started_twice
@@ -117,7 +120,7 @@
 /// Times to start of one class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassTimes {
-    /// Its name.
+    /// The name of the class.
     pub class: String,
     /// The times.
     pub times: Percentiles,
@@ -126,59 +129,59 @@
 /// Percentiles of times, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// How many times there are.
+    /// The number of times.
     pub count: u64,
     /// The mean.
     pub mean_ms: f64,
-    /// Half of them are at most this.
+    /// The median.
     pub p50_ms: f64,
-    /// Nine of ten.
+    /// The 90th percentile.
     pub p90_ms: f64,
-    /// 99 of 100.
+    /// The 99th percentile.
     pub p99_ms: f64,
-    /// 999 of 1,000.
+    /// The 99.9th percentile.
     pub p999_ms: f64,
-    /// The longest.
+    /// The maximum.
     pub max_ms: f64,
 }
 
-/// One real placer.
+/// The result of one real placer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlacerResult {
-    /// Its name.
+    /// The name of the placer.
     pub name: String,
-    /// From each start to the first passed test, in milliseconds.
+    /// The milliseconds from each start to the first passed health check.
     pub ready_ms: Vec<f64>,
-    /// Its totals over the measured time.
+    /// Totals over the measurement.
     pub totals: PlacerTotals,
-    /// Its rows, one for each second from the start of the load.
+    /// One row for each second from the start of the load.
     pub seconds: Vec<PlacerSecond>,
-    /// All that went to and from it from its first start to the end of the run.
+    /// All traffic from its first start to the end of the run.
     pub all_traffic: Traffic,
 }
 
-/// What a placer cost over the measured time.
+/// The resource usage of a placer over the measurement.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct PlacerTotals {
-    /// Its share of one core.
+    /// Processor time as a fraction of one core.
     pub cpu_share: f64,
-    /// The most resident memory of any second, in kB.
+    /// Peak of the resident memory at the ends of the rows, in kB.
     pub rss_peak_kb: u64,
-    /// The most proportional memory of any second, in kB.
+    /// Peak of the proportional memory at the ends of the rows, in kB.
     pub pss_peak_kb: u64,
-    /// The most resident memory that the system has seen, in kB.
+    /// Peak resident memory as recorded by the system, in kB.
     pub peak_kb: u64,
-    /// The most descriptors of any second.
+    /// Peak of the open descriptors at the ends of the rows.
     pub descriptors_peak: usize,
-    /// What kept it informed and tested, by kind, a second.
+    /// Control traffic per second, by kind.
     pub control: ControlRates,
-    /// What carried tasks, by kind, a second.
+    /// Service traffic per second, by kind.
     pub service: ServiceRates,
-    /// What the feed told, a second.
+    /// Content of the feed per second.
     pub feed: FeedRates,
 }
 
-/// Volume a second.
+/// Traffic per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct FlowRate {
     /// Bytes to the placer.
@@ -193,41 +196,43 @@
     pub connections_per_s: f64,
 }
 
-/// Control, a second.
+/// Control traffic per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ControlRates {
-    /// All kinds together.
+    /// The sum of all kinds.
     pub total: FlowRate,
     /// The control feed.
     pub feed: FlowRate,
-    /// Tests and their results.
-    pub test: FlowRate,
-    /// Calls to workers that never carried a task.
+    /// Health checks and their results.
+    #[serde(rename = "test")]
+    pub health_check: FlowRate,
+    /// Connections to workers that have carried no task.
     pub idle_worker: FlowRate,
     /// The configuration.
     pub configuration: FlowRate,
 }
 
-/// Service, a second.
+/// Service traffic per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServiceRates {
-    /// All kinds together.
+    /// The sum of all kinds.
     pub total: FlowRate,
-    /// Connections to workers that carried tasks.
+    /// Connections to workers that have carried tasks.
     pub worker: FlowRate,
     /// Connections of clients.
     pub client: FlowRate,
 }
 
-/// What the feed told, a second.
+/// Content of the feed per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct FeedRates {
     /// Events of all kinds.
     pub events_per_s: f64,
     /// Entries of all kinds.
     pub entries_per_s: f64,
-    /// Events that hold the whole list.
-    pub whole_events_per_s: f64,
+    /// Events with the complete list.
+    #[serde(rename = "whole_events_per_s")]
+    pub complete_list_events_per_s: f64,
     /// Entries of workers that are up.
     pub entries_up_per_s: f64,
     /// Entries of workers that were removed.
@@ -237,32 +242,33 @@
 /// One second of a placer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct PlacerSecond {
-    /// Its place, from the start of the load.
+    /// The number of the row, from 0 at the start of the load.
     pub second: u32,
-    /// Whether it counts.
+    /// Whether the row is part of the measurement.
     pub measured: bool,
-    /// Its length, in seconds.
+    /// The length of the row, in seconds.
     pub length_s: f64,
-    /// Whether the placer ran at its end; else its figures are those of no process.
-    pub runs: bool,
-    /// Share of one core.
+    /// Whether the placer was running at the end of the row; otherwise the figures of its process are 0.
+    #[serde(rename = "runs")]
+    pub is_running: bool,
+    /// Processor time as a fraction of one core.
     pub cpu_share: f64,
-    /// Resident memory at its end, in kB.
+    /// Resident memory at the end of the row, in kB.
     pub rss_kb: u64,
-    /// Proportional memory at its end, in kB.
+    /// Proportional memory at the end of the row, in kB.
     pub pss_kb: u64,
-    /// The most resident memory so far, in kB.
+    /// Peak resident memory so far, in kB.
     pub peak_kb: u64,
-    /// Descriptors at its end.
+    /// Open descriptors at the end of the row.
     pub descriptors: usize,
-    /// What went to and from it.
+    /// The traffic of the row.
     pub traffic: Traffic,
-    /// What the feed told.
+    /// The content of the feed in the row.
     pub feed: FeedCounts,
 }
 
 impl FlowRate {
-    /// A flow over so many seconds.
+    /// Returns the rates of a flow over so many seconds.
     pub fn of(flow: crate::traffic::Flow, seconds: f64) -> FlowRate {
         let per_second = |count: u64| {
             if seconds > 0.0 {
@@ -282,12 +288,12 @@
 }
 
 impl ControlRates {
-    /// Control over so many seconds.
+    /// Returns the rates of control traffic over so many seconds.
     pub fn of(traffic: &ControlTraffic, seconds: f64) -> ControlRates {
         ControlRates {
             total: FlowRate::of(traffic.total(), seconds),
             feed: FlowRate::of(traffic.feed, seconds),
-            test: FlowRate::of(traffic.test, seconds),
+            health_check: FlowRate::of(traffic.health_check, seconds),
             idle_worker: FlowRate::of(traffic.idle_worker, seconds),
             configuration: FlowRate::of(traffic.configuration, seconds),
         }
@@ -295,7 +301,7 @@
 }
 
 impl ServiceRates {
-    /// Service over so many seconds.
+    /// Returns the rates of service traffic over so many seconds.
     pub fn of(traffic: &ServiceTraffic, seconds: f64) -> ServiceRates {
         ServiceRates {
             total: FlowRate::of(traffic.total(), seconds),
@@ -306,7 +312,7 @@
 }
 
 impl FeedRates {
-    /// What a feed told over so many seconds.
+    /// Returns the rates of a feed over so many seconds.
     pub fn of(counts: FeedCounts, seconds: f64) -> FeedRates {
         let per_second = |count: u64| {
             if seconds > 0.0 {
@@ -316,9 +322,9 @@
             }
         };
         FeedRates {
-            events_per_s: per_second(counts.change_events + counts.whole_events),
+            events_per_s: per_second(counts.change_events + counts.complete_list_events),
             entries_per_s: per_second(counts.entries_up + counts.entries_removed),
-            whole_events_per_s: per_second(counts.whole_events),
+            complete_list_events_per_s: per_second(counts.complete_list_events),
             entries_up_per_s: per_second(counts.entries_up),
             entries_removed_per_s: per_second(counts.entries_removed),
         }
@@ -326,7 +332,7 @@
 }
 
 impl Percentiles {
-    /// Of these times.
+    /// Returns the percentiles of these times.
     pub fn of(times: &LatencyHistogram) -> Percentiles {
         let times = times.histogram();
         let at = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1e3;
--- a/crates/scale-test/src/results/table.rs
+++ b/crates/scale-test/src/results/table.rs
@@ -1,9 +1,9 @@
-//! The result as people read it.
+//! The result of a run as a text table.
 
 use super::{FleetTotals, PlacerResult, RunResult};
 use std::fmt::{self, Write};
 
-/// The result as a table.
+/// Returns the result as a table.
 pub fn print(result: &RunResult) -> String {
     let mut out = String::new();
     // Writing to a string does not fail.
@@ -46,7 +46,7 @@
     writeln!(
         out,
         "tasks: {} due, {} started, {} refused, {} failed, {} cut, {} without a placer",
-        fleet.due, fleet.started, fleet.refused, fleet.failed, fleet.cut, fleet.no_placer
+        fleet.due, fleet.started, fleet.refused, fleet.failed, fleet.placer_killed, fleet.no_placer
     )?;
     writeln!(
         out,
--- a/crates/scale-test/src/run/meter.rs
+++ b/crates/scale-test/src/run/meter.rs
@@ -197,7 +197,7 @@
             second: 0,
             measured: false,
             length_s: length.as_secs_f64(),
-            runs: process.is_some(),
+            is_running: process.is_some(),
             cpu_share: cpu.as_secs_f64() / length.as_secs_f64().max(f64::MIN_POSITIVE),
             rss_kb: sample.rss_kb,
             pss_kb: sample.pss_kb,
--- a/crates/scale-test/src/sample.rs
+++ b/crates/scale-test/src/sample.rs
@@ -1,4 +1,4 @@
-//! What one process uses, read from the Linux kernel.
+//! The resource usage of a process, read from the Linux kernel.
 
 use std::io;
 use std::time::Duration;
@@ -16,11 +16,11 @@
 /// Bytes in the unit of [`ProcessSample`]'s memory figures.
 const BYTES_PER_KB: u64 = 1024;
 
-/// Field of `smaps_rollup` with the pages that are in memory.
-const RSS: &str = "Rss";
+/// The field of `smaps_rollup` with the pages that are in memory.
+const RSS_FIELD: &str = "Rss";
 
-/// Field of `smaps_rollup` with the same pages, each divided by the processes that share it.
-const PSS: &str = "Pss";
+/// The field of `smaps_rollup` with the same pages, each divided by the number of processes that share it.
+const PSS_FIELD: &str = "Pss";
 
 /// Samples any process of the same user by its process id.
 ///
@@ -40,8 +40,8 @@
         let process = Process::new(pid).map_err(io_error)?;
         let cpu = cpu_time(pid)?;
         let memory = memory_map_totals(&process)?;
-        let rss_kb = kilobytes(&memory, RSS)?;
-        let pss_kb = kilobytes(&memory, PSS)?;
+        let rss_kb = kilobytes(&memory, RSS_FIELD)?;
+        let pss_kb = kilobytes(&memory, PSS_FIELD)?;
         let peak_kb = peak_kb(&process)?.max(rss_kb);
         let descriptors = process.fd_count().map_err(io_error)?;
         Ok(ProcessSample {
@@ -54,13 +54,13 @@
     }
 }
 
-/// CPU time of all threads that the process has or had.
+/// Returns the CPU time of all threads that the process has or had.
 fn cpu_time(pid: i32) -> io::Result<Duration> {
     let clock = clock_getcpuclockid(Pid::from_raw(pid))?;
     Ok(Duration::from(clock.now()?))
 }
 
-/// Totals over all memory maps.
+/// Returns the totals over all memory maps.
 fn memory_map_totals(process: &Process) -> io::Result<MMapExtension> {
     let rollup = process.smaps_rollup().map_err(io_error)?;
     let total = rollup.memory_map_rollup.into_iter().next();
@@ -74,8 +74,8 @@
     Ok(bytes / BYTES_PER_KB)
 }
 
-/// The largest RSS so far. The kernel folds its counters only now and then, so that this can lag behind a
-/// sample of RSS by some pages.
+/// Returns the peak RSS. The kernel merges its counters only now and then, so the peak can lag behind a sample of
+/// the RSS by some pages.
 fn peak_kb(process: &Process) -> io::Result<u64> {
     let status = process.status().map_err(io_error)?;
     Ok(status.vmhwm.unwrap_or(0))
@@ -88,7 +88,7 @@
     )
 }
 
-/// An error of the `procfs` crate as one of the system.
+/// Converts an error of the `procfs` crate to an I/O error.
 pub(crate) fn io_error(error: ProcError) -> io::Error {
     match error {
         ProcError::NotFound(_) => io::Error::new(io::ErrorKind::NotFound, error),
--- a/crates/scale-test/src/socket.rs
+++ b/crates/scale-test/src/socket.rs
@@ -1,4 +1,4 @@
-//! One non-blocking TCP connection to a placer, with what waits to be read and to be written.
+//! One non-blocking TCP connection to a placer, with its buffers and its traffic counts.
 
 use crate::traffic::{Direction, PlacerCounters, TrafficKind, Volume};
 use mio::net::TcpStream;
@@ -8,23 +8,24 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes read at a time.
-const CHUNK: usize = 16 * 1024;
-/// An empty buffer above this is given back: thousands of connections are idle at a time.
-const MAX_IDLE_CAPACITY: usize = 1_024;
-/// Bytes that may wait for a placer that reads slowly. The standing tasks of a start are the most.
+/// The largest number of bytes read at a time.
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// An empty buffer above this capacity is freed, because thousands of connections are idle at a time.
+const MAX_IDLE_CAPACITY_BYTES: usize = 1_024;
+/// The largest number of bytes that may wait for a placer that reads slowly. The announcement of running tasks
+/// needs most.
 const MAX_QUEUED_BYTES: usize = 64 * 1024 * 1024;
 
-/// Whether a connection goes on.
+/// Whether a connection is open.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Liveness {
-    /// It does.
+    /// The connection is open.
     Open,
-    /// The placer or the system has ended it, or too much waits on it.
+    /// The placer or the system has closed it, or too many bytes are queued.
     Ended,
 }
 
-/// Counts of a connection whose kind is not known yet.
+/// The traffic of a connection whose kind is not known yet.
 #[derive(Default)]
 struct Uncounted {
     to_placer: Volume,
@@ -36,7 +37,7 @@
     stream: TcpStream,
     inbox: Vec<u8>,
     outbox: Vec<u8>,
-    /// Bytes of the outbox that were written.
+    /// The number of bytes of the outbox that have been written.
     written: usize,
     counters: Arc<PlacerCounters>,
     kind: Option<TrafficKind>,
@@ -45,7 +46,7 @@
 }
 
 impl Connection {
-    /// Takes over a stream. Without a kind it counts as a call to an idle worker until it is given one.
+    /// Takes over a stream. Without a kind the connection counts as one to an idle worker until a kind is assigned.
     ///
     /// # Errors
     ///
@@ -75,21 +76,21 @@
         Ok(connection)
     }
 
-    /// It is of this kind, and about to be written to.
+    /// Counts the connection, and prepares it for its kind.
     fn start_using_as(&self, kind: TrafficKind) {
         self.counters.add_connection(kind);
-        // Without it small messages wait for the peer's acknowledgements. It is no harm where it fails.
+        // Without this option small messages wait for the peer's acknowledgements. A failure does no harm.
         if kind != TrafficKind::IdleWorker {
             let _ = self.stream.set_nodelay(true);
         }
     }
 
-    /// What is known of its use, if anything.
+    /// Returns the kind, if it is known.
     pub fn kind(&self) -> Option<TrafficKind> {
         self.kind
     }
 
-    /// From now on it is of this kind, if it was of none.
+    /// Assigns a kind, if the connection has none.
     pub fn assign_kind(&mut self, kind: TrafficKind) {
         if self.kind.is_some() {
             return;
@@ -123,9 +124,9 @@
         self.count(Direction::FromPlacer, Volume { bytes: 0, messages });
     }
 
-    /// Reads all that has come.
+    /// Reads all available bytes.
     pub fn fill(&mut self) -> Liveness {
-        let mut chunk = [0; CHUNK];
+        let mut chunk = [0; READ_CHUNK_BYTES];
         while !self.ended {
             match self.stream.read(&mut chunk) {
                 Ok(0) => self.ended = true,
@@ -142,20 +143,20 @@
         self.liveness()
     }
 
-    /// What has come and was not taken.
+    /// Returns the bytes that were read and not consumed.
     pub fn inbox(&self) -> &[u8] {
         &self.inbox
     }
 
-    /// Takes so many bytes off what has come.
+    /// Removes so many bytes from the inbox.
     pub fn consume(&mut self, bytes: usize) {
         self.inbox.drain(..bytes.min(self.inbox.len()));
-        if self.inbox.is_empty() && self.inbox.capacity() > MAX_IDLE_CAPACITY {
+        if self.inbox.is_empty() && self.inbox.capacity() > MAX_IDLE_CAPACITY_BYTES {
             self.inbox = Vec::new();
         }
     }
 
-    /// Queues whole messages, so many, and writes what the system takes.
+    /// Queues complete messages, and writes what the system accepts.
     pub fn send(&mut self, bytes: &[u8], messages: u64) -> Liveness {
         if self.ended || bytes.is_empty() {
             return self.liveness();
@@ -168,7 +169,7 @@
         self.flush()
     }
 
-    /// Writes what the system takes of what is queued.
+    /// Writes what the system accepts of the queued bytes.
     pub fn flush(&mut self) -> Liveness {
         while !self.ended && self.written < self.outbox.len() {
             match self
@@ -186,20 +187,20 @@
         }
         self.written = 0;
         self.outbox.clear();
-        if self.outbox.capacity() > MAX_IDLE_CAPACITY {
+        if self.outbox.capacity() > MAX_IDLE_CAPACITY_BYTES {
             self.outbox = Vec::new();
         }
         self.liveness()
     }
 
-    /// Bytes that wait to be written.
+    /// Returns the number of bytes that wait to be written.
     pub fn queued(&self) -> usize {
         self.outbox.len().saturating_sub(self.written)
     }
 
-    /// Resets the connection when it is dropped, as a machine does that has lost its state.
+    /// Makes dropping the connection reset it, as a crashed machine does.
     pub fn reset(&self) {
-        // Where it fails the connection is closed in the usual way.
+        // If this fails the connection is closed in the usual way.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
@@ -218,8 +219,8 @@
     }
 }
 
-/// Whether an operation is to be tried again when the system says so. A connection that is still being
-/// made can't be written to yet.
+/// Returns whether an operation must wait for the next event. A connection that is not established yet cannot be
+/// written to.
 fn would_block(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/scale-test/src/traffic.rs
+++ b/crates/scale-test/src/traffic.rs
@@ -1,33 +1,34 @@
-//! What goes to and from each placer, counted where it is sent and received: at the hollow peers.
+//! The traffic to and from each placer, counted at the hollow peers.
 //!
-//! Bytes are those of the TCP payload. Each connection belongs to one [`TrafficKind`]; a connection to a
-//! worker counts as control until it carries its first task. The whole is counted apart from the kinds, so
-//! that a test can hold one against the other.
+//! Bytes are TCP payload. Each connection belongs to one [`TrafficKind`]; a connection to a worker counts as control
+//! traffic until it carries its first task. All bytes of the sockets are counted a second time, independently of the
+//! kinds, so that tests can compare the sums.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{AddAssign, Sub};
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 
-/// What a connection is for.
+/// The purpose of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrafficKind {
     /// Control: the control feed.
     Feed,
-    /// Control: tests of a front, and their results.
+    /// Control: health checks and their results.
     HealthCheck,
-    /// Control: a call to a worker that never carried a task.
+    /// Control: a connection to a worker that has carried no task.
     IdleWorker,
     /// Control: the configuration that a placer reads at its start.
     Configuration,
-    /// Service: a connection to a worker that carried a task.
+    /// Service: a connection to a worker that has carried a task.
     Worker,
     /// Service: a client's connection.
     Client,
 }
 
+/// The number of [`TrafficKind`]s.
 const KINDS: usize = 6;
 
-/// Which way bytes went.
+/// The direction of bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
     /// From a hollow peer to the placer.
@@ -36,16 +37,16 @@
     FromPlacer,
 }
 
-/// Bytes and messages one way.
+/// Bytes and messages in one direction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Volume {
     /// Bytes of payload.
     pub bytes: u64,
-    /// Whole messages.
+    /// Complete messages.
     pub messages: u64,
 }
 
-/// What went both ways, and the connections that were opened for it.
+/// The volume in both directions, and the connections that were opened.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Flow {
     /// From hollow peers to the placer.
@@ -56,49 +57,51 @@
     pub connections: u64,
 }
 
-/// What keeps a placer informed and tested.
+/// Traffic that controls a placer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlTraffic {
     /// The control feed.
     pub feed: Flow,
-    /// Tests and their results.
-    pub test: Flow,
-    /// Calls to workers that never carried a task.
+    /// Health checks and their results.
+    #[serde(rename = "test")]
+    pub health_check: Flow,
+    /// Connections to workers that have carried no task.
     pub idle_worker: Flow,
     /// The configuration.
     pub configuration: Flow,
 }
 
-/// What carries tasks.
+/// Traffic that carries tasks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTraffic {
-    /// Connections to workers that carried tasks.
+    /// Connections to workers that have carried tasks.
     pub worker: Flow,
     /// Connections of clients.
     pub client: Flow,
 }
 
-/// What went to and from one placer.
+/// All traffic of one placer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// What keeps it informed and tested.
+    /// Control traffic.
     pub control: ControlTraffic,
-    /// What carries tasks.
+    /// Traffic that carries tasks.
     pub service: ServiceTraffic,
-    /// Bytes of all sockets to the placer, counted apart from the kinds.
+    /// Bytes of all sockets to the placer, counted independently of the kinds.
     pub raw_to_placer: u64,
-    /// Bytes of all sockets from the placer, counted apart from the kinds.
+    /// Bytes of all sockets from the placer, counted independently of the kinds.
     pub raw_from_placer: u64,
 }
 
-/// What the control feed told a placer.
+/// The content of a control feed.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedCounts {
-    /// Events that hold changes.
+    /// Events with changes.
     pub change_events: u64,
-    /// Events that hold the whole list.
-    pub whole_events: u64,
-    /// Lines that hold only a sequence number.
+    /// Events with the complete list.
+    #[serde(rename = "whole_events")]
+    pub complete_list_events: u64,
+    /// Lines with only a sequence number.
     pub number_lines: u64,
     /// Entries of workers that are up.
     pub entries_up: u64,
@@ -145,21 +148,26 @@
 }
 
 impl ControlTraffic {
-    /// All kinds together.
+    /// Returns the sum of all kinds.
     pub fn total(&self) -> Flow {
-        sum([self.feed, self.test, self.idle_worker, self.configuration])
+        sum([
+            self.feed,
+            self.health_check,
+            self.idle_worker,
+            self.configuration,
+        ])
     }
 }
 
 impl ServiceTraffic {
-    /// All kinds together.
+    /// Returns the sum of all kinds.
     pub fn total(&self) -> Flow {
         sum([self.worker, self.client])
     }
 }
 
 impl Traffic {
-    /// All kinds together.
+    /// Returns the sum of all kinds.
     pub fn total(&self) -> Flow {
         sum([self.control.total(), self.service.total()])
     }
@@ -178,7 +186,7 @@
         Traffic {
             control: ControlTraffic {
                 feed: self.control.feed - before.control.feed,
-                test: self.control.test - before.control.test,
+                health_check: self.control.health_check - before.control.health_check,
                 idle_worker: self.control.idle_worker - before.control.idle_worker,
                 configuration: self.control.configuration - before.control.configuration,
             },
@@ -195,7 +203,7 @@
 impl AddAssign for Traffic {
     fn add_assign(&mut self, other: Traffic) {
         self.control.feed += other.control.feed;
-        self.control.test += other.control.test;
+        self.control.health_check += other.control.health_check;
         self.control.idle_worker += other.control.idle_worker;
         self.control.configuration += other.control.configuration;
         self.service.worker += other.service.worker;
@@ -208,7 +216,7 @@
 impl AddAssign for FeedCounts {
     fn add_assign(&mut self, other: FeedCounts) {
         self.change_events += other.change_events;
-        self.whole_events += other.whole_events;
+        self.complete_list_events += other.complete_list_events;
         self.number_lines += other.number_lines;
         self.entries_up += other.entries_up;
         self.entries_removed += other.entries_removed;
@@ -221,7 +229,9 @@
     fn sub(self, before: FeedCounts) -> FeedCounts {
         FeedCounts {
             change_events: self.change_events.saturating_sub(before.change_events),
-            whole_events: self.whole_events.saturating_sub(before.whole_events),
+            complete_list_events: self
+                .complete_list_events
+                .saturating_sub(before.complete_list_events),
             number_lines: self.number_lines.saturating_sub(before.number_lines),
             entries_up: self.entries_up.saturating_sub(before.entries_up),
             entries_removed: self.entries_removed.saturating_sub(before.entries_removed),
@@ -266,14 +276,14 @@
     }
 }
 
-/// The counters of one placer, shared by the threads that speak to it.
+/// The counters of one placer, shared by the threads that exchange messages with it.
 #[derive(Debug, Default)]
 pub struct PlacerCounters {
     kinds: [FlowCounter; KINDS],
     raw_to_placer: AtomicU64,
     raw_from_placer: AtomicU64,
     change_events: AtomicU64,
-    whole_events: AtomicU64,
+    complete_list_events: AtomicU64,
     number_lines: AtomicU64,
     entries_up: AtomicU64,
     entries_removed: AtomicU64,
@@ -306,7 +316,7 @@
         self.kind(kind).connections.fetch_add(1, Relaxed);
     }
 
-    /// Counts bytes of a socket, whatever they are for.
+    /// Counts bytes of a socket, independently of its kind.
     pub fn add_raw(&self, direction: Direction, bytes: u64) {
         match direction {
             Direction::ToPlacer => self.raw_to_placer.fetch_add(bytes, Relaxed),
@@ -314,23 +324,24 @@
         };
     }
 
-    /// Counts what the feed told.
+    /// Counts content of the feed.
     pub fn add_feed(&self, counts: FeedCounts) {
         self.change_events.fetch_add(counts.change_events, Relaxed);
-        self.whole_events.fetch_add(counts.whole_events, Relaxed);
+        self.complete_list_events
+            .fetch_add(counts.complete_list_events, Relaxed);
         self.number_lines.fetch_add(counts.number_lines, Relaxed);
         self.entries_up.fetch_add(counts.entries_up, Relaxed);
         self.entries_removed
             .fetch_add(counts.entries_removed, Relaxed);
     }
 
-    /// What was counted so far.
+    /// Returns the traffic so far.
     pub fn traffic(&self) -> Traffic {
         let read = |kind| self.kind(kind).read();
         Traffic {
             control: ControlTraffic {
                 feed: read(TrafficKind::Feed),
-                test: read(TrafficKind::HealthCheck),
+                health_check: read(TrafficKind::HealthCheck),
                 idle_worker: read(TrafficKind::IdleWorker),
                 configuration: read(TrafficKind::Configuration),
             },
@@ -343,11 +354,11 @@
         }
     }
 
-    /// What the feed told so far.
+    /// Returns the content of the feed so far.
     pub fn feed(&self) -> FeedCounts {
         FeedCounts {
             change_events: self.change_events.load(Relaxed),
-            whole_events: self.whole_events.load(Relaxed),
+            complete_list_events: self.complete_list_events.load(Relaxed),
             number_lines: self.number_lines.load(Relaxed),
             entries_up: self.entries_up.load(Relaxed),
             entries_removed: self.entries_removed.load(Relaxed),
--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -43,7 +43,7 @@
 
     // Every task that was due has one end.
     assert_eq!(fleet.running_at_start, u64::from(settings.running_tasks));
-    let answered = fleet.started + fleet.refused + fleet.failed + fleet.cut;
+    let answered = fleet.started + fleet.refused + fleet.failed + fleet.placer_killed;
     assert_eq!((answered, fleet.no_placer), (fleet.due, 0));
     assert!(fleet.started > 0 && fleet.due > 500, "{fleet:?}");
 
@@ -96,7 +96,7 @@
         placer.name
     );
     assert!(
-        traffic.control.test.from_placer.messages > 0
+        traffic.control.health_check.from_placer.messages > 0
             && traffic.control.feed.to_placer.messages > 0
     );
     assert_eq!(
@@ -152,19 +152,22 @@
     );
     for placer in &result.placers {
         adds_up(placer, 2);
-        let mut told = FeedCounts::default();
-        placer.seconds.iter().for_each(|row| told += row.feed);
-        assert!(told.whole_events > 0 && told.number_lines > 0, "{told:?}");
+        let mut feed = FeedCounts::default();
+        placer.seconds.iter().for_each(|row| feed += row.feed);
+        assert!(
+            feed.complete_list_events > 0 && feed.number_lines > 0,
+            "{feed:?}"
+        );
         // Each event of a change holds one entry, each whole list all workers.
         assert_eq!(
-            told.entries_up,
-            told.change_events + 40 * told.whole_events,
-            "{told:?}"
+            feed.entries_up,
+            feed.change_events + 40 * feed.complete_list_events,
+            "{feed:?}"
         );
-        assert_eq!(told.entries_removed, 0);
-        let called = placer.all_traffic.control.idle_worker.connections;
+        assert_eq!(feed.entries_removed, 0);
+        let idle_connections = placer.all_traffic.control.idle_worker.connections;
         assert!(
-            called + placer.all_traffic.service.worker.connections >= 40,
+            idle_connections + placer.all_traffic.service.worker.connections >= 40,
             "{:?}",
             placer.all_traffic
         );
