--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! The command line of the program `scale-test`.
 
 mod sweep;
 mod terminal;
@@ -18,16 +18,17 @@
 use std::process::ExitCode;
 use terminal::Terminal;
 
-/// The run could not be carried out, or was ended from outside.
-const FAILED: u8 = 1;
-/// Refused before anything started: it can't be meant, or needs more than the machine has for it.
-const REFUSED: u8 = 2;
-/// A rule was broken: a task was lost, started twice or answered twice.
-const RULE_BROKEN: u8 = 3;
-/// The figures are of no use.
-const NOT_USABLE: u8 = 4;
-/// The placer's program beside this one.
-const PROGRAM: &str = "task-placer";
+/// The exit code of a run that failed, or was stopped by a signal.
+const EXIT_FAILED: u8 = 1;
+/// The exit code of a run that was rejected before anything started: it is invalid, or needs more than the machine
+/// has.
+const EXIT_REJECTED: u8 = 2;
+/// The exit code of a run in which a rule was broken: a task was lost, started twice or answered twice.
+const EXIT_RULE_BROKEN: u8 = 3;
+/// The exit code of a run whose measurements are unusable.
+const EXIT_UNUSABLE: u8 = 4;
+/// The file name of the placer's program, in the folder of this one.
+const PLACER_PROGRAM: &str = "task-placer";
 
 /// Runs real placers among thousands of hollow workers, and tells what each costs by second.
 ///
@@ -62,7 +63,7 @@
     json: Option<PathBuf>,
 }
 
-/// Why a command came to nothing.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum Failure {
     #[error(transparent)]
@@ -89,21 +90,22 @@
 }
 
 impl Failure {
+    /// Returns the exit code.
     fn code(&self) -> u8 {
         match self {
-            Failure::Plan(_) => REFUSED,
-            Failure::Run(error) if error.is_rejection() => REFUSED,
-            Failure::Point(error) if error.source.is_rejection() => REFUSED,
-            Failure::Sweep(SweepError::Plan(_)) => REFUSED,
+            Failure::Plan(_) => EXIT_REJECTED,
+            Failure::Run(error) if error.is_rejection() => EXIT_REJECTED,
+            Failure::Point(error) if error.source.is_rejection() => EXIT_REJECTED,
+            Failure::Sweep(SweepError::Plan(_)) => EXIT_REJECTED,
             Failure::Sweep(SweepError::Run {
                 source: SweepRunError::RuleBroken { .. },
                 ..
-            }) => RULE_BROKEN,
-            _ => FAILED,
+            }) => EXIT_RULE_BROKEN,
+            _ => EXIT_FAILED,
         }
     }
 
-    /// Tells it on stderr: each thing of which a run needs too much has a line of its own.
+    /// Prints the failure on stderr. Each resource of which a run needs too much has a line of its own.
     fn print(&self) {
         let (prefix, excesses) = match self {
             Failure::Run(RunError::Budget(error)) => (String::new(), &error.excesses),
@@ -120,11 +122,11 @@
     }
 }
 
-/// Does what the command line says.
+/// Runs the command of the command line, and returns its exit code.
 pub fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
-        Err(error) => return refuse(&error),
+        Err(error) => return print_usage_error(&error),
     };
     let done = match cli.command {
         Command::Run(args) => run_once(&args),
@@ -137,13 +139,13 @@
     })
 }
 
-/// A command line that can't be meant gets one line; help and version are printed whole.
-fn refuse(error: &clap::Error) -> ExitCode {
+/// Prints help and version in full, and any other error of the command line as one line.
+fn print_usage_error(error: &clap::Error) -> ExitCode {
     if matches!(
         error.kind(),
         ErrorKind::DisplayHelp | ErrorKind::DisplayVersion
     ) {
-        // There is nobody to tell where even this can't be printed.
+        // If this cannot be printed, nothing can.
         let _ = error.print();
         return ExitCode::SUCCESS;
     }
@@ -152,9 +154,10 @@
         "scale-test: {}",
         text.lines().next().unwrap_or("bad command line")
     );
-    ExitCode::from(REFUSED)
+    ExitCode::from(EXIT_REJECTED)
 }
 
+/// Returns the settings of the command line, once they are admitted.
 fn admitted(args: &SettingsArgs) -> Result<Settings, Failure> {
     let settings = args.settings()?;
     admit(&settings)?;
@@ -189,7 +192,7 @@
     Ok(ExitCode::from(exit_code(&result)))
 }
 
-/// Writes a result to a file, if one is named.
+/// Writes a result to a file, if a path is given.
 fn write_json(path: Option<&Path>, result: &impl Serialize) -> Result<(), Failure> {
     let Some(path) = path else { return Ok(()) };
     let json = serde_json::to_string_pretty(result).map_err(std::io::Error::from);
@@ -200,23 +203,23 @@
     })
 }
 
-/// The exit code of a result.
+/// Returns the exit code of a result.
 fn exit_code(result: &RunResult) -> u8 {
     if result.fleet.rules_broken() > 0 {
-        RULE_BROKEN
+        EXIT_RULE_BROKEN
     } else if !result.usable {
-        NOT_USABLE
+        EXIT_UNUSABLE
     } else {
         0
     }
 }
 
-/// The placer's program: the one that is named, or the one in the folder of this program.
+/// Returns the path of the placer's program: the given one, or the one in the folder of this program.
 fn program_or_beside(named: Option<&PathBuf>) -> PathBuf {
     let beside = || {
         std::env::current_exe()
             .unwrap_or_default()
-            .with_file_name(PROGRAM)
+            .with_file_name(PLACER_PROGRAM)
     };
     named.cloned().unwrap_or_else(beside)
 }
--- a/crates/scale-test/src/cli/sweep.rs
+++ b/crates/scale-test/src/cli/sweep.rs
@@ -1,7 +1,7 @@
-//! The subcommand `sweep`.
+//! The command `sweep`.
 
 use super::terminal::Terminal;
-use super::{Failure, NOT_USABLE, program_or_beside, write_json};
+use super::{EXIT_UNUSABLE, Failure, program_or_beside, write_json};
 use crate::sample::ProcSampler;
 use crate::settings::{Settings, SettingsError};
 use crate::sweep::{Axis, AxisPlan, SweepError, SweepPlan, SweepReport, sweep};
@@ -14,10 +14,9 @@
 
 /// The plan of a sweep that names none.
 const DEFAULT_PLAN: &str = include_str!("../../plans/sweep.toml");
-/// What the default plan is called in reports.
+/// The name of the default plan in reports.
 const DEFAULT_PLAN_NAME: &str = "sweep.toml";
-/// Time with load before figures count, in each run: tasks start within a fraction of a second, and a sweep makes
-/// many runs.
+/// The warm-up of each run. Short, as tasks start within a fraction of a second and a sweep makes many runs.
 const WARM_UP: Duration = Duration::from_secs(3);
 
 /// The options of a sweep.
@@ -26,7 +25,7 @@
     /// A TOML file with the settings of the base point; without it the plan of sweeps that comes with the package
     plan: Option<PathBuf>,
     /// What is varied: workers, standing, rate, events; may be named several times [default: all]
-    #[arg(long = "axis", value_name = "AXIS", value_parser = axis)]
+    #[arg(long = "axis", value_name = "AXIS", value_parser = parse_axis)]
     axes: Vec<Axis>,
     /// The values that the axis takes, at least four; needs exactly one --axis
     #[arg(
@@ -53,15 +52,23 @@
     json: Option<PathBuf>,
 }
 
-/// An axis by its name.
-fn axis(name: &str) -> Result<Axis, String> {
-    let names: Vec<String> = Axis::iter().map(|axis| axis.to_string()).collect();
-    name.parse()
-        .map_err(|_| format!("expected one of {}", names.join(", ")))
+/// An axis name that does not exist.
+#[derive(Debug, thiserror::Error)]
+#[error("expected one of {}", .expected.join(", "))]
+struct UnknownAxis {
+    /// The names of all axes.
+    expected: Vec<String>,
+}
+
+/// Reads an axis from its name.
+fn parse_axis(name: &str) -> Result<Axis, UnknownAxis> {
+    name.parse().map_err(|_| UnknownAxis {
+        expected: Axis::iter().map(|axis| axis.to_string()).collect(),
+    })
 }
 
 impl SweepArgs {
-    /// The settings of the base point.
+    /// Returns the settings of the base point.
     fn settings(&self) -> Result<Settings, SettingsError> {
         let mut settings = match &self.plan {
             Some(path) => Settings::load(path)?,
@@ -73,7 +80,7 @@
         Ok(settings)
     }
 
-    /// What is swept from this base point.
+    /// Returns the plan of the sweep from this base point.
     fn sweep_plan(&self, settings: &Settings) -> Result<SweepPlan, SettingsError> {
         let axes = match (self.values.as_slice(), self.axes.as_slice()) {
             ([], []) => Axis::iter()
@@ -110,7 +117,7 @@
     }
 }
 
-/// Sweeps, and prints the report.
+/// Makes a sweep, prints its report, and returns the exit code.
 pub fn run(args: &SweepArgs) -> Result<ExitCode, Failure> {
     let settings = args.settings()?;
     let plan = args.sweep_plan(&settings)?;
@@ -126,7 +133,7 @@
         }
         Err(error) => {
             if let SweepError::Run { before, .. } = &error {
-                // That the run has failed is told first, and the rest only if that was not all.
+                // The caller prints the error of the run; an error of writing the report is printed here.
                 write_json(json, before).unwrap_or_else(|failure| failure.print());
             }
             Err(Failure::Sweep(error))
@@ -134,6 +141,7 @@
     }
 }
 
+/// The outcome of a sweep that was started.
 type Swept = Result<SweepReport, SweepError<SweepRunError>>;
 
 fn sweep_with_terminal(
@@ -156,11 +164,11 @@
     Ok(swept)
 }
 
-/// The exit code of a report: figures are of no use where an axis has too few usable runs for any fit.
+/// Returns the exit code of a report, which is unusable if an axis has too few usable runs for any fit.
 fn exit_code(report: &SweepReport) -> u8 {
     if report.axes.iter().all(|axis| axis.is_fitted()) {
         0
     } else {
-        NOT_USABLE
+        EXIT_UNUSABLE
     }
 }
--- a/crates/scale-test/src/cli/terminal.rs
+++ b/crates/scale-test/src/cli/terminal.rs
@@ -1,4 +1,4 @@
-//! What people see and do while runs go on.
+//! Progress on the terminal, and the signals that stop a run.
 
 use crate::run::{Progress, Watcher};
 use crate::sweep;
@@ -8,20 +8,20 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Goes to the start of the line and empties it.
-const EMPTY_LINE: &str = "\r\x1b[K";
+/// Moves to the start of the line and clears it.
+const CLEAR_LINE: &str = "\r\x1b[K";
 
-/// Shows progress on a terminal, and takes Ctrl-C and SIGTERM as the wish to end. Clones share all of it.
+/// Displays progress on a terminal, and stops the run on SIGINT and SIGTERM. Clones share their state.
 #[derive(Clone)]
 pub struct Terminal {
     stop: Arc<AtomicBool>,
-    shows: bool,
-    /// Which run of a sweep goes on; empty outside of one.
+    is_terminal: bool,
+    /// The present run of a sweep; empty outside of a sweep.
     label: Rc<RefCell<String>>,
 }
 
 impl Terminal {
-    /// Takes over the signals.
+    /// Registers the signal handlers.
     pub fn new() -> std::io::Result<Terminal> {
         let stop = Arc::new(AtomicBool::new(false));
         for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
@@ -29,19 +29,19 @@
         }
         Ok(Terminal {
             stop,
-            shows: std::io::stderr().is_terminal(),
+            is_terminal: std::io::stderr().is_terminal(),
             label: Rc::default(),
         })
     }
 
-    /// Takes the line of progress away.
+    /// Clears the progress line.
     pub fn clear(&self) {
-        if self.shows {
-            eprint!("{EMPTY_LINE}");
+        if self.is_terminal {
+            eprint!("{CLEAR_LINE}");
         }
     }
 
-    /// Shows how far a sweep is.
+    /// Displays the progress of a sweep.
     pub fn sweep_progress(&self, progress: &sweep::Progress) {
         let sweep::Progress {
             axis,
@@ -51,13 +51,13 @@
             total,
             event,
         } = progress;
-        let again = if matches!(event, sweep::RunEvent::Retried { .. }) {
+        let retry_note = if matches!(event, sweep::RunEvent::Retried { .. }) {
             " again"
         } else {
             ""
         };
         let label = format!(
-            "[{}/{total}] {axis} {value}, repeat {}{again}: ",
+            "[{}/{total}] {axis} {value}, repeat {}{retry_note}: ",
             done + 1,
             repeat + 1
         );
@@ -66,9 +66,9 @@
     }
 
     fn show(&self, line: &str) {
-        if self.shows {
-            eprint!("{EMPTY_LINE}{line}");
-            // A terminal that takes nothing shows nothing.
+        if self.is_terminal {
+            eprint!("{CLEAR_LINE}{line}");
+            // Progress is optional.
             let _ = std::io::stderr().flush();
         }
     }
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -1,7 +1,6 @@
-//! How a measured figure grows with a size: a straight line through the points, and a verdict on whether a
-//! line is what they follow.
+//! How a measured value grows with a size: a straight line through the points, and a classification of their shape.
 //!
-//! Pure: no input or output, and no clock. The verdict's rule is in [`Shape`].
+//! Pure: no I/O and no clock. The rule of the classification is documented at [`Shape`].
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -17,31 +16,31 @@
     STRAIGHT_EXPONENTS, Shape,
 };
 
-/// Distinct sizes without which nothing is fitted. A curve has three coefficients (scale, exponent,
-/// offset); a fourth size is the first that can speak against it.
+/// The smallest number of distinct sizes that is fitted. A curve has three coefficients (scale, exponent,
+/// offset); a fourth size is the first that can contradict it.
 pub const MIN_SIZES: usize = 4;
 
-/// The part of a projection by which a measurement may differ from it.
+/// The fraction of a projection by which a measurement may differ from it.
 pub const PROJECTION_TOLERANCE: f64 = 0.2;
 
-/// A least-squares line through points of (size, measured figure).
+/// A least-squares line through points of (size, measured value).
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// Growth of the figure for each unit of size.
+    /// The growth of the value per unit of size.
     pub slope: f64,
-    /// The figure at size 0.
+    /// The value at size 0.
     pub intercept: f64,
-    /// The largest distance of a point from the line, in the unit of the figure.
+    /// The largest distance of a point from the line, in the unit of the value.
     pub largest_residual: f64,
-    /// The same as a part of the mean figure; none where the mean is 0.
+    /// The same as a fraction of the mean value; `None` if the mean is 0.
     pub largest_residual_part: Option<f64>,
-    /// What the points follow.
+    /// The shape of the points.
     pub shape: Shape,
-    /// The exponents with which the points agree; none where the shape was judged without them.
+    /// The exponents that agree with the points; `None` if the shape was classified without them.
     pub exponents: Option<Exponents>,
-    /// Distinct sizes among the points.
+    /// The number of distinct sizes.
     pub sizes: usize,
-    /// Points fitted.
+    /// The number of points.
     pub points: usize,
 }
 
@@ -54,20 +53,20 @@
         /// Distinct sizes among the points.
         found: usize,
     },
-    /// A size or a figure is infinite or not a number.
+    /// A size or a value is infinite or not a number.
     #[error("a size or a figure is infinite or not a number")]
     NotFinite,
     /// A size is below 0.
     #[error("a size is below 0")]
     NegativeSize,
-    /// The figures are too large to be squared and summed.
+    /// The values are too large to be squared and summed.
     #[error("sizes or figures are too large to be fitted")]
     TooLarge,
 }
 
 impl Fit {
-    /// Fits a line to points of (size, measured figure), and judges their shape. Repeats are points of the
-    /// same size; the order of points does not matter.
+    /// Fits a line to points of (size, measured value), and classifies their shape. Repeats are points of the same
+    /// size. The order of the points does not matter.
     ///
     /// # Errors
     ///
@@ -84,35 +83,35 @@
             return Err(FitError::TooLarge);
         }
         let largest_residual = largest_residual(&points, &line);
-        let judgement = shape::judge(&points);
+        let classification = shape::classify(&points);
         Ok(Fit {
             slope: line.slope,
             intercept: line.intercept,
             largest_residual,
             largest_residual_part: part_of_mean(largest_residual, &points),
-            shape: judgement.shape,
-            exponents: judgement.exponents,
+            shape: classification.shape,
+            exponents: classification.exponents,
             sizes,
             points: points.len(),
         })
     }
 
-    /// The figure that the line gives at a size.
+    /// Returns the value of the line at a size.
     pub fn projection(&self, at: f64) -> f64 {
         self.slope.mul_add(at, self.intercept)
     }
 }
 
-/// How far a measurement lies from what was projected.
+/// The comparison of a measurement with its projection.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ProjectionComparison {
-    /// Measured over projected; none where the projection is 0 or either is no finite number.
+    /// The measurement divided by the projection; `None` if the projection is 0 or either is not finite.
     pub ratio: Option<f64>,
     /// Whether they differ by more than [`PROJECTION_TOLERANCE`] of the projection, or cannot be compared.
     pub over_20_percent: bool,
 }
 
-/// Compares a projected figure with the measured one. Two zeros agree.
+/// Compares a measurement with its projection. Two zeros agree.
 pub fn compare(projected: f64, measured: f64) -> ProjectionComparison {
     let comparable = projected.is_finite() && measured.is_finite();
     let ratio = Some(measured / projected).filter(|ratio| comparable && ratio.is_finite());
@@ -136,7 +135,7 @@
     Ok(())
 }
 
-/// By size, then figure: sums over them are the same to the last bit whatever order the points came in.
+/// Returns the points sorted by size, then value, so that sums are the same to the last bit for any order of input.
 fn sorted(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let mut points = points.to_vec();
     points.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)));
--- a/crates/scale-test/src/fit/least_squares.rs
+++ b/crates/scale-test/src/fit/least_squares.rs
@@ -1,18 +1,18 @@
-//! Least squares of one variable.
+//! Linear least squares in one variable.
 
 /// The line with the least sum of squared residuals.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Line {
     pub(super) slope: f64,
     pub(super) intercept: f64,
-    /// Sum of the squared residuals.
+    /// The sum of the squared residuals.
     pub(super) residual_squares: f64,
-    /// Sum of the squared distances of the abscissas from their mean.
+    /// The sum of the squared distances of the abscissas from their mean.
     pub(super) abscissa_squares: f64,
 }
 
 impl Line {
-    /// Through points that have at least two distinct abscissas; with fewer the line is not finite.
+    /// Returns the line through points with at least two distinct abscissas. With fewer the line is not finite.
     pub(super) fn through(points: &[(f64, f64)]) -> Line {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -34,12 +34,12 @@
         line
     }
 
-    /// The ordinate at an abscissa.
+    /// Returns the ordinate at an abscissa.
     pub(super) fn at(&self, x: f64) -> f64 {
         self.slope.mul_add(x, self.intercept)
     }
 
-    /// The slope's standard error, given the degrees of freedom that the residuals have.
+    /// Returns the standard error of the slope, given the degrees of freedom of the residuals.
     pub(super) fn slope_error(&self, degrees_of_freedom: f64) -> f64 {
         (self.residual_squares / degrees_of_freedom / self.abscissa_squares).sqrt()
     }
--- a/crates/scale-test/src/sweep.rs
+++ b/crates/scale-test/src/sweep.rs
@@ -1,6 +1,6 @@
-//! Sweeps: one number of a run is varied, the others stay at a base point, and each figure is fitted over it.
+//! Sweeps: one setting is varied while the others stay at a base point, and each metric is fitted over its values.
 //!
-//! A sweep knows nothing of how a run is made; a [`Runner`] makes them.
+//! Decides the order of the runs and retries unusable ones. How a run is made is up to a [`Runner`].
 
 use std::collections::BTreeMap;
 
@@ -20,16 +20,16 @@
 pub use plan::{AxisPlan, Base, MIN_REPEATS, PlanError, SweepPlan};
 pub use report::{AxisReport, FitResult, MetricReport, Point, SweepReport, UnusableRun};
 
-/// Attempts at a run: one that is unusable is made once more.
-const ATTEMPTS: usize = 2;
+/// The number of attempts at a run: an unusable one is retried once.
+const MAX_ATTEMPTS: usize = 2;
 
 /// Makes the runs of a sweep.
 pub trait Runner {
     /// Why a run could not be made at all.
     type Error;
 
-    /// Makes one run at the base point, with one axis at a value. Repeats are counted from 0; a run that is
-    /// made again has the number of the one that it replaces.
+    /// Makes one run at the base point, with one axis at a value. Repeats are counted from 0; a retried run has the
+    /// number of the run that it replaces.
     ///
     /// # Errors
     ///
@@ -37,29 +37,29 @@
     fn run(&mut self, axis: Axis, value: f64, repeat: u32) -> Result<Measured, Self::Error>;
 }
 
-/// What one run measured.
+/// The measurements of one run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Measured {
-    /// The figures that the run has.
+    /// The metrics that the run has.
     pub metrics: BTreeMap<Metric, f64>,
-    /// Why the run cannot be used, where it cannot: its own load was late, a process died, and the like.
+    /// Why the run is unusable, if it is: its own load was late, the machine was full, and the like.
     pub unusable: Option<String>,
 }
 
 impl Measured {
-    /// Why the run is left out, if it is. Figures that are not finite make it unusable too.
-    fn fault(&self) -> Option<String> {
-        let odd = || self.metrics.iter().find(|(_, figure)| !figure.is_finite());
+    /// Returns why the run is unusable, if it is. A metric that is not finite makes it unusable, too.
+    fn unusable_reason(&self) -> Option<String> {
+        let not_finite = || self.metrics.iter().find(|(_, value)| !value.is_finite());
         self.unusable
             .clone()
-            .or_else(|| odd().map(|(metric, figure)| format!("{metric} is {figure}")))
+            .or_else(|| not_finite().map(|(metric, value)| format!("{metric} is {value}")))
     }
 }
 
 /// Why a sweep ended without a report.
 #[derive(Debug, Error)]
 pub enum SweepError<E> {
-    /// The plan cannot be swept; no run was made.
+    /// The plan is invalid. No run was made.
     #[error(transparent)]
     Plan(#[from] PlanError),
     /// A run could not be made.
@@ -71,14 +71,14 @@
         value: f64,
         /// The repeat, from 0.
         repeat: u32,
-        /// What the runner said.
+        /// The error of the runner.
         source: E,
-        /// What was measured before, marked as partial.
+        /// The report of what was measured before, marked as partial.
         before: Box<SweepReport>,
     },
 }
 
-/// How far a sweep is.
+/// The progress of a sweep.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Progress {
     /// The axis that is varied.
@@ -87,34 +87,34 @@
     pub value: f64,
     /// The repeat, from 0.
     pub repeat: u32,
-    /// Runs that are done, of all axes; one that is made again counts once.
+    /// Completed runs, of all axes. A retried run counts once.
     pub done: usize,
-    /// Runs that the plan asks for, of all axes.
+    /// Planned runs, of all axes.
     pub total: usize,
-    /// What happened.
+    /// The event that is reported.
     pub event: RunEvent,
 }
 
-/// What happened in a sweep.
+/// An event of one run of a sweep.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEvent {
-    /// A run starts.
+    /// The run starts.
     Started,
-    /// It was unusable, and is made again.
+    /// The run was unusable, and is retried.
     Retried {
-        /// Why it was unusable.
+        /// Why the run was unusable.
         reason: String,
     },
-    /// It was measured.
+    /// The run was measured.
     Measured,
-    /// It was unusable each time, and is left out.
+    /// Every attempt was unusable, and the run is left out.
     LeftOut {
-        /// Why it was unusable the last time.
+        /// Why the last attempt was unusable.
         reason: String,
     },
 }
 
-/// One run of the plan, not made yet.
+/// One run of the plan.
 #[derive(Debug, Clone, Copy)]
 struct PlannedRun {
     axis: Axis,
@@ -125,13 +125,13 @@
 /// A planned run after its attempts.
 struct Outcome {
     run: PlannedRun,
-    /// None where every attempt was unusable.
+    /// `None` if every attempt was unusable.
     metrics: Option<BTreeMap<Metric, f64>>,
-    /// Why attempts were unusable.
+    /// The reasons of the unusable attempts.
     reasons: Vec<String>,
 }
 
-/// Sweeps each axis of the plan, and fits what was measured.
+/// Sweeps each axis of the plan, and fits the measurements.
 ///
 /// # Errors
 ///
@@ -142,7 +142,7 @@
     progress: &mut dyn FnMut(&Progress),
 ) -> Result<SweepReport, SweepError<R::Error>> {
     plan.check()?;
-    let total = plan.runs();
+    let total = plan.run_count();
     let mut done = 0;
     let mut report = SweepReport {
         base: plan.base.clone(),
@@ -152,7 +152,7 @@
     };
     for axis in &plan.axes {
         let mut outcomes = Vec::new();
-        for run in order(axis, plan.repeats) {
+        for run in run_order(axis, plan.repeats) {
             let PlannedRun {
                 axis: varied,
                 value,
@@ -189,9 +189,9 @@
     Ok(report)
 }
 
-/// The runs of an axis, round by round: a machine that drifts over minutes touches all values alike. Every
-/// other round goes backward, so that drift within rounds does not look like a slope either.
-fn order(axis: &AxisPlan, repeats: u32) -> Vec<PlannedRun> {
+/// Returns the runs of an axis, round by round, so that a slow drift of the machine affects all values alike. Every
+/// other round is reversed, so that drift within rounds does not look like a slope.
+fn run_order(axis: &AxisPlan, repeats: u32) -> Vec<PlannedRun> {
     let round = |repeat: u32| {
         let mut values = axis.values.clone();
         if repeat % 2 == 1 {
@@ -207,7 +207,7 @@
     (0..repeats).flat_map(round).collect()
 }
 
-/// Makes a run, and once more if it is unusable.
+/// Makes a run, and retries it if it is unusable.
 fn attempt<R: Runner>(
     run: PlannedRun,
     runner: &mut R,
@@ -222,7 +222,7 @@
     notify(RunEvent::Started);
     loop {
         let measured = runner.run(axis, value, repeat)?;
-        let Some(reason) = measured.fault() else {
+        let Some(reason) = measured.unusable_reason() else {
             notify(RunEvent::Measured);
             return Ok(Outcome {
                 run,
@@ -231,7 +231,7 @@
             });
         };
         reasons.push(reason.clone());
-        if reasons.len() == ATTEMPTS {
+        if reasons.len() == MAX_ATTEMPTS {
             notify(RunEvent::LeftOut { reason });
             return Ok(Outcome {
                 run,
--- a/crates/scale-test/src/sweep/axis.rs
+++ b/crates/scale-test/src/sweep/axis.rs
@@ -1,9 +1,9 @@
-//! The numbers of a run that a sweep can vary.
+//! The settings that a sweep can vary.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumIter, EnumString};
 
-/// A number of a run that is varied while the others stay.
+/// A setting that a sweep varies while the others stay. Each axis has a unit and default values.
 #[derive(
     Debug,
     Clone,
@@ -22,20 +22,20 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Axis {
-    /// Workers on the list.
+    /// The number of workers.
     Workers,
-    /// Tasks that stand.
+    /// The number of tasks that run at the start.
     #[serde(rename = "standing")]
     #[strum(serialize = "standing")]
     RunningTasks,
-    /// Starts a second.
+    /// Task arrivals per second.
     Rate,
-    /// Events a second on the list of workers.
+    /// Extra list events per second on the control feed.
     Events,
 }
 
 impl Axis {
-    /// What its values count.
+    /// Returns the unit of the values.
     pub fn unit(self) -> &'static str {
         match self {
             Axis::Workers => "workers",
@@ -45,8 +45,8 @@
         }
     }
 
-    /// The values of a sweep that names none: few enough that a sweep of all axes, with three repeats, takes
-    /// about a quarter of an hour at the sweep's usual times. Their largest are those of the target.
+    /// Returns the values of a sweep that names none. A sweep of all axes with three repeats takes about a quarter of an
+    /// hour. The largest values are those of the plan `target`.
     pub fn default_values(self) -> &'static [f64] {
         match self {
             Axis::Workers => &[100.0, 1_000.0, 2_500.0, 5_000.0, 7_300.0],
--- a/crates/scale-test/src/sweep/metric.rs
+++ b/crates/scale-test/src/sweep/metric.rs
@@ -1,9 +1,9 @@
-//! The figures that a run can have.
+//! The metrics that a run can have.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumIter, EnumString};
 
-/// A figure of a run.
+/// A metric of a run. Metrics are keys of reports, and have units but no values of their own.
 #[derive(
     Debug,
     Clone,
@@ -22,13 +22,13 @@
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
 pub enum Metric {
-    /// CPU time of a placer, as a share of one core.
+    /// CPU time of a placer, as a percentage of one core.
     CpuShare,
-    /// The part of it that the control feed takes, where it is known.
+    /// The part of the CPU time that is spent on the control feed, if known.
     ControlCpu,
-    /// Largest resident memory of a placer.
+    /// Peak resident memory of a placer.
     PeakRssKb,
-    /// Memory of a placer, with shared pages divided among those that share them.
+    /// Memory of a placer, with shared pages divided among the processes that share them.
     PssKb,
     /// Bytes that a placer reads from the control feed.
     ControlInBytes,
@@ -38,26 +38,26 @@
     ControlMessages,
     /// Bytes between a placer, its clients and its workers.
     ServiceBytes,
-    /// Events that came on the control feed.
+    /// Events on the control feed.
     FeedEvents,
-    /// Entries of the list that these events held.
+    /// Entries in these events.
     FeedEntries,
-    /// Descriptors that a placer holds.
+    /// Open descriptors of a placer.
     Descriptors,
-    /// Time from a placer's start until it is ready.
+    /// Time from the start of a placer until it is ready.
     ReadyMs,
-    /// Time from a request until its task starts: median.
+    /// Time from the arrival of a task to its start: median.
     StartP50Ms,
-    /// The same: 99th percentile.
+    /// Time from the arrival of a task to its start: 99th percentile.
     StartP99Ms,
-    /// The same for urgent tasks: 99th percentile.
+    /// Time from the arrival of an urgent task to its start: 99th percentile.
     UrgentP99Ms,
-    /// CPU time for each event of the list.
+    /// CPU time of the placers for each event of the feed.
     CpuPerEventMicros,
 }
 
 impl Metric {
-    /// The unit of its figures.
+    /// Returns the unit of the values.
     pub fn unit(self) -> &'static str {
         match self {
             Metric::CpuShare | Metric::ControlCpu => "% of a core",
--- a/crates/scale-test/src/sweep/plan.rs
+++ b/crates/scale-test/src/sweep/plan.rs
@@ -1,4 +1,4 @@
-//! What a sweep is asked to do.
+//! The plan of a sweep, and its checks.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -6,36 +6,36 @@
 use super::Axis;
 use crate::fit::MIN_SIZES;
 
-/// Repeats of each value without which its noise is not known.
+/// The smallest number of repeats. With fewer, the noise is unknown.
 pub const MIN_REPEATS: u32 = 3;
 
-/// The point at which all axes stay but the one that is varied.
+/// The base point, at which all axes stay except the one that is varied.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Base {
-    /// What runs there, in words or as a plan's name.
+    /// A description, or the name of a plan.
     pub description: String,
-    /// Workers on the list.
+    /// The number of workers.
     pub workers: f64,
-    /// Tasks that stand.
+    /// The number of tasks that run at the start.
     #[serde(rename = "standing")]
     pub running_tasks: f64,
-    /// Starts a second.
+    /// Task arrivals per second.
     pub rate: f64,
-    /// Events a second on the list of workers.
+    /// Extra list events per second.
     pub events: f64,
 }
 
-/// An axis and the values that it takes.
+/// An axis and its values.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AxisPlan {
-    /// What is varied.
+    /// The axis.
     pub axis: Axis,
-    /// Its values, in the order of the first round.
+    /// The values, in the order of the first round.
     pub values: Vec<f64>,
 }
 
 impl AxisPlan {
-    /// The axis with its default values.
+    /// Returns the axis with its default values.
     pub fn with_default_values(axis: Axis) -> AxisPlan {
         AxisPlan {
             axis,
@@ -43,20 +43,20 @@
         }
     }
 
-    /// The axis with its default values, all made smaller by one factor if the largest is over a limit.
+    /// Returns the axis with its default values, all scaled down by one factor if the largest exceeds a limit.
     pub fn with_default_values_up_to(axis: Axis, limit: f64) -> AxisPlan {
         let plan = AxisPlan::with_default_values(axis);
         let largest = plan.values.iter().copied().fold(0.0, f64::max);
         if largest <= limit {
             return plan;
         }
-        let smaller = plan
+        let scaled = plan
             .values
             .iter()
             .map(|value| (value * limit / largest).floor());
         AxisPlan {
             axis,
-            values: smaller.collect(),
+            values: scaled.collect(),
         }
     }
 }
@@ -64,15 +64,15 @@
 /// A sweep over one or more axes, one after the other.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SweepPlan {
-    /// Where the other axes stay.
+    /// The base point of the other axes.
     pub base: Base,
-    /// What is varied.
+    /// The axes that are varied.
     pub axes: Vec<AxisPlan>,
     /// Runs of each value.
     pub repeats: u32,
 }
 
-/// Why a plan cannot be swept.
+/// Why a plan is invalid.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum PlanError {
     /// No axis is named.
@@ -89,10 +89,10 @@
     TooFewValues {
         /// The axis.
         axis: Axis,
-        /// Its distinct values.
+        /// The number of distinct values.
         found: usize,
     },
-    /// A value stands twice, which would give it more repeats than others.
+    /// A value is given twice, so it would have more repeats than others.
     #[error("{axis}: the value {value} stands twice")]
     ValueTwice {
         /// The axis.
@@ -108,16 +108,16 @@
         /// The value.
         value: f64,
     },
-    /// Too few repeats to know the noise.
+    /// Too few repeats to estimate the noise.
     #[error("{found} repeats, and a sweep needs at least {MIN_REPEATS}")]
     TooFewRepeats {
-        /// Repeats asked for.
+        /// The number of repeats.
         found: u32,
     },
 }
 
 impl SweepPlan {
-    /// Whether it can be swept; names the first thing that keeps it from that.
+    /// Checks that the plan can be swept.
     ///
     /// # Errors
     ///
@@ -143,8 +143,8 @@
         Ok(())
     }
 
-    /// Runs that it asks for.
-    pub fn runs(&self) -> usize {
+    /// Returns the number of planned runs.
+    pub fn run_count(&self) -> usize {
         let values: usize = self.axes.iter().map(|axis| axis.values.len()).sum();
         values * self.repeats as usize
     }
@@ -153,11 +153,11 @@
 impl AxisPlan {
     fn check(&self) -> Result<(), PlanError> {
         let axis = self.axis;
-        let bad = self
+        let invalid = self
             .values
             .iter()
             .find(|value| !value.is_finite() || **value < 0.0);
-        if let Some(&value) = bad {
+        if let Some(&value) = invalid {
             return Err(PlanError::BadValue { axis, value });
         }
         let mut sorted = self.values.clone();
@@ -169,8 +169,8 @@
                 found: distinct,
             });
         }
-        let twice = sorted.windows(2).find(|pair| pair[0] == pair[1]);
-        twice.map_or(Ok(()), |pair| {
+        let repeated = sorted.windows(2).find(|pair| pair[0] == pair[1]);
+        repeated.map_or(Ok(()), |pair| {
             Err(PlanError::ValueTwice {
                 axis,
                 value: pair[0],
--- a/crates/scale-test/src/sweep/report.rs
+++ b/crates/scale-test/src/sweep/report.rs
@@ -1,4 +1,4 @@
-//! What a sweep found, as data.
+//! The report of a sweep, as data.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,81 +7,81 @@
 use super::{Axis, AxisPlan, Base, Metric, Outcome};
 use crate::fit::Fit;
 
-/// What a sweep found.
+/// The report of a sweep.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SweepReport {
-    /// The point at which the other axes stayed.
+    /// The base point of the other axes.
     pub base: Base,
-    /// Runs that were asked for at each value.
+    /// The planned number of runs at each value.
     pub repeats: u32,
-    /// Whether a run that failed has ended the sweep: what follows is all that was measured before.
+    /// Whether a failed run has ended the sweep, so that later axes and values are missing.
     pub partial: bool,
-    /// The axes, in the order in which they were swept.
+    /// The axes, in the order of the sweep.
     pub axes: Vec<AxisReport>,
 }
 
-/// What was found along one axis.
+/// The report of one axis.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AxisReport {
-    /// What was varied.
+    /// The axis.
     pub axis: Axis,
-    /// Its values.
+    /// The values of the axis.
     pub values: Vec<f64>,
-    /// Each figure that at least one run had.
+    /// The metrics that at least one run had.
     pub metrics: BTreeMap<Metric, MetricReport>,
-    /// Runs of which an attempt was unusable.
+    /// The runs with an unusable attempt.
     pub unusable: Vec<UnusableRun>,
 }
 
-/// One figure along one axis.
+/// One metric along one axis.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MetricReport {
-    /// Every usable run that had the figure.
+    /// Every usable run that had the metric.
     pub points: Vec<Point>,
-    /// What they follow.
+    /// The fit of the points.
     #[serde(rename = "verdict")]
     pub result: FitResult,
 }
 
-/// A figure of one run.
+/// A metric of one run.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// The axis's value.
+    /// The value of the axis.
     pub value: f64,
     /// The repeat, from 0.
     pub repeat: u32,
-    /// The figure.
+    /// The measured value of the metric.
     pub measured: f64,
 }
 
-/// The fit of a figure, or why there is none.
+/// The fit of a metric, or why there is none.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FitResult {
-    /// The line, and the shape of the points.
+    /// The fitted line, and the shape of the points.
     Fitted(Fit),
-    /// Too few usable runs had the figure.
+    /// Too few usable runs had the metric.
     NotFitted {
         /// What was missing.
         reason: String,
     },
 }
 
-/// A run of which an attempt was unusable.
+/// A run with an unusable attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UnusableRun {
-    /// The axis's value.
+    /// The value of the axis.
     pub value: f64,
     /// The repeat, from 0.
     pub repeat: u32,
-    /// Why, one reason for each unusable attempt.
+    /// The reason of each unusable attempt.
     pub reasons: Vec<String>,
-    /// Whether a further attempt could be used. If not, the run is left out of all fits.
+    /// Whether a later attempt was usable. If not, the run is left out of all fits.
     pub replaced: bool,
 }
 
 impl SweepReport {
-    /// As JSON for programs, in lines for people.
+    /// Returns the report as indented JSON.
     ///
     /// # Errors
     ///
@@ -90,7 +90,7 @@
         serde_json::to_string_pretty(self)
     }
 
-    /// From what [`SweepReport::to_json`] gave.
+    /// Reads a report from the JSON of [`SweepReport::to_json`].
     ///
     /// # Errors
     ///
@@ -101,14 +101,14 @@
 }
 
 impl AxisReport {
-    /// Whether at least one figure has a fit.
+    /// Returns whether at least one metric has a fit.
     pub fn is_fitted(&self) -> bool {
         self.metrics
             .values()
             .any(|report| matches!(report.result, FitResult::Fitted(_)))
     }
 
-    /// Gathers and fits the outcomes of an axis's runs.
+    /// Collects and fits the outcomes of an axis's runs.
     pub(super) fn of(plan: &AxisPlan, outcomes: &[Outcome]) -> AxisReport {
         let metrics: BTreeSet<Metric> = outcomes
             .iter()
@@ -138,19 +138,16 @@
             .iter()
             .map(|point| (point.value, point.measured))
             .collect();
-        let verdict = match Fit::line(&pairs) {
+        let result = match Fit::line(&pairs) {
             Ok(fit) => FitResult::Fitted(fit),
             Err(error) => FitResult::NotFitted {
                 reason: error.to_string(),
             },
         };
-        MetricReport {
-            points,
-            result: verdict,
-        }
+        MetricReport { points, result }
     }
 
-    /// The median of the repeats at a value; none where no usable run had the figure.
+    /// Returns the median of the repeats at a value, or `None` if no usable run had the metric.
     pub fn median(&self, value: f64) -> Option<f64> {
         let at_value = self.points.iter().filter(|point| point.value == value);
         let mut repeats: Vec<f64> = at_value.map(|point| point.measured).collect();
--- a/crates/scale-test/src/sweep/table.rs
+++ b/crates/scale-test/src/sweep/table.rs
@@ -1,4 +1,4 @@
-//! What a sweep found, as text tables.
+//! The report of a sweep as text tables.
 
 use std::fmt;
 
@@ -7,13 +7,13 @@
 use super::{AxisReport, FitResult, Metric, MetricReport, SweepReport, UnusableRun};
 use crate::fit::Fit;
 
-/// Stands where there is no figure.
-const NONE: &str = "-";
+/// The cell of a missing value.
+const MISSING: &str = "-";
 
-/// Digits that a figure is shown with.
+/// The number of digits that a value is displayed with.
 const SIGNIFICANT_DIGITS: i32 = 4;
 
-/// Columns before those of the values: the figure and its unit.
+/// The number of columns before those of the values: the metric and its unit.
 const LABEL_COLUMNS: usize = 2;
 
 impl fmt::Display for SweepReport {
@@ -57,7 +57,7 @@
 
 impl fmt::Display for UnusableRun {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let fate = if self.replaced {
+        let outcome = if self.replaced {
             "made again"
         } else {
             "left out"
@@ -65,14 +65,14 @@
         let repeat = self.repeat + 1;
         write!(
             f,
-            "unusable at {}, repeat {repeat}: {}: {fate}",
+            "unusable at {}, repeat {repeat}: {}: {outcome}",
             self.value,
             self.reasons.join("; ")
         )
     }
 }
 
-/// One row for each figure.
+/// Returns the table of an axis, with one row for each metric.
 fn table(axis: &AxisReport) -> Table {
     let mut table = Table::new();
     table.load_preset(presets::NOTHING).set_header(header(axis));
@@ -88,48 +88,54 @@
 fn header(axis: &AxisReport) -> Vec<String> {
     let labels = ["figure", "unit"].map(String::from);
     let values = axis.values.iter().map(f64::to_string);
-    let verdict = ["slope", "intercept", "off at most", "exponent", "shape"].map(String::from);
-    labels.into_iter().chain(values).chain(verdict).collect()
+    let fit_columns = ["slope", "intercept", "off at most", "exponent", "shape"].map(String::from);
+    labels
+        .into_iter()
+        .chain(values)
+        .chain(fit_columns)
+        .collect()
 }
 
 fn row(metric: Metric, report: &MetricReport, values: &[f64]) -> Vec<String> {
     let labels = [metric.to_string(), metric.unit().to_string()];
     let medians = values
         .iter()
-        .map(|value| report.median(*value).map_or(NONE.to_string(), number));
-    let verdict = match &report.result {
-        FitResult::Fitted(fit) => fitted(fit),
-        FitResult::NotFitted { reason } => [NONE, NONE, NONE, NONE, reason].map(String::from),
+        .map(|value| report.median(*value).map_or(MISSING.to_string(), number));
+    let fit_cells = match &report.result {
+        FitResult::Fitted(fit) => fit_row(fit),
+        FitResult::NotFitted { reason } => {
+            [MISSING, MISSING, MISSING, MISSING, reason].map(String::from)
+        }
     };
-    labels.into_iter().chain(medians).chain(verdict).collect()
+    labels.into_iter().chain(medians).chain(fit_cells).collect()
 }
 
-fn fitted(fit: &Fit) -> [String; 5] {
-    let off = fit
+fn fit_row(fit: &Fit) -> [String; 5] {
+    let largest_distance = fit
         .largest_residual_part
         .map_or(number(fit.largest_residual), percent);
-    let exponent = fit.exponents.map_or(NONE.to_string(), |exponents| {
+    let exponent = fit.exponents.map_or(MISSING.to_string(), |exponents| {
         format!("{:.2}", exponents.best)
     });
     [
         number(fit.slope),
         number(fit.intercept),
-        off,
+        largest_distance,
         exponent,
         fit.shape.to_string(),
     ]
 }
 
-fn percent(part: f64) -> String {
-    format!("{:.1} %", part * 100.0)
+fn percent(fraction: f64) -> String {
+    format!("{:.1} %", fraction * 100.0)
 }
 
-/// Rounded to [`SIGNIFICANT_DIGITS`], without cutting whole digits.
-fn number(figure: f64) -> String {
-    if figure == 0.0 {
+/// Formats a value with [`SIGNIFICANT_DIGITS`], and never fewer than all digits before the point.
+fn number(value: f64) -> String {
+    if value == 0.0 {
         return "0".to_string();
     }
-    let whole_digits = figure.abs().log10().floor() as i32 + 1;
+    let whole_digits = value.abs().log10().floor() as i32 + 1;
     let decimals = usize::try_from(SIGNIFICANT_DIGITS - whole_digits).unwrap_or(0);
-    format!("{figure:.decimals$}")
+    format!("{value:.decimals$}")
 }
--- a/crates/scale-test/src/sweep/tests/order.rs
+++ b/crates/scale-test/src/sweep/tests/order.rs
@@ -57,7 +57,7 @@
             .iter()
             .all(|(axis, ..)| *axis == Axis::RunningTasks)
     );
-    assert_eq!(runner.runs.len(), plan.runs());
+    assert_eq!(runner.runs.len(), plan.run_count());
     let axes: Vec<Axis> = report.axes.iter().map(|axis| axis.axis).collect();
     assert_eq!(axes, [Axis::Rate, Axis::RunningTasks]);
 }
--- a/crates/scale-test/src/sweep_runner.rs
+++ b/crates/scale-test/src/sweep_runner.rs
@@ -1,4 +1,4 @@
-//! Makes the runs of a sweep: real placers among hollow workers, at settings with one number replaced.
+//! Makes the runs of a sweep: real placers and hollow workers, at settings with one value replaced.
 
 use crate::error::RunError;
 use crate::process_sample::Sampler;
@@ -14,56 +14,56 @@
 
 pub use metrics::metrics;
 
-/// The part of the workers' room that the default values of the standing axis fill at most; the target fills just
-/// over half. Where workers are nearly full, what is measured is the search for room.
-const MAX_FILL: f64 = 0.6;
+/// The largest fraction of the workers' capacity that the default values of running tasks fill. The plan `target`
+/// fills just over half. On nearly full workers a run would measure the search for free capacity.
+const MAX_FILL_FRACTION: f64 = 0.6;
 
-/// Why a run of a sweep gave no figures.
+/// Why a run of a sweep has no measurements.
 #[derive(Debug, thiserror::Error)]
 pub enum SweepRunError {
     /// The run could not be carried out.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// A placer broke a rule: what such a run costs is of no interest.
+    /// A placer broke a rule, so the measurements mean nothing.
     #[error(
         "a rule is broken: {lost} lost, {started_twice} started twice, {answered_twice} answered twice, \
          {ended_wrongly} ended wrongly, {never_started} never started"
     )]
     RuleBroken {
-        /// Tasks lost.
+        /// Lost tasks.
         lost: u64,
-        /// Tasks started twice that must not be.
+        /// Non-idempotent tasks that were started twice.
         started_twice: u64,
-        /// Tasks answered twice.
+        /// Tasks that were answered twice.
         answered_twice: u64,
-        /// Tasks told to be over while their workers held them.
+        /// Tasks reported as ended while a worker still ran them.
         ended_wrongly: u64,
-        /// Tasks answered that no worker has started.
+        /// Answered tasks that no worker has started.
         never_started: u64,
     },
 }
 
-/// A run of a sweep that can't be made, found before the first run.
+/// A point of a sweep that cannot be run, found before the first run.
 #[derive(Debug, thiserror::Error)]
 #[error("{axis} {value}: {source}")]
 pub struct PointError {
     /// The axis that is varied.
     pub axis: Axis,
-    /// Its value.
+    /// The value of the axis.
     pub value: f64,
-    /// Why not.
+    /// Why the point cannot be run.
     pub source: RunError,
 }
 
-/// Runs real placers.
+/// A runner with real placers.
 pub struct ScaleRunner<'a> {
     /// The base point.
     pub settings: Settings,
-    /// The placer's program.
+    /// The path of the placer's program.
     pub program: PathBuf,
-    /// Reads what the placers use.
+    /// Samples the processes of the placers.
     pub sampler: &'a mut dyn Sampler,
-    /// Watches each run.
+    /// Observes each run.
     pub watcher: &'a mut dyn Watcher,
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// What a sweep takes of the result of a run.
+/// Returns the measurements of a run for a sweep.
 fn measured(result: &RunResult) -> Result<Measured, SweepRunError> {
     let fleet = &result.fleet;
     if fleet.rules_broken() > 0 {
@@ -97,7 +97,7 @@
     })
 }
 
-/// The settings of a run: those of the base point, with one number replaced.
+/// Returns the settings of the base point with one value replaced.
 ///
 /// # Errors
 ///
@@ -105,23 +105,24 @@
 pub fn settings_at(base: &Settings, axis: Axis, value: f64) -> Result<Settings, SettingsError> {
     let mut settings = base.clone();
     match axis {
-        Axis::Workers => settings.workers = whole(axis, value)?,
-        Axis::RunningTasks => settings.running_tasks = whole(axis, value)?,
+        Axis::Workers => settings.workers = whole_number(axis, value)?,
+        Axis::RunningTasks => settings.running_tasks = whole_number(axis, value)?,
         Axis::Rate => settings.rate = value,
         Axis::Events => settings.events = value,
     }
     Ok(settings)
 }
 
-fn whole(axis: Axis, value: f64) -> Result<u32, SettingsError> {
+/// Returns a value as a whole number.
+fn whole_number(axis: Axis, value: f64) -> Result<u32, SettingsError> {
     let in_range = value.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&value);
-    // Within its range, the cast gives the very number.
+    // Within the range, the cast is exact.
     let number = in_range.then_some(value as u32);
     number
         .ok_or_else(|| SettingsError::new(&axis.to_string(), "a whole number in its range", value))
 }
 
-/// The base point of these settings.
+/// Returns the base point of these settings.
 pub fn base_of(settings: &Settings, description: &str) -> Base {
     Base {
         description: description.to_string(),
@@ -132,19 +133,18 @@
     }
 }
 
-/// The axis with the default values that fit the base point: no more standing tasks than its workers have room
-/// for.
+/// Returns the axis with the default values that fit the base point, whose workers limit the running tasks.
 pub fn default_axis(base: &Settings, axis: Axis) -> AxisPlan {
     match axis {
         Axis::RunningTasks => {
-            let room = f64::from(base.workers) * f64::from(base.max_tasks_per_worker());
-            AxisPlan::with_default_values_up_to(axis, MAX_FILL * room)
+            let capacity = f64::from(base.workers) * f64::from(base.max_tasks_per_worker());
+            AxisPlan::with_default_values_up_to(axis, MAX_FILL_FRACTION * capacity)
         }
         Axis::Workers | Axis::Rate | Axis::Events => AxisPlan::with_default_values(axis),
     }
 }
 
-/// Refuses a plan of which a run can't be meant, or needs more than the machine has for it.
+/// Rejects a plan with a point that is invalid or needs more than the machine has.
 ///
 /// # Errors
 ///
--- a/crates/scale-test/src/sweep_runner/metrics.rs
+++ b/crates/scale-test/src/sweep_runner/metrics.rs
@@ -1,4 +1,4 @@
-//! The figures of a run that a sweep fits.
+//! The metrics of a run that a sweep fits.
 
 use crate::deployment::Class;
 use crate::results::{PlacerResult, RunResult};
@@ -8,24 +8,25 @@
 const PERCENT: f64 = 100.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// The figures of a run: means over its placers, but times to start, which are of the fleet. A figure that the run
-/// does not have is missing. [`Metric::ControlCpu`] always is: a run can't part it from the rest.
+/// Returns the metrics of a run: means over its placers, and times to start over all tasks. A metric without a value
+/// is missing. [`Metric::ControlCpu`] always is, as a run cannot separate it from the rest.
 pub fn metrics(result: &RunResult) -> BTreeMap<Metric, f64> {
-    let mut figures = BTreeMap::new();
-    for (metric, figure) in PLACER_METRICS {
-        if let Some(mean) = mean(result.placers.iter().filter_map(figure)) {
-            figures.insert(metric, mean);
+    let mut values = BTreeMap::new();
+    for (metric, value_of) in PLACER_METRICS {
+        if let Some(mean) = mean(result.placers.iter().filter_map(value_of)) {
+            values.insert(metric, mean);
         }
     }
-    figures.extend(start_times(result));
-    figures.extend(cpu_per_event(result).map(|micros| (Metric::CpuPerEventMicros, micros)));
-    figures
+    values.extend(start_times(result));
+    values.extend(cpu_per_event(result).map(|micros| (Metric::CpuPerEventMicros, micros)));
+    values
 }
 
-type PlacerFigure = fn(&PlacerResult) -> Option<f64>;
+/// Reads a metric from the result of a placer.
+type PlacerValue = fn(&PlacerResult) -> Option<f64>;
 
-/// How each figure of a placer is read from its result.
-const PLACER_METRICS: [(Metric, PlacerFigure); 11] = [
+/// How each metric of a placer is read from its result.
+const PLACER_METRICS: [(Metric, PlacerValue); 11] = [
     (Metric::CpuShare, |placer| {
         Some(PERCENT * placer.totals.cpu_share)
     }),
@@ -80,15 +81,15 @@
     found
 }
 
-/// All processor time of the placers for each event that they were told; none where they were told none.
+/// Returns the CPU time of all placers per event of their feeds, or `None` if there were no events.
 fn cpu_per_event(result: &RunResult) -> Option<f64> {
-    let sum = |figure: fn(&PlacerResult) -> f64| result.placers.iter().map(figure).sum::<f64>();
+    let sum = |value_of: fn(&PlacerResult) -> f64| result.placers.iter().map(value_of).sum::<f64>();
     let cores = sum(|placer| placer.totals.cpu_share);
     let events_per_s = sum(|placer| placer.totals.feed.events_per_s);
     (events_per_s > 0.0).then(|| MICROS_PER_SECOND * cores / events_per_s)
 }
 
-fn mean(figures: impl Iterator<Item = f64>) -> Option<f64> {
-    let figures: Vec<f64> = figures.collect();
-    (!figures.is_empty()).then(|| figures.iter().sum::<f64>() / figures.len() as f64)
+fn mean(values: impl Iterator<Item = f64>) -> Option<f64> {
+    let values: Vec<f64> = values.collect();
+    (!values.is_empty()).then(|| values.iter().sum::<f64>() / values.len() as f64)
 }
