--- a/crates/scale-test/src/audit.rs
+++ b/crates/scale-test/src/audit.rs
@@ -67,7 +67,7 @@
     *count += 1;
 }
 
-/// Counts a task that workers started more or less often than its client was told.
+/// Counts a task that workers started more often than it was set up, or never though it was answered.
 fn count_starts(
     totals: &mut FleetTotals,
     client_record: &TaskRecord,
--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -30,10 +30,10 @@
 /// The file name of the placer's program, in the folder of this one.
 const PLACER_PROGRAM: &str = "task-placer";
 
-/// Runs real placers among thousands of hollow workers, and tells what each costs by second.
+/// Runs real placers with thousands of hollow workers, and measures the resource usage of each placer by second.
 ///
-/// Exit codes: 0 good, 1 a run failed or was ended, 2 refused: it can't be meant or needs too much, 3 a rule is
-/// broken, 4 the figures are of no use.
+/// Exit codes: 0 success, 1 a run failed or was stopped, 2 rejected as invalid or as needing too much, 3 a rule is
+/// broken, 4 the measurements are unusable.
 #[derive(Debug, Parser)]
 #[command(name = "scale-test", version, max_term_width = 100)]
 struct Cli {
@@ -45,9 +45,9 @@
 enum Command {
     /// Run once and print the result
     Run(RunArgs),
-    /// Check settings and print what holds
+    /// Check settings and print the effective ones
     Check(SettingsArgs),
-    /// Run many times with one number varied, and fit each figure over it
+    /// Run many times with one setting varied, and fit each metric over it
     Sweep(sweep::SweepArgs),
 }
 
@@ -55,10 +55,10 @@
 struct RunArgs {
     #[command(flatten)]
     settings: SettingsArgs,
-    /// The placer's program; without it the one beside this program
+    /// The placer's program [default: the one in the folder of this program]
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Write the result there as JSON
+    /// Write the result to this file as JSON
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
--- a/crates/scale-test/src/cli/sweep.rs
+++ b/crates/scale-test/src/cli/sweep.rs
@@ -22,12 +22,12 @@
 /// The options of a sweep.
 #[derive(Debug, Args)]
 pub struct SweepArgs {
-    /// A TOML file with the settings of the base point; without it the plan of sweeps that comes with the package
+    /// A TOML file with the settings of the base point [default: the packaged plan sweep.toml]
     plan: Option<PathBuf>,
-    /// What is varied: workers, standing, rate, events; may be named several times [default: all]
+    /// The axis that is varied: workers, standing, rate, events; may be given several times [default: all]
     #[arg(long = "axis", value_name = "AXIS", value_parser = parse_axis)]
     axes: Vec<Axis>,
-    /// The values that the axis takes, at least four; needs exactly one --axis
+    /// The values of the axis, at least four; needs exactly one --axis
     #[arg(
         long,
         value_name = "A,B,C,D",
@@ -35,19 +35,19 @@
         allow_hyphen_values = true
     )]
     values: Vec<f64>,
-    /// Runs of each value
+    /// The number of runs at each value
     #[arg(long, default_value_t = 3)]
     repeats: u32,
-    /// Set one setting of the base point, as in the file: `--set workers=2000 --set life=60s`; goes before all else
+    /// Set one setting of the base point, as in the file: `--set workers=2000 --set life=60s`; takes precedence
     #[arg(long = "set", value_name = "NAME=VALUE")]
     set: Vec<String>,
-    /// The placer's program; without it the one beside this program
+    /// The placer's program [default: the one in the folder of this program]
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Time over which the figures of a run count, in seconds
+    /// The duration of the measurement in each run, in seconds
     #[arg(long, default_value_t = 8)]
     seconds: u64,
-    /// Write the report there as JSON; where a run fails, what was measured before, marked as partial
+    /// Write the report to this file as JSON; if a run fails, a partial report of the runs before it
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
--- a/crates/scale-test/src/cli/terminal.rs
+++ b/crates/scale-test/src/cli/terminal.rs
@@ -82,13 +82,13 @@
             started,
             refused,
             waiting,
-            active_tasks: held,
+            active_tasks,
             connections,
         } = progress;
         let label = self.label.borrow();
         self.show(&format!(
             "{label}{phase} {seconds} s: {started} started, {refused} refused, {waiting} wait, \
-             {held} held, {connections} connections"
+             {active_tasks} held, {connections} connections"
         ));
     }
 
--- a/crates/scale-test/src/run/machine/tests.rs
+++ b/crates/scale-test/src/run/machine/tests.rs
@@ -1,4 +1,4 @@
-//! Time of all processors, as the system tells it.
+//! Processor times as read from `/proc/stat`.
 
 use super::*;
 
--- a/crates/scale-test/src/settings/flags.rs
+++ b/crates/scale-test/src/settings/flags.rs
@@ -5,12 +5,12 @@
 use serde::de::DeserializeOwned;
 use std::path::PathBuf;
 
-/// Where the settings come from. Each flag has the name and the form of the setting in the file.
+/// The source of the settings. Each flag has the name and the form of the setting in the file.
 #[derive(Debug, Clone, Default, Args)]
 pub struct SettingsArgs {
-    /// A TOML file with settings; see the plans that come with the package
+    /// A TOML file with settings, such as the packaged plans
     pub plan: Option<PathBuf>,
-    /// Set one setting, as in the file: `--set workers=2000 --set life=60s`; goes before the file
+    /// Set one setting, as in the file: `--set workers=2000 --set life=60s`; takes precedence over the file
     #[arg(long = "set", value_name = "NAME=VALUE")]
     pub set: Vec<String>,
     /// Hollow workers
@@ -22,34 +22,34 @@
     /// Real placer processes
     #[arg(long)]
     pub placers: Option<String>,
-    /// Placers that the deployment's settings state
+    /// The number of placers in the deployment's settings
     #[arg(long)]
     pub instances: Option<String>,
-    /// Starts a second, over all placers that run
+    /// Task arrivals per second, over all placers that run
     #[arg(long)]
     pub rate: Option<String>,
-    /// Tasks that stand at the start
+    /// Tasks that run at the start
     #[arg(long)]
     pub standing: Option<String>,
-    /// Mean life of a task
+    /// Mean lifetime of a task
     #[arg(long)]
     pub life: Option<String>,
-    /// Time with load before the figures count
+    /// Time with load before the measurement
     #[arg(long)]
     pub warm_up: Option<String>,
-    /// Time over which the figures count
+    /// Duration of the measurement
     #[arg(long)]
     pub duration: Option<String>,
-    /// Seed of all that is drawn
+    /// Seed of all random numbers
     #[arg(long)]
     pub seed: Option<String>,
-    /// How the control feed tells changes: each-change, gathered
+    /// How the control feed groups changes: each-change, gathered
     #[arg(long)]
     pub feed: Option<String>,
     /// When placers connect to workers: on-demand, all
     #[arg(long)]
     pub connect: Option<String>,
-    /// Something that fails, as an inline table: `{ kind = "zone", zone = "z2", at = "5s", back-after = "5s" }`
+    /// A fault, as an inline table: `{ kind = "zone", zone = "z2", at = "5s", back-after = "5s" }`
     #[arg(long = "fault", value_name = "TABLE")]
     pub faults: Vec<String>,
 }
--- a/crates/scale-test/src/traffic/tests.rs
+++ b/crates/scale-test/src/traffic/tests.rs
@@ -86,10 +86,10 @@
             messages: 2
         }
     );
-    let told = FeedCounts {
+    let expected = FeedCounts {
         change_events: 2,
         entries_removed: 3,
         ..FeedCounts::default()
     };
-    assert_eq!(counters.feed() - feed, told);
+    assert_eq!(counters.feed() - feed, expected);
 }
--- a/crates/scale-test/src/wire.rs
+++ b/crates/scale-test/src/wire.rs
@@ -1,6 +1,6 @@
 //! The messages that hollow peers exchange with placers: pure functions between bytes and typed messages.
 //!
-//! The binary codec in [`binary`] stands a second time in `src/net/codec` of the placer, with the sides exchanged.
+//! The binary codec in [`binary`] has a counterpart in `src/net/codec` of the placer, with the sides exchanged.
 //! The two are separate on purpose: the test must not share the code that it tests, and the placer's codec is
 //! private to it.
 
--- a/crates/scale-test/src/wire/tests.rs
+++ b/crates/scale-test/src/wire/tests.rs
@@ -137,9 +137,9 @@
     assert_eq!(lines::read(offer), Ok(PlacerLine::Offer(read)));
     let release = br#"{"t":"down","ref":"0000000000000008","f":{},"c":16}"#;
     assert_eq!(lines::read(release), Ok(PlacerLine::Release { id: id() }));
-    let heard = br#"{"t":"ack","ref":"0000000000000008","f":{}}"#;
+    let acknowledged = br#"{"t":"ack","ref":"0000000000000008","f":{}}"#;
     assert_eq!(
-        lines::read(heard),
+        lines::read(acknowledged),
         Ok(PlacerLine::EndAcknowledged { id: id() })
     );
 }
--- a/crates/scale-test/tests/command_line.rs
+++ b/crates/scale-test/tests/command_line.rs
@@ -1,12 +1,12 @@
-//! The command line: what it refuses, what it prints, and that it leaves nothing behind.
+//! The command line: what it rejects, what it prints, its exit codes, and that it leaves nothing behind.
 
 use scale_test::sweep::SweepReport;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// No step takes longer.
-const LIMIT: Duration = Duration::from_secs(60);
+/// The longest wait for a condition.
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
 fn tool() -> Command {
     Command::new(env!("CARGO_BIN_EXE_scale-test"))
@@ -26,7 +26,7 @@
 fn invalid_settings_exit_with_2_and_one_line_that_names_them() {
     let small = plan("small.toml");
     let small = small.to_str().expect("a path");
-    for (args, says) in [
+    for (args, expected) in [
         (
             &["check", "--workers", "0"][..],
             "setting workers: expected 1 to 16384, found 0",
@@ -68,7 +68,7 @@
         let out = output(args);
         let line = String::from_utf8(out.stderr).expect("text");
         assert_eq!(out.status.code(), Some(2), "{args:?}: {line}");
-        assert!(line.contains(says), "{args:?}: {line}");
+        assert!(line.contains(expected), "{args:?}: {line}");
         assert_eq!(line.lines().count(), 1, "{args:?}: {line}");
         assert!(out.stdout.is_empty(), "{args:?}");
     }
@@ -79,43 +79,47 @@
 fn invalid_sweep_exits_with_2_and_one_line_before_any_run() {
     let small = plan("small.toml");
     let small = small.to_str().expect("a path");
-    let of_workers = |rest: &[&'static str]| [&["sweep", "--axis", "workers"][..], rest].concat();
-    for (args, says) in [
+    let sweep_of_workers =
+        |rest: &[&'static str]| [&["sweep", "--axis", "workers"][..], rest].concat();
+    for (args, expected) in [
         (
-            of_workers(&["--values", "20,40,60"]),
+            sweep_of_workers(&["--values", "20,40,60"]),
             "workers: 3 distinct values, and a fit needs at least 4",
         ),
         (
-            of_workers(&["--values", "20,40,60,80,80"]),
+            sweep_of_workers(&["--values", "20,40,60,80,80"]),
             "workers: the value 80 stands twice",
         ),
         (
-            of_workers(&["--values", "-20,40,60,80"]),
+            sweep_of_workers(&["--values", "-20,40,60,80"]),
             "workers: the value -20 is below 0",
         ),
         (
-            of_workers(&["--values", "80.5,200,400,600"]),
+            sweep_of_workers(&["--values", "80.5,200,400,600"]),
             "workers 80.5: setting workers: expected a whole number in its range, found 80.5",
         ),
         (
-            of_workers(&["--values", "20,40,60,many"]),
+            sweep_of_workers(&["--values", "20,40,60,many"]),
             "invalid value 'many' for '--values",
         ),
         (
-            of_workers(&["--repeats", "2"]),
+            sweep_of_workers(&["--repeats", "2"]),
             "2 repeats, and a sweep needs at least 3",
         ),
-        (of_workers(&["--axis", "workers"]), "workers: named twice"),
         (
-            of_workers(&["--seconds", "0"]),
+            sweep_of_workers(&["--axis", "workers"]),
+            "workers: named twice",
+        ),
+        (
+            sweep_of_workers(&["--seconds", "0"]),
             "setting duration: expected 1s to 1day, found 0s",
         ),
         (
-            of_workers(&["--set", "sead=1"]),
+            sweep_of_workers(&["--set", "sead=1"]),
             "setting sead: expected the name of a setting, found sead=1",
         ),
         (
-            of_workers(&["--set", "standing=4000"]),
+            sweep_of_workers(&["--set", "standing=4000"]),
             "workers 100: setting standing: expected at most the 3200 that 100 workers of 32 tasks hold",
         ),
         (
@@ -138,13 +142,13 @@
         let out = output(&args);
         let line = String::from_utf8(out.stderr).expect("text");
         assert_eq!(out.status.code(), Some(2), "{args:?}: {line}");
-        assert!(line.contains(says), "{args:?}: {line}");
+        assert!(line.contains(expected), "{args:?}: {line}");
         assert_eq!(line.lines().count(), 1, "{args:?}: {line}");
         assert!(out.stdout.is_empty(), "{args:?}");
     }
 }
 
-/// A run that needs more memory and descriptors than any machine gives to one.
+/// Settings of a run that needs more memory and descriptors than any machine has.
 const HUGE: [&str; 6] = [
     "--set",
     "workers=16384",
@@ -156,11 +160,11 @@
 
 #[test]
 fn run_that_needs_too_much_exits_with_2_and_one_line_for_each_excess() {
-    let of_rate = ["sweep", "--axis", "rate"];
+    let sweep_of_rate = ["sweep", "--axis", "rate"];
     for (command, prefix) in [
         (&["run"][..], ""),
         (&["check"], ""),
-        (&of_rate, "rate 20: "),
+        (&sweep_of_rate, "rate 20: "),
     ] {
         let out = output(&[command, &HUGE].concat());
         let lines = String::from_utf8(out.stderr).expect("text");
@@ -280,7 +284,7 @@
     assert!(line.contains("ended by itself"), "{line}");
 }
 
-/// Ends with its test.
+/// A child process that is killed when its test ends.
 struct Running(Child);
 
 impl Drop for Running {
@@ -290,10 +294,11 @@
     }
 }
 
-fn until<T>(what: &str, mut look: impl FnMut() -> Option<T>) -> T {
-    let end = Instant::now() + LIMIT;
+/// Polls until a value is there, and fails after [`WAIT_LIMIT`].
+fn wait_until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
+    let end = Instant::now() + WAIT_LIMIT;
     loop {
-        if let Some(found) = look() {
+        if let Some(found) = poll() {
             return found;
         }
         assert!(Instant::now() < end, "in vain: {what}");
@@ -301,14 +306,15 @@
     }
 }
 
-/// The processes that this one has started.
+/// Returns the child processes of a process.
 fn children(id: u32) -> Vec<u32> {
     let tasks = std::fs::read_dir(format!("/proc/{id}/task"))
         .into_iter()
         .flatten()
         .flatten();
-    let lists = tasks.filter_map(|task| std::fs::read_to_string(task.path().join("children")).ok());
-    lists
+    let child_lists =
+        tasks.filter_map(|task| std::fs::read_to_string(task.path().join("children")).ok());
+    child_lists
         .flat_map(|list| {
             list.split_whitespace()
                 .filter_map(|id| id.parse().ok())
@@ -320,8 +326,9 @@
 #[test]
 fn sigterm_ends_the_run_and_every_placer() {
     let program = std::env::var_os("TASK_PLACER_BIN").map(PathBuf::from);
-    let beside = PathBuf::from(env!("CARGO_BIN_EXE_scale-test")).with_file_name("task-placer");
-    let program = program.unwrap_or(beside);
+    let default_program =
+        PathBuf::from(env!("CARGO_BIN_EXE_scale-test")).with_file_name("task-placer");
+    let program = program.unwrap_or(default_program);
     let mut command = tool();
     command
         .args(["run", "--duration", "1h", "--program"])
@@ -332,18 +339,18 @@
         .spawn()
         .expect("it runs");
     let mut running = Running(child);
-    let placers = until("three placers", || {
+    let placers = wait_until("three placers", || {
         let found = children(running.0.id());
         (found.len() == 3).then_some(found)
     });
     let id = rustix::process::Pid::from_child(&running.0);
     rustix::process::kill_process(id, rustix::process::Signal::TERM).expect("it runs");
-    let status = until("its end", || running.0.try_wait().expect("a child"));
+    let status = wait_until("its end", || running.0.try_wait().expect("a child"));
     assert_eq!(status.code(), Some(1));
     for placer in placers {
         assert!(
             !Path::new(&format!("/proc/{placer}")).exists(),
-            "placer {placer} lives"
+            "placer {placer} is alive"
         );
     }
 }
--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -1,4 +1,4 @@
-//! A run of the small plan with real placers: counts and rules. No times are judged.
+//! Runs of small plans with real placers. Counts and rules are checked, times are not.
 
 use scale_test::results::PlacerResult;
 use scale_test::sample::ProcSampler;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use strum::IntoEnumIterator;
 
-/// The placer's program: `TASK_PLACER_BIN`, or the one beside the test that runs.
+/// Returns the placer's program: `TASK_PLACER_BIN`, or the one in the target folder of this test.
 fn program() -> PathBuf {
     if let Some(named) = std::env::var_os("TASK_PLACER_BIN") {
         return PathBuf::from(named);
@@ -72,11 +72,14 @@
     assert_eq!(fleet.garbage_dropped, fleet.garbage_sent);
 
     assert_eq!(result.processes, 4);
-    result.placers.iter().for_each(|placer| adds_up(placer, 14));
+    result
+        .placers
+        .iter()
+        .for_each(|placer| assert_adds_up(placer, 14));
 }
 
-/// Control and service together are all that went through the sockets, and rows are within it.
-fn adds_up(placer: &PlacerResult, seconds: usize) {
+/// Checks that control and service traffic add up to all bytes of the sockets, and that the rows are part of them.
+fn assert_adds_up(placer: &PlacerResult, seconds: usize) {
     let traffic = &placer.all_traffic;
     let total = traffic.total();
     assert_eq!(
@@ -117,7 +120,7 @@
     assert!(placer.totals.feed.entries_per_s > 0.0);
 }
 
-/// A run of two seconds.
+/// Settings of a run of two seconds.
 fn short() -> Settings {
     Settings {
         workers: 40,
@@ -151,7 +154,7 @@
         result.fleet.due
     );
     for placer in &result.placers {
-        adds_up(placer, 2);
+        assert_adds_up(placer, 2);
         let mut feed = FeedCounts::default();
         placer.seconds.iter().for_each(|row| feed += row.feed);
         assert!(
