--- a/crates/scale-test/src/audit.rs
+++ b/crates/scale-test/src/audit.rs
@@ -58,7 +58,7 @@
         TaskState::Running(_) | TaskState::Ended(_) => &mut totals.started,
         TaskState::Refused => &mut totals.refused,
         TaskState::Failed => &mut totals.failed,
-        TaskState::PlacerKilled => &mut totals.cut,
+        TaskState::PlacerKilled => &mut totals.placer_killed,
         TaskState::NoPlacer => &mut totals.no_placer,
         TaskState::Waiting { .. } | TaskState::Unanswered | TaskState::ConnectionLost => {
             &mut totals.lost
@@ -67,7 +67,7 @@
     *count += 1;
 }
 
-/// Counts a task that workers started more or less often than its client was told.
+/// Counts a task that workers started more often than it was set up, or never though it was answered.
 fn count_starts(
     totals: &mut FleetTotals,
     client_record: &TaskRecord,
--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -1,4 +1,4 @@
-//! A run of the small plan with real placers: counts and rules. No times are judged.
+//! Runs of small plans with real placers. Counts and rules are checked, times are not.
 
 use scale_test::results::PlacerResult;
 use scale_test::sample::ProcSampler;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use strum::IntoEnumIterator;
 
-/// The placer's program: `TASK_PLACER_BIN`, or the one beside the test that runs.
+/// Returns the placer's program: `TASK_PLACER_BIN`, or the one in the target folder of this test.
 fn program() -> PathBuf {
     if let Some(named) = std::env::var_os("TASK_PLACER_BIN") {
         return PathBuf::from(named);
@@ -43,7 +43,7 @@
 
     // Every task that was due has one end.
     assert_eq!(fleet.running_at_start, u64::from(settings.running_tasks));
-    let answered = fleet.started + fleet.refused + fleet.failed + fleet.cut;
+    let answered = fleet.started + fleet.refused + fleet.failed + fleet.placer_killed;
     assert_eq!((answered, fleet.no_placer), (fleet.due, 0));
     assert!(fleet.started > 0 && fleet.due > 500, "{fleet:?}");
 
@@ -72,11 +72,14 @@
     assert_eq!(fleet.garbage_dropped, fleet.garbage_sent);
 
     assert_eq!(result.processes, 4);
-    result.placers.iter().for_each(|placer| adds_up(placer, 14));
+    result
+        .placers
+        .iter()
+        .for_each(|placer| assert_adds_up(placer, 14));
 }
 
-/// Control and service together are all that went through the sockets, and rows are within it.
-fn adds_up(placer: &PlacerResult, seconds: usize) {
+/// Checks that control and service traffic add up to all bytes of the sockets, and that the rows are part of them.
+fn assert_adds_up(placer: &PlacerResult, seconds: usize) {
     let traffic = &placer.all_traffic;
     let total = traffic.total();
     assert_eq!(
@@ -96,7 +99,7 @@
         placer.name
     );
     assert!(
-        traffic.control.test.from_placer.messages > 0
+        traffic.control.health_check.from_placer.messages > 0
             && traffic.control.feed.to_placer.messages > 0
     );
     assert_eq!(
@@ -117,7 +120,7 @@
     assert!(placer.totals.feed.entries_per_s > 0.0);
 }
 
-/// A run of two seconds.
+/// Settings of a run of two seconds.
 fn short() -> Settings {
     Settings {
         workers: 40,
@@ -151,20 +154,23 @@
         result.fleet.due
     );
     for placer in &result.placers {
-        adds_up(placer, 2);
-        let mut told = FeedCounts::default();
-        placer.seconds.iter().for_each(|row| told += row.feed);
-        assert!(told.whole_events > 0 && told.number_lines > 0, "{told:?}");
+        assert_adds_up(placer, 2);
+        let mut feed = FeedCounts::default();
+        placer.seconds.iter().for_each(|row| feed += row.feed);
+        assert!(
+            feed.complete_list_events > 0 && feed.number_lines > 0,
+            "{feed:?}"
+        );
         // Each event of a change holds one entry, each whole list all workers.
         assert_eq!(
-            told.entries_up,
-            told.change_events + 40 * told.whole_events,
-            "{told:?}"
+            feed.entries_up,
+            feed.change_events + 40 * feed.complete_list_events,
+            "{feed:?}"
         );
-        assert_eq!(told.entries_removed, 0);
-        let called = placer.all_traffic.control.idle_worker.connections;
+        assert_eq!(feed.entries_removed, 0);
+        let idle_connections = placer.all_traffic.control.idle_worker.connections;
         assert!(
-            called + placer.all_traffic.service.worker.connections >= 40,
+            idle_connections + placer.all_traffic.service.worker.connections >= 40,
             "{:?}",
             placer.all_traffic
         );
