--- a/src/placement/attempts.rs
+++ b/src/placement/attempts.rs
@@ -5,7 +5,7 @@
 use crate::state::hosts::HostIndex;
 use crate::state::tasks::{CurrentAttempt, TaskRecord, UncertainAttempt};
 use crate::types::{
-    Acknowledgement, Action, Idempotency, Micros, Outcome, OutcomeDetail, RequestId,
+    Acknowledgement, Action, AttemptResult, Idempotency, Micros, Outcome, OutcomeDetail, RequestId,
 };
 
 /// An attempt is given up after this many latency objectives if hosts acknowledge it before the start: such a host answers at
@@ -14,16 +14,6 @@
 /// Own changes of a host's load are remembered for this many lags of the endpoint list.
 const REMEMBERED_LIST_LAGS: i64 = 2;
 
-/// How an attempt ended.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct AttemptResult {
-    pub(super) attempt: u32,
-    pub(super) outcome: Outcome,
-    pub(super) detail: OutcomeDetail,
-    /// The request is complete with it.
-    pub(super) is_done: bool,
-}
-
 /// What a record says about an attempt that has just ended.
 struct EndedAttempt {
     host: Option<HostIndex>,
--- a/src/placement/load_estimate.rs
+++ b/src/placement/load_estimate.rs
@@ -1,15 +1,11 @@
 //! How full hosts are: from what tasks request there and the part of it that they use.
 
 use super::placer::Placer;
+use super::usage_assumption::ASSUMED_USAGE_RATIO;
 use crate::state::hosts::Host;
 use crate::types::{KindId, ResourceKind, Resources};
 
-/// Used as a fraction of requested resources, before any usage is reported.
-pub(super) const ASSUMED_USAGE_RATIO: Resources = Resources {
-    cores: 0.5,
-    memory: 0.7,
-};
-/// The weight of that assumption, in mean tasks.
+/// The weight of the assumed usage ratio, in mean tasks.
 const ASSUMPTION_WEIGHT: f64 = 10.0;
 /// Bounds of the learned ratio of used to requested resources.
 const MIN_USAGE_RATIO: f64 = 0.05;
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -13,7 +13,7 @@
 //! | One of them is drawn by stochastic coordination (SCD) | `host_selection`, `arrival_rate`, `scd` |
 //! | The attempt, its timeout and its outcome | `attempts`, `concurrency_window` |
 //! | What may follow the outcome | `retry` |
-//! | Which hosts are in use at all | `working_set_selection`, `load_estimate` |
+//! | Which hosts are in use at all | `working_set_selection`, `load_estimate`, `usage_assumption` |
 //! | The endpoint list and the hosts' load reports | `endpoints`, `health_checks` |
 
 mod admission;
@@ -31,6 +31,7 @@
 mod retry;
 mod scd;
 mod slow_start;
+mod usage_assumption;
 mod working_set_selection;
 
 pub use placer::Placer;
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -1,8 +1,7 @@
 //! The placer: its state, and which function handles which event.
 
-use super::arrival_rate::ArrivalHistory;
-use super::attempts::AttemptResult;
-use super::load_estimate::ASSUMED_USAGE_RATIO;
+use super::usage_assumption::ASSUMED_USAGE_RATIO;
+use crate::state::arrivals::ArrivalHistory;
 use crate::state::health_book::HealthBook;
 use crate::state::hosts::HostTable;
 use crate::state::imposed_limits::ImposedLimits;
@@ -10,7 +9,9 @@
 use crate::state::tasks::TaskTable;
 use crate::state::timers::{TimerPurpose, Timers};
 use crate::state::working_set::WorkingSet;
-use crate::types::{Action, Event, Micros, ResourceKind, Settings, TaskReport, TimerToken};
+use crate::types::{
+    Action, AttemptResult, Event, Micros, ResourceKind, Settings, TaskReport, TimerToken,
+};
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
--- a/src/placement/working_set_selection.rs
+++ b/src/placement/working_set_selection.rs
@@ -3,8 +3,8 @@
 //! Every placer selects alike from the endpoint list, so that idle hosts stay idle without any coordination messages.
 
 use super::eligibility::MAX_FULLNESS;
-use super::load_estimate::ASSUMED_USAGE_RATIO;
 use super::placer::Placer;
+use super::usage_assumption::ASSUMED_USAGE_RATIO;
 use crate::state::hash::combine_hashes;
 use crate::state::health_book::Scope;
 use crate::state::hosts::HostIndex;
--- a/src/types/attempt.rs
+++ b/src/types/attempt.rs
@@ -52,6 +52,19 @@
     Drained,
 }
 
+/// The result of one attempt.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct AttemptResult {
+    /// The number of the attempt, counted from 0 for each request.
+    pub attempt: u32,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// Why.
+    pub detail: OutcomeDetail,
+    /// The request is complete with it.
+    pub is_done: bool,
+}
+
 /// What a host reports about a running task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskReport {
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -14,7 +14,7 @@
 mod task;
 
 pub use action::Action;
-pub use attempt::{Outcome, OutcomeDetail, TaskReport};
+pub use attempt::{AttemptResult, Outcome, OutcomeDetail, TaskReport};
 pub use endpoint::{Endpoint, EndpointState, UpdateKind};
 pub use event::Event;
 pub use ids::{
