--- a/crates/scale-test/src/budget.rs
+++ b/crates/scale-test/src/budget.rs
@@ -257,13 +257,13 @@
 ///
 /// Returns every [`Excess`] if the run needs too much of anything.
 pub fn check(need: &Need, machine: &Machine) -> Result<(), BudgetError> {
-    let found = [
+    let checks = [
         memory_excess(need, machine),
         descriptors_here_excess(need, machine),
         descriptors_placer_excess(need, machine),
         processes_excess(need),
     ];
-    let excesses: Vec<Excess> = found.into_iter().flatten().collect();
+    let excesses: Vec<Excess> = checks.into_iter().flatten().collect();
     if excesses.is_empty() {
         Ok(())
     } else {
--- a/crates/scale-test/src/clients/arrivals.rs
+++ b/crates/scale-test/src/clients/arrivals.rs
@@ -128,7 +128,8 @@
         random: ChaCha8Rng::seed_from_u64(seed),
         ..Arrivals::new(settings)
     };
-    let (workers, placers) = (settings.workers.max(1), u32::from(settings.placers.max(1)));
+    let workers = settings.workers.max(1);
+    let placers = u32::from(settings.placers.max(1));
     let task = |index: u32| {
         let placer = (index / workers + index) % placers;
         RunningTask {
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -292,7 +292,8 @@
 ) -> Result<RunResult, RunError> {
     let reports = environment.stop()?;
     let fleet = fleet_totals(settings, &reports.clients, &reports.workers, kills)?;
-    let (memory, processes) = (meter.memory(), 1 + usize::from(settings.placers));
+    let memory = meter.memory();
+    let processes = 1 + usize::from(settings.placers);
     let machine_busy = meter.machine_busy();
     let reason = late_reason(settings, &fleet).or_else(|| full_reason(settings, machine_busy));
     Ok(RunResult {
@@ -336,9 +337,9 @@
 
 /// Merges the times of all classes.
 fn all_times(classes: &[LatencyHistogram]) -> Result<LatencyHistogram, RunError> {
-    let mut all = LatencyHistogram::new().map_err(RunError::system("make a histogram"))?;
-    classes.iter().for_each(|times| all.merge(times));
-    Ok(all)
+    let mut merged = LatencyHistogram::new().map_err(RunError::system("make a histogram"))?;
+    classes.iter().for_each(|times| merged.merge(times));
+    Ok(merged)
 }
 
 /// Returns why the hollow peers' own lateness makes a run unusable, if it does.
--- a/crates/scale-test/src/run/environment.rs
+++ b/crates/scale-test/src/run/environment.rs
@@ -258,8 +258,9 @@
     /// Returns whether all running placers have passed a health check.
     pub fn all_ready(&self) -> bool {
         let ready = self.clients.state().ready;
-        let all = self.placers.iter().zip(ready);
-        all.into_iter()
+        self.placers
+            .iter()
+            .zip(ready)
             .all(|(slot, ready)| slot.process.id().is_none() || ready.is_some())
     }
 
@@ -319,7 +320,8 @@
         };
         slot.restarts += 1;
         slot.is_starting = true;
-        let (restarts, address) = (slot.restarts, slot.process.address());
+        let restarts = slot.restarts;
+        let address = slot.process.address();
         let text = self.configuration(placer, restarts, address)?;
         if let Some(slot) = self.placers.get_mut(placer.index()) {
             slot.process.restart(&text)?;
--- a/crates/scale-test/src/run/machine.rs
+++ b/crates/scale-test/src/run/machine.rs
@@ -13,7 +13,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MachineTime {
     idle: u64,
-    all: u64,
+    total: u64,
 }
 
 impl MachineTime {
@@ -35,18 +35,18 @@
             .ok()?;
         Some(MachineTime {
             idle: fields.get(IDLE_FIELD)? + fields.get(IO_WAIT_FIELD)?,
-            all: fields.iter().sum(),
+            total: fields.iter().sum(),
         })
     }
 
     /// Returns the fraction of processor time that was busy since an earlier reading.
     pub fn busy_since(self, before: MachineTime) -> f64 {
-        let all = self.all.saturating_sub(before.all);
+        let total = self.total.saturating_sub(before.total);
         let idle = self.idle.saturating_sub(before.idle);
-        if all == 0 {
+        if total == 0 {
             0.0
         } else {
-            1.0 - idle as f64 / all as f64
+            1.0 - idle as f64 / total as f64
         }
     }
 }
--- a/crates/scale-test/src/run/machine/tests.rs
+++ b/crates/scale-test/src/run/machine/tests.rs
@@ -10,7 +10,7 @@
         before,
         MachineTime {
             idle: 850,
-            all: 1_000
+            total: 1_000
         }
     );
     assert_eq!(after.busy_since(before), 0.5);
--- a/crates/scale-test/src/run/meter.rs
+++ b/crates/scale-test/src/run/meter.rs
@@ -142,20 +142,19 @@
 
     /// Returns the results of all placers, with their times from start to ready.
     pub fn finish(self, ready_ms: Vec<Vec<f64>>) -> Vec<PlacerResult> {
-        let all = self.placers.into_iter().zip(self.counters).zip(ready_ms);
-        let result = |(index, ((placer, counters), ready_ms)): (
-            u16,
-            ((PlacerMeter, Arc<PlacerCounters>), _),
-        )| {
-            PlacerResult {
+        let mut results = Vec::new();
+        for (index, ((placer, counters), ready_ms)) in
+            (0..).zip(self.placers.into_iter().zip(self.counters).zip(ready_ms))
+        {
+            results.push(PlacerResult {
                 name: PlacerId(index).to_string(),
                 ready_ms,
                 totals: totals(&placer),
                 all_traffic: counters.traffic(),
                 seconds: placer.rows,
-            }
-        };
-        (0..).zip(all).map(result).collect()
+            });
+        }
+        results
     }
 }
 
@@ -192,7 +191,8 @@
             Duration::ZERO
         };
         let cpu = sample.cpu.saturating_sub(before);
-        let (traffic, feed) = (counters.traffic(), counters.feed());
+        let traffic = counters.traffic();
+        let feed = counters.feed();
         let row = PlacerSecond {
             second: 0,
             measured: false,
--- a/crates/scale-test/src/sample.rs
+++ b/crates/scale-test/src/sample.rs
@@ -81,10 +81,10 @@
     Ok(status.vmhwm.unwrap_or(0))
 }
 
-fn missing(what: &str) -> io::Error {
+fn missing(field: &str) -> io::Error {
     io::Error::new(
         io::ErrorKind::NotFound,
-        format!("the kernel states no {what} for the process"),
+        format!("the kernel states no {field} for the process"),
     )
 }
 
--- a/crates/scale-test/src/socket.rs
+++ b/crates/scale-test/src/socket.rs
@@ -59,15 +59,14 @@
         kind: Option<TrafficKind>,
     ) -> io::Result<Connection> {
         registry.register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
-        let (inbox, outbox, uncounted) = (Vec::new(), Vec::new(), Uncounted::default());
         let connection = Connection {
             stream,
-            inbox,
-            outbox,
+            inbox: Vec::new(),
+            outbox: Vec::new(),
             written: 0,
             counters,
             kind,
-            uncounted,
+            uncounted: Uncounted::default(),
             ended: false,
         };
         if let Some(kind) = kind {
--- a/crates/scale-test/src/sweep_runner/metrics.rs
+++ b/crates/scale-test/src/sweep_runner/metrics.rs
@@ -62,12 +62,12 @@
     (Metric::ReadyMs, |placer| placer.ready_ms.first().copied()),
 ];
 
-/// Returns the times to start over the fleet.
+/// Returns the times to start over all tasks.
 fn start_times(result: &RunResult) -> Vec<(Metric, f64)> {
-    let mut found = Vec::new();
+    let mut metrics = Vec::new();
     let all = result.fleet.all_start_times;
     if all.count > 0 {
-        found.extend([
+        metrics.extend([
             (Metric::StartP50Ms, all.p50_ms),
             (Metric::StartP99Ms, all.p99_ms),
         ]);
@@ -77,8 +77,8 @@
         .start_times
         .iter()
         .find(|class| class.class == Class::Urgent.name());
-    found.extend(urgent.map(|class| (Metric::UrgentP99Ms, class.times.p99_ms)));
-    found
+    metrics.extend(urgent.map(|class| (Metric::UrgentP99Ms, class.times.p99_ms)));
+    metrics
 }
 
 /// Returns the CPU time of all placers per event of their feeds, or `None` if there were no events.
--- a/crates/scale-test/src/traffic/tests.rs
+++ b/crates/scale-test/src/traffic/tests.rs
@@ -64,7 +64,8 @@
         entries_up: 4,
         ..FeedCounts::default()
     });
-    let (traffic, feed) = (counters.traffic(), counters.feed());
+    let traffic = counters.traffic();
+    let feed = counters.feed();
     counters.add(
         TrafficKind::Feed,
         Direction::ToPlacer,
--- a/crates/scale-test/src/wire/binary.rs
+++ b/crates/scale-test/src/wire/binary.rs
@@ -180,19 +180,21 @@
 }
 
 fn description(parameters: &[u8]) -> Result<String, WireError> {
-    let value = find(parameters, code::DESCRIPTION)?.ok_or(WireError::BadField("description"))?;
+    let value =
+        find_parameter(parameters, code::DESCRIPTION)?.ok_or(WireError::BadField("description"))?;
     let text = std::str::from_utf8(value).map_err(|_| WireError::BadField("description"))?;
     Ok(text.to_string())
 }
 
 fn one_byte(parameters: &[u8]) -> Result<u8, WireError> {
-    match find(parameters, code::CAUSE)? {
+    match find_parameter(parameters, code::CAUSE)? {
         Some([cause]) => Ok(*cause),
         _ => Err(WireError::BadField("cause")),
     }
 }
 
-fn find(mut rest: &[u8], wanted: u8) -> Result<Option<&[u8]>, WireError> {
+/// Returns the value of the first parameter with a code, after checking the lengths of all parameters.
+fn find_parameter(mut rest: &[u8], wanted: u8) -> Result<Option<&[u8]>, WireError> {
     let mut found = None;
     while let Some((code, after)) = rest.split_first() {
         let (length, after) = after
--- a/crates/scale-test/src/wire/feed.rs
+++ b/crates/scale-test/src/wire/feed.rs
@@ -85,7 +85,8 @@
         free_cores,
         free_memory,
     } = listed;
-    let (address, block) = (worker.address(), worker.0 / WORKERS_PER_BLOCK);
+    let address = worker.address();
+    let block = worker.0 / WORKERS_PER_BLOCK;
     let health = if *is_up { "up" } else { "removed" };
     let _ = write!(
         out,
--- a/crates/scale-test/src/wire/lines.rs
+++ b/crates/scale-test/src/wire/lines.rs
@@ -129,7 +129,8 @@
 
 /// Writes that a worker lacks a resource for a task.
 pub fn full(out: &mut Vec<u8>, id: SetupId, lacking: NoCapacity) {
-    let (note, cause) = (lacking.note(), super::cause::FULL);
+    let note = lacking.note();
+    let cause = super::cause::FULL;
     write_line(
         out,
         format_args!(r#"{{"t":"down","ref":"{id}","f":{{"note":"{note}"}},"c":{cause}}}"#),
--- a/crates/scale-test/src/workers.rs
+++ b/crates/scale-test/src/workers.rs
@@ -183,14 +183,14 @@
 
     /// Returns the present load of all workers.
     pub fn state(&self) -> WorkerState {
-        let mut all = WorkerState::default();
+        let mut total = WorkerState::default();
         for group in &self.groups {
             let state = *group.state.lock().unwrap_or_else(PoisonError::into_inner);
-            all.active_tasks += state.active_tasks;
-            all.unacknowledged += state.unacknowledged;
-            all.connections += state.connections;
+            total.active_tasks += state.active_tasks;
+            total.unacknowledged += state.unacknowledged;
+            total.connections += state.connections;
         }
-        all
+        total
     }
 
     /// Returns the error on which a worker thread has ended, if one has.
@@ -207,16 +207,16 @@
     /// Returns the first error with which a thread ended.
     pub fn stop(mut self) -> io::Result<WorkerReport> {
         self.send(WorkerCommand::Stop);
-        let mut all = WorkerReport {
+        let mut merged = WorkerReport {
             audit: WorkerAudit::default(),
             lateness: LatencyHistogram::new()?,
         };
         for group in &mut self.groups {
             let report = group.thread.join()?;
-            all.audit.merge(&report.audit);
-            all.lateness.merge(&report.lateness);
+            merged.audit.merge(&report.audit);
+            merged.lateness.merge(&report.lateness);
         }
-        Ok(all)
+        Ok(merged)
     }
 }
 
--- a/crates/scale-test/src/workers/fleet.rs
+++ b/crates/scale-test/src/workers/fleet.rs
@@ -228,7 +228,8 @@
             .get_mut(&id)
             .filter(|active_task| active_task.phase == TaskPhase::Starting)?;
         active_task.phase = TaskPhase::Running;
-        let (task, lifetime) = (active_task.task, active_task.shape.lifetime);
+        let task = active_task.task;
+        let lifetime = active_task.shape.lifetime;
         self.audit.update(task, |record| {
             record.starts = record.starts.saturating_add(1)
         });
--- a/crates/scale-test/src/workers/thread/accept.rs
+++ b/crates/scale-test/src/workers/thread/accept.rs
@@ -40,7 +40,8 @@
             let Some(handle) = &listener.handle else {
                 return Ok(());
             };
-            let (placer, zone) = (listener.zone.placer, listener.zone.zone);
+            let placer = listener.zone.placer;
+            let zone = listener.zone.zone;
             match handle.accept() {
                 Ok((stream, _)) => self.add_connection(stream, placer, zone)?,
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return Ok(()),
