--- a/src/placement/admission.rs
+++ b/src/placement/admission.rs
@@ -1,16 +1,18 @@
-//! Load shedding: which requests are admitted, which are given up, and the limits that the fleet imposes.
+//! Load shedding: which requests are admitted and which are given up, and the limits that come from outside the module.
 
 use super::placer::Placer;
 use crate::state::imposed_limits::Admission;
 use crate::types::{Action, Limit, Micros, RequestId, Task};
 
 impl Placer {
-    /// Whether a request is admitted. All placers shed the same tasks. A shed task does not count as an arrival.
+    /// Returns whether a request is admitted. All placers shed the same tasks. A shed task is not counted as an
+    /// arrival.
     pub(super) fn admits(&self, task: &Task) -> bool {
         task.shed_rank < self.limits.admission.admit_below
     }
 
-    /// Takes limits from outside. If there is more capacity than before, waiting requests are tried again.
+    /// Applies limits from outside the module. If they leave more capacity than before, waiting requests are tried
+    /// again.
     pub(super) fn limits_changed(&mut self, limits: &[Limit], actions: &mut Vec<Action>) {
         let mut has_more_capacity = false;
         for limit in limits {
@@ -21,7 +23,7 @@
         }
     }
 
-    /// Returns whether the limit leaves more capacity than the one before.
+    /// Applies one limit. Returns whether it leaves more capacity than the previous one.
     fn apply_limit(&mut self, limit: &Limit) -> bool {
         match limit {
             Limit::HostConcurrency {
@@ -64,8 +66,9 @@
         }
     }
 
-    /// Whether, under pressure, a task has waited too long to start in time. It makes way for those that can.
-    pub(super) fn is_hopeless(&self, id: &RequestId) -> bool {
+    /// Returns whether a waiting task has waited longer than the fraction of its latency objective that the imposed
+    /// limits allow. Under overload it is given up in favour of tasks that can still start in time.
+    pub(super) fn has_waited_too_long(&self, id: &RequestId) -> bool {
         let Some(give_up_after) = self.limits.admission.give_up_after else {
             return false;
         };
@@ -77,9 +80,10 @@
         record.current_attempt.is_none() && waited as f64 > give_up_after * objective as f64
     }
 
-    /// The Retry-After of a rejection: once the attempts that are in flight now have had time to start.
+    /// Returns the Retry-After of a rejection in microseconds, or 0 if rejections may not carry one.
     ///
-    /// Covers retries that cannot find anything new.
+    /// It is the one that the task brings with it, or else one shortest latency objective. By then the attempts that
+    /// are in flight now have had time to start; a retry before that would find nothing changed.
     pub(super) fn retry_after(&self, task: &Task) -> Micros {
         if !self.settings.allows_retry_after {
             return 0;
--- a/src/placement/arrival_rate.rs
+++ b/src/placement/arrival_rate.rs
@@ -1,14 +1,15 @@
-//! How many tasks arrive at all placers together, estimated from this placer's own arrivals.
+//! Estimates how many tasks arrive at all placers together from the arrivals at this placer.
 
 use super::placer::Placer;
 
-/// The rate is read from one shortest latency objective, extended until it holds this many own arrivals.
+/// The arrivals at this placer are counted over one shortest latency objective, or over a longer time if it takes
+/// longer until this many tasks have arrived.
 const MIN_ARRIVALS: usize = 6;
 
 impl Placer {
-    /// Tasks that arrive at all placers within one shortest latency objective, in mean tasks.
+    /// Returns the tasks that arrive at all placers within one shortest latency objective, in mean tasks.
     ///
-    /// Assumes that every placer sees as many as this one.
+    /// Assumes that as many tasks arrive at every other placer as at this one.
     pub(super) fn arrivals_at_all_placers(&mut self) -> f64 {
         let own = self
             .arrivals
--- a/src/placement/attempts.rs
+++ b/src/placement/attempts.rs
@@ -1,4 +1,4 @@
-//! The life of an attempt: sent to a host, started, ended.
+//! Attempts: how they are sent to a host, and how their starts and outcomes are handled.
 
 use super::placer::Placer;
 use crate::state::health_book::Scope;
@@ -8,23 +8,25 @@
     Acknowledgement, Action, AttemptResult, Idempotency, Micros, Outcome, OutcomeDetail, RequestId,
 };
 
-/// An attempt is given up after this many latency objectives if hosts acknowledge it before the start: such a host answers at
-/// once or not at all.
+/// Timeout of an attempt, in latency objectives, if hosts acknowledge an attempt before they start its task. Such a
+/// host answers at once or not at all.
 const ACCEPT_TIMEOUT_OBJECTIVES: i64 = 1;
-/// Own changes of a host's load are remembered for this many lags of the endpoint list.
+/// A change of a host's load that this placer caused is remembered for this many lags of the endpoint list.
 const REMEMBERED_LIST_LAGS: i64 = 2;
 
-/// What a record says about an attempt that has just ended.
+/// Data about an attempt that has just ended, taken from the record of its task.
 struct EndedAttempt {
     host: Option<HostIndex>,
+    /// Whether the task had started before the attempt ended.
     was_placed: bool,
-    /// No attempt may follow, whatever the rules say.
-    is_over: bool,
+    /// Whether the request is complete, so that no other attempt may follow even if the retry rules allow one.
+    is_request_complete: bool,
 }
 
 impl Placer {
-    /// Sends a request to a host if the rules allow an attempt and a host is found; otherwise it waits, or gets its final
-    /// response if no attempt is allowed any more.
+    /// Sends a request to a host if another attempt is allowed and a host is found.
+    ///
+    /// The request waits if no host is found, and gets its final response if no further attempt is allowed.
     pub(super) fn try_attempt(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(record) = self.tasks.records.get(id) else {
             return;
@@ -50,17 +52,18 @@
         }
     }
 
-    /// Time until the deadline, less what the response needs.
+    /// Returns the time until the request's deadline, minus the time that is reserved for sending the final response.
     fn time_left(&self, record: &TaskRecord) -> Micros {
         let reserve = self.settings.response_slack.max(2 * self.settings.tick);
         record.deadline - self.now - reserve
     }
 
-    /// How long a host may take to answer.
+    /// Returns how long a host may take to answer an attempt.
     ///
-    /// Where an acknowledgement means that the task runs, an attempt waits until the deadline. Covers attempts that would be given up
-    /// while their host starts them, which are then started again elsewhere and delay other starts. Cost: a host
-    /// that drops attempts uses up their tasks' time.
+    /// If an acknowledgement means that the task is running, an attempt may take until the deadline. With a shorter
+    /// timeout, attempts would be given up while their host starts the task; the task would then be started again on
+    /// another host, which delays other starts. The drawback is that a host that drops attempts uses up all the time
+    /// that their tasks have.
     fn attempt_timeout(&self, record: &TaskRecord) -> Micros {
         let left = self.time_left(record);
         let class = &self.settings.classes[record.task.class.0];
@@ -72,7 +75,7 @@
         }
     }
 
-    /// The host for a request now; `None` if it has to wait.
+    /// Returns the host to which a request is sent now, or `None` if the request has to wait.
     fn select_host(&mut self, id: &RequestId) -> Option<HostIndex> {
         let record = &self.tasks.records[id];
         let may_send =
@@ -85,7 +88,7 @@
         } else {
             Vec::new()
         };
-        if competes_for_capacity && !eligible.is_empty() && self.holds_back() {
+        if competes_for_capacity && !eligible.is_empty() && self.should_hold_back() {
             eligible.clear();
         }
         self.draw_host(&eligible)
@@ -124,12 +127,13 @@
         });
     }
 
-    /// Own changes of a host's load before this are contained in every report that may still come.
+    /// Returns the time before which a load change that this placer caused is included in every report still to come.
     fn oldest_relevant_change(&self) -> Micros {
         self.now - REMEMBERED_LIST_LAGS * self.list_lag()
     }
 
-    /// The attempt has placed its task.
+    /// Records that an attempt has started its task. Ignored if the attempt is not the current one or its task is
+    /// already marked as placed.
     pub(super) fn attempt_started(&mut self, id: &RequestId, attempt: u32, elapsed: Micros) {
         let Some(record) = self.tasks.records.get_mut(id) else {
             return;
@@ -154,13 +158,13 @@
         for scope in [Scope::Host, Scope::Class(class), class_of_tenant] {
             self.health.record_success(host, scope);
         }
-        // The task itself is sound, so the errors were the hosts'.
+        // The task starts on another host, so the hosts that answered it with an error are at fault, not the task.
         for error_host in error_hosts {
             self.record_failure(error_host, Scope::Class(class));
         }
     }
 
-    /// An attempt, or the task that it placed, has ended.
+    /// Handles the end of an attempt, or of the task that it started.
     pub(super) fn attempt_ended(
         &mut self,
         id: &RequestId,
@@ -175,16 +179,16 @@
             if !ended.was_placed {
                 self.adjust_window_on_failure(host, result.outcome);
             }
-            self.judge_host(id, host, result);
+            self.record_host_outcome(id, host, result);
         }
-        if ended.is_over {
+        if ended.is_request_complete {
             self.tasks.remove(id);
         } else {
             self.try_attempt(id, actions);
         }
     }
 
-    /// Records the result of the current attempt; `None` if the result is of another one.
+    /// Records the result of the current attempt. Returns `None` if the result belongs to another attempt.
     fn end_current_attempt(
         &mut self,
         id: &RequestId,
@@ -215,11 +219,11 @@
         Some(EndedAttempt {
             host,
             was_placed: record.is_placed,
-            is_over: result.is_done || record.is_placed || record.is_closed,
+            is_request_complete: result.is_done || record.is_placed || record.is_closed,
         })
     }
 
-    /// The task is no longer on the host.
+    /// Records that the task no longer takes up resources of the host.
     fn release_host(&mut self, id: &RequestId, index: HostIndex) {
         let Some(record) = self.tasks.records.get(id) else {
             return;
@@ -232,8 +236,8 @@
         host.record_own_change(self.now, released, forget_before);
     }
 
-    /// Records what an outcome says about its host.
-    fn judge_host(&mut self, id: &RequestId, host: HostIndex, result: AttemptResult) {
+    /// Updates the failures or the known load of a host according to the outcome of an attempt.
+    fn record_host_outcome(&mut self, id: &RequestId, host: HostIndex, result: AttemptResult) {
         let Some(record) = self.tasks.records.get(id) else {
             return;
         };
@@ -247,14 +251,16 @@
             (Outcome::Rejected, OutcomeDetail::Unknown) => {
                 self.record_failure(host, class_of_tenant)
             }
-            // One lost answer says nothing about a host that has just started another task.
+            // A single lost answer is no evidence against a host that has just started another task.
             (Outcome::Timeout, _) if self.started_task_recently(host) => {}
             (Outcome::Timeout, _) => self.record_failure(host, class),
-            // The error counts now, since no other host will show whether it was the task's.
+            // The task must not run again, so no other host can show whether the error was caused by the task. The
+            // error is counted against this host at once.
             (Outcome::Error, _) if idempotency == Idempotency::NonIdempotent => {
                 self.record_failure(host, class)
             }
-            // Preempted before it ran: the host works and made room for a higher priority.
+            // The task was preempted before it ran. The host works and has given its resources to a task of higher
+            // priority.
             (Outcome::Rejected, OutcomeDetail::Preempted) => {}
             (Outcome::Rejected | Outcome::ConnectFailed, _)
             | (
@@ -274,7 +280,8 @@
         }
     }
 
-    /// A host rejected a task for want of capacity: its known load was too low and is raised to its limit.
+    /// Raises the known load of a host to its limit in the resource that it lacks. Called when the host rejects a task
+    /// for want of that resource, which shows that the known load was too low.
     fn mark_full(&mut self, index: HostIndex, detail: OutcomeDetail) {
         let accepted = self.accepted_resources(&self.hosts.hosts[index]);
         let host = self.hosts.get_changed(index);
--- a/src/placement/eligibility.rs
+++ b/src/placement/eligibility.rs
@@ -1,6 +1,6 @@
-//! Which hosts may get a task: hard rules, then preferences.
+//! Eligible hosts of a task: those that the hard rules permit, narrowed down by preferences.
 
-use super::concurrency_window::has_window;
+use super::concurrency_window::window_allows_attempt;
 use super::placer::Placer;
 use crate::state::health_book::Scope;
 use crate::state::hosts::{Host, HostIndex};
@@ -8,18 +8,20 @@
 use crate::types::{EndpointState, Idempotency, KeyScope, Resources, SpreadDomain, TaskClass};
 use std::collections::BTreeSet;
 
-/// A host gets no tasks beyond this fullness, unless it is the last resort.
+/// Fullness beyond which a host gets no tasks, unless all hosts are ejected.
 pub(super) const MAX_FULLNESS: f64 = 1.25;
-/// A preferred member that is fuller than the working set's mean by this factor is joined by the service's next one.
+/// A host is crowded if its fullness exceeds the working set's mean fullness times this factor. If a preferred member
+/// is crowded, the next member in the service's ranking is eligible too.
 const CROWDED_FACTOR: f64 = 1.35;
-/// A task of more than this many mean tasks is heavy: SCD's load, kept in mean tasks, does not foresee it.
+/// A task is heavy if its size, the average over cores and memory, exceeds this many mean tasks. SCD counts load in
+/// mean tasks and so does not account for the size of such a task.
 const HEAVY_TASK_SIZE: f64 = 4.0;
-/// A retry with an idempotency key is sent within this fraction of the time that hosts remember the key.
+/// A retry with an idempotency key is sent only within the time that hosts remember the key, divided by this.
 const KEY_WINDOW_DIVISOR: i64 = 2;
-/// The mean task is never zero here.
+/// Lower bound of the mean task's cores and memory, which avoids a division by zero.
 const MIN_MEAN: f64 = 1e-9;
 
-/// The hosts that a task may go to while hosts that are ejected for these scopes are avoided.
+/// The hosts that may get a task if all hosts ejected for one of `avoided_scopes` are left out.
 struct Candidates<'a> {
     placer: &'a Placer,
     record: &'a TaskRecord,
@@ -31,8 +33,8 @@
         &self.placer.hosts.hosts[index]
     }
 
-    /// Whether the task may go to a host.
-    fn contain(&self, index: HostIndex) -> bool {
+    /// Returns whether a host is a candidate for the task.
+    fn is_candidate(&self, index: HostIndex) -> bool {
         self.is_healthy(index)
             && self.has_capacity(index)
             && self.placer.is_permitted(self.record, index)
@@ -45,10 +47,10 @@
 
     fn has_capacity(&self, index: HostIndex) -> bool {
         let host = self.host(index);
-        has_window(host) && self.fullness_with_task(index) <= MAX_FULLNESS
+        window_allows_attempt(host) && self.fullness_with_task(index) <= MAX_FULLNESS
     }
 
-    /// Whether a host stays close to the mean fullness of the working set.
+    /// Returns whether the fullness of a host stays close to the mean fullness of the working set if it gets the task.
     fn is_uncrowded(&self, index: HostIndex) -> bool {
         self.fullness_with_task(index) <= self.placer.working_set.mean_fullness() * CROWDED_FACTOR
     }
@@ -58,16 +60,16 @@
             .fullness_with(self.host(index), self.record.requested())
     }
 
-    /// Candidates on which own tasks of the service run already.
+    /// Returns the candidates on which this placer has tasks of the same service already.
     fn with_service(&self) -> Vec<HostIndex> {
         let hosts = self.placer.tasks.hosts_of_service(self.record.task.service);
         hosts
             .map(|(index, _)| index)
-            .filter(|index| self.contain(*index))
+            .filter(|index| self.is_candidate(*index))
             .collect()
     }
 
-    /// Candidates among the members that the service prefers, best first.
+    /// Returns the candidates among the members that the service prefers, best first.
     fn with_affinity(&self) -> Vec<HostIndex> {
         let hosts = self
             .placer
@@ -75,11 +77,12 @@
             .affinity
             .get(&self.record.task.service);
         let hosts = hosts.into_iter().flatten().copied();
-        hosts.filter(|index| self.contain(*index)).collect()
+        hosts.filter(|index| self.is_candidate(*index)).collect()
     }
 
-    /// The preferred members up to the first that is not crowded, and the members on which the service runs.
-    fn affinity_circle(
+    /// Returns the preferred members up to the first one that is not crowded, together with the members on which the
+    /// service runs.
+    fn affinity_tier(
         &self,
         preferred: &[HostIndex],
         with_service: Vec<HostIndex>,
@@ -91,13 +94,12 @@
                 .working_set
                 .contains(*index, &self.host(*index).id)
         });
-        let circle: BTreeSet<HostIndex> =
-            preferred[..count].iter().copied().chain(members).collect();
-        circle.into_iter().collect()
+        let tier: BTreeSet<HostIndex> = preferred[..count].iter().copied().chain(members).collect();
+        tier.into_iter().collect()
     }
 
-    /// The first circle of candidates that is not empty.
-    fn first_circle(&self) -> Vec<HostIndex> {
+    /// Returns the first tier of candidates that is not empty; no hosts if all are empty.
+    fn first_nonempty_tier(&self) -> Vec<HostIndex> {
         if !self.placer.is_heavy(self.record.requested()) {
             let with_service = self.with_service();
             if with_service.iter().any(|index| self.is_uncrowded(*index)) {
@@ -105,37 +107,40 @@
             }
             let preferred = self.with_affinity();
             if !preferred.is_empty() {
-                return self.affinity_circle(&preferred, with_service);
+                return self.affinity_tier(&preferred, with_service);
             }
         }
         let working_set = &self.placer.working_set;
         let members: Vec<HostIndex> = working_set
             .members()
-            .filter(|index| self.contain(*index))
+            .filter(|index| self.is_candidate(*index))
             .collect();
         if !members.is_empty() {
             return members;
         }
         working_set
             .hosts_up()
-            .filter(|index| self.contain(*index))
+            .filter(|index| self.is_candidate(*index))
             .collect()
     }
 }
 
 impl Placer {
-    /// The hosts among which SCD draws: those that the hard rules permit, narrowed to the first circle that is not empty.
+    /// Returns the hosts among which SCD draws: those that the hard rules permit, narrowed to the first tier that is
+    /// not empty. The tiers are:
     ///
-    /// 1. Hosts with capacity on which own tasks of the service run, so that its program is there already (a start
-    ///    then costs a small part of a first start), while one of them is not crowded.
-    /// 2. Members of the working set where the program should be: with own tasks of the service, or preferred by it.
-    ///    As many are preferred, by rank, as it takes to reach one that is not crowded.
+    /// 1. Hosts with capacity on which this placer has tasks of the same service, if at least one of them is not
+    ///    crowded. The program is there already, so that a start costs a small part of a first start.
+    /// 2. Members of the working set on which the program is expected: those with tasks of the service from this
+    ///    placer, and those that the service prefers, in the order of its ranking up to the first one that is not
+    ///    crowded.
     /// 3. Members of the working set with capacity.
     /// 4. Any healthy host with capacity.
-    /// 5. The same including hosts that are ejected for the class or tenant only.
-    /// 6. Ejected hosts, if all are: an ejection is a guess and may be relaxed, a hard rule never.
+    /// 5. The hosts of tiers 1 to 4, including hosts that are ejected only for the class or tenant.
+    /// 6. Ejected hosts, if all hosts are ejected. An ejection is a guess and may be relaxed, but a hard rule is never
+    ///    relaxed.
     ///
-    /// If none is found, the task waits.
+    /// Tiers 1 and 2 are skipped for heavy tasks. If no host is found, the task waits.
     pub(super) fn eligible_hosts(&self, record: &TaskRecord) -> Vec<HostIndex> {
         let class = record.task.class;
         let scopes = [
@@ -149,15 +154,16 @@
                 record,
                 avoided_scopes,
             };
-            let circle = candidates.first_circle();
-            if !circle.is_empty() {
-                return circle;
+            let tier = candidates.first_nonempty_tier();
+            if !tier.is_empty() {
+                return tier;
             }
         }
         self.last_resort(record)
     }
 
-    /// The permitted hosts if all hosts are ejected, otherwise none.
+    /// Returns the hosts that the hard rules permit and that are below their limit of attempts in flight if all hosts
+    /// are ejected, otherwise none.
     fn last_resort(&self, record: &TaskRecord) -> Vec<HostIndex> {
         let mut hosts_up = self.working_set.hosts_up();
         if !hosts_up.all(|index| self.is_ejected(index, Scope::Host)) {
@@ -171,14 +177,16 @@
             .collect()
     }
 
-    /// Whether a task goes by load alone: one such task turns a host from uncrowded to crowded.
+    /// Returns whether a task is so large that its host is chosen by load alone. A single task of this size can make a
+    /// host crowded.
     fn is_heavy(&self, requested: Resources) -> bool {
         let mean = self.mean_task().map(|amount| amount.max(MIN_MEAN));
         let size = requested / mean;
         size.cores + size.memory > 2.0 * HEAVY_TASK_SIZE
     }
 
-    /// Whether a host accepts the task, was not tried for it, and the hard rules permit it. Never relaxed.
+    /// Returns whether a host accepts the task, was not tried for it before, and satisfies the hard rules. These
+    /// conditions are never relaxed.
     fn is_permitted(&self, record: &TaskRecord, index: HostIndex) -> bool {
         let host = &self.hosts.hosts[index];
         self.fits(host, record.requested())
@@ -186,17 +194,19 @@
             && self.satisfies_hard_rules(record, host)
     }
 
-    /// The hard rules: in service, the right kind, no second run, spread, slow start.
+    /// Returns whether a host satisfies the hard rules: it is in service, is of the required kind, recognises the
+    /// idempotency key of a retry, and keeps the limits of spread and slow start.
     fn satisfies_hard_rules(&self, record: &TaskRecord, host: &Host) -> bool {
         let class = &self.settings.classes[record.task.class.0];
         host.state == EndpointState::Up
             && class.host_kind.is_none_or(|kind| kind == host.kind)
             && self.recognises_key(record, class, host)
-            && self.keeps_spread(record, class, host)
+            && self.stays_within_spread_limit(record, class, host)
             && self.slow_start_allows(host)
     }
 
-    /// Whether a retry of a task with an idempotency key is recognised by the host. True for all other tasks.
+    /// Returns whether the host still recognises the idempotency key of a retry. True for tasks without a key and for
+    /// tasks that cannot have run yet.
     fn recognises_key(&self, record: &TaskRecord, class: &TaskClass, host: &Host) -> bool {
         let Idempotency::IdempotencyKey { scope } = class.idempotency else {
             return true;
@@ -216,14 +226,19 @@
             KeyScope::Zone => first.zone == host.zone,
             KeyScope::Cell => first.cell == host.cell,
         };
-        // Early enough for an attempt that waits for a connection.
+        // The attempt may wait for a connection and must still arrive before the hosts forget the key.
         let latest_connect = class.idempotency_window - self.settings.connect_timeout;
         let max_age = (class.idempotency_window / KEY_WINDOW_DIVISOR).min(latest_connect);
         is_in_scope && self.now - sent_at < max_age
     }
 
-    /// Whether the service stays within its limit for the host's failure domain.
-    fn keeps_spread(&self, record: &TaskRecord, class: &TaskClass, host: &Host) -> bool {
+    /// Returns whether the service stays within its limit of tasks for the host's failure domain.
+    fn stays_within_spread_limit(
+        &self,
+        record: &TaskRecord,
+        class: &TaskClass,
+        host: &Host,
+    ) -> bool {
         let shares_domain = |other: &Host| match class.spread_domain {
             SpreadDomain::None => false,
             SpreadDomain::Host => other.id == host.id,
--- a/src/placement/endpoints.rs
+++ b/src/placement/endpoints.rs
@@ -1,19 +1,20 @@
-//! Updates of the endpoint list, the subscription to it, and the hosts' load reports.
+//! Updates of the endpoint list, the subscription to the list, and the load reports of the hosts.
 
 use super::placer::Placer;
 use crate::state::hosts::ProcessChange;
 use crate::types::{Action, Endpoint, HostId, LoadReportField, Micros, Resources, UpdateKind};
 
-/// The endpoint list is assumed to lag by this fraction of the longest time without a subscription.
+/// Assumed lag of the endpoint list, as a fraction of the longest time that may pass without a subscription.
 const LIST_LAG_FRACTION: f64 = 0.25;
-/// Load reports are assumed to lag by this fraction of the shortest latency objective.
+/// Assumed lag of load reports, as a fraction of the shortest latency objective.
 const REPORT_LAG_FRACTION: f64 = 0.5;
-/// Attempts to subscribe within the longest time without a subscription.
+/// Number of attempts to subscribe within the longest time that may pass without a subscription.
 const SUBSCRIPTION_ATTEMPTS: i64 = 16;
 /// The pause between attempts to subscribe doubles at most this many times.
 const MAX_SUBSCRIPTION_DOUBLINGS: u32 = 2;
 
 impl Placer {
+    /// Applies an update of the endpoint list, selects the working set again and tries the waiting requests again.
     pub(super) fn endpoints_changed(
         &mut self,
         kind: UpdateKind,
@@ -56,8 +57,10 @@
         }
     }
 
-    /// Subscribes to the endpoint list, and again after a failure, several times within the longest time that may
-    /// pass without a subscription, so that no drain goes unnoticed. Covers an answer that never comes.
+    /// Subscribes to the endpoint list if there is no active subscription.
+    ///
+    /// After a failure, or if no answer comes at all, the request is repeated several times within the longest time
+    /// that may pass without a subscription, so that no drain goes unnoticed.
     pub(super) fn keep_subscribed(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.requires_subscription || self.subscription.active {
             return;
@@ -74,7 +77,7 @@
         }
     }
 
-    /// The assumed age of what the endpoint list says.
+    /// Returns the assumed age of the information in the endpoint list, in microseconds.
     pub(super) fn list_lag(&self) -> Micros {
         let span = if self.settings.max_time_unsubscribed > 0 {
             self.settings.max_time_unsubscribed
@@ -84,7 +87,7 @@
         (span as f64 * LIST_LAG_FRACTION) as Micros
     }
 
-    /// Takes a host's load report, if it tells the free resources that tasks have not requested.
+    /// Records a load report of a host if it states both the cores and the memory that no task has requested.
     pub(super) fn record_load_report(&mut self, host: &HostId, values: &[f64]) {
         let Some(index) = self.hosts.index_of(host) else {
             return;
--- a/src/placement/health_checks.rs
+++ b/src/placement/health_checks.rs
@@ -1,22 +1,23 @@
-//! Health checks: they return ejected hosts to service and refresh old load reports.
+//! Health checks, which return ejected hosts to service and refresh old load reports.
 
 use super::placer::Placer;
 use crate::state::hosts::{Host, HostIndex};
 use crate::types::{Action, Micros};
 
-/// Health checks for each own new task, at most.
+/// Maximum number of health checks to refresh load reports per new task at this placer.
 const CHECKS_PER_TASK: f64 = 0.5;
-/// A load report older than this many latency objectives is worth a health check.
+/// A load report is refreshed by a health check if it is older than this many shortest latency objectives.
 const STALE_OBJECTIVES: i64 = 2;
 
 impl Placer {
-    /// A new task earns a part of a health check.
-    pub(super) fn earn_health_check(&mut self) {
+    /// Adds the credit of one new task for health checks. The credit is limited to one health check per known host.
+    pub(super) fn add_health_check_credit(&mut self) {
         let max_credit = self.hosts.hosts.len() as f64;
         self.health_check_credit = (self.health_check_credit + CHECKS_PER_TASK).min(max_credit);
     }
 
-    /// Checks ejected hosts, then spends the credit on the oldest load reports of the working set.
+    /// Sends health checks to ejected hosts, and then uses the credit to refresh the oldest load reports of the working
+    /// set.
     pub(super) fn send_health_checks(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.allows_health_checks {
             return;
@@ -37,7 +38,8 @@
         }
     }
 
-    /// Members whose load was neither reported nor checked for a while, oldest first.
+    /// Returns the members without a recent load report or health check, oldest first, with the time of the later of
+    /// the two.
     fn stale_members(&self) -> Vec<(Micros, HostIndex)> {
         let last_known = |host: &Host| match host.load_known_as_of {
             Some(as_of) => as_of.max(host.last_health_check),
--- a/src/placement/host_selection.rs
+++ b/src/placement/host_selection.rs
@@ -1,18 +1,20 @@
-//! Draws a host for a task by stochastic coordination (SCD) among the eligible hosts.
+//! Draws the host of a task among the eligible hosts by stochastic coordination (SCD).
 
 use super::placer::Placer;
 use super::scd::{HostLoad, scd_probabilities};
 use crate::state::hosts::{Host, HostIndex};
 
 impl Placer {
-    /// Draws one of the eligible hosts; `None` if there are none.
+    /// Draws one of the eligible hosts. Returns `None` if there are none.
     ///
-    /// If they are a part of the working set, only that part of the expected arrivals falls to them.
+    /// If the eligible hosts are only a part of the working set, they are assumed to get only that part of the expected
+    /// arrivals.
     pub(super) fn draw_host(&mut self, eligible: &[HostIndex]) -> Option<HostIndex> {
         let loads = self.host_loads(eligible);
         let size: f64 = loads.iter().map(|load| load.size).sum();
-        let part_of_set = (size / self.working_set.size().max(f64::MIN_POSITIVE)).min(1.0);
-        let arrivals = self.arrivals_at_all_placers() * part_of_set;
+        let fraction_of_working_set =
+            (size / self.working_set.size().max(f64::MIN_POSITIVE)).min(1.0);
+        let arrivals = self.arrivals_at_all_placers() * fraction_of_working_set;
         let probabilities = scd_probabilities(&loads, arrivals.max(1.0));
         let mut remaining = self.random_fraction();
         let mut drawn = None;
@@ -28,7 +30,8 @@
         drawn
     }
 
-    /// Loads and sizes of the eligible hosts. A host whose load is unknown counts with the mean of the others.
+    /// Returns the loads and sizes of the eligible hosts. A host whose load is unknown is given the mean load per size
+    /// of the others.
     fn host_loads(&self, eligible: &[HostIndex]) -> Vec<HostLoad> {
         let hosts = || eligible.iter().map(|index| &self.hosts.hosts[*index]);
         let known: Vec<f64> = hosts()
--- a/src/placement/load_estimate.rs
+++ b/src/placement/load_estimate.rs
@@ -1,25 +1,30 @@
-//! How full hosts are: from what tasks request there and the part of it that they use.
+//! Estimates how full hosts are, from the resources that tasks request there and the fraction of these that they use.
 
 use super::placer::Placer;
 use super::usage_assumption::ASSUMED_USAGE_RATIO;
 use crate::state::hosts::Host;
 use crate::types::{KindId, ResourceKind, Resources};
 
-/// The weight of the assumed usage ratio, in mean tasks.
+/// Weight of the assumed usage ratio against reported usage, in mean tasks.
 const ASSUMPTION_WEIGHT: f64 = 10.0;
-/// Bounds of the learned ratio of used to requested resources.
+/// Lower bound of the learned ratio of used to requested resources.
 const MIN_USAGE_RATIO: f64 = 0.05;
+/// Upper bound of the learned ratio of used to requested resources.
 const MAX_USAGE_RATIO: f64 = 2.0;
-/// A host counts as full when its memory in use reaches this fraction: tasks grow after they start, and attempts stop at
-/// [`MAX_FULLNESS`](super::eligibility::MAX_FULLNESS) times as much, just before service slows and hosts evict.
+/// Fraction of its memory at whose use a host counts as full.
+///
+/// The memory of tasks grows after their start. Attempts stop at
+/// [`MAX_FULLNESS`](super::eligibility::MAX_FULLNESS) times this fraction, just before service slows down and hosts
+/// evict tasks.
 const FULL_MEMORY: f64 = 0.75;
-/// The fraction of the resources a host accepts that counts as full: what is known of it is late.
+/// Fraction of the resources accepted by a host at which it counts as full. It is below 1 because the known load of a
+/// host is out of date.
 const FULL_REQUESTED: f64 = 0.95;
-/// Sizes are never zero, so that no setting leads to a division by zero.
+/// Lower bound of sizes, so that no setting leads to a division by zero.
 const MIN_SIZE: f64 = 1e-9;
 
 impl Placer {
-    /// Cores and memory of a host kind.
+    /// Returns the cores and memory of a host kind, or 1 of each if the kind is unknown.
     pub(super) fn host_size(&self, kind: KindId) -> Resources {
         match self.settings.host_kinds.get(kind.0) {
             Some(kind) => Resources {
@@ -33,7 +38,7 @@
         }
     }
 
-    /// The most resources that tasks may request on a host.
+    /// Returns the most resources that tasks may request on a host.
     pub(super) fn accepted_resources(&self, host: &Host) -> Resources {
         let overcommit = Resources {
             cores: self.settings.core_overcommit,
@@ -42,7 +47,7 @@
         self.host_size(host.kind) * overcommit
     }
 
-    /// Cores and memory that a mean task requests.
+    /// Returns the cores and memory that a mean task requests.
     pub(super) fn mean_task(&self) -> Resources {
         Resources {
             cores: self.settings.mean_cores,
@@ -50,12 +55,12 @@
         }
     }
 
-    /// Size of a host: its cores over those of the mean task. SCD calls it mu.
+    /// Returns the size of a host: its cores divided by those of the mean task. This is mu in the notation of SCD.
     pub(super) fn size_in_tasks(&self, host: &Host) -> f64 {
         self.host_size(host.kind).cores / self.settings.mean_cores.max(MIN_SIZE)
     }
 
-    /// Used as a fraction of requested resources, learned from usage reports.
+    /// Returns the ratio of used to requested resources as learned from usage reports.
     pub(super) fn usage_ratio(&self) -> Resources {
         Resources {
             cores: self.usage_ratio_of(ResourceKind::Cores),
@@ -70,7 +75,7 @@
         (used / requested).clamp(MIN_USAGE_RATIO, MAX_USAGE_RATIO)
     }
 
-    /// Utilization of the cores up to which every class gets full service.
+    /// Returns the utilization of the cores up to which every class gets full service.
     pub(super) fn full_service_utilization(&self) -> f64 {
         let classes = self.settings.classes.iter();
         classes
@@ -78,13 +83,14 @@
             .fold(1.0, f64::min)
     }
 
-    /// Fullness of a host if tasks requested this much more: from 1 on its tasks suffer.
+    /// Returns the fullness that a host would have if tasks requested this much more on it. From a fullness of 1 on,
+    /// the host's tasks get less than full service.
     pub(super) fn fullness_with(&self, host: &Host, more: Resources) -> f64 {
         self.fullness_at(host, host.requested() + more, self.usage_ratio())
     }
 
-    /// Fullness of a host at these requested resources and this ratio of used to requested resources: that of its
-    /// tightest limit.
+    /// Returns the fullness of a host for the given requested resources and ratio of used to requested resources. It is
+    /// the fullness with regard to the host's tightest limit.
     pub(super) fn fullness_at(
         &self,
         host: &Host,
@@ -103,12 +109,12 @@
         .fold(0.0, f64::max)
     }
 
-    /// Whether a host accepts tasks that request this much more.
+    /// Returns whether a host still accepts tasks if they request this much more in total.
     pub(super) fn fits(&self, host: &Host, requested: Resources) -> bool {
         (host.requested() + requested).fits_in(self.accepted_resources(host))
     }
 
-    /// Load of a host in mean tasks: its fullness in terms of cores. SCD calls it q.
+    /// Returns the load of a host in mean tasks: its fullness, converted to cores. This is q in the notation of SCD.
     pub(super) fn load_in_tasks(&self, host: &Host) -> f64 {
         let fullness = self.fullness_with(host, Resources::default());
         fullness * self.size_in_tasks(host) * self.full_service_utilization()
--- a/src/placement/mod.rs
+++ b/src/placement/mod.rs
@@ -1,20 +1,21 @@
 //! The decision module: which host gets a task, whether an attempt is retried, and which requests are rejected.
 //!
-//! [`Placer`] is a state machine without I/O: events and the time go in ([`Event`](crate::types::Event)), actions come out ([`Action`](crate::types::Action)).
-//! It keeps no clock, opens no connection and starts no thread. The same settings, seed and events give the same
-//! actions. What it remembers between events is in `src/state`, which decides nothing.
+//! [`Placer`] is a state machine without I/O. Its input is the time and an [`Event`](crate::types::Event), its output
+//! is a list of [`Action`](crate::types::Action)s. It reads no clock, opens no connection and starts no thread. The
+//! same settings, seed and events give the same actions. The data that it keeps between events is in `src/state`,
+//! which makes no decisions.
 //!
-//! The path of a request, and the module of each step:
+//! The steps in the handling of a request, and the modules that implement them:
 //!
-//! | step | module |
+//! | step | modules |
 //! | --- | --- |
-//! | A request arrives, is shed or queued; its final response | `requests`, `admission` |
-//! | Hosts that may get it: hard rules, then preferences | `eligibility`, `slow_start`, `outlier_ejection` |
-//! | One of them is drawn by stochastic coordination (SCD) | `host_selection`, `arrival_rate`, `scd` |
-//! | The attempt, its timeout and its outcome | `attempts`, `concurrency_window` |
-//! | What may follow the outcome | `retry` |
-//! | Which hosts are in use at all | `working_set_selection`, `load_estimate`, `usage_assumption` |
-//! | The endpoint list and the hosts' load reports | `endpoints`, `health_checks` |
+//! | Admit, shed or queue a request, and send its final response | `requests`, `admission` |
+//! | Find the eligible hosts by hard rules, then by preference | `eligibility`, `slow_start`, `outlier_ejection` |
+//! | Draw one of them by stochastic coordination (SCD) | `host_selection`, `arrival_rate`, `scd` |
+//! | Send the attempt, set its timeout and handle its outcome | `attempts`, `concurrency_window` |
+//! | Decide whether a retry or a rejection may follow an outcome | `retry` |
+//! | Select the working set, the hosts in use | `working_set_selection`, `load_estimate`, `usage_assumption` |
+//! | Process the endpoint list, load reports and health checks | `endpoints`, `health_checks` |
 
 mod admission;
 mod arrival_rate;
--- a/src/placement/outlier_ejection.rs
+++ b/src/placement/outlier_ejection.rs
@@ -1,53 +1,59 @@
-//! Outlier ejection: hosts that fail attempts get none for a while.
+//! Outlier ejection: a host that fails attempts gets no further attempts for some time.
 //!
 //! ```text
-//!             failure                       time is over, no health checks
-//!   healthy ───────────▶ ejected for a span ─────────────────────────────▶ healthy
-//!                             │ time is over                                  ▲
+//!             failure                       ejection time is over, no health checks
+//!   healthy ───────────▶ ejected ────────────────────────────────────────▶ healthy
+//!                             │ ejection time is over                         ▲
 //!                             ▼                 health check succeeds         │
 //!                     awaits a health check ──────────────────────────────────┘
 //! ```
 //!
-//! Each failure doubles the next span, and each success halves the count of failures.
+//! Each failure doubles the time of the next ejection, and each success halves the count of failures.
 
 use super::placer::Placer;
 use crate::state::health_book::Scope;
 use crate::state::hosts::HostIndex;
 use crate::types::{Action, EndpointState, HostId, Micros, Outcome};
 
-/// The first ejection of a host lasts this many connect timeouts or latency objectives, whichever is longer.
-const HOST_EJECTION_SPANS: i64 = 2;
-/// The same for one class or tenant on a host: no health check shows when it is served again.
-const CLASS_EJECTION_SPANS: i64 = 16;
-/// The span doubles at most this many times.
+/// Length of the first ejection of a whole host, as a multiple of the connect timeout or the shortest latency
+/// objective, whichever is longer.
+const HOST_EJECTION_MULTIPLE: i64 = 2;
+/// Length of the first ejection of a host for one class or tenant, as a multiple of the connect timeout or the shortest
+/// latency objective, whichever is longer. It exceeds that for a whole host because no health check shows when the host
+/// serves the class or tenant again.
+const CLASS_EJECTION_MULTIPLE: i64 = 16;
+/// The ejection time is doubled at most this many times.
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
 
 impl Placer {
-    /// Records a failure against the narrowest scope that explains it.
+    /// Records a failure against the narrowest scope that explains it, and ejects the host for that scope.
     ///
-    /// Covers hosts that drop or reject attempts (dead, cut off, stalled, failing starts), and hosts that fail or
-    /// limit one class or tenant and serve the rest. A second class that fails widens the scope to the whole host.
-    /// Cost: where most hosts fail now and then, capacity stays unused.
+    /// This handles hosts that drop or reject attempts (dead, cut off, stalled, or failing to start tasks), and hosts
+    /// that fail or limit one class or tenant but serve all others. If a second class fails, the whole host is ejected.
+    /// The drawback is that capacity stays unused if most hosts fail now and then.
     pub(super) fn record_failure(&mut self, host: HostIndex, scope: Scope) {
-        let scope = self.widened(host, scope);
-        let spans = match scope {
-            Scope::Host => HOST_EJECTION_SPANS,
-            Scope::Class(_) | Scope::ClassOfTenant(..) => CLASS_EJECTION_SPANS,
+        let scope = self.widened_scope(host, scope);
+        let multiple = match scope {
+            Scope::Host => HOST_EJECTION_MULTIPLE,
+            Scope::Class(_) | Scope::ClassOfTenant(..) => CLASS_EJECTION_MULTIPLE,
         };
-        let first_span = self.settings.connect_timeout.max(self.shortest_objective) * spans;
-        let max_span = self.settings.slow_start.max(first_span);
+        let base_ejection_time =
+            self.settings.connect_timeout.max(self.shortest_objective) * multiple;
+        let max_ejection_time = self.settings.slow_start.max(base_ejection_time);
         let health = self.health.entry(host, scope);
         if self.now >= health.ejected_until {
             let doublings = health.failures.min(MAX_EJECTION_DOUBLINGS);
-            health.ejected_until = self.now + (first_span << doublings).min(max_span);
+            health.ejected_until =
+                self.now + (base_ejection_time << doublings).min(max_ejection_time);
             health.failures += 1;
         }
         health.awaits_health_check = scope == Scope::Host && self.settings.allows_health_checks;
         self.health.schedule_ejection_end(host);
     }
 
-    /// The whole host instead of a class, if another class is ejected there already.
-    fn widened(&self, host: HostIndex, scope: Scope) -> Scope {
+    /// Returns the scope of the whole host instead of a class if the host is already ejected for another class,
+    /// otherwise the given scope.
+    fn widened_scope(&self, host: HostIndex, scope: Scope) -> Scope {
         let is_other_class =
             |other: &Scope| matches!((other, scope), (Scope::Class(a), Scope::Class(b)) if *a != b);
         let mut scopes = self.health.scopes(host);
@@ -58,13 +64,14 @@
         }
     }
 
-    /// Whether a host is ejected for a scope.
+    /// Returns whether a host is ejected for a scope.
     pub(super) fn is_ejected(&self, host: HostIndex, scope: Scope) -> bool {
         let health = self.health.get(host, scope);
         health.is_some_and(|health| health.is_ejected(self.now))
     }
 
-    /// Number of listed hosts that get no attempts now, whatever the task: they drain, or are ejected as a whole.
+    /// Returns the number of listed hosts that get no attempts for any task now, because they are draining or ejected
+    /// as a whole.
     pub fn unavailable_hosts(&self) -> usize {
         let hosts = self.hosts.hosts.iter().enumerate();
         hosts
@@ -75,12 +82,13 @@
             .count()
     }
 
-    /// Whether a host has started a task of this placer within one shortest latency objective.
+    /// Returns whether a host has started a task of this placer within the last shortest latency objective.
     pub(super) fn started_task_recently(&self, host: HostIndex) -> bool {
         let last_task_start = self.hosts.hosts[host].last_task_start;
         last_task_start.is_some_and(|started_at| self.now - started_at < self.shortest_objective)
     }
 
+    /// Records the outcome of a health check. A host that rejects it has answered, so the check counts as passed.
     pub(super) fn health_check_ended(&mut self, host: &HostId, outcome: Outcome) {
         let Some(index) = self.hosts.index_of(host) else {
             return;
@@ -94,9 +102,9 @@
         }
     }
 
-    /// Sends health checks to ejected hosts whose span is over.
+    /// Sends health checks to ejected hosts whose ejection time is over.
     pub(super) fn check_ejected_hosts(&mut self, actions: &mut Vec<Action>) {
-        let min_pause: Micros = self.settings.connect_timeout * HOST_EJECTION_SPANS;
+        let min_pause: Micros = self.settings.connect_timeout * HOST_EJECTION_MULTIPLE;
         for index in self.health.awaiting_health_check(self.now) {
             let host = &mut self.hosts.hosts[index];
             if host.state == EndpointState::Up && self.now >= host.last_health_check + min_pause {
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -1,4 +1,4 @@
-//! The placer: its state, and which function handles which event.
+//! The state of a placer, and the dispatch of events to the functions that handle them.
 
 use super::usage_assumption::ASSUMED_USAGE_RATIO;
 use crate::state::arrivals::ArrivalHistory;
@@ -15,19 +15,20 @@
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{RngCore, SeedableRng};
 
-/// Ticks in the shortest latency objective.
+/// Number of ticks within one shortest latency objective.
 const TICKS_PER_OBJECTIVE: i64 = 4;
 
-/// Decides for one placer. Without I/O: the same settings, seed and events give the same actions.
+/// Makes the decisions of one placer, without any I/O. The same settings, seed and events give the same actions.
 ///
-/// Every time span in it is a multiple of a setting; the constants beside the decisions are dimensionless.
+/// Every time span is a multiple of a setting, so the constants in the modules of the decisions are dimensionless.
 pub struct Placer {
     pub(super) settings: Settings,
     rng: ChaCha8Rng,
     pub(super) now: Micros,
-    /// When this placer started: it does not know what it sent before.
+    /// Time of the first event. Attempts that an earlier process of this placer sent before it are unknown.
     pub(super) started_at: Option<Micros>,
-    /// The shortest latency objective: the unit of most time spans.
+    /// The shortest latency objective of all classes, in microseconds and at least one tick. Most time spans are
+    /// multiples of it.
     pub(super) shortest_objective: Micros,
     pub(super) hosts: HostTable,
     pub(super) tasks: TaskTable,
@@ -36,15 +37,17 @@
     pub(super) limits: ImposedLimits,
     pub(super) arrivals: ArrivalHistory,
     pub(super) working_set: WorkingSet,
+    /// Health checks that may be sent now to refresh load reports.
     pub(super) health_check_credit: f64,
     pub(super) subscription: Subscription,
-    /// When the placer shuts down: no deadline is later.
+    /// When the placer shuts down, once a shutdown is requested. Later requests get no deadline after it.
     pub(super) shutdown_at: Option<Micros>,
+    /// Whether the first tick has been scheduled.
     is_ticking: bool,
 }
 
 impl Placer {
-    /// A placer that knows its settings and nothing else.
+    /// Creates a placer that knows its settings but no hosts or tasks. The seed determines all its random choices.
     pub fn new(settings: Settings, seed: u64) -> Placer {
         let objectives = settings.classes.iter().map(|class| class.latency_objective);
         let shortest_objective = objectives.min().unwrap_or(0).max(settings.tick).max(1);
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Handles one event at time `now` and appends what is to be done.
+    /// Handles one event at time `now` and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Micros, event: &Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.started_at.get_or_insert(now);
@@ -169,14 +172,14 @@
             .set(self.now, interval, TimerPurpose::Tick, actions);
     }
 
-    /// Time between two ticks.
+    /// Returns the time between two ticks, in microseconds.
     pub(super) fn tick_interval(&self) -> Micros {
         (self.shortest_objective / TICKS_PER_OBJECTIVE)
             .max(self.settings.tick)
             .max(1)
     }
 
-    /// A random number from 0 (included) to 1 (excluded), from the seed.
+    /// Returns the next random number from 0 (included) to 1 (excluded) of the seeded generator.
     pub(super) fn random_fraction(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
--- a/src/placement/requests.rs
+++ b/src/placement/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: received, and answered by exactly one final response in time.
+//! Requests: their arrival, and the one final response that each of them gets in time.
 
 use super::placer::Placer;
 use crate::state::tasks::TaskRecord;
@@ -6,6 +6,8 @@
 use crate::types::{Action, Micros, RequestId, Task};
 
 impl Placer {
+    /// Handles a new request: rejects it if it is shed, otherwise records it, sets its deadline timer and tries a first
+    /// attempt. Ignores a request whose id is known already.
     pub(super) fn task_requested(&mut self, task: &Task, actions: &mut Vec<Action>) {
         if self.tasks.records.contains_key(&task.id) {
             return;
@@ -20,7 +22,7 @@
         if !task.is_returning && !task.is_retry {
             let size = task.cores / self.settings.mean_cores.max(f64::MIN_POSITIVE);
             self.arrivals.record(self.now, size);
-            self.earn_health_check();
+            self.add_health_check_credit();
         }
         let client_deadline = self.now + task.time_budget.max(0);
         let deadline = client_deadline.min(self.shutdown_at.unwrap_or(Micros::MAX));
@@ -33,7 +35,7 @@
         self.try_attempt(&task.id, actions);
     }
 
-    /// A graceful shutdown: what is not placed within this time gets its final response then.
+    /// Starts a graceful shutdown: every request that is not placed within this time gets its final response then.
     pub(super) fn shutdown_requested(&mut self, within: Micros, actions: &mut Vec<Action>) {
         self.shutdown_at = Some(self.now + within);
         let records = self.tasks.records.iter();
@@ -51,7 +53,8 @@
         self.timers.set(self.now, after, purpose, actions);
     }
 
-    /// The final response, at the deadline or when no attempt is allowed any more. Sent once.
+    /// Sends the final response of a request, at its deadline or when no further attempt is allowed. Does nothing if
+    /// the task is placed or the request is closed, so that the response is sent only once.
     pub(super) fn send_final_response(&mut self, id: &RequestId, actions: &mut Vec<Action>) {
         let Some(record) = self.tasks.records.get(id) else {
             return;
--- a/src/placement/retry.rs
+++ b/src/placement/retry.rs
@@ -1,15 +1,18 @@
-//! What may follow the attempts so far: a retry, a rejection, or waiting.
+//! Retry rules: whether a retry, a rejection or further waiting may follow the attempts made so far.
 
 use super::placer::Placer;
 use crate::state::tasks::TaskRecord;
 use crate::types::{Action, Idempotency, KeyScope, RequestId};
 use std::collections::BTreeSet;
 
-/// If this many hosts answer a task with an error, the error is the task's.
+/// A task that this many hosts answer with an error is not retried, because the task itself causes the error.
 const MAX_ERROR_HOSTS: usize = 2;
 
 impl Placer {
-    /// Whether the attempts so far allow another one: none in flight, and no second run of a task that must not run twice.
+    /// Returns whether another attempt is allowed after those made so far.
+    ///
+    /// It is allowed only if a response is pending and no attempt is in flight, if it cannot lead to a second run of a
+    /// task that must not run twice, and within the limits on attempts and on hosts that answered with an error.
     pub(super) fn may_attempt(&self, record: &TaskRecord) -> bool {
         let idempotency = self.settings.classes[record.task.class.0].idempotency;
         let is_safe =
@@ -21,7 +24,8 @@
             && record.attempts_sent < self.settings.max_attempts
     }
 
-    /// Whether a rejection is truthful: a retry by the client does no harm.
+    /// Returns whether a rejection is correct as the final response. A rejection tells the client that a retry is
+    /// harmless.
     pub(super) fn may_reject(&self, record: &TaskRecord) -> bool {
         match self.settings.classes[record.task.class.0].idempotency {
             Idempotency::Idempotent
@@ -37,13 +41,15 @@
         }
     }
 
-    /// Decides at random whether a task that was rejected for want of capacity, came back, or waits is held back.
+    /// Decides at random whether to hold back a task that was rejected for want of capacity, that is returning, or that
+    /// is waiting already.
     ///
-    /// It is sent with the probability that there is capacity for what all placers want to place while load reports
-    /// lag, spread over the ticks of that time. Covers many placers that see the same free capacity, fill it twice
-    /// over and have tasks rejected, preempted or evicted, again and again, in any overload or loss of hosts.
-    /// Cost: where own traffic is not typical, such a task waits beside free capacity.
-    pub(super) fn holds_back(&mut self) -> bool {
+    /// Such a task is sent with the probability that there is capacity for everything that all placers want to place
+    /// within the lag of the endpoint list, spread over the ticks of that time. Without this, in any overload or loss
+    /// of hosts, many placers would see the same free capacity and fill it twice over, and tasks would be rejected,
+    /// preempted or evicted again and again. The drawback is that, if the traffic of this placer is not typical of all
+    /// placers, such a task may wait although there is free capacity.
+    pub(super) fn should_hold_back(&mut self) -> bool {
         let lag = self.list_lag().max(self.shortest_objective) as f64;
         let waiting = self.tasks.waiting.len() as f64 * self.settings.placer_count as f64;
         let wanted =
@@ -52,29 +58,31 @@
         self.random_fraction() * wanted * ticks >= self.working_set.free_capacity()
     }
 
-    /// Tries the waiting requests again, earliest deadline first, and gives up those that cannot start in time.
+    /// Tries the waiting requests again, earliest deadline first, and gives up those that have waited too long to start
+    /// in time.
     pub(super) fn retry_waiting(&mut self, actions: &mut Vec<Action>) {
         let waiting = self.tasks.waiting.iter();
         let ids: Vec<RequestId> = waiting.map(|(_, id)| id.clone()).collect();
-        // Tasks of a service are alike: if one found no host, the others need not look.
+        // Tasks of the same service are alike. If no host is found for one of them, the others are not tried.
         let mut services_without_host = BTreeSet::new();
         for id in ids {
             let Some(record) = self.tasks.records.get(&id) else {
                 continue;
             };
             let service = record.task.service;
-            if self.is_hopeless(&id) {
+            if self.has_waited_too_long(&id) {
                 self.send_final_response(&id, actions);
             } else if !services_without_host.contains(&service) {
                 self.try_attempt(&id, actions);
-                if self.still_waits(&id) {
+                if self.is_still_waiting(&id) {
                     services_without_host.insert(service);
                 }
             }
         }
     }
 
-    fn still_waits(&self, id: &RequestId) -> bool {
+    /// Returns whether a request is known and has no attempt in flight.
+    fn is_still_waiting(&self, id: &RequestId) -> bool {
         let record = self.tasks.records.get(id);
         record.is_some_and(|record| record.current_attempt.is_none())
     }
--- a/src/placement/scd.rs
+++ b/src/placement/scd.rs
@@ -1,34 +1,40 @@
-//! The probabilities of stochastic coordination (SCD).
+//! Computes the probabilities of stochastic coordination (SCD).
 //!
-//! Many dispatchers send tasks to the same hosts without coordination messages. Each draws hosts with probabilities that
-//! level the loads if all of them do so. In the notation of the published method a host has a load `q` and a size `mu`,
-//! and `a` tasks arrive at all dispatchers together.
+//! Many dispatchers send tasks to the same hosts without coordination messages. Each of them draws hosts with
+//! probabilities that balance the loads if all dispatchers do so. In the notation of the published method a host has a
+//! load `q` and a size `mu`, and `a` tasks arrive at all dispatchers together.
 
-/// Load and size of a host, both in mean tasks.
+/// The load and the size of a host, both in mean tasks.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HostLoad {
-    /// Tasks on it (`q`).
+    /// The tasks that are on the host (`q`).
     pub load: f64,
-    /// Tasks it can serve (`mu`).
+    /// The tasks that the host can serve (`mu`).
     pub size: f64,
 }
 
-/// Sums over the first hosts of the order, and the solution for them.
+/// Sums over a prefix of the hosts in the order of their marginal loads.
 #[derive(Debug, Default)]
 struct Prefix {
-    room: f64,
+    /// Load of the hosts at the ideal workload, minus their current load.
+    headroom: f64,
+    /// Size of the hosts together.
     size: f64,
-    cost: f64,
+    /// Part of the objective that does not depend on the multiplier.
+    constant: f64,
 }
 
-/// The prefix of the order with the best value so far.
+/// The prefix with the lowest objective so far.
 struct Best {
-    value: f64,
+    /// Objective of the optimization for this prefix.
+    objective: f64,
+    /// Number of hosts in the prefix.
     count: usize,
+    /// Lagrange multiplier of the condition that the probabilities add up to 1.
     multiplier: f64,
 }
 
-/// The probability of each host if `arrivals` tasks are expected at all dispatchers together.
+/// Returns the probability of each host if `arrivals` tasks are expected at all dispatchers together.
 pub fn scd_probabilities(hosts: &[HostLoad], arrivals: f64) -> Vec<f64> {
     let order = by_marginal_load(hosts);
     let Some(&least_loaded) = order.first() else {
@@ -56,11 +62,12 @@
     probabilities
 }
 
-/// The load of a host after half a task more, over its size.
+/// Returns twice the load that a host would have with half a task more, divided by the host's size.
 fn marginal_load(host: HostLoad) -> f64 {
     (2.0 * host.load + 1.0) / host.size
 }
 
+/// Returns the indices of the hosts in ascending order of their marginal loads.
 fn by_marginal_load(hosts: &[HostLoad]) -> Vec<usize> {
     let mut order: Vec<usize> = (0..hosts.len()).collect();
     order.sort_by(|&first, &second| {
@@ -69,7 +76,7 @@
     order
 }
 
-/// One task at a time: any of the least loaded hosts.
+/// Returns equal probabilities for the least loaded hosts, for the case that at most one task arrives at a time.
 fn equal_among_least_loaded(hosts: &[HostLoad], order: &[usize]) -> Vec<f64> {
     let least = marginal_load(hosts[order[0]]);
     let ties = order
@@ -83,43 +90,46 @@
     probabilities
 }
 
-/// A host's probability within a prefix, before the division by `2 (a - 1)`.
+/// Returns a host's probability within a prefix, before the division by `2 (a - 1)`.
 fn prefix_numerator(host: HostLoad, level: f64, multiplier: f64) -> f64 {
     2.0 * (host.size * level - host.load) - 1.0 - host.size * multiplier
 }
 
-/// The prefix of the order with the lowest value among those without a negative probability.
+/// Returns the prefix of the order with the lowest objective among those in which no probability is negative.
 fn best_prefix(hosts: &[HostLoad], order: &[usize], level: f64, arrivals: f64) -> Best {
     let mut sums = Prefix::default();
     let mut best: Option<Best> = None;
     for (position, &index) in order.iter().enumerate() {
         let HostLoad { load, size } = hosts[index];
-        sums.room += size * level - load;
+        sums.headroom += size * level - load;
         sums.size += size;
-        sums.cost += (2.0 * (load - size * level) + 1.0).powi(2) / (4.0 * size * (arrivals - 1.0));
+        sums.constant +=
+            (2.0 * (load - size * level) + 1.0).powi(2) / (4.0 * size * (arrivals - 1.0));
         let count = position + 1;
-        let multiplier = (2.0 * sums.room - count as f64 - 2.0 * (arrivals - 1.0)) / sums.size;
-        // Probabilities fall along the order, so the last one decides for all.
+        let multiplier = (2.0 * sums.headroom - count as f64 - 2.0 * (arrivals - 1.0)) / sums.size;
+        // Probabilities decrease along the order, so only the last host of a prefix has to be checked.
         if prefix_numerator(hosts[index], level, multiplier) < 0.0 {
             continue;
         }
-        let value = multiplier * multiplier * sums.size / (4.0 * (arrivals - 1.0)) - sums.cost;
-        if best.as_ref().is_none_or(|best| value < best.value) {
+        let objective =
+            multiplier * multiplier * sums.size / (4.0 * (arrivals - 1.0)) - sums.constant;
+        if best.as_ref().is_none_or(|best| objective < best.objective) {
             best = Some(Best {
-                value,
+                objective,
                 count,
                 multiplier,
             });
         }
     }
     best.unwrap_or(Best {
-        value: 0.0,
+        objective: 0.0,
         count: 1,
         multiplier: 0.0,
     })
 }
 
-/// The level to which `arrivals` tasks raise the lowest loads together.
+/// Returns the ideal workload: the common load per size of the least loaded hosts after `arrivals` tasks are spread
+/// over them evenly.
 fn ideal_workload(hosts: &[HostLoad], arrivals: f64) -> f64 {
     let mut loads: Vec<(f64, HostLoad)> = hosts
         .iter()
--- a/src/placement/working_set_selection.rs
+++ b/src/placement/working_set_selection.rs
@@ -1,6 +1,7 @@
-//! Which hosts are in use: the working set, and for each service the members that it prefers.
+//! Selects the hosts that are in use (the working set), and for each service the members that it prefers.
 //!
-//! Every placer selects alike from the endpoint list, so that idle hosts stay idle without any coordination messages.
+//! All placers select the same way from the same endpoint list, so that idle hosts stay idle without any coordination
+//! messages between placers.
 
 use super::eligibility::MAX_FULLNESS;
 use super::placer::Placer;
@@ -12,20 +13,21 @@
 use crate::types::{EndpointState, ServiceId};
 use itertools::Itertools;
 
-/// The working set holds the load of all tasks filled to this fraction.
+/// The working set is just large enough to hold the load of all tasks at this mean fullness.
 const WORKING_SET_FILL: f64 = 0.6;
-/// Steps of fullness by which hosts are ordered: coarse, so that late load reports order them alike.
+/// Steps per unit of fullness by which hosts are ordered. The steps are coarse, so that placers whose load reports are
+/// late still arrive at the same order.
 const RANK_STEPS: f64 = 4.0;
-/// Hosts that are fuller than this count alike in the order.
+/// Fullness beyond which hosts rank equally in the order.
 const MAX_RANKED_FULLNESS: f64 = 0.5;
-/// Members that are ranked for a service; beyond them all members are considered.
+/// Number of members that are ranked for a service. If none of them is a candidate, all members are considered.
 const MAX_AFFINITY_HOSTS: usize = 8;
-/// Bits of a hash that a rank uses: as many as an `f64` holds exactly.
+/// Number of bits of a hash that a rank uses, which is as many as an `f64` represents exactly.
 const RANK_BITS: u32 = 53;
 
 impl Placer {
-    /// Selects the hosts that all tasks need: fuller ones first (in coarse steps), then by id. Grows with demand. Only what
-    /// has changed since the last selection is computed again.
+    /// Selects as many hosts as the load of all tasks needs: fuller hosts first (in coarse steps), then by id. The set
+    /// grows with demand. Only the contributions of hosts that changed since the last selection are computed again.
     pub(super) fn select_working_set(&mut self) {
         self.hosts
             .changed
@@ -44,7 +46,7 @@
             .update(index, &self.hosts.hosts[index].id, contribution);
     }
 
-    /// What a host contributes to the working set.
+    /// Returns a host's rank, and its contribution to the size, load and free capacity of the working set.
     fn contribution(&self, index: HostIndex) -> HostContribution {
         let host = &self.hosts.hosts[index];
         let usage_ratio = self.working_set.usage_ratio;
@@ -70,8 +72,8 @@
         }
     }
 
-    /// Adopts the usage ratio that was learned since the last tick. It changes with each usage report but is adopted at
-    /// ticks only, since every host's contribution depends on it.
+    /// Adopts the usage ratio that was learned since the last tick. The ratio changes with each usage report but is
+    /// adopted only at ticks, because the contributions of all hosts depend on it.
     pub(super) fn adopt_usage_ratio(&mut self) {
         let usage_ratio = self.usage_ratio();
         if usage_ratio != self.working_set.usage_ratio {
@@ -82,10 +84,10 @@
         }
     }
 
-    /// Ranks the members for a service by rendezvous hashing, unless it is ranked already.
+    /// Ranks the members for a service by rendezvous hashing, unless this was done since the members last changed.
     ///
-    /// Every placer ranks alike. Hosts win by the mean tasks they hold, and one that is added or removed moves only
-    /// the services that it wins or held.
+    /// All placers compute the same ranking. A host is preferred by services in proportion to the mean tasks it can
+    /// hold, and a host that is added or removed changes the ranking only of the services that prefer it.
     pub(super) fn rank_affinity_hosts(&mut self, service: ServiceId) {
         if self.working_set.affinity.contains_key(&service) {
             return;
@@ -101,7 +103,7 @@
         self.working_set.affinity.insert(service, hosts);
     }
 
-    /// A member's rank for a service; the lowest wins.
+    /// Returns a member's rank for a service. The member with the lowest rank is preferred most.
     fn affinity_rank(&self, index: HostIndex, service: ServiceId) -> f64 {
         let host = &self.hosts.hosts[index];
         let draw = (combine_hashes(host.hash, service.0) >> (u64::BITS - RANK_BITS)) as f64 + 1.0;
--- a/src/placement/working_set_selection/tests.rs
+++ b/src/placement/working_set_selection/tests.rs
@@ -1,7 +1,8 @@
-//! The working set that is kept in proportion to changes, against a selection that looks at all hosts.
+//! Compares the working set, which is updated incrementally, with a reference that examines all hosts.
 //!
-//! The reference sorts all hosts at every list and every tick. It differs in one thing, the usage ratio: it took the newest
-//! estimate at each list, and the kept set adopts it at ticks.
+//! The reference sorts all hosts at each selection. Its only intended difference is the usage ratio: a selection that
+//! always examines all hosts would take the newest ratio at each update of the endpoint list, while the incremental
+//! working set adopts it only at ticks. The reference therefore gets the ratio as an argument.
 
 use super::*;
 use crate::state::hosts::Host;
@@ -15,12 +16,12 @@
 
 const SECOND: Micros = 1_000_000;
 const HOSTS: usize = 24;
-/// Relative difference by which rounding may decide a tie.
-const TIE: f64 = 1e-6;
-/// Relative difference of sums that rounding explains.
-const ROUNDING: f64 = 1e-5;
+/// Relative change of the total load within which rounding may decide whether another member is needed.
+const TIE_TOLERANCE: f64 = 1e-6;
+/// Relative difference between sums that may be due to rounding.
+const ROUNDING_TOLERANCE: f64 = 1e-5;
 
-/// A selection by the reference.
+/// The result of the reference.
 struct Selection {
     members: Vec<HostIndex>,
     hosts_up: Vec<HostIndex>,
@@ -29,8 +30,8 @@
     free_capacity: f64,
 }
 
-/// The reference: sorts all hosts. `part` of the load counts as load.
-fn select_from_scratch(placer: &Placer, usage_ratio: Resources, part: f64) -> Selection {
+/// Selects the working set by sorting all hosts. The total load is multiplied by `load_factor`.
+fn select_from_scratch(placer: &Placer, usage_ratio: Resources, load_factor: f64) -> Selection {
     let hosts = &placer.hosts.hosts;
     let fullness = |host: &Host| placer.fullness_at(host, host.requested(), usage_ratio);
     let is_up = |index: &HostIndex| hosts[*index].state == EndpointState::Up;
@@ -55,7 +56,7 @@
     let mut size = 0.0;
     let mut members = Vec::new();
     for (_, _, index) in order {
-        if size * WORKING_SET_FILL >= total_load * part && !members.is_empty() {
+        if size * WORKING_SET_FILL >= total_load * load_factor && !members.is_empty() {
             break;
         }
         size += placer.size_in_tasks(&hosts[index]);
@@ -72,7 +73,7 @@
     }
 }
 
-/// What may happen: hosts by their index, attempts by their age.
+/// A random step of a test run. Hosts are given by index, attempts by their position among those in flight.
 #[derive(Debug, Clone)]
 enum Step {
     DeltaUpdate {
@@ -167,12 +168,12 @@
     }
 }
 
-/// How a placer under test selects its working set.
+/// How the placer under test selects its working set.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum SelectionMode {
-    /// As it does: by looking at the hosts that changed.
+    /// Examines only the hosts that have changed, as the placer does in production.
     Incremental,
-    /// By looking at every host at each selection.
+    /// Examines all hosts at each selection.
     AllHosts,
 }
 
@@ -182,7 +183,7 @@
     host: HostId,
 }
 
-/// A placer under test, with its timers and the attempts in flight.
+/// A placer under test, with its pending timers and the attempts in flight.
 struct TestRun {
     placer: Placer,
     now: Micros,
@@ -193,7 +194,8 @@
 }
 
 impl TestRun {
-    /// With health checks an ejection ends when one succeeds, without them with its time.
+    /// Creates a placer without hosts. If health checks are allowed, an ejection ends when one succeeds, otherwise when
+    /// its time is over.
     fn new(allows_health_checks: bool, mode: SelectionMode) -> TestRun {
         let settings = Settings {
             placer_count: 3,
@@ -349,7 +351,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Looking only at changed hosts does what looking at all hosts does: the same actions throughout.
+    /// Guards against changes of a host that the incremental selection misses: it must lead to the same actions as a
+    /// selection that examines all hosts.
     #[test]
     fn incremental_selection_gives_the_same_actions(
         allows_health_checks: bool,
@@ -359,13 +362,20 @@
         let mut all_hosts = TestRun::new(allows_health_checks, SelectionMode::AllHosts);
 
         for step in &steps {
-            prop_assert_eq!(incremental.play(step), all_hosts.play(step), "{:?}", step);
+            prop_assert_eq!(
+                incremental.play(step),
+                all_hosts.play(step),
+                "actions differ after {:?}",
+                step
+            );
         }
     }
 
-    /// After any events, the selection is that of the reference with the same usage ratio. Sums are kept in units of 2^-24
-    /// mean tasks where the reference has floating point. Where the members' size meets the load to within one part in a
-    /// million either answer is right: the members are those of a load that is so much less or more.
+    /// After any events, the selection must equal that of the reference with the same usage ratio.
+    ///
+    /// The working set keeps sums in units of 2^-24 mean tasks, while the reference uses floating-point numbers. If the
+    /// size of the members matches the load to within one part in a million, rounding may add or omit a member. The
+    /// members must then be those that the reference selects for a load smaller or larger by that part.
     #[test]
     fn selection_equals_the_reference(
         allows_health_checks: bool,
@@ -379,10 +389,18 @@
 
             let set = &run.placer.working_set;
             let members: Vec<HostIndex> = set.members().collect();
-            let reference = |part| select_from_scratch(&run.placer, set.usage_ratio, part);
+            let reference =
+                |load_factor| select_from_scratch(&run.placer, set.usage_ratio, load_factor);
             let same_members = |selection: &Selection| selection.members == members;
-            let expected = [1.0, 1.0 - TIE, 1.0 + TIE].map(reference).into_iter().find(same_members);
-            prop_assert!(expected.is_some(), "{members:?} and {:?}: {step:?}", reference(1.0).members);
+            let expected = [1.0, 1.0 - TIE_TOLERANCE, 1.0 + TIE_TOLERANCE]
+                .map(reference)
+                .into_iter()
+                .find(same_members);
+            prop_assert!(
+                expected.is_some(),
+                "members are {members:?}, the reference has {:?}, after {step:?}",
+                reference(1.0).members
+            );
             let Some(expected) = expected else { continue };
             prop_assert_eq!(set.hosts_up().collect::<Vec<_>>(), expected.hosts_up);
             let sums = [
@@ -390,14 +408,18 @@
                 (set.size(), expected.size),
                 (set.free_capacity(), expected.free_capacity),
             ];
-            for (found, expected) in sums {
-                let tolerance = ROUNDING * (1.0 + expected.abs());
-                prop_assert!((found - expected).abs() <= tolerance, "{found} and {expected}: {step:?}");
+            for (actual, expected) in sums {
+                let tolerance = ROUNDING_TOLERANCE * (1.0 + expected.abs());
+                prop_assert!(
+                    (actual - expected).abs() <= tolerance,
+                    "sum is {actual}, the reference has {expected}, after {step:?}"
+                );
             }
         }
     }
 
-    /// The usage ratio of the selection is the newest one at each tick, so it lags by the usage reports of one tick.
+    /// The selection must use the newest usage ratio at each tick, so that it lags by at most the usage reports of one
+    /// tick.
     #[test]
     fn usage_ratio_is_at_most_one_tick_old(
         allows_health_checks: bool,
--- a/src/types/action.rs
+++ b/src/types/action.rs
@@ -1,8 +1,8 @@
-//! Actions: what the module wants done.
+//! Actions that the decision module asks its caller to carry out.
 
 use super::{HostId, Micros, RequestId, TimerToken};
 
-/// Something to be done by the caller.
+/// An action that the caller of the decision module is to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Subscribe to the endpoint list.
@@ -16,32 +16,32 @@
         /// The host.
         host: HostId,
     },
-    /// The module declares itself broken.
+    /// Report that the decision module has found itself to be faulty, with a description.
     ReportFault(String),
-    /// Send an attempt to a host.
+    /// Send an attempt to place a task to a host.
     SendAttempt {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: RequestId,
-        /// The host.
+        /// The host to send it to.
         host: HostId,
-        /// How long the host may take to answer.
+        /// How long the host may take to answer, in microseconds.
         timeout: Micros,
     },
-    /// Stop waiting for an attempt.
+    /// Stop waiting for the outcome of an attempt.
     CancelAttempt {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// The number of the attempt, counted from 0 for each request.
         attempt: u32,
     },
-    /// Final response: rejected. A retry is harmless.
+    /// Send the final response that the request is rejected. A retry by the client is harmless.
     Reject {
         /// The request.
         id: RequestId,
-        /// When the client may retry; 0 leaves it to the client.
+        /// Time after which the client may retry, in microseconds; 0 leaves it to the client.
         retry_after: Micros,
     },
-    /// Final response: failed. The task may have run.
+    /// Send the final response that the request failed. The task may have run.
     Fail {
         /// The request.
         id: RequestId,
@@ -51,18 +51,18 @@
         /// The request.
         id: RequestId,
     },
-    /// Ask a host for its load report.
+    /// Send a health check to a host, which also returns its load report.
     SendHealthCheck {
         /// The host.
         host: HostId,
     },
-    /// Send [`Event::TimerFired`](super::Event::TimerFired) after a time.
+    /// Notify the module by [`Event::TimerFired`](super::Event::TimerFired) after some time.
     SetTimer {
-        /// Identifies the timer.
+        /// The token that the event carries.
         token: TimerToken,
-        /// Time from now.
+        /// Time from now, in microseconds.
         after: Micros,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
--- a/src/types/attempt.rs
+++ b/src/types/attempt.rs
@@ -1,4 +1,4 @@
-//! What hosts report about the attempts to start a task on them.
+//! Outcomes of attempts to start a task on a host, and reports of hosts about running tasks.
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -9,20 +9,20 @@
     Error,
     /// The host rejected the attempt; the task never ran.
     Rejected,
-    /// No answer in time; the task may have started.
+    /// No answer came in time; the task may have started.
     Timeout,
-    /// No connection; the task never ran.
+    /// No connection to the host was established; the task never ran.
     ConnectFailed,
-    /// The connection or the host failed under the attempt.
+    /// The connection or the host failed during the attempt; the task may have started.
     Reset,
-    /// Abandoned by this placer, migrated, or stopped by its client.
+    /// The attempt was abandoned by this placer, its task was migrated, or its client stopped it.
     Cancelled,
     /// The attempt never left this placer; the task never ran.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether it proves that the task never ran.
+    /// Returns whether the outcome proves that the task never ran.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
@@ -31,29 +31,31 @@
     }
 }
 
-/// Why an attempt ended so.
+/// The reason for the outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutcomeDetail {
-    /// No reason is known.
+    /// The reason is unknown.
     Unknown,
-    /// No cores left.
+    /// The host has too few free cores.
     NoCores,
-    /// No memory left.
+    /// The host has too little free memory.
     NoMemory,
     /// Too many attempts are queued at the host.
     QueueFull,
-    /// Not on this host: wrong kind, draining, deadline passed, or the task runs there already.
+    /// The host cannot take this attempt: it is of the wrong kind or draining, the deadline has passed, or the task
+    /// runs there already.
     NotEligible,
-    /// Evicted for want of memory.
+    /// The host evicted the task because it ran out of memory.
     Evicted,
-    /// Preempted by a task of a higher priority.
+    /// The task was preempted by one of a higher priority.
     Preempted,
-    /// Released by a draining host.
+    /// A draining host released the task.
     Drained,
 }
 
 impl OutcomeDetail {
-    /// Whether this only happens to a task that runs: a host hands one that does not run yet back as rejected.
+    /// Returns whether this reason applies only to tasks that have run. A host returns a task that does not run yet as
+    /// rejected.
     pub fn implies_task_ran(self) -> bool {
         matches!(
             self,
@@ -67,27 +69,27 @@
 pub struct AttemptResult {
     /// The number of the attempt, counted from 0 for each request.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// Why.
+    /// Why the attempt ended this way.
     pub detail: OutcomeDetail,
-    /// The request is complete with it.
+    /// Whether the request is complete, so that no other attempt may follow.
     pub is_done: bool,
 }
 
-/// What a host reports about a running task.
+/// The kind of a value that a host reports about a running task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskReport {
-    /// The task runs.
+    /// The task is running.
     Running,
-    /// Cores it uses now.
+    /// Cores that the task uses now.
     Cores,
-    /// Memory it uses now.
+    /// Memory that the task uses now, in the unit of the settings.
     Memory,
-    /// Fraction of full service that it gets.
+    /// Fraction of full service that the task gets.
     ServiceLevel,
-    /// Fraction of its host's memory that is in use.
+    /// Fraction of the host's memory that is in use.
     HostMemory,
-    /// Another kind, ignored.
+    /// Any other kind of report, which is ignored.
     Other,
 }
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -1,42 +1,42 @@
-//! The endpoint list: the hosts that may receive tasks, as service discovery reports them.
+//! The endpoint list: the hosts that may get tasks, as service discovery reports them.
 
 use super::{CellId, HostId, KindId, Micros, Resources, ZoneId};
 
-/// State of a host in the endpoint list.
+/// The state of a host in the endpoint list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// In service.
+    /// The host is in service.
     #[default]
     Up,
-    /// Finishes its running tasks and takes no new ones.
+    /// The host finishes its running tasks and takes no new ones.
     Draining,
-    /// Removed from service.
+    /// The host has been removed from service.
     Removed,
 }
 
 /// One entry of the endpoint list.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// Which host.
+    /// The host.
     pub host: HostId,
-    /// Its zone.
+    /// The zone of the host.
     pub zone: ZoneId,
-    /// Its cell.
+    /// The cell of the host.
     pub cell: CellId,
-    /// Its kind.
+    /// The kind of the host.
     pub kind: KindId,
-    /// Its state.
+    /// The state of the host.
     pub state: EndpointState,
-    /// When its process last started; 0: before anything that matters now.
+    /// When the host's process last started, in microseconds; 0 if that was too long ago to matter.
     pub started_at: Micros,
-    /// Cores that no task has requested, as of some time ago.
+    /// Cores that no task has requested. The value is out of date by the lag of the list.
     pub free_cores: f64,
-    /// Memory that no task has requested, as of some time ago.
+    /// Memory that no task has requested, in the unit of the settings. The value is out of date by the lag of the list.
     pub free_memory: f64,
 }
 
 impl Endpoint {
-    /// Resources that no task has requested, as of some time ago.
+    /// Returns the cores and memory that no task has requested. They are out of date by the lag of the list.
     pub fn free(&self) -> Resources {
         Resources {
             cores: self.free_cores,
@@ -45,15 +45,15 @@
     }
 }
 
-/// What an update of the endpoint list contains.
+/// The kind of an update of the endpoint list, which says what it contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Changed endpoints only.
+    /// Only the endpoints that have changed.
     Delta,
-    /// All endpoints: a host that is missing has been removed.
+    /// All endpoints. A host that is missing from the update has been removed.
     Complete,
-    /// All endpoints as this placer last knew them, possibly stale.
+    /// All endpoints as this placer last knew them. They may be stale.
     Cached,
-    /// A poll failed or the subscription ended; no endpoints.
+    /// No endpoints, because a poll failed or the subscription ended.
     Failed,
 }
--- a/src/types/event.rs
+++ b/src/types/event.rs
@@ -1,82 +1,82 @@
-//! Events: what has happened, as the module is notified of it.
+//! Events of which the decision module is notified.
 
 use super::{
     Endpoint, HostId, Limit, Micros, Outcome, OutcomeDetail, RequestId, Task, TaskReport,
     TimerToken, UpdateKind,
 };
 
-/// Something that has happened.
+/// An event of which the decision module is notified.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The endpoint list has changed, or could not be read.
     EndpointsChanged {
-        /// What the update contains.
+        /// The kind of the update.
         kind: UpdateKind,
-        /// Its endpoints; none for [`UpdateKind::Failed`].
+        /// The endpoints in the update; none for [`UpdateKind::Failed`].
         endpoints: Vec<Endpoint>,
     },
     /// A client requests a task.
     TaskRequested(Task),
-    /// A task that already runs on this host becomes this placer's; no response is pending for it.
+    /// This placer adopts a task that already runs on this host. No response is pending for it.
     TaskAdopted(Task, HostId),
-    /// The attempt placed its task.
+    /// An attempt has started its task, so that the request is placed.
     AttemptStarted {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// The number of the attempt, counted from 0 for each request.
         attempt: u32,
-        /// Its host.
+        /// The host of the attempt.
         host: HostId,
-        /// Time since the attempt was sent.
+        /// Time since the attempt was sent, in microseconds.
         elapsed: Micros,
     },
     /// A host reports about a running task.
     TaskReported {
-        /// The request.
+        /// The request of the task.
         id: RequestId,
-        /// Its host.
+        /// The host that reports.
         host: HostId,
-        /// What is reported.
+        /// The kind of the reported value.
         report: TaskReport,
-        /// The value.
+        /// The reported value, in the unit of its kind.
         value: f64,
     },
-    /// An attempt has ended.
+    /// An attempt has ended, or the task that it started.
     AttemptEnded {
         /// The request.
         id: RequestId,
-        /// The attempt.
+        /// The number of the attempt, counted from 0 for each request.
         attempt: u32,
-        /// Its host.
+        /// The host of the attempt.
         host: HostId,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Why.
+        /// Why the attempt ended this way.
         detail: OutcomeDetail,
-        /// The request is complete with it.
+        /// Whether the request is complete, so that no other attempt may follow.
         done: bool,
-        /// Time since the attempt was sent.
+        /// Time since the attempt was sent, in microseconds.
         elapsed: Micros,
-        /// The host's load report, if one came with the outcome.
+        /// The host's load report, or empty if none came with the outcome.
         load_report: Vec<f64>,
     },
     /// The client has cancelled the request; no response is pending any more.
     TaskCancelled(RequestId),
-    /// Limits from outside have changed.
+    /// Limits that are imposed from outside the module have changed.
     LimitsChanged(Vec<Limit>),
-    /// The placer shuts down: every pending response must be sent within this time.
+    /// The placer shuts down. Every pending response must be sent within this time, in microseconds.
     ShutdownRequested(Micros),
-    /// A timer has fired.
+    /// The timer with this token has fired.
     TimerFired(TimerToken),
     /// A health check has ended.
     HealthCheckEnded {
-        /// Its host.
+        /// The host that was checked.
         host: HostId,
-        /// [`Outcome::Completed`], or why not.
+        /// [`Outcome::Completed`] if the host has answered, otherwise how the health check failed.
         outcome: Outcome,
-        /// Time since the health check was sent.
+        /// Time since the health check was sent, in microseconds.
         elapsed: Micros,
-        /// The host's load report, if one came with the outcome.
+        /// The host's load report, or empty if none came with the outcome.
         load_report: Vec<f64>,
     },
 }
--- a/src/types/ids.rs
+++ b/src/types/ids.rs
@@ -4,22 +4,23 @@
 
 /// A point in time or a duration, in microseconds.
 ///
-/// Points in time count from whatever origin the caller chose; the module only compares them.
+/// Points in time are counted from an origin that the caller chooses. The decision module only compares and subtracts
+/// them.
 pub type Micros = i64;
 
-/// One request to place a task. Never reused: a task that is requested again carries a new id.
+/// Identifies one request to place a task. Ids are never reused: a task that is requested again has a new id.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub Arc<str>);
 
-/// A host. The same at every placer.
+/// Identifies a host. All placers use the same id for it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HostId(pub Arc<str>);
 
-/// The service (program) that a task belongs to.
+/// Identifies the service (program) that a task belongs to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServiceId(pub u64);
 
-/// A task, the same in every request for it.
+/// Identifies a task. It is the same in every request for that task.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskKey(pub u64);
 
@@ -39,10 +40,10 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub usize);
 
-/// A cell: a few hosts grouped together, such as a rack.
+/// Identifies a cell, which is a small group of hosts such as a rack.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u64);
 
-/// Identifies a timer; chosen by the module.
+/// Identifies a timer. The decision module chooses it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimerToken(pub u64);
--- a/src/types/mod.rs
+++ b/src/types/mod.rs
@@ -1,7 +1,7 @@
-//! The terms of the decision module: ids, tasks, endpoints, settings, events and actions.
+//! Data types of the decision module: ids, tasks, endpoints, settings, events and actions.
 //!
-//! Plain data that the decisions, their state and the engines beside them share. Nothing here decides anything or uses another
-//! module.
+//! The decision module, its state, and the modules for overload control and health share these types. They make no
+//! decisions and depend on no other module.
 
 mod action;
 mod attempt;
--- a/src/types/resources.rs
+++ b/src/types/resources.rs
@@ -14,14 +14,14 @@
 /// An amount of cores and memory, or a ratio for each of them.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
-    /// Cores.
+    /// Number of cores, which may be fractional.
     pub cores: f64,
     /// Memory, in the unit of the settings.
     pub memory: f64,
 }
 
 impl Resources {
-    /// The amount of one resource.
+    /// Returns the amount of one resource.
     pub fn get(&self, kind: ResourceKind) -> f64 {
         match kind {
             ResourceKind::Cores => self.cores,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The amount of one resource, to be changed.
+    /// Returns a mutable reference to the amount of one resource.
     pub fn get_mut(&mut self, kind: ResourceKind) -> &mut f64 {
         match kind {
             ResourceKind::Cores => &mut self.cores,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Applies a function to both amounts.
+    /// Returns the results of applying a function to both amounts.
     pub fn map(self, function: impl Fn(f64) -> f64) -> Resources {
         Resources {
             cores: function(self.cores),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The larger amount of each resource.
+    /// Returns the larger amount of each resource.
     pub fn max(self, other: Resources) -> Resources {
         Resources {
             cores: self.cores.max(other.cores),
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether neither amount exceeds that of `limit`.
+    /// Returns whether neither amount exceeds that of `limit`.
     pub fn fits_in(&self, limit: Resources) -> bool {
         self.cores <= limit.cores && self.memory <= limit.memory
     }
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -1,4 +1,4 @@
-//! What a deployment states at start.
+//! Settings that a deployment states when a placer starts.
 
 use super::{KindId, Micros, ZoneId};
 
@@ -13,31 +13,31 @@
     Cell,
 }
 
-/// Whether a task may run more than once.
+/// Whether it does harm if a task runs more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Idempotency {
-    /// A second run does no harm.
+    /// The task may run more than once without harm.
     Idempotent,
-    /// Retries are recognised by their key within a scope, for the class's
-    /// [`idempotency_window`](TaskClass::idempotency_window).
+    /// The hosts within a scope recognise retries by their key, for the
+    /// [`idempotency_window`](TaskClass::idempotency_window) of the class.
     IdempotencyKey {
         /// The hosts that recognise the key.
         scope: KeyScope,
     },
-    /// Must never run twice.
+    /// The task must never run twice.
     NonIdempotent,
 }
 
 /// The failure domain over which a service's tasks are spread.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SpreadDomain {
-    /// The tasks are not spread.
+    /// The tasks of a service are not spread.
     None,
-    /// A host.
+    /// The tasks of a service are spread over hosts.
     Host,
-    /// A cell.
+    /// The tasks of a service are spread over cells.
     Cell,
-    /// A zone.
+    /// The tasks of a service are spread over zones.
     Zone,
 }
 
@@ -46,88 +46,91 @@
 pub enum Acknowledgement {
     /// As soon as it has accepted the task.
     Accepted,
-    /// When the task runs.
+    /// When it has started the task.
     Running,
 }
 
-/// What one value of a load report means.
+/// The meaning of one value in a load report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LoadReportField {
-    /// Tasks on the host.
+    /// Number of tasks on the host.
     InFlight,
-    /// Attempts and starts that are queued.
+    /// Number of attempts and starts that are queued at the host.
     QueueLength,
-    /// Fraction of the cores in use.
+    /// Fraction of the host's cores that is in use.
     Utilization,
-    /// Free cores, counted as [`Settings::counts_requested_resources`] says.
+    /// Free cores, from which either requested or used cores are subtracted, as
+    /// [`Settings::counts_requested_resources`] states.
     FreeCores,
-    /// Free memory, counted likewise.
+    /// Free memory, from which either requested or used memory is subtracted, as
+    /// [`Settings::counts_requested_resources`] states.
     FreeMemory,
-    /// Another value, ignored.
+    /// Any other value, which is ignored.
     Other,
 }
 
-/// One class of tasks.
+/// Settings of one class of tasks. All times are in microseconds unless stated otherwise.
 #[derive(Debug, Clone)]
 pub struct TaskClass {
-    /// A first start within this time earns its full weight.
+    /// Time within which the first start of a task earns its full weight.
     pub latency_objective: Micros,
     /// How long a client waits for a placement.
     pub deadline: Micros,
-    /// The fraction of a start's weight that is left between latency objective and deadline.
+    /// Fraction of a start's weight that is earned by a start after the latency objective but before the deadline.
     pub late_weight: f64,
-    /// Whether a task may run more than once.
+    /// Whether it does harm if a task runs more than once.
     pub idempotency: Idempotency,
     /// How long hosts remember an idempotency key.
     pub idempotency_window: Micros,
-    /// Priority weight of one second of full service at mean task size.
+    /// Priority weight: the weight of one second of full service for a task of mean size.
     pub priority_weight: f64,
-    /// Seconds of service that a start in time is equal to.
+    /// Number of seconds of full service that have the same weight as a start in time.
     pub start_weight_seconds: f64,
     /// The host kind required, if any.
     pub host_kind: Option<KindId>,
     /// The failure domain over which a service's tasks are spread.
     pub spread_domain: SpreadDomain,
-    /// The most tasks of a service in one such domain.
+    /// Maximum number of tasks of a service in one domain of the kind `spread_domain`.
     pub max_per_domain: usize,
-    /// 0 (lowest) to 3.
+    /// Priority from 0 (lowest) to 3.
     pub priority: u8,
-    /// Utilization of a host's cores up to which the tasks get full service.
+    /// Utilization of a host's cores up to which its tasks get full service.
     pub full_service_utilization: f64,
-    /// Service falls to nothing over this much more utilization.
+    /// Utilization beyond `full_service_utilization` over which the service falls to nothing.
     pub service_falloff: f64,
 }
 
-/// One tenant and its quota.
+/// Settings of one tenant, with its quota.
 #[derive(Debug, Clone)]
 pub struct Tenant {
-    /// Its fraction of the service.
+    /// Fraction of the service to which the tenant is entitled.
     pub service_fraction: f64,
-    /// New tasks a second within its quota, over all placers.
+    /// New tasks per second that are within the tenant's quota, over all placers together.
     pub quota_tasks_per_second: f64,
-    /// Cores requested within its quota, over all placers; 0 if not stated.
+    /// Requested cores that are within the tenant's quota, over all placers together; 0 if not stated.
     pub quota_cores: f64,
 }
 
 /// One kind of host.
 #[derive(Debug, Clone)]
 pub struct HostKind {
-    /// Its cores.
+    /// Cores of a host of this kind.
     pub cores: f64,
-    /// Its memory.
+    /// Memory of a host of this kind, in the unit of the settings.
     pub memory: f64,
 }
 
-/// What a deployment states at start. Prices are fractions of a task's weight.
+/// Settings that a deployment states when a placer starts. Prices are fractions of a task's weight, and times are in
+/// microseconds.
 #[derive(Debug, Clone)]
 pub struct Settings {
     /// Index of this placer among all placers.
     pub placer_index: usize,
     /// Number of placers.
     pub placer_count: usize,
-    /// Zone of this placer.
+    /// Zone of this placer, if stated.
     pub zone: Option<ZoneId>,
-    /// Smallest time between batches of events.
+    /// Shortest time between two batches of events.
     pub tick: Micros,
     /// Kinds of hosts.
     pub host_kinds: Vec<HostKind>,
@@ -135,9 +138,9 @@
     pub classes: Vec<TaskClass>,
     /// Tenants; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Weight of a task beyond its tenant's quota, as a fraction.
+    /// Weight of a task beyond its tenant's quota, as a fraction of the weight of a task within it.
     pub over_quota_weight: f64,
-    /// Most attempts for one request.
+    /// Maximum number of attempts for one request.
     pub max_attempts: u32,
     /// Whether hosts may be sent health checks.
     pub allows_health_checks: bool,
@@ -147,62 +150,64 @@
     pub allows_retry_after: bool,
     /// Longest Retry-After that clients honour.
     pub max_retry_after: Micros,
-    /// Connections that take longer to establish fail.
+    /// Time after which establishing a connection fails.
     pub connect_timeout: Micros,
-    /// Whether the endpoint list comes only to those who subscribe.
+    /// Whether only subscribers receive the endpoint list.
     pub requires_subscription: bool,
-    /// Longest time that may pass without a subscription or an attempt to get one.
+    /// Longest time that may pass without either a subscription or an attempt to subscribe.
     pub max_time_unsubscribed: Micros,
-    /// What the values of a load report are.
+    /// Meaning of each value in a load report, in order.
     pub load_report: Vec<LoadReportField>,
-    /// Load reports and the endpoint list subtract what tasks requested; otherwise what they use.
+    /// Whether free resources in load reports and in the endpoint list are those that no task has requested. Otherwise
+    /// they are those that no task uses.
     pub counts_requested_resources: bool,
-    /// Endpoints carry their free cores and memory.
+    /// Whether endpoints carry their free cores and memory.
     pub endpoints_show_free_resources: bool,
     /// When a host acknowledges an attempt.
     pub acknowledgement: Acknowledgement,
-    /// A host accepts tasks that request up to this many times its cores.
+    /// Total cores that tasks may request on a host, as a multiple of its cores.
     pub core_overcommit: f64,
-    /// A host accepts tasks that request up to this many times its memory.
+    /// Total memory that tasks may request on a host, as a multiple of its memory.
     pub memory_overcommit: f64,
-    /// Hosts preempt tasks of lower priorities to make room.
+    /// Whether hosts preempt tasks of lower priorities to free capacity for others.
     pub preempts: bool,
     /// Mean cores requested by a task.
     pub mean_cores: f64,
     /// Mean memory requested by a task.
     pub mean_memory: f64,
-    /// How long a client waits after an attempt that may have run.
+    /// Time that a client waits after an attempt that may have run its task.
     pub client_settle_time: Micros,
-    /// Responses this long after a deadline are still in time.
+    /// Time after a deadline within which a response is still in time.
     pub response_slack: Micros,
-    /// Attempts to a draining host must stop within this.
+    /// Time after the start of a host's drain within which attempts to the host must stop.
     pub drain_grace: Micros,
-    /// How long a started host warms up at most.
+    /// Longest time for which a host warms up after its start.
     pub slow_start: Micros,
-    /// The fraction of its speed at which a started host begins.
+    /// Fraction of its full speed at which a host runs right after its start.
     pub slow_start_initial_speed: f64,
-    /// Multiple of its capacity at which a warming host collapses,
+    /// Load, as a multiple of its capacity, at which a warming host collapses if the load lasts for `collapse_window`.
     pub collapse_multiple: f64,
-    /// if it is held for this long.
+    /// Time for which a load of `collapse_multiple` has to last until a warming host collapses.
     pub collapse_window: Micros,
-    /// Attempts within `collapse_window` that a warming host always bears, from all placers together.
+    /// Number of attempts from all placers together that a warming host can always handle within `collapse_window`.
     pub slow_start_attempts: f64,
-    /// Price of running in another zone.
+    /// Price of running a task in another zone.
     pub price_cross_zone: f64,
-    /// Price of one health check for each task.
+    /// Price of health checks at a rate of one per task.
     pub price_health_check: f64,
-    /// Price of hosts that are used beyond need.
+    /// Price of using more hosts than the tasks need.
     pub price_hosts_used: f64,
-    /// Price of one rejected attempt for each task.
+    /// Price of rejected attempts at a rate of one per task.
     pub price_rejected_attempt: f64,
-    /// Price of one migration for each task.
+    /// Price of migrations at a rate of one per task.
     pub price_migration: f64,
-    /// Price of one new connection to a host for each task.
+    /// Price of new connections to hosts at a rate of one per task.
     pub price_handshake: f64,
 }
 
 impl Settings {
-    /// A small made-up deployment for examples and tests: three placers, one host kind, one idempotent class.
+    /// Returns the settings of a small fictitious deployment for examples and tests. It has three placers, one host
+    /// kind and one class of idempotent tasks.
     pub fn example() -> Settings {
         const SECOND: Micros = 1_000_000;
         Settings {
--- a/src/types/task.rs
+++ b/src/types/task.rs
@@ -1,34 +1,35 @@
-//! A task as it is requested.
+//! A task as a client requests it.
 
 use super::{ClassId, Micros, RequestId, ServiceId, TaskKey, TenantId};
 
 /// One request to place a task.
 #[derive(Debug, Clone, Default)]
 pub struct Task {
-    /// This request.
+    /// Identifies this request.
     pub id: RequestId,
-    /// Its class.
+    /// Class of the task.
     pub class: ClassId,
-    /// Its service.
+    /// Service that the task belongs to.
     pub service: ServiceId,
-    /// The task, the same in every request for it.
+    /// Identifies the task. The key is the same in every request for it.
     pub key: TaskKey,
-    /// Its tenant.
+    /// Tenant that the task belongs to, if any.
     pub tenant: Option<TenantId>,
-    /// Cores requested.
+    /// Cores that the task requests.
     pub cores: f64,
-    /// Memory requested, in the unit of the settings.
+    /// Memory that the task requests, in the unit of the settings.
     pub memory: f64,
     /// Expected remaining run time in seconds, if known.
     pub expected_run_seconds: Option<f64>,
-    /// Time until its client gives up.
+    /// Time until the client gives up waiting for a placement, in microseconds.
     pub time_budget: Micros,
-    /// The client repeats a request that it has sent before.
+    /// Whether the client repeats a request that it has sent before.
     pub is_retry: bool,
-    /// The task was placed or requested before, and was rejected, failed, migrated or lost.
+    /// Whether the task was requested or placed before and then rejected, failed, migrated or lost.
     pub is_returning: bool,
-    /// Its position in the fleet's order of load shedding: 0 is admitted first, 1 is shed first.
+    /// Position of the task in the order in which the fleet sheds load: a rank of 0 is admitted first, a rank of 1 is
+    /// shed first.
     pub shed_rank: f64,
-    /// The Retry-After to send if it is rejected; 0 leaves the choice to the module.
+    /// Retry-After of a rejection of this task, in microseconds; 0 leaves the choice to the decision module.
     pub retry_after: Micros,
 }
