--- a/benches/decisions.rs
+++ b/benches/decisions.rs
@@ -1,7 +1,8 @@
-//! Cost of the decision module alone: an update of one endpoint, a task that is placed and ends, and a tick, among 100 to
-//! 16,384 hosts. No socket, no other process.
+//! Measures the cost of the decision module alone, without sockets or other processes: an update of one endpoint, a
+//! task that is placed and ends, and a tick, with 100 to 16,384 hosts.
 //!
-//! `cargo bench --bench decisions [-- PLACERS]`; the number of placers in the settings, 12 by default.
+//! Run it with `cargo bench --bench decisions [-- PLACERS]`, where `PLACERS` is the number of placers in the settings,
+//! 12 by default.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -16,10 +17,10 @@
 const TICKS: usize = 200;
 const MS: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// Services whose tasks are requested in turn.
+/// Number of services whose tasks are requested in turn.
 const SERVICES: usize = 200;
 
-/// Host `n` with a third to two thirds of its cores free, another amount at each time.
+/// Returns the endpoint of host `n` with a third to two thirds of its cores free. The amount differs with `time`.
 fn endpoint(n: usize, time: usize) -> Endpoint {
     let free = 10.0 + ((n * 7 + time * 13) % 11) as f64;
     Endpoint {
@@ -46,7 +47,7 @@
     }
 }
 
-/// A placer with its time and its next tick.
+/// A placer under test with its current time and its next tick.
 struct PlacerBench {
     placer: Placer,
     now: Micros,
@@ -74,11 +75,11 @@
             kind: UpdateKind::Complete,
             endpoints,
         });
-        let ticks = bench.actions.iter().rev().find_map(|action| match action {
+        let next_tick = bench.actions.iter().rev().find_map(|action| match action {
             Action::SetTimer { token, after } => Some((bench.now + after, *token)),
             _ => None,
         });
-        bench.tick = ticks;
+        bench.tick = next_tick;
         bench
     }
 
@@ -132,10 +133,10 @@
     }
 }
 
-/// Mean time of a call, in microseconds.
-fn mean_micros(count: usize, mut act: impl FnMut(usize)) -> f64 {
+/// Returns the mean time of a call, in microseconds.
+fn mean_micros(count: usize, mut call: impl FnMut(usize)) -> f64 {
     let start = Instant::now();
-    (0..count).for_each(&mut act);
+    (0..count).for_each(&mut call);
     start.elapsed().as_secs_f64() * 1e6 / count as f64
 }
 
--- a/src/placement/arrival_rate.rs
+++ b/src/placement/arrival_rate.rs
@@ -11,9 +11,9 @@
     ///
     /// Assumes that as many tasks arrive at every other placer as at this one.
     pub(super) fn arrivals_at_all_placers(&mut self) -> f64 {
-        let own = self
+        let own_arrivals = self
             .arrivals
             .in_window(self.now, self.shortest_objective, MIN_ARRIVALS);
-        own * self.settings.placer_count.max(1) as f64
+        own_arrivals * self.settings.placer_count.max(1) as f64
     }
 }
--- a/src/placement/eligibility.rs
+++ b/src/placement/eligibility.rs
@@ -33,7 +33,8 @@
         &self.placer.hosts.hosts[index]
     }
 
-    /// Returns whether a host is a candidate for the task.
+    /// Returns whether the task may go to a host: the host is healthy and has capacity, the task was not tried on it
+    /// before, and the hard rules permit it.
     fn is_candidate(&self, index: HostIndex) -> bool {
         self.is_healthy(index)
             && self.has_capacity(index)
--- a/src/placement/retry.rs
+++ b/src/placement/retry.rs
@@ -52,10 +52,10 @@
     pub(super) fn should_hold_back(&mut self) -> bool {
         let lag = self.list_lag().max(self.shortest_objective) as f64;
         let waiting = self.tasks.waiting.len() as f64 * self.settings.placer_count as f64;
-        let wanted =
+        let demand =
             self.arrivals_at_all_placers() * lag / self.shortest_objective as f64 + waiting;
         let ticks = lag / self.tick_interval() as f64;
-        self.random_fraction() * wanted * ticks >= self.working_set.free_capacity()
+        self.random_fraction() * demand * ticks >= self.working_set.free_capacity()
     }
 
     /// Tries the waiting requests again, earliest deadline first, and gives up those that have waited too long to start
--- a/src/placement/slow_start.rs
+++ b/src/placement/slow_start.rs
@@ -30,7 +30,7 @@
         if self.may_have_sent_before_start(host, window) {
             return false;
         }
-        // Each process that serves as a placer counts as a placer of its own here.
+        // If several processes serve as one placer, each of them counts as a placer here.
         let processes = f64::from(self.limits.peer_processes) + 1.0;
         let placers = self.settings.placer_count.max(1) as f64 * processes;
         let budget = BUDGET_FRACTION * self.settings.slow_start_attempts / placers;
--- a/tests/decision_rules/drains.rs
+++ b/tests/decision_rules/drains.rs
@@ -1,4 +1,4 @@
-//! Draining and removed hosts, and a lost subscription.
+//! Draining and removed hosts, and the loss of the subscription to the endpoint list.
 
 use super::*;
 
@@ -44,17 +44,21 @@
     });
     assert!(
         !without_times(placer.advance(30 * SECOND)).contains(&Action::Subscribe),
-        "subscribed: no need to ask"
+        "requested a subscription although one is active"
     );
     for _ in 0..6 {
         placer.handle(Event::EndpointsChanged {
             kind: UpdateKind::Failed,
             endpoints: Vec::new(),
         });
-        let asked = placer.advance(5 * SECOND);
-        assert!(asked.iter().any(|(_, a)| *a == Action::Subscribe));
+        let later_actions = placer.advance(5 * SECOND);
+        assert!(
+            later_actions
+                .iter()
+                .any(|(_, action)| *action == Action::Subscribe)
+        );
     }
-    // No answer at all: asked again too.
+    // The request is also repeated if no answer comes at all.
     assert!(without_times(placer.advance(5 * SECOND)).contains(&Action::Subscribe));
 }
 
--- a/tests/decision_rules/main.rs
+++ b/tests/decision_rules/main.rs
@@ -1,4 +1,4 @@
-//! The rules of the decision module, and one test for each failure that was found.
+//! Tests of the rules of the decision module, with one regression test for each failure that was found.
 
 #[path = "../common/mod.rs"]
 mod common;
@@ -16,22 +16,22 @@
     Settings::example()
 }
 
-fn with_effect(effect: Idempotency) -> Settings {
+fn with_idempotency(idempotency: Idempotency) -> Settings {
     let mut s = settings();
-    s.classes[0].idempotency = effect;
+    s.classes[0].idempotency = idempotency;
     s
 }
 
-fn with_spread(spread: SpreadDomain, most: usize) -> Settings {
+fn with_spread(spread_domain: SpreadDomain, max_per_domain: usize) -> Settings {
     let mut s = settings();
-    s.classes[0].spread_domain = spread;
-    s.classes[0].max_per_domain = most;
+    s.classes[0].spread_domain = spread_domain;
+    s.classes[0].max_per_domain = max_per_domain;
     s
 }
 
 fn only_sent_host(actions: &[Action]) -> HostId {
     let hosts = sent_hosts(actions);
-    assert_eq!(hosts.len(), 1, "one send expected: {actions:?}");
+    assert_eq!(hosts.len(), 1, "expected exactly one attempt: {actions:?}");
     hosts[0].clone()
 }
 
--- a/tests/decision_rules/regressions.rs
+++ b/tests/decision_rules/regressions.rs
@@ -1,26 +1,30 @@
-//! One test for each failure that was found in operation or on the bench.
+//! One test for each failure that was found in operation or in test runs.
 
 use super::*;
 
-/// Dead machines that the list still names took attempt after attempt as overflow (incident i788784).
+/// Guards against repeated attempts at dead hosts that are still in the endpoint list. They got attempts whenever the
+/// other hosts were full (incident i788784).
 #[test]
 fn ejected_host_returns_only_after_a_health_check_succeeds() {
     let mut placer = TestPlacer::with(settings(), 2);
-    let mut dead = 0;
+    let mut attempts_at_dead_host = 0;
     for n in 0..40 {
-        for at in sent_hosts(&placer.request(task(n, n as u64))) {
-            if at == host_id(0) {
-                dead += 1;
-                placer.end(n, 0, &at, Outcome::ConnectFailed, OutcomeDetail::Unknown);
+        for host in sent_hosts(&placer.request(task(n, n as u64))) {
+            if host == host_id(0) {
+                attempts_at_dead_host += 1;
+                placer.end(n, 0, &host, Outcome::ConnectFailed, OutcomeDetail::Unknown);
             } else {
-                placer.start(n, 0, &at);
+                placer.start(n, 0, &host);
             }
         }
     }
-    assert!(dead <= 2, "{dead} offers to the dead machine");
-    let done = without_times(placer.advance(3 * SECOND));
-    assert!(done.contains(&Action::SendHealthCheck { host: host_id(0) }));
-    assert!(!sent_hosts(&done).contains(&host_id(0)));
+    assert!(
+        attempts_at_dead_host <= 2,
+        "{attempts_at_dead_host} attempts at the dead host"
+    );
+    let next_actions = without_times(placer.advance(3 * SECOND));
+    assert!(next_actions.contains(&Action::SendHealthCheck { host: host_id(0) }));
+    assert!(!sent_hosts(&next_actions).contains(&host_id(0)));
     placer.handle(Event::HealthCheckEnded {
         host: host_id(0),
         outcome: Outcome::Completed,
@@ -33,31 +37,36 @@
         .collect();
     assert!(
         after.contains(&host_id(0)),
-        "an answered probe brings it back"
+        "no attempt at the host after a successful health check"
     );
 }
 
-/// A first start costs many times the work of a further one: tasks of a service keep together.
+/// Guards against spreading a service over many hosts: the first start of its program on a host costs many times the
+/// work of a further start there.
 #[test]
 fn tasks_of_a_service_stay_together_and_placers_agree_on_the_host() {
     for service in 0..10 {
-        let mut homes = Vec::new();
+        let mut preferred_hosts = Vec::new();
         for seed in 0..3 {
             let mut placer = Placer::new(settings(), seed);
-            let mut out = Vec::new();
-            placer.handle(0, &complete_list(6), &mut out);
+            let mut actions = Vec::new();
+            placer.handle(0, &complete_list(6), &mut actions);
             for n in 0..3 {
-                placer.handle(MS, &Event::TaskRequested(task(n, service)), &mut out);
+                placer.handle(MS, &Event::TaskRequested(task(n, service)), &mut actions);
             }
-            homes.extend(sent_hosts(&out));
+            preferred_hosts.extend(sent_hosts(&actions));
         }
-        homes.dedup();
-        assert_eq!(homes.len(), 1, "service {service}: {homes:?}");
+        preferred_hosts.dedup();
+        assert_eq!(
+            preferred_hosts.len(),
+            1,
+            "service {service}: {preferred_hosts:?}"
+        );
     }
 }
 
-/// Found on days of churn: of attempts that went to a machine without the program seven in ten could have
-/// gone where own tasks of the service stood, and came late.
+/// Guards against late starts in a fleet whose hosts come and go. Seven in ten of the attempts at hosts without the
+/// program could have gone to a host where the placer already had tasks of the service, and they started late.
 #[test]
 fn host_that_runs_the_service_comes_before_its_preferred_members() {
     for n in 0..6 {
@@ -76,7 +85,8 @@
     }
 }
 
-/// Found there too: offers given up before their time were started twice, and made other starts late.
+/// Guards against attempts that are given up before their deadline while the host starts the task. Such tasks were
+/// started twice, which delayed other starts. Found in a fleet whose hosts come and go.
 #[test]
 fn attempt_waits_until_the_deadline_if_the_acknowledgement_means_running() {
     let mut placer = TestPlacer::with(
@@ -95,80 +105,82 @@
     assert_eq!(timeout, Some(5 * SECOND - slack));
 }
 
-/// Found on days with bad clients: hosts answer errors to what they can't use, and were shut for it.
+/// Guards against the ejection of healthy hosts because of faulty clients: hosts answer requests that they cannot use
+/// with errors and were ejected for it.
 #[test]
 fn errors_are_blamed_on_the_task_until_another_host_starts_it() {
     let mut placer = TestPlacer::with(settings(), 1);
     placer.handle(complete_list(3));
     for n in 0..10 {
         let actions = placer.request(task(n, 1));
-        let first = only_sent_host(&actions);
-        let again = placer.end(n, 0, &first, Outcome::Error, OutcomeDetail::Unknown);
-        let second = only_sent_host(&again);
-        assert_ne!(first, second);
-        let done = placer.end(n, 1, &second, Outcome::Error, OutcomeDetail::Unknown);
+        let first_host = only_sent_host(&actions);
+        let again = placer.end(n, 0, &first_host, Outcome::Error, OutcomeDetail::Unknown);
+        let second_host = only_sent_host(&again);
+        assert_ne!(first_host, second_host);
+        let next_actions = placer.end(n, 1, &second_host, Outcome::Error, OutcomeDetail::Unknown);
         assert!(
-            sent_hosts(&done).is_empty() && contains_rejection(&done),
-            "two errors are enough"
+            sent_hosts(&next_actions).is_empty() && contains_rejection(&next_actions),
+            "expected a rejection after errors from two hosts"
         );
     }
-    // The machines are as good as before: a task goes to the home of its service, as in the beginning.
-    let mut fresh = TestPlacer::with(settings(), 1);
-    fresh.handle(complete_list(3));
+    // No host is ejected: a task goes to the preferred host of its service, as with a new placer.
+    let mut new_placer = TestPlacer::with(settings(), 1);
+    new_placer.handle(complete_list(3));
     assert_eq!(
         sent_hosts(&placer.request(task(50, 1))),
-        sent_hosts(&fresh.request(task(50, 1)))
+        sent_hosts(&new_placer.request(task(50, 1)))
     );
-    // Where another machine starts it the error was the first one's own.
+    // If another host starts the task, the error counts against the first host.
     let before = placer.request(task(60, 1));
-    let broken = only_sent_host(&before);
-    let second =
-        only_sent_host(&placer.end(60, 0, &broken, Outcome::Error, OutcomeDetail::Unknown));
+    let faulty_host = only_sent_host(&before);
+    let second_host =
+        only_sent_host(&placer.end(60, 0, &faulty_host, Outcome::Error, OutcomeDetail::Unknown));
     placer.handle(Event::AttemptStarted {
         id: request_id(60),
         attempt: 1,
-        host: second,
+        host: second_host,
         elapsed: MS,
     });
-    assert!(!sent_hosts(&placer.request(task(61, 1))).contains(&broken));
+    assert!(!sent_hosts(&placer.request(task(61, 1))).contains(&faulty_host));
 }
 
-/// Found on days with spoilt and lost answers, which come from any host alike: each shut its machine for the
-/// class, and its services started anew where their programs were not.
+/// Guards against the ejection of healthy hosts because of corrupt or lost answers, which occur at any host. Each of
+/// them ejected its host for the class, so that services were started on hosts without their programs.
 #[test]
 fn lost_answer_does_not_eject_a_host_that_has_just_started_another_task() {
-    for (just, shut) in [(true, false), (false, true)] {
+    for (has_just_started, is_ejected) in [(true, false), (false, true)] {
         let mut placer = TestPlacer::with(settings(), 1);
         placer.handle(complete_list(3));
-        let at = only_sent_host(&placer.request(task(1, 1)));
+        let host = only_sent_host(&placer.request(task(1, 1)));
         assert_eq!(
             sent_hosts(&placer.request(task(2, 1))),
-            std::slice::from_ref(&at)
+            std::slice::from_ref(&host)
         );
-        if just {
-            placer.start(2, 0, &at);
+        if has_just_started {
+            placer.start(2, 0, &host);
         }
-        placer.end(1, 0, &at, Outcome::Timeout, OutcomeDetail::Unknown);
+        placer.end(1, 0, &host, Outcome::Timeout, OutcomeDetail::Unknown);
         assert_eq!(
-            sent_hosts(&placer.request(task(3, 1))) != [at],
-            shut,
-            "{just}"
+            sent_hosts(&placer.request(task(3, 1))) != [host],
+            is_ejected,
+            "host has just started another task: {has_just_started}"
         );
     }
 }
 
-/// Spare machines stay empty while the others have room: a held machine beyond need is priced.
+/// Guards against the use of idle hosts while the others have free capacity: hosts that are used beyond need have a
+/// price.
 #[test]
 fn idle_hosts_stay_idle() {
     let mut placer = TestPlacer::with(settings(), 8);
-    let mut used = std::collections::BTreeSet::new();
+    let mut used_hosts = std::collections::BTreeSet::new();
     for n in 0..12 {
-        for at in sent_hosts(&placer.request(task(n, n as u64))) {
-            placer.start(n, 0, &at);
-            used.insert(at);
+        for host in sent_hosts(&placer.request(task(n, n as u64))) {
+            placer.start(n, 0, &host);
+            used_hosts.insert(host);
         }
     }
-    assert!(used.len() <= 3, "{used:?}");
+    assert!(used_hosts.len() <= 3, "{used_hosts:?}");
 }
 
 #[test]
@@ -190,11 +202,11 @@
         elapsed: 0,
         load_report: Vec::new(),
     });
-    let at = only_sent_host(&placer.request(task(1, 1)));
-    placer.end(1, 7, &at, Outcome::Rejected, OutcomeDetail::Unknown);
-    placer.start(1, 0, &at);
-    placer.end_with(1, 0, &at, Outcome::Reset, OutcomeDetail::Drained, true);
-    placer.end_with(1, 0, &at, Outcome::Reset, OutcomeDetail::Drained, true);
+    let host = only_sent_host(&placer.request(task(1, 1)));
+    placer.end(1, 7, &host, Outcome::Rejected, OutcomeDetail::Unknown);
+    placer.start(1, 0, &host);
+    placer.end_with(1, 0, &host, Outcome::Reset, OutcomeDetail::Drained, true);
+    placer.end_with(1, 0, &host, Outcome::Reset, OutcomeDetail::Drained, true);
     placer.now -= 50 * SECOND;
     only_sent_host(&placer.request(task(2, 2)));
     placer.now += 5_000 * SECOND;
@@ -211,11 +223,12 @@
     });
     assert!(
         sent_hosts(&without_times(placer.advance(SECOND))).is_empty(),
-        "a machine below zero takes nothing"
+        "attempt at a host with negative free resources"
     );
 }
 
-/// Starts piled up on machines that could not keep up, and timed out one after the other (incident ib29225).
+/// Guards against starts that pile up on a host that cannot keep up and time out one after the other (incident
+/// ib29225).
 #[test]
 fn timeouts_shrink_the_concurrency_window_of_a_host() {
     let mut s = settings();
@@ -244,17 +257,18 @@
         .sum();
     assert!(
         before >= 8 && after >= 1 && after <= before / 2,
-        "{before} before, {after} after"
+        "{before} attempts before the timeouts, {after} after them"
     );
 }
 
-/// Heavy tasks crowded the home of their service, and its other tasks with it (a fresh day of one deployment).
+/// Guards against heavy tasks that all go to the preferred host of their service and slow down its other tasks.
+/// Found in a test run of one deployment.
 #[test]
 fn heavy_tasks_are_placed_by_load_not_by_affinity() {
-    let mut used = std::collections::BTreeSet::new();
+    let mut used_hosts = std::collections::BTreeSet::new();
     for seed in 0..20 {
         let mut placer = Placer::new(settings(), seed);
-        let mut out = Vec::new();
+        let mut actions = Vec::new();
         let mut busy: Vec<Endpoint> = (0..4).map(|n| endpoint(n, EndpointState::Up)).collect();
         busy.iter_mut()
             .for_each(|e| (e.free_cores, e.free_memory) = (12.0, 24.0));
@@ -264,25 +278,26 @@
                 kind: UpdateKind::Complete,
                 endpoints: busy,
             },
-            &mut out,
+            &mut actions,
         );
         let mut heavy = task(1, 3);
         (heavy.cores, heavy.memory) = (6.0, 8.0);
-        placer.handle(MS, &Event::TaskRequested(heavy), &mut out);
-        used.extend(sent_hosts(&out));
+        placer.handle(MS, &Event::TaskRequested(heavy), &mut actions);
+        used_hosts.extend(sent_hosts(&actions));
     }
-    assert!(used.len() > 1, "{used:?}");
+    assert!(used_hosts.len() > 1, "{used_hosts:?}");
 }
 
-/// Tasks that come back are no fresh traffic: with them alone a is 1 and the least loaded machine wins; fresh
-/// arrivals raise a to m times their number and spread the draw.
+/// Guards against counting returning tasks as new arrivals. With returning tasks alone the arrivals `a` of SCD are 1,
+/// and the least loaded host is always drawn. New arrivals raise `a` to the number of placers times their own number,
+/// so that the draw is spread over several hosts.
 #[test]
 fn returning_tasks_do_not_raise_the_arrival_rate() {
-    let picks = |came_back: bool| -> usize {
-        let mut fuller = 0;
+    let attempts_at_fuller_host = |is_returning_task: bool| -> usize {
+        let mut count = 0;
         for seed in 0..60 {
             let mut placer = Placer::new(settings(), seed);
-            let mut out = Vec::new();
+            let mut actions = Vec::new();
             let mut list: Vec<Endpoint> = (0..2).map(|n| endpoint(n, EndpointState::Up)).collect();
             (list[0].free_cores, list[1].free_cores) = (12.0, 14.0);
             placer.handle(
@@ -291,16 +306,19 @@
                     kind: UpdateKind::Complete,
                     endpoints: list,
                 },
-                &mut out,
+                &mut actions,
             );
             let mut heavy = task(1, seed);
-            (heavy.cores, heavy.memory, heavy.is_returning) = (8.0, 1.0, came_back);
-            placer.handle(MS, &Event::TaskRequested(heavy), &mut out);
-            fuller += usize::from(sent_hosts(&out) == vec![host_id(0)]);
+            (heavy.cores, heavy.memory, heavy.is_returning) = (8.0, 1.0, is_returning_task);
+            placer.handle(MS, &Event::TaskRequested(heavy), &mut actions);
+            count += usize::from(sent_hosts(&actions) == vec![host_id(0)]);
         }
-        fuller
+        count
     };
-    assert_eq!(picks(true), 0);
-    let fresh = picks(false);
-    assert!(fresh > 5 && fresh < 55, "{fresh}");
+    assert_eq!(attempts_at_fuller_host(true), 0);
+    let of_new_tasks = attempts_at_fuller_host(false);
+    assert!(
+        of_new_tasks > 5 && of_new_tasks < 55,
+        "{of_new_tasks} of 60 new tasks were sent to the fuller host"
+    );
 }
--- a/tests/decision_rules/slow_start.rs
+++ b/tests/decision_rules/slow_start.rs
@@ -1,48 +1,55 @@
-//! Hosts that warm up.
+//! Limits on the attempts at hosts that are warming up.
 
 use super::*;
 
 #[test]
 fn warming_host_gets_no_more_than_this_placers_part_including_rejected_attempts() {
     let mut placer = TestPlacer::new(settings());
-    let mut cold = endpoint(0, EndpointState::Up);
-    cold.started_at = placer.now;
+    let mut warming = endpoint(0, EndpointState::Up);
+    warming.started_at = placer.now;
     placer.handle(Event::EndpointsChanged {
         kind: UpdateKind::Complete,
-        endpoints: vec![cold],
+        endpoints: vec![warming],
     });
-    let mut offers = 0;
+    let mut attempts = 0;
     for n in 0..60 {
         let actions = placer.request(task(n, n as u64));
-        for at in sent_hosts(&actions) {
-            offers += 1;
-            placer.end(n, 0, &at, Outcome::Rejected, OutcomeDetail::NotEligible);
+        for rejecting_host in sent_hosts(&actions) {
+            attempts += 1;
+            placer.end(
+                n,
+                0,
+                &rejecting_host,
+                Outcome::Rejected,
+                OutcomeDetail::NotEligible,
+            );
             placer.handle(Event::HealthCheckEnded {
-                host: at,
+                host: rejecting_host,
                 outcome: Outcome::Completed,
                 elapsed: MS,
                 load_report: Vec::new(),
             });
         }
     }
-    offers += sent_hosts(&without_times(placer.advance(SECOND))).len();
+    attempts += sent_hosts(&without_times(placer.advance(SECOND))).len();
     assert!(
-        offers > 0 && offers <= 20,
-        "{offers} offers where 60 / 3 are borne"
+        attempts > 0 && attempts <= 20,
+        "{attempts} attempts, but a warming host handles 60 / 3 from each placer"
     );
 }
 
-/// The processes that serve as one placer, among other placers.
+/// Processes that together serve as one of several placers.
 struct Processes {
     placer_count: usize,
     slow_start_attempts: f64,
     processes: u32,
-    /// Whether they know of each other.
+    /// Whether each process is notified of the number of processes.
     know_each_other: bool,
 }
 
 impl Processes {
-    /// Attempts that they send to one warming host within `span` while requests keep coming.
+    /// Returns the number of attempts that all processes send to one warming host within `span` while requests keep
+    /// coming.
     fn attempts_within(&self, span: Micros) -> usize {
         let indices = 0..self.processes;
         indices
@@ -75,10 +82,10 @@
     }
 }
 
-/// Time between two requests.
+/// Time between two requests, in microseconds.
 const STEP: Micros = 20 * MS;
 
-/// Requests a task, has the host reject each attempt, and lets a step pass. Returns the attempts.
+/// Requests a task, has the host reject each attempt, and lets a step pass. Returns the number of attempts.
 fn request_and_reject(placer: &mut TestPlacer, n: usize) -> usize {
     let mut sent = sent_hosts(&placer.request(Task {
         time_budget: STEP / 2,
@@ -103,7 +110,8 @@
 fn processes_of_one_placer_share_its_slow_start_budget() {
     let window = settings().collapse_window;
     let slow_start = settings().slow_start;
-    // A budget of several attempts, and one of less than an attempt, which is used by turns.
+    // The first case has a budget of several attempts for each placer. In the second case the budget is less than
+    // one attempt, so the placers take turns.
     let cases = [(3, 60.0, window), (30, 30.0, slow_start - window)];
     for (placer_count, slow_start_attempts, span) in cases {
         let attempts = |processes, know_each_other| {
@@ -118,15 +126,15 @@
 
         let one = attempts(1, true);
         let two = attempts(2, true);
-        let two_unknown = attempts(2, false);
+        let two_unaware = attempts(2, false);
 
         assert!(
             one > 1 && two <= one + 1,
-            "{placer_count}: {one} of one process, {two} of two"
+            "{placer_count} placers: {one} attempts of one process, {two} of two"
         );
         assert!(
-            two_unknown > one + 1,
-            "{placer_count}: {two_unknown} of two that do not know of each other, {one} of one"
+            two_unaware > one + 1,
+            "{placer_count} placers: {two_unaware} attempts of two processes unaware of each other, {one} of one"
         );
     }
 }
--- a/tests/decision_rules/spread.rs
+++ b/tests/decision_rules/spread.rs
@@ -1,4 +1,4 @@
-//! Spread over failure domains.
+//! Spread of a service's tasks over failure domains.
 
 use super::*;
 
@@ -7,30 +7,30 @@
     let mut placer = TestPlacer::with(with_spread(SpreadDomain::Zone, 2), 4);
     placer.handle(Event::TaskAdopted(task(90, 7), host_id(0)));
     let mut per_zone = [1, 0];
-    let mut at_of = Vec::new();
+    let mut sent_attempts = Vec::new();
     for n in 0..6 {
-        for at in sent_hosts(&placer.request(task(n, 7))) {
-            per_zone[at.0[1..].parse::<usize>().unwrap() % 2] += 1;
-            at_of.push((n, at));
+        for host in sent_hosts(&placer.request(task(n, 7))) {
+            per_zone[host.0[1..].parse::<usize>().unwrap() % 2] += 1;
+            sent_attempts.push((n, host));
         }
     }
     assert_eq!(per_zone, [2, 2]);
-    // Placed or not, it counts until its outcome; then one more may go there.
-    let (n, at) = at_of[0].clone();
-    placer.start(n, 0, &at);
+    // An attempt counts until its outcome, even after its task has started. Then its zone may get another one.
+    let (n, host) = sent_attempts[0].clone();
+    placer.start(n, 0, &host);
     assert!(sent_hosts(&without_times(placer.advance(SECOND))).is_empty());
-    placer.end(n, 0, &at, Outcome::Completed, OutcomeDetail::Unknown);
+    placer.end(n, 0, &host, Outcome::Completed, OutcomeDetail::Unknown);
     assert_eq!(sent_hosts(&without_times(placer.advance(SECOND))).len(), 1);
 }
 
 #[test]
 fn spread_over_hosts_and_cells() {
-    for (spread, places) in [(SpreadDomain::Host, 4), (SpreadDomain::Cell, 2)] {
-        let mut placer = TestPlacer::with(with_spread(spread, 1), 4);
+    for (spread_domain, expected) in [(SpreadDomain::Host, 4), (SpreadDomain::Cell, 2)] {
+        let mut placer = TestPlacer::with(with_spread(spread_domain, 1), 4);
         let count: usize = (0..9)
             .map(|n| sent_hosts(&placer.request(task(n, 7))).len())
             .sum();
-        assert_eq!(count, places, "{spread:?}");
+        assert_eq!(count, expected, "{spread_domain:?}");
     }
 }
 
--- a/tests/digests/drain.rs
+++ b/tests/digests/drain.rs
@@ -1,4 +1,4 @@
-//! The phases and effects of a drain.
+//! Digests of the phases and effects of a drain.
 
 use crate::{Numbers, digest};
 use task_placer::Micros;
@@ -9,13 +9,14 @@
 const START: Micros = 1_000_000_000;
 const STEPS: i64 = 20_000;
 const STEP: Micros = 50_000;
-/// Of so many steps, responses and tasks are outstanding during the first ones.
+/// Steps after which the phase with outstanding responses and tasks repeats.
 const BUSY_PERIOD: i64 = 4_000;
+/// Steps at the start of each period during which responses and tasks may be outstanding.
 const BUSY_STEPS: i64 = 1_500;
-/// No drain exits the process before this step.
+/// First step from which a drain may end with the exit of the process.
 const EXITS_FROM: i64 = 12_000;
 
-/// A drain under random events.
+/// A drain that gets random events.
 struct Player {
     drain: Drain,
     numbers: Numbers,
@@ -109,11 +110,11 @@
 }
 
 #[test]
-fn random_events_give_the_same_drains_as_ever() {
+fn random_events_give_the_expected_drains() {
     assert_eq!([1, 2, 3, 4, 5, 6].map(play), EXPECTED);
 }
 
-/// By seed.
+/// Expected digest for each seed.
 const EXPECTED: [u64; 6] = [
     1_020_608_321_913_222_385,
     16_967_431_768_764_173_612,
--- a/tests/digests/health.rs
+++ b/tests/digests/health.rs
@@ -1,4 +1,4 @@
-//! The states, weights and signals of the health monitor.
+//! Digests of the states, weights and signals of the health monitor.
 
 use crate::{Numbers, digest};
 use task_placer::health::{
@@ -9,10 +9,11 @@
 const START: Micros = 1_000_000_000;
 const STEPS: u64 = 40_000;
 const STEP: Micros = 3_000;
-/// Now and then the event loop stands still.
+/// Time for which the event loop occasionally stalls, in microseconds.
 const STALL: Micros = 900_000;
-/// Of so many steps, the last ones are a fault.
+/// Steps after which the fault repeats.
 const FAULT_PERIOD: u64 = 10_000;
+/// Step within each period after which the fault lasts until the end of the period.
 const FAULT_FROM: u64 = 6_000;
 const STEPS_PER_REPORT: u64 = 500;
 
@@ -23,7 +24,7 @@
     (Outcome::Rejected, OutcomeDetail::NotEligible),
 ];
 
-/// Gauges that are bad only during a fault.
+/// Returns random gauges that reach bad values only during a fault.
 fn gauges(numbers: &mut Numbers, is_fault: bool) -> Gauges {
     let max = if is_fault { 1.0 } else { 0.05 };
     let zone_count = numbers.below(4);
@@ -135,11 +136,11 @@
 }
 
 #[test]
-fn random_events_give_the_same_states_and_weights_as_ever() {
+fn random_events_give_the_expected_states_and_weights() {
     assert_eq!([1, 2, 3].map(play), EXPECTED);
 }
 
-/// By seed.
+/// Expected digest for each seed.
 const EXPECTED: [u64; 3] = [
     1_100_187_501_898_187_680,
     4_245_589_237_529_863_451,
--- a/tests/digests/main.rs
+++ b/tests/digests/main.rs
@@ -1,17 +1,19 @@
-//! Plays random events to overload control, the health monitor and a drain, and checks digests of their outputs.
+//! Feeds random events to overload control, the health monitor and a drain, and checks digests of their outputs.
 //!
-//! A digest covers ids, codes and numbers as peers and operators see them, so it does not depend on how types are
-//! named. A digest that changes means that a decision has changed: placers of two versions would then disagree
+//! A digest covers ids, codes and numbers as other placers and operators see them, so it does not depend on the names
+//! of types. A different digest means that a decision has changed, in which case placers of two versions would disagree
 //! during a rolling upgrade.
 
 mod drain;
 mod health;
 mod overload;
 
-/// A linear congruential generator: the same numbers on every platform and with every version of a crate.
+/// A linear congruential generator, which gives the same numbers on every platform and with every version of the
+/// dependencies.
 struct Numbers(u64);
 
 impl Numbers {
+    /// Returns the next number from 0 (included) to `bound` (excluded).
     fn below(&mut self, bound: u64) -> u64 {
         self.0 = self
             .0
@@ -20,7 +22,7 @@
         (self.0 >> 33) % bound
     }
 
-    /// A number from 0 to `max`.
+    /// Returns the next number from 0 (included) to `max` (excluded).
     fn fraction(&mut self, max: f64) -> f64 {
         max * self.below(1_000) as f64 / 1_000.0
     }
@@ -30,7 +32,7 @@
     }
 }
 
-/// The FNV-1a hash of a text.
+/// Returns the FNV-1a hash of a text.
 fn digest(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/tests/digests/overload.rs
+++ b/tests/digests/overload.rs
@@ -1,4 +1,4 @@
-//! The limits and admissions of the overload controller.
+//! Digests of the limits and admissions of the overload controller.
 
 use crate::{Numbers, digest};
 use std::sync::Arc;
@@ -11,9 +11,10 @@
 const HOSTS: u64 = 12;
 const STEPS: u64 = 20_000;
 const STEP: Micros = 7_000;
-/// Of so many steps, the last ones are an outage: nothing starts and many attempts fail, so that hosts and whole
-/// zones become suspect.
+/// Steps after which the outage repeats.
 const OUTAGE_PERIOD: u64 = 4_000;
+/// Step within each period after which the outage lasts until the end of the period. No task starts in an outage and
+/// many attempts fail, so that hosts and whole zones become suspect.
 const OUTAGE_FROM: u64 = 3_000;
 
 const FAILURES: [(Outcome, OutcomeDetail); 8] = [
@@ -26,6 +27,7 @@
     (Outcome::Cancelled, OutcomeDetail::Unknown),
     (Outcome::NotSent, OutcomeDetail::Unknown),
 ];
+/// Number of entries of `FAILURES`, from the first, that occur in an outage.
 const FAILURES_IN_OUTAGE: usize = 2;
 
 fn host(number: u64) -> HostId {
@@ -61,11 +63,11 @@
             give_up_after,
         } => format!("a {admit_below:.9} {give_up_after:?};"),
         Limit::NoRetry(id) => format!("n {};", id.0),
-        Limit::Processes { .. } => panic!("not a limit of the controller"),
+        Limit::Processes { .. } => panic!("the controller does not set this limit"),
     }
 }
 
-/// A controller under random events.
+/// A controller that gets random events.
 struct Player {
     controller: OverloadController,
     numbers: Numbers,
@@ -221,7 +223,7 @@
 }
 
 #[test]
-fn random_events_give_the_same_limits_as_ever() {
+fn random_events_give_the_expected_limits() {
     let limits_only = Features {
         concurrency_limit: Features::all().concurrency_limit,
         ..Features::default()
@@ -244,7 +246,8 @@
     assert_eq!(digests, EXPECTED);
 }
 
-/// By features (all; host concurrency only; all but host concurrency; all but admission) and seed.
+/// Expected digests by features (all, host concurrency only, all but host concurrency, all but admission) and then by
+/// seed.
 const EXPECTED: [u64; 12] = [
     13_605_256_123_701_354_509,
     2_554_491_150_574_800_313,
--- a/tests/random_events/checker.rs
+++ b/tests/random_events/checker.rs
@@ -1,10 +1,18 @@
-//! The rules, checked by records that are kept apart from the module's.
+//! Checks the actions of a placer by records that are independent of the decision module. The rules are:
+//!
+//! 1. Each request gets exactly one final response in time, and no attempt after it.
+//! 2. No two attempts of a request are in flight at once. Once a task may have run, it is not retried if it must not
+//!    run twice, and with an idempotency key it is retried only where and while hosts recognise the key. A request is
+//!    rejected only if a retry by the client cannot lead to a harmful second run.
+//! 3. Draining and removed hosts get no attempts after the drain grace.
+//! 4. Hosts that are warming up get no more attempts than the slow-start budget allows.
+//! 5. No failure domain gets more tasks of a service than its class allows.
 
 use crate::common::*;
 use std::collections::BTreeMap;
 use task_placer::*;
 
-/// The attempt in flight.
+/// An attempt in flight.
 #[derive(Clone)]
 pub struct Attempt {
     pub number: u32,
@@ -12,7 +20,7 @@
     pub times_out_at: Micros,
 }
 
-/// One request and what became of it.
+/// A request with its attempts and its response.
 pub struct RequestRecord {
     pub task: Task,
     deadline: Micros,
@@ -22,7 +30,7 @@
     pub is_placed: bool,
     pub is_answered: bool,
     pub is_cancelled: bool,
-    /// The host and time of the first attempt that may have run.
+    /// Host and send time of the first attempt whose task may have run.
     may_have_run: Option<(HostId, Micros)>,
 }
 
@@ -41,12 +49,12 @@
         }
     }
 
-    /// Whether a response is still pending.
+    /// Returns whether a response is still pending.
     pub fn is_pending(&self) -> bool {
         !self.is_answered && !self.is_placed && !self.is_cancelled
     }
 
-    /// Takes the attempt in flight as ended; returns it and whether the request is complete.
+    /// Ends the attempt in flight. Returns it together with whether the request is complete.
     pub fn end_attempt(&mut self, outcome: Outcome) -> Option<(Attempt, bool)> {
         let attempt = self.in_flight.take()?;
         let is_complete = outcome == Outcome::Completed
@@ -64,14 +72,17 @@
     }
 }
 
-/// What the rules are checked against.
+/// Checks the rules against its own records of requests, endpoints and attempts.
 pub struct Checker {
     pub settings: Settings,
     pub requests: BTreeMap<RequestId, RequestRecord>,
     pub endpoints: BTreeMap<HostId, Endpoint>,
     pub responses: usize,
+    /// When the module was notified that a host is draining or removed.
     not_up_since: BTreeMap<HostId, Micros>,
+    /// Send times of the attempts at hosts that are warming up, since the start of the host.
     warming_attempts: BTreeMap<HostId, Vec<Micros>>,
+    /// Start time of each host, as last notified to the module.
     known_start: BTreeMap<HostId, Micros>,
 }
 
@@ -91,7 +102,7 @@
         }
     }
 
-    /// Records what the module is notified of.
+    /// Records the endpoints of which the module is notified.
     pub fn notified(&mut self, now: Micros, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             let host = &endpoint.host;
@@ -120,17 +131,20 @@
         };
         assert!(
             is_harmless,
-            "rule 2: rejected {id:?} though an attempt may have run"
+            "rule 2: {id:?} was rejected although an attempt may have run"
         );
     }
 
     pub fn check_response(&mut self, now: Micros, id: &RequestId) {
         let slack = self.settings.response_slack;
-        let request = self.requests.get_mut(id).expect("a known request");
-        assert!(request.is_pending(), "rule 1: a second response for {id:?}");
+        let request = self
+            .requests
+            .get_mut(id)
+            .expect("response to an unknown request");
+        assert!(request.is_pending(), "rule 1: second response to {id:?}");
         assert!(
             now <= request.deadline + slack,
-            "rule 1: too late for {id:?}"
+            "rule 1: late response to {id:?}"
         );
         request.is_answered = true;
         self.responses += 1;
@@ -138,15 +152,21 @@
 
     pub fn check_attempt(&mut self, now: Micros, id: &RequestId, host: &HostId, timeout: Micros) {
         let request = &self.requests[id];
-        assert!(request.is_pending(), "rule 1: sent after the end of {id:?}");
-        assert!(request.in_flight.is_none(), "rule 2: two attempts at once");
+        assert!(
+            request.is_pending(),
+            "rule 1: attempt for {id:?} after its final response, placement or cancellation"
+        );
+        assert!(
+            request.in_flight.is_none(),
+            "rule 2: two attempts in flight at once"
+        );
         assert!(request.attempts < self.settings.max_attempts && timeout > 0);
         let class = self.settings.classes[request.task.class.0].clone();
         self.check_retry(now, request, &class, host);
         if let Some(since) = self.not_up_since.get(host) {
             assert!(
                 now - since <= self.settings.drain_grace,
-                "rule 3: sent to a draining host"
+                "rule 3: attempt at a draining or removed host"
             );
         }
         self.check_spread(request, &class, host);
@@ -156,7 +176,7 @@
                 .host_kind
                 .is_none_or(|kind| kind == self.endpoints[host].kind)
         );
-        let request = self.requests.get_mut(id).expect("known");
+        let request = self.requests.get_mut(id).expect("request is unknown");
         request.in_flight = Some(Attempt {
             number: request.attempts,
             host: host.clone(),
@@ -172,7 +192,9 @@
         };
         match class.idempotency {
             Idempotency::Idempotent => {}
-            Idempotency::NonIdempotent => panic!("rule 2: a non-idempotent task sent again"),
+            Idempotency::NonIdempotent => {
+                panic!("rule 2: retry of a non-idempotent task that may have run")
+            }
             Idempotency::IdempotencyKey { scope } => {
                 let first = &self.endpoints[first];
                 let host = &self.endpoints[host];
@@ -183,7 +205,7 @@
                 });
                 assert!(
                     now - sent_at <= class.idempotency_window,
-                    "rule 2: after the window"
+                    "rule 2: retry after the idempotency window"
                 );
             }
         }
@@ -202,7 +224,7 @@
         });
         assert!(
             in_domain.count() < class.max_per_domain,
-            "rule 5: too many of a service in one domain"
+            "rule 5: too many tasks of a service in one failure domain"
         );
     }
 
@@ -218,17 +240,23 @@
             .iter()
             .filter(|sent_at| now - **sent_at <= window)
             .count();
-        // With more placers than attempts they take turns of one; tests/scale.rs checks their sum.
+        // If there are more placers than attempts in the budget, the placers take turns of one attempt each. The sum
+        // over all placers is checked in tests/scale.rs.
         let budget =
             (self.settings.slow_start_attempts / self.settings.placer_count as f64).max(1.0);
-        assert!(recent as f64 <= budget, "rule 4: {recent} attempts");
+        assert!(
+            recent as f64 <= budget,
+            "rule 4: {recent} attempts at a warming host within the collapse window"
+        );
     }
 
     fn domain(&self, spread: SpreadDomain, host: &HostId) -> u64 {
         let endpoint = &self.endpoints[host];
         match spread {
             SpreadDomain::None => 0,
-            SpreadDomain::Host => host.0[1..].parse().expect("a number"),
+            SpreadDomain::Host => host.0[1..]
+                .parse()
+                .expect("host id does not end in a number"),
             SpreadDomain::Cell => endpoint.cell.0,
             SpreadDomain::Zone => endpoint.zone.0 as u64,
         }
--- a/tests/random_events/digest.rs
+++ b/tests/random_events/digest.rs
@@ -1,12 +1,13 @@
-//! A digest of actions that does not depend on the names in the code.
+//! Computes a digest of actions that does not depend on the names in the code.
 
 use task_placer::Action;
 
-/// Where a digest starts (FNV-1a).
+/// Digest of no lines: the offset basis of the FNV-1a hash.
 pub const EMPTY: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of the FNV-1a hash.
 const PRIME: u64 = 0x0100_0000_01b3;
 
-/// An action as a number and its values. The numbers are fixed here and mean nothing else.
+/// Returns an action as a number and its values. The numbers are used only in this digest and must not change.
 pub fn rendered(action: &Action) -> String {
     match action {
         Action::Subscribe => "1".to_string(),
@@ -25,7 +26,7 @@
     }
 }
 
-/// Adds one line to a digest.
+/// Returns a digest after one more line.
 pub fn add_line(digest: u64, line: &str) -> u64 {
     let bytes = line.bytes().chain([b'\n']);
     bytes.fold(digest, |sum, byte| {
--- a/tests/random_events/main.rs
+++ b/tests/random_events/main.rs
@@ -1,5 +1,6 @@
-//! Random legal event sequences over many kinds of settings: the five rules and exactly one final response for every
-//! request, checked by records that are kept apart from the module's.
+//! Feeds random legal sequences of events to placers with different settings. Checks the five rules that the `checker`
+//! module lists, and that every request gets exactly one final response, by records that are independent of the
+//! decision module.
 
 mod checker;
 #[path = "../common/mod.rs"]
@@ -12,20 +13,21 @@
 use std::collections::BTreeSet;
 use task_placer::*;
 
-/// All actions of the runs below, in order. A change of it is a change of decisions: no renaming, moving or splitting of code
-/// may touch it.
+/// Digest of all actions of the runs below, in order. A different digest means that a decision has changed, which must
+/// not happen when code is only renamed, moved or split.
 const DIGEST_OF_ALL_ACTIONS: u64 = 0x8b9fdbbdc2c439bc;
 const SEEDS: u64 = 40;
 const STEPS: usize = 400;
 const TICKS_TO_RUN_OUT: usize = 4_000;
 
-/// Settings, and the number of hosts.
+/// Settings of a placer and the number of hosts in its endpoint list.
 struct Variant {
     settings: Settings,
     hosts: usize,
 }
 
-/// One class for each kind of idempotency key and for tasks that must not run twice, with different spread domains.
+/// Returns settings with one class for each scope of an idempotency key and one for tasks that must not run twice, each
+/// with another spread domain.
 fn all_idempotencies() -> Settings {
     let base = Settings::example();
     let template = base.classes[0].clone();
@@ -54,7 +56,8 @@
     }
 }
 
-/// All idempotencies and a strictly spread class, in a fleet of placers that subscribe.
+/// Returns the settings of `all_idempotencies` with one more class of one task per host, for a fleet of placers that
+/// subscribe to the endpoint list.
 fn mixed_fleet() -> Settings {
     let mut settings = all_idempotencies();
     settings.classes.push(TaskClass {
@@ -68,7 +71,7 @@
     settings
 }
 
-/// One placer without health checks and load reports.
+/// Returns settings of a single placer without health checks and load reports.
 fn without_reports() -> Settings {
     Settings {
         placer_count: 1,
@@ -127,7 +130,7 @@
                 .collect();
             assert!(
                 pending.is_empty(),
-                "variant {number} seed {seed}: no response for {pending:?}"
+                "variant {number}, seed {seed}: no response for {pending:?}"
             );
             let answered = requests
                 .values()
@@ -135,7 +138,7 @@
             assert_eq!(
                 run.checker.responses,
                 answered.count(),
-                "variant {number} seed {seed}"
+                "variant {number}, seed {seed}: number of responses"
             );
             assert!(run.requests > 50);
             digest = run.digest;
@@ -143,7 +146,7 @@
     }
     assert_eq!(
         digest, DIGEST_OF_ALL_ACTIONS,
-        "{digest:#018x}: other actions than before"
+        "digest {digest:#018x}: the actions have changed"
     );
 }
 
--- a/tests/random_events/run.rs
+++ b/tests/random_events/run.rs
@@ -1,4 +1,4 @@
-//! Plays random legal events to a placer, and hands its actions to the checker.
+//! Feeds random legal events to a placer and passes its actions to the checker.
 
 use crate::checker::{Attempt, Checker, RequestRecord};
 use crate::common::*;
@@ -25,7 +25,7 @@
     OutcomeDetail::Evicted,
 ];
 
-/// A placer that random events are played to.
+/// A placer that gets random events.
 pub struct RandomRun {
     pub checker: Checker,
     pub digest: u64,
@@ -37,7 +37,7 @@
 }
 
 impl RandomRun {
-    /// A placer that knows the hosts from its cache.
+    /// Creates a placer that knows the hosts from a cached endpoint list.
     pub fn new(
         settings: &Settings,
         host_count: usize,
@@ -58,7 +58,7 @@
         run
     }
 
-    /// Plays one event, after some time.
+    /// Lets a random time pass and feeds one random event to the placer.
     pub fn step(&mut self, number: usize) {
         self.now += [0, 0, MS, 20 * MS, 200 * MS, 2 * SECOND][self.pick(6)];
         let in_flight = self.requests_in_flight();
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Lets only time pass, which must bring the last responses.
+    /// Lets time pass without further events, by which all pending responses become due.
     pub fn run_out(&mut self, ticks: usize) {
         for _ in 0..ticks {
             self.now += self.checker.settings.tick;
@@ -117,7 +117,7 @@
             Action::Fail { id } => self.checker.check_response(self.now, &id),
             Action::SendHealthCheck { host } => self.answer_health_check(host),
             Action::CancelAttempt { .. } => assert!(self.checker.settings.allows_cancel),
-            Action::ReportFault(text) => panic!("the module gave up: {text}"),
+            Action::ReportFault(text) => panic!("the module reports a fault: {text}"),
             _ => {}
         }
     }
@@ -145,7 +145,7 @@
         in_flight.map(|(id, _)| id.clone()).collect()
     }
 
-    /// Batches come each tick: a due timer is never answered long after its time.
+    /// Fires each due timer at most one tick late, because batches of events arrive at each tick.
     fn fire_due_timers(&mut self) {
         self.timers.sort();
         while self.timers.first().is_some_and(|(due, _)| *due <= self.now) {
@@ -185,7 +185,11 @@
 
     fn start_attempt(&mut self, in_flight: &[RequestId]) {
         let id = in_flight[self.pick(in_flight.len())].clone();
-        let request = self.checker.requests.get_mut(&id).expect("known");
+        let request = self
+            .checker
+            .requests
+            .get_mut(&id)
+            .expect("request is unknown");
         let Some(Attempt { number, host, .. }) = request.in_flight.clone() else {
             return;
         };
@@ -251,7 +255,7 @@
             .endpoints
             .values_mut()
             .nth(which)
-            .expect("in range");
+            .expect("index is out of range");
         endpoint.state = state;
         if restarts {
             endpoint.started_at = self.now;
--- a/tests/scd.rs
+++ b/tests/scd.rs
@@ -1,4 +1,5 @@
-//! SCD against an exhaustive search over subsets, hand-worked examples and extreme input.
+//! Tests of the SCD probabilities against an exhaustive search over subsets of hosts, against examples calculated by
+//! hand, and with extreme input.
 
 use task_placer::{HostLoad, scd_probabilities};
 
@@ -6,7 +7,8 @@
     HostLoad { load, size }
 }
 
-/// The objective of the published method: the sum of ((a-1)p^2 + (2(q - mu*iwl) + 1)p) / mu over all hosts.
+/// Returns the objective of the published method: the sum of ((a-1)p^2 + (2(q - mu*iwl) + 1)p) / mu over all hosts,
+/// where iwl is the ideal workload.
 fn objective(hosts: &[HostLoad], probabilities: &[f64], arrivals: f64, ideal_workload: f64) -> f64 {
     let term = |(host, p): (&HostLoad, &f64)| {
         let excess = 2.0 * (host.load - host.size * ideal_workload) + 1.0;
@@ -15,7 +17,7 @@
     hosts.iter().zip(probabilities).map(term).sum()
 }
 
-/// The level at which the hosts below it take all arrivals, by bisection.
+/// Returns the ideal workload by bisection: the load per size up to which the less loaded hosts take all arrivals.
 fn ideal_workload(hosts: &[HostLoad], arrivals: f64) -> f64 {
     let taken_up_to = |level: f64| {
         let taken = hosts
@@ -35,7 +37,7 @@
     low
 }
 
-/// The best objective over all subsets whose stationary point has no negative probability.
+/// Returns the lowest objective over all subsets of hosts whose stationary point has no negative probability.
 fn best_objective(hosts: &[HostLoad], arrivals: f64) -> f64 {
     let level = ideal_workload(hosts, arrivals);
     let mut best = f64::INFINITY;
@@ -44,11 +46,11 @@
             .filter(|index| mask >> index & 1 == 1)
             .collect();
         let size: f64 = members.iter().map(|&index| hosts[index].size).sum();
-        let room = members
+        let headroom = members
             .iter()
             .map(|&index| hosts[index].size * level - hosts[index].load);
-        let room: f64 = room.sum();
-        let multiplier = (2.0 * room - members.len() as f64 - 2.0 * (arrivals - 1.0)) / size;
+        let headroom: f64 = headroom.sum();
+        let multiplier = (2.0 * headroom - members.len() as f64 - 2.0 * (arrivals - 1.0)) / size;
         let mut probabilities = vec![0.0; hosts.len()];
         for &index in &members {
             let HostLoad { load, size } = hosts[index];
@@ -62,7 +64,7 @@
     best
 }
 
-/// The probabilities, which are a distribution whatever the input.
+/// Returns the probabilities after checking that they are non-negative, finite and add up to 1.
 fn checked_probabilities(hosts: &[HostLoad], arrivals: f64) -> Vec<f64> {
     let probabilities = scd_probabilities(hosts, arrivals);
     assert_eq!(probabilities.len(), hosts.len());
@@ -79,7 +81,7 @@
 
 #[test]
 fn equals_the_exhaustive_search_on_small_cases() {
-    // A small fixed generator of cases: loads and sizes of very different scale.
+    // A linear congruential generator with a fixed seed gives loads and sizes of very different scales.
     let mut state = 12345u64;
     let mut next = || {
         state = state
@@ -105,7 +107,7 @@
         let best = best_objective(&hosts, arrivals);
         assert!(
             (found - best).abs() <= 1e-6 * (1.0 + best.abs()),
-            "{hosts:?} a={arrivals}: {found} {best}"
+            "{hosts:?}, a = {arrivals}: objective is {found}, the best is {best}"
         );
     }
 }
@@ -118,14 +120,14 @@
 }
 
 #[test]
-fn hand_worked_cases_are_met() {
-    // q = (0, 2), mu = (1, 1), a = 3: IWL = 2.5. Both: L = (2*3 - 2 - 4)/2 = 0,
-    // p = ((5 - 1)/4, (1 - 1)/4) = (1, 0).
+fn matches_examples_calculated_by_hand() {
+    // For q = (0, 2), mu = (1, 1) and a = 3 the ideal workload is 2.5. With both hosts the multiplier is
+    // (2*3 - 2 - 4)/2 = 0 and p = ((5 - 1)/4, (1 - 1)/4) = (1, 0).
     let p = checked_probabilities(&[host(0.0, 1.0), host(2.0, 1.0)], 3.0);
     assert!((p[0] - 1.0).abs() < 1e-9 && p[1].abs() < 1e-9, "{p:?}");
 
-    // q = (0, 1), mu = (1, 1), a = 3: IWL = 2. Both: L = (2*3 - 2 - 4)/2 = 0,
-    // p = ((4 - 1)/4, (2 - 1)/4) = (0.75, 0.25).
+    // For q = (0, 1), mu = (1, 1) and a = 3 the ideal workload is 2. With both hosts the multiplier is
+    // (2*3 - 2 - 4)/2 = 0 and p = ((4 - 1)/4, (2 - 1)/4) = (0.75, 0.25).
     let p = checked_probabilities(&[host(0.0, 1.0), host(1.0, 1.0)], 3.0);
     assert!(
         (p[0] - 0.75).abs() < 1e-9 && (p[1] - 0.25).abs() < 1e-9,
@@ -141,7 +143,7 @@
     let ties = [host(1.0, 1.0), host(1.0, 1.0)];
     assert_eq!(checked_probabilities(&ties, 1.0), vec![0.5, 0.5]);
 
-    // (2q+1)/mu decides, not q/mu: the large empty host is the least loaded.
+    // The marginal load (2q+1)/mu decides and not q/mu, so the large empty host is the least loaded.
     let empty = [host(0.0, 1.0), host(0.0, 8.0)];
     assert_eq!(checked_probabilities(&empty, 0.2), vec![0.0, 1.0]);
 }
