--- a/src/net/dispatch/admin_commands.rs
+++ b/src/net/dispatch/admin_commands.rs
@@ -178,10 +178,10 @@
             .ok_or(CommandError::HealthDisabled)?;
         if let Some(order) = order {
             info!(?order, "ordered");
-            let tasks = reporter
+            let actions = reporter
                 .execute(now, order)
                 .map_err(|rejected| CommandError::NotNow(rejected.to_string()))?;
-            self.run_drain_tasks(now, tasks);
+            self.run_drain_actions(now, actions);
         }
         let reporter = self
             .health_reporter
--- a/src/net/dispatch/health_inputs.rs
+++ b/src/net/dispatch/health_inputs.rs
@@ -39,8 +39,8 @@
         let pending_work = self.pending_work();
         if let Some(reporter) = &mut self.health_reporter {
             reporter.notify(now, Event::GaugesSampled(gauges));
-            let tasks = reporter.advance_drain(now, pending_work);
-            self.run_drain_tasks(now, tasks);
+            let actions = reporter.advance_drain(now, pending_work);
+            self.run_drain_actions(now, actions);
         }
     }
 
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -4,7 +4,7 @@
 use super::request::{Request, RequestState};
 use super::{Dispatch, MILLISECOND};
 use crate::net::codec::Cause;
-use crate::net::health::reporter::{DrainTask, HealthReporter};
+use crate::net::health::reporter::{DrainAction, HealthReporter};
 use task_placer::Micros;
 use task_placer::facade::{PlacementEvent, Ticket};
 use task_placer::health::drain::Outstanding;
@@ -30,7 +30,7 @@
             .as_mut()
             .and_then(|reporter| reporter.terminate(now))
         {
-            Some(tasks) => self.run_drain_tasks(now, tasks),
+            Some(actions) => self.run_drain_actions(now, actions),
             None if self.shares_listener => {
                 let event = lifecycle::Event::ShutdownRequested {
                     longest_client_wait: self.facade.max_deadline(),
@@ -42,19 +42,19 @@
     }
 
     /// Does what a drain asks for.
-    pub(super) fn run_drain_tasks(&mut self, now: Micros, tasks: Vec<DrainTask>) {
-        for task in tasks {
-            match task {
-                DrainTask::StartClosingIdle => {
+    pub(super) fn run_drain_actions(&mut self, now: Micros, actions: Vec<DrainAction>) {
+        for action in actions {
+            match action {
+                DrainAction::StartClosingIdle => {
                     self.closes_idle_clients = true;
                     self.apply_close_idle();
                 }
-                DrainTask::StopClosingIdle => {
+                DrainAction::StopClosingIdle => {
                     self.closes_idle_clients = false;
                     self.apply_close_idle();
                 }
-                DrainTask::AnswerAll { within } => self.begin_shutdown(now, within),
-                DrainTask::Exit { left } => {
+                DrainAction::AnswerAll { within } => self.begin_shutdown(now, within),
+                DrainAction::Exit { left } => {
                     self.is_drained = true;
                     self.log_unfinished_work(left);
                 }
--- a/src/net/health/reporter.rs
+++ b/src/net/health/reporter.rs
@@ -15,7 +15,7 @@
 
 /// What the program must do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum DrainTask {
+pub enum DrainAction {
     /// Close idle connections from now on.
     StartClosingIdle,
     /// Keep idle connections open again.
@@ -118,7 +118,7 @@
 
     /// Handles SIGTERM. Returns `None` if the operator's file enables no drain, so that the process ends as
     /// without the file.
-    pub fn terminate(&mut self, now: Micros) -> Option<Vec<DrainTask>> {
+    pub fn terminate(&mut self, now: Micros) -> Option<Vec<DrainAction>> {
         if !self.drains_on_signal {
             self.notify(now, Event::CommandReceived(Command::Stop));
             return None;
@@ -136,7 +136,7 @@
         &mut self,
         now: Micros,
         command: Command,
-    ) -> Result<Vec<DrainTask>, CommandRejected> {
+    ) -> Result<Vec<DrainAction>, CommandRejected> {
         match command {
             Command::Drain => {
                 let effects = self.drain.begin(now, AfterDrain::Wait);
@@ -146,13 +146,13 @@
             Command::Maint if self.is_draining() => Err(CommandRejected::DrainInProgress),
             Command::Maint => {
                 self.notify(now, Event::CommandReceived(Command::Maint));
-                Ok(vec![DrainTask::StartClosingIdle])
+                Ok(vec![DrainAction::StartClosingIdle])
             }
             Command::Stop => Err(CommandRejected::NeedsSignal),
         }
     }
 
-    fn return_to_service(&mut self, now: Micros) -> Result<Vec<DrainTask>, CommandRejected> {
+    fn return_to_service(&mut self, now: Micros) -> Result<Vec<DrainAction>, CommandRejected> {
         let effects = self
             .drain
             .cancel(now)
@@ -160,27 +160,27 @@
         if self.monitor.state() == State::Stopped {
             return Err(CommandRejected::TooLate);
         }
-        let mut tasks = self.apply(now, effects);
+        let mut actions = self.apply(now, effects);
         self.notify(now, Event::CommandReceived(Command::Ready));
-        tasks.push(DrainTask::StopClosingIdle);
-        Ok(tasks)
+        actions.push(DrainAction::StopClosingIdle);
+        Ok(actions)
     }
 
     /// Advances the drain, given what is outstanding.
-    pub fn advance_drain(&mut self, now: Micros, outstanding: Outstanding) -> Vec<DrainTask> {
+    pub fn advance_drain(&mut self, now: Micros, outstanding: Outstanding) -> Vec<DrainAction> {
         let effects = self.drain.advance(now, outstanding);
         self.apply(now, effects)
     }
 
-    fn apply(&mut self, now: Micros, effects: Vec<Effect>) -> Vec<DrainTask> {
-        let tasks = effects
+    fn apply(&mut self, now: Micros, effects: Vec<Effect>) -> Vec<DrainAction> {
+        let actions = effects
             .into_iter()
             .filter_map(|effect| self.apply_effect(now, effect));
-        tasks.collect()
+        actions.collect()
     }
 
     /// Applies one effect of the drain, and returns what is left to the program.
-    fn apply_effect(&mut self, now: Micros, effect: Effect) -> Option<DrainTask> {
+    fn apply_effect(&mut self, now: Micros, effect: Effect) -> Option<DrainAction> {
         match effect {
             Effect::AnnounceDrain => {
                 self.notify(now, Event::CommandReceived(Command::Drain));
@@ -201,12 +201,12 @@
                 );
                 None
             }
-            Effect::StartClosingIdle => Some(DrainTask::StartClosingIdle),
-            Effect::StopClosingIdle => Some(DrainTask::StopClosingIdle),
-            Effect::AnswerAll { within } => Some(DrainTask::AnswerAll { within }),
+            Effect::StartClosingIdle => Some(DrainAction::StartClosingIdle),
+            Effect::StopClosingIdle => Some(DrainAction::StopClosingIdle),
+            Effect::AnswerAll { within } => Some(DrainAction::AnswerAll { within }),
             Effect::Exit { left } => {
                 self.notify(now, Event::CommandReceived(Command::Stop));
-                Some(DrainTask::Exit { left })
+                Some(DrainAction::Exit { left })
             }
         }
     }
