--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown behind load balancers: the phases of a drain.
+//! Graceful shutdown behind load balancers, as a state machine of the phases of a drain.
 //!
 //! ```text
 //!          begin               every check has seen it,          no response pending for a while
@@ -19,15 +19,15 @@
 //!     ◀───────────────────────────────────────────────────────────────────────────────────────┘
 //! ```
 //!
-//! - *announcing*: `drain` is reported, and new requests are accepted as before, since load balancers that have
-//!   not polled still send them.
-//! - *closing idle*: connections without a request or task are closed; a new request is still served.
-//! - *awaiting tasks*: pending responses are sent, and the ends of running tasks are awaited and reported.
-//! - *answering all*: the module is notified to answer everything within a time. Nothing leads back from here: what
-//!   the module has given up can't be restored.
+//! - *announcing*: the state `drain` is reported to load balancers. New requests are accepted as before, since load
+//!   balancers that have not polled yet still send them.
+//! - *closing idle*: connections without a request or task are closed. New requests are still served.
+//! - *awaiting tasks*: pending responses are sent, and the ends of running tasks are awaited and reported to clients.
+//! - *answering all*: the decision module is notified to answer all pending requests within a time limit. The drain
+//!   can't be cancelled any more, since requests that the module has given up can't be restored.
 //!
-//! Pure: time is an argument, and there is no I/O. The phases' names in answers to operators are older than
-//! these; see [`Phase::as_str`].
+//! The drain is deterministic: time is an argument, and there is no I/O. Logs and answers to operators use earlier
+//! names of the phases; see [`Phase::as_str`].
 
 mod effect;
 mod phase;
@@ -43,26 +43,26 @@
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000 * MILLISECOND;
 
-/// The time limits of a drain, and how many polls it takes.
+/// The time limits of a drain, and the numbers of polls after which load balancers have seen it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DrainLimits {
-    /// The longest that load balancers are waited for.
+    /// The maximum time for which the drain waits for load balancers to see it.
     pub max_announcement: Micros,
-    /// How long a load balancer may take to act on an answer.
+    /// The time that a load balancer is given to act on an answer.
     pub settle_time: Micros,
-    /// Polls after which an agent check has seen the drain.
+    /// The number of answered polls after which an agent check has seen the drain.
     pub agent_polls: u32,
-    /// Polls after which an HTTP check has seen the drain: its fall count.
+    /// The number of answered polls after which an HTTP check has seen the drain: the check's fall count.
     pub http_polls: u32,
-    /// After so long without a pending response, none is expected any more.
+    /// The time without a pending response after which no further request is expected.
     pub quiet_time: Micros,
-    /// The longest that pending responses may take.
+    /// The maximum time for which a phase waits for pending responses.
     pub max_answer_time: Micros,
-    /// The longest that running tasks are awaited.
+    /// The maximum time for which the ends of running tasks are awaited.
     pub max_task_time: Micros,
-    /// After that, the time that the module gets to answer everything.
+    /// The time that the decision module gets to answer all pending requests once the drain stops waiting for them.
     pub final_answer_time: Micros,
-    /// After that, the time by which the process exits.
+    /// The time after which the process exits even if requests are unanswered, from the same moment.
     pub final_exit_time: Micros,
 }
 
@@ -82,12 +82,12 @@
     }
 }
 
-/// The drain can't be cancelled: the module has been notified to answer everything.
+/// The error of a drain that can't be cancelled, because the decision module was notified to answer everything.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("too late: the process ends")]
 pub struct TooLateToCancel;
 
-/// The drain of one process.
+/// The state of the drain of one process.
 #[derive(Debug, Clone)]
 pub struct Drain {
     limits: DrainLimits,
@@ -95,13 +95,13 @@
     phase_since: Micros,
     began_at: Micros,
     after: AfterDrain,
-    /// Since when no response has been pending.
+    /// The time since which no response has been pending, or `None` while one is pending.
     quiet_since: Option<Micros>,
     pollers: Pollers,
 }
 
 impl Drain {
-    /// Creates the state of a process that does not drain.
+    /// Creates the state of a process that is not draining.
     pub fn new(limits: DrainLimits) -> Drain {
         Drain {
             limits,
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Returns the phase.
+    /// Returns the current phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Begins a drain. A second request to exit does not wait any longer.
+    /// Begins a drain. If a drain is in progress after which the process exits, a further request to exit ends the
+    /// wait for pending responses and running tasks.
     pub fn begin(&mut self, now: Micros, after: AfterDrain) -> Vec<Effect> {
         match self.phase {
             Phase::Idle => {
@@ -170,11 +171,11 @@
         }
     }
 
-    /// Cancels the drain.
+    /// Cancels the drain, so that the process returns to service.
     ///
     /// # Errors
     ///
-    /// Returns [`TooLateToCancel`] once the module has been notified to answer everything.
+    /// Returns [`TooLateToCancel`] once the decision module has been notified to answer everything.
     pub fn cancel(&mut self, now: Micros) -> Result<Vec<Effect>, TooLateToCancel> {
         match self.phase {
             Phase::Idle => Ok(Vec::new()),
@@ -190,7 +191,7 @@
         }
     }
 
-    /// Advances the drain, given what is outstanding.
+    /// Advances the drain according to the time and to what is outstanding, and returns what the program must do.
     pub fn advance(&mut self, now: Micros, outstanding: Outstanding) -> Vec<Effect> {
         self.update_quiet(now, outstanding);
         match self.phase {
@@ -211,7 +212,7 @@
         }
     }
 
-    /// Whether no response has been pending for a while.
+    /// Returns whether no response has been pending for at least [`DrainLimits::quiet_time`].
     fn is_quiet(&self, now: Micros) -> bool {
         self.quiet_since
             .is_some_and(|since| now - since >= self.limits.quiet_time)
@@ -231,8 +232,8 @@
         ]
     }
 
-    /// Why load balancers need not be waited for any longer. Where none polls, requests that are on their way
-    /// are waited for.
+    /// Returns why the announcement ends now, or `None` if it goes on. If no load balancer polls, it lasts for
+    /// [`DrainLimits::quiet_time`], so that requests that are on their way arrive.
     fn announcement_end(&self, now: Micros) -> Option<PhaseReason> {
         let elapsed = now - self.began_at;
         if elapsed >= self.limits.max_announcement {
@@ -251,7 +252,7 @@
         if self.is_quiet(now) && elapsed >= self.limits.quiet_time {
             return vec![self.enter(now, Phase::AwaitingTasks, PhaseReason::NothingPending)];
         }
-        // Pending responses are far beyond their own time: something blocks them.
+        // Responses take far less time unless something blocks them, so the drain stops waiting.
         if elapsed >= self.limits.max_answer_time {
             return self.stop_waiting(now, PhaseReason::AnswerLimit);
         }
@@ -285,7 +286,8 @@
         Vec::new()
     }
 
-    /// Whether a process that is to exit still has pending responses beyond their time.
+    /// Returns whether a process that is to exit still has pending responses after [`DrainLimits::max_answer_time`]
+    /// in this phase.
     fn responses_are_overdue(&self, now: Micros, outstanding: Outstanding) -> bool {
         self.exits()
             && outstanding.pending_responses > 0
@@ -322,8 +324,8 @@
         ]
     }
 
-    /// Stops waiting for pending responses. A process that is not to exit awaits running tasks next: a blocked
-    /// request does not end it.
+    /// Stops waiting for pending responses. A process that is to exit has the decision module answer everything. A
+    /// process that is not to exit awaits running tasks next, since a blocked request must not end the process.
     fn stop_waiting(&mut self, now: Micros, reason: PhaseReason) -> Vec<Effect> {
         if !self.exits() {
             return vec![self.enter(now, Phase::AwaitingTasks, reason)];
--- a/src/health/drain/effect.rs
+++ b/src/health/drain/effect.rs
@@ -1,43 +1,43 @@
-//! What a drain takes into account, and what the program must do for it.
+//! The inputs of a drain, and the effects that the program must carry out for it.
 
 use super::phase::{Phase, PhaseReason};
 use crate::Micros;
 
-/// What is not finished yet.
+/// The work of a process that is not finished yet.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Outstanding {
-    /// Requests whose response is pending.
+    /// The number of requests whose response is pending.
     pub pending_responses: usize,
-    /// Tasks that run, or are being released.
+    /// The number of tasks that run or are being released.
     pub running_tasks: usize,
-    /// Ends of tasks that no client connection has taken yet.
+    /// The number of task ends that no client connection has accepted yet.
     pub unreported_ends: usize,
-    /// Connections with queued bytes.
+    /// The number of connections with queued bytes.
     pub unflushed_connections: usize,
 }
 
 impl Outstanding {
-    /// Whether all responses are sent.
+    /// Returns whether no response is pending and no bytes are queued.
     pub(super) fn is_answered(&self) -> bool {
         self.pending_responses == 0 && self.unflushed_connections == 0
     }
 
-    /// Whether no task runs, and the end of each was reported.
+    /// Returns whether no task runs and all task ends are reported.
     pub(super) fn has_no_tasks(&self) -> bool {
         self.running_tasks == 0 && self.unreported_ends == 0
     }
 }
 
-/// Whether the process exits after the drain.
+/// What the process does after the drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterDrain {
-    /// It waits for a command.
+    /// It keeps running and waits for a command.
     Wait,
-    /// It exits.
+    /// It exits by itself.
     Exit,
 }
 
-/// What the program must do.
+/// An effect of a drain that the program must carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
     /// Report `drain` to load balancers from now on.
@@ -48,21 +48,21 @@
     StartClosingIdle,
     /// Keep idle connections open again.
     StopClosingIdle,
-    /// Have the module answer everything.
+    /// Have the decision module answer all pending requests.
     AnswerAll {
-        /// How long that may take.
+        /// The time limit for the answers, in microseconds.
         within: Micros,
     },
     /// Log that a phase has begun.
     Entered {
-        /// The phase.
+        /// The phase that has begun.
         phase: Phase,
-        /// Why.
+        /// Why it has begun.
         reason: PhaseReason,
     },
     /// Exit the process.
     Exit {
-        /// What is not finished.
+        /// The work that is left unfinished.
         left: Outstanding,
     },
 }
--- a/src/health/drain/phase.rs
+++ b/src/health/drain/phase.rs
@@ -1,26 +1,26 @@
-//! The phases of a drain, and why each begins.
+//! The phases of a drain, and the reasons for which they begin.
 
 /// The phase of a drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// There is no drain.
+    /// No drain is in progress.
     Idle,
-    /// Load balancers are notified.
+    /// Load balancers are notified of the drain when they poll.
     Announcing,
-    /// Idle connections are closed.
+    /// Idle connections are closed, and pending responses are awaited.
     ClosingIdle,
-    /// Running tasks are awaited.
+    /// The ends of running tasks are awaited and reported.
     AwaitingTasks,
-    /// Nothing is outstanding.
+    /// Running tasks are no longer awaited: all have ended, or their time limit has passed.
     Drained,
-    /// The module answers everything.
+    /// The decision module answers all pending requests.
     AnsweringAll,
     /// The process may exit.
     Finished,
 }
 
 impl Phase {
-    /// Returns the name used in logs and in answers to operators.
+    /// Returns the name of the phase in logs and in answers to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             Phase::Idle => "idle",
@@ -37,38 +37,38 @@
 /// Why a phase has begun.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PhaseReason {
-    /// SIGTERM.
+    /// SIGTERM was received.
     Signal,
-    /// An operator's command.
+    /// An operator commanded the drain.
     Command,
-    /// A second SIGTERM.
+    /// SIGTERM was received during a drain after which the process exits.
     SecondSignal,
     /// An operator cancelled the drain.
     Cancelled,
-    /// Every load balancer that polls has seen the drain.
+    /// Every load balancer check that polls has seen the drain.
     AllNotified,
-    /// No load balancer polls.
+    /// No load balancer check polls.
     NobodyPolls,
     /// [`DrainLimits::max_announcement`](super::DrainLimits::max_announcement) has passed.
     AnnouncementLimit,
-    /// No response has been pending for a while.
+    /// No response has been pending for [`DrainLimits::quiet_time`](super::DrainLimits::quiet_time).
     NothingPending,
     /// [`DrainLimits::max_answer_time`](super::DrainLimits::max_answer_time) has passed.
     AnswerLimit,
-    /// No task runs.
+    /// No task runs, and all task ends are reported.
     NoTaskRuns,
     /// [`DrainLimits::max_task_time`](super::DrainLimits::max_task_time) has passed.
     TaskLimit,
-    /// The drain is complete, and the process was to exit.
+    /// The drain is complete, and the process exits after it.
     Drained,
-    /// The module has answered everything.
+    /// The decision module has answered all pending requests.
     AllAnswered,
     /// [`DrainLimits::final_exit_time`](super::DrainLimits::final_exit_time) has passed.
     ExitLimit,
 }
 
 impl PhaseReason {
-    /// Returns the code used in the log.
+    /// Returns the code of the reason in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             PhaseReason::Signal => "signal",
--- a/src/health/drain/pollers.rs
+++ b/src/health/drain/pollers.rs
@@ -1,58 +1,61 @@
-//! The load balancer checks that poll this process, and which of them have seen the drain.
+//! Tracks the load balancer checks that poll this process, and which of them have seen the drain.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
 const SECOND: Micros = 1_000_000;
-/// The most checks that are tracked; beyond them the least recent is forgotten.
+/// The maximum number of checks that are tracked. Beyond it, the one that polled least recently is removed.
 pub(super) const MAX_POLLERS: usize = 64;
-/// A check that has missed so many of its polls is gone.
+/// The number of its poll intervals after which a check that has not polled counts as gone.
 const MISSED_POLLS: Micros = 4;
-/// Shorter intervals count as this.
+/// The minimum poll interval that is taken into account; a shorter one counts as this.
 const MIN_INTERVAL: Micros = SECOND;
-/// The assumed interval of a check that has polled once.
+/// The assumed poll interval of a check that has polled only once.
 const UNKNOWN_INTERVAL: Micros = 5 * SECOND;
 
 /// The kind of a load balancer's check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum CheckKind {
-    /// An agent check, which acts on the first answer.
+    /// An agent check: the load balancer acts on the first answer.
     Agent,
-    /// An HTTP check, which acts once as many checks have failed as its fall count says.
+    /// An HTTP check: the load balancer acts once as many checks have failed in a row as its fall count says.
     Http,
 }
 
-/// A load balancer's check.
+/// Identifies a load balancer's check.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Poller {
-    /// Its kind.
+    /// The kind of the check.
     pub kind: CheckKind,
-    /// Its address, with the line that it sends first if it sends one.
+    /// The check's IP address, followed by the line that an agent check sends first, if it sends one.
     pub name: String,
 }
 
 /// How many checks poll, and how many of them have seen the drain.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct PollerCount {
-    /// Checks that poll.
+    /// The number of checks that poll.
     pub live: usize,
-    /// Of these, checks that have seen the drain.
+    /// The number of checks that poll and have seen the drain.
     pub notified: usize,
 }
 
+/// What is known of one check: its latest polls, and whether it has seen the drain.
 #[derive(Debug, Clone)]
-struct Polls {
+struct PollerState {
+    /// When the check polled last.
     latest: Micros,
+    /// The estimated time between two polls.
     interval: Micros,
-    /// Answers since the drain began.
+    /// The number of answers since the drain began.
     drain_answers: u32,
-    /// When the last answer was given that the check needed to see the drain.
+    /// When the check had received enough answers to see the drain, or `None` if it has not.
     notified_at: Option<Micros>,
 }
 
-impl Polls {
-    fn first(now: Micros) -> Polls {
-        Polls {
+impl PollerState {
+    fn first(now: Micros) -> PollerState {
+        PollerState {
             latest: now,
             interval: UNKNOWN_INTERVAL,
             drain_answers: 0,
@@ -64,7 +67,8 @@
         now - self.latest <= MISSED_POLLS * self.interval.max(MIN_INTERVAL)
     }
 
-    /// The interval is the longer of the latest two: checks come in pairs and with jitter.
+    /// Records a poll. The estimated interval is the time since the previous poll, but at least half the earlier
+    /// estimate, since checks poll in pairs and with jitter.
     fn record(&mut self, now: Micros) {
         if now <= self.latest {
             return;
@@ -82,73 +86,73 @@
 /// All checks that poll.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Pollers {
-    polls: BTreeMap<Poller, Polls>,
+    states: BTreeMap<Poller, PollerState>,
 }
 
 impl Pollers {
     /// Records a poll that was answered.
     pub fn record_poll(&mut self, now: Micros, poller: &Poller) {
-        if self.polls.len() >= MAX_POLLERS && !self.polls.contains_key(poller) {
+        if self.states.len() >= MAX_POLLERS && !self.states.contains_key(poller) {
             self.forget_least_recent();
         }
-        self.polls
+        self.states
             .entry(poller.clone())
-            .or_insert_with(|| Polls::first(now))
+            .or_insert_with(|| PollerState::first(now))
             .record(now);
     }
 
-    /// Records that the answer to a poll announced the drain. The check has seen it after `needed` of them.
+    /// Records that the answer to a poll announced the drain. The check has seen the drain after `needed` such answers.
     pub fn record_drain_answer(&mut self, now: Micros, poller: &Poller, needed: u32) {
-        let Some(polls) = self.polls.get_mut(poller) else {
+        let Some(state) = self.states.get_mut(poller) else {
             return;
         };
-        polls.drain_answers = polls.drain_answers.saturating_add(1);
-        if polls.drain_answers >= needed && polls.notified_at.is_none() {
-            polls.notified_at = Some(now);
+        state.drain_answers = state.drain_answers.saturating_add(1);
+        if state.drain_answers >= needed && state.notified_at.is_none() {
+            state.notified_at = Some(now);
         }
     }
 
-    /// A drain begins: no check has seen it.
+    /// Resets all checks to not having seen the drain, when a drain begins.
     pub fn reset_drain_answers(&mut self) {
-        for polls in self.polls.values_mut() {
-            polls.drain_answers = 0;
-            polls.notified_at = None;
+        for state in self.states.values_mut() {
+            state.drain_answers = 0;
+            state.notified_at = None;
         }
     }
 
-    /// The checks that poll, and how many of them have seen the drain.
+    /// Returns how many checks poll, and how many of them have seen the drain.
     pub fn count(&self, now: Micros) -> PollerCount {
-        let live = self.polls.values().filter(|polls| polls.is_live(now));
-        live.fold(PollerCount::default(), |count, polls| PollerCount {
+        let live = self.states.values().filter(|state| state.is_live(now));
+        live.fold(PollerCount::default(), |count, state| PollerCount {
             live: count.live + 1,
-            notified: count.notified + usize::from(polls.notified_at.is_some()),
+            notified: count.notified + usize::from(state.notified_at.is_some()),
         })
     }
 
-    /// Whether every check that polls saw the drain at least `settle_time` ago.
+    /// Returns whether every check that polls saw the drain at least `settle_time` ago.
     pub fn all_settled(&self, now: Micros, settle_time: Micros) -> bool {
-        let mut live = self.polls.values().filter(|polls| polls.is_live(now));
-        live.all(|polls| polls.notified_at.is_some_and(|at| now - at >= settle_time))
+        let mut live = self.states.values().filter(|state| state.is_live(now));
+        live.all(|state| state.notified_at.is_some_and(|at| now - at >= settle_time))
     }
 
     fn forget_least_recent(&mut self) {
         let least_recent = self
-            .polls
+            .states
             .iter()
-            .min_by_key(|(_, polls)| polls.latest)
+            .min_by_key(|(_, state)| state.latest)
             .map(|(poller, _)| poller.clone());
         if let Some(poller) = least_recent {
-            self.polls.remove(&poller);
+            self.states.remove(&poller);
         }
     }
 
     #[cfg(test)]
     pub fn len(&self) -> usize {
-        self.polls.len()
+        self.states.len()
     }
 
     #[cfg(test)]
     pub fn contains(&self, poller: &Poller) -> bool {
-        self.polls.contains_key(poller)
+        self.states.contains_key(poller)
     }
 }
--- a/src/health/drain/tests.rs
+++ b/src/health/drain/tests.rs
@@ -34,10 +34,11 @@
     }
 }
 
-/// A phase with the time of its begin, in milliseconds since the start.
+/// The time at which a phase began, in milliseconds since `START`, with the phase and the code of its reason.
 type Entered = (i64, Phase, &'static str);
 
-/// Advances the drain every 50 ms, and returns the phases. `each` polls, and returns what is outstanding.
+/// Advances the drain every 50 ms for `duration`, and returns the phases that it entered. `each` is called before each
+/// advance; it may record polls, and returns what is outstanding.
 fn run(
     drain: &mut Drain,
     duration: Micros,
@@ -56,7 +57,7 @@
     entered
 }
 
-/// A drain that begins at `START`, with checks that have polled each second.
+/// Returns a drain that began at `START`, with checks that polled each second before it.
 fn begun(after: AfterDrain, pollers: &[Poller]) -> Drain {
     let mut drain = Drain::new(DrainLimits::default());
     for poller in pollers {
@@ -73,7 +74,7 @@
 
     let phases = run(&mut drain, 30 * SECOND, |drain, now| {
         let elapsed = now - START;
-        // The agents poll each second, the HTTP check every two and needs three polls.
+        // The agent checks poll every second. The HTTP check polls every two seconds and needs three polls.
         if elapsed % SECOND == 0 {
             drain.record_poll(now, &agent("a"));
             drain.record_poll(now, &agent("b"));
@@ -104,7 +105,7 @@
 
 #[test]
 fn load_balancer_that_polls_too_slowly_is_waited_for_up_to_the_limit() {
-    // It needs 3 polls, one each 4 s.
+    // The check needs 3 polls and polls every 4 s, which takes longer than the limit of 10 s.
     let slow = http("slow");
     let mut drain = Drain::new(DrainLimits::default());
     for seconds_before in [9, 5, 1] {
@@ -249,7 +250,7 @@
         assert!(effects.contains(&Effect::WithdrawDrain));
         assert!(effects.contains(&Effect::StopClosingIdle));
         assert_eq!((drain.phase(), drain.exits()), (Phase::Idle, false));
-        // Load balancers must see the next drain again.
+        // Answers of the cancelled drain do not count for the next one.
         drain.record_poll(START + 10 * SECOND, &agent("a"));
         drain.begin(START + 11 * SECOND, AfterDrain::Exit);
         assert_eq!(
--- a/src/health/event.rs
+++ b/src/health/event.rs
@@ -1,61 +1,62 @@
-//! What the health monitor is notified of, and the changes that it returns.
+//! The events that the health monitor is notified of, and the changes that it returns.
 
 use super::fleet_evidence::ZoneReachability;
 use super::signal::Signal;
 use super::state::{Command, Transition};
 use crate::{Outcome, OutcomeDetail};
 
-/// Gauges that are sampled a few times a second.
+/// Values that are sampled a few times a second instead of being reported event by event.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Gauges {
     /// Age of the oldest pending request as a fraction of the latency objective of its class.
     pub oldest_request: f64,
-    /// Reachability of the listed hosts, by zone.
+    /// Reachability of the hosts on the endpoint list, one entry per zone.
     pub zones: Vec<ZoneReachability>,
-    /// Fraction of the listed hosts with capacity for a mean task; `None` if the endpoint list does not show it.
+    /// Fraction of the hosts on the endpoint list with capacity for a task of mean size; `None` if the list does not
+    /// report capacity.
     pub hosts_with_capacity: Option<f64>,
-    /// Fraction of the listed hosts whose latest response, not long ago, was a rejection for lack of capacity.
+    /// Fraction of the hosts on the endpoint list whose latest response was a recent rejection for lack of capacity.
     pub full_hosts: f64,
     /// File descriptors in use as a fraction of their budget.
     pub descriptors: f64,
-    /// Queued bytes as a fraction of their budget.
+    /// Bytes queued for slow peers as a fraction of their budget.
     pub queues: f64,
 }
 
-/// Something that has happened.
+/// An input to the health monitor.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// The event loop has run once more.
+    /// The event loop has run one iteration.
     LoopIteration,
-    /// The gauges were sampled.
+    /// The gauges were sampled; the new values replace the earlier ones.
     GaugesSampled(Gauges),
     /// A request got its final response.
     RequestAnswered {
-        /// Its task was started within the latency objective.
+        /// Whether its task was started within the latency objective of its class.
         within_objective: bool,
     },
-    /// An attempt has ended, or has started its task ([`Outcome::Completed`]).
+    /// An attempt at a host has ended; [`Outcome::Completed`] means that it started its task.
     AttemptEnded {
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Why.
+        /// Why it ended so.
         detail: OutcomeDetail,
-        /// Its time at the host as a fraction of the latency objective of its class.
+        /// The attempt's time at the host as a fraction of the latency objective of its class.
         relative_duration: f64,
     },
     /// A client has connected.
     ClientConnected {
-        /// The connection was rejected.
+        /// Whether the connection was rejected.
         rejected: bool,
     },
     /// Service discovery has sent an update.
     DiscoveryUpdated,
     /// A load balancer's health check was answered.
     Polled {
-        /// Identifies the load balancer's check.
+        /// A number that identifies the load balancer's check.
         poller: u64,
     },
-    /// A command arrived.
+    /// A command of an operator, or of the system, arrived.
     CommandReceived(Command),
 }
 
@@ -66,17 +67,17 @@
     pub before: u8,
     /// The weight after.
     pub after: u8,
-    /// The signal that limits the weight most, if one does.
+    /// The signal that limits the weight most, or `None` if none limits it.
     pub cause: Option<Signal>,
-    /// How far the fleet explains the faults, 0 to 1.
+    /// The degree to which faults are attributed to the fleet instead of this placer, 0 to 1.
     pub explained_by_fleet: f64,
 }
 
-/// What an event has changed.
+/// A change of state or weight that an event caused.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Change {
-    /// The state.
+    /// The state changed.
     State(Transition),
-    /// The published weight.
+    /// The published weight changed.
     Weight(WeightChange),
 }
--- a/src/health/fleet_evidence.rs
+++ b/src/health/fleet_evidence.rs
@@ -1,52 +1,54 @@
-//! Whether a fault is this placer's or the fleet's, as far as a single placer can tell.
+//! Estimates whether faults are caused by this placer or by the fleet, from what a single placer observes.
 //!
-//! Where the hosts are full, every placer rejects requests, and a lower weight at each of them moves no load.
-//! Placers exchange no messages, so the question is which explanation a placer's own evidence leaves open.
-//! Three observations point to the fleet, and each is discounted by what could produce it here:
+//! When the hosts are full, every placer rejects requests, and lowering the weight of each of them moves no load.
+//! Placers exchange no messages, so each one decides from its own evidence. Three observations point to the fleet,
+//! and each is discounted by the faults of this placer that could produce it:
 //!
-//! - *Full*: hosts reject attempts for lack of capacity, or the endpoint list shows little of it. A host's
-//!   rejection is a fact whoever receives it, and stays one for a while where the module holds requests back
-//!   instead of attempting them in vain. The endpoint list counts less the older it is.
-//! - *Slow*: hosts that do start tasks take long. A late event loop sees every host as slow, so this counts
-//!   only as far as the loop was in time.
-//! - *Down*: hosts are unreachable in some zones and not in others. What fails alike in every zone is nearer
-//!   to this placer than to the hosts; [`Unreachable::of`] separates the two.
+//! - *Full*: hosts reject attempts for lack of capacity, or the endpoint list shows little capacity. A host's
+//!   rejection is valid evidence whichever placer receives it. A host also counts as full for a while after its last
+//!   rejection, since the decision module may hold requests back instead of making attempts that would fail. The
+//!   endpoint list counts less the staler it is.
+//! - *Slow*: hosts that start tasks take long to do so. A late event loop sees every host as slow, so this counts
+//!   less the later the loop is.
+//! - *Down*: hosts are unreachable in some zones and reachable in others. A failure that is the same in every zone
+//!   is more likely at this placer than at the hosts; [`Unreachable::of`] separates the two.
 
 use super::sliding_window::SlidingWindow;
 use crate::{Micros, Outcome, OutcomeDetail};
 
+/// The length of the sliding windows over attempts.
 const WINDOW: Micros = 10_000_000;
-/// Fewer attempts than this show nothing.
+/// With fewer attempts than this in the window, no fraction of them is computed.
 const MIN_ATTEMPTS: f64 = 5.0;
-/// An attempt that took this fraction of its class's latency objective at the host was slow there.
+/// An attempt counts as slow if it took at least this fraction of its class's latency objective at the host.
 const SLOW_FRACTION: f64 = 0.5;
 
-/// The hosts of one zone that the endpoint list shows as up.
+/// The numbers of hosts in one zone that the endpoint list shows as up, in all and unreachable ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ZoneReachability {
-    /// Their number.
+    /// The number of hosts that the endpoint list shows as up.
     pub listed: u32,
-    /// Hosts that refused a connection: no process listens there, whoever connects.
+    /// The number of hosts that refused a connection: no process listens there, so other placers are refused as well.
     pub refused: u32,
-    /// Hosts to which no connection can be established.
+    /// The number of hosts to which no connection can be established and that did not refuse it.
     pub silent: u32,
 }
 
 /// The fractions of the listed hosts that are unreachable, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Unreachable {
-    /// Attributed to this placer.
+    /// The fraction that is attributed to this placer.
     pub own: f64,
-    /// Attributed to the hosts.
+    /// The fraction that is attributed to the hosts.
     pub fleet: f64,
 }
 
 impl Unreachable {
     /// Attributes unreachable hosts to this placer or to the fleet.
     ///
-    /// A refused connection is attributed to its host. Silence is attributed to this placer as far as it is the
-    /// same in all zones: by the lowest fraction of any zone. With a single zone there is nothing to compare,
-    /// and silence is attributed to this placer only if it covers more than half of the zone.
+    /// A refused connection is attributed to its host. Silent hosts are attributed to this placer up to the lowest
+    /// fraction of silent hosts in any zone, which is the part that all zones have in common. A single zone can't be
+    /// compared with others, so its silent hosts are attributed to this placer only if they are more than half of it.
     pub fn of(zones: &[ZoneReachability]) -> Unreachable {
         let listed_zones: Vec<&ZoneReachability> =
             zones.iter().filter(|zone| zone.listed > 0).collect();
@@ -75,20 +77,20 @@
     }
 }
 
-/// The evidence that the fleet is the cause.
+/// The evidence that faults are caused by the fleet.
 #[derive(Debug, Clone)]
 pub struct FleetEvidence {
-    /// Attempts rejected for lack of capacity, of all.
+    /// Attempts that hosts rejected for lack of capacity, and all attempts.
     rejections: SlidingWindow,
-    /// Slow starts, of all starts.
+    /// Attempts that started their task slowly, and all attempts that started their task.
     slow_starts: SlidingWindow,
-    /// Attempts timed out, of all.
+    /// Attempts that timed out, and all attempts.
     timeouts: SlidingWindow,
-    /// The fraction of the listed hosts that have capacity for a mean task, if the list shows it.
+    /// The fraction of the listed hosts that have capacity for a task of mean size, if the list reports capacity.
     with_capacity: Option<f64>,
-    /// The fraction of the listed hosts whose latest response was a rejection for lack of capacity.
+    /// The fraction of the listed hosts whose latest response was a recent rejection for lack of capacity.
     full: f64,
-    /// The unreachable fraction that is attributed to the hosts.
+    /// The fraction of the listed hosts that is unreachable by the hosts' own fault.
     unreachable: f64,
 }
 
@@ -105,7 +107,7 @@
     }
 }
 
-/// Rises from 0 at `from` to 1 at `to`.
+/// Maps a value linearly from 0 at `from` to 1 at `to`, and clamps it to that range.
 fn ramp(value: f64, from: f64, to: f64) -> f64 {
     ((value - from) / (to - from)).clamp(0.0, 1.0)
 }
@@ -136,7 +138,8 @@
         }
     }
 
-    /// Sets the fractions of the hosts that have capacity, are full, and are unreachable by their own fault.
+    /// Sets the fractions of the listed hosts that have capacity, that are full, and that are unreachable by their own
+    /// fault.
     pub fn set_host_fractions(&mut self, with_capacity: Option<f64>, full: f64, unreachable: f64) {
         self.with_capacity = with_capacity;
         self.full = full;
@@ -148,8 +151,8 @@
         self.timeouts.fraction(now, MIN_ATTEMPTS)
     }
 
-    /// Returns how far the fleet explains late and rejected requests, 0 to 1, given how late this placer's own
-    /// event loop is and how stale its endpoint list, both as severities.
+    /// Returns the degree to which the fleet explains late and rejected requests, 0 to 1. `loop_lateness` and
+    /// `list_staleness` are the severities of this placer's own late event loop and stale endpoint list.
     pub fn explains(&self, now: Micros, loop_lateness: f64, list_staleness: f64) -> f64 {
         let rejections = self
             .rejections
--- a/src/health/fleet_evidence/tests.rs
+++ b/src/health/fleet_evidence/tests.rs
@@ -12,7 +12,7 @@
     }
 }
 
-/// The evidence after twenty attempts that ended alike.
+/// Returns the evidence after twenty attempts that ended in the same way.
 fn after_attempts(
     outcome: Outcome,
     detail: OutcomeDetail,
@@ -30,17 +30,17 @@
     let cases: [(&[ZoneReachability], f64, f64); 8] = [
         (&[], 0.0, 0.0),
         (&[zone(4, 0, 0), zone(4, 0, 0)], 0.0, 0.0),
-        // A whole zone is lost.
+        // All hosts of one zone are silent.
         (
             &[zone(4, 0, 4), zone(4, 0, 0), zone(4, 0, 0)],
             0.0,
             1.0 / 3.0,
         ),
-        // No connection can be established anywhere.
+        // All hosts of all zones are silent.
         (&[zone(4, 0, 4), zone(4, 0, 4)], 1.0, 0.0),
-        // Half of each zone, and the rest of one.
+        // Half of one zone and all of the other are silent; only the half that both have in common is this placer's.
         (&[zone(4, 0, 2), zone(4, 0, 4)], 0.5, 0.25),
-        // Processes that have exited are the hosts' own fault.
+        // Refused connections, as by hosts whose process has exited, are attributed to the hosts.
         (&[zone(4, 4, 0), zone(4, 4, 0)], 0.0, 1.0),
         (&[zone(4, 0, 2)], 0.0, 0.5),
         (&[zone(4, 0, 3), zone(0, 0, 0)], 0.75, 0.0),
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -1,7 +1,8 @@
 //! Health monitoring: the state and weight that this placer reports to load balancers, and why.
 //!
-//! [`HealthMonitor`] takes events and returns changes; [`HealthMonitor::report`] returns what holds. Pure: time
-//! is an argument, there is no I/O, and the same events give the same reports.
+//! [`HealthMonitor::handle`] applies an event and returns the changes of state and weight that it causes;
+//! [`HealthMonitor::report`] returns the current state, weight and signals. The monitor is deterministic: time is
+//! an argument, there is no I/O, and the same events give the same reports.
 //!
 //! ```text
 //!               slow start over
@@ -17,7 +18,8 @@
 //!            └── process exits ───┴──▶ stopped
 //! ```
 //!
-//! `starting` changes to `degraded` instead of `up` if the weight is below 95 well after the slow start.
+//! `starting` changes to `degraded` instead of `up` if the weight is still below 95 when twice the time of the slow
+//! start has passed.
 
 pub mod drain;
 mod event;
@@ -44,37 +46,42 @@
 use std::collections::VecDeque;
 
 const SECOND: Micros = 1_000_000;
-/// The most transitions that are remembered.
+/// The maximum number of transitions that the history holds.
 const MAX_HISTORY: usize = 32;
-/// The weight is updated no more often than this.
+/// The minimum time between two updates of the signals, the weight and the state.
 const UPDATE_INTERVAL: Micros = 200_000;
-/// Fewer responses, or connections, than these show nothing.
+/// With fewer responses than this in the window, no fraction of missed objectives is computed: the signal reads 0.
 const MIN_RESPONSES: f64 = 8.0;
+/// With fewer connections than this in the window, no fraction of rejected ones is computed: the signal reads 0.
 const MIN_CONNECTIONS: f64 = 4.0;
-/// A placer is degraded below the first weight, and up from the second one on.
+/// A placer that is up becomes degraded below this weight.
 const DEGRADED_BELOW: u8 = 85;
+/// A placer that is starting or degraded becomes up at this weight or above. The gap to `DEGRADED_BELOW` keeps the
+/// state from alternating.
 const UP_FROM: u8 = 95;
-/// The evidence of a fault of the fleet comes a little after the fault. From this value on it also revokes what
-/// was learned from signals that it explains.
-const FLEET_IS_CAUSE: f64 = 0.5;
-/// The weight at which a slow start begins, and the maximum.
+/// From this value of `explained_by_fleet` on, the weight controller discards a ceiling that it learned from a signal
+/// which the fleet can cause. The evidence of a fleet fault arrives a little after the fault, so such a ceiling may
+/// already have been learned.
+const FLEET_CAUSE_THRESHOLD: f64 = 0.5;
+/// The weight at which a slow start begins.
 const INITIAL_WEIGHT: f64 = 10.0;
+/// The maximum weight.
 const FULL_WEIGHT: f64 = 100.0;
 
-/// All that the monitor reports.
+/// The health of a placer at one time, as the monitor reports it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// The state.
+    /// The state that load balancers are told.
     pub state: State,
-    /// The weight, 1 to 100, for states that serve.
+    /// The published weight, 1 to 100; it applies to states that serve.
     pub weight: u8,
-    /// Since when the state holds.
+    /// When the state was entered.
     pub since: Micros,
-    /// The signal that limits the weight most, if one does.
+    /// The signal that limits the weight most, or `None` if none limits it.
     pub cause: Option<Signal>,
-    /// How far the fleet explains the faults, 0 to 1.
+    /// The degree to which faults are attributed to the fleet instead of this placer, 0 to 1.
     pub explained_by_fleet: f64,
-    /// Every signal.
+    /// The reading of every signal, in the order of [`Signal::ALL`].
     pub signals: Vec<SignalReading>,
     /// The latest transitions, oldest first.
     pub history: Vec<Transition>,
@@ -90,11 +97,11 @@
     weight: WeightController,
     last_iteration: Micros,
     last_update: Option<Micros>,
-    /// Lateness of the event loop, in microseconds.
+    /// Intervals between iterations of the event loop that exceeded the permitted maximum, in microseconds.
     loop_lateness: SlidingWindow,
-    /// Responses that missed their objective, of all.
+    /// Responses that missed their latency objective, and all responses.
     missed_objectives: SlidingWindow,
-    /// Client connections that were rejected, of all.
+    /// Client connections that were rejected, and all client connections.
     rejected_connections: SlidingWindow,
     fleet: FleetEvidence,
     discovery_updated: Micros,
@@ -107,7 +114,7 @@
 
 impl HealthMonitor {
     /// Creates the monitor of a process that starts at `now`. The endpoint list that the process is started with
-    /// counts as an update.
+    /// counts as an update from service discovery.
     pub fn new(settings: Settings, now: Micros) -> HealthMonitor {
         HealthMonitor {
             weight: WeightController::new(settings.weight, INITIAL_WEIGHT, now),
@@ -130,7 +137,7 @@
         }
     }
 
-    /// Applies an event and returns what it has changed.
+    /// Applies an event and returns the changes of state and weight that it caused.
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Change> {
         self.record_loop_iteration(now);
         match event {
@@ -166,7 +173,8 @@
         self.update(now)
     }
 
-    /// Returns what holds now. An event loop that has stood still until this call counts as late at once.
+    /// Returns the report as of `now`, and the changes that its computation caused. A stall of the event loop up to
+    /// this call is included.
     pub fn report(&mut self, now: Micros) -> (Report, Vec<Change>) {
         let changes = self.handle(now, Event::LoopIteration);
         let report = Report {
@@ -181,17 +189,18 @@
         (report, changes)
     }
 
-    /// Returns the state.
+    /// Returns the current state.
     pub fn state(&self) -> State {
         self.state
     }
 
-    /// Returns the published weight.
+    /// Returns the weight that load balancers are told, 1 to 100.
     pub fn weight(&self) -> u8 {
         self.weight.published()
     }
 
-    /// Counts the time since the last iteration as lateness if it is longer than an iteration may take.
+    /// Records the time since the last iteration of the event loop as lateness if it exceeds
+    /// [`Settings::max_loop_interval`].
     fn record_loop_iteration(&mut self, now: Micros) {
         let interval = now - self.last_iteration;
         if interval > self.settings.max_loop_interval {
@@ -210,7 +219,7 @@
             (Command::Drain, _) => State::Drain,
             (Command::Maint, _) => State::Maint,
             (Command::Ready, State::Drain | State::Maint) => {
-                // Load balancers return the full share of the load at once, so the weight starts low.
+                // Load balancers send a returning server its full share of the load at once, so the weight starts low.
                 self.slow_start_began = now;
                 self.weight = WeightController::new(self.settings.weight, INITIAL_WEIGHT, now);
                 State::Starting
@@ -236,7 +245,7 @@
         Change::State(transition)
     }
 
-    /// The signal that limits the weight most, if one does.
+    /// Returns the signal that limits the weight most, or `None` if none limits it.
     fn limiting_signal(&self) -> Option<&SignalReading> {
         let limiting = self
             .readings
@@ -245,7 +254,7 @@
         limiting.min_by(|a, b| a.max_weight.total_cmp(&b.max_weight))
     }
 
-    /// Reads the signals and updates weight and state, if it is time to.
+    /// Reads the signals and updates weight and state, at most once per `UPDATE_INTERVAL`.
     fn update(&mut self, now: Micros) -> Vec<Change> {
         if self
             .last_update
@@ -269,7 +278,7 @@
             .limiting_signal()
             .map_or(FULL_WEIGHT, |reading| reading.max_weight);
         let before = self.weight.published();
-        if self.explained_by_fleet >= FLEET_IS_CAUSE {
+        if self.explained_by_fleet >= FLEET_CAUSE_THRESHOLD {
             self.weight.forget_fleet_ceiling();
         }
         let reaction_time = self.poll_intervals.reaction_time();
@@ -293,7 +302,7 @@
             State::Starting if elapsed >= slow_start && weight >= UP_FROM => {
                 (State::Up, TransitionReason::SlowStartOver)
             }
-            // What limits the weight is no slow start any more.
+            // The slow start no longer limits the weight, so another signal does.
             State::Starting if elapsed >= 2 * slow_start => (State::Degraded, by_signal),
             State::Up if weight < DEGRADED_BELOW => (State::Degraded, by_signal),
             State::Degraded if weight >= UP_FROM => (State::Up, TransitionReason::SignalsClear),
--- a/src/health/poll_intervals.rs
+++ b/src/health/poll_intervals.rs
@@ -1,37 +1,40 @@
-//! How often load balancers poll, and so how fast they react to a published weight.
+//! Tracks how often load balancers poll, which determines how fast they react to a published weight.
 
 use crate::Micros;
 use std::collections::BTreeMap;
 
 const SECOND: Micros = 1_000_000;
-/// The most load balancer checks that are tracked.
+/// The maximum number of load balancer checks that are tracked; polls of others are ignored.
 const MAX_POLLERS: usize = 16;
-/// A longer interval counts as this.
+/// The maximum poll interval that is taken into account; a longer one counts as this.
 const MAX_INTERVAL: Micros = 10 * SECOND;
-/// How long a load balancer may take to act on an answer.
+/// The assumed time that a load balancer takes to act on an answer.
 const ACTION_TIME: Micros = SECOND / 2;
 
+/// The recent polls of one check.
 #[derive(Debug, Clone, Copy)]
-struct Polls {
+struct PollTimes {
+    /// When the check polled last.
     latest: Micros,
+    /// The time between its latest two polls, or 0 after the first.
     interval: Micros,
 }
 
 /// The poll intervals of all load balancer checks.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PollIntervals {
-    by_poller: BTreeMap<u64, Polls>,
+    by_poller: BTreeMap<u64, PollTimes>,
 }
 
 impl PollIntervals {
-    /// Records a poll. Checks that have stopped polling are forgotten.
+    /// Records a poll of a check, and removes the checks that have stopped polling.
     pub fn record(&mut self, now: Micros, poller: u64) {
         self.by_poller
             .retain(|_, polls| now - polls.latest < 2 * MAX_INTERVAL);
         if self.by_poller.len() >= MAX_POLLERS && !self.by_poller.contains_key(&poller) {
             return;
         }
-        let polls = self.by_poller.entry(poller).or_insert(Polls {
+        let polls = self.by_poller.entry(poller).or_insert(PollTimes {
             latest: now,
             interval: 0,
         });
@@ -39,7 +42,8 @@
         polls.latest = now;
     }
 
-    /// Returns how long the slowest load balancer takes to act on a published weight: it must poll first.
+    /// Returns how long the slowest load balancer takes to act on a published weight, including the time until it
+    /// polls.
     pub fn reaction_time(&self) -> Micros {
         self.by_poller
             .values()
--- a/src/health/readings.rs
+++ b/src/health/readings.rs
@@ -1,4 +1,4 @@
-//! Reads the signals: from measured values to severities, and to the maximum weight that each one leaves.
+//! Reads the signals: maps each measured value to a severity, and the severity to the maximum weight it permits.
 
 use super::{
     FULL_WEIGHT, HealthMonitor, INITIAL_WEIGHT, MEASURED_SIGNALS, MIN_CONNECTIONS, MIN_RESPONSES,
@@ -7,7 +7,7 @@
 use crate::Micros;
 
 impl HealthMonitor {
-    /// Updates the reading of every signal, and how far the fleet explains them.
+    /// Updates the reading of every signal, and the degree to which the fleet explains those that it can cause.
     pub(super) fn read_signals(&mut self, now: Micros) {
         let measured = self.measure(now);
         let severity_of = |signal: Signal| {
@@ -42,7 +42,7 @@
         self.readings.push(self.read_slow_start(now));
     }
 
-    /// The measured value of each signal, in the order of [`Signal::ALL`].
+    /// Returns the value of each measured signal, in the order of [`Signal::ALL`].
     fn measure(&self, now: Micros) -> [(Signal, f64); MEASURED_SIGNALS] {
         let lateness = self.loop_lateness.sums(now).part;
         let loop_late = (lateness / self.loop_lateness.length() as f64).min(1.0);
@@ -68,7 +68,8 @@
         ]
     }
 
-    /// The slow start limits the weight, from the initial one to the full one.
+    /// Returns the reading of the slow start, which raises the weight limit linearly from `INITIAL_WEIGHT` to
+    /// `FULL_WEIGHT`.
     fn read_slow_start(&self, now: Micros) -> SignalReading {
         let elapsed = (now - self.slow_start_began) as f64;
         let progress = elapsed / self.settings.slow_start.max(1) as f64;
--- a/src/health/settings.rs
+++ b/src/health/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the health monitor. Every value has its reason in `docs/design/health.md`.
+//! Settings of the health monitor. `docs/design/health.md` gives the reason for each default value.
 
 use super::signal::{MEASURED_SIGNALS, SeverityRamp};
 use super::weight::WeightPolicy;
@@ -10,17 +10,17 @@
 /// Settings of the health monitor.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Iterations of the event loop that are longer apart than this are late.
+    /// The longest interval between two iterations of the event loop that does not count as lateness.
     pub max_loop_interval: Micros,
-    /// How long a placer takes from its start to full weight.
+    /// The time in which the slow start raises the weight limit from its initial value to the full weight.
     pub slow_start: Micros,
-    /// How long past responses and connections count.
+    /// The length of the sliding window over responses and client connections.
     pub window: Micros,
-    /// How long lateness of the event loop counts.
+    /// The length of the sliding window over the lateness of the event loop.
     pub loop_window: Micros,
-    /// The ramp of each measured signal, in the order of [`Signal::ALL`](super::Signal::ALL).
+    /// The severity ramp of each measured signal, in the order of [`Signal::ALL`](super::Signal::ALL).
     pub ramps: [SeverityRamp; MEASURED_SIGNALS],
-    /// How the weight moves.
+    /// The limits on how the weight falls and rises.
     pub weight: WeightPolicy,
 }
 
@@ -38,15 +38,15 @@
             window: 5 * SECOND,
             loop_window: 2 * SECOND,
             ramps: [
-                ramp(0.05, 0.5, 0.0, 0.95),
-                ramp(1.0, 4.0, 0.0, 0.8),
-                ramp(0.1, 0.6, 0.0, 0.8),
-                ramp(0.1, 0.5, 0.0, 0.8),
-                ramp(0.1, 0.6, 0.0, 0.9),
-                ramp(2.0, 30.0, 0.25, 0.6),
-                ramp(0.8, 1.0, 0.0, 0.7),
-                ramp(0.5, 1.0, 0.0, 0.7),
-                ramp(0.0, 0.5, 0.1, 0.7),
+                ramp(0.05, 0.5, 0.0, 0.95), // LoopLate
+                ramp(1.0, 4.0, 0.0, 0.8),   // RequestAge
+                ramp(0.1, 0.6, 0.0, 0.8),   // ObjectiveMissed
+                ramp(0.1, 0.5, 0.0, 0.8),   // AttemptTimeout
+                ramp(0.1, 0.6, 0.0, 0.9),   // Unreachable
+                ramp(2.0, 30.0, 0.25, 0.6), // DiscoveryAge
+                ramp(0.8, 1.0, 0.0, 0.7),   // Descriptors
+                ramp(0.5, 1.0, 0.0, 0.7),   // Queues
+                ramp(0.0, 0.5, 0.1, 0.7),   // ConnectionsRejected
             ],
             weight: WeightPolicy::default(),
         }
--- a/src/health/signal.rs
+++ b/src/health/signal.rs
@@ -1,19 +1,21 @@
-//! Health signals: what each one measures, and how far it may lower the weight.
+//! Health signals: what each one measures, and how much it may lower the weight.
 
 use std::fmt;
 
-/// What is measured. The code is the same in logs, answers to load balancers and the operator's file.
+/// A signal that may lower the weight. Its code, given first for each variant, is the same in logs, in answers to load
+/// balancers and in the operator's file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Signal {
-    /// `loop-late`: the fraction of time by which the event loop was late.
+    /// `loop-late`: the fraction of time in which the event loop was late.
     LoopLate,
-    /// `ask-age`: the age of the oldest pending request, as a fraction of its latency objective.
+    /// `ask-age`: the age of the oldest pending request, as a fraction of the latency objective of its class.
     RequestAge,
     /// `out-of-aim`: the fraction of responses that did not start a task within its latency objective.
     ObjectiveMissed,
     /// `offer-timeout`: the fraction of attempts that timed out.
     AttemptTimeout,
-    /// `unreached`: the fraction of hosts that this placer cannot reach, in the zone where it is lowest.
+    /// `unreached`: the fraction of unreachable hosts that is attributed to this placer; see
+    /// [`Unreachable::own`](super::Unreachable::own).
     Unreachable,
     /// `feed-age`: seconds since the latest update from service discovery.
     DiscoveryAge,
@@ -23,15 +25,16 @@
     Queues,
     /// `turned-away`: the fraction of client connections that were rejected.
     ConnectionsRejected,
-    /// `slow-start`: not measured, but the time since the start, or since the return from a drain.
+    /// `slow-start`: the remaining fraction of the slow start, which is computed from the time since the process
+    /// started or returned to service, not measured.
     SlowStart,
 }
 
-/// The number of signals that are measured.
+/// The number of signals that are measured: all but [`Signal::SlowStart`].
 pub const MEASURED_SIGNALS: usize = 9;
 
 impl Signal {
-    /// All signals in the order of reports. [`Signal::SlowStart`], the one not measured, comes last.
+    /// All signals in the order of reports. [`Signal::SlowStart`], the only one that is not measured, comes last.
     pub const ALL: [Signal; MEASURED_SIGNALS + 1] = [
         Signal::LoopLate,
         Signal::RequestAge,
@@ -45,7 +48,7 @@
         Signal::SlowStart,
     ];
 
-    /// Returns the code that logs, answers and the operator's file use.
+    /// Returns the code used in logs, in answers to load balancers and operators, and in the operator's file.
     pub fn as_str(self) -> &'static str {
         match self {
             Signal::LoopLate => "loop-late",
@@ -61,8 +64,8 @@
         }
     }
 
-    /// Returns whether full or faulty hosts raise the signal as well as a fault of this placer. Such a signal
-    /// counts only as far as the fleet does not explain it.
+    /// Returns whether full or faulty hosts can raise the signal as a fault of this placer can. The severity of such
+    /// a signal is reduced by the degree to which the fleet explains it.
     pub fn may_be_caused_by_fleet(self) -> bool {
         matches!(
             self,
@@ -80,18 +83,18 @@
 /// Maps a measured value to a severity from 0 to 1, and a severity to a maximum weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SeverityRamp {
-    /// Values up to this are healthy.
+    /// The highest value with severity 0.
     pub healthy_up_to: f64,
-    /// Values from this on have severity 1.
+    /// The lowest value with severity 1.
     pub worst_from: f64,
-    /// The severity just beyond `healthy_up_to`, for signals that must show at once.
+    /// The severity just above `healthy_up_to`, for signals that must lower the weight as soon as they appear.
     pub initial_severity: f64,
-    /// The fraction of the weight that severity 1 takes away.
+    /// The fraction of the full weight that is lost at severity 1.
     pub max_weight_loss: f64,
 }
 
 impl SeverityRamp {
-    /// Returns the severity of a value. A NaN has severity 1: it does not prove health.
+    /// Returns the severity of a value. NaN has severity 1, since it does not show that the placer is healthy.
     pub fn severity(&self, value: f64) -> f64 {
         if value <= self.healthy_up_to {
             return 0.0;
@@ -104,24 +107,24 @@
         self.initial_severity + slope * (value - self.healthy_up_to) / range
     }
 
-    /// Returns the maximum weight, up to 100, at a severity.
+    /// Returns the maximum weight, up to 100, that is permitted at a severity. Severities are clamped to 0..=1.
     pub fn max_weight(&self, severity: f64) -> f64 {
         100.0 * (1.0 - self.max_weight_loss * severity.clamp(0.0, 1.0))
     }
 }
 
-/// A signal as of the latest update of the weight.
+/// The value of a signal and its effect, as of the latest update of the weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SignalReading {
-    /// Which signal.
+    /// The signal that was read.
     pub signal: Signal,
     /// The measured value, in the signal's unit.
     pub value: f64,
-    /// Its severity, 0 to 1.
+    /// The severity of the value, 0 to 1.
     pub severity: f64,
     /// The part of the severity that is attributed to this placer.
     pub own_severity: f64,
-    /// The maximum weight that it leaves.
+    /// The maximum weight that `own_severity` permits.
     pub max_weight: f64,
 }
 
--- a/src/health/sliding_window.rs
+++ b/src/health/sliding_window.rs
@@ -1,29 +1,30 @@
-//! Sums over a sliding window, kept in a ring of short spans so that old values expire gradually.
+//! Sums over a sliding time window, kept in a ring of short time spans so that old values expire gradually.
 
 use crate::Micros;
 
-/// The length of one span of the ring.
+/// The length of one span of the ring, in microseconds.
 pub const SPAN: Micros = 250_000;
 
 /// Two sums over the same window, such as failures and attempts.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Sums {
-    /// The part.
+    /// The sum that counts the part, such as the failures.
     pub part: f64,
-    /// The whole that it is a part of.
+    /// The sum that counts the whole, such as all attempts.
     pub whole: f64,
 }
 
-/// Sums of two values over the latest spans.
+/// Sums of two values over the most recent spans.
 #[derive(Debug, Clone)]
 pub struct SlidingWindow {
-    /// The span of the latest addition, counted from the epoch.
+    /// The number of the span of the latest addition, counted from the epoch.
     current_span: i64,
+    /// The sums of each span, at the span's number modulo the ring's length.
     ring: Vec<Sums>,
 }
 
 impl SlidingWindow {
-    /// Creates an empty window of this length, rounded up to whole spans.
+    /// Creates an empty window of the given length, rounded up to whole spans.
     pub fn new(length: Micros) -> SlidingWindow {
         let spans = (length.max(SPAN) + SPAN - 1) / SPAN;
         SlidingWindow {
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Adds to the sums. A time before that of the latest addition counts as the latter.
+    /// Adds to the sums of the span of `now`. If `now` is earlier than the latest addition, the latest span is used.
     pub fn add(&mut self, now: Micros, part: f64, whole: f64) {
         self.advance(now);
         let slot = self.slot(self.current_span);
@@ -42,7 +43,7 @@
         }
     }
 
-    /// Adds one to the whole, and to the part if `counts`.
+    /// Adds 1 to the whole, and 1 to the part if `counts` is true.
     pub fn add_one(&mut self, now: Micros, counts: bool) {
         self.add(now, f64::from(u8::from(counts)), 1.0);
     }
@@ -65,7 +66,7 @@
         (whole >= min_whole && whole > 0.0).then(|| (part / whole).clamp(0.0, 1.0))
     }
 
-    /// Returns the length of the window.
+    /// Returns the length of the window in microseconds.
     pub fn length(&self) -> Micros {
         self.ring.len() as Micros * SPAN
     }
@@ -74,7 +75,7 @@
         span.rem_euclid(self.ring.len().max(1) as i64) as usize
     }
 
-    /// Empties the spans that begin between the latest addition and `now`.
+    /// Resets the spans that began after the latest addition and up to `now`.
     fn advance(&mut self, now: Micros) {
         let span = now / SPAN;
         let first = (self.current_span + 1).max(span - self.ring.len() as i64 + 1);
--- a/src/health/sliding_window/tests.rs
+++ b/src/health/sliding_window/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 
-/// A time in the middle of nowhere, at the start of a span.
+/// An arbitrary time at the start of a span.
 const START: Micros = 77 * SPAN;
 
 fn sums(part: f64, whole: f64) -> Sums {
     Sums { part, whole }
 }
 
-/// A window of four spans, with one addition in each.
+/// Returns a window of four spans, with one addition in each.
 fn full_window() -> SlidingWindow {
     let mut window = SlidingWindow::new(1_000_000);
     for span in 0..4 {
@@ -48,7 +48,7 @@
     assert_eq!(
         window.sums(START + 500 * SPAN),
         sums(1.0, 1.0),
-        "a stall of many windows"
+        "after a pause of many window lengths"
     );
 }
 
--- a/src/health/state.rs
+++ b/src/health/state.rs
@@ -1,4 +1,4 @@
-//! The states of a placer as load balancers see them, and what moves it from one to another.
+//! The states of a placer as load balancers see them, and the reasons of transitions between them.
 
 use super::signal::Signal;
 use crate::Micros;
@@ -7,17 +7,17 @@
 /// The state that a placer reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum State {
-    /// It has just started, or returned to service, and warms up.
+    /// The placer has just started, or returned to service, and is in slow start.
     Starting,
-    /// Healthy.
+    /// The placer is healthy.
     Up,
-    /// It serves, and its full share of the load is too much for it.
+    /// The placer serves, but cannot handle its full share of the load.
     Degraded,
-    /// It finishes pending requests and accepts no new connections.
+    /// The placer finishes pending requests and asks for no new connections.
     Drain,
-    /// An operator has taken it out of service.
+    /// An operator has taken the placer out of service for maintenance.
     Maint,
-    /// The process exits.
+    /// The process is exiting.
     Stopped,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Returns whether the placer wants new connections.
+    /// Returns whether the placer asks for new connections in this state.
     pub fn is_serving(self) -> bool {
         matches!(self, State::Starting | State::Up | State::Degraded)
     }
@@ -49,9 +49,9 @@
 /// A command of an operator, or of the system.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
-    /// Finish pending requests and accept no new connections.
+    /// Finish pending requests and ask for no new connections.
     Drain,
-    /// Leave service.
+    /// Leave service for maintenance.
     Maint,
     /// Return to service, with a slow start.
     Ready,
@@ -68,7 +68,7 @@
     SignalsClear,
     /// A signal limits the weight.
     Signal(Signal),
-    /// A command.
+    /// A command was executed.
     Command(Command),
 }
 
@@ -93,17 +93,17 @@
     }
 }
 
-/// A change of the state.
+/// A change from one state to another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Transition {
-    /// When.
+    /// When the state changed.
     pub at: Micros,
     /// The state before.
     pub from: State,
     /// The state after.
     pub to: State,
-    /// Why.
+    /// Why the state changed.
     pub reason: TransitionReason,
-    /// The weight at that time.
+    /// The published weight at the time of the transition.
     pub weight: u8,
 }
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -5,7 +5,8 @@
 
 const MILLISECOND: Micros = 1_000;
 
-/// A monitor whose event loop runs every 5 ms and whose service discovery sends an update each second.
+/// A monitor in simulated time. Its event loop runs every 5 ms, its gauges are sampled every 250 ms, and service
+/// discovery sends an update each second while it is up.
 struct Simulation {
     monitor: HealthMonitor,
     now: Micros,
@@ -24,7 +25,7 @@
         }
     }
 
-    /// A simulation of a placer that is up with full weight.
+    /// Returns a simulation of a placer that is up with full weight.
     fn up() -> Simulation {
         let mut simulation = Simulation::starting();
         simulation.run(15 * SECOND);
@@ -36,7 +37,7 @@
         self.run_with(duration, |_, _| {})
     }
 
-    /// Runs the event loop; `each` is called every 100 ms.
+    /// Runs the event loop for `duration` and returns the changes; `each` is called every 100 ms.
     fn run_with(
         &mut self,
         duration: Micros,
@@ -145,7 +146,7 @@
     let in_the_end = simulation.weight();
     assert!(
         after_13_seconds < after_3_seconds && in_the_end < after_13_seconds,
-        "the longer, the less"
+        "the weight falls further while discovery stays silent"
     );
     assert!((40..=45).contains(&in_the_end), "{in_the_end}");
     assert_eq!(simulation.monitor.state(), State::Degraded);
@@ -300,7 +301,11 @@
     assert_eq!(simulation.monitor.state(), State::Drain);
 
     simulation.command(Command::Ready);
-    assert_eq!(simulation.weight(), 10, "back with a slow start");
+    assert_eq!(
+        simulation.weight(),
+        10,
+        "the placer returns with a slow start"
+    );
 }
 
 #[test]
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -1,13 +1,15 @@
 //! Controls the weight reported to load balancers: it falls fast, recovers slowly, and does not oscillate.
 //!
-//! A load balancer reacts late: it polls, counts, and only then moves traffic, and the effect on the signals
-//! comes later still. So the controller is not proportional, but of the kind that shares links between senders
-//! (additive increase, multiplicative decrease, after Chiu and Jain, 1989), with two additions for the delay.
-//! A fall is followed by a pause of one and a half times the balancers' reaction time, so that its effect is
-//! seen before the next. And the weight at which overload began is remembered as a ceiling, as CUBIC senders
-//! remember the window of the last loss (RFC 9438). The weight climbs quickly to six tenths of it, slowly to
-//! eight tenths, and stays there until the memory expires; then it climbs slowly beyond. A ceiling that proves
-//! right again is remembered twice as long.
+//! A load balancer reacts late: it polls, counts the results, and only then moves traffic, and the signals show the
+//! effect later still. The controller is therefore not proportional. It uses additive increase and multiplicative
+//! decrease, as senders do that share a network link (Chiu and Jain, 1989), with two additions for the delay:
+//!
+//! - After a fall, the next one waits for one and a half times the load balancers' reaction time, so that the effect
+//!   of the first is seen before.
+//! - The weight at which overload began is remembered as a ceiling, as CUBIC senders remember the window of the last
+//!   loss (RFC 9438). The weight rises quickly to six tenths of the ceiling, slowly to eight tenths, and stays there
+//!   until the ceiling expires; then it rises slowly past it. If overload begins again while a ceiling is remembered,
+//!   the new ceiling is remembered twice as long.
 
 use super::signal::Signal;
 use crate::Micros;
@@ -15,41 +17,44 @@
 
 const SECOND: Micros = 1_000_000;
 const MINUTE: Micros = 60 * SECOND;
-/// The fraction of the ceiling from which on the weight climbs slowly, and the one where it stays.
-const SLOW_FROM: f64 = 0.6;
-const PLATEAU: f64 = 0.8;
-/// How much slower it climbs there.
-const SLOW_FACTOR: f64 = 0.1;
-/// A target this little below the weight is no reason to fall.
+/// The fraction of the ceiling from which on the weight rises slowly.
+const SLOW_RISE_FROM: f64 = 0.6;
+/// The fraction of the ceiling at which the weight stays until the ceiling expires.
+const PLATEAU_FRACTION: f64 = 0.8;
+/// The factor on the rate of the rise from `SLOW_RISE_FROM` of the ceiling up to the ceiling.
+const SLOW_RISE_FACTOR: f64 = 0.1;
+/// The weight does not fall while the target is below it by no more than this.
 const DEAD_BAND: f64 = 5.0;
-/// A rise is published in steps of at least this, at least so long apart, or when it reaches 100.
+/// The minimum step in which a rise of the weight is published, except for the step that reaches 100.
 const MIN_STEP: f64 = 5.0;
+/// The minimum time from a change of the published weight to a published rise, except for the step that reaches 100.
 const MIN_STEP_INTERVAL: Micros = SECOND;
-/// A fall leaves at least this fraction of the weight. The first fall in a row may go further if only this
-/// placer can be the cause.
-const MIN_REMAINING: f64 = 0.5;
-const MIN_REMAINING_AFTER_FIRST: f64 = 0.3;
+/// The minimum fraction of the weight that a fall leaves.
+const MIN_REMAINING_FRACTION: f64 = 0.5;
+/// The minimum fraction of the weight that the first fall in a row leaves if only this placer can be the cause.
+const MIN_REMAINING_AFTER_FIRST_FALL: f64 = 0.3;
 /// The maximum weight.
 const FULL_WEIGHT: f64 = 100.0;
 
-/// How the weight moves.
+/// Limits on how the weight falls and rises.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WeightPolicy {
-    /// Signals never lower the weight below this: a placer that still places tasks keeps some load.
+    /// The minimum weight: signals do not lower it further, so that a placer that still places tasks keeps some load.
     pub min_weight: f64,
-    /// The minimum time between two falls, where no balancer polls less often.
+    /// The minimum time between two falls, unless one and a half times the load balancers' reaction time is longer.
     pub fall_interval: Micros,
-    /// The minimum time from a fall to the next rise; doubled while falls follow rises.
+    /// The minimum time from a fall to the next rise; doubled each time that a fall soon follows a rise.
     pub hold: Micros,
-    /// The limit of that doubling.
+    /// The limit to which `hold` is doubled.
     pub max_hold: Micros,
-    /// The time of a rise from 0 to 100.
+    /// The time that a rise from 0 to 100 takes at the full rate.
     pub rise_time: Micros,
-    /// How long the weight at which overload began is a ceiling; doubled each time it proves right.
+    /// How long the weight at which overload began limits a rise as a ceiling; doubled each time that overload begins
+    /// again while a ceiling is remembered.
     pub ceiling_memory: Micros,
-    /// The limit of that doubling.
+    /// The limit to which `ceiling_memory` is doubled.
     pub max_ceiling_memory: Micros,
-    /// No rise after so many changes within the last minute.
+    /// The number of changes of the published weight within a minute after which it does not rise.
     pub max_changes_per_minute: usize,
 }
 
@@ -68,35 +73,37 @@
     }
 }
 
-/// The weight at which overload began.
+/// The weight at which overload began, which limits later rises.
 #[derive(Debug, Clone, Copy)]
 struct Ceiling {
     weight: f64,
     since: Micros,
     remembered_for: Micros,
-    /// It was learned from a signal that the fleet may turn out to explain.
+    /// Whether it was learned from a signal that the fleet can cause, so that later evidence may explain it.
     may_be_caused_by_fleet: bool,
 }
 
-/// The weight of one placer.
+/// Computes the weight that one placer reports.
 #[derive(Debug, Clone)]
 pub struct WeightController {
     policy: WeightPolicy,
-    /// The weight before it is published in steps.
+    /// The weight from which the published one is taken in steps.
     exact: f64,
+    /// The weight that is reported to load balancers.
     published: f64,
     last_update: Micros,
     last_fall: Option<Micros>,
-    /// The latest rise since the latest fall.
+    /// The latest published rise since the latest fall.
     last_rise: Option<Micros>,
+    /// The current time from a fall to the next rise: the policy's `hold`, doubled or not.
     hold: Micros,
     ceiling: Option<Ceiling>,
-    /// When the published weight changed within the last minute.
+    /// The times at which the published weight changed; those older than a minute are removed before a rise.
     changes: VecDeque<Micros>,
 }
 
 impl WeightController {
-    /// Creates a controller that starts at a weight.
+    /// Creates a controller with the initial weight `start`.
     pub fn new(policy: WeightPolicy, start: f64, now: Micros) -> WeightController {
         let start = start.clamp(policy.min_weight, FULL_WEIGHT);
         WeightController {
@@ -117,7 +124,8 @@
         self.published.round().clamp(1.0, FULL_WEIGHT) as u8
     }
 
-    /// Forgets a ceiling that was learned from a signal which the fleet turned out to explain.
+    /// Discards a ceiling that was learned from a signal which the fleet can cause, and the doubled hold with it.
+    /// Called when the fleet turned out to explain the signal.
     pub fn forget_fleet_ceiling(&mut self) {
         let forgotten = self
             .ceiling
@@ -127,9 +135,9 @@
         }
     }
 
-    /// Moves towards the target, and returns whether the published weight has changed.
+    /// Moves the weight towards the target, and returns whether the published weight has changed.
     ///
-    /// `cause` is the signal that limits the target most. Only load is remembered as a ceiling: a placer in
+    /// `cause` is the signal that limits the target most. Only overload is remembered as a ceiling: a placer in
     /// slow start or without service discovery was not overloaded by its weight. `reaction_time` is how long
     /// load balancers take to act on a published weight.
     pub fn update(
@@ -145,9 +153,9 @@
         self.forget_old_overload(now);
         let before = self.published;
         if target < self.exact - DEAD_BAND {
-            self.fall(now, target, cause, reaction_time);
+            self.lower(now, target, cause, reaction_time);
         } else if target > self.exact {
-            self.climb(now, target, elapsed, reaction_time);
+            self.raise(now, target, elapsed, reaction_time);
         }
         let has_changed = self.published != before;
         if has_changed {
@@ -156,7 +164,7 @@
         has_changed
     }
 
-    /// Forgets the ceiling and the doubled hold after a long time without overload.
+    /// Discards the ceiling, and resets the doubled hold, once the latest overload is long past.
     fn forget_old_overload(&mut self, now: Micros) {
         let is_old = |ceiling: &Ceiling| {
             now - ceiling.since > ceiling.remembered_for + self.policy.max_ceiling_memory
@@ -172,12 +180,12 @@
         }
     }
 
-    fn fall(&mut self, now: Micros, target: f64, cause: Option<Signal>, reaction_time: Micros) {
+    fn lower(&mut self, now: Micros, target: f64, cause: Option<Signal>, reaction_time: Micros) {
         let interval = self.policy.fall_interval.max(reaction_time * 3 / 2);
         if self.last_fall.is_some_and(|at| now - at < interval) {
             return;
         }
-        // A fall soon after a rise shows that the rise was wrong: the next one waits longer.
+        // A fall soon after a rise shows that the rise was too early, so the next rise waits longer.
         let rise = self.last_rise.take();
         let was_recent = rise.is_some_and(|at| now - at < 2 * self.policy.max_hold);
         if was_recent && self.last_fall.is_some() {
@@ -189,9 +197,9 @@
             self.remember_ceiling(now, cause);
         }
         let min_remaining = if is_first && cause == Some(Signal::LoopLate) {
-            MIN_REMAINING_AFTER_FIRST
+            MIN_REMAINING_AFTER_FIRST_FALL
         } else {
-            MIN_REMAINING
+            MIN_REMAINING_FRACTION
         };
         self.exact = target
             .max(self.exact * min_remaining)
@@ -212,19 +220,19 @@
         });
     }
 
-    fn climb(&mut self, now: Micros, target: f64, elapsed: Micros, reaction_time: Micros) {
+    fn raise(&mut self, now: Micros, target: f64, elapsed: Micros, reaction_time: Micros) {
         let hold = self.hold.max(2 * reaction_time);
         if self.last_fall.is_some_and(|at| now - at < hold) || self.changes_too_often(now) {
             return;
         }
         let ceiling = self.ceiling.filter(|ceiling| self.exact < ceiling.weight);
-        let is_near = ceiling.is_some_and(|ceiling| self.exact >= SLOW_FROM * ceiling.weight);
-        let factor = if is_near { SLOW_FACTOR } else { 1.0 };
+        let is_near = ceiling.is_some_and(|ceiling| self.exact >= SLOW_RISE_FROM * ceiling.weight);
+        let factor = if is_near { SLOW_RISE_FACTOR } else { 1.0 };
         let per_micro = factor * FULL_WEIGHT / self.policy.rise_time.max(1) as f64;
         let limit = ceiling
             .filter(|ceiling| now - ceiling.since < ceiling.remembered_for)
             .map_or(target, |ceiling| {
-                target.min((PLATEAU * ceiling.weight).max(self.exact))
+                target.min((PLATEAU_FRACTION * ceiling.weight).max(self.exact))
             });
         self.exact = limit.min(self.exact + per_micro * elapsed as f64);
         self.publish_rise(now, target);
@@ -237,7 +245,7 @@
         self.changes.len() >= self.policy.max_changes_per_minute
     }
 
-    /// Publishes the weight if it has risen by a step, or has reached 100.
+    /// Publishes the weight if it has risen by a step and a step is due, or if it has reached 100.
     fn publish_rise(&mut self, now: Micros, target: f64) {
         let step_is_due = self
             .changes
--- a/src/health/weight/tests.rs
+++ b/src/health/weight/tests.rs
@@ -8,7 +8,7 @@
     WeightController::new(WeightPolicy::default(), start, 0)
 }
 
-/// Updates the weight so many times after `from`, and returns the published weights.
+/// Updates the weight `updates` times after `from`, and returns the weight published after each update.
 fn run(
     weight: &mut WeightController,
     from: Micros,
@@ -46,16 +46,22 @@
 }
 
 #[test]
-fn weight_holds_after_a_fall_then_climbs_in_steps_and_slowly_near_the_ceiling() {
+fn weight_holds_after_a_fall_then_rises_in_steps_and_slowly_near_the_ceiling() {
     let mut weight = controller(80.0);
     run(&mut weight, 0, 1, 40.0, Signal::LoopLate);
 
     let published = run(&mut weight, UPDATE_INTERVAL, 60, 100.0, Signal::LoopLate);
 
-    assert_eq!(published[6], 40, "held for 2 s");
+    assert_eq!(published[6], 40, "the weight is held for 2 s");
     let at = |n: usize| f64::from(published[n]);
-    assert!(at(12) >= 45.0, "then 10 a second: {published:?}");
-    assert!(at(56) < 65.0, "then slowly past the ceiling: {published:?}");
+    assert!(
+        at(12) >= 45.0,
+        "the weight then rises by 10 a second: {published:?}"
+    );
+    assert!(
+        at(56) < 65.0,
+        "the weight rises slowly near the ceiling: {published:?}"
+    );
     assert!(published.windows(2).all(|pair| pair[1] >= pair[0]));
 }
 
@@ -73,7 +79,7 @@
             weight.update(now, 100.0, None, 0);
         }
         waits.push((now - fell_at) / SECOND);
-        // It climbs on until it can fall again.
+        // The weight keeps rising until it can fall again.
         for _ in 0..40 {
             now += UPDATE_INTERVAL;
             weight.update(now, 100.0, None, 0);
