--- a/benches/health_polls.rs
+++ b/benches/health_polls.rs
@@ -1,5 +1,5 @@
-//! The cost of health checks: processor time of the placer and time to place a task, with none, with 1,000 agent
-//! checks a second and with 1,000 HTTP checks a second, one after the other in one run.
+//! Measures the cost of health checks: the placer's processor time and the time to place a task, without health checks,
+//! with 1,000 agent checks a second and with 1,000 HTTP checks a second, one after the other in one run.
 //!
 //! `cargo bench --bench health_polls [-- SECONDS]`
 
@@ -12,8 +12,10 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
+/// The number of threads that poll.
 const POLLERS: usize = 10;
-const RATE: f64 = 1_000.0;
+/// The number of polls a second, of all threads.
+const POLL_RATE: f64 = 1_000.0;
 
 #[derive(Clone, Copy)]
 enum Load {
@@ -39,7 +41,7 @@
     answer.get(..n)?.starts_with(b"HTTP/1.1 200").then_some(())
 }
 
-/// Polls at the rate until stopped, and counts the replies.
+/// Starts threads that poll at `POLL_RATE` until `stop` is set, and count the successful answers in `done`.
 fn poll(
     load: Load,
     stop: &Arc<AtomicBool>,
@@ -57,7 +59,8 @@
                 _ => None,
             };
             for n in 0u32.. {
-                let due = start + Duration::from_secs_f64(f64::from(n) * POLLERS as f64 / RATE);
+                let due =
+                    start + Duration::from_secs_f64(f64::from(n) * POLLERS as f64 / POLL_RATE);
                 std::thread::sleep(due.saturating_duration_since(Instant::now()));
                 if stop.load(Ordering::Relaxed) {
                     return;
@@ -74,45 +77,50 @@
     (0..POLLERS).map(poller).collect()
 }
 
+/// The cost that was measured under one load of polls.
 struct Measurement {
+    /// Processor time of the placer as a fraction of the elapsed time.
     cpu: f64,
+    /// The median time to place a task.
     median: Duration,
+    /// The 99th percentile of the time to place a task.
     p99: Duration,
+    /// Answered polls a second.
     polls: f64,
 }
 
-/// Places 50 tasks a second for a while under a load of polls.
-fn measure(program: &Program, load: Load, span: Duration, first_id: &mut u64) -> Measurement {
+/// Places 50 tasks a second for `duration` under a load of polls.
+fn measure(program: &Program, load: Load, duration: Duration, first_id: &mut u64) -> Measurement {
     let (stop, done) = (
         Arc::new(AtomicBool::new(false)),
         Arc::new(AtomicU64::new(0)),
     );
     let pollers = poll(load, &stop, &done);
     std::thread::sleep(Duration::from_millis(500));
-    let (cpu, begun, mut waits) = (program.cpu_time(), Instant::now(), Vec::new());
+    let (cpu, started_at, mut placement_times) = (program.cpu_time(), Instant::now(), Vec::new());
     done.store(0, Ordering::Relaxed);
     let mut client = program.client();
-    while begun.elapsed() < span {
-        let due = begun + Duration::from_millis(20 * waits.len() as u64);
+    while started_at.elapsed() < duration {
+        let due = started_at + Duration::from_millis(20 * placement_times.len() as u64);
         std::thread::sleep(due.saturating_duration_since(Instant::now()));
         *first_id += 1;
         place_task(&mut client, *first_id);
-        waits.push(due.elapsed());
+        placement_times.push(due.elapsed());
     }
-    let (passed, used) = (
-        begun.elapsed().as_secs_f64(),
+    let (elapsed_seconds, cpu_seconds) = (
+        started_at.elapsed().as_secs_f64(),
         (program.cpu_time() - cpu).as_secs_f64(),
     );
-    let polls = done.load(Ordering::Relaxed) as f64 / passed;
+    let polls = done.load(Ordering::Relaxed) as f64 / elapsed_seconds;
     stop.store(true, Ordering::Relaxed);
     pollers
         .into_iter()
-        .for_each(|poller| poller.join().expect("a poller"));
-    waits.sort();
+        .for_each(|poller| poller.join().expect("the polling thread panicked"));
+    placement_times.sort();
     Measurement {
-        cpu: used / passed,
-        median: waits[waits.len() / 2],
-        p99: waits[waits.len() * 99 / 100],
+        cpu: cpu_seconds / elapsed_seconds,
+        median: placement_times[placement_times.len() / 2],
+        p99: placement_times[placement_times.len() * 99 / 100],
         polls,
     }
 }
@@ -122,7 +130,7 @@
         .filter_map(|arg| arg.parse().ok())
         .next()
         .unwrap_or(10);
-    let span = Duration::from_secs(seconds);
+    let duration = Duration::from_secs(seconds);
     let behavior = HostBehavior {
         start_time: Duration::from_millis(5),
         run_time: Duration::from_secs(1),
@@ -142,7 +150,7 @@
     let program = Launch::new(&config).operator_file(&operator).start();
     wait_for("the agent check answers", || agent_poll(agent));
     let mut id = 0;
-    let mut base = None;
+    let mut baseline_cpu = None;
     println!(
         "{:<8} {:>8} {:>8} {:>12} {:>12} {:>10}",
         "polls", "a second", "cpu", "median", "p99", "cpu ratio"
@@ -153,14 +161,14 @@
         ("http", Load::Http(http)),
         ("none", Load::None),
     ] {
-        let f = measure(&program, load, span, &mut id);
-        let ratio = f.cpu / *base.get_or_insert(f.cpu);
+        let measured = measure(&program, load, duration, &mut id);
+        let ratio = measured.cpu / *baseline_cpu.get_or_insert(measured.cpu);
         println!(
             "{name:<8} {:>8.0} {:>7.1}% {:>12.1?} {:>12.1?} {ratio:>10.2}",
-            f.polls,
-            100.0 * f.cpu,
-            f.median,
-            f.p99
+            measured.polls,
+            100.0 * measured.cpu,
+            measured.median,
+            measured.p99
         );
     }
 }
--- a/src/net/health/agent.rs
+++ b/src/net/health/agent.rs
@@ -1,27 +1,27 @@
-//! The agent check over TCP, as HAProxy's public documentation of `agent-check` describes it.
+//! Parses and encodes the agent check over TCP, as HAProxy's public documentation of `agent-check` describes it.
 //!
 //! The load balancer connects, may first send a line of its own (`agent-send`), and reads one ASCII line of words
-//! separated by spaces. A missing word changes nothing at the load balancer, so what an earlier answer set must be
-//! reverted by name: after `drain` or `maint` an agent has to answer `ready`, and after `stopped` it has to answer
-//! `up`. So every answer of a state that serves contains both.
+//! separated by spaces. A word that is missing from the answer changes nothing at the load balancer, so the effect of
+//! an earlier answer must be reverted explicitly: after `drain` or `maint` the agent has to answer `ready`, and after
+//! `stopped` it has to answer `up`. Every answer of a state that serves therefore contains both words.
 
 use task_placer::health::{Report, State};
 
-/// The maximum length of the load balancer's line, in bytes.
+/// The maximum length of the line that a load balancer sends, including its end, in bytes.
 pub const MAX_LINE_BYTES: usize = 256;
 
-/// What the load balancer has sent first.
+/// The line that a load balancer may send before it reads the answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AgentLine {
-    /// Not a complete line yet.
+    /// The end of the line has not been received yet.
     Incomplete,
-    /// A complete line without its end. It tells several checks of one load balancer apart.
+    /// A complete line without its end. It distinguishes several checks of one load balancer.
     Complete(String),
-    /// Too long, or not printable.
+    /// The line is too long or contains a character that is not printable.
     Malformed,
 }
 
-/// Parses what the load balancer has sent so far.
+/// Parses the bytes that the load balancer has sent so far.
 pub fn parse_line(bytes: &[u8]) -> AgentLine {
     let Some(end) = bytes.iter().position(|byte| *byte == b'\n') else {
         return if bytes.len() >= MAX_LINE_BYTES {
@@ -42,8 +42,8 @@
     }
 }
 
-/// Encodes the answer for a report. `max_connections` is the most connections of clients, if it is to be
-/// reported; it shrinks with the weight.
+/// Encodes the answer for a report. `max_connections` is the maximum number of client connections at full weight, or
+/// `None` if it is not to be reported; the reported number is reduced in proportion to the weight.
 pub fn encode_answer(report: &Report, max_connections: Option<usize>) -> String {
     match report.state {
         State::Starting | State::Up | State::Degraded => {
@@ -57,7 +57,8 @@
                 .unwrap_or_default();
             format!("up ready {}%{maxconn}{cause}\n", report.weight)
         }
-        // Still up: connections that the load balancer holds stay open, and a retried one is accepted.
+        // Reported as still up, so that connections which the load balancer holds stay open and a retried one is
+        // accepted.
         State::Drain => "up drain # finishing what was taken\n".to_string(),
         State::Maint => "maint # by order\n".to_string(),
         State::Stopped => "stopped # ending\n".to_string(),
--- a/src/net/health/agent/tests.rs
+++ b/src/net/health/agent/tests.rs
@@ -4,7 +4,7 @@
 use emulator::load_balancer::{AdminState, AgentReport, parse_agent_report};
 use task_placer::health::{HealthMonitor, Settings, Signal};
 
-/// A report of this state and weight.
+/// Returns a report with the given state, weight and cause, and with the other values of a new monitor.
 pub fn report(state: State, weight: u8, cause: Option<Signal>) -> Report {
     let (report, _) = HealthMonitor::new(Settings::default(), 0).report(0);
     Report {
@@ -54,7 +54,7 @@
         let answer = encode_answer(&report(state, weight, cause), max_connections);
 
         assert_eq!(answer, line);
-        let reported = parse_agent_report(&answer).expect("a strict reader accepts it");
+        let reported = parse_agent_report(&answer).expect("the answer is a valid agent report");
         let admin = match state {
             State::Drain => Some(AdminState::Drain),
             State::Maint => Some(AdminState::Maintenance),
--- a/src/net/health/answers.rs
+++ b/src/net/health/answers.rs
@@ -1,4 +1,4 @@
-//! The answers to load balancers, from the reporter and what dispatch knows.
+//! Builds the answers to load balancers from the health reporter's report and the state of the dispatch.
 
 use super::{LINGER, agent, http, micros};
 use crate::net::dispatch::Dispatch;
@@ -8,7 +8,7 @@
 use task_placer::health::drain::{CheckKind, Poller};
 
 impl Dispatch {
-    /// How long a poll may take.
+    /// Returns the maximum time that a poll may take.
     pub(super) fn poll_timeout(&self, check: CheckKind) -> Micros {
         let Some(reporter) = &self.health_reporter else {
             return LINGER;
@@ -19,14 +19,14 @@
         }
     }
 
-    /// How long an HTTP connection may wait for its next request.
+    /// Returns the maximum time that an HTTP connection may wait for its next request.
     pub(super) fn idle_timeout(&self) -> Micros {
         self.health_reporter
             .as_ref()
             .map_or(LINGER, |reporter| micros(reporter.settings.idle_timeout))
     }
 
-    /// How long an agent check's connection may take to send its line.
+    /// Returns the maximum time to wait for the line that an agent check may send first; zero means not to wait.
     pub(super) fn agent_line_timeout(&self) -> Duration {
         self.health_reporter
             .as_ref()
@@ -35,7 +35,7 @@
             })
     }
 
-    /// Records a poll of an agent check, and returns its answer.
+    /// Records a poll of an agent check, and returns the answer to it.
     pub(super) fn answer_agent_poll(&mut self, poller: &Poller) -> String {
         let now = self.clock.now();
         let max_connections = self.clients.connection_limit(self.active_host_count());
@@ -46,7 +46,8 @@
         agent::encode_answer(&reporter.answer_poll(now, poller), reported_connections)
     }
 
-    /// Returns the response to an HTTP check. Only a check that announces a drain counts as a poll.
+    /// Returns the response to an HTTP check. Only the checks whose response announces a drain, `/readyz` and `/health`,
+    /// are recorded as polls.
     pub(super) fn answer_http_poll(&mut self, poller: &Poller, request: &http::Request) -> Vec<u8> {
         let now = self.clock.now();
         let Some(reporter) = &mut self.health_reporter else {
--- a/src/net/health/connection_limiter.rs
+++ b/src/net/health/connection_limiter.rs
@@ -1,9 +1,9 @@
-//! Limits how many connections a listener holds, and for how long.
+//! Limits how many connections one or several listeners hold, and for how long.
 //!
-//! When the limit is reached, the connection that has been inactive longest is evicted: pollers that send
-//! nothing can't keep out one that does, and the descriptors in use never exceed the limit. Deadlines are
-//! checked by the timer wheel's sweep, so they are coarse. The limiter closes no connection itself: it notifies
-//! the task that serves it.
+//! When the limit is reached, the connection that has been inactive longest is evicted, so that idle connections can't
+//! keep out an active poller and the number of descriptors in use never exceeds the limit. Deadlines are checked when
+//! the timer wheel is swept, so they are coarse. The limiter closes no connection itself: it notifies the asynchronous
+//! task that serves the connection.
 
 use async_channel::{Receiver, Sender};
 use std::cell::{Cell, RefCell};
@@ -13,41 +13,42 @@
 /// Why a connection must close.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Eviction {
-    /// Its descriptor is needed for another connection.
+    /// The limit was reached, and its descriptor is needed for another connection.
     LimitReached,
-    /// It has passed its deadline.
+    /// The connection has passed its deadline.
     DeadlinePassed,
 }
 
+/// The state of an admitted connection.
 struct Connection {
-    /// Orders connections by their latest activity.
+    /// The value of the activity counter at the latest activity, which orders connections by it.
     last_activity: u64,
     deadline: Micros,
     evict: Sender<Eviction>,
 }
 
-/// The connections of one or several listeners.
+/// Tracks the connections of one or several listeners.
 pub struct ConnectionLimiter {
     max_connections: usize,
     connections: RefCell<BTreeMap<u64, Connection>>,
     activity_counter: Cell<u64>,
 }
 
-/// The permit of one connection.
+/// Permits one connection to stay open until it is evicted.
 pub struct ConnectionPermit {
     id: u64,
     evicted: Receiver<Eviction>,
 }
 
 impl ConnectionPermit {
-    /// Waits until the connection must close.
+    /// Waits until the connection must close, and returns why.
     pub async fn evicted(&self) -> Eviction {
         self.evicted.recv().await.unwrap_or(Eviction::LimitReached)
     }
 }
 
 impl ConnectionLimiter {
-    /// Creates a limiter for `max_connections`, and at least one.
+    /// Creates a limiter for `max_connections` connections, or for one if that is 0.
     pub fn new(max_connections: usize) -> ConnectionLimiter {
         ConnectionLimiter {
             max_connections: max_connections.max(1),
@@ -62,7 +63,7 @@
         next
     }
 
-    /// Admits a connection until a deadline. At the limit, the connection inactive longest is evicted.
+    /// Admits a connection until `deadline`. If the limit is reached, the connection inactive longest is evicted.
     pub fn admit(&self, deadline: Micros) -> ConnectionPermit {
         let id = self.next_activity();
         let mut connections = self.connections.borrow_mut();
@@ -85,7 +86,7 @@
         ConnectionPermit { id, evicted }
     }
 
-    /// Records activity on a connection, and sets its deadline.
+    /// Records activity on a connection, and replaces its deadline.
     pub fn extend(&self, permit: &ConnectionPermit, deadline: Micros) {
         let last_activity = self.next_activity();
         if let Some(connection) = self.connections.borrow_mut().get_mut(&permit.id) {
@@ -99,7 +100,7 @@
         self.connections.borrow_mut().remove(&permit.id);
     }
 
-    /// Evicts the connections that have passed their deadline.
+    /// Evicts all connections that have passed their deadline.
     pub fn evict_overdue(&self, now: Micros) {
         self.connections.borrow_mut().retain(|_, connection| {
             let is_overdue = now > connection.deadline;
--- a/src/net/health/http.rs
+++ b/src/net/health/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 health checks: pure functions from bytes to a request, and from a request to a response.
+//! HTTP/1.1 health checks: functions without I/O that parse bytes to a request and encode the response to it.
 
 mod request;
 mod response;
--- a/src/net/health/http/request.rs
+++ b/src/net/health/http/request.rs
@@ -1,69 +1,70 @@
 //! Parses HTTP/1.1 health checks.
 //!
-//! `httparse` reads the syntax. What it accepts but two parsers could read differently is rejected here, since a
-//! check that passes through proxies is an attack path: a body of any kind, contradicting lengths, a line that
-//! ends in a bare line feed, a space before a header's colon, a folded line.
+//! `httparse` parses the syntax. Input that it accepts but that two parsers could read differently is rejected here,
+//! since checks that pass through proxies could be used for request smuggling: a body of any kind, contradicting
+//! lengths, a line that ends in a bare line feed, a space before a header's colon, a folded line.
 
 /// The maximum length of a request, in bytes.
 pub const MAX_REQUEST_BYTES: usize = 8 * 1024;
+/// The maximum number of headers of a request.
 pub(super) const MAX_HEADERS: usize = 64;
 
 /// The method of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
-    /// The response with its body.
+    /// `GET`: requests the headers and the body of the response.
     Get,
-    /// Its headers only.
+    /// `HEAD`: requests the headers of the response only.
     Head,
-    /// The methods that are allowed.
+    /// `OPTIONS`: requests the allowed methods.
     Options,
 }
 
-/// The check that a request is for.
+/// The check that a request asks for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Target {
-    /// `/livez`: the event loop runs.
+    /// `/livez`: whether the event loop runs.
     Live,
-    /// `/readyz`: the placer wants new connections.
+    /// `/readyz`: whether the placer asks for new connections.
     Ready,
-    /// `/startupz`: the placer knows the endpoint list.
+    /// `/startupz`: whether the placer has ever received the endpoint list.
     Startup,
-    /// `/health`: everything, as JSON.
+    /// `/health`: state, weight and all signals, as JSON.
     Health,
-    /// `*` of OPTIONS.
+    /// `*`: the server as a whole, in `OPTIONS` only.
     Server,
-    /// Another path.
+    /// Any other path.
     Unknown,
 }
 
 /// What happens to the connection after the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Persistence {
-    /// It stays open for the next request.
+    /// The connection stays open for the next request.
     KeepAlive,
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
-/// A request.
+/// A parsed health check request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Request {
-    /// Its method.
+    /// The method of the request.
     pub method: Method,
-    /// Its check.
+    /// The check that the request asks for.
     pub target: Target,
-    /// Whether the connection stays open.
+    /// Whether the connection stays open after the response.
     pub persistence: Persistence,
 }
 
-/// What has been received so far.
+/// The result of parsing the bytes received so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Parsed {
-    /// Part of a request.
+    /// The bytes are a part of a request.
     Incomplete,
-    /// A request, and its length in bytes.
+    /// The bytes begin with a complete request; the number is its length in bytes.
     Request(Request, usize),
-    /// Not acceptable; to be answered with this status and a close.
+    /// The request is not acceptable. The connection is closed after a response with this status.
     Rejected(u16),
 }
 
@@ -93,10 +94,10 @@
     }
 }
 
-/// The request of a complete head, or the status that rejects it.
+/// Returns the request of a complete head, or the status with which it is rejected.
 fn read_request(head: &httparse::Request<'_, '_>) -> Result<Request, u16> {
     reject_body(head)?;
-    reject_host_mismatch(head)?;
+    reject_wrong_host_count(head)?;
     if !header_values(head, "expect").is_empty() {
         return Err(417);
     }
@@ -125,7 +126,7 @@
     head.version == Some(1)
 }
 
-/// A check has no body. The bytes of one could be read as the next request.
+/// Rejects a request that announces a body, since the bytes of a body could be read as the next request.
 fn reject_body(head: &httparse::Request<'_, '_>) -> Result<(), u16> {
     if !header_values(head, "transfer-encoding").is_empty() {
         return Err(501);
@@ -137,8 +138,8 @@
     }
 }
 
-/// HTTP/1.1 requires one `Host`; more than one is never allowed.
-fn reject_host_mismatch(head: &httparse::Request<'_, '_>) -> Result<(), u16> {
+/// Rejects a request with several `Host` headers, or with none in HTTP/1.1, which requires one.
+fn reject_wrong_host_count(head: &httparse::Request<'_, '_>) -> Result<(), u16> {
     let hosts = header_values(head, "host").len();
     if hosts > 1 || (is_http_1_1(head) && hosts == 0) {
         return Err(400);
@@ -163,7 +164,7 @@
 }
 
 fn target(path: &str, method: Method) -> Target {
-    // A proxy may send the absolute form.
+    // A proxy may send the target in absolute form.
     let path = path.strip_prefix("http://").map_or(path, |rest| {
         rest.find('/').map_or("/", |start| &rest[start..])
     });
@@ -177,7 +178,7 @@
     }
 }
 
-/// Whether every line ends in CR LF: a bare line feed, or a bare CR, ends a line for some parsers only.
+/// Returns whether every line ends in CR LF. Only some parsers take a bare LF or a bare CR as the end of a line.
 fn all_lines_end_in_crlf(head: &[u8]) -> bool {
     let mut previous = None;
     for byte in head {
--- a/src/net/health/http/response.rs
+++ b/src/net/health/http/response.rs
@@ -11,16 +11,16 @@
 const HEALTH_JSON: &str = "application/health+json";
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// What responses depend on beside the report.
+/// The inputs of a response besides the request and the report.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResponseContext {
     /// The time, in Unix microseconds.
     pub now: Micros,
     /// Whether the endpoint list has ever been received.
     pub has_started: bool,
-    /// The status that announces a drain.
+    /// The HTTP status that announces a drain.
     pub drain_status: u16,
-    /// Envoy is sent `degraded` below this weight.
+    /// The weight below which Envoy is sent `x-envoy-degraded`.
     pub degraded_below: u8,
 }
 
@@ -28,9 +28,11 @@
 struct Response<'a> {
     status: u16,
     persistence: Persistence,
+    /// Additional header lines, each with its CR LF.
     headers: &'a str,
     content_type: &'a str,
     body: &'a str,
+    /// The method of the request, which determines whether the body is sent.
     method: Method,
 }
 
@@ -53,7 +55,7 @@
     (status, response.encode())
 }
 
-/// Returns the response to a request that was rejected while parsing.
+/// Returns the bytes of the response to a request that was rejected while parsing.
 pub fn respond_rejected(status: u16) -> Vec<u8> {
     Response {
         status,
@@ -80,8 +82,8 @@
 
 fn headers(request: &Request, report: &Report, context: &ResponseContext) -> String {
     let mut headers = String::new();
-    // Envoy moves all traffic away from a degraded host while others have capacity, so only a placer with a very
-    // low weight is reported as degraded.
+    // Envoy moves all traffic away from a degraded upstream host while others have capacity, so only a placer with a
+    // very low weight is reported as degraded.
     if report.state.is_serving() && report.weight < context.degraded_below {
         headers.push_str("x-envoy-degraded: true\r\n");
     }
@@ -140,12 +142,12 @@
     }
 }
 
-/// JSON has no number for what is not finite.
+/// Returns the value, or the largest finite number for NaN and infinities, which JSON can't represent.
 fn finite(value: f64) -> f64 {
     if value.is_finite() { value } else { f64::MAX }
 }
 
-/// The unit of a signal's value.
+/// Returns the unit of a signal's value.
 fn unit(signal: Signal) -> &'static str {
     match signal {
         Signal::DiscoveryAge => "s",
@@ -169,8 +171,8 @@
     }])
 }
 
-/// The body of `/health`, after the public draft 'Health Check Response Format for HTTP APIs'
-/// (draft-inadarei-api-health-check): `pass`, `warn` or `fail`, and each signal as a check.
+/// Returns the body of `/health`, after the public draft 'Health Check Response Format for HTTP APIs'
+/// (draft-inadarei-api-health-check): the status `pass`, `warn` or `fail`, and each signal as a check.
 pub(super) fn health_json(report: &Report, context: &ResponseContext) -> OwnedValue {
     let status = match report.state {
         State::Up => "pass",
--- a/src/net/health/http/tests.rs
+++ b/src/net/health/http/tests.rs
@@ -22,7 +22,7 @@
     }
 }
 
-/// Parses a request that is complete.
+/// Parses a text that is exactly one complete request.
 fn parse_complete(text: &str) -> Request {
     match parse(text.as_bytes()) {
         Parsed::Request(request, length) => {
@@ -40,7 +40,7 @@
         persistence: Persistence::Close,
     };
     let (_, bytes) = respond(&request, report, &CONTEXT);
-    String::from_utf8(bytes).expect("text")
+    String::from_utf8(bytes).expect("the response is UTF-8")
 }
 
 #[test]
@@ -113,7 +113,7 @@
 #[test]
 fn requests_that_two_parsers_could_read_differently_are_rejected() {
     let cases = [
-        // Two lengths, a length and a coding, a coding alone, a body.
+        // Two lengths, a length with a transfer coding, a malformed transfer coding, a body, malformed lengths.
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n",
             400,
@@ -142,7 +142,7 @@
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: \r\n\r\n",
             400,
         ),
-        // Headers and line ends.
+        // A space before a colon, a folded line, bare line feeds, no or two `Host` headers, an `Expect` header.
         ("GET /livez HTTP/1.1\r\nHost : a\r\n\r\n", 400),
         ("GET /livez HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", 400),
         ("GET /livez HTTP/1.1\nHost: a\n\n", 400),
@@ -196,10 +196,10 @@
     let both = "GET /livez HTTP/1.1\r\nHost: a\r\n\r\nGET /readyz HTTP/1.1\r\nHost: a\r\n\r\n";
 
     let Parsed::Request(first, length) = parse(both.as_bytes()) else {
-        panic!("the first")
+        panic!("the first request does not parse")
     };
     let Parsed::Request(second, _) = parse(&both.as_bytes()[length..]) else {
-        panic!("the second")
+        panic!("the second request does not parse")
     };
 
     assert_eq!((first.target, second.target), (Target::Live, Target::Ready));
@@ -282,13 +282,16 @@
 
     let text = respond_text(Method::Get, Target::Health, &low);
 
-    let (head, body) = text.split_once("\r\n\r\n").expect("a body");
+    let (head, body) = text
+        .split_once("\r\n\r\n")
+        .expect("the response has a body");
     assert!(
         head.contains(&format!("Content-Length: {}", body.len())),
         "{head}"
     );
     assert!(head.contains("application/health+json"), "{head}");
-    let json = simd_json::to_owned_value(&mut body.as_bytes().to_vec()).expect("JSON");
+    let json =
+        simd_json::to_owned_value(&mut body.as_bytes().to_vec()).expect("the body is valid JSON");
     assert_eq!(json.get_str("status"), Some("warn"));
     assert_eq!(json.get_str("output"), Some("loop-late"));
     assert_eq!(json.get_u64("weight"), Some(30));
--- a/src/net/health/mod.rs
+++ b/src/net/health/mod.rs
@@ -1,6 +1,6 @@
-//! Health checks of load balancers: the listeners, and one task for each connection.
+//! Answers health checks of load balancers: the listeners, and one asynchronous task for each connection.
 //!
-//! What is reported comes from the [`reporter`]; the encodings are in `agent` and `http`.
+//! The [`reporter`] supplies what is reported; `agent` and `http` parse the checks and encode the answers.
 
 mod agent;
 mod answers;
@@ -26,13 +26,13 @@
 use task_placer::health::drain::{CheckKind, Poller};
 use tracing::{debug, info};
 
-/// How long a peer may take to read its answer and close.
+/// The maximum time for a peer to read its answer and close the connection.
 const LINGER: Micros = 1_000_000;
 const READ_BUFFER_BYTES: usize = 1_024;
-/// What is read and dropped at most from a peer that does not close.
+/// The maximum number of bytes that are read and discarded from a peer that does not close the connection.
 const MAX_LINGER_BYTES: usize = 64 * READ_BUFFER_BYTES;
 
-/// Why a load balancer's connection was closed; logged once for each.
+/// Why a load balancer's connection was closed; logged once per connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum CloseReason {
     Answered,
@@ -63,11 +63,12 @@
     }
 }
 
-/// Opens all listeners, and answers on them until the process exits.
+/// Opens all listeners, and starts tasks that answer health checks on them until the process exits.
 ///
 /// # Errors
 ///
-/// Returns the error of a listener that can't be opened, with the field of the operator's file that names it.
+/// Returns the error of the first listener that can't be opened, with the field of the operator's file that names its
+/// address.
 pub async fn open(
     settings: &operator::HealthSettings,
     executor: &Rc<LocalExecutor<'static>>,
@@ -97,7 +98,7 @@
         let message = format!("{field}: can't listen at {address}: {error}");
         io::Error::new(error.kind(), message)
     })?;
-    info!(?check, address = %listener.get_ref().local_addr()?, "answers balancers");
+    info!(?check, address = %listener.get_ref().local_addr()?, "listening for health checks");
     executor
         .spawn(accept(check, listener, shared.clone()))
         .detach();
@@ -123,7 +124,7 @@
             }
             Err(error) => pause_after_accept_error(&shared, &error).await,
         }
-        // Evicted connections give their descriptors back before the next one is accepted.
+        // Lets the tasks of evicted connections close their descriptors before the next connection is accepted.
         future::yield_now().await;
     }
 }
@@ -139,18 +140,18 @@
 }
 
 impl Connection {
-    /// Answers until the connection ends, and logs why it did.
+    /// Answers health checks until the connection ends, and logs why it ended.
     async fn serve(self) {
         let evicted = async { CloseReason::Evicted(self.permit.evicted().await) };
         let reason = future::or(self.answer_and_linger(), evicted).await;
         self.limiter.release(&self.permit);
         let (check, peer) = (self.check, self.peer);
         match reason {
-            // The regular end of a poll: there are thousands an hour.
+            // The regular ends of a poll are logged for debugging only, since there are thousands an hour.
             CloseReason::Answered | CloseReason::ClosedByPeer => {
-                debug!(?check, %peer, %reason, "balancer connection ended");
+                debug!(?check, %peer, %reason, "health check connection closed");
             }
-            _ => info!(?check, %peer, %reason, "balancer connection ended"),
+            _ => info!(?check, %peer, %reason, "health check connection closed"),
         }
     }
 
@@ -167,7 +168,7 @@
         reason
     }
 
-    /// Moves the deadline to `duration` from now.
+    /// Moves the connection's deadline to `duration` from now.
     fn extend(&self, duration: Micros) {
         let deadline = self.shared.borrow().clock.now() + duration;
         self.limiter.extend(&self.permit, deadline);
@@ -194,7 +195,7 @@
         Ok(CloseReason::Answered)
     }
 
-    /// Reads the line that a load balancer may send first.
+    /// Reads the line that an agent check may send first. Returns an empty line if the peer sends none.
     async fn read_agent_line(&self) -> Result<String, CloseReason> {
         let mut stream = &self.stream;
         let (mut received, mut buffer) = (Vec::new(), [0; READ_BUFFER_BYTES]);
@@ -206,7 +207,7 @@
             }
             let count = stream.read(&mut buffer).await?;
             if count == 0 {
-                // The peer has closed its side, and may still read.
+                // The peer has closed its sending side, and may still read the answer.
                 return Ok(String::new());
             }
             received.extend_from_slice(buffer.get(..count).unwrap_or_default());
@@ -241,7 +242,7 @@
                     }
                     let timeout = self.shared.borrow().idle_timeout();
                     self.extend(timeout);
-                    // A peer that polls without pause does not keep the thread to itself.
+                    // Lets other tasks run, so that a peer that polls without pause can't occupy the thread.
                     future::yield_now().await;
                 }
             }
@@ -259,8 +260,8 @@
     }
 }
 
-/// Closes our side, and reads until the peer closes: closing with unread input would reset the connection, and
-/// the peer could lose the answer.
+/// Closes the sending side, and reads until the peer closes the connection. Closing with unread input would reset the
+/// connection, and the peer could lose the answer.
 pub async fn linger(stream: &Async<TcpStream>) {
     let _ = stream.get_ref().shutdown(Shutdown::Write);
     let (mut stream, mut buffer, mut total) = (stream, [0; READ_BUFFER_BYTES], 0);
@@ -272,7 +273,7 @@
     }
 }
 
-/// A duration as the clock counts.
+/// Converts a duration to microseconds. A duration that does not fit becomes a quarter of the maximum.
 pub fn micros(duration: Duration) -> Micros {
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX / 4)
 }
--- a/src/net/health/reporter.rs
+++ b/src/net/health/reporter.rs
@@ -1,5 +1,5 @@
-//! Connects the health monitor and the drain of this process to the program: notifies them of events, logs what
-//! they change, and returns what the program must do.
+//! Connects the health monitor and the drain of this process to the program: notifies them of events, logs the changes
+//! that they cause, and returns the actions that the program must carry out.
 
 use super::state_json;
 use crate::operator;
@@ -13,21 +13,21 @@
 use task_placer::health::{Change, Command, Event, HealthMonitor, Report, Signal, State};
 use tracing::{debug, info, warn};
 
-/// What the program must do.
+/// An action of a drain that the program must carry out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DrainAction {
     /// Close idle connections from now on.
     StartClosingIdle,
     /// Keep idle connections open again.
     StopClosingIdle,
-    /// Have the module answer everything.
+    /// Have the decision module answer all pending requests.
     AnswerAll {
-        /// How long that may take.
+        /// The time limit for the answers, in microseconds.
         within: Micros,
     },
     /// Exit the process.
     Exit {
-        /// What is not finished.
+        /// The work that is left unfinished.
         left: Outstanding,
     },
 }
@@ -35,13 +35,13 @@
 /// Why a command can't be executed. The text is the reply to the operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CommandRejected {
-    /// The process exits.
+    /// The process is exiting.
     #[error("{TooLateToCancel}")]
     TooLate,
-    /// Maintenance can't begin during a drain.
+    /// A drain is in progress, during which maintenance can't begin.
     #[error("a drain is under way; take it back with ready first")]
     DrainInProgress,
-    /// Only SIGTERM ends the process.
+    /// The command would end the process, which only SIGTERM may do.
     #[error("send SIGTERM to end the process")]
     NeedsSignal,
 }
@@ -50,9 +50,9 @@
 pub struct HealthReporter {
     monitor: HealthMonitor,
     drain: Drain,
-    /// Whether SIGTERM begins a drain.
+    /// Whether SIGTERM begins a drain, as the operator's file configures it.
     drains_on_signal: bool,
-    /// The endpoint list has been received.
+    /// Whether the endpoint list has ever been received.
     has_started: bool,
     /// The settings of the listeners.
     pub settings: operator::HealthSettings,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Returns whether health checks of clients pass.
+    /// Returns whether the placer is in a state that serves, so that health checks of clients pass.
     pub fn is_serving(&self) -> bool {
         self.monitor.state().is_serving()
     }
@@ -85,14 +85,14 @@
         self.has_started
     }
 
-    /// Notifies the monitor of an event.
+    /// Notifies the health monitor of an event, and logs the changes that it causes.
     pub fn notify(&mut self, now: Micros, event: Event) {
         self.has_started |= event == Event::DiscoveryUpdated;
         let changes = self.monitor.handle(now, event);
         log_changes(&changes);
     }
 
-    /// Records a poll of a load balancer and returns the report that answers it.
+    /// Records a poll of a load balancer's check, and returns the report that answers it.
     pub fn answer_poll(&mut self, now: Micros, poller: &Poller) -> Report {
         let mut hasher = DefaultHasher::new();
         poller.hash(&mut hasher);
@@ -109,15 +109,15 @@
         report
     }
 
-    /// Returns the report, for whoever is not a load balancer.
+    /// Returns the report without recording a poll.
     pub fn report(&mut self, now: Micros) -> Report {
         let (report, changes) = self.monitor.report(now);
         log_changes(&changes);
         report
     }
 
-    /// Handles SIGTERM. Returns `None` if the operator's file enables no drain, so that the process ends as
-    /// without the file.
+    /// Handles SIGTERM. Returns `None` if the operator's file enables no drain; the process then ends as it does
+    /// without such a file.
     pub fn terminate(&mut self, now: Micros) -> Option<Vec<DrainAction>> {
         if !self.drains_on_signal {
             self.notify(now, Event::CommandReceived(Command::Stop));
@@ -166,7 +166,7 @@
         Ok(actions)
     }
 
-    /// Advances the drain, given what is outstanding.
+    /// Advances the drain according to the time and to what is outstanding, and returns the program's actions.
     pub fn advance_drain(&mut self, now: Micros, outstanding: Outstanding) -> Vec<DrainAction> {
         let effects = self.drain.advance(now, outstanding);
         self.apply(now, effects)
@@ -179,7 +179,7 @@
         actions.collect()
     }
 
-    /// Applies one effect of the drain, and returns what is left to the program.
+    /// Applies an effect of the drain, and returns the action that it requires of the program, if any.
     fn apply_effect(&mut self, now: Micros, effect: Effect) -> Option<DrainAction> {
         match effect {
             Effect::AnnounceDrain => {
@@ -211,7 +211,7 @@
         }
     }
 
-    /// Returns everything as JSON, for operators.
+    /// Returns health and drain as JSON, for the reply to an operator.
     pub fn state_json(&mut self, now: Micros, outstanding: Outstanding) -> OwnedValue {
         let report = self.report(now);
         state_json::encode(now, &report, &self.drain, outstanding)
@@ -224,16 +224,16 @@
             Change::State(transition) => {
                 let (from, to) = (transition.from, transition.to);
                 let (reason, weight) = (transition.reason.as_str(), transition.weight);
-                info!(%from, %to, reason, weight, "health state");
+                info!(%from, %to, reason, weight, "health state changed");
             }
             Change::Weight(change) => {
                 let (before, after) = (change.before, change.after);
                 let fleet = (100.0 * change.explained_by_fleet).round() / 100.0;
                 let reason = change.cause.map_or("signals-clear", Signal::as_str);
                 if after < before {
-                    warn!(before, after, reason, fleet, "health weight");
+                    warn!(before, after, reason, fleet, "health weight changed");
                 } else {
-                    info!(before, after, reason, fleet, "health weight");
+                    info!(before, after, reason, fleet, "health weight changed");
                 }
             }
         }
--- a/src/net/health/state_json.rs
+++ b/src/net/health/state_json.rs
@@ -1,4 +1,4 @@
-//! The reply to `ctl state`: health and drain of this process, as JSON.
+//! Encodes the reply to `ctl state`: health and drain of this process as JSON.
 
 use simd_json::{OwnedValue, json};
 use task_placer::Micros;
@@ -7,7 +7,7 @@
 
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// Encodes the state.
+/// Encodes health and drain of this process as of `now`.
 pub fn encode(now: Micros, report: &Report, drain: &Drain, outstanding: Outstanding) -> OwnedValue {
     let signals: Vec<OwnedValue> = report.signals.iter().map(signal_json).collect();
     let history: Vec<OwnedValue> = report.history.iter().map(transition_json).collect();
@@ -25,7 +25,7 @@
 }
 
 fn signal_json(reading: &SignalReading) -> OwnedValue {
-    // JSON has no number for what is not finite.
+    // JSON can't represent NaN and infinities as numbers.
     let value = if reading.value.is_finite() {
         reading.value
     } else {
--- a/tests/balancers.rs
+++ b/tests/balancers.rs
@@ -1,5 +1,5 @@
-//! Whole deployments on loopback: three placers behind a load balancer that polls them, emulated hosts and feeds, and
-//! clients that arrive in an open loop. Every task is checked.
+//! Tests whole deployments on loopback: three placers behind a load balancer that polls them, emulated hosts and feeds,
+//! and clients whose tasks arrive in an open loop. The answers to every task are checked.
 
 use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
 use emulator::load_balancer::clients::{ClientPopulation, TaskRecord};
@@ -11,7 +11,7 @@
 
 const MS: fn(u64) -> Duration = Duration::from_millis;
 
-/// Short times of the health settings, so that tests are quick.
+/// Health settings with short times, so that the tests take less time.
 const SHORT_HEALTH_TIMES: &str = r#"
 [health.weight]
 slow-start = "1s"
@@ -24,18 +24,19 @@
 enabled = true
 "#;
 
-struct Site {
+/// Three running placers with their load balancer, hosts and feeds.
+struct Deployment {
     records: Arc<Mutex<HostRecords>>,
     hosts: Vec<EmulatedHost>,
     feeds: Vec<EmulatedFeed>,
     placers: Vec<Program>,
     agents: Vec<SocketAddr>,
-    front: Arc<PollingLoadBalancer>,
+    load_balancer: Arc<PollingLoadBalancer>,
 }
 
-impl Site {
+impl Deployment {
     /// Starts three placers over six hosts in two zones, polled every 500 ms.
-    fn start(behavior: &HostBehavior) -> Site {
+    fn start(behavior: &HostBehavior) -> Deployment {
         let records: Arc<Mutex<HostRecords>> = Arc::default();
         let host = |n: usize| {
             let zone = if n.is_multiple_of(2) {
@@ -73,17 +74,19 @@
                 weight(*agent).filter(|weight| *weight == 100)
             });
         }
-        let front = Arc::new(PollingLoadBalancer::start(&servers, MS(500), MS(1_500)));
-        let site = Site {
+        let load_balancer = Arc::new(PollingLoadBalancer::start(&servers, MS(500), MS(1_500)));
+        let deployment = Deployment {
             records,
             hosts,
             feeds,
             placers,
             agents,
-            front,
+            load_balancer,
         };
-        wait_for("polls", || (site.front.polls().len() >= 3).then_some(()));
-        site
+        wait_for("polls", || {
+            (deployment.load_balancer.polls().len() >= 3).then_some(())
+        });
+        deployment
     }
 
     /// Asserts that no non-idempotent task started twice.
@@ -91,7 +94,7 @@
         assert_eq!(
             self.records
                 .lock()
-                .expect("books")
+                .expect("the lock of the host records is poisoned")
                 .started_more_than_once("once"),
             Vec::<String>::new()
         );
@@ -113,89 +116,96 @@
     }
 }
 
-/// Returns the fraction of the latest arrivals that went to a server.
+/// Returns the fraction of the tasks that arrived in the `last` time that went to a server.
 fn share(clients: &ClientPopulation, server: usize, last: Duration) -> f64 {
     let counts = clients.tasks_per_server(3, Instant::now() - last);
     counts[server] as f64 / counts.iter().sum::<usize>().max(1) as f64
 }
 
-/// Asserts that each task got exactly one answer.
+/// Asserts that each task was answered exactly once.
 fn assert_all_answered(records: &[TaskRecord]) {
-    let bad: Vec<&TaskRecord> = records
+    let wrongly_answered: Vec<&TaskRecord> = records
         .iter()
         .filter(|r| r.answer.is_none() || r.extra_answers > 0)
         .collect();
     assert!(
-        bad.is_empty(),
-        "{} of {}: {bad:#?}",
-        bad.len(),
+        wrongly_answered.is_empty(),
+        "{} of {} tasks not answered exactly once: {wrongly_answered:#?}",
+        wrongly_answered.len(),
         records.len()
     );
 }
 
 #[test]
 fn repeatedly_paused_placer_loses_traffic_and_regains_it() {
-    let site = Site::start(&behavior());
-    let clients = ClientPopulation::start(&site.front, 24.0, 1);
+    let deployment = Deployment::start(&behavior());
+    let clients = ClientPopulation::start(&deployment.load_balancer, 24.0, 1);
     std::thread::sleep(Duration::from_secs(3));
-    let before = share(&clients, 0, Duration::from_secs(3));
+    let share_before = share(&clients, 0, Duration::from_secs(3));
     let begun = Instant::now();
-    let (mut halved, slow) = (None, &site.placers[0]);
+    let (mut halved_after, slow) = (None, &deployment.placers[0]);
     while begun.elapsed() < Duration::from_secs(8) {
         slow.signal("-STOP");
         std::thread::sleep(MS(600));
         slow.signal("-CONT");
         std::thread::sleep(MS(200));
-        if halved.is_none() && share(&clients, 0, MS(1_000)) <= before / 2.0 {
-            halved = Some(begun.elapsed());
+        if halved_after.is_none() && share(&clients, 0, MS(1_000)) <= share_before / 2.0 {
+            halved_after = Some(begun.elapsed());
         }
     }
-    let low = share(&clients, 0, Duration::from_secs(3));
-    let ended = Instant::now();
-    wait_for("its traffic is back", || {
-        (share(&clients, 0, Duration::from_secs(3)) > 0.75 * before).then_some(())
+    let share_while_paused = share(&clients, 0, Duration::from_secs(3));
+    let pauses_ended = Instant::now();
+    wait_for("the paused placer regains its traffic", || {
+        (share(&clients, 0, Duration::from_secs(3)) > 0.75 * share_before).then_some(())
     });
-    let back = ended.elapsed();
+    let regained_after = pauses_ended.elapsed();
     let records = clients.finish();
     eprintln!(
-        "share {before:.2}, halved after {halved:?}, {low:.2} at the end of it, back after {back:?}"
+        "share {share_before:.2}, halved after {halved_after:?}, {share_while_paused:.2} at the last pause, regained after {regained_after:?}"
     );
     assert!(
-        halved.is_some_and(|after| after <= Duration::from_secs(5)),
-        "{halved:?}"
+        halved_after.is_some_and(|after| after <= Duration::from_secs(5)),
+        "{halved_after:?}"
+    );
+    assert!(
+        share_while_paused < 0.5 * share_before,
+        "share {share_while_paused} while paused, {share_before} before"
     );
-    assert!(low < 0.5 * before, "{low} of {before}");
     assert_all_answered(&records);
-    // The others meet their objectives all the time.
+    // The tasks at the other placers start within their objective all the time.
     let others: Vec<&TaskRecord> = records.iter().filter(|r| r.server != Some(0)).collect();
     let late = others
         .iter()
         .filter(|r| r.wait().is_none_or(|wait| wait > Duration::from_secs(1)))
         .count();
-    assert!(late * 50 <= others.len(), "{late} of {} late", others.len());
-    site.assert_no_duplicate_starts();
+    assert!(
+        late * 50 <= others.len(),
+        "{late} of {} tasks of the other placers late",
+        others.len()
+    );
+    deployment.assert_no_duplicate_starts();
 }
 
 #[test]
 fn silent_feed_lowers_the_weight_and_tasks_are_answered_even_if_all_feeds_are_silent() {
-    let site = Site::start(&behavior());
-    let clients = ClientPopulation::start(&site.front, 8.0, 1);
-    site.feeds[0].silence();
+    let deployment = Deployment::start(&behavior());
+    let clients = ClientPopulation::start(&deployment.load_balancer, 8.0, 1);
+    deployment.feeds[0].silence();
     let begun = Instant::now();
     let after = wait_for("a reduced weight", || {
-        weight(site.agents[0])
+        weight(deployment.agents[0])
             .filter(|w| *w < 100)
             .map(|_| begun.elapsed())
     });
-    eprintln!("under 100 after {after:?}");
-    // It counts from the feed's last heartbeat, which may be a second old.
+    eprintln!("weight below 100 after {after:?}");
+    // The age of the feed counts from its last heartbeat, which may be a second old when the feed falls silent.
     assert!(after <= Duration::from_secs(3), "{after:?}");
     assert_eq!(
-        (weight(site.agents[1]), weight(site.agents[2])),
+        (weight(deployment.agents[1]), weight(deployment.agents[2])),
         (Some(100), Some(100))
     );
-    site.feeds.iter().for_each(|feed| feed.silence());
-    for agent in &site.agents {
+    deployment.feeds.iter().for_each(|feed| feed.silence());
+    for agent in &deployment.agents {
         wait_for("a reduced weight", || weight(*agent).filter(|w| *w < 100));
     }
     std::thread::sleep(Duration::from_secs(3));
@@ -204,79 +214,86 @@
     let placed = records.iter().filter(|r| r.is_placed()).count();
     assert!(
         placed * 100 >= records.len() * 95,
-        "{placed} of {}",
+        "{placed} of {} tasks placed",
         records.len()
     );
-    let least = site.agents.iter().filter_map(|agent| weight(*agent)).min();
-    assert!(least >= Some(40), "{least:?}");
-    site.assert_no_duplicate_starts();
+    let min_weight = deployment
+        .agents
+        .iter()
+        .filter_map(|agent| weight(*agent))
+        .min();
+    assert!(min_weight >= Some(40), "{min_weight:?}");
+    deployment.assert_no_duplicate_starts();
 }
 
 #[test]
 fn sigterm_notifies_load_balancers_and_every_running_tasks_end_is_notified() {
-    let mut site = Site::start(&HostBehavior {
+    let mut deployment = Deployment::start(&HostBehavior {
         run_time: MS(5_000),
         ..behavior()
     });
-    let clients = ClientPopulation::start(&site.front, 8.0, 1);
+    let clients = ClientPopulation::start(&deployment.load_balancer, 8.0, 1);
     std::thread::sleep(Duration::from_secs(3));
     let signalled = Instant::now();
-    site.placers[0].terminate();
-    // Within a poll interval and the time of a poll.
+    deployment.placers[0].terminate();
+    // The load balancer notices within a poll interval and the time of a poll.
     wait_for("the load balancer notices", || {
-        (site.front.weight(0) == 0).then_some(())
+        (deployment.load_balancer.weight(0) == 0).then_some(())
     });
-    let seen = signalled.elapsed();
-    let status = site.placers[0].wait_exit();
-    let over = signalled.elapsed();
+    let seen_after = signalled.elapsed();
+    let status = deployment.placers[0].wait_exit();
+    let exited_after = signalled.elapsed();
     std::thread::sleep(Duration::from_secs(1));
     let records = clients.finish();
     eprintln!(
-        "seen after {seen:?}, ended after {over:?}, {} tasks",
+        "drain seen after {seen_after:?}, process exited after {exited_after:?}, {} tasks",
         records.len()
     );
-    assert!(seen <= MS(900), "{seen:?}");
-    assert_eq!(status.code(), Some(0), "{}", site.placers[0].log());
+    assert!(seen_after <= MS(900), "{seen_after:?}");
+    assert_eq!(status.code(), Some(0), "{}", deployment.placers[0].log());
     assert_all_answered(&records);
-    let untold: Vec<&TaskRecord> = records
+    let unreported_ends: Vec<&TaskRecord> = records
         .iter()
         .filter(|r| r.is_placed() && r.ended_at.is_none())
         .collect();
-    assert!(untold.is_empty(), "{untold:#?}");
-    // It got nothing new once the load balancer had noticed.
+    assert!(unreported_ends.is_empty(), "{unreported_ends:#?}");
+    // The draining placer received no new tasks once the load balancer had noticed the drain.
     let late = records
         .iter()
-        .filter(|r| r.server == Some(0) && r.due > signalled + seen + MS(100))
+        .filter(|r| r.server == Some(0) && r.due > signalled + seen_after + MS(100))
         .count();
     assert_eq!(late, 0);
     assert!(records.iter().filter(|r| r.server == Some(0)).count() > 5);
-    let log = site.placers[0].log();
-    for words in [
+    let log = deployment.placers[0].log();
+    for field in [
         "phase=\"telling\"",
         "phase=\"closing\"",
         "phase=\"standing\"",
         "phase=\"drained\"",
         "phase=\"over\"",
     ] {
-        assert!(log.contains(words), "{words}: {log}");
+        assert!(log.contains(field), "no {field} in the log: {log}");
     }
-    site.assert_no_duplicate_starts();
+    deployment.assert_no_duplicate_starts();
 }
 
 #[test]
 fn full_hosts_do_not_collapse_weights_or_empty_a_placer() {
-    let site = Site::start(&behavior());
-    site.hosts.iter().for_each(|host| host.set_free_capacity(1));
-    let clients = ClientPopulation::start(&site.front, 30.0, 1);
-    let (begun, mut least) = (Instant::now(), 100);
+    let deployment = Deployment::start(&behavior());
+    deployment
+        .hosts
+        .iter()
+        .for_each(|host| host.set_free_capacity(1));
+    let clients = ClientPopulation::start(&deployment.load_balancer, 30.0, 1);
+    let (begun, mut min_weight) = (Instant::now(), 100);
     while begun.elapsed() < Duration::from_secs(10) {
-        least = site
+        min_weight = deployment
             .agents
             .iter()
             .filter_map(|agent| weight(*agent))
             .min()
             .unwrap_or(0)
-            .min(least);
+            .min(min_weight);
         std::thread::sleep(MS(250));
     }
     let counts = clients.tasks_per_server(3, begun + Duration::from_secs(4));
@@ -286,17 +303,17 @@
         .filter(|r| r.answer.is_some() && !r.is_placed())
         .count();
     eprintln!(
-        "least weight {least}, {counts:?} came, {refused} of {} refused",
+        "lowest weight {min_weight}, tasks by placer {counts:?}, {refused} of {} refused",
         records.len()
     );
     assert!(
         refused * 4 > records.len(),
-        "it is overload: {refused} of {}",
+        "the hosts are overloaded: {refused} of {} tasks refused",
         records.len()
     );
-    assert!(least >= 50, "{least}");
+    assert!(min_weight >= 50, "{min_weight}");
     let all: usize = counts.iter().sum();
     assert!(counts.iter().all(|n| n * 5 >= all), "{counts:?}");
     assert_all_answered(&records);
-    site.assert_no_duplicate_starts();
+    deployment.assert_no_duplicate_starts();
 }
--- a/tests/health_loop/main.rs
+++ b/tests/health_loop/main.rs
@@ -1,6 +1,7 @@
-//! The weight in a closed loop: placers, a load balancer that polls and acts late, and load that follows.
+//! Tests the weight in a closed loop: placers report weights, a load balancer polls them and applies them late, and the
+//! load of the placers follows the weights.
 //!
-//! The same scenarios run with the naive rule, weight = 100 - load, to show what the monitor avoids.
+//! Some scenarios also run with the naive rule, weight = 100 - load, to show the oscillation that the monitor avoids.
 
 mod simulation;
 
@@ -15,7 +16,8 @@
     Simulation::settled(WeightSource::Monitor, placer_count, poll_interval)
 }
 
-/// The largest range of weights of any placer in the last minute, after the load rose within the capacity.
+/// Returns the largest range of any placer's weights in the last minute, after the load rose to a level within the
+/// capacity.
 fn weight_range_after_load_step(
     source: WeightSource,
     placer_count: usize,
@@ -43,24 +45,26 @@
 
             assert_eq!(monitor, 0);
             if poll_interval >= 2 * SECOND {
-                assert!(
-                    naive >= 20,
-                    "the naive rule shows what it is there for: {naive}"
-                );
+                assert!(naive >= 20, "the naive rule oscillates: {naive}");
             }
         }
     }
 }
 
-/// What a placer gets after its capacity has fallen to less than a third.
+/// The measured behavior of a placer whose capacity falls to less than a third.
 #[derive(Debug)]
 struct SlowPlacer {
+    /// Its fraction of the tasks before.
     share_before: f64,
-    /// Seconds until its share was halved.
+    /// The seconds until its share was halved, or `None` if it was not within a minute.
     halved_after: Option<i64>,
+    /// Its fraction of the tasks in the last minute.
     share_after: f64,
+    /// The difference of its highest and its lowest weight in the last 90 s.
     weight_range: u8,
+    /// The seconds until its share stayed near that of the last minute.
     settling_time: i64,
+    /// The tasks that wait at it in the end.
     waiting_tasks: f64,
 }
 
@@ -93,7 +97,10 @@
     if source == WeightSource::Monitor {
         for other in 1..placer_count {
             let min_weight = simulation.min_weight(other, 60);
-            assert!(min_weight >= 90, "{other} keeps its weight: {min_weight}");
+            assert!(
+                min_weight >= 90,
+                "placer {other} keeps its weight: {min_weight}"
+            );
         }
     }
     SlowPlacer {
@@ -121,10 +128,10 @@
             assert!(
                 slow.halved_after
                     .is_some_and(|seconds| seconds <= max_seconds),
-                "halved within {max_seconds} s: {:?}",
+                "the share is halved within {max_seconds} s: {:?}",
                 slow.halved_after
             );
-            // It can handle half of its former share, and gets not much more, but not nothing.
+            // The slow placer can handle half of its former share. It gets little more than that, but some load.
             assert!(
                 slow.share_after < 0.62 * slow.share_before
                     && slow.share_after > 0.1 * slow.share_before,
@@ -229,7 +236,7 @@
             let share = simulation.share(placer, 30);
             assert!(
                 (share - equal_share).abs() < 0.1 * equal_share,
-                "all alike, all serving: {share}"
+                "placer {placer} keeps an equal share: {share}"
             );
             let mut weights = simulation.weights(placer, 30).iter();
             assert!(weights.all(|weight| (35..100).contains(weight)));
@@ -258,7 +265,7 @@
     let changes_before = simulation.changes;
 
     for _ in 0..120 {
-        // Stopped for 0.6 s of every second.
+        // The placer is stopped for 0.6 s of every second.
         simulation.placers[0].capacity = 0.0;
         for _ in 0..12 {
             simulation.step();
--- a/tests/health_loop/simulation.rs
+++ b/tests/health_loop/simulation.rs
@@ -1,7 +1,7 @@
-//! Placers behind a load balancer, in simulated time.
+//! Simulates placers behind a load balancer, in simulated time.
 //!
-//! Placers handle so many tasks a second. What they can't handle waits, and an event loop with work left does not
-//! run its next iteration. The load balancer polls, and acts on a weight only after a delay.
+//! Each placer handles up to its capacity of tasks a second; the others wait. While a full step of work is waiting, the
+//! event loop does not run its next iteration. The load balancer polls, and applies a weight only after a delay.
 
 use emulator::load_balancer::{AgentReport, LoadBalancer};
 use std::collections::VecDeque;
@@ -13,41 +13,42 @@
 const START: Micros = 1_000 * SECOND;
 const GAUGE_INTERVAL: Micros = 5 * STEP;
 const LATENCY_OBJECTIVE_SECONDS: f64 = 1.0;
-/// How long the load balancer takes to act on an answer.
-const BALANCER_DELAY: Micros = 300_000;
-/// Tasks a second that a healthy placer can handle.
+/// The time that the load balancer takes to act on an answer.
+const LOAD_BALANCER_DELAY: Micros = 300_000;
+/// The number of tasks a second that a healthy placer can handle.
 pub const CAPACITY: f64 = 100.0;
-/// The load, as a fraction of the capacity, while placers warm up, and afterwards.
+/// The load while placers warm up, as a fraction of their capacity.
 const WARM_UP_LOAD: f64 = 0.02;
+/// The load after the warm-up, as a fraction of the placers' capacity.
 const MODERATE_LOAD: f64 = 0.4;
 const LOOP_ITERATIONS_PER_STEP: Micros = 10;
 
-/// Where the reported weight comes from.
+/// The source of the weight that placers report.
 #[derive(Clone, Copy, PartialEq)]
 pub enum WeightSource {
     /// The health monitor.
     Monitor,
-    /// The naive rule, 100 - load, with the load of the last second.
+    /// The naive rule: 100 minus the utilization of the last second in percent.
     Naive,
 }
 
 pub struct Placer {
     pub monitor: HealthMonitor,
-    /// Tasks a second that it can handle.
+    /// The number of tasks a second that the placer can handle.
     pub capacity: f64,
     pub waiting_tasks: f64,
-    /// The utilization over the last second, for the naive rule.
+    /// The utilization over about the last second, for the naive rule.
     utilization: f64,
     pub discovery_is_up: bool,
-    /// By step, the weight that the load balancer had.
+    /// The weight that the load balancer applied to the placer, by step.
     weights: Vec<u8>,
-    /// By step, the tasks that arrived.
+    /// The number of tasks that arrived, by step.
     arrivals: Vec<f64>,
-    /// Handled tasks that are not reported yet.
+    /// The number of handled tasks that are not reported to the monitor yet.
     unreported: f64,
 }
 
-/// A weight that the load balancer has read and not yet applied.
+/// A weight that the load balancer has read and not applied yet.
 struct PendingWeight {
     applies_at: Micros,
     placer: usize,
@@ -58,16 +59,16 @@
     weight_source: WeightSource,
     pub now: Micros,
     pub placers: Vec<Placer>,
-    balancer: LoadBalancer,
+    load_balancer: LoadBalancer,
     poll_interval: Micros,
     pending_weights: VecDeque<PendingWeight>,
-    /// Tasks a second.
+    /// The number of tasks a second that arrive at the load balancer.
     pub load: f64,
-    /// Tasks a second that all hosts can start.
+    /// The number of tasks a second that all hosts together can start.
     pub host_capacity: f64,
-    /// The fraction of a task that is due.
+    /// The number of tasks that are due and not distributed yet, including a fraction.
     due_tasks: f64,
-    /// Changes of weight or state of all placers.
+    /// The number of changes of weight or state, of all placers.
     pub changes: usize,
 }
 
@@ -77,7 +78,7 @@
             weight_source,
             now: START,
             placers: (0..placer_count).map(|_| Placer::new()).collect(),
-            balancer: LoadBalancer::new(placer_count, 2, 3),
+            load_balancer: LoadBalancer::new(placer_count, 2, 3),
             poll_interval,
             pending_weights: VecDeque::new(),
             load: 0.0,
@@ -87,7 +88,7 @@
         }
     }
 
-    /// A simulation of placers that are up, at a moderate load.
+    /// Returns a simulation of placers that have warmed up, at a moderate load.
     pub fn settled(
         weight_source: WeightSource,
         placer_count: usize,
@@ -101,7 +102,7 @@
         simulation
     }
 
-    /// Sets the load as a fraction of the capacity of all placers, were they healthy.
+    /// Sets the load as a fraction of the capacity that all placers have when healthy.
     pub fn set_load(&mut self, fraction: f64) {
         self.load = fraction * CAPACITY * self.placers.len() as f64;
     }
@@ -127,24 +128,24 @@
         for (index, placer) in self.placers.iter_mut().enumerate() {
             placer
                 .weights
-                .push(self.balancer.servers[index].weight as u8);
+                .push(self.load_balancer.servers[index].weight as u8);
         }
     }
 
-    /// The tasks of this step that the load balancer sends to each placer.
+    /// Returns the number of tasks that the load balancer sends to each placer in this step.
     fn distribute_tasks(&mut self) -> Vec<f64> {
         self.due_tasks += self.load * STEP as f64 / SECOND as f64;
         let mut arrivals = vec![0.0; self.placers.len()];
         while self.due_tasks >= 1.0 {
             self.due_tasks -= 1.0;
-            if let Some(placer) = self.balancer.pick() {
+            if let Some(placer) = self.load_balancer.pick() {
                 arrivals[placer] += 1.0;
             }
         }
         arrivals
     }
 
-    /// Load balancers spread the polls of their servers over the interval.
+    /// Returns whether the placer is polled now. Like real load balancers, it spreads the polls over the interval.
     fn is_poll_time(&self, placer: usize) -> bool {
         let placer_count = self.placers.len() as Micros;
         let offset = placer as Micros * self.poll_interval / placer_count / STEP * STEP;
@@ -161,7 +162,7 @@
             WeightSource::Naive => (100.0 - 100.0 * placer.utilization).clamp(1.0, 100.0) as u32,
         };
         self.pending_weights.push_back(PendingWeight {
-            applies_at: self.now + BALANCER_DELAY,
+            applies_at: self.now + LOAD_BALANCER_DELAY,
             placer: index,
             weight,
         });
@@ -176,12 +177,12 @@
                 weight: Some(pending.weight),
                 ..AgentReport::default()
             };
-            self.balancer.apply_report(pending.placer, report);
+            self.load_balancer.apply_report(pending.placer, report);
             self.pending_weights.pop_front();
         }
     }
 
-    /// The weights that the load balancer had for a placer in the last so many seconds.
+    /// Returns the weights that the load balancer applied to a placer in the last `seconds`.
     pub fn weights(&self, placer: usize, seconds: i64) -> &[u8] {
         let weights = &self.placers[placer].weights;
         &weights[steps_ago(weights.len(), seconds)..]
@@ -192,19 +193,19 @@
         *weights.iter().min().expect("at least one step")
     }
 
-    /// The difference of the highest and the lowest weight in the last so many seconds.
+    /// Returns the difference of a placer's highest and lowest weight in the last `seconds`.
     pub fn weight_range(&self, placer: usize, seconds: i64) -> u8 {
         let weights = self.weights(placer, seconds);
         let max = weights.iter().max().expect("at least one step");
         max - self.min_weight(placer, seconds)
     }
 
-    /// A placer's fraction of the tasks that arrived in the last so many seconds.
+    /// Returns a placer's fraction of the tasks that arrived in the last `seconds`.
     pub fn share(&self, placer: usize, seconds: i64) -> f64 {
         self.share_between(placer, seconds, 0)
     }
 
-    /// A placer's fraction of the tasks that arrived between two times, in seconds ago.
+    /// Returns a placer's fraction of the tasks that arrived from `from_ago` to `to_ago` seconds ago.
     fn share_between(&self, placer: usize, from_ago: i64, to_ago: i64) -> f64 {
         let arrived = |placer: &Placer| {
             let steps = placer.arrivals.len();
@@ -215,24 +216,24 @@
         arrived(&self.placers[placer]) / total
     }
 
-    /// Seconds, counted from so many seconds ago, until the share of a placer over half a minute stayed within a
-    /// third of its share in the last minute.
+    /// Returns how many seconds after the time that is `seconds` ago a placer's share settled: the share in each later
+    /// half minute is within a third of its share in the last minute.
     pub fn settling_time(&self, placer: usize, seconds: i64) -> i64 {
-        const SPAN: i64 = 30;
-        let in_the_end = self.share(placer, 60);
+        const SHARE_WINDOW: i64 = 30;
+        let final_share = self.share(placer, 60);
         let is_settled = |after: i64| {
             let from_ago = seconds - after;
-            let share = self.share_between(placer, from_ago, from_ago - SPAN);
-            (share - in_the_end).abs() <= in_the_end / 3.0
+            let share = self.share_between(placer, from_ago, from_ago - SHARE_WINDOW);
+            (share - final_share).abs() <= final_share / 3.0
         };
-        (0..=seconds - SPAN)
+        (0..=seconds - SHARE_WINDOW)
             .rev()
             .find(|after| !is_settled(*after))
             .map_or(0, |after| after + 1)
     }
 }
 
-/// The index of the step so many seconds ago.
+/// Returns the index of the step that was `seconds` ago, out of `steps`.
 fn steps_ago(steps: usize, seconds: i64) -> usize {
     steps.saturating_sub((seconds * SECOND / STEP) as usize)
 }
@@ -251,12 +252,12 @@
         }
     }
 
-    /// Restarts the process.
+    /// Restarts the placer's process, which begins with a new monitor.
     pub fn restart(&mut self, now: Micros) {
         self.monitor = HealthMonitor::new(Settings::default(), now);
     }
 
-    /// Simulates one step, and returns how often weight or state changed.
+    /// Simulates one step, and returns the number of changes of weight or state.
     fn step(&mut self, now: Micros, arrived: f64, rejected_fraction: f64) -> usize {
         let mut changes = Vec::new();
         let handled = self.handle_tasks(arrived);
@@ -270,7 +271,7 @@
             changes.extend(self.report_task(now, wait, rejected_fraction));
         }
         if now % GAUGE_INTERVAL == 0 {
-            // Rejected requests are held and come again, so the oldest is past its objective at every placer.
+            // Rejected requests are held and retried, so the oldest is past its objective at every placer.
             let oldest_request = if rejected_fraction > 0.0 {
                 2.0
             } else {
@@ -292,7 +293,7 @@
         self.capacity * STEP as f64 / SECOND as f64
     }
 
-    /// Handles waiting tasks, and returns how many.
+    /// Handles waiting tasks up to the capacity of a step, and returns how many.
     fn handle_tasks(&mut self, arrived: f64) -> f64 {
         self.arrivals.push(arrived);
         self.waiting_tasks += arrived;
@@ -308,7 +309,7 @@
         handled
     }
 
-    /// With the work of a step left, the event loop does not run its next iteration.
+    /// Returns whether the event loop runs its next iteration: not while the work of a full step is waiting.
     fn loop_has_time(&self) -> bool {
         self.waiting_tasks < self.capacity_per_step().max(1.0)
     }
@@ -322,8 +323,8 @@
             .collect()
     }
 
-    /// Reports the attempt and the response of one task. Hosts reject what exceeds their capacity, alike for all
-    /// placers.
+    /// Reports the attempt and the response of one task to the monitor. Hosts reject the tasks beyond their capacity,
+    /// in the same proportion for all placers.
     fn report_task(&mut self, now: Micros, wait: f64, rejected_fraction: f64) -> Vec<Change> {
         let pseudo_random = (now / STEP * 7919 % 1000) as f64 / 1000.0;
         let is_rejected = pseudo_random < rejected_fraction;
--- a/tests/health_random.rs
+++ b/tests/health_random.rs
@@ -1,4 +1,5 @@
-//! The health monitor under random events: reports stay in range and change seldom, and every state can be left.
+//! Property tests of the health monitor under random events and of the drain under random polls: reports stay in range
+//! and change seldom, every state can be left, and a drain ends.
 
 use proptest::prelude::*;
 use task_placer::health::drain::{
@@ -12,7 +13,7 @@
 const SECOND: Micros = 1_000_000;
 const START: Micros = 1_000 * SECOND;
 
-/// Any value that a gauge can have.
+/// Generates any value that a gauge can have.
 fn gauge() -> impl Strategy<Value = f64> + Clone {
     prop_oneof![Just(0.0), 0.0..6.0f64, Just(f64::NAN), Just(f64::INFINITY)]
 }
@@ -80,7 +81,7 @@
     ]
 }
 
-/// An event, and how long after the one before it comes.
+/// Generates an event and the time that passes before it.
 fn step() -> impl Strategy<Value = (Micros, Event)> {
     let gap = prop_oneof![
         8 => 0..6_000i64,
@@ -114,7 +115,7 @@
                     weight_changes.push(now);
                 }
             }
-            // A return to service starts anew; its changes are no oscillation.
+            // Each return to service begins a new slow start, whose changes are no oscillation.
             let lately = weight_changes.iter().filter(|at| now - **at < 60 * SECOND).count();
             prop_assert!(lately <= 32 * (1 + returns), "{} changes within a minute", lately);
         }
@@ -152,7 +153,7 @@
             if second_signal.is_some_and(|ms| ms * 1_000 / 50_000 == n) {
                 drain.begin(now, AfterDrain::Exit);
             }
-            // What is outstanding changes every 3 s.
+            // The outstanding work changes every 3 s.
             let (pending_responses, running_tasks, unreported_ends, unflushed_connections) =
                 outstanding[(n / 60) as usize % outstanding.len()];
             let outstanding = Outstanding {
