--- a/src/health/sliding_window.rs
+++ b/src/health/sliding_window.rs
@@ -43,9 +43,9 @@
         }
     }
 
-    /// Adds 1 to the whole, and 1 to the part if `counts` is true.
-    pub fn add_one(&mut self, now: Micros, counts: bool) {
-        self.add(now, f64::from(u8::from(counts)), 1.0);
+    /// Adds 1 to the whole, and 1 to the part if `is_part` is true.
+    pub fn add_one(&mut self, now: Micros, is_part: bool) {
+        self.add(now, f64::from(u8::from(is_part)), 1.0);
     }
 
     /// Returns the sums of the window that ends at `now`.
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -4,12 +4,12 @@
 //! effect later still. The controller is therefore not proportional. It uses additive increase and multiplicative
 //! decrease, as senders do that share a network link (Chiu and Jain, 1989), with two additions for the delay:
 //!
-//! - After a fall, the next one waits for one and a half times the load balancers' reaction time, so that the effect
-//!   of the first is seen before.
+//! - After a fall, the controller waits for one and a half times the load balancers' reaction time before the next one,
+//!   so that it sees the effect of the first.
 //! - The weight at which overload began is remembered as a ceiling, as CUBIC senders remember the window of the last
 //!   loss (RFC 9438). The weight rises quickly to six tenths of the ceiling, slowly to eight tenths, and stays there
-//!   until the ceiling expires; then it rises slowly past it. If overload begins again while a ceiling is remembered,
-//!   the new ceiling is remembered twice as long.
+//!   until the ceiling expires; then it continues to rise slowly up to the ceiling. If overload begins again while a
+//!   ceiling is remembered, the new ceiling is remembered twice as long.
 
 use super::signal::Signal;
 use crate::Micros;
@@ -77,9 +77,11 @@
 #[derive(Debug, Clone, Copy)]
 struct Ceiling {
     weight: f64,
+    /// When overload began.
     since: Micros,
+    /// How long the ceiling limits a rise.
     remembered_for: Micros,
-    /// Whether it was learned from a signal that the fleet can cause, so that later evidence may explain it.
+    /// Whether the ceiling was learned from a signal that the fleet can cause; later evidence may then discard it.
     may_be_caused_by_fleet: bool,
 }
 
--- a/tests/health_loop/simulation.rs
+++ b/tests/health_loop/simulation.rs
@@ -28,7 +28,7 @@
 pub enum WeightSource {
     /// The health monitor.
     Monitor,
-    /// The naive rule: 100 minus the utilization of the last second in percent.
+    /// The naive rule: 100 minus the utilization over about the last second, in percent.
     Naive,
 }
 
