--- a/src/bin/simulator-adapter/events.rs
+++ b/src/bin/simulator-adapter/events.rs
@@ -3,7 +3,7 @@
 use crate::error::{InputError, Problem};
 use crate::fields::{ABSENT, Fields};
 use std::collections::BTreeMap;
-use task_placer::settings::{Names, millis};
+use task_placer::settings::{Names, millis_to_micros};
 use task_placer::{
     CellId, ClassId, Endpoint, EndpointState, Event, KindId, ServiceId, Task, TaskKey, TaskReport,
     TenantId, TimerToken, UpdateKind, ZoneId,
@@ -137,7 +137,7 @@
         zone: ZoneId(fields.name_index(1, "az", &names.zones)?),
         state,
         kind: KindId(fields.name_index(4, "flavor", &names.kinds)?),
-        started_at: millis(fields.number_or(5, "started_at", 0.0)?),
+        started_at: millis_to_micros(fields.number_or(5, "started_at", 0.0)?),
         cell: CellId(fields.unsigned(6, "pack")?),
         free_memory: fields.number_or(7, "open_memory", 0.0)?,
         host: fields.host_id(8, "host")?,
--- a/src/bin/simulator-adapter/fields.rs
+++ b/src/bin/simulator-adapter/fields.rs
@@ -2,7 +2,7 @@
 
 use crate::error::{InputError, Problem};
 use std::sync::Arc;
-use task_placer::settings::{millis, parse_number};
+use task_placer::settings::{millis_to_micros, parse_number};
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail, RequestId};
 
 /// The wire's word for a value that is not stated.
@@ -75,7 +75,7 @@
 
     /// A duration or time, stated in milliseconds.
     pub fn micros(&self, index: usize, field: &str) -> Result<Micros, InputError> {
-        self.number(index, field).map(millis)
+        self.number(index, field).map(millis_to_micros)
     }
 
     /// 0 or 1; absent is 0.
--- a/src/net/codec/binary.rs
+++ b/src/net/codec/binary.rs
@@ -5,7 +5,7 @@
 use super::{Cause, MAX_MESSAGE_BYTES, Malformed, TaskId, TaskRequest};
 use std::sync::Arc;
 use task_placer::facade::PlacementRequest;
-use task_placer::settings::{millis, parse_number};
+use task_placer::settings::{millis_to_micros, parse_number};
 use task_placer::{HostId, Micros};
 
 /// Bytes of the length field, which does not count itself.
@@ -202,7 +202,7 @@
             .ok_or(Malformed::Field("wait"))?
             .clamp(0.0, MAX_WAIT_MS),
     };
-    Ok(millis(wait_ms))
+    Ok(millis_to_micros(wait_ms))
 }
 
 fn hex(text: &str, name: &'static str) -> Result<u64, Malformed> {
--- a/src/net/codec/feed.rs
+++ b/src/net/codec/feed.rs
@@ -6,7 +6,7 @@
 use simd_json::prelude::*;
 use std::net::SocketAddr;
 use std::sync::Arc;
-use task_placer::settings::{Names, millis};
+use task_placer::settings::{Names, millis_to_micros};
 use task_placer::{CellId, Endpoint, EndpointState, HostId, KindId, ZoneId};
 
 /// Hosts that an endpoint list may name.
@@ -129,7 +129,8 @@
             cell: CellId(value.get_u64("block").unwrap_or(0)),
             kind,
             state,
-            started_at: started_at_ms.map_or(0, |ms| millis(ms.clamp(0.0, MAX_STARTED_AT_MS))),
+            started_at: started_at_ms
+                .map_or(0, |ms| millis_to_micros(ms.clamp(0.0, MAX_STARTED_AT_MS))),
             free_cores: free_amount(value, 0),
             free_memory: free_amount(value, 1),
         },
--- a/src/placement/attempts.rs
+++ b/src/placement/attempts.rs
@@ -113,7 +113,7 @@
         record.tried_hosts.push(index);
         self.tasks.reserve(service, index);
         let forget_changes_before = self.oldest_relevant_change();
-        let host = self.hosts.get_changed(index);
+        let host = self.hosts.mark_changed(index);
         host.record_own_change(self.now, requested, forget_changes_before);
         host.record_attempt(self.now, self.now - self.settings.slow_start);
         self.hosts.in_flight += 1;
@@ -228,7 +228,7 @@
         let service = record.task.service;
         self.tasks.release(service, index);
         let forget_before = self.oldest_relevant_change();
-        let host = self.hosts.get_changed(index);
+        let host = self.hosts.mark_changed(index);
         host.record_own_change(self.now, released, forget_before);
     }
 
@@ -277,7 +277,7 @@
     /// A host rejected a task for want of capacity: its known load was too low and is raised to its limit.
     fn mark_full(&mut self, index: HostIndex, detail: OutcomeDetail) {
         let accepted = self.accepted_resources(&self.hosts.hosts[index]);
-        let host = self.hosts.get_changed(index);
+        let host = self.hosts.mark_changed(index);
         let mut requested = host.requested();
         if detail == OutcomeDetail::NoCores {
             requested.cores = requested.cores.max(accepted.cores);
--- a/src/placement/endpoints.rs
+++ b/src/placement/endpoints.rs
@@ -108,7 +108,7 @@
         let as_of = self.now - (self.shortest_objective as f64 * REPORT_LAG_FRACTION) as Micros;
         let requested = size - Resources { cores, memory };
         self.hosts
-            .get_changed(index)
+            .mark_changed(index)
             .record_report(requested, as_of);
     }
 }
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -2,7 +2,7 @@
 
 use super::usage_assumption::ASSUMED_USAGE_RATIO;
 use crate::state::arrivals::ArrivalHistory;
-use crate::state::health_book::HealthBook;
+use crate::state::health_book::HealthTable;
 use crate::state::hosts::HostTable;
 use crate::state::imposed_limits::ImposedLimits;
 use crate::state::subscription::Subscription;
@@ -32,7 +32,7 @@
     pub(super) hosts: HostTable,
     pub(super) tasks: TaskTable,
     pub(super) timers: Timers,
-    pub(super) health: HealthBook,
+    pub(super) health: HealthTable,
     pub(super) limits: ImposedLimits,
     pub(super) arrivals: ArrivalHistory,
     pub(super) working_set: WorkingSet,
@@ -57,7 +57,7 @@
             hosts: HostTable::default(),
             tasks: TaskTable::default(),
             timers: Timers::default(),
-            health: HealthBook::default(),
+            health: HealthTable::default(),
             limits: ImposedLimits::default(),
             arrivals: ArrivalHistory::default(),
             working_set: WorkingSet::new(ASSUMED_USAGE_RATIO),
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -43,7 +43,7 @@
 }
 
 /// Milliseconds to whole microseconds.
-pub fn millis(value: f64) -> Micros {
+pub fn millis_to_micros(value: f64) -> Micros {
     (value * 1000.0).round() as Micros
 }
 
@@ -114,7 +114,7 @@
         allows_health_checks: reader.flag("caps.probing")?,
         allows_cancel: reader.flag("caps.cancel")?,
         allows_retry_after: reader.flag("caps.retry_after")?,
-        max_retry_after: millis(reader.number_or("caps.max_retry_after", 0.0)?),
+        max_retry_after: millis_to_micros(reader.number_or("caps.max_retry_after", 0.0)?),
         connect_timeout: reader.duration("caps.connect_timeout")?,
         requires_subscription,
         max_time_unsubscribed: if requires_subscription {
@@ -174,7 +174,7 @@
                 ("unsafe", Idempotency::NonIdempotent),
             ],
         )?,
-        idempotency_window: millis(reader.number_or(&path("memory_span"), 0.0)?),
+        idempotency_window: millis_to_micros(reader.number_or(&path("memory_span"), 0.0)?),
         priority_weight: reader.number(&path("worth"))?,
         start_weight_seconds: reader.item_number("family_info.prompt_start_s", index)?,
         host_kind: (kind >= 0.0).then_some(KindId(kind as usize)),
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,6 +1,6 @@
 //! Reads single settings by their path.
 
-use super::{SettingsByPath, SettingsError, millis, parse_number};
+use super::{SettingsByPath, SettingsError, millis_to_micros, parse_number};
 use crate::types::Micros;
 use std::fmt::Write;
 
@@ -37,7 +37,7 @@
 
     /// A duration, stated in milliseconds.
     pub(super) fn duration(&self, path: &str) -> Result<Micros, SettingsError> {
-        self.number(path).map(millis)
+        self.number(path).map(millis_to_micros)
     }
 
     pub(super) fn count(&self, path: &str) -> Result<usize, SettingsError> {
--- a/src/state/health_book.rs
+++ b/src/state/health_book.rs
@@ -35,15 +35,15 @@
 
 /// Failures of all hosts.
 #[derive(Debug, Default)]
-pub(crate) struct HealthBook {
+pub(crate) struct HealthTable {
     hosts: BTreeMap<HostIndex, BTreeMap<Scope, ScopeHealth>>,
-    /// Hosts whose entries may have changed since [`HealthBook::take_changed`] was last called.
+    /// Hosts whose entries may have changed since [`HealthTable::take_changed`] was last called.
     changed: BTreeSet<HostIndex>,
     /// When ejections of whole hosts end.
     ejection_ends: BTreeSet<(Micros, HostIndex)>,
 }
 
-impl HealthBook {
+impl HealthTable {
     /// The failures of one scope, if there were any.
     pub fn get(&self, host: HostIndex, scope: Scope) -> Option<&ScopeHealth> {
         self.hosts.get(&host)?.get(&scope)
--- a/src/state/hosts.rs
+++ b/src/state/hosts.rs
@@ -160,7 +160,7 @@
     }
 
     /// A host whose load is about to change: the working set looks at it again.
-    pub fn get_changed(&mut self, index: HostIndex) -> &mut Host {
+    pub fn mark_changed(&mut self, index: HostIndex) -> &mut Host {
         self.changed.insert(index);
         &mut self.hosts[index]
     }
@@ -172,7 +172,7 @@
         if index == next {
             self.hosts.push(Host::new(endpoint));
         }
-        let host = self.get_changed(index);
+        let host = self.mark_changed(index);
         let change = if host.started_at == endpoint.started_at {
             ProcessChange::Same
         } else {
