--- a/src/net/dispatch/host_connections.rs
+++ b/src/net/dispatch/host_connections.rs
@@ -228,7 +228,7 @@
         }
         self.facade
             .overload()
-            .and_then(|overload| overload.wait_for_slot(now, host))
+            .and_then(|overload| overload.time_until_slot(now, host))
             .unwrap_or(0)
     }
 
--- a/src/operator/overload.rs
+++ b/src/operator/overload.rs
@@ -105,12 +105,15 @@
     );
     let settings = admission::Settings {
         late: ratio(reader, &mut section, "high", default.late),
-        calm: ratio(reader, &mut section, "low", default.calm),
+        low_delay: ratio(reader, &mut section, "low", default.low_delay),
         give_up_after: ratio(reader, &mut section, "hopeless", default.give_up_after),
         epoch: micros(epoch),
     };
-    if settings.calm >= settings.late {
-        let what = format!("{} is no less than high, {}", settings.calm, settings.late);
+    if settings.low_delay >= settings.late {
+        let what = format!(
+            "{} is no less than high, {}",
+            settings.low_delay, settings.late
+        );
         reader.wrong(&section, "low", what);
     }
     reader.close(&section);
@@ -134,10 +137,10 @@
             default.ratio_while_shedding,
         ),
         domain_ratio: ratio(reader, &mut section, "domain", default.domain_ratio),
-        stock: reader.checked(
+        fleet_burst: reader.checked(
             &mut section,
             "stock",
-            default.stock,
+            default.fleet_burst,
             is_positive_up_to(MAX_RETRY_STOCK),
             "more than 0, at most 65536",
         ),
--- a/src/overload/admission.rs
+++ b/src/overload/admission.rs
@@ -52,7 +52,7 @@
     /// Starts later than this are too late.
     pub late: f64,
     /// Starts up to this are calm.
-    pub calm: f64,
+    pub low_delay: f64,
     /// While load is shed, a task that has waited longer than this is given up: it can't start in time.
     pub give_up_after: f64,
     /// How long the same tasks are shed first.
@@ -63,7 +63,7 @@
     fn default() -> Settings {
         Settings {
             late: 0.8,
-            calm: 0.3,
+            low_delay: 0.3,
             give_up_after: 0.35,
             epoch: 8_000_000,
         }
@@ -330,9 +330,9 @@
     /// How many levels the mean delay of the starts allows to fall.
     fn calm_fall(&self) -> f64 {
         let mean_delay = self.outcomes.mean_relative_delay();
-        if self.outcomes.starts == 0.0 || mean_delay > self.settings.calm {
+        if self.outcomes.starts == 0.0 || mean_delay > self.settings.low_delay {
             0.0
-        } else if mean_delay > self.settings.calm / 2.0 {
+        } else if mean_delay > self.settings.low_delay / 2.0 {
             CALM_FALL
         } else {
             VERY_CALM_FALL
--- a/src/overload/controller.rs
+++ b/src/overload/controller.rs
@@ -260,8 +260,8 @@
 
     /// Returns how long a connection attempt to a host that did not answer must wait for this placer's slot,
     /// beyond its own backoff; `None` if it need not.
-    pub fn wait_for_slot(&self, now: Micros, host: &HostId) -> Option<Micros> {
-        self.hosts.wait_for_slot(now, host)
+    pub fn time_until_slot(&self, now: Micros, host: &HostId) -> Option<Micros> {
+        self.hosts.time_until_slot(now, host)
     }
 
     /// Returns the state of the controller.
--- a/src/overload/hosts.rs
+++ b/src/overload/hosts.rs
@@ -331,7 +331,7 @@
         let up = self.hosts.iter().filter(|(_, host)| host.is_up);
         up.map(|(id, host)| {
             let is_suspect = self.schedule.is_some() && host.limit.is_suspect();
-            let next_slot_in = is_suspect.then(|| self.wait_for_slot(now, id).unwrap_or(0));
+            let next_slot_in = is_suspect.then(|| self.time_until_slot(now, id).unwrap_or(0));
             HostReport {
                 host: id.clone(),
                 window: host.limit.window(),
--- a/src/overload/hosts/suspect.rs
+++ b/src/overload/hosts/suspect.rs
@@ -88,7 +88,7 @@
     }
 
     /// The time until this placer's next slot at a host; `None` if the slot is now or the host is not scheduled.
-    pub fn wait_for_slot(&self, now: Micros, id: &HostId) -> Option<Micros> {
+    pub fn time_until_slot(&self, now: Micros, id: &HostId) -> Option<Micros> {
         let slot = self.slot(now, self.hosts.get(id)?)?;
         (!slot.is_active).then(|| slot.next_starts_at - self.wall_clock_offset - now)
     }
--- a/src/overload/retry_budget.rs
+++ b/src/overload/retry_budget.rs
@@ -23,7 +23,7 @@
     /// Retries earned by each first attempt in its host, cell and zone.
     pub domain_ratio: f64,
     /// Retries that the whole fleet has at its start, and may save.
-    pub stock: f64,
+    pub fleet_burst: f64,
 }
 
 impl Default for Settings {
@@ -32,7 +32,7 @@
             ratio: 0.5,
             ratio_while_shedding: 0.1,
             domain_ratio: 1.0,
-            stock: 30.0,
+            fleet_burst: 30.0,
         }
     }
 }
@@ -94,7 +94,7 @@
 impl RetryBudget {
     /// Creates the budget of one of `placer_count` placers.
     pub fn new(settings: Settings, placer_count: usize) -> RetryBudget {
-        let stock = settings.stock / placer_count.max(1) as f64;
+        let stock = settings.fleet_burst / placer_count.max(1) as f64;
         RetryBudget {
             tokens: stock,
             // Less than one cannot be spent, and what is earned has to be kept until it can.
@@ -152,7 +152,7 @@
     }
 
     fn max_domain_tokens(&self, domain: &FailureDomain) -> f64 {
-        (domain.stock_fraction() * self.settings.stock).max(1.0)
+        (domain.stock_fraction() * self.settings.fleet_burst).max(1.0)
     }
 
     fn bucket(&mut self, now: Micros, domain: &FailureDomain) -> &mut Bucket {
--- a/tests/digests/overload.rs
+++ b/tests/digests/overload.rs
@@ -183,7 +183,7 @@
             self.rendered.push_str(&format!("{name} {count};"));
         }
         for host in &report.hosts {
-            let wait = self.controller.wait_for_slot(self.now, &host.host);
+            let wait = self.controller.time_until_slot(self.now, &host.host);
             self.rendered.push_str(&format!(
                 "{} {:.9} {} {} {:?} {wait:?};",
                 host.host.0, host.window, host.in_flight, host.mean_delay, host.next_slot_in
@@ -210,7 +210,7 @@
 
 fn without_admission() -> Features {
     let retry_budget = retry_budget::Settings {
-        stock: 300.0,
+        fleet_burst: 300.0,
         ..retry_budget::Settings::default()
     };
     Features {
--- a/tests/overload_random.rs
+++ b/tests/overload_random.rs
@@ -74,7 +74,7 @@
             }
         }
         prop_assert!(
-            retries <= settings.ratio * first_attempts + settings.stock + 1e-6,
+            retries <= settings.ratio * first_attempts + settings.fleet_burst + 1e-6,
             "{} of {}", retries, first_attempts
         );
     }
@@ -87,7 +87,7 @@
         let spent = (0..failures)
             .filter(|n| budget.try_spend(*n as Micros, &failure_domains(0)).is_ok())
             .count();
-        prop_assert!(spent as f64 <= (settings.stock / 8.0).max(1.0));
+        prop_assert!(spent as f64 <= (settings.fleet_burst / 8.0).max(1.0));
         prop_assert!(
             budget.try_spend(0, &failure_domains(9)).is_ok(),
             "another zone's is not touched"
