--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -3,7 +3,7 @@
 
 use super::clients::accept_fault::pause_after_accept_error;
 use super::codec;
-use super::dispatch::{MAX_ADMIN_CONNECTIONS, Shared};
+use super::dispatch::{MAX_ADMIN_CONNECTIONS, SharedDispatch};
 use super::health::connection_limiter::{ConnectionLimiter, ConnectionPermit};
 use super::health::linger;
 use super::retry::retry;
@@ -56,7 +56,7 @@
 pub async fn open(
     address: SocketAddr,
     executor: &Rc<LocalExecutor<'static>>,
-    shared: &Shared,
+    shared: &SharedDispatch,
 ) -> io::Result<Rc<ConnectionLimiter>> {
     let bound = retry("admin", || Async::<TcpListener>::bind(address)).await;
     let listener = bound.map_err(|e| io::Error::new(e.kind(), format!("admin: {address}: {e}")))?;
@@ -68,15 +68,23 @@
     Ok(limiter)
 }
 
-async fn accept(listener: Async<TcpListener>, limiter: Rc<ConnectionLimiter>, shared: Shared) {
+async fn accept(
+    listener: Async<TcpListener>,
+    limiter: Rc<ConnectionLimiter>,
+    shared: SharedDispatch,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let dispatch = shared.borrow();
                 let place = limiter.admit(dispatch.clock.now() + CONNECTION_TIMEOUT);
-                dispatch
-                    .tasks
-                    .spawn(serve(stream, peer, place, limiter.clone(), shared.clone()));
+                dispatch.task_spawner.spawn(serve(
+                    stream,
+                    peer,
+                    place,
+                    limiter.clone(),
+                    shared.clone(),
+                ));
             }
             Err(e) => pause_after_accept_error(&shared, &e).await,
         }
@@ -91,7 +99,7 @@
     peer: SocketAddr,
     place: ConnectionPermit,
     limiter: Rc<ConnectionLimiter>,
-    shared: Shared,
+    shared: SharedDispatch,
 ) {
     let evicted = async {
         place.evicted().await;
@@ -112,7 +120,7 @@
 }
 
 /// Reads one command, runs it, and writes its reply.
-async fn serve_command(mut stream: &Async<TcpStream>, shared: &Shared) -> EndReason {
+async fn serve_command(mut stream: &Async<TcpStream>, shared: &SharedDispatch) -> EndReason {
     let (reply, reason) = match read_command(stream).await {
         Ok(Some(line)) => {
             let reply = shared.borrow_mut().run_admin_command(&line);
--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -3,7 +3,7 @@
 
 use super::clients::accept_fault::pause_after_accept_error;
 use super::codec;
-use super::dispatch::Shared;
+use super::dispatch::SharedDispatch;
 use super::health::connection_limiter::{ConnectionLimiter, ConnectionPermit};
 use super::retry::retry;
 use crate::ctl::{self, CommandError};
@@ -61,7 +61,7 @@
 pub async fn open(
     path: &Path,
     executor: &Rc<LocalExecutor<'static>>,
-    shared: &Shared,
+    shared: &SharedDispatch,
 ) -> io::Result<Rc<ConnectionLimiter>> {
     let with_path =
         |e: io::Error| io::Error::new(e.kind(), format!("ctl.socket: {}: {e}", path.display()));
@@ -97,14 +97,18 @@
     bound
 }
 
-async fn accept(listener: Async<UnixListener>, limiter: Rc<ConnectionLimiter>, shared: Shared) {
+async fn accept(
+    listener: Async<UnixListener>,
+    limiter: Rc<ConnectionLimiter>,
+    shared: SharedDispatch,
+) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 let dispatch = shared.borrow();
                 let place = limiter.admit(dispatch.clock.now() + COMMAND_TIMEOUT);
                 dispatch
-                    .tasks
+                    .task_spawner
                     .spawn(serve(stream, place, limiter.clone(), shared.clone()));
             }
             Err(e) => pause_after_accept_error(&shared, &e).await,
@@ -118,7 +122,7 @@
     stream: Async<UnixStream>,
     place: ConnectionPermit,
     limiter: Rc<ConnectionLimiter>,
-    shared: Shared,
+    shared: SharedDispatch,
 ) {
     let evicted = async {
         place.evicted().await;
@@ -135,7 +139,7 @@
     mut stream: &Async<UnixStream>,
     place: &ConnectionPermit,
     limiter: &ConnectionLimiter,
-    shared: &Shared,
+    shared: &SharedDispatch,
 ) -> EndReason {
     let (mut inbox, mut buffer) = (Vec::new(), [0; READ_BUFFER_BYTES]);
     loop {
--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -83,18 +83,21 @@
 const QUEUE_MEMORY_DIVISOR: usize = 6;
 
 /// The dispatch, as its tasks share it.
-pub type Shared = Rc<RefCell<Dispatch>>;
+pub type SharedDispatch = Rc<RefCell<Dispatch>>;
 
 /// Spawns tasks that share the dispatch.
-pub struct Tasks {
+pub struct TaskSpawner {
     shared: Weak<RefCell<Dispatch>>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
-impl Tasks {
+impl TaskSpawner {
     /// Creates a spawner of tasks on this executor.
-    pub fn new(shared: Weak<RefCell<Dispatch>>, executor: Rc<LocalExecutor<'static>>) -> Tasks {
-        Tasks { shared, executor }
+    pub fn new(
+        shared: Weak<RefCell<Dispatch>>,
+        executor: Rc<LocalExecutor<'static>>,
+    ) -> TaskSpawner {
+        TaskSpawner { shared, executor }
     }
 
     /// Spawns a task, which runs until it ends by itself.
@@ -106,7 +109,7 @@
 /// All requests, and the peers that they concern.
 pub struct Dispatch {
     pub(super) clock: Clock,
-    pub(super) tasks: Tasks,
+    pub(super) task_spawner: TaskSpawner,
     pub(super) clients: Clients,
     /// The placer's name, for the log.
     name: String,
@@ -161,7 +164,7 @@
 
 impl Dispatch {
     /// Creates a dispatch; [`Dispatch::start`] takes in the cached endpoint list.
-    pub fn new(config: Config, operator: &Operator, tasks: Tasks) -> Dispatch {
+    pub fn new(config: Config, operator: &Operator, task_spawner: TaskSpawner) -> Dispatch {
         let clock = Clock::default();
         let now = clock.now();
         let reserved = reserved_descriptors(&config, operator);
@@ -169,7 +172,7 @@
         conn::set_max_queued_bytes(config.limits.memory_bytes / QUEUE_MEMORY_DIVISOR);
         Dispatch {
             clock,
-            tasks,
+            task_spawner,
             clients: Clients::new(config.limits.descriptors, reserved),
             name: config.name,
             connect_timeout: config.settings.connect_timeout,
--- a/src/net/dispatch/host_connections.rs
+++ b/src/net/dispatch/host_connections.rs
@@ -178,7 +178,7 @@
             return;
         };
         let Some(address) = link.address else { return };
-        let Some(shared) = self.tasks.shared.upgrade() else {
+        let Some(shared) = self.task_spawner.shared.upgrade() else {
             return;
         };
         let (stop, stopped) = async_channel::bounded(1);
@@ -198,7 +198,7 @@
         self.reclaim_descriptors(now);
         let timer = TimerEvent::ConnectTimeout(host.clone(), id);
         self.timer_wheel.add(now + self.connect_timeout, timer);
-        self.tasks
+        self.task_spawner
             .spawn(hosts::serve(host.clone(), id, address, stopped, shared));
         self.update_priorities(now, host, ConnectionUse::Unchanged);
     }
--- a/src/net/health/mod.rs
+++ b/src/net/health/mod.rs
@@ -10,7 +10,7 @@
 mod state_json;
 
 use super::clients::accept_fault::pause_after_accept_error;
-use super::dispatch::Shared;
+use super::dispatch::SharedDispatch;
 use super::retry::retry;
 use crate::operator;
 use agent::AgentLine;
@@ -71,7 +71,7 @@
 pub async fn open(
     settings: &operator::HealthSettings,
     executor: &Rc<LocalExecutor<'static>>,
-    shared: &Shared,
+    shared: &SharedDispatch,
 ) -> io::Result<()> {
     for address in &settings.agent_addresses {
         listen(CheckKind::Agent, *address, executor, shared).await?;
@@ -86,7 +86,7 @@
     check: CheckKind,
     address: SocketAddr,
     executor: &Rc<LocalExecutor<'static>>,
-    shared: &Shared,
+    shared: &SharedDispatch,
 ) -> io::Result<()> {
     let field = match check {
         CheckKind::Agent => "health.agent",
@@ -104,7 +104,7 @@
     Ok(())
 }
 
-async fn accept(check: CheckKind, listener: Async<TcpListener>, shared: Shared) {
+async fn accept(check: CheckKind, listener: Async<TcpListener>, shared: SharedDispatch) {
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
@@ -119,7 +119,7 @@
                     limiter,
                     shared: shared.clone(),
                 };
-                dispatch.tasks.spawn(connection.serve());
+                dispatch.task_spawner.spawn(connection.serve());
             }
             Err(error) => pause_after_accept_error(&shared, &error).await,
         }
@@ -135,7 +135,7 @@
     peer: SocketAddr,
     permit: ConnectionPermit,
     limiter: Rc<ConnectionLimiter>,
-    shared: Shared,
+    shared: SharedDispatch,
 }
 
 impl Connection {
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -6,7 +6,7 @@
 //! both know how many they are without polling.
 
 use super::clients::accept_fault::pause_after_accept_error;
-use super::dispatch::Shared;
+use super::dispatch::SharedDispatch;
 use super::retry::retry;
 use async_executor::LocalExecutor;
 use async_io::{Async, Timer};
@@ -76,7 +76,7 @@
 }
 
 /// Finds the other processes of this placer, and is found by them, for the life of the process.
-pub fn meet(name: &str, executor: &Rc<LocalExecutor<'static>>, shared: &Shared) {
+pub fn meet(name: &str, executor: &Rc<LocalExecutor<'static>>, shared: &SharedDispatch) {
     let path = meeting_socket(name);
     executor.spawn(find(path, shared.clone())).detach();
 }
@@ -95,7 +95,7 @@
 }
 
 /// Follows the process that was there first, until it exits; then takes its place.
-async fn find(path: PathBuf, shared: Shared) {
+async fn find(path: PathBuf, shared: SharedDispatch) {
     let mut logged = None;
     loop {
         let problem = match Async::<UnixStream>::connect(&path).await {
@@ -127,14 +127,14 @@
     Async::<UnixListener>::bind(path)
 }
 
-async fn accept(listener: Async<UnixListener>, shared: &Shared) {
+async fn accept(listener: Async<UnixListener>, shared: &SharedDispatch) {
     loop {
         match listener.accept().await {
             Ok((younger, _)) => {
                 let handle = shared.clone();
                 shared
                     .borrow()
-                    .tasks
+                    .task_spawner
                     .spawn(async move { follow_peer(younger, PeerAge::Younger, &handle).await });
             }
             Err(e) => pause_after_accept_error(shared, &e).await,
@@ -144,7 +144,7 @@
 }
 
 /// Counts another process for as long as the connection to it is open.
-async fn follow_peer(mut stream: Async<UnixStream>, age: PeerAge, shared: &Shared) {
+async fn follow_peer(mut stream: Async<UnixStream>, age: PeerAge, shared: &SharedDispatch) {
     shared.borrow_mut().peer_joined(age);
     while let Ok(1..) = stream.read(&mut [0; 64]).await {}
     shared.borrow_mut().peer_exited();
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -28,7 +28,7 @@
 pub use async_signal::Signals;
 use clients::accept::{self, Acceptor};
 use config::Config;
-use dispatch::{Dispatch, Shared};
+use dispatch::{Dispatch, SharedDispatch};
 use futures_lite::StreamExt;
 use retry::retry;
 use std::cell::RefCell;
@@ -65,9 +65,9 @@
 ) -> io::Result<()> {
     let executor = Rc::new(LocalExecutor::new());
     let addresses = Addresses::of(&config);
-    let shared: Shared = Rc::new_cyclic(|weak| {
-        let tasks = dispatch::Tasks::new(weak.clone(), executor.clone());
-        RefCell::new(Dispatch::new(config, &operator, tasks))
+    let shared: SharedDispatch = Rc::new_cyclic(|weak| {
+        let task_spawner = dispatch::TaskSpawner::new(weak.clone(), executor.clone());
+        RefCell::new(Dispatch::new(config, &operator, task_spawner))
     });
     let server = Server {
         executor: executor.clone(),
@@ -103,7 +103,7 @@
 /// Starts all listeners and connections, and runs until the process may exit.
 struct Server {
     executor: Rc<LocalExecutor<'static>>,
-    shared: Shared,
+    shared: SharedDispatch,
     addresses: Addresses,
     operator: Operator,
 }
@@ -229,7 +229,7 @@
 /// Reads the configuration again for each request: the feed and the limits are taken over, all else stays as it was at the
 /// start. Guards against a file that can't be read: the one before stays in force.
 async fn reload_on_request(
-    shared: Shared,
+    shared: SharedDispatch,
     path: Option<PathBuf>,
     requests: Receiver<()>,
     new_addresses: Sender<SocketAddr>,
