--- a/src/placement/attempts.rs
+++ b/src/placement/attempts.rs
@@ -11,7 +11,8 @@
 /// Timeout of an attempt, in latency objectives, if hosts acknowledge an attempt before they start its task. Such a
 /// host answers at once or not at all.
 const ACCEPT_TIMEOUT_OBJECTIVES: i64 = 1;
-/// A change of a host's load that this placer caused is remembered for this many lags of the endpoint list.
+/// A change of a host's load that this placer caused is remembered for this many lags of the endpoint list. All reports
+/// that arrive later include it.
 const REMEMBERED_LIST_LAGS: i64 = 2;
 
 /// Data about an attempt that has just ended, taken from the record of its task.
--- a/src/placement/eligibility.rs
+++ b/src/placement/eligibility.rs
@@ -10,8 +10,8 @@
 
 /// Fullness beyond which a host gets no tasks, unless all hosts are ejected.
 pub(super) const MAX_FULLNESS: f64 = 1.25;
-/// A host is crowded if its fullness exceeds the working set's mean fullness times this factor. If a preferred member
-/// is crowded, the next member in the service's ranking is eligible too.
+/// A host is crowded if its fullness with the task exceeds the working set's mean fullness times this factor. If a
+/// preferred member is crowded, the next member in the service's ranking is eligible too.
 const CROWDED_FACTOR: f64 = 1.35;
 /// A task is heavy if its size, the average over cores and memory, exceeds this many mean tasks. SCD counts load in
 /// mean tasks and so does not account for the size of such a task.
--- a/src/placement/load_estimate.rs
+++ b/src/placement/load_estimate.rs
@@ -11,14 +11,14 @@
 const MIN_USAGE_RATIO: f64 = 0.05;
 /// Upper bound of the learned ratio of used to requested resources.
 const MAX_USAGE_RATIO: f64 = 2.0;
-/// Fraction of its memory at whose use a host counts as full.
+/// A host counts as full when this fraction of its memory is in use.
 ///
 /// The memory of tasks grows after their start. Attempts stop at
 /// [`MAX_FULLNESS`](super::eligibility::MAX_FULLNESS) times this fraction, just before service slows down and hosts
 /// evict tasks.
 const FULL_MEMORY: f64 = 0.75;
-/// Fraction of the resources accepted by a host at which it counts as full. It is below 1 because the known load of a
-/// host is out of date.
+/// A host counts as full when tasks request this fraction of the resources that it accepts. The fraction is below 1
+/// because the known load of a host is out of date.
 const FULL_REQUESTED: f64 = 0.95;
 /// Lower bound of sizes, so that no setting leads to a division by zero.
 const MIN_SIZE: f64 = 1e-9;
@@ -84,7 +84,7 @@
     }
 
     /// Returns the fullness that a host would have if tasks requested this much more on it. From a fullness of 1 on,
-    /// the host's tasks get less than full service.
+    /// the host's tasks are impaired.
     pub(super) fn fullness_with(&self, host: &Host, more: Resources) -> f64 {
         self.fullness_at(host, host.requested() + more, self.usage_ratio())
     }
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -40,7 +40,7 @@
     /// Health checks that may be sent now to refresh load reports.
     pub(super) health_check_credit: f64,
     pub(super) subscription: Subscription,
-    /// When the placer shuts down, once a shutdown is requested. Later requests get no deadline after it.
+    /// When the placer shuts down, if a shutdown was requested. Later deadlines of new requests are moved to this time.
     pub(super) shutdown_at: Option<Micros>,
     /// Whether the first tick has been scheduled.
     is_ticking: bool,
--- a/src/placement/working_set_selection/tests.rs
+++ b/src/placement/working_set_selection/tests.rs
@@ -1,8 +1,8 @@
 //! Compares the working set, which is updated incrementally, with a reference that examines all hosts.
 //!
-//! The reference sorts all hosts at each selection. Its only intended difference is the usage ratio: a selection that
-//! always examines all hosts would take the newest ratio at each update of the endpoint list, while the incremental
-//! working set adopts it only at ticks. The reference therefore gets the ratio as an argument.
+//! The reference sorts all hosts at each selection. The ratio of used to requested resources is an argument of the
+//! reference: a selection from scratch would use the newest ratio at each update of the endpoint list, while the
+//! incremental working set adopts a new ratio only at ticks.
 
 use super::*;
 use crate::state::hosts::Host;
--- a/tests/decision_module.rs
+++ b/tests/decision_module.rs
@@ -22,7 +22,7 @@
         .map(|file| {
             file.get_ref()
                 .as_str()
-                .expect("an entry of `policy` is not a path")
+                .expect("entry is not a path")
                 .to_string()
         })
         .collect()
--- a/tests/random_events/checker.rs
+++ b/tests/random_events/checker.rs
@@ -192,9 +192,7 @@
         };
         match class.idempotency {
             Idempotency::Idempotent => {}
-            Idempotency::NonIdempotent => {
-                panic!("rule 2: retry of a non-idempotent task that may have run")
-            }
+            Idempotency::NonIdempotent => panic!("rule 2: retry of a non-idempotent task"),
             Idempotency::IdempotencyKey { scope } => {
                 let first = &self.endpoints[first];
                 let host = &self.endpoints[host];
