--- a/src/bin/simulator-adapter/actions.rs
+++ b/src/bin/simulator-adapter/actions.rs
@@ -1,9 +1,9 @@
-//! Actions to lines of the simulator's wire.
+//! Formats actions as lines of the simulator's protocol.
 
 use std::fmt::Write;
 use task_placer::{Action, Micros};
 
-/// Appends the line of one action.
+/// Appends the line that represents an action.
 pub fn write_action(output: &mut String, action: &Action) {
     let written = match action {
         Action::Subscribe => writeln!(output, "TRACK\t1"),
@@ -39,7 +39,7 @@
     duration as f64 / 1000.0
 }
 
-/// Text that fits into one value.
+/// Replaces line feeds and tabs, which separate messages and values, with spaces.
 fn one_line(text: &str) -> String {
     text.replace(['\n', '\t'], " ")
 }
--- a/src/bin/simulator-adapter/actions/tests.rs
+++ b/src/bin/simulator-adapter/actions/tests.rs
@@ -1,11 +1,11 @@
-//! Every action has its line.
+//! Checks the line of each kind of action.
 
 use super::*;
 use std::sync::Arc;
 use task_placer::{HostId, RequestId, TimerToken};
 
 #[test]
-fn every_action_has_its_line() {
+fn each_action_is_written_as_its_line() {
     let id = || RequestId(Arc::from("c:a"));
     let host = || HostId(Arc::from("host.b"));
     let cases = [
--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -1,6 +1,6 @@
-//! Input that cannot be read.
+//! Errors in the adapter's input.
 
-/// What is wrong with the input, and where.
+/// An error in the input, with its line and field.
 #[derive(Debug, thiserror::Error)]
 #[error("line {line}: field {field}: {problem}")]
 pub struct InputError {
@@ -10,7 +10,7 @@
 }
 
 impl InputError {
-    /// An error in a field of a line; lines count from 1.
+    /// Creates an error in a field of a line. Lines are numbered from 1.
     pub fn new(line: u64, field: &str, problem: impl std::fmt::Display) -> InputError {
         InputError {
             line,
@@ -20,7 +20,7 @@
     }
 }
 
-/// What is wrong with one field.
+/// The problem with one field or message of the input.
 #[derive(Debug, thiserror::Error)]
 pub enum Problem<'a> {
     #[error("{found} values where {expected} belong")]
--- a/src/bin/simulator-adapter/events.rs
+++ b/src/bin/simulator-adapter/events.rs
@@ -1,4 +1,5 @@
-//! Lines of the simulator's wire to events. The wire's words stand here and in `fields` only.
+//! Parses lines of the simulator's protocol into events. The words of the protocol's input occur only here, in
+//! `fields` and in `session`.
 
 use crate::error::{InputError, Problem};
 use crate::fields::{ABSENT, Fields};
@@ -9,10 +10,10 @@
     TenantId, TimerToken, UpdateKind, ZoneId,
 };
 
-/// The endpoint lists that CATALOG lines stated, by number, as their lines.
+/// Endpoint lists by the number that their CATALOG line states, each as its unparsed entry lines.
 pub type Catalogs = BTreeMap<u64, Vec<String>>;
 
-/// Where a message has the fields of a task.
+/// Positions of a task's fields in a message.
 struct TaskFields {
     id: usize,
     class: usize,
@@ -27,7 +28,7 @@
     is_returning: usize,
 }
 
-/// The fields of TASK.
+/// Positions of the fields in a TASK message.
 const REQUESTED_TASK: TaskFields = TaskFields {
     id: 0,
     expected_run_seconds: 1,
@@ -41,10 +42,10 @@
     is_returning: 9,
     tenant: 10,
 };
-/// TASK has no tenant where the deployment has none.
+/// Number of values of a TASK message in a deployment without tenants, which omits the tenant.
 const TASK_VALUES_WITHOUT_TENANT: usize = 10;
 
-/// The fields of STANDING, before its host.
+/// Positions of the fields in a STANDING message; its host follows them.
 const ADOPTED_TASK: TaskFields = TaskFields {
     id: 0,
     class: 1,
@@ -59,7 +60,7 @@
     is_returning: 10,
 };
 
-/// Reads one event line; `None` for an event that carries nothing for the module.
+/// Parses one event line; `None` for an event that the decision module does not use.
 pub fn read_event(
     fields: &Fields<'_>,
     names: &Names,
--- a/src/bin/simulator-adapter/fields.rs
+++ b/src/bin/simulator-adapter/fields.rs
@@ -1,25 +1,25 @@
-//! One line of the simulator's wire, split into its message name and values.
+//! Splits a line of the simulator's protocol into its message name and values, and parses the values.
 
 use crate::error::{InputError, Problem};
 use std::sync::Arc;
 use task_placer::settings::{millis_to_micros, parse_number};
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail, RequestId};
 
-/// The wire's word for a value that is not stated.
+/// Placeholder for a value that is absent.
 pub const ABSENT: &str = "-";
 
-/// A line, split at tabs.
+/// A line of the protocol, split at tabs.
 pub struct Fields<'a> {
-    /// Its number, from 1.
+    /// Line number, counted from 1.
     pub line: u64,
-    /// The message name.
+    /// Name of the message: the first field of the line.
     pub name: &'a str,
-    /// What follows the name.
+    /// Values that follow the name.
     pub values: Vec<&'a str>,
 }
 
 impl<'a> Fields<'a> {
-    /// Splits a line.
+    /// Splits a line at its tabs.
     pub fn new(line: u64, text: &'a str) -> Fields<'a> {
         let mut parts = text.split('\t');
         Fields {
@@ -29,12 +29,12 @@
         }
     }
 
-    /// An error in a field of this line.
+    /// Creates an error in a field of this line.
     pub fn error(&self, field: &str, problem: Problem<'_>) -> InputError {
         InputError::new(self.line, field, format_args!("{problem} ({})", self.name))
     }
 
-    /// Checks the number of values.
+    /// Returns an error unless the message has the expected number of values.
     pub fn expect_count(&self, expected: usize) -> Result<(), InputError> {
         let found = self.values.len();
         if found == expected {
@@ -43,7 +43,7 @@
         Err(self.error("message", Problem::WrongValueCount { found, expected }))
     }
 
-    /// A value that is not empty.
+    /// Returns a value that must not be empty.
     pub fn text(&self, index: usize, field: &str) -> Result<&'a str, InputError> {
         match self.values.get(index) {
             Some(value) if !value.is_empty() => Ok(value),
@@ -51,20 +51,20 @@
         }
     }
 
-    /// A whole number.
+    /// Parses an unsigned whole number.
     pub fn unsigned(&self, index: usize, field: &str) -> Result<u64, InputError> {
         let text = self.text(index, field)?;
         text.parse()
             .map_err(|_| self.error(field, Problem::NotWhole(text)))
     }
 
-    /// A finite number.
+    /// Parses a finite number.
     pub fn number(&self, index: usize, field: &str) -> Result<f64, InputError> {
         let text = self.text(index, field)?;
         parse_number(text).ok_or_else(|| self.error(field, Problem::NotANumber(text)))
     }
 
-    /// A finite number, or a default if it is absent.
+    /// Parses a finite number; returns `default` if it is absent.
     pub fn number_or(&self, index: usize, field: &str, default: f64) -> Result<f64, InputError> {
         if self.text(index, field)? == ABSENT {
             Ok(default)
@@ -73,12 +73,12 @@
         }
     }
 
-    /// A duration or time, stated in milliseconds.
+    /// Parses a duration or point in time that the message states in milliseconds.
     pub fn micros(&self, index: usize, field: &str) -> Result<Micros, InputError> {
         self.number(index, field).map(millis_to_micros)
     }
 
-    /// 0 or 1; absent is 0.
+    /// Parses a flag, 0 or 1; an absent flag is 0.
     pub fn flag(&self, index: usize, field: &str) -> Result<bool, InputError> {
         match self.text(index, field)? {
             "1" => Ok(true),
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Hex digits; absent is 0.
+    /// Parses a hexadecimal number; an absent number is 0.
     pub fn hex(&self, index: usize, field: &str) -> Result<u64, InputError> {
         let text = self.text(index, field)?;
         if text == ABSENT {
@@ -96,7 +96,7 @@
         u64::from_str_radix(text, 16).map_err(|_| self.error(field, Problem::NotHex(text)))
     }
 
-    /// The index of a name among those that the settings state.
+    /// Returns the index of a name in `names`.
     pub fn name_index(
         &self,
         index: usize,
@@ -108,24 +108,24 @@
         found.ok_or_else(|| self.error(field, Problem::UnknownName(text)))
     }
 
-    /// A request's id.
+    /// Parses a request id.
     pub fn request_id(&self, index: usize, field: &str) -> Result<RequestId, InputError> {
         self.text(index, field)
             .map(|text| RequestId(Arc::from(text)))
     }
 
-    /// A host's id.
+    /// Parses a host id.
     pub fn host_id(&self, index: usize, field: &str) -> Result<HostId, InputError> {
         self.text(index, field).map(|text| HostId(Arc::from(text)))
     }
 
-    /// The number of an attempt, which the wire calls `copy`.
+    /// Parses the number of an attempt, which the protocol calls `copy`.
     pub fn attempt(&self, index: usize) -> Result<u32, InputError> {
         let number = self.unsigned(index, "copy")?;
         u32::try_from(number).map_err(|_| self.error("copy", Problem::TooLarge))
     }
 
-    /// The values of a load report; none if it is absent.
+    /// Parses the comma-separated values of a load report. An absent report is empty, and an absent value is 0.
     pub fn load_report(&self, index: usize, field: &str) -> Result<Vec<f64>, InputError> {
         let text = self.text(index, field)?;
         if text == ABSENT {
@@ -139,7 +139,7 @@
         values.ok_or_else(|| self.error(field, Problem::NotNumbers(text)))
     }
 
-    /// How an attempt ended.
+    /// Parses how an attempt or health check ended.
     pub fn outcome(&self, index: usize) -> Result<Outcome, InputError> {
         match self.unsigned(index, "how")? {
             100 => Ok(Outcome::Completed),
@@ -154,7 +154,7 @@
         }
     }
 
-    /// Why an attempt ended so; numbers that are not known say nothing.
+    /// Parses why an attempt ended that way. Absent and unknown numbers give [`OutcomeDetail::Unknown`].
     pub fn outcome_detail(&self, index: usize) -> Result<OutcomeDetail, InputError> {
         if self.text(index, "detail")? == ABSENT {
             return Ok(OutcomeDetail::Unknown);
--- a/src/bin/simulator-adapter/main.rs
+++ b/src/bin/simulator-adapter/main.rs
@@ -1,7 +1,7 @@
-//! Hosts one [`task_placer::Placer`] for each instance on the simulator's wire.
+//! Runs one [`task_placer::Placer`] for each placer instance of a simulation.
 //!
-//! Reads batches on standard input, answers each on standard output, ends at end of input. A malformed line ends it with
-//! one line on standard error that names the line and the field.
+//! Reads batches of events from standard input, answers each batch on standard output, and exits at end of input. On
+//! a malformed line it exits with an error that names the line and the field, in one line on standard error.
 #![forbid(unsafe_code)]
 
 mod actions;
--- a/src/bin/simulator-adapter/session.rs
+++ b/src/bin/simulator-adapter/session.rs
@@ -1,4 +1,4 @@
-//! A session: batches of events for any number of placers, each answered by one reply.
+//! A session with the simulator: batches of events for any number of placers, each batch answered by one reply.
 
 use crate::actions::write_action;
 use crate::error::{InputError, Problem};
@@ -9,21 +9,21 @@
 use task_placer::settings::{self, Names, SettingsByPath};
 use task_placer::{Action, Micros, Placer};
 
-/// One placer, and the names that its settings stated.
+/// A placer instance with the names that its settings state.
 struct Instance {
     placer: Placer,
     names: Names,
 }
 
-/// A batch whose end has not come.
+/// A batch that is being read, up to its EOB line.
 struct Batch {
     now: Micros,
-    /// The instance that the events concern.
+    /// Number of the instance that the next events are for; `None` before the first INSTANCE line.
     instance: Option<u64>,
     reply: Reply,
 }
 
-/// The lines of actions, and the instance of the latest.
+/// The reply to a batch: the lines of its actions, and the instance of the latest action.
 #[derive(Default)]
 struct Reply {
     text: String,
@@ -31,7 +31,8 @@
 }
 
 impl Reply {
-    /// Names the instance of the actions that follow, unless it is that of the actions before.
+    /// Starts the actions of an instance: adds a line that names it, unless the previous actions are of the same
+    /// instance.
     fn begin_instance(&mut self, instance: u64) {
         if self.instance != Some(instance) {
             self.instance = Some(instance);
@@ -40,14 +41,14 @@
     }
 }
 
-/// A CATALOG whose entries have not all come.
+/// An endpoint list that is being read after its CATALOG line.
 struct OpenCatalog {
     number: u64,
     missing: usize,
     entries: Vec<String>,
 }
 
-/// All placers, and the input so far.
+/// All placer instances and endpoint lists, and the batch that is being read.
 pub struct Session<W> {
     output: W,
     instances: BTreeMap<u64, Instance>,
@@ -59,7 +60,7 @@
 }
 
 impl<W: Write> Session<W> {
-    /// A session without placers, which replies to `output`.
+    /// Creates a session without placers that writes its replies to `output`.
     pub fn new(output: W) -> Session<W> {
         Session {
             output,
@@ -72,11 +73,11 @@
         }
     }
 
-    /// Takes the next line of input.
+    /// Processes the next line of input.
     ///
     /// # Errors
     ///
-    /// If it cannot be read, or the reply cannot be written.
+    /// Returns an error if the line is malformed or the reply cannot be written.
     pub fn line(&mut self, text: String) -> Result<(), InputError> {
         self.line += 1;
         if let Some(catalog) = self.open_catalog.take() {
@@ -89,11 +90,11 @@
         }
     }
 
-    /// Checks that the input may end here.
+    /// Checks that the input is complete.
     ///
     /// # Errors
     ///
-    /// If a batch is open.
+    /// Returns an error if the input ends inside a batch.
     pub fn end(&self) -> Result<(), InputError> {
         match self.batch {
             None => Ok(()),
@@ -214,7 +215,7 @@
     }
 }
 
-/// The `path=value` pairs that follow the seed.
+/// Parses the `path=value` pairs that follow the seed in a NEW_INSTANCE message.
 fn settings_by_path(fields: &Fields<'_>) -> Result<SettingsByPath, InputError> {
     let split = |pair: &&str| match pair.split_once('=') {
         Some((path, value)) => Ok((path.to_string(), value.to_string())),
--- a/src/facade/messages.rs
+++ b/src/facade/messages.rs
@@ -1,11 +1,11 @@
-//! What the caller reports to the facade, and what the facade decides.
+//! Events that the caller reports to the facade, and the decisions that the facade returns.
 
 use super::Ticket;
 use crate::types::{
     Endpoint, Event, HostId, Micros, Outcome, OutcomeDetail, TaskReport, UpdateKind,
 };
 
-/// What the caller has learned.
+/// An event that the caller of the facade has observed.
 #[derive(Debug, Clone)]
 pub enum PlacementEvent {
     /// The attempt placed the task.
@@ -14,9 +14,9 @@
         ticket: Ticket,
         /// The attempt, counted from 0.
         attempt: u32,
-        /// Its host.
+        /// The attempt's host.
         host: HostId,
-        /// Time since the decision to send it.
+        /// Time since the decision to send the attempt.
         elapsed: Micros,
     },
     /// An attempt, or the task that it placed, has ended.
@@ -25,92 +25,93 @@
         ticket: Ticket,
         /// The attempt, counted from 0.
         attempt: u32,
-        /// Its host.
+        /// The attempt's host.
         host: HostId,
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Why.
+        /// Why the attempt ended that way.
         detail: OutcomeDetail,
-        /// Time since the decision to send it.
+        /// Time since the decision to send the attempt.
         elapsed: Micros,
     },
-    /// A host reports about a running task.
+    /// A host reports a value about a running task.
     TaskReported {
         /// The request.
         ticket: Ticket,
-        /// Its host.
+        /// The host that runs the task.
         host: HostId,
-        /// What is reported.
+        /// What the value measures.
         report: TaskReport,
-        /// The value.
+        /// The reported value.
         value: f64,
     },
-    /// The client cancelled the request; no response is pending.
+    /// The client has cancelled the request, so no response is pending.
     Cancelled(Ticket),
-    /// The complete endpoint list, as configured at start.
+    /// The complete endpoint list from the configuration, which may be stale.
     EndpointsCached(Vec<Endpoint>),
     /// Service discovery has updated the endpoint list.
     EndpointsChanged {
-        /// Whether this is the complete list.
+        /// Whether `endpoints` is the complete list; otherwise it holds only the changed endpoints.
         is_complete: bool,
-        /// Its endpoints.
+        /// The endpoints of the update.
         endpoints: Vec<Endpoint>,
     },
-    /// Service discovery delivers updates.
+    /// Service discovery has become available and delivers updates.
     DiscoveryUp,
-    /// Service discovery delivers nothing until further notice.
+    /// Service discovery has become unavailable: no updates arrive until [`PlacementEvent::DiscoveryUp`].
     DiscoveryDown,
-    /// The process shuts down: every pending response must be sent within this time.
+    /// The process shuts down: the final response to every pending request must be sent within this time.
     ShutdownRequested(Micros),
 }
 
-/// What the module has decided.
+/// A decision that the caller of the facade must carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Decision {
     /// Send an attempt to a host.
     SendAttempt {
         /// The request.
         ticket: Ticket,
-        /// The host.
+        /// The host that receives the attempt.
         host: HostId,
-        /// How long the host may take to answer.
+        /// Maximum time that the host may take to answer.
         timeout: Micros,
     },
-    /// Final response: rejected. A retry is harmless.
+    /// Send the client the final response that its request is rejected. The task did not run, so the client may
+    /// retry.
     Reject {
         /// The request.
         ticket: Ticket,
-        /// When the client may retry; 0 leaves it to the client.
+        /// Time after which the client may retry; 0 leaves the time to the client.
         retry_after: Micros,
     },
-    /// Final response: failed. The task may have run.
+    /// Send the client the final response that its request failed. The task may have run.
     Fail {
         /// The request.
         ticket: Ticket,
     },
-    /// Stop a running task; its client requests it again.
+    /// Stop a running task so that its client requests it again.
     Migrate {
         /// The request.
         ticket: Ticket,
     },
-    /// Stop waiting for one attempt.
+    /// Stop waiting for the answer to an attempt.
     CancelAttempt {
         /// The request.
         ticket: Ticket,
-        /// The attempt.
+        /// The attempt, counted from 0.
         attempt: u32,
     },
-    /// A line for the log.
+    /// Write a line to the log.
     Log(String),
 }
 
-/// An update without endpoints confirms a subscription.
+/// Returns an event that confirms a subscription to the endpoint list: a delta update without endpoints.
 pub(super) fn subscription_confirmed() -> Event {
     endpoints_changed(UpdateKind::Delta, Vec::new())
 }
 
 impl PlacementEvent {
-    /// The decision module's event.
+    /// Converts the event into the corresponding event of the decision module.
     pub(super) fn into_module_event(self) -> Event {
         match self {
             PlacementEvent::Cancelled(ticket) => Event::TaskCancelled(ticket.to_request_id()),
--- a/src/facade/mod.rs
+++ b/src/facade/mod.rs
@@ -1,9 +1,10 @@
-//! Plain blocking calls to the decision module.
+//! Synchronous interface to the decision module.
 //!
-//! Only this module sees the events and actions of [`crate::placement`]. Its callers, whatever protocol they speak, hand in
-//! requests and [`PlacementEvent`]s and get [`Decision`]s. The facade also keeps the module's timers, answers
-//! its subscription to the endpoint list from the state of service discovery, and joins it with the overload
-//! engine. It opens no connection and never waits.
+//! Callers, independent of their protocol, pass requests and [`PlacementEvent`]s to a [`Facade`] and receive
+//! [`Decision`]s; the events and actions of [`crate::placement`] are hidden from them. The facade also keeps the
+//! timers of the decision module, answers its subscription to the endpoint list according to the state of service
+//! discovery, and connects it to the overload controller. It opens no connection and its calls return without
+//! waiting.
 
 mod messages;
 mod module_calls;
@@ -35,23 +36,26 @@
     }
 }
 
-/// The decision module behind blocking calls.
+/// The decision module with a synchronous interface.
 pub struct Facade {
     placer: Placer,
     names: Names,
-    /// By class.
+    /// Limits on the requests of each class, indexed by [`ClassId`].
     class_limits: Vec<ClassLimits>,
     mean_task: Option<Resources>,
     timers: BTreeSet<(Micros, TimerToken)>,
     is_discovery_up: bool,
-    /// The module has subscribed to the endpoint list, and service discovery was down.
+    /// Whether the decision module has subscribed to the endpoint list while service discovery was down, so that the
+    /// subscription is still to be confirmed.
     subscription_pending: bool,
-    /// The limits that the fleet of placers imposes, if an operator's file enables any.
+    /// The overload controller, which imposes limits that the fleet of placers agrees on; `None` if the operator's
+    /// file enables none of its features.
     overload: Option<OverloadController>,
 }
 
 impl Facade {
-    /// A module with these settings, and the names that they state.
+    /// Creates a facade without overload control. `names` are the names that the settings state, and `seed` seeds the
+    /// random choices of the decision module.
     pub fn new(settings: Settings, names: Names, seed: u64) -> Facade {
         let class_limits = settings.classes.iter();
         let class_limits = class_limits
@@ -73,7 +77,8 @@
         }
     }
 
-    /// The same, limited by what the fleet of placers agrees on. `wall_clock` is the wall clock at the time 0 of all
+    /// Creates a facade like [`Facade::new`] that is also subject to the limits that the fleet of placers agrees on,
+    /// as far as `features` enables them. `wall_clock` is the wall-clock time that corresponds to time 0 of all
     /// calls, in microseconds since 1970.
     pub fn with_overload_control(
         settings: Settings,
@@ -91,12 +96,13 @@
         }
     }
 
-    /// The overload engine, if any of its features is enabled.
+    /// Returns the overload controller, if any of its features is enabled.
     pub fn overload(&self) -> Option<&OverloadController> {
         self.overload.as_ref()
     }
 
-    /// Sets how many processes serve as this placer from now on, and which of them this is.
+    /// Sets how many processes serve as this placer from now on and which of them this is, as during a rolling
+    /// upgrade.
     pub fn set_share(&mut self, now: Micros, share: BudgetShare) -> Vec<Decision> {
         let limit = Limit::Processes {
             process_count: share.process_count,
@@ -105,50 +111,51 @@
         self.handle_event(now, Event::LimitsChanged(vec![limit]))
     }
 
-    /// The names of the settings.
+    /// Returns the names that the settings state.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    /// The index of a class among those that the settings name.
+    /// Returns the index of a class; `None` if the settings do not name it.
     pub fn class_index(&self, class: &str) -> Option<usize> {
         self.names.classes.iter().position(|name| name == class)
     }
 
-    /// The latency objective of a class that the settings name.
+    /// Returns the latency objective of a class; `None` if the settings do not name it.
     pub fn latency_objective(&self, class: &str) -> Option<Micros> {
         let limits = self.class_limits.get(self.class_index(class)?);
         limits.map(|limits| limits.latency_objective)
     }
 
-    /// The longest deadline of any class.
+    /// Returns the longest deadline of any class.
     pub fn max_deadline(&self) -> Micros {
         let deadlines = self.class_limits.iter().map(|limits| limits.deadline);
         deadlines.max().unwrap_or(0)
     }
 
-    /// Number of listed hosts that get no attempts now, whatever is requested: they drain, or are ejected.
+    /// Returns the number of listed hosts that currently get no attempts for any task, because they drain or are
+    /// ejected.
     pub fn unavailable_hosts(&self) -> usize {
         self.placer.unavailable_hosts()
     }
 
-    /// Cores and memory of a mean task, if the endpoint list shows the hosts' free resources.
+    /// Returns the mean cores and memory that a task requests, if the endpoint list shows the hosts' free resources.
     pub fn mean_task(&self) -> Option<Resources> {
         self.mean_task
     }
 
-    /// Takes a request to place a task.
+    /// Handles a request to place a task, and returns the resulting decisions.
     ///
     /// # Errors
     ///
-    /// If the settings do not have its class.
+    /// Returns an error if the settings do not name the class of the request.
     pub fn place(
         &mut self,
         now: Micros,
         ticket: Ticket,
         request: &PlacementRequest,
     ) -> Result<Vec<Decision>, InvalidRequest> {
-        let mut task = self.task(ticket, request)?;
+        let mut task = self.build_task(ticket, request)?;
         if let Some(overload) = &mut self.overload {
             let admission = overload.admit(now, &task);
             task.shed_rank = admission.shed_rank;
@@ -157,11 +164,11 @@
         Ok(self.handle_event(now, Event::TaskRequested(task)))
     }
 
-    /// Takes a task that already runs on a host; no response is pending for it.
+    /// Adopts a task that already runs on a host, for which no response is pending.
     ///
     /// # Errors
     ///
-    /// If the settings do not have its class.
+    /// Returns an error if the settings do not name the class of the request.
     pub fn adopt(
         &mut self,
         now: Micros,
@@ -169,11 +176,11 @@
         request: &PlacementRequest,
         host: &HostId,
     ) -> Result<Vec<Decision>, InvalidRequest> {
-        let event = Event::TaskAdopted(self.task(ticket, request)?, host.clone());
+        let event = Event::TaskAdopted(self.build_task(ticket, request)?, host.clone());
         Ok(self.handle_event(now, event))
     }
 
-    /// Takes what the caller has learned, and returns what follows from it.
+    /// Handles an event that the caller has observed, and returns the resulting decisions.
     pub fn report(&mut self, now: Micros, event: PlacementEvent) -> Vec<Decision> {
         match event {
             PlacementEvent::DiscoveryUp => {
@@ -191,7 +198,8 @@
         self.handle_event(now, event.into_module_event())
     }
 
-    /// Fires the module's timers that are due by now.
+    /// Fires the decision module's timers that are due at `now`, lets the overload controller do its periodic work,
+    /// and returns the resulting decisions.
     pub fn tick(&mut self, now: Micros) -> Vec<Decision> {
         let mut decisions = Vec::new();
         while let Some(&(due, token)) = self.timers.first() {
@@ -211,13 +219,14 @@
         decisions
     }
 
-    /// Checks whether the settings leave any sense to a request.
+    /// Checks that a request is valid under the settings.
     ///
-    /// Protects the module's estimates of load and health from requests that every host must reject.
+    /// Requests that every host would have to reject must not reach the decision module, since their rejections would
+    /// distort its estimates of load and health.
     ///
     /// # Errors
     ///
-    /// If they do not, with what was found and expected.
+    /// Returns what is wrong with the request, with the value found and the range expected where there is one.
     pub fn check(
         &self,
         request: &PlacementRequest,
@@ -231,7 +240,11 @@
         limits.check(request, kind)
     }
 
-    fn task(&self, ticket: Ticket, request: &PlacementRequest) -> Result<Task, InvalidRequest> {
+    fn build_task(
+        &self,
+        ticket: Ticket,
+        request: &PlacementRequest,
+    ) -> Result<Task, InvalidRequest> {
         let class = self.class_index(&request.class);
         let class = class.ok_or_else(|| InvalidRequest::UnknownClass(request.class.clone()))?;
         let tenants = &self.names.tenants;
--- a/src/facade/module_calls.rs
+++ b/src/facade/module_calls.rs
@@ -1,4 +1,4 @@
-//! Hands events to the decision module and turns its actions into decisions.
+//! Passes events to the decision module and converts its actions into decisions.
 
 use super::messages::subscription_confirmed;
 use super::{Decision, Facade, Ticket};
@@ -7,8 +7,11 @@
 use std::collections::VecDeque;
 
 impl Facade {
-    /// Hands one event to the module, and the limits that follow from it. A subscription is answered by the state
-    /// of service discovery: at once while it delivers, otherwise when it does again.
+    /// Passes one event to the decision module, followed by the limits that result from it, and returns the
+    /// decisions.
+    ///
+    /// If the decision module subscribes to the endpoint list, the subscription is confirmed at once while service
+    /// discovery is up, otherwise as soon as it is up again.
     pub(super) fn handle_event(&mut self, now: Micros, event: Event) -> Vec<Decision> {
         let mut events = VecDeque::from([event]);
         let mut decisions = Vec::new();
@@ -17,7 +20,7 @@
         while let Some(event) = events.pop_front() {
             for action in self.actions(now, &event, &mut limits) {
                 wants_subscription |= matches!(action, Action::Subscribe | Action::PollEndpoints);
-                decisions.extend(self.decision(now, action));
+                decisions.extend(self.convert_action(now, action));
             }
             if !limits.is_empty() {
                 events.push_back(Event::LimitsChanged(std::mem::take(&mut limits)));
@@ -31,12 +34,12 @@
         decisions
     }
 
-    /// The module's actions for one event. Limits that the overload controller derives from the event and from the
-    /// actions are appended.
+    /// Passes one event to the decision module and returns its actions. Appends to `limits` those that the overload
+    /// controller derives from the event and the actions.
     fn actions(&mut self, now: Micros, event: &Event, limits: &mut Vec<Limit>) -> Vec<Action> {
         let mut actions = Vec::new();
-        self.limit_by_event(now, event, limits);
-        // What an attempt's end allows is known before the module considers another attempt.
+        self.notify_overload_of_event(now, event, limits);
+        // After the end of an attempt the module may send another one, so it must know the new limits first.
         if !limits.is_empty() && matches!(event, Event::AttemptEnded { .. }) {
             let limits = Event::LimitsChanged(std::mem::take(limits));
             self.placer.handle(now, &limits, &mut actions);
@@ -44,14 +47,15 @@
         self.placer.handle(now, event, &mut actions);
         if let Some(overload) = &mut self.overload {
             for action in &actions {
-                limit_by_action(overload, now, action, limits);
+                notify_overload_of_action(overload, now, action, limits);
             }
         }
         actions
     }
 
-    /// The decision of an action, if it is one for the caller.
-    fn decision(&mut self, now: Micros, action: Action) -> Option<Decision> {
+    /// Converts an action into a decision; `None` if the caller of the facade has nothing to do. Stores requested
+    /// timers.
+    fn convert_action(&mut self, now: Micros, action: Action) -> Option<Decision> {
         match action {
             Action::SetTimer { token, after } => {
                 self.timers.insert((now.saturating_add(after), token));
@@ -79,8 +83,9 @@
             Action::CancelAttempt { id, attempt } => Ticket::from_request_id(&id)
                 .map(|ticket| Decision::CancelAttempt { ticket, attempt }),
             Action::ReportFault(text) | Action::Log(text) => Some(Decision::Log(text)),
-            // Subscriptions are answered by the caller of this function. Hosts are sent no health checks here, service
-            // discovery needs no farewell, and connections to hosts stay open for the releases of running tasks.
+            // `handle_event` answers subscriptions. The facade's callers send no health checks to hosts, service
+            // discovery need not be told that a subscription ends, and connections to hosts stay open because
+            // releases of running tasks arrive on them.
             Action::Subscribe
             | Action::PollEndpoints
             | Action::SendHealthCheck { .. }
@@ -89,8 +94,8 @@
         }
     }
 
-    /// Notifies the overload controller of an event.
-    fn limit_by_event(&mut self, now: Micros, event: &Event, limits: &mut Vec<Limit>) {
+    /// Notifies the overload controller of an event, and appends the resulting limits.
+    fn notify_overload_of_event(&mut self, now: Micros, event: &Event, limits: &mut Vec<Limit>) {
         let Some(overload) = &mut self.overload else {
             return;
         };
@@ -122,8 +127,8 @@
     }
 }
 
-/// Notifies the overload controller of an action of the module.
-fn limit_by_action(
+/// Notifies the overload controller of an action of the decision module, and appends the resulting limits.
+fn notify_overload_of_action(
     overload: &mut OverloadController,
     now: Micros,
     action: &Action,
--- a/src/facade/request.rs
+++ b/src/facade/request.rs
@@ -1,44 +1,44 @@
-//! Requests to place a task, as clients state them, and the check that a deployment can mean them.
+//! Requests to place a task as clients state them, and their validation against the settings.
 
 use crate::settings::Names;
 use crate::types::{Micros, Resources, Settings, TaskClass};
 
-/// A client may wait for at most this many times the deadline of the task's class.
+/// Maximum time budget of a request, as a multiple of the deadline of the task's class.
 const MAX_DEADLINE_MULTIPLE: Micros = 4;
-/// A task may request this many times what the largest host accepts: kinds state what is usual, and a host may be
-/// larger.
+/// Maximum cores and memory of a request, as a multiple of what the largest host kind accepts. The settings state the
+/// usual sizes of the host kinds, and a host may be larger.
 const MAX_HOST_MULTIPLE: f64 = 2.0;
 
-/// One request in the caller's hands, numbered by the caller.
+/// Number that the caller assigns to a request and that identifies it in all calls.
 ///
-/// A number is never reused, so that a request id of the wire that comes back cannot be taken for the request that
-/// carried it before.
+/// A number is never reused. Clients may reuse a request id on the wire, so it cannot tell a new request from an
+/// earlier one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// A task to place, with the names that its client gave.
+/// A task to place, with its class and tenant by name.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PlacementRequest {
-    /// The class, as the settings name it.
+    /// Name of the class, as in the settings.
     pub class: String,
-    /// The tenant, as the settings name it.
+    /// Name of the tenant, as in the settings; `None` if the client states none.
     pub tenant: Option<String>,
-    /// The service it belongs to.
+    /// Id of the service (program) that the task belongs to.
     pub service: u64,
-    /// The task, the same in every request for it.
+    /// Key of the task, the same in every request for it.
     pub key: u64,
     /// Cores requested.
     pub cores: f64,
     /// Memory requested, in the unit of the settings.
     pub memory: f64,
-    /// Time until the client gives up.
+    /// Time that the client waits for a response.
     pub time_budget: Micros,
-    /// Marked by its client as a retry.
+    /// Whether the client marks the request as a retry.
     pub is_retry: bool,
 }
 
 impl PlacementRequest {
-    /// Cores and memory requested.
+    /// Returns the cores and memory requested.
     pub fn resources(&self) -> Resources {
         Resources {
             cores: self.cores,
@@ -50,47 +50,47 @@
 /// Whether the task of a request is to be placed or runs already.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// To be placed: its client waits for a response.
+    /// The task is to be placed, and its client waits for a response.
     Place,
-    /// It runs already: no response is pending, and its time budget does not matter.
+    /// The task runs already: no response is pending, and its time budget is ignored.
     Adopt,
 }
 
-/// A request that no deployment with these settings can mean.
+/// Why a request is invalid under the settings.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum InvalidRequest {
-    /// The settings have no such class.
+    /// The settings name no such class.
     #[error("unknown task class `{0}`")]
     UnknownClass(String),
-    /// The settings have tenants, and this is none of them.
+    /// The settings name tenants, but not this one.
     #[error("unknown tenant `{0}`")]
     UnknownTenant(String),
-    /// No host of the class is large enough.
+    /// The request exceeds what even an unusually large host of the class accepts, or is negative or not a number.
     #[error(
         "requested {} cores and {} memory, but the largest host of the class accepts {} and {}",
         requested.cores, requested.memory, largest.cores, largest.memory
     )]
     ExceedsLargestHost {
-        /// What the request states.
+        /// Cores and memory that the request states.
         requested: Resources,
-        /// What the largest host of the class accepts.
+        /// Cores and memory that the largest host kind of the class accepts.
         largest: Resources,
     },
-    /// The client cannot wait that long, or does not wait at all.
+    /// The time budget is not positive, or longer than any client waits.
     #[error("time budget of {found} us, expected 1 to {max} us")]
     TimeBudgetOutOfRange {
-        /// What the request states.
+        /// Time budget that the request states.
         found: Micros,
-        /// The longest that a client may wait.
+        /// Maximum time budget.
         max: Micros,
     },
 }
 
-/// What requests of one class may state.
+/// Limits on the requests of one class.
 pub(super) struct ClassLimits {
     pub(super) latency_objective: Micros,
     pub(super) deadline: Micros,
-    /// What the largest host of the class accepts.
+    /// Cores and memory that the largest host kind of the class accepts.
     largest_host: Resources,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Checks what a request of this class requests and how long its client waits.
+    /// Checks the requested resources and the time budget of a request of this class.
     pub(super) fn check(
         &self,
         request: &PlacementRequest,
@@ -126,9 +126,9 @@
     ) -> Result<(), InvalidRequest> {
         let requested = request.resources();
         let max_request = self.largest_host.map(|amount| MAX_HOST_MULTIPLE * amount);
-        let is_possible = |amount: f64, max: f64| (0.0..=max).contains(&amount);
-        if !is_possible(requested.cores, max_request.cores)
-            || !is_possible(requested.memory, max_request.memory)
+        let is_in_range = |amount: f64, max: f64| (0.0..=max).contains(&amount);
+        if !is_in_range(requested.cores, max_request.cores)
+            || !is_in_range(requested.memory, max_request.memory)
         {
             return Err(InvalidRequest::ExceedsLargestHost {
                 requested,
@@ -146,7 +146,7 @@
     }
 }
 
-/// Checks that the settings have the tenant of a request, if they have tenants at all.
+/// Checks that the settings name the tenant of a request. Accepts every tenant if the settings name none.
 pub(super) fn check_tenant(
     request: &PlacementRequest,
     names: &Names,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,8 @@
 //! Placement decisions for the tasks of services, by stochastic coordination (SCD).
 //!
-//! [`Placer`] is a state machine without I/O: it is handed [`Event`]s with the time and answers with
-//! [`Action`]s. It keeps no clock, opens no connection and starts no thread. The same settings, seed and events
-//! give the same actions.
+//! [`Placer`] is a state machine without I/O: each call to [`Placer::handle`] takes the current time and an
+//! [`Event`] and appends the resulting [`Action`]s. It reads no clock, opens no connection and starts no thread. The
+//! same settings, seed and events always produce the same actions.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -1,34 +1,34 @@
-//! Why settings could not be read.
+//! Errors in reading the settings.
 
 /// A setting that is missing or cannot be read.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// It is not stated.
+    /// A required setting is missing.
     #[error("setting {path}: missing setting")]
     Missing {
-        /// Its path, such as `services.0.aim`.
+        /// Path of the setting, such as `services.0.aim`.
         path: String,
     },
-    /// Its value is not of the expected form.
+    /// The value of a setting does not have the expected form.
     #[error("setting {path}: bad value: {found}, expected {expected}")]
     BadValue {
-        /// Its path.
+        /// Path of the setting.
         path: String,
-        /// The value.
+        /// Value that the setting has.
         found: String,
-        /// What it should be.
+        /// Form or words that were expected.
         expected: String,
     },
-    /// A list that has one item for each name is too short.
+    /// A list that must have one item for each class, tenant or host kind is too short.
     #[error("setting {path}: fewer items than names")]
     TooFewItems {
-        /// Its path.
+        /// Path of the setting.
         path: String,
     },
 }
 
 impl SettingsError {
-    /// The path of the setting.
+    /// Returns the path of the setting.
     pub fn path(&self) -> &str {
         match self {
             SettingsError::Missing { path }
@@ -37,7 +37,7 @@
         }
     }
 
-    /// What is wrong with it, without its path.
+    /// Returns what is wrong with the setting, without its path.
     pub fn problem(&self) -> String {
         match self {
             SettingsError::Missing { .. } => "missing setting".to_string(),
--- a/src/settings/flatten.rs
+++ b/src/settings/flatten.rs
@@ -1,13 +1,13 @@
-//! Turns nested JSON into settings by path.
+//! Flattens nested JSON into settings by path.
 
 use super::SettingsByPath;
 use simd_json::BorrowedValue;
 use simd_json::prelude::*;
 
-/// Nested JSON as settings by path.
+/// Flattens nested JSON into settings by path.
 ///
-/// Objects nest with dots, lists of plain values are joined with commas, and lists of objects state their length
-/// under `.count`.
+/// The names of nested objects are joined with dots, and the items of lists of plain values with commas. A list of
+/// objects adds its length under `.count` and each object under its index.
 pub fn flatten(value: &BorrowedValue<'_>) -> SettingsByPath {
     let mut settings = SettingsByPath::new();
     add_paths(&mut settings, "", value);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,8 @@
-//! The one reader from the names and values of a deployment to [`Settings`].
+//! Reads [`Settings`] from a deployment's settings by path.
 //!
-//! Both programs state the same names: the simulator as `path=value` pairs, the real placer's configuration as nested
-//! JSON, which [`flatten`] turns into the same paths. This module is the one place where the operators' names of the
-//! settings meet those of the code.
+//! The simulator states settings as `path=value` pairs, and the placer's configuration as nested JSON, which
+//! [`flatten`] converts to the same paths. Only this module maps the operators' names of settings to the names used
+//! in the code.
 
 mod error;
 mod flatten;
@@ -18,40 +18,40 @@
 use reader::{Reader, look_up};
 use std::collections::BTreeMap;
 
-/// The highest priority of a class.
+/// Maximum priority of a class; higher values are clamped to it.
 const MAX_PRIORITY: f64 = 3.0;
 
-/// The names that the settings state, for turning names into indices.
+/// The names that the settings state. The position of a name in its list is the index used in the code.
 #[derive(Debug, Clone, Default)]
 pub struct Names {
-    /// Task classes.
+    /// Names of the task classes.
     pub classes: Vec<String>,
-    /// Tenants.
+    /// Names of the tenants.
     pub tenants: Vec<String>,
-    /// Host kinds.
+    /// Names of the host kinds.
     pub kinds: Vec<String>,
-    /// Zones.
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
 
 /// Settings by path, such as `services.0.aim`.
 pub type SettingsByPath = BTreeMap<String, String>;
 
-/// A finite number in text.
+/// Parses a finite number; `None` if the text is not one.
 pub fn parse_number(text: &str) -> Option<f64> {
     text.parse::<f64>().ok().filter(|value| value.is_finite())
 }
 
-/// Milliseconds to whole microseconds.
+/// Converts milliseconds to microseconds, rounded to a whole number.
 pub fn millis_to_micros(value: f64) -> Micros {
     (value * 1000.0).round() as Micros
 }
 
-/// Reads the settings, and the names they state.
+/// Reads the settings and the names that they state.
 ///
 /// # Errors
 ///
-/// If a setting is missing or cannot be read; the first one in order is named.
+/// Returns the first setting, in reading order, that is missing or has a bad value.
 pub fn read(settings: &SettingsByPath) -> Result<(Settings, Names), SettingsError> {
     let reader = Reader { settings };
     let class_count = reader.count("services.count")?;
@@ -64,7 +64,7 @@
     let (tenants, tenant_names) = read_tenants(&reader)?;
     let kind_names = reader.names("models")?;
     let host_kinds = collect(kind_names.len(), |index| read_host_kind(&reader, index))?;
-    // A deployment may have no zones.
+    // A deployment without zones omits this setting.
     let zones = if reader.has("zones") {
         reader.names("zones")?
     } else {
@@ -213,7 +213,7 @@
     reader.one_of(&path, &scopes)
 }
 
-/// The tenants and their names.
+/// Reads the tenants and their names; none if the deployment has no tenants.
 fn read_tenants(reader: &Reader<'_>) -> Result<(Vec<Tenant>, Vec<String>), SettingsError> {
     let cores_path = "family_info.share_cores";
     let mut tenants = Vec::new();
@@ -241,7 +241,7 @@
     })
 }
 
-/// What the values of a load report mean; none if hosts send no reports.
+/// Reads what the values of a load report mean, in order; empty if hosts send no load reports.
 fn read_load_report(reader: &Reader<'_>) -> Result<Vec<LoadReportField>, SettingsError> {
     match reader.settings.get("report.via").map(String::as_str) {
         None | Some("off") => Ok(Vec::new()),
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,16 +1,16 @@
-//! Reads single settings by their path.
+//! Reads the values of single settings by path.
 
 use super::{SettingsByPath, SettingsError, millis_to_micros, parse_number};
 use crate::types::Micros;
 use std::fmt::Write;
 
-/// Settings by path, with readers for each form of value.
+/// Settings by path, with a method for each form of value.
 pub(super) struct Reader<'a> {
     pub(super) settings: &'a SettingsByPath,
 }
 
 impl<'a> Reader<'a> {
-    /// Whether a setting is stated.
+    /// Returns whether a setting is present.
     pub(super) fn has(&self, path: &str) -> bool {
         self.settings.contains_key(path)
     }
@@ -35,7 +35,7 @@
         }
     }
 
-    /// A duration, stated in milliseconds.
+    /// Reads a duration, which the setting states in milliseconds.
     pub(super) fn duration(&self, path: &str) -> Result<Micros, SettingsError> {
         self.number(path).map(millis_to_micros)
     }
@@ -66,7 +66,7 @@
         Ok(items(self.text(path)?).map(str::to_string).collect())
     }
 
-    /// The value that a table gives to the setting's word.
+    /// Reads a setting whose value is one of the words in `table`, and returns what the table assigns to the word.
     pub(super) fn one_of<T: Copy>(
         &self,
         path: &str,
@@ -75,7 +75,7 @@
         look_up(path, self.text(path)?, table)
     }
 
-    /// Item `index` of a list with one item for each class, or tenant, or host kind.
+    /// Reads item `index` of a list that has one item for each class, tenant or host kind.
     pub(super) fn item(&self, path: &str, index: usize) -> Result<&'a str, SettingsError> {
         let item = items(self.text(path)?).nth(index);
         item.ok_or_else(|| SettingsError::TooFewItems {
@@ -89,7 +89,11 @@
     }
 }
 
-/// The value that a table gives to a word.
+/// Returns what `table` assigns to a word.
+///
+/// # Errors
+///
+/// Returns the words of the table if the word is not among them.
 pub(super) fn look_up<T: Copy>(
     path: &str,
     word: &str,
@@ -116,7 +120,7 @@
     }
 }
 
-/// The items of a list in one text; `-` stands for an absent item.
+/// Splits a comma-separated list, skipping empty items and `-`, which stands for an absent item.
 fn items(text: &str) -> impl Iterator<Item = &str> {
     text.split(',')
         .filter(|item| !item.is_empty() && *item != "-")
--- a/src/state/arrivals.rs
+++ b/src/state/arrivals.rs
@@ -1,24 +1,24 @@
-//! This placer's own arrivals, as far back as the estimate of the arrival rate needs them.
+//! Tasks that recently arrived at this placer, from which the arrival rate is estimated.
 
 use crate::types::Micros;
 use std::collections::VecDeque;
 
-/// A new task.
+/// Arrival of a new task.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     at: Micros,
-    /// Its size in mean tasks.
+    /// Size of the task as a multiple of the mean task.
     size: f64,
 }
 
-/// A time during which this placer handled nothing.
+/// A period during which this placer handled no events, for example because its process was not scheduled.
 #[derive(Debug, Clone, Copy, Default)]
 struct Stall {
     ended_at: Micros,
     duration: Micros,
 }
 
-/// Own arrivals, as far back as the estimate needs them.
+/// Arrivals at this placer, as far back as the estimate of the arrival rate needs them.
 #[derive(Debug, Default)]
 pub(crate) struct ArrivalHistory {
     arrivals: VecDeque<Arrival>,
@@ -26,22 +26,23 @@
 }
 
 impl ArrivalHistory {
-    /// Records a new task of this size in mean tasks.
+    /// Records the arrival of a new task; `size` is a multiple of the mean task.
     pub fn record(&mut self, at: Micros, size: f64) {
         self.arrivals.push_back(Arrival { at, size });
     }
 
-    /// Records that nothing was handled for a time, which has just ended.
+    /// Records that no events were handled for `duration` until `ended_at`.
     pub fn record_stall(&mut self, ended_at: Micros, duration: Micros) {
         self.last_stall = Stall { ended_at, duration };
     }
 
-    /// Own arrivals in mean tasks, scaled to `window`, which is extended until it holds `min_arrivals`. Drops arrivals
-    /// that are too old to count.
+    /// Returns the arrivals at this placer within `window`, in multiples of the mean task. Drops arrivals that are
+    /// too old to count.
     ///
-    /// Read from a span that is long enough to hold some: a placer among hundreds sees one now and then. A
-    /// backlog after a stall arrived during the stall, so its duration is added. Cost: a burst after a long
-    /// silence counts late.
+    /// Arrivals are counted over a span of at least `window`, extended until it holds `min_arrivals`, and the count
+    /// is scaled to `window`: where there are hundreds of placers, each sees so few arrivals that most windows hold
+    /// none. For one window after a stall, the span also includes the duration of the stall, during which the backlog
+    /// arrived. The drawback is that a burst after a long silence raises the estimate late.
     pub fn in_window(&mut self, now: Micros, window: Micros, min_arrivals: usize) -> f64 {
         let mut span = window;
         if now - self.last_stall.ended_at < window {
@@ -51,7 +52,7 @@
             self.arrivals.pop_front();
         }
         let oldest_age = self.arrivals.front().map_or(0, |arrival| now - arrival.at);
-        // The oldest arrival opens the span and is not counted in it, unless the span is longer anyhow.
+        // An oldest arrival before the span only marks the start of the extended span and is not counted itself.
         let skipped = usize::from(oldest_age > span);
         let total: f64 = self
             .arrivals
--- a/src/state/hosts.rs
+++ b/src/state/hosts.rs
@@ -1,45 +1,47 @@
-//! What is known of the hosts: their endpoint, their load as last reported, and this placer's attempts there.
+//! State of the hosts: their endpoints, their load as last reported, and this placer's attempts at them.
 
 use super::hash::hash_host;
 use crate::types::{CellId, Endpoint, EndpointState, HostId, KindId, Micros, Resources, ZoneId};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Index of a host in [`HostTable::hosts`], valid for the life of the placer.
+/// Index of a host in [`HostTable::hosts`]. It never changes, since hosts are never removed from the table.
 pub(crate) type HostIndex = usize;
 
-/// A change of the resources requested on a host that this placer caused itself.
+/// A change of the resources requested on a host that is due to this placer's own attempts and tasks.
 #[derive(Debug, Clone, Copy)]
 struct OwnChange {
     at: Micros,
     amount: Resources,
 }
 
-/// What is known of one host.
+/// State of one host.
 #[derive(Debug, Clone)]
 pub(crate) struct Host {
     pub id: HostId,
-    /// Hash of the id, the same at every placer.
+    /// Hash of the id, identical in every placer.
     pub hash: u64,
     pub zone: ZoneId,
     pub cell: CellId,
     pub kind: KindId,
     pub state: EndpointState,
-    /// When its process started; 0: before anything that matters now.
+    /// Time at which the host's process started; 0 if it started too long ago to matter.
     pub started_at: Micros,
-    /// The time as of which its load is known; `None` before the first report.
+    /// Time as of which the newest report describes the load; `None` before the first report.
     pub load_known_as_of: Option<Micros>,
-    /// Resources that tasks request: the newest report and own changes since.
+    /// Resources that tasks on the host request: the newest report plus this placer's own changes since then.
+    /// Negative if the report did not contain what an own change subtracts.
     requested: Resources,
     own_changes: VecDeque<OwnChange>,
-    /// When own attempts were sent, oldest first.
+    /// Times at which this placer sent attempts to the host, oldest first.
     pub attempts_sent: VecDeque<Micros>,
-    /// Own attempts without an answer.
+    /// Number of this placer's attempts at the host that are not answered yet.
     pub in_flight: u32,
-    /// When it last started a task of this placer.
+    /// Time at which the host last started a task of this placer.
     pub last_task_start: Option<Micros>,
-    /// Own attempts that may be in flight beyond the initial window; negative if fewer.
+    /// Difference between the current concurrency window (the maximum number of this placer's attempts in flight at
+    /// the host) and the initial one; negative if the window has shrunk.
     pub window_growth: f64,
-    /// The most own attempts in flight as imposed from outside; takes precedence over the window.
+    /// Maximum number of this placer's attempts in flight as imposed from outside; takes precedence over the window.
     pub max_in_flight: Option<u32>,
     pub last_health_check: Micros,
 }
@@ -66,12 +68,13 @@
         }
     }
 
-    /// Resources that tasks request there, as far as known; never negative.
+    /// Returns the resources that tasks on the host request, as far as known; never negative.
     pub fn requested(&self) -> Resources {
         self.requested.map(|amount| amount.max(0.0))
     }
 
-    /// Takes a report of the requested resources unless a newer one is known.
+    /// Records a report of the requested resources, unless a newer one is known. Own changes after `as_of` are not
+    /// contained in the report and are added to it.
     pub fn record_report(&mut self, requested: Resources, as_of: Micros) {
         if self.load_known_as_of.is_some_and(|known| known > as_of) {
             return;
@@ -84,8 +87,8 @@
         }
     }
 
-    /// Records that own tasks request this much more (or less, if negative); changes before
-    /// `forget_before` are dropped.
+    /// Records that this placer's tasks on the host request this much more, or less if `amount` is negative. Drops
+    /// own changes that happened before `forget_before`.
     pub fn record_own_change(&mut self, now: Micros, amount: Resources, forget_before: Micros) {
         while self
             .own_changes
@@ -98,7 +101,8 @@
         self.requested += amount;
     }
 
-    /// Whether another own attempt may be in flight: by the imposed limit, otherwise by this window.
+    /// Returns whether this placer may send the host another attempt: by the imposed limit if there is one, otherwise
+    /// by `window`.
     pub fn has_attempt_capacity(&self, window: f64) -> bool {
         match self.max_in_flight {
             Some(max_in_flight) => self.in_flight < max_in_flight,
@@ -106,7 +110,7 @@
         }
     }
 
-    /// Records an attempt that is sent now; those before `forget_before` are dropped.
+    /// Records an attempt that is sent now. Drops the send times before `forget_before`.
     pub fn record_attempt(&mut self, now: Micros, forget_before: Micros) {
         while self
             .attempts_sent
@@ -119,7 +123,7 @@
         self.in_flight += 1;
     }
 
-    /// Forgets the load: a new process runs on the host.
+    /// Resets the known load, because a new process without tasks runs on the host.
     fn forget_load(&mut self) {
         self.load_known_as_of = None;
         self.requested = Resources::default();
@@ -135,37 +139,38 @@
     }
 }
 
-/// Whether an endpoint update reports another process than the one that was known.
+/// Whether the process on a host is the one known before an endpoint update.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProcessChange {
     Same,
     Restarted,
 }
 
-/// All hosts that were ever listed.
+/// All hosts that were ever in the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct HostTable {
     pub hosts: Vec<Host>,
-    /// Own attempts in flight at all hosts together.
+    /// Number of this placer's attempts in flight at all hosts together.
     pub in_flight: u32,
-    /// Hosts whose load or endpoint has changed since the working set was last selected.
+    /// Hosts whose load or endpoint has changed since the working set was last updated.
     pub changed: BTreeSet<HostIndex>,
     indices: BTreeMap<HostId, HostIndex>,
 }
 
 impl HostTable {
-    /// The index of a host that was ever listed.
+    /// Returns the index of a host; `None` if it was never listed.
     pub fn index_of(&self, host: &HostId) -> Option<HostIndex> {
         self.indices.get(host).copied()
     }
 
-    /// A host whose load is about to change: the working set looks at it again.
+    /// Returns a host for a change of its load, and marks it so that the working set is updated with the new load.
     pub fn mark_changed(&mut self, index: HostIndex) -> &mut Host {
         self.changed.insert(index);
         &mut self.hosts[index]
     }
 
-    /// Brings the host of an endpoint up to date. A host whose process is new has its load forgotten.
+    /// Updates the host of an endpoint, adding it if it is new. Resets the known load if the host's process has
+    /// restarted.
     pub fn update(&mut self, endpoint: &Endpoint) -> (HostIndex, ProcessChange) {
         let next = self.hosts.len();
         let index = *self.indices.entry(endpoint.host.clone()).or_insert(next);
@@ -185,7 +190,7 @@
         (index, change)
     }
 
-    /// Marks every host as removed that a complete endpoint list does not contain.
+    /// Marks every host as removed that is missing from a complete endpoint list.
     pub fn remove_unlisted(&mut self, endpoints: &[Endpoint]) {
         let listed: BTreeSet<HostIndex> = endpoints
             .iter()
@@ -199,7 +204,8 @@
         }
     }
 
-    /// Imposes the most own attempts in flight at a host. Returns whether more are allowed than before.
+    /// Sets or lifts the imposed maximum number of this placer's attempts in flight at a host. Returns whether it
+    /// allows more attempts than before.
     pub fn limit_host(&mut self, host: &HostId, max_in_flight: Option<u32>) -> bool {
         let Some(index) = self.index_of(host) else {
             return false;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,7 +1,8 @@
-//! What the decisions read and write: hosts, tasks, failures, timers and the working set.
+//! State of the decision module: hosts, tasks, failures, timers and the working set.
 //!
-//! Nothing here decides anything or holds a tuned value. All of it is lost when the process ends and is rebuilt
-//! from the endpoint list and from the tasks that clients and hosts report.
+//! These types only store and aggregate data; the decisions and their tuned constants live in `placement`. The state
+//! is not persisted: after a restart it is rebuilt from the endpoint list and from the tasks that clients and hosts
+//! report.
 
 pub(crate) mod arrivals;
 pub(crate) mod hash;
--- a/src/state/subscription.rs
+++ b/src/state/subscription.rs
@@ -2,14 +2,14 @@
 
 use crate::types::Micros;
 
-/// State of the subscription.
+/// State of the subscription to the endpoint list.
 #[derive(Debug, Default)]
 pub(crate) struct Subscription {
-    /// Updates arrive.
+    /// Whether the subscription is confirmed, so that updates arrive.
     pub active: bool,
-    /// When it was last requested or lost.
+    /// Time at which the subscription was last requested or lost; `None` before the first request.
     pub last_request: Option<Micros>,
-    /// Failures in a row.
+    /// Number of consecutive failures.
     pub failures: u32,
 }
 
@@ -21,7 +21,7 @@
         self.failures += 1;
     }
 
-    /// Records an update, which confirms a subscription that was requested.
+    /// Records an update of the endpoint list. It confirms the subscription if one was requested.
     pub fn record_update(&mut self) {
         if self.last_request.is_some() {
             self.active = true;
--- a/src/state/tasks.rs
+++ b/src/state/tasks.rs
@@ -1,26 +1,26 @@
-//! The tasks of this placer: requests without a final response and tasks that run.
+//! The tasks of this placer: requests that await a final response, and running tasks.
 
 use super::hosts::HostIndex;
 use crate::types::{Micros, RequestId, ResourceKind, Resources, ServiceId, Task};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The attempt that has no outcome yet.
+/// The attempt of a request that has not ended yet: it is in flight, or it placed the task and the task still runs.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct CurrentAttempt {
-    /// Its number, counted from 0 for each request.
+    /// Number of the attempt, counted from 0 for each request.
     pub number: u32,
-    /// Its host; `None` if no endpoint is known for it.
+    /// Host of the attempt; `None` for an adopted task whose host was never listed.
     pub host: Option<HostIndex>,
 }
 
-/// An attempt that may have run although no host confirmed it.
+/// An attempt that ended without proof that the task never ran, so the task may have run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UncertainAttempt {
     pub host: Option<HostIndex>,
     pub sent_at: Micros,
 }
 
-/// One task.
+/// State of one request and of the task that it placed.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TaskRecord {
     pub task: Task,
@@ -29,24 +29,24 @@
     pub attempts_sent: u32,
     pub current_attempt: Option<CurrentAttempt>,
     pub is_placed: bool,
-    /// A final response was sent, or the client has cancelled.
+    /// Whether the final response was sent or the client has cancelled the request.
     pub is_closed: bool,
-    /// The first attempt that may have run.
+    /// The first attempt that may have run the task; `None` if every ended attempt is known not to have run it.
     pub first_uncertain_attempt: Option<UncertainAttempt>,
     pub last_sent_at: Micros,
     pub tried_hosts: Vec<HostIndex>,
-    /// Hosts that answered with an error.
+    /// Hosts that answered an attempt with an error.
     pub error_hosts: Vec<HostIndex>,
-    /// The latest attempt was rejected for want of capacity.
+    /// Whether the latest ended attempt failed because its host lacked capacity.
     pub lacked_capacity: bool,
-    /// No further attempt is allowed.
+    /// Whether a limit imposed from outside forbids further attempts.
     pub no_retry: bool,
-    /// Cores and memory in use as last reported; 0 before the first report.
+    /// Cores and memory that the task uses as last reported; 0 before the first report.
     used: Resources,
 }
 
 impl TaskRecord {
-    /// A request that was just received.
+    /// Creates the record of a request that was received at `requested_at`.
     pub fn new(task: &Task, requested_at: Micros, deadline: Micros) -> TaskRecord {
         TaskRecord {
             task: task.clone(),
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Cores and memory that it requests.
+    /// Returns the cores and memory that the task requests.
     pub fn requested(&self) -> Resources {
         Resources {
             cores: self.task.cores,
@@ -64,33 +64,33 @@
         }
     }
 
-    /// Whether a final response is pending and no attempt is in flight.
+    /// Returns whether the final response is pending and no attempt is in flight.
     pub fn awaits_attempt(&self) -> bool {
         self.current_attempt.is_none() && !self.is_placed && !self.is_closed
     }
 }
 
-/// All tasks, those that wait for an attempt, and how many of a service are on which host.
+/// All tasks, the queue of requests that wait for an attempt, and the number of tasks per service and host.
 #[derive(Debug, Default)]
 pub(crate) struct TaskTable {
     pub records: BTreeMap<RequestId, TaskRecord>,
     /// Requests that wait for an attempt, earliest deadline first.
     pub waiting: BTreeSet<(Micros, RequestId)>,
-    /// Own tasks of a service that run or are in flight at a host.
+    /// Number of this placer's tasks of a service that run or are in flight at a host.
     reservations: BTreeMap<(ServiceId, HostIndex), usize>,
-    /// What the placed tasks with a usage report request.
+    /// Sum of the resources that tasks with a usage report request.
     pub measured_request: Resources,
-    /// What the same tasks use.
+    /// Sum of the resources that tasks with a usage report use, as last reported.
     pub measured_use: Resources,
 }
 
 impl TaskTable {
-    /// Counts a task of a service at a host.
+    /// Adds one to the number of tasks of a service at a host.
     pub fn reserve(&mut self, service: ServiceId, host: HostIndex) {
         *self.reservations.entry((service, host)).or_default() += 1;
     }
 
-    /// Counts it there no longer.
+    /// Subtracts one from the number of tasks of a service at a host.
     pub fn release(&mut self, service: ServiceId, host: HostIndex) {
         if let Some(count) = self.reservations.get_mut(&(service, host)) {
             *count -= 1;
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The hosts of own tasks of a service, and how many are on each.
+    /// Returns the hosts of this placer's tasks of a service, each with the number of those tasks.
     pub fn hosts_of_service(
         &self,
         service: ServiceId,
@@ -110,7 +110,7 @@
             .map(|((_, host), count)| (*host, *count))
     }
 
-    /// Records what a task uses, as its host reports it.
+    /// Records how much of a resource a task uses, as its host reports it.
     pub fn record_usage(&mut self, id: &RequestId, kind: ResourceKind, value: f64) {
         let Some(record) = self.records.get_mut(id) else {
             return;
@@ -124,7 +124,7 @@
         *record.used.get_mut(kind) = value;
     }
 
-    /// Adds a task that runs already, on this host if it was ever listed.
+    /// Adds a task that already runs. `host` is `None` if its host was never listed.
     pub fn adopt(&mut self, task: &Task, host: Option<HostIndex>, now: Micros) {
         let known_host = self
             .records
@@ -147,7 +147,8 @@
         self.records.insert(task.id.clone(), record);
     }
 
-    /// Closes a request: no response is pending. An attempt in flight still gets its outcome.
+    /// Records that no response to a request is pending any more. The record is kept while an attempt has not ended,
+    /// so that the attempt's outcome can be processed.
     pub fn close(&mut self, id: &RequestId) {
         match self.records.get_mut(id) {
             Some(record) if record.current_attempt.is_some() => record.is_closed = true,
@@ -156,7 +157,7 @@
         }
     }
 
-    /// Removes a task and what it used.
+    /// Removes a task from the table, from the waiting requests and from the sums of measured usage.
     pub fn remove(&mut self, id: &RequestId) {
         let Some(record) = self.records.remove(id) else {
             return;
--- a/src/state/timers.rs
+++ b/src/state/timers.rs
@@ -1,26 +1,26 @@
-//! Timers that the module has requested.
+//! Timers that the decision module has requested from its caller.
 
 use crate::types::{Action, Micros, RequestId, TimerToken};
 use std::collections::BTreeMap;
 
-/// What a timer is for.
+/// The work that is due when a timer fires.
 #[derive(Debug, Clone)]
 pub(crate) enum TimerPurpose {
     /// Periodic work.
     Tick,
-    /// The latest time for the final response to a request.
+    /// The final response to a request is due.
     Deadline(RequestId),
 }
 
-/// A timer that has fired.
+/// A timer that has fired, or that fires later.
 #[derive(Debug, Clone)]
 pub(crate) struct FiredTimer {
-    /// When it was due.
+    /// Time at which the timer is due.
     pub due: Micros,
     pub purpose: TimerPurpose,
 }
 
-/// Timers that have not fired.
+/// All requested timers that have not fired.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
     pending: BTreeMap<TimerToken, FiredTimer>,
@@ -28,7 +28,7 @@
 }
 
 impl Timers {
-    /// Requests a timer that fires after this time.
+    /// Appends an action that requests a timer to fire `after` from now.
     pub fn set(
         &mut self,
         now: Micros,
@@ -43,7 +43,7 @@
         actions.push(Action::SetTimer { token, after });
     }
 
-    /// Takes a timer that has fired; `None` if it is unknown.
+    /// Removes and returns the timer that has fired; `None` if no pending timer has this token.
     pub fn take(&mut self, token: TimerToken) -> Option<FiredTimer> {
         self.pending.remove(&token)
     }
--- a/src/state/working_set.rs
+++ b/src/state/working_set.rs
@@ -1,48 +1,50 @@
-//! The working set: the first hosts of an order, as many as are needed to hold all tasks.
+//! The working set: the smallest prefix of the ordered hosts that can hold all tasks.
 //!
-//! The decisions state what each host contributes ([`HostContribution`]) and how far the members are to be filled; this
-//! module keeps the order, the sums and the cut behind the last member. One changed contribution costs one
-//! position in the order and a few steps of the cut, whatever the number of hosts. Sums are kept in whole
-//! multiples of [`UNIT`], so they do not depend on the order in which contributions come and go: a set that was
-//! kept for hours equals one that is selected anew from the same contributions.
+//! The caller provides each host's [`HostContribution`] and the fraction up to which the members are filled; this
+//! module maintains the order of the hosts, the sums over them and the position of the last member. A changed
+//! contribution costs one update of the order and a few moves of the last member, regardless of the number of hosts.
+//! Sums are whole multiples of [`SUM_RESOLUTION`], so they do not depend on the order in which contributions are
+//! added and removed: a set that has been updated for hours equals one selected from scratch from the same
+//! contributions.
 //!
-//! Holds no decision and no tuned value.
+//! The caller makes all decisions; this module has no tuned constants.
 
 use super::hosts::HostIndex;
 use crate::types::{HostId, Resources, ServiceId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound::{Excluded, Unbounded};
 
-/// Sums are kept in multiples of this: far below any difference of loads that matters.
-pub(crate) const UNIT: f64 = 1.0 / (1u64 << 24) as f64;
+/// Resolution of the sums, far smaller than any difference between loads that matters.
+pub(crate) const SUM_RESOLUTION: f64 = 1.0 / (1u64 << 24) as f64;
 
-/// A sum in multiples of [`UNIT`]. Each term fits into 64 bits, so that no number of hosts overflows it.
+/// A sum in multiples of [`SUM_RESOLUTION`]. Each term fits into 64 bits, so a sum over any possible number of hosts
+/// does not overflow 128 bits.
 type Units = i128;
 
 fn to_units(value: f64) -> Units {
-    Units::from((value / UNIT).round() as i64)
+    Units::from((value / SUM_RESOLUTION).round() as i64)
 }
 
 fn from_units(units: Units) -> f64 {
-    units as f64 * UNIT
+    units as f64 * SUM_RESOLUTION
 }
 
-/// What one host contributes. Sizes are in mean tasks.
+/// Contribution of one host to the working set. Sizes and loads are multiples of the mean task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct HostContribution {
-    /// Whether it is in service.
+    /// Whether the host is in service.
     pub is_up: bool,
-    /// Its rank in the order, before its id; `None` if it cannot be a member.
+    /// Rank of the host; hosts are ordered by rank, then by id. `None` if the host cannot be a member.
     pub rank: Option<i64>,
-    /// Its size.
+    /// Size of the host.
     pub size: f64,
-    /// The load on it.
+    /// Load on the host.
     pub load: f64,
-    /// Further tasks that it has capacity for.
+    /// Number of further tasks that the host has capacity for.
     pub free_capacity: f64,
 }
 
-/// A contribution in units, as it was added to the sums.
+/// A contribution in multiples of [`SUM_RESOLUTION`], as it was added to the sums.
 #[derive(Debug, Clone, Copy, Default)]
 struct CountedContribution {
     rank: Option<i64>,
@@ -62,39 +64,41 @@
     }
 }
 
-/// Position in the order: rank, then id.
+/// Position of a host in the order: its rank, then its id.
 type Position = (i64, HostId, HostIndex);
 
-/// Whether a host joins the members or leaves them.
+/// A change of a host's membership in the working set.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Membership {
     Joins,
     Leaves,
 }
 
-/// The hosts selected to hold all tasks.
+/// The ordered hosts, of which a prefix, the members, is selected to hold all tasks.
 #[derive(Debug, Default)]
 pub(crate) struct WorkingSet {
-    /// The ratio of used to requested resources with which contributions were computed.
+    /// Ratio of used to requested resources with which the caller computed the contributions.
     pub usage_ratio: Resources,
-    /// For each service its preferred members, best first.
+    /// The preferred members of each service, best first.
     pub affinity: BTreeMap<ServiceId, Vec<HostIndex>>,
     counted: Vec<CountedContribution>,
     up: BTreeSet<HostIndex>,
     order: BTreeSet<Position>,
     last_member: Option<Position>,
-    /// Sums over the members.
+    /// Sum of the sizes of the members.
     member_size: Units,
+    /// Sum of the loads of the members.
     member_load: Units,
-    /// Sums over all hosts.
+    /// Sum of the loads of all hosts.
     total_load: Units,
+    /// Sum of the free capacities of all hosts.
     total_free_capacity: Units,
-    /// Hosts have joined the members or left them since the last selection.
+    /// Whether hosts have joined or left the members since the last selection.
     members_changed: bool,
 }
 
 impl WorkingSet {
-    /// An empty set whose contributions will be computed with this ratio of used to requested resources.
+    /// Creates an empty set whose contributions are computed with this ratio of used to requested resources.
     pub fn new(usage_ratio: Resources) -> WorkingSet {
         WorkingSet {
             usage_ratio,
@@ -102,7 +106,8 @@
         }
     }
 
-    /// Replaces a host's contribution. The cut stays where it is.
+    /// Replaces a host's contribution. The position of the last member only changes if the last member itself moves
+    /// in the order or leaves it.
     pub fn update(&mut self, index: HostIndex, host: &HostId, contribution: HostContribution) {
         if self.counted.len() <= index {
             self.counted
@@ -129,15 +134,16 @@
         }
     }
 
-    /// Cuts the order behind the first hosts that hold the load of all, each filled to this fraction: as few as
-    /// suffice, at least one, and all if they do not suffice. Returns whether the members may have changed.
+    /// Selects as members the fewest first hosts of the order that hold the load of all hosts when each is filled to
+    /// the fraction `fill`: at least one, and all if even they do not suffice. Returns whether the members may have
+    /// changed.
     pub fn select(&mut self, fill: f64) -> bool {
         self.drop_needless_members(fill);
         self.add_missing_members(fill);
         std::mem::take(&mut self.members_changed)
     }
 
-    /// The members, in order.
+    /// Returns the members, in order.
     pub fn members(&self) -> impl Iterator<Item = HostIndex> + '_ {
         self.last_member
             .iter()
@@ -145,28 +151,28 @@
             .map(|(_, _, index)| *index)
     }
 
-    /// Whether a host is a member.
+    /// Returns whether a host is a member.
     pub fn contains(&self, index: HostIndex, host: &HostId) -> bool {
         let rank = self.counted.get(index).and_then(|counted| counted.rank);
         rank.is_some_and(|rank| self.is_member(&(rank, host.clone(), index)))
     }
 
-    /// All hosts in service.
+    /// Returns all hosts in service.
     pub fn hosts_up(&self) -> impl Iterator<Item = HostIndex> + '_ {
         self.up.iter().copied()
     }
 
-    /// Size of the members together.
+    /// Returns the total size of the members, in multiples of the mean task.
     pub fn size(&self) -> f64 {
         from_units(self.member_size)
     }
 
-    /// Mean fullness of the members.
+    /// Returns the load of the members as a fraction of their size.
     pub fn mean_fullness(&self) -> f64 {
         from_units(self.member_load) / self.size().max(f64::MIN_POSITIVE)
     }
 
-    /// Mean tasks that all healthy hosts have capacity for, as far as known.
+    /// Returns how many further mean tasks all healthy hosts together have capacity for, as far as known.
     pub fn free_capacity(&self) -> f64 {
         from_units(self.total_free_capacity)
     }
@@ -221,7 +227,7 @@
             .is_some_and(|last| position <= last)
     }
 
-    /// Adds a host to the sums over the members, or takes it from them.
+    /// Adds a host to the sums over the members, or subtracts it from them.
     fn count_member(&mut self, index: HostIndex, membership: Membership) {
         let CountedContribution { size, load, .. } = self.counted[index];
         match membership {
--- a/src/state/working_set/tests.rs
+++ b/src/state/working_set/tests.rs
@@ -1,4 +1,4 @@
-//! The set that is kept up to date, against one that is selected from scratch from the same contributions.
+//! Compares the incrementally updated working set with a selection from scratch from the same contributions.
 
 use super::*;
 use proptest::prelude::*;
@@ -6,14 +6,14 @@
 
 const HOSTS: usize = 24;
 
-/// A selection from scratch.
+/// The members of a selection from scratch, and the sums over them.
 struct Selection {
     members: Vec<HostIndex>,
     size: f64,
     load: f64,
 }
 
-/// A change of one host, and whether members are selected after it.
+/// A new contribution of one host, and whether members are selected afterwards.
 #[derive(Debug, Clone)]
 struct Change {
     host: HostIndex,
@@ -26,7 +26,7 @@
     HostId(Arc::from(format!("m{index:03}")))
 }
 
-/// Selects members by sorting all hosts.
+/// Selects the members by sorting all hosts; the reference for the incremental selection.
 fn select_from_scratch(contributions: &[Option<HostContribution>], fill: f64) -> Selection {
     let known = contributions.iter().flatten();
     let total_load = from_units(known.map(|contribution| to_units(contribution.load)).sum());
@@ -90,10 +90,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// Whatever contributions come in whatever order, and whatever suffices meanwhile: members, sums and the report of
-    /// changes are those of a selection from scratch.
+    /// After any sequence of contributions and fill fractions, the members and sums equal those of a selection from
+    /// scratch, and every change of the members is reported.
     #[test]
-    fn kept_set_equals_the_set_selected_from_scratch(changes in prop::collection::vec(change(), 1..120)) {
+    fn updated_set_equals_the_set_selected_from_scratch(changes in prop::collection::vec(change(), 1..120)) {
         let mut set = WorkingSet::default();
         let mut contributions: Vec<Option<HostContribution>> = vec![None; HOSTS];
         let mut members_before: Vec<HostIndex> = Vec::new();
@@ -120,7 +120,7 @@
             let expected: Vec<bool> = (0..HOSTS).map(|index| members.contains(&index)).collect();
             prop_assert_eq!(contained, expected);
             let same_members = sorted(members_before) == sorted(members.clone());
-            prop_assert!(changed || same_members, "members changed and it was not reported");
+            prop_assert!(changed || same_members, "the members changed but no change was reported");
             members_before = members;
         }
     }
@@ -142,10 +142,10 @@
 }
 
 #[test]
-fn no_host_gives_no_member() {
+fn set_without_hosts_has_no_members() {
     let mut set = WorkingSet::default();
 
-    assert!(!set.select(1.0), "no host, no member");
+    assert!(!set.select(1.0), "an empty set reported changed members");
 }
 
 #[test]
@@ -165,7 +165,10 @@
     assert!(set.select(0.0));
 
     assert_eq!(set.members().count(), 5);
-    assert!(!set.select(0.0), "nothing has changed");
+    assert!(
+        !set.select(0.0),
+        "a repeated selection reported changed members"
+    );
 }
 
 #[test]
