--- a/src/facade/messages.rs
+++ b/src/facade/messages.rs
@@ -76,8 +76,7 @@
         /// Maximum time that the host may take to answer.
         timeout: Micros,
     },
-    /// Send the client the final response that its request is rejected. The task did not run, so the client may
-    /// retry.
+    /// Send the client the final response that its request is rejected. A retry by the client does no harm.
     Reject {
         /// The request.
         ticket: Ticket,
--- a/src/state/health_book.rs
+++ b/src/state/health_book.rs
@@ -22,8 +22,8 @@
     pub failures: u32,
     /// The host is ejected for this scope at least until this time.
     pub ejected_until: Micros,
-    /// Whether the ejection continues after `ejected_until` until a health check succeeds. Ejected hosts are
-    /// sent health checks from `ejected_until` on.
+    /// Whether the ejection continues after `ejected_until` until a health check succeeds. Ejected hosts are sent health
+    /// checks from `ejected_until` on.
     pub awaits_health_check: bool,
 }
 
--- a/src/state/tasks.rs
+++ b/src/state/tasks.rs
@@ -78,9 +78,9 @@
     pub waiting: BTreeSet<(Micros, RequestId)>,
     /// Number of this placer's tasks of a service that run or are in flight at a host.
     reservations: BTreeMap<(ServiceId, HostIndex), usize>,
-    /// Sum of the resources that tasks with a usage report request.
+    /// Sum of the requested resources of all tasks with a usage report.
     pub measured_request: Resources,
-    /// Sum of the resources that tasks with a usage report use, as last reported.
+    /// Sum of the used resources of all tasks with a usage report, as last reported.
     pub measured_use: Resources,
 }
 
--- a/src/state/timers.rs
+++ b/src/state/timers.rs
@@ -12,9 +12,9 @@
     Deadline(RequestId),
 }
 
-/// A timer that has fired, or that fires later.
+/// A requested timer.
 #[derive(Debug, Clone)]
-pub(crate) struct FiredTimer {
+pub(crate) struct Timer {
     /// Time at which the timer is due.
     pub due: Micros,
     pub purpose: TimerPurpose,
@@ -23,7 +23,7 @@
 /// All requested timers that have not fired.
 #[derive(Debug, Default)]
 pub(crate) struct Timers {
-    pending: BTreeMap<TimerToken, FiredTimer>,
+    pending: BTreeMap<TimerToken, Timer>,
     next_token: u64,
 }
 
@@ -39,12 +39,12 @@
         let token = TimerToken(self.next_token);
         self.next_token += 1;
         let due = now + after;
-        self.pending.insert(token, FiredTimer { due, purpose });
+        self.pending.insert(token, Timer { due, purpose });
         actions.push(Action::SetTimer { token, after });
     }
 
     /// Removes and returns the timer that has fired; `None` if no pending timer has this token.
-    pub fn take(&mut self, token: TimerToken) -> Option<FiredTimer> {
+    pub fn take(&mut self, token: TimerToken) -> Option<Timer> {
         self.pending.remove(&token)
     }
 }
--- a/tests/large_lists.rs
+++ b/tests/large_lists.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists of thousands of hosts, and floods of events: what matters in them takes effect at once.
+//! Endpoint lists of thousands of hosts and bursts of thousands of updates are applied completely and without delay.
 
 use emulator::{
     Feed, Host, HostConnection, Program, QUIET_PERIOD, TEST_TIMEOUT, UpdateKind, endpoint_event,
@@ -10,13 +10,13 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// Maximum number of hosts of a fleet.
-const FLEET: usize = 16_384;
-/// A complete list of so many is longer than a mebibyte.
-const LARGE: usize = 7_300;
+/// Maximum number of hosts in a fleet.
+const MAX_FLEET: usize = 16_384;
+/// Number of hosts whose complete list takes more than a mebibyte in one line.
+const LARGE_FLEET: usize = 7_300;
 
-/// The entry of a full host: it is listed, and gets no offers.
-fn full(n: usize, state: &str, free_cores: i32) -> OwnedValue {
+/// Returns the list entry of a full host, which gets no attempts.
+fn full_host(n: usize, state: &str, free_cores: i32) -> OwnedValue {
     json!({
         "host": format!("worker-{n:06}"), "dial": format!("127.1.{}.{}:9", n / 250, 1 + n % 250),
         "site": "south", "class": "plain", "block": n / 8, "health": state, "share": 1, "born_ms": 0,
@@ -24,7 +24,7 @@
     })
 }
 
-/// Returns how many hosts the program reports as known.
+/// Returns the number of hosts that the program reports as known on its admin socket; `None` if it cannot be read.
 fn hosts_known(admin: &str) -> Option<u64> {
     let mut stream = TcpStream::connect(admin).ok()?;
     stream.set_read_timeout(Some(TEST_TIMEOUT)).ok()?;
@@ -43,14 +43,17 @@
     None
 }
 
-/// Starts a program with an admin socket, a feed and one host that accepts tasks.
+/// Starts a program with an admin socket, a feed and one host, and places a task on the host. Returns them with the
+/// connection to the host and the admin address.
 fn start() -> (Program, Feed, Host, HostConnection, String) {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
     let admin = emulator::free_address().to_string();
-    config.insert("admin", admin.as_str()).expect("an object");
-    // Hosts are connected only for offers.
+    config
+        .insert("admin", admin.as_str())
+        .expect("the configuration is not an object");
+    // With a price for handshakes, the placer connects to a host only to send it an attempt.
     config["settings"]["prices"] = json!({ "fleet": 0.15, "moves": 0.07, "handshake": 0.01 });
     config["limits"]["sockets"] = json!(256);
     let program = Program::start(&config);
@@ -62,6 +65,7 @@
     (program, feed, host, connection, admin)
 }
 
+/// Places a task on a host that is not connected yet. Returns the connection to the host.
 fn place(program: &Program, host: &Host, id: u64) -> HostConnection {
     let mut client = program.client();
     client.request_task(
@@ -80,46 +84,48 @@
     connection
 }
 
-/// Regression: with a list longer than a mebibyte the placer resubscribed again and again, and knew no hosts.
+/// Regression: if the line of a complete list was longer than a mebibyte, the placer resubscribed again and again and
+/// knew no hosts.
 #[test]
 fn complete_list_of_thousands_of_hosts_in_one_line_is_applied() {
-    for count in [LARGE, FLEET] {
+    for count in [LARGE_FLEET, MAX_FLEET] {
         let (program, mut feed, host, _conn, admin) = start();
-        let mut hosts: Vec<OwnedValue> = (0..count - 1).map(|n| full(n, "up", -40)).collect();
+        let mut hosts: Vec<OwnedValue> = (0..count - 1).map(|n| full_host(n, "up", -40)).collect();
         hosts.push(host.entry("up", 0));
         let line = endpoint_event(2, UpdateKind::Complete, hosts);
         assert!(
             line.encode().len() > 1_048_576,
-            "the case needs a long line"
+            "the line is not longer than a mebibyte"
         );
         feed.send(&line);
-        wait_for("all are known", || {
+        wait_for("all hosts are known", || {
             assert!(!program.log().contains("too-long"), "{}", program.log());
             (hosts_known(&admin) == Some(count as u64)).then_some(())
         });
     }
 }
 
-/// A number of entries in one line, and as many lines of one entry, have the same effect.
+/// Updates of many entries in one line and of one entry in each of many lines are both applied, and leave other hosts
+/// unchanged.
 #[test]
 fn one_line_of_a_thousand_entries_equals_a_thousand_lines_of_one() {
     let (program, mut feed, _host, mut connection, admin) = start();
     feed.send(&endpoint_event(
         2,
         UpdateKind::Delta,
-        (0..1_000).map(|n| full(n, "up", -40)).collect(),
+        (0..1_000).map(|n| full_host(n, "up", -40)).collect(),
     ));
-    wait_for("all are known", || {
+    wait_for("all hosts are known", || {
         (hosts_known(&admin) == Some(1_001)).then_some(())
     });
     for n in 0..1_000 {
         feed.send(&endpoint_event(
             3 + n as u64,
             UpdateKind::Delta,
-            vec![full(n, "removed", -40)],
+            vec![full_host(n, "removed", -40)],
         ));
     }
-    wait_for("all are gone", || {
+    wait_for("all full hosts are removed", || {
         (hosts_known(&admin) == Some(1)).then_some(())
     });
     let mut client = program.client();
@@ -135,14 +141,14 @@
     assert_eq!(
         connection.expect_offer(),
         hex(7),
-        "the host that was not named is as it was"
+        "the host that no update named did not get the task"
     );
 }
 
-/// A drain among thousands of other events, a complete list among them, takes effect at once: all events that arrived
-/// before the program next runs are read before a later task is placed.
+/// A drain among thousands of other updates, one of them a complete list, takes effect at once: the program reads all
+/// updates that have arrived before it places a later task.
 #[test]
-fn drain_within_a_flood_of_events_is_applied_in_time() {
+fn drain_within_a_burst_of_updates_is_applied_in_time() {
     let (program, mut feed, first, mut connection, _admin) = start();
     let second = Host::new("h1", "south");
     let mut number = 1;
@@ -151,16 +157,16 @@
         feed.send(&endpoint_event(number, kind, hosts));
     };
     for n in 0..1_500 {
-        send_update(&mut feed, UpdateKind::Delta, vec![full(n, "up", -40)]);
+        send_update(&mut feed, UpdateKind::Delta, vec![full_host(n, "up", -40)]);
     }
-    let mut all: Vec<OwnedValue> = (0..1_500).map(|n| full(n, "up", -40)).collect();
+    let mut all: Vec<OwnedValue> = (0..1_500).map(|n| full_host(n, "up", -40)).collect();
     all.push(second.entry("up", 0));
     all.push(first.entry("draining", 0));
     send_update(&mut feed, UpdateKind::Complete, all);
     for n in 0..1_500 {
-        send_update(&mut feed, UpdateKind::Delta, vec![full(n, "up", -41)]);
+        send_update(&mut feed, UpdateKind::Delta, vec![full_host(n, "up", -41)]);
     }
-    // The grace of a drain is 2 s in these settings; this is far less, and far more than the flood takes.
+    // Long enough for the program to apply the burst, and shorter than the drain grace of 2 s in these settings.
     std::thread::sleep(Duration::from_millis(1_500));
     let mut client = program.client();
     for id in 100..108 {
@@ -174,18 +180,18 @@
             },
         );
     }
-    let mut there = second.accept();
+    let mut second_connection = second.accept();
     for id in 100..108 {
         assert_eq!(
-            there.expect_offer(),
+            second_connection.expect_offer(),
             hex(id),
-            "offers go to the host that is up, in order"
+            "the host that is up did not get the tasks in order"
         );
     }
     assert!(
         connection
             .read_within(QUIET_PERIOD)
-            .is_none_or(|m| m.get_str("t") != Some("new")),
-        "nothing goes to the other"
+            .is_none_or(|message| message.get_str("t") != Some("new")),
+        "the draining host got a task"
     );
 }
--- a/tests/wire.rs
+++ b/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The real binary on transcripts of our own.
+//! Runs the simulator-adapter binary on made-up input and checks its replies and errors.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -31,139 +31,153 @@
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
-        .expect("the binary starts");
-    // A run that ends on bad input may close its end first; its output tells.
+        .expect("simulator-adapter does not start");
+    // A write error is ignored: the adapter may exit on malformed input before it has read all of it.
     let _ = child
         .stdin
         .take()
-        .expect("piped")
+        .expect("standard input is not piped")
         .write_all(input.as_bytes());
-    child.wait_with_output().expect("the binary ends")
+    child
+        .wait_with_output()
+        .expect("cannot read the output of simulator-adapter")
 }
 
-fn good(input: &str) -> String {
+/// Returns the standard output of a run that must succeed.
+fn replies_to(input: &str) -> String {
     let out = run(input);
     assert!(
         out.status.success(),
         "{}",
         String::from_utf8_lossy(&out.stderr)
     );
-    String::from_utf8(out.stdout).expect("text")
+    String::from_utf8(out.stdout).expect("standard output is not UTF-8")
 }
 
-/// The error line of a run that must fail; its standard output must hold whole replies only.
-fn bad(input: &str) -> String {
+/// Returns the error line of a run that must fail. Its standard output must hold complete replies only.
+fn error_for(input: &str) -> String {
     let out = run(input);
-    assert!(!out.status.success(), "accepted: {input}");
-    let stdout = String::from_utf8(out.stdout).expect("text");
+    assert!(
+        !out.status.success(),
+        "malformed input was accepted: {input}"
+    );
+    let stdout = String::from_utf8(out.stdout).expect("standard output is not UTF-8");
     assert!(
         stdout.is_empty() || stdout.ends_with("YIELD\n"),
-        "half a reply: {stdout}"
+        "incomplete reply: {stdout}"
     );
-    let stderr = String::from_utf8(out.stderr).expect("text");
+    let stderr = String::from_utf8(out.stderr).expect("standard error is not UTF-8");
     assert_eq!(stderr.lines().count(), 1, "{stderr}");
     stderr
 }
 
-fn started() -> String {
+/// A batch that starts instance 0 and gives it an endpoint list.
+fn start_batch() -> String {
     format!("BATCH\t1000.0\nINSTANCE\t0\n{BOOT}\n{LIST}\nEOB\n")
 }
 
 #[test]
 fn empty_batch_gets_an_empty_reply_and_end_of_input_is_clean() {
-    assert_eq!(good("BATCH\t8412.25\nEOB\n"), "YIELD\n");
-    assert_eq!(good(""), "");
+    assert_eq!(replies_to("BATCH\t8412.25\nEOB\n"), "YIELD\n");
+    assert_eq!(replies_to(""), "");
 }
 
 #[test]
-fn task_is_sent_started_reported_and_ended() {
-    let first = good(&format!(
+fn task_events_are_accepted_from_request_to_end() {
+    let first = replies_to(&format!(
         "{}BATCH\t1002.0\nINSTANCE\t0\n{TASK}\nEOB\n",
-        started()
+        start_batch()
     ));
     assert!(first.contains("TRACK\t1\n"), "{first}");
     let sent = first
         .lines()
-        .find(|l| l.starts_with("PROPOSE\tc:one\thost."))
-        .expect("an offer");
-    let host = sent.split('\t').nth(2).expect("a host");
+        .find(|line| line.starts_with("PROPOSE\tc:one\thost."))
+        .expect("no attempt was sent");
+    let host = sent.split('\t').nth(2).expect("the attempt names no host");
     let more = format!(
         "{}BATCH\t1002.0\nINSTANCE\t0\n{TASK}\nEOB\nBATCH\t1004.0\nINSTANCE\t0\nCONFIRMED\tc:one\t0\t{host}\t2.0\n\
          INTERIM\tc:one\t0\t{host}\t2\t0.5\nINTERIM\tc:one\t0\t{host}\t9\t0.5\nPEER_DATA\t1\taGkgNw==\n\
          STATUS_BACK\t100\t3.0\t{host}\t20.5,60\nSTATUS_BACK\t303\t3.0\t{host}\t-\n\
          RESULT\tc:one\t100\t1\t-\t0\t18.5\t{host}\t-\nABANDONED\tc:one\nTIMER\t77\nEOB\n",
-        started()
+        start_batch()
     );
-    let all = good(&more);
+    let all = replies_to(&more);
     assert_eq!(all.matches("YIELD\n").count(), 3);
     assert_eq!(all.matches("PROPOSE").count(), 1);
 }
 
 #[test]
-fn every_outcome_is_understood() {
+fn each_outcome_is_parsed_and_only_completion_prevents_a_retry() {
     for how in ["100", "301", "302", "303", "304", "305", "306", "307"] {
-        let first = good(&format!(
+        let first = replies_to(&format!(
             "{}BATCH\t1002.0\nINSTANCE\t0\n{TASK}\nEOB\n",
-            started()
+            start_batch()
         ));
         let sent = first
             .lines()
-            .find(|l| l.starts_with("PROPOSE"))
-            .expect("an offer");
-        let host = sent.split('\t').nth(2).expect("a host");
+            .find(|line| line.starts_with("PROPOSE"))
+            .expect("no attempt was sent");
+        let host = sent.split('\t').nth(2).expect("the attempt names no host");
         let done = u8::from(how == "100");
-        let all = good(&format!(
+        let all = replies_to(&format!(
             "{}BATCH\t1002.0\nINSTANCE\t0\n{TASK}\nEOB\nBATCH\t1100.0\nINSTANCE\t0\n\
              RESULT\tc:one\t{how}\t{done}\t1\t0\t98.0\t{host}\t1,2\nEOB\n",
-            started()
+            start_batch()
         ));
-        let offers = all.matches("PROPOSE").count();
-        assert_eq!(offers, if how == "100" { 1 } else { 2 }, "{how}: {all}");
+        let attempts = all.matches("PROPOSE").count();
+        assert_eq!(attempts, if how == "100" { 1 } else { 2 }, "{how}: {all}");
     }
 }
 
 #[test]
-fn instances_share_nothing_and_one_process_acts_as_several() {
-    let of = |n: u32| {
+fn instances_in_one_process_are_independent() {
+    let lines_for = |n: u32| {
         format!("INSTANCE\t{n}\n{BOOT}\n{LIST}\n")
             + &TASK.replace("c:one", &format!("c:t{n}"))
             + "\n"
     };
-    let joint = good(&format!("BATCH\t1000.0\n{}{}EOB\n", of(0), of(1)));
+    let joint = replies_to(&format!(
+        "BATCH\t1000.0\n{}{}EOB\n",
+        lines_for(0),
+        lines_for(1)
+    ));
     let alone: Vec<String> = (0..2)
-        .map(|n| good(&format!("BATCH\t1000.0\n{}EOB\n", of(n))))
+        .map(|n| replies_to(&format!("BATCH\t1000.0\n{}EOB\n", lines_for(n))))
         .collect();
-    let strip = |s: &str| s.replace("YIELD\n", "");
-    assert_eq!(strip(&joint), strip(&alone[0]) + &strip(&alone[1]));
+    let without_yield = |reply: &str| reply.replace("YIELD\n", "");
+    assert_eq!(
+        without_yield(&joint),
+        without_yield(&alone[0]) + &without_yield(&alone[1])
+    );
 }
 
 #[test]
-fn reused_list_number_means_the_newer_list() {
+fn reused_list_number_refers_to_the_latest_list() {
     let input = format!(
         "BATCH\t1000.0\nINSTANCE\t0\n{BOOT}\n{LIST}\nCATALOG\t0\t1\nM\t33\tnorth\tup\t1\tplain\t-\t0\t80\thost.z\n\
          BACKENDS_CHANGED\ttotal\t5\t0\n{TASK}\nEOB\n"
     );
-    assert!(good(&input).contains("PROPOSE\tc:one\thost.z"));
+    assert!(replies_to(&input).contains("PROPOSE\tc:one\thost.z"));
 }
 
 #[test]
 fn running_task_and_stop_are_accepted() {
     let standing = "STANDING\tc:old\tonce\tours\t91f03b7c55d20a64\t240.0\t12.0\t2b8e6401d9f37c10\t2\t1.5\t0\t0\thost.a";
-    let all = good(&format!(
+    let all = replies_to(&format!(
         "{}BATCH\t1002.0\nINSTANCE\t0\n{standing}\nSTOP\nEOB\n",
-        started()
+        start_batch()
     ));
     assert_eq!(all.matches("YIELD").count(), 2);
     let after = format!(
         "{}BATCH\t1002.0\nINSTANCE\t0\nSTOP\nTIMER\t1\nEOB\n",
-        started()
+        start_batch()
     );
-    assert!(bad(&after).contains("placer"));
+    assert!(error_for(&after).contains("placer"));
 }
 
 #[test]
-fn bad_input_names_the_line_and_the_field() {
-    let start = started();
+fn error_for_malformed_input_names_the_line_and_the_field() {
+    let start = start_batch();
     let at = start.lines().count() + 3;
     let cases = [
         (TASK.replace("6000.0", "soon"), "budget"),
@@ -190,29 +204,34 @@
         ("BATCH\t4.0".to_string(), "BATCH"),
     ];
     for (line, field) in cases {
-        let error = bad(&format!("{start}BATCH\t1002.0\nINSTANCE\t0\n{line}\nEOB\n"));
+        let error = error_for(&format!("{start}BATCH\t1002.0\nINSTANCE\t0\n{line}\nEOB\n"));
         assert!(error.contains(&format!("line {at}:")), "{line}: {error}");
         assert!(
             error.contains(&format!("field {field}:")),
             "{line}: {error}"
         );
     }
-    assert!(bad(&format!("{start}BATCH\t1002.0\nINSTANCE\t6\n{TASK}\nEOB\n")).contains("placer"));
-    assert!(bad(&format!("{start}BATCH\t1002.0\n{TASK}\nEOB\n")).contains("placer"));
-    assert!(bad("TIMER\t1\n").contains("line 1"));
-    assert!(bad("BATCH\tnan\nEOB\n").contains("clock"));
-    assert!(bad("BATCH\t1.0\nCATALOG\t0\t2\nM\t33\n").contains("EOB"));
-    assert!(bad("BATCH\t1.0\nCATALOG\t0\t2\nEOB\n").contains("elements"));
-    assert!(bad(&format!("{start}BATCH\t1002.0\n")).contains("EOB"));
+    assert!(
+        error_for(&format!("{start}BATCH\t1002.0\nINSTANCE\t6\n{TASK}\nEOB\n")).contains("placer")
+    );
+    assert!(error_for(&format!("{start}BATCH\t1002.0\n{TASK}\nEOB\n")).contains("placer"));
+    assert!(error_for("TIMER\t1\n").contains("line 1"));
+    assert!(error_for("BATCH\tnan\nEOB\n").contains("clock"));
+    assert!(error_for("BATCH\t1.0\nCATALOG\t0\t2\nM\t33\n").contains("EOB"));
+    assert!(error_for("BATCH\t1.0\nCATALOG\t0\t2\nEOB\n").contains("elements"));
+    assert!(error_for(&format!("{start}BATCH\t1002.0\n")).contains("EOB"));
 }
 
 #[test]
-fn unknown_settings_are_skipped_and_missing_ones_named() {
-    let without = started().replace("\tcaps.send_cap=3", "");
-    assert!(bad(&without).contains("caps.send_cap"));
-    assert!(bad(&started().replace("rules.cold=14000.0", "rules.cold=x")).contains("rules.cold"));
+fn unknown_settings_are_ignored_and_missing_or_bad_ones_are_reported() {
+    let without = start_batch().replace("\tcaps.send_cap=3", "");
+    assert!(error_for(&without).contains("caps.send_cap"));
+    assert!(
+        error_for(&start_batch().replace("rules.cold=14000.0", "rules.cold=x"))
+            .contains("rules.cold")
+    );
     assert!(
-        bad(&started().replace("services.0.semantics=safe", "services.0.semantics=odd"))
+        error_for(&start_batch().replace("services.0.semantics=safe", "services.0.semantics=odd"))
             .contains("semantics")
     );
 }
