--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -93,7 +93,7 @@
 ///
 /// # Errors
 ///
-/// Returns the words of the table if the word is not among them.
+/// Returns an error that lists the words of the table if the word is not among them.
 pub(super) fn look_up<T: Copy>(
     path: &str,
     word: &str,
--- a/src/state/subscription.rs
+++ b/src/state/subscription.rs
@@ -7,7 +7,7 @@
 pub(crate) struct Subscription {
     /// Whether the subscription is confirmed, so that updates arrive.
     pub active: bool,
-    /// Time at which the subscription was last requested or lost; `None` before the first request.
+    /// Time at which the subscription was last requested or lost; `None` before the first request or failure.
     pub last_request: Option<Micros>,
     /// Number of consecutive failures.
     pub failures: u32,
--- a/tests/scale.rs
+++ b/tests/scale.rs
@@ -291,7 +291,8 @@
     );
 }
 
-/// Requests that a placer handles together after a stall get at most one attempt each and exactly one final response.
+/// Requests that a placer handles together after a stall get at most one attempt each and exactly one final response;
+/// those that wait for an attempt are tried earliest deadline first.
 #[test]
 fn backlog_after_a_stall_gets_one_response_for_each_request() {
     let mut placer = TestPlacer::with(settings(50), 4);
