--- a/tests/decision_module.rs
+++ b/tests/decision_module.rs
@@ -19,12 +19,7 @@
         .expect("`policy` is not a list");
     files
         .iter()
-        .map(|file| {
-            file.get_ref()
-                .as_str()
-                .expect("entry is not a path")
-                .to_string()
-        })
+        .map(|file| file.get_ref().as_str().expect("not a path").to_string())
         .collect()
 }
 
