--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -1,8 +1,8 @@
-//! Owns the requests and the state of each of them, and connects the sockets and timers with the decision module. It
-//! never waits, and never decides where a task is placed.
+//! Tracks every request and its state, and connects the sockets and timers with the decision module. Dispatch never
+//! blocks, and never decides where a task is placed.
 //!
-//! Whatever happens on a socket or fires on the wheel arrives here, is reported to the facade, and comes back as
-//! decisions. This is the only place that sends final responses, and of its modules only `responses` does.
+//! Socket events and expired timers arrive here and are reported to the facade, which returns decisions for dispatch to
+//! apply. Only dispatch sends final responses to clients, and within it only the module `responses` does.
 //!
 //! ```text
 //!    client_messages ──────┐                               apply_decisions
@@ -14,10 +14,10 @@
 //!                                       facade::Facade                                  peers
 //! ```
 //!
-//! `request` and `timer_event` hold the data; `requests` owns the table and draws the states; `request_index` lists
-//! requests by host. `shutdown`, `admin_commands`, `health_inputs` and `overload_report` are what the platform and
-//! operators see of the process. The connection modules (`clients`, `hosts`, `feed`) know nothing of dispatch: it
-//! implements their event traits.
+//! `request` and `timer_event` define the data types. `requests` maintains the table of requests and has a diagram of
+//! their states; `request_index` finds requests by host. `shutdown`, `admin_commands`, `health_inputs` and
+//! `overload_report` implement what the platform and operators control and observe. The connection modules (`clients`,
+//! `hosts`, `feed`) do not depend on dispatch, which implements their event traits.
 
 mod admin_commands;
 mod attempts;
@@ -72,27 +72,28 @@
 use tracing::info;
 
 const MILLISECOND: Micros = 1_000;
-/// Admin connections at a time. Bounds their descriptors, which are set apart from the clients' and the hosts'; one that
-/// has sent part of a line is evicted for the next.
+/// The maximum number of concurrent admin connections. It bounds their descriptors, which are reserved separately from
+/// those of clients and hosts. At the limit, a connection that has sent only part of a line is evicted for the next
+/// one.
 pub const MAX_ADMIN_CONNECTIONS: usize = 8;
-/// Descriptors of health check connections that are closing while others take their places.
+/// Descriptors reserved for health check connections that are still closing while new ones replace them.
 const CLOSING_HEALTH_CONNECTIONS: usize = 4;
-/// Descriptors of the control socket: its listener, its connections, and one that is closing.
+/// Descriptors reserved for the control socket: its listener, its connections, and one connection that is closing.
 const CTL_DESCRIPTORS: usize = 6;
-/// Write queues may fill one part in this many of the memory.
+/// Write queues may use at most the memory limit divided by this.
 const QUEUE_MEMORY_DIVISOR: usize = 6;
 
-/// The dispatch, as its tasks share it.
+/// The dispatch, shared by all tasks of the executor.
 pub type SharedDispatch = Rc<RefCell<Dispatch>>;
 
-/// Spawns tasks that share the dispatch.
+/// Spawns asynchronous tasks that share the dispatch.
 pub struct TaskSpawner {
     shared: Weak<RefCell<Dispatch>>,
     executor: Rc<LocalExecutor<'static>>,
 }
 
 impl TaskSpawner {
-    /// Creates a spawner of tasks on this executor.
+    /// Creates a spawner that runs tasks on `executor`.
     pub fn new(
         shared: Weak<RefCell<Dispatch>>,
         executor: Rc<LocalExecutor<'static>>,
@@ -100,23 +101,23 @@
         TaskSpawner { shared, executor }
     }
 
-    /// Spawns a task, which runs until it ends by itself.
+    /// Spawns a detached task, which runs until it completes.
     pub fn spawn(&self, task: impl Future<Output = ()> + 'static) {
         self.executor.spawn(task).detach();
     }
 }
 
-/// All requests, and the peers that they concern.
+/// The state of the network side: all requests, the connections to clients and hosts, and the lifecycle of the process.
 pub struct Dispatch {
     pub(super) clock: Clock,
     pub(super) task_spawner: TaskSpawner,
     pub(super) clients: Clients,
-    /// The placer's name, for the log.
+    /// The placer's name, used in the log.
     name: String,
     facade: Facade,
     timer_wheel: TimerWheel<TimerEvent>,
     hosts: BTreeMap<HostId, HostLink>,
-    /// Hosts that have not taken what is queued for them, while attempts wait behind it.
+    /// Hosts with pending attempts that wait because the connection's write queue is not empty.
     backlogged_hosts: BTreeSet<HostId>,
     /// The number of hosts that have not been removed.
     active_hosts: usize,
@@ -128,42 +129,44 @@
     ended_tasks: BTreeMap<TaskId, EndedTask>,
     next_ticket: u64,
     connect_timeout: Micros,
-    /// Hosts are connected to before anything is needed of them: where connections have no price.
+    /// Whether hosts are connected to before a connection is needed, which is so if the settings put no price on
+    /// connections.
     preconnects: bool,
-    /// The feed messages that the configuration holds, until [`Dispatch::start`] takes them.
+    /// The feed messages stored in the configuration, until [`Dispatch::start`] consumes them.
     cached_updates: Vec<FeedMessage>,
     is_discovery_up: bool,
-    /// When the shutdown began.
+    /// When the shutdown began, if it has begun.
     shutdown_since: Option<Micros>,
-    /// The health engine, where an operator's file asks for it.
+    /// The health engine, if the operator's file enables it.
     pub(super) health_reporter: Option<HealthReporter>,
-    /// The connections of load balancers.
+    /// Limits the connections from load balancers.
     pub(super) balancer_connections: Rc<ConnectionLimiter>,
-    /// The connections of operators and of the platform.
+    /// Limit the connections from operators and from the platform.
     pub(super) operator_connections: Vec<Rc<ConnectionLimiter>>,
-    /// A drain is over, and the process may exit.
+    /// Whether a drain is complete, so that the process may exit.
     is_drained: bool,
-    /// Whether this process takes requests, by the platform's commands.
+    /// Whether this process accepts requests, according to the platform's commands.
     lifecycle: Lifecycle,
-    /// What this process has done, by class.
+    /// Counts requests and attempts by class.
     pub(super) counters: RequestCounters,
-    /// The connections to hosts that came up, by reason.
+    /// Counts the established connections to hosts by reason.
     connect_counters: ConnectCounters,
-    /// The limits of the placer, which its processes share.
+    /// The limits of the placer, shared by all its processes.
     limits: Limits,
     process_group: ProcessGroup,
-    /// The listening socket is the platform's, and other processes of this placer accept from it.
+    /// Whether the listening socket was inherited from the platform, so that other processes of this placer accept from
+    /// it too.
     pub(super) shares_listener: bool,
-    /// A load balancers' drain, or maintenance, requires connections without a task to be closed.
+    /// Whether a drain for load balancers, or maintenance, requires connections without a task to be closed.
     closes_idle_clients: bool,
-    /// Clients can connect.
+    /// Whether clients can connect.
     pub(super) is_listening: bool,
     overload_log: OverloadLog,
     loop_lag: LoopLag,
 }
 
 impl Dispatch {
-    /// Creates a dispatch; [`Dispatch::start`] takes in the cached endpoint list.
+    /// Creates a dispatch without hosts; [`Dispatch::start`] applies the cached endpoint list.
     pub fn new(config: Config, operator: &Operator, task_spawner: TaskSpawner) -> Dispatch {
         let clock = Clock::default();
         let now = clock.now();
@@ -184,7 +187,7 @@
                 config.names,
                 config.seed,
                 operator.overload.clone(),
-                // The clock is the wall clock already.
+                // The clock already returns Unix time, so its offset from Unix time is 0.
                 0,
             ),
             timer_wheel: TimerWheel::new(now),
@@ -217,7 +220,7 @@
         }
     }
 
-    /// Starts the sweep, and takes in the endpoint list that the configuration holds.
+    /// Starts the periodic sweep, and applies the endpoint list that is stored in the configuration.
     pub fn start(&mut self) {
         let now = self.clock.now();
         self.timer_wheel
@@ -248,7 +251,7 @@
         );
     }
 
-    /// Applies the limits of the placer, of which this process has a share beside the other processes.
+    /// Applies the limits of the placer, of which this process and each live peer process use an equal share.
     pub fn apply_limits(&mut self, limits: Limits) {
         self.limits = limits;
         let processes = 1 + self.process_group.live_peers() as usize;
@@ -259,7 +262,7 @@
     }
 }
 
-/// Returns how many descriptors are set apart for load balancers, operators and the platform.
+/// Returns how many descriptors are reserved for load balancers, operators and the platform.
 fn reserved_descriptors(config: &Config, operator: &Operator) -> usize {
     let health = &operator.health;
     let health_listeners = health.agent_addresses.len() + health.http_addresses.len();
@@ -281,7 +284,8 @@
     health_listeners + health_connections + admin + ctl
 }
 
-/// Returns how long an attempt counts against the slow-start budget. It is counted by clocks that differ, hence twice.
+/// Returns how long an attempt counts against the slow-start budget: twice the nominal time, because the placers that
+/// count it have different clocks.
 fn slow_start_accounting_window(settings: &Settings) -> Micros {
     2 * settings.collapse_window.max(settings.connect_timeout)
 }
--- a/src/net/dispatch/admin_commands.rs
+++ b/src/net/dispatch/admin_commands.rs
@@ -1,5 +1,5 @@
-//! Owns what operators and the platform want of this process: whether it serves, its counters, their commands, and the
-//! share of the limits that it has beside other processes of the placer. It never ends the process: `shutdown` does.
+//! Handles the commands of operators and the platform, reports whether this process serves and its counters, and shares
+//! the placer's limits with the placer's other processes. This module never ends the process: `shutdown` does.
 
 use super::Dispatch;
 use super::request::Request;
@@ -16,7 +16,7 @@
 use tracing::info;
 
 impl Dispatch {
-    /// Whether this process takes requests: the result of every health check.
+    /// Whether this process accepts requests, which is the result of its health checks.
     pub fn serves(&self) -> bool {
         self.is_listening
             && !self.is_shutting_down()
@@ -32,18 +32,19 @@
         self.shutdown_since.is_some()
     }
 
-    /// Whether the health checks of clients pass: the placer serves, if not this process.
+    /// Whether the health checks of clients pass: either this process serves, or another process of the placer does
+    /// while this one shuts down.
     pub fn placer_serves(&self) -> bool {
         self.lifecycle.is_shutting_down() || self.serves()
     }
 
-    /// Closes connections without a task for as long as a drain, maintenance or the lifecycle requires it.
+    /// Updates whether connections without a task are closed, as required by a drain, maintenance or the lifecycle.
     pub(super) fn apply_close_idle(&mut self) {
         let closes_idle = self.closes_idle_clients || self.lifecycle.closes_idle_connections();
         self.clients.set_close_idle(closes_idle);
     }
 
-    /// Handles an event that concerns whether this process takes requests.
+    /// Handles an event that affects whether this process accepts requests.
     pub fn handle_lifecycle_event(&mut self, now: Micros, event: Event) {
         let before = self.lifecycle.phase();
         match self.lifecycle.handle(now, event) {
@@ -68,7 +69,7 @@
 
     // ---- Other processes of the placer ----
 
-    /// Records that another process of this placer runs: they count as one placer, and share its limits.
+    /// Records that another process of this placer has started. Together they count as one placer and share its limits.
     pub fn peer_joined(&mut self, age: PeerAge) {
         let now = self.clock.now();
         let share = self.process_group.peer_joined(age);
@@ -85,7 +86,7 @@
 
     fn apply_shared_limits(&mut self) {
         let others = self.process_group.live_peers();
-        info!(others, "processes of this placer");
+        info!(others, "number of peer processes changed");
         self.apply_limits(self.limits);
     }
 
@@ -110,7 +111,7 @@
                 };
                 return admin::encode_reply(result);
             }
-            // Nothing takes back what the decision module has been notified of.
+            // The decision module has been notified of the shutdown, which cannot be revoked.
             AdminCommand::DrainOn | AdminCommand::DrainOff if self.is_shutting_down() => {
                 return admin::encode_reply(Err(AdminError::ShuttingDown));
             }
@@ -120,7 +121,7 @@
         admin::encode_reply(Ok(()))
     }
 
-    /// Returns the counters of this process and what it has in hand, under the names that `vars` has for them.
+    /// Returns the counters and current gauges of this process, under the names used in the reply to `vars`.
     fn vars(&self) -> OwnedValue {
         let class_vars = |counts: &ClassCounters| {
             json!({
@@ -149,7 +150,7 @@
         vars
     }
 
-    /// Returns what became of the ends of tasks, under the names that `vars` has for them.
+    /// Returns the counters of notifications of task ends, under the names used in the reply to `vars`.
     fn task_end_vars(&self) -> OwnedValue {
         let ends = self.clients.task_end_counters();
         json!({
--- a/src/net/dispatch/attempts.rs
+++ b/src/net/dispatch/attempts.rs
@@ -1,7 +1,7 @@
-//! Owns the attempts, from the moment that one is decided until it has ended. Every attempt is sent by
-//! `send_pending_attempts`, which makes sure that its client is still there. Two attempts of one request are never in
-//! flight at once: `abandon_attempt` writes to the old host before the decision module hears of it. It never chooses a
-//! host, and never sends a response to a client.
+//! Runs attempts, from the decision to make one until its end. Every attempt is sent by `send_pending_attempts`, which
+//! first checks that the client is still connected. Two attempts of one request are never in flight at once:
+//! `abandon_attempt` sends a release to the old host before the end of the attempt is reported to the decision module.
+//! This module never chooses a host, and never sends a response to a client.
 
 use super::connection_slots::ConnectionUse;
 use super::host_connections::SILENCE_TIMEOUT;
@@ -17,19 +17,20 @@
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 use tracing::{debug, info};
 
-/// What became of a pending attempt that was considered for sending.
+/// The result of trying to send a pending attempt.
 enum SendResult {
-    /// It has been sent, or has ended already.
+    /// The attempt has been sent, or had already ended.
     Done,
-    /// It stays pending.
+    /// The attempt could not be sent yet, and stays pending.
     Pending(PendingAttempt),
-    /// Its client has gone.
+    /// The client has disconnected, so the request is to be cancelled.
     ClientDisconnected,
 }
 
 impl Dispatch {
-    /// Starts an attempt: sends it, or keeps it pending for the connection, which may itself wait for a descriptor, for
-    /// what is queued on it, or for unread input of its client.
+    /// Starts an attempt: sends it, or keeps it pending until there is a connection (which may itself wait for a
+    /// descriptor), the connection's write queue is empty, and the client's input has been read. Returns an event if
+    /// the host has no known address, which ends the attempt at once.
     pub(super) fn start_attempt(
         &mut self,
         now: Micros,
@@ -73,12 +74,12 @@
         None
     }
 
-    /// Sends the attempts that wait for a connection which is now up.
+    /// Sends the pending attempts of a host whose connection is up.
     ///
-    /// Guards against a connection that dies under the write, or that its host has closed: an attempt of which nothing
-    /// has been sent waits for the next one. Guards also against an attempt that begins when its client has gone:
-    /// nothing is queued behind what the host has not taken, where it can't be taken back, and each client is looked at
-    /// before its attempt is sent.
+    /// If the connection fails during the write, or the host has closed it, an attempt of which nothing has been sent
+    /// stays pending for the next connection. No attempt may start for a client that has disconnected: an attempt is
+    /// never queued behind data that the host has not read yet, where it could not be withdrawn, and the client's
+    /// connection is checked before each attempt is sent.
     pub(super) fn send_pending_attempts(&mut self, now: Micros, host: &HostId) {
         let Some(link) = self.hosts.get_mut(host) else {
             return;
@@ -108,7 +109,8 @@
         }
     }
 
-    /// Sends one attempt to a host whose connection is up, if its client is there and the connection takes it at once.
+    /// Sends one attempt to a host whose connection is up, if the client is still connected, none of its input is
+    /// unread, and the connection's write queue is empty.
     fn send_pending_attempt(
         &mut self,
         now: Micros,
@@ -174,8 +176,8 @@
         }
     }
 
-    /// Ends the attempt that is in flight: the request is queued again at the decision module, and the returned event
-    /// is to be reported to it.
+    /// Ends the attempt in flight and sets the request back to `Queued`. The caller must report the returned event to
+    /// the decision module.
     pub(super) fn end_attempt(
         &mut self,
         now: Micros,
@@ -198,7 +200,7 @@
         info!(task = %request.id, host = &*host.0, attempt, ?outcome, ?detail, elapsed_ms = elapsed / MILLISECOND, "attempt ended");
         self.set_request_state(ticket, RequestState::Queued);
         self.update_priorities(now, &host, ConnectionUse::Unchanged);
-        // What its client cancelled says nothing about the host.
+        // An attempt cancelled from this side says nothing about the health of the host.
         if outcome != Outcome::Cancelled {
             let event = Event::AttemptEnded {
                 outcome,
@@ -217,13 +219,13 @@
         })
     }
 
-    /// Ends the attempt that is in flight, or only the one of this number, and releases it at its host first: two
-    /// attempts are never in flight at once.
+    /// Releases the attempt in flight at its host and then ends it, so that two attempts are never in flight at once.
+    /// If `only_attempt` is given, nothing is done unless the attempt in flight has that number.
     pub(super) fn abandon_attempt(
         &mut self,
         now: Micros,
         ticket: Ticket,
-        only: Option<u32>,
+        only_attempt: Option<u32>,
         outcome: Outcome,
     ) -> Option<PlacementEvent> {
         let request = self.requests.get(&ticket)?;
@@ -236,14 +238,14 @@
         else {
             return None;
         };
-        if only.is_some_and(|number| number != *attempt) {
+        if only_attempt.is_some_and(|number| number != *attempt) {
             return None;
         }
         let link = self.hosts.get(host);
         if let Some(conn) = sent_on.and_then(|id| link.and_then(|link| link.open_connection(id))) {
             conn.send(now, &lines::release(request.id, Cause::NORMAL));
         }
-        // What has not been sent never ran.
+        // An attempt that was never sent cannot have run, so a timeout counts as a failure to connect.
         let outcome = if sent_on.is_none() && outcome == Outcome::Timeout {
             Outcome::ConnectFailed
         } else {
@@ -252,12 +254,12 @@
         self.end_attempt(now, ticket, outcome, OutcomeDetail::Unknown)
     }
 
-    /// Ends an attempt of which nothing has been sent for as long as a connection may take to come up: it never ran.
+    /// Ends an attempt if nothing of it has been sent within the connect timeout, so that it never ran.
     ///
-    /// A host that takes nothing of what is queued for it is as good as unreachable. Where the host was not even
-    /// called, for want of a connection slot, or its client was not read, nothing is held against the host. Guards what
-    /// is counted as sent when it is decided (the slow-start budget, the time in which a retry is dropped, the grace
-    /// period of a drain) against attempts that are sent much later.
+    /// A host that reads nothing of the data queued for it is treated as unreachable. The host is not blamed if no
+    /// connect was made for lack of a connection slot, or if the attempt waited for the client's input to be read. The
+    /// time limit is needed because the slow-start budget, the time in which a retry is dropped, and the grace period
+    /// of a drain count an attempt as sent when it is decided: they would be wrong if it were sent much later.
     pub(super) fn end_unsent_attempt(&mut self, now: Micros, ticket: Ticket, attempt: u32) {
         let Some(RequestState::InFlight {
             attempt: current,
@@ -277,7 +279,7 @@
             return;
         };
         let outcome = match &link.connection {
-            // The end of a connect that has had its whole time decides on the attempt.
+            // This connect began no later than the attempt and is about to time out itself, which ends the attempt.
             ConnectionState::Connecting(_) if link.last_connect_at <= since => return,
             ConnectionState::Connected(conn) if !conn.is_flushed() => Outcome::ConnectFailed,
             ConnectionState::Connected(_)
@@ -296,7 +298,7 @@
         self.report_optional_event(now, event);
     }
 
-    /// Ends attempts that waited for a connection in vain.
+    /// Ends those of the given attempts that are still in flight: no connection was established to send them.
     pub(super) fn end_pending_attempts(
         &mut self,
         now: Micros,
@@ -317,7 +319,7 @@
     }
 }
 
-/// Encodes the line that sends a task to a host, or returns none if it does not fit into one.
+/// Encodes the line that sends a task to a host. Returns `None` if the task does not fit into one line.
 pub(super) fn attempt_line(
     id: TaskId,
     message: &TaskRequest,
--- a/src/net/dispatch/client_messages.rs
+++ b/src/net/dispatch/client_messages.rs
@@ -1,6 +1,6 @@
-//! Owns what arrives from clients: the begin and end of their connections, and each of their messages. Whatever a client
-//! sends gets a response, or closes its connection, or requires nothing. It never chooses a host, and never starts an
-//! attempt by itself: a valid request goes to the decision module.
+//! Handles the connections and messages of clients. Each message gets a response, closes its connection, or is one that
+//! requires neither. This module never chooses a host and never starts an attempt by itself: it passes valid requests
+//! to the decision module.
 
 use super::attempts::attempt_line;
 use super::invalid_task_request::InvalidTaskRequest;
@@ -18,8 +18,9 @@
 use task_placer::{Micros, Outcome};
 use tracing::info;
 
-/// A client's time runs from when it sent its request: what the request, a tick and the response may take on the way.
-const RESPONSE_TRAVEL_TIME: Micros = 15 * MILLISECOND;
+/// The part of a client's time budget set aside for the transfer of the request, one tick, and the transfer of the
+/// response: the budget starts when the client sends its request.
+const ROUND_TRIP_ALLOWANCE: Micros = 15 * MILLISECOND;
 
 impl ClientEvents for Dispatch {
     fn now(&self) -> Micros {
@@ -47,11 +48,11 @@
     }
 
     fn client_accepted(&mut self, now: Micros, wait: AcceptWait) {
-        let turned_away = wait == AcceptWait::Waited;
+        let had_to_wait = wait == AcceptWait::Waited;
         self.record_health_event(
             now,
             Event::ClientConnected {
-                rejected: turned_away,
+                rejected: had_to_wait,
             },
         );
     }
@@ -89,8 +90,8 @@
 }
 
 impl Dispatch {
-    /// Handles a message of a client. Each gets a response, or closes the connection, or requires nothing: whoever
-    /// sends what is of no use is not left waiting.
+    /// Handles a message from a client. Each message gets a response, closes the connection, or requires neither, so
+    /// that a client that sends something unusable is not left waiting.
     fn handle_client_message(
         &mut self,
         now: Micros,
@@ -106,10 +107,10 @@
                 (_, Some(ticket)) => self.handle_repeated_request(client, ticket, &request),
             },
             ClientMessage::InvalidTaskRequest(reason) if known.is_none() => {
-                info!(task = %id, %reason, "request not read");
+                info!(task = %id, %reason, "cannot decode request");
                 self.respond_invalid(now, client, id);
             }
-            // A failure under this id could be taken for the response to the open request.
+            // A failure response with this id could be mistaken for the response to the open request.
             ClientMessage::InvalidTaskRequest(_) => {
                 self.clients.close(client, CloseReason::IdInUse);
             }
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Cancels a request whose client wants no response any more.
+    /// Cancels a request whose client no longer wants a response.
     pub(super) fn cancel_request(&mut self, now: Micros, ticket: Ticket) {
         let event = self.abandon_attempt(now, ticket, None, Outcome::Cancelled);
         let request = self.remove_request(ticket);
@@ -141,7 +142,8 @@
         self.report_optional_event(now, event);
     }
 
-    /// Handles a client's release: it cancels a request, on its own connection, or ends a running task, on any.
+    /// Handles a client's release. It cancels a pending request if it arrives on the connection where the response is
+    /// pending, and ends a running task on any connection.
     fn handle_client_release(
         &mut self,
         now: Micros,
@@ -157,15 +159,15 @@
         match (known, is_own) {
             (Some(ticket), Some(true)) => return self.cancel_request(now, ticket),
             (Some(ticket), None) => self.release_running_task(now, ticket, cause),
-            // No task is known by this id, or another client's request: it changes nothing.
+            // No task with this id is known, or its request belongs to another client: the release has no effect.
             _ => {}
         }
         self.clients.send(now, client, &binary::release_ack(id));
     }
 
-    /// Handles a request to place a task. Guards the decision module and the hosts against requests that cannot be
-    /// right, which are answered at once: without an id, or with that of a task that has ended, a host takes its
-    /// connection for broken, and answers an error that makes it look so; and every request counts as load.
+    /// Handles a request to place a task. Invalid requests are answered at once and never reach the decision module or
+    /// a host: every request counts as load, and a host treats its connection as broken when it receives id 0 or the id
+    /// of an ended task, and answers with an error that makes the host itself look broken.
     fn handle_task_request(
         &mut self,
         now: Micros,
@@ -174,10 +176,10 @@
         message: Box<TaskRequest>,
     ) {
         let mut placement = message.placement.clone();
-        let spent = RESPONSE_TRAVEL_TIME + self.max_input_wait(now, client);
+        let spent = ROUND_TRIP_ALLOWANCE + self.max_input_wait(now, client);
         placement.time_budget = (message.wait - spent).max(0);
         if let Err(reason) = self.check_task_request(id, &message, &placement) {
-            info!(task = %id, %reason, "not placed");
+            info!(task = %id, %reason, "request failed validation");
             let class = self.facade.class_index(&placement.class);
             self.counters.record_response(class, RequestOutcome::Failed);
             return self.respond_invalid(now, client, id);
@@ -191,7 +193,7 @@
         self.apply_decisions(now, decisions.unwrap_or_default());
     }
 
-    /// Returns for how long what is read now from a client may have been waiting at most.
+    /// Returns the longest time for which input that is read from a client now may have been waiting.
     fn max_input_wait(&self, now: Micros, client: ClientId) -> Micros {
         let waits_since = self.clients.input_waits_since(client).unwrap_or(now);
         self.loop_lag.max_wait(now).max(now - waits_since)
@@ -216,12 +218,12 @@
         Ok(())
     }
 
-    /// Handles a request under an id that is in use.
+    /// Handles a request whose id is already in use.
     ///
-    /// Guards against a client that sends again because its first connection broke, before the break is seen here: a
-    /// second response would break a rule, so the pending one goes to the connection that sent last. Guards also
-    /// against whoever sends another request under an id that is open, or the same twice on one connection: its
-    /// connection is closed, and no other client's response goes there.
+    /// A client whose connection broke may send its request again before the break is detected here. A second response
+    /// would violate the protocol, so the pending response goes to the connection that sent the request last. A client
+    /// that sends a different request with an id that is open, or the same request twice on one connection, has its
+    /// connection closed, and never receives another client's response.
     fn handle_repeated_request(&mut self, client: ClientId, ticket: Ticket, message: &TaskRequest) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
--- a/src/net/dispatch/connection_slots.rs
+++ b/src/net/dispatch/connection_slots.rs
@@ -1,6 +1,6 @@
-//! Owns who gets a connection slot: for which hosts a connection is needed, which one is evicted for another, and what
-//! clients give back for it. It never makes a connection itself (`host_connections` does), and never decides which host
-//! gets an attempt.
+//! Assigns connection slots: determines which hosts need a connection, evicts connections in favor of others, and
+//! reclaims descriptors from clients. This module never opens a connection itself (`host_connections` does), and never
+//! decides which host gets an attempt.
 
 use super::timer_event::TimerEvent;
 use super::{Dispatch, MILLISECOND};
@@ -9,20 +9,20 @@
 use task_placer::descriptors::{ConnectPurpose, ConnectionPriority, SlotDecision};
 use task_placer::{EndpointState, HostId, Micros};
 
-/// How long what a host still sends is read on an evicted connection.
+/// How long an evicted connection is still read, so that messages already sent by the host are received.
 const EVICTION_READ_TIME: Micros = 200 * MILLISECOND;
 
-/// Whether the open connection to a host was just used.
+/// Whether a change of priorities counts as a use of the open connection to the host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ConnectionUse {
-    /// It was used for what it is needed for.
+    /// The connection was just used for an attempt or its answer.
     JustUsed,
-    /// It was not.
+    /// The connection was not used.
     Unchanged,
 }
 
 impl Dispatch {
-    /// Closes an evicted connection that its host has not closed in time.
+    /// Closes an evicted connection if its host has not closed it within `EVICTION_READ_TIME`.
     pub(super) fn close_evicted_connection(&self, host: &HostId, id: ConnectionId) {
         let link = self.hosts.get(host);
         if let Some(conn) = link.and_then(|link| link.open_connection(id)) {
@@ -30,20 +30,22 @@
         }
     }
 
-    /// Returns the number of hosts that may have connections.
+    /// Returns the number of hosts that have not been removed, which may have connections.
     pub fn active_host_count(&self) -> usize {
         self.active_hosts
     }
 
-    /// Splits the descriptors anew between clients and hosts.
+    /// Recomputes how the descriptors are split between clients and hosts, and evicts connections that exceed the
+    /// split.
     pub(super) fn split_descriptors(&mut self) {
         let quotas = self.clients.descriptor_quotas(self.active_hosts);
         self.connection_pool.set_capacity(quotas.hosts);
         self.evict_connections(self.clock.now());
     }
 
-    /// Takes back from clients what hosts need now. Guards against idle clients that hold, from the time when few hosts
-    /// were listed, the descriptors which are the hosts' by now: connections to these would fail.
+    /// Evicts idle client connections while clients and hosts together use more descriptors than their quotas allow.
+    /// Idle clients may still hold descriptors from a time when fewer hosts were listed. These descriptors now belong
+    /// to the hosts' quota, and connections to hosts would fail without them.
     pub(super) fn reclaim_descriptors(&mut self, now: Micros) {
         let quotas = self.clients.descriptor_quotas(self.active_hosts);
         let in_use = self.clients.live_connections() + self.connection_pool.slots_in_use();
@@ -51,9 +53,9 @@
         self.clients.evict_idle(now, surplus);
     }
 
-    /// Returns what a connection to a host is needed for, if one more is needed. Guards against hundreds of placers that
-    /// connect to every host at their start, when each needs a few: where the settings price connections, one is made
-    /// when something is needed of the host.
+    /// Returns the purpose of a further connection to a host, or `None` if no further one is needed. If the settings
+    /// put a price on connections, a connection is made only when the host is needed for something: otherwise hundreds
+    /// of placers would connect to every host when they start, although each of them needs only a few.
     pub(super) fn connection_need(&self, host: &HostId) -> Option<ConnectPurpose> {
         let link = self.hosts.get(host)?;
         let is_second = match &link.connection {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Connects to a host, if a connection is needed, as soon as there is a slot for it.
+    /// Connects to a host as soon as a slot is available, if a connection is needed.
     pub(super) fn request_connection(&mut self, now: Micros, host: &HostId) {
         let Some(need) = self.connection_need(host) else {
             return;
@@ -86,7 +88,8 @@
         self.evict_connections(now);
     }
 
-    /// Connects again to a host that did not answer. Where nothing is needed of it any more, its failures are forgotten.
+    /// Connects again to a host after a failed connect. If no connection is needed any more, the recorded failures are
+    /// cleared instead.
     pub(super) fn reconnect(&mut self, now: Micros, host: &HostId) {
         if self.connection_need(host).is_some() {
             return self.request_connection(now, host);
@@ -99,7 +102,8 @@
         }
     }
 
-    /// Evicts connections whose slots are needed more elsewhere, and connects to the hosts that have a slot now.
+    /// Evicts connections whose slots are needed for requests of higher priority, and connects to the hosts that have
+    /// been granted a slot.
     pub(super) fn evict_connections(&mut self, now: Micros) {
         while let Some((host, id)) = self.connection_pool.evict(now) {
             self.evict_connection(now, &host, id);
@@ -111,8 +115,8 @@
         }
     }
 
-    /// Evicts one connection. Guards against the end of a task that the host reports while we close: our side ends, and
-    /// what the host still sends is read until it closes, too.
+    /// Evicts one connection. A current connection is only shut down for writing and is read until the host closes it
+    /// too, so that the end of a task that the host reports during the close is not lost.
     fn evict_connection(&mut self, now: Micros, host: &HostId, id: ConnectionId) {
         let Some(link) = self.hosts.get_mut(host) else {
             return;
@@ -131,19 +135,19 @@
         }
     }
 
-    /// Takes back the slot of a connection whose descriptor has been closed.
+    /// Releases the slot of a connection whose descriptor has been closed.
     pub(super) fn release_slot(&mut self, host: &HostId, id: ConnectionId) {
         self.connection_pool.release(&(host.clone(), id));
         self.evict_connections(self.clock.now());
     }
 
-    /// Updates in the pool what the connections to a host are needed for.
+    /// Updates the eviction priorities of the connections to a host in the connection pool.
     pub(super) fn update_priorities(&mut self, now: Micros, host: &HostId, usage: ConnectionUse) {
         let Some(link) = self.hosts.get(host) else {
             return;
         };
         if let ConnectionState::Connected(_) = &link.connection {
-            let rank = if self.has_attempt_in_flight_on(host, link.connection_id) {
+            let priority = if self.has_attempt_in_flight_on(host, link.connection_id) {
                 ConnectionPriority::Busy
             } else if self.request_index.has_running_tasks(host) {
                 ConnectionPriority::HasRunningTasks
@@ -153,16 +157,16 @@
             let used_at = (usage == ConnectionUse::JustUsed).then_some(now);
             let connection = (host.clone(), link.connection_id);
             self.connection_pool
-                .set_priority(&connection, rank, used_at);
+                .set_priority(&connection, priority, used_at);
         }
         for (id, _) in &link.replaced {
-            let rank = if self.has_attempt_in_flight_on(host, *id) {
+            let priority = if self.has_attempt_in_flight_on(host, *id) {
                 ConnectionPriority::Busy
             } else {
                 ConnectionPriority::Replaced
             };
             self.connection_pool
-                .set_priority(&(host.clone(), *id), rank, None);
+                .set_priority(&(host.clone(), *id), priority, None);
         }
         if self.connection_pool.waiting_requests() > 0 {
             self.evict_connections(now);
--- a/src/net/dispatch/decisions.rs
+++ b/src/net/dispatch/decisions.rs
@@ -1,5 +1,5 @@
-//! Owns the way to the decision module and back: `report_event` hands it an event, and each decision that it returns is
-//! handed to the function that applies it. It never decides anything itself, and never writes to a peer.
+//! Connects dispatch with the decision module: `report_event` passes an event to it, and every decision that it returns
+//! is passed to the function that applies it. This module never decides anything itself, and never writes to a peer.
 
 use super::{Dispatch, MILLISECOND};
 use crate::net::codec::Cause;
@@ -9,20 +9,20 @@
 use tracing::info;
 
 impl Dispatch {
-    /// Reports an event to the decision module, and applies what it decides.
+    /// Reports an event to the decision module, and applies the decisions that it returns.
     pub(super) fn report_event(&mut self, now: Micros, event: PlacementEvent) {
         let decisions = self.facade.report(now, event);
         self.apply_decisions(now, decisions);
     }
 
-    /// Reports an event, if there is one.
+    /// Reports an event to the decision module, if there is one.
     pub(super) fn report_optional_event(&mut self, now: Micros, event: Option<PlacementEvent>) {
         if let Some(event) = event {
             self.report_event(now, event);
         }
     }
 
-    /// Applies decisions in their order, and those that follow from their immediate results.
+    /// Applies decisions in order, then the decisions that follow from their immediate results.
     pub(super) fn apply_decisions(&mut self, now: Micros, decisions: Vec<Decision>) {
         let mut queue = VecDeque::from(decisions);
         while let Some(decision) = queue.pop_front() {
@@ -32,7 +32,7 @@
         }
     }
 
-    /// Applies one decision, and returns the event that it leads to at once, if any.
+    /// Applies one decision, and returns the event that results from it immediately, if any.
     fn apply_decision(&mut self, now: Micros, decision: Decision) -> Option<PlacementEvent> {
         match decision {
             Decision::SendAttempt {
--- a/src/net/dispatch/discovery.rs
+++ b/src/net/dispatch/discovery.rs
@@ -1,5 +1,5 @@
-//! Owns whether the service discovery feed is up, and what is logged of it. It never changes the endpoint list:
-//! `host_connections` does.
+//! Handles the events of the service discovery feed: tracks whether the feed is up, and logs rejected entries and lost
+//! connections. This module never changes the endpoint list: `endpoint_updates` does.
 
 use super::Dispatch;
 use crate::net::codec::feed::{EndpointUpdate, RejectedEndpoint};
@@ -22,7 +22,7 @@
 
     fn endpoints_rejected(&mut self, rejected: &[RejectedEndpoint]) {
         for endpoint in rejected {
-            warn!(host = endpoint.host, reason = %endpoint.reason, "entry set aside");
+            warn!(host = endpoint.host, reason = %endpoint.reason, "endpoint entry rejected");
         }
     }
 
--- a/src/net/dispatch/endpoint_updates.rs
+++ b/src/net/dispatch/endpoint_updates.rs
@@ -1,5 +1,6 @@
-//! Owns the endpoint list on the network side: which hosts there are, and what a change of the list ends. It never opens
-//! a connection (`host_connections` does), and never decides which host gets an attempt.
+//! Applies the endpoint list to the network side: tracks which hosts exist, and ends the attempts, tasks and
+//! connections that a change of the list invalidates. This module never opens a connection (`host_connections` does),
+//! and never decides which host gets an attempt.
 
 use super::Dispatch;
 use crate::net::codec::feed::{DiscoveredEndpoint, EndpointUpdate};
@@ -10,27 +11,27 @@
 use task_placer::health::Event;
 use task_placer::{Endpoint, EndpointState, HostId, Micros, Outcome};
 
-/// What the network side has done for an update of the endpoint list.
+/// The result of applying an update of the endpoint list to the network side.
 pub(super) struct AppliedUpdate {
-    /// The endpoints, for the decision module.
+    /// The endpoints of the update, to be reported to the decision module.
     pub(super) endpoints: Vec<Endpoint>,
-    /// Attempts that had not been sent, to hosts that are another process now, drain or have been removed.
-    pub(super) recalled: Vec<PendingAttempt>,
+    /// Unsent attempts to hosts whose process has been replaced, or that are draining or removed.
+    pub(super) withdrawn: Vec<PendingAttempt>,
 }
 
 impl Dispatch {
-    /// Handles an update of the endpoint list. Tasks at a removed host, or at a process that started after them, are
-    /// lost.
+    /// Handles an update of the endpoint list. Tasks at a removed host, or at a host whose process started after they
+    /// did, are lost.
     pub(super) fn handle_endpoint_update(&mut self, update: EndpointUpdate) {
         let now = self.clock.now();
         self.record_health_event(now, Event::DiscoveryUpdated);
         let is_complete = update.is_complete;
         let AppliedUpdate {
             endpoints,
-            recalled,
+            withdrawn,
         } = self.apply_endpoint_update(now, update);
-        // Nothing has changed at the others.
-        let named: Vec<HostId> = if is_complete {
+        // A delta leaves the hosts that it does not list unchanged.
+        let listed: Vec<HostId> = if is_complete {
             self.hosts.keys().cloned().collect()
         } else {
             endpoints.iter().map(|entry| entry.host.clone()).collect()
@@ -40,20 +41,20 @@
             endpoints,
         };
         self.report_event(now, event);
-        self.end_pending_attempts(now, recalled, Outcome::NotSent);
-        let restarts: Vec<(HostId, Micros)> = named
+        self.end_pending_attempts(now, withdrawn, Outcome::NotSent);
+        let hosts_with_lost_tasks: Vec<(HostId, Micros)> = listed
             .into_iter()
             .filter_map(|host| {
                 let before = self.tasks_lost_before(&host)?;
                 Some((host, before))
             })
             .collect();
-        for (host, before) in restarts {
+        for (host, before) in hosts_with_lost_tasks {
             self.end_lost_tasks(now, &host, before);
         }
     }
 
-    /// Returns the time before which a task must have started at a host to be lost by now, if any can be.
+    /// Returns the time such that every task that started at a host before it is lost, or `None` if none can be.
     fn tasks_lost_before(&self, host: &HostId) -> Option<Micros> {
         let link = self.hosts.get(host)?;
         if link.state == EndpointState::Removed {
@@ -62,8 +63,8 @@
         (link.started_at > 0).then_some(link.started_at)
     }
 
-    /// Applies an update to the hosts and their connections. Recalls unsent attempts that were decided for what a host
-    /// was before.
+    /// Applies an update to the hosts and their connections. Withdraws the unsent attempts that were decided for an
+    /// earlier process or state of a host.
     pub(super) fn apply_endpoint_update(
         &mut self,
         now: Micros,
@@ -71,37 +72,37 @@
     ) -> AppliedUpdate {
         let mut touched = Vec::with_capacity(update.endpoints.len());
         if update.is_complete {
-            touched = self.remove_unnamed_hosts(&update.endpoints);
+            touched = self.remove_unlisted_hosts(&update.endpoints);
         }
-        let mut recalled = Vec::new();
+        let mut withdrawn = Vec::new();
         let mut endpoints = Vec::with_capacity(update.endpoints.len());
         for discovered in update.endpoints {
-            let endpoint = self.apply_endpoint(discovered, &mut recalled);
+            let endpoint = self.apply_endpoint(discovered, &mut withdrawn);
             touched.push(endpoint.host.clone());
             endpoints.push(endpoint);
         }
         self.split_descriptors();
         for host in &touched {
-            self.reconcile_connections(now, host, &mut recalled);
+            self.reconcile_connections(now, host, &mut withdrawn);
         }
         AppliedUpdate {
             endpoints,
-            recalled,
+            withdrawn,
         }
     }
 
-    /// Marks the hosts as removed that a complete list does not name, and returns them.
-    fn remove_unnamed_hosts(&mut self, endpoints: &[DiscoveredEndpoint]) -> Vec<HostId> {
-        let named: BTreeSet<&HostId> = endpoints
+    /// Marks the hosts that a complete list does not include as removed, and returns them.
+    fn remove_unlisted_hosts(&mut self, endpoints: &[DiscoveredEndpoint]) -> Vec<HostId> {
+        let listed: BTreeSet<&HostId> = endpoints
             .iter()
             .map(|discovered| &discovered.endpoint.host)
             .collect();
         let mut removed = Vec::new();
-        let unnamed = self
+        let unlisted = self
             .hosts
             .iter_mut()
-            .filter(|(host, _)| !named.contains(host));
-        for (host, link) in unnamed {
+            .filter(|(host, _)| !listed.contains(host));
+        for (host, link) in unlisted {
             self.active_hosts -= usize::from(link.state != EndpointState::Removed);
             link.state = EndpointState::Removed;
             removed.push(host.clone());
@@ -109,11 +110,11 @@
         removed
     }
 
-    /// Takes over one endpoint, and closes the connections to an address that is no longer the host's.
+    /// Applies one endpoint of an update, and closes the host's connections if its address has changed.
     fn apply_endpoint(
         &mut self,
         discovered: DiscoveredEndpoint,
-        recalled: &mut Vec<PendingAttempt>,
+        withdrawn: &mut Vec<PendingAttempt>,
     ) -> Endpoint {
         let host = &discovered.endpoint.host;
         let state_before = self
@@ -132,7 +133,7 @@
         self.active_hosts += usize::from(endpoint.state != EndpointState::Removed);
         self.active_hosts -= usize::from(state_before != EndpointState::Removed);
         if endpoint.state != EndpointState::Up || link.started_at != endpoint.started_at {
-            recalled.append(&mut link.pending_attempts);
+            withdrawn.append(&mut link.pending_attempts);
         }
         link.state = endpoint.state;
         link.cell = endpoint.cell;
@@ -150,22 +151,22 @@
         endpoint
     }
 
-    /// Closes the connections to a removed host, and connects to one that has none.
+    /// Closes the connections to a removed host, and requests a connection to any other host that has none.
     fn reconcile_connections(
         &mut self,
         now: Micros,
         host: &HostId,
-        recalled: &mut Vec<PendingAttempt>,
+        withdrawn: &mut Vec<PendingAttempt>,
     ) {
         let Some(link) = self.hosts.get_mut(host) else {
             return;
         };
         if link.state == EndpointState::Removed {
-            // A removed host's address may be a new host's: nothing more is to reach the old one there, nor on a
-            // connection that comes up only now.
+            // The address of a removed host may be reused by a new one, so nothing more may be sent to that address for
+            // the removed host, not even on a connection that is just being established.
             link.close_connections(CloseReason::HostRemoved);
             link.abort_connect();
-            recalled.append(&mut link.pending_attempts);
+            withdrawn.append(&mut link.pending_attempts);
             self.connection_pool.cancel_request(host);
         } else if matches!(link.connection, ConnectionState::Disconnected)
             && link.connect_failures == 0
--- a/src/net/dispatch/host_connections.rs
+++ b/src/net/dispatch/host_connections.rs
@@ -1,5 +1,5 @@
-//! Owns the connections to hosts: how they are made, and what their ends mean. It never decides which host gets an
-//! attempt, and makes no connection that `connection_slots` has no slot for.
+//! Opens and supervises connections to hosts, and handles their loss. This module never decides which host gets an
+//! attempt, and opens a connection only when `connection_slots` has granted a slot for it.
 
 use super::connection_slots::ConnectionUse;
 use super::request::RequestState;
@@ -19,30 +19,32 @@
 use task_placer::{EndpointState, HostId, Micros, Outcome, OutcomeDetail};
 use tracing::info;
 
-/// How long part of a line of a host may wait for its rest.
+/// How long an incomplete line from a host may wait for its remainder.
 const PARTIAL_LINE_TIMEOUT: Duration = Duration::from_millis(400);
-/// How long a host must be unreachable until the tasks there count as lost.
+/// How long a host must be unreachable before its tasks count as lost.
 const UNREACHABLE_TIMEOUT: Micros = 1_500 * MILLISECOND;
-/// How long nothing may have arrived from an unreachable host before its tasks count as lost.
+/// How long an unreachable host must have been silent before its tasks count as lost.
 ///
-/// A machine that was cut off runs on and comes back, one that has vanished does not, and from here they look alike;
-/// the endpoint list names what was removed. The client is to be notified of a task's end within 8 s (the protocol's
-/// figure), and a running task has not ended before its host's last message. The rest is for a tick and the way to the
-/// client.
+/// A machine that is cut off from the network keeps running and comes back; one that has failed does not. The
+/// placer cannot tell them apart, except that the endpoint list marks hosts that were removed. The protocol requires
+/// that a client is notified of a task's end within 8 s, and a running task cannot have ended before its host's last
+/// message. The remaining time covers one tick and the transfer to the client.
 const HOST_SILENCE_TIMEOUT: Micros = 7_700 * MILLISECOND;
-/// Replaced connections to a host that are kept open.
+/// The maximum number of replaced connections kept open per host.
 const MAX_REPLACED_CONNECTIONS: usize = 3;
-/// How long an attempt may be in flight on a connection on which nothing arrives.
+/// How long an attempt may be in flight on a silent connection before its host becomes suspect.
 pub(super) const SILENCE_TIMEOUT: Micros = 1_000 * MILLISECOND;
-/// How long nothing may arrive on a connection of a host with running tasks until the connection is checked, and how long
-/// the answer may take. Both, a sweep, and the way of an end to its client are to fit into the 8 s in which clients are
-/// notified (the protocol's figure).
+/// How long a connection to a host with running tasks may be silent before it is checked. This time, `CHECK_TIMEOUT`,
+/// one sweep interval, and the transfer of a task's end to its client must fit into the 8 s within which the protocol
+/// requires clients to be notified.
 const CHECK_AFTER_SILENCE: Duration = Duration::from_secs(3);
+/// How long a host may take to answer a connection check.
 const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a host with running tasks is left without a connection.
+/// How long a host with running tasks may be left without a connection.
 ///
-/// It reports their ends on one only, and clients are to be notified within 8 s (the protocol's figure): of these the
-/// connection may wait for a slot, and a host that does not answer is called until `UNREACHABLE_TIMEOUT` has passed.
+/// A host can report the ends of its tasks only on a connection, and the protocol requires clients to be notified
+/// within 8 s. The rest of the 8 s covers the wait for a connection slot, and the connects to a host that does not
+/// answer, which go on until `UNREACHABLE_TIMEOUT` has passed.
 const MAX_TIME_DISCONNECTED: Micros = 3_000 * MILLISECOND;
 
 impl HostEvents for Dispatch {
@@ -77,7 +79,7 @@
         ConnectOutcome::InUse
     }
 
-    /// What waited for the connection never ran.
+    /// Ends the attempts that were waiting for the connection: they never ran.
     fn host_connect_failed(&mut self, host: &HostId, id: ConnectionId, error: ConnectError) {
         let now = self.clock.now();
         let Some(link) = self.hosts.get_mut(host) else {
@@ -98,7 +100,7 @@
             error,
             ConnectError::NoDescriptor | ConnectError::LocalFault(_)
         ) {
-            // The fault is here, not at the host.
+            // The failure is local to this machine and says nothing about the host.
             info!(peer = "host", host = &*host.0, connection = id, reason = %error, "connection ended");
             return self.end_pending_attempts(now, pending_attempts, Outcome::NotSent);
         }
@@ -116,16 +118,16 @@
         self.handle_host_message(host, id, message);
     }
 
-    /// What was sent on it may have run. What runs there still does.
+    /// Ends the attempts that were sent on the connection, which may have run. Running tasks are not affected.
     fn host_closed(&mut self, host: &HostId, id: ConnectionId, reason: CloseReason) {
         let now = self.clock.now();
-        let is_on_it = |ticket: &Ticket| self.in_flight_on(*ticket) == Some(id);
-        let cut: Vec<Ticket> = self
+        let was_sent_on_it = |ticket: &Ticket| self.in_flight_on(*ticket) == Some(id);
+        let interrupted: Vec<Ticket> = self
             .request_index
             .in_flight(host)
-            .filter(is_on_it)
+            .filter(was_sent_on_it)
             .collect();
-        let out = cut.len();
+        let out = interrupted.len();
         info!(peer = "host", host = &*host.0, connection = id, %reason, out, "connection ended");
         let Some(link) = self.hosts.get_mut(host) else {
             return;
@@ -144,10 +146,10 @@
                 self.request_connection(now, host);
             }
         } else if reason != CloseReason::Replaced {
-            // Also after an orderly close: something on the way may have swallowed what was sent before it.
+            // Requested even after an orderly close: data sent before the close may have been lost on the network path.
             self.request_repeated_ends(now, host);
         }
-        for ticket in cut {
+        for ticket in interrupted {
             let event = self.end_attempt(now, ticket, Outcome::Reset, OutcomeDetail::Unknown);
             self.report_optional_event(now, event);
         }
@@ -162,16 +164,16 @@
     }
 }
 
-/// What a failed connect means for its host.
+/// A connect failure that counts against its host.
 struct ConnectFailure {
-    /// It is the first one since the host was last reached.
+    /// Whether this is the first failure since the host was last reached.
     is_first: bool,
-    /// When that first one failed.
+    /// When the first failure since then happened.
     unreachable_since: Micros,
 }
 
 impl Dispatch {
-    /// Starts to connect, beside an open connection if there is one.
+    /// Starts to connect to a host. An open connection, if there is one, is kept as a replaced connection.
     pub(super) fn connect(&mut self, now: Micros, host: &HostId) {
         let reason = self.connect_reason(host);
         let Some(link) = self.hosts.get_mut(host) else {
@@ -203,7 +205,7 @@
         self.update_priorities(now, host, ConnectionUse::Unchanged);
     }
 
-    /// Returns why a connection to a host is made now.
+    /// Returns the reason for making a connection to a host now.
     fn connect_reason(&self, host: &HostId) -> ConnectReason {
         let link = self.hosts.get(host);
         if link.is_some_and(|link| link.needs_repeated_ends) {
@@ -220,8 +222,9 @@
         }
     }
 
-    /// Returns how long this placer waits for its slot to call a host that did not answer, where slots are taken. While
-    /// tasks run there, their ends are awaited, and the host is called no more seldom than without slots.
+    /// Returns how long this placer must wait for its slot to connect to a host that did not answer, if overload
+    /// control schedules such slots. While tasks run at the host, the delay is 0: the ends of these tasks are awaited,
+    /// so connects must be no less frequent than without slots.
     fn health_check_delay(&self, now: Micros, host: &HostId) -> Micros {
         if self.request_index.has_running_tasks(host) {
             return 0;
@@ -253,8 +256,8 @@
         })
     }
 
-    /// Closes what is open to a host that can't be reached, unless something has arrived on it since, and ends the tasks
-    /// there as far as the failure proves that they are lost.
+    /// Closes the open connections to a host after a connect failed, and ends the tasks that the failure proves to be
+    /// lost. Nothing is done if a message has arrived from the host since the connect began.
     fn handle_unreachable_host(
         &mut self,
         now: Micros,
@@ -268,21 +271,22 @@
         if link.last_message_at > link.last_connect_at {
             return;
         }
-        // Nothing arrives on what is open there. Guards against attempts that wait there for an answer until their
-        // clients give up: what may be retried goes elsewhere at once. A connect that failed without its whole time says
-        // nothing of that.
+        // The open connections are dead too. Closing them lets attempts that may be retried go to another host at once,
+        // instead of waiting for an answer until their clients give up. A connect that failed in any other way before
+        // its timeout is no evidence of this.
         if matches!(error, ConnectError::Refused | ConnectError::TimedOut) {
             link.close_connections(CloseReason::Silent);
         }
         if error == ConnectError::Refused {
-            // Proof that the process has ended, and its tasks with it.
+            // A refused connect proves that the host's process has exited, and its tasks with it.
             self.end_lost_tasks(now, host, Micros::MAX);
         } else {
             self.end_unreachable_tasks(now, host, unreachable_since);
         }
     }
 
-    /// Ends the tasks at a host that has been unreachable since then, once that has lasted long enough.
+    /// Ends the tasks at a host that has been unreachable since `since`, or sets a timer if they do not count as lost
+    /// yet.
     pub(super) fn end_unreachable_tasks(&mut self, now: Micros, host: &HostId, since: Micros) {
         let Some(link) = self.hosts.get_mut(host) else {
             return;
@@ -302,8 +306,9 @@
         }
     }
 
-    /// Suspects the other hosts of a cell. Guards against machines of a cell that failed together: where nothing is in
-    /// flight on a connection its end may go unnoticed, and the tasks there would be lost only when the feed says so.
+    /// Marks the other hosts of a failed host's cell as suspect, because machines of a cell may fail together. Without
+    /// this, the loss of a connection with nothing in flight may go unnoticed, and the tasks of that host would count
+    /// as lost only when the feed reports its removal.
     fn suspect_cell(&mut self, now: Micros, failed: &HostId) {
         let Some(cell) = self.hosts.get(failed).map(|link| link.cell) else {
             return;
@@ -317,7 +322,7 @@
         others.iter().for_each(|host| self.suspect_host(now, host));
     }
 
-    /// Suspects a host: requests another connection beside the one that is up.
+    /// Marks a connected host as suspect, and requests a second connection to it.
     pub(super) fn suspect_host(&mut self, now: Micros, host: &HostId) {
         let Some(link) = self.hosts.get_mut(host) else {
             return;
@@ -328,10 +333,10 @@
         }
     }
 
-    /// Makes another connection beside the one that is up, if tasks run at the host.
+    /// Requests a second connection to a connected host, if tasks run there.
     ///
-    /// Guards against ends of tasks that were under way on a connection which broke: the host repeats them on the next
-    /// connection that opens, whichever of its connections they were lost with.
+    /// This recovers ends of tasks that were in transit on a connection when it broke: the host repeats them on the
+    /// next connection that opens, whichever of its connections they were lost on.
     fn request_repeated_ends(&mut self, now: Micros, host: &HostId) {
         if !self.request_index.has_running_tasks(host) {
             return;
@@ -339,19 +344,19 @@
         let Some(link) = self.hosts.get_mut(host) else {
             return;
         };
-        // A connection that is being made serves as well.
+        // A connection that is being made serves the same purpose, so no other is requested.
         if let ConnectionState::Connected(_) = &link.connection {
             link.needs_repeated_ends = true;
             self.request_connection(now, host);
         }
     }
 
-    /// Suspects the host of an attempt in flight if nothing has arrived on its connection for a while.
+    /// Marks the host of an attempt in flight as suspect if its connection has been silent for `SILENCE_TIMEOUT`.
     ///
-    /// Guards against a machine that vanished, and a connection that carries nothing more: it stays open and silent.
-    /// Another is made beside it, so that later attempts don't vanish too; where none comes up either, the tasks there are
-    /// lost. Attempts stay in flight on the silent one. It is the connection that is looked at: the host may still be heard
-    /// on another.
+    /// When a machine fails, or a connection stops delivering data, the connection stays open and silent. A second
+    /// connection is made so that later attempts are not lost too; if it cannot be established either, the tasks at the
+    /// host are lost. Attempts already sent stay in flight on the silent connection. The silence of that connection is
+    /// what counts, because messages of the host may still arrive on another one.
     pub(super) fn suspect_silent_host(&mut self, now: Micros, ticket: Ticket, attempt: u32) {
         let Some(RequestState::InFlight {
             attempt: current,
@@ -380,11 +385,12 @@
         self.timer_wheel.add(now + SILENCE_TIMEOUT - silence, timer);
     }
 
-    /// Checks the connections of hosts with running tasks on which nothing has arrived for a while, and closes those that
-    /// did not answer.
+    /// Sends a check on connections to hosts with running tasks that have been silent for `CHECK_AFTER_SILENCE`, and
+    /// closes those on which a check was not answered within `CHECK_TIMEOUT`, unless an attempt is in flight there.
     ///
-    /// Guards the ends of tasks against connections that stay open and carry nothing more, where no attempt is in flight
-    /// that would show it. The protocol's test tells only that the connection works: it asks the host for nothing.
+    /// The ends of tasks would be lost on a connection that stays open but no longer delivers data, and without an
+    /// attempt in flight nothing else would reveal that. The check message of the protocol only tests the connection
+    /// and requests nothing of the host.
     fn check_silent_connections(&self, now: Micros) {
         for host in self.request_index.hosts_with_running_tasks() {
             let Some(link) = self.hosts.get(host) else {
@@ -402,13 +408,13 @@
         }
     }
 
-    /// Closes stalled connections and surplus replaced ones, then connects to hosts that have had no connection for a
-    /// while: those with running tasks, and the others while there is spare capacity.
+    /// Closes stalled connections and surplus replaced ones, then connects to hosts without a connection: to those with
+    /// running tasks after `MAX_TIME_DISCONNECTED`, and to the others while the connection pool has spare capacity.
     pub(super) fn sweep_host_connections(&mut self, now: Micros) {
-        // Guards against hosts that come and go all day.
+        // Without this the table would grow as hosts are added and removed over time.
         self.hosts.retain(|_, link| !link.can_be_forgotten());
         for (host, link) in &self.hosts {
-            // Guards also against an answer that stops short: nothing after it can be read.
+            // An incomplete line blocks all input after it, so a connection that stays in the middle of one is closed.
             for conn in link.connections() {
                 conn.close_if_write_stalled(now, MAX_WRITE_STALL);
                 conn.close_if_partial(PARTIAL_LINE_TIMEOUT);
@@ -436,8 +442,9 @@
         self.evict_connections(now);
     }
 
-    /// Closes the oldest replaced connections to a host on which no attempt is in flight. The latest stay: the host may
-    /// have messages under way on them, and closes them itself when they idle.
+    /// Closes the oldest replaced connections to a host if no attempt is in flight on them. The latest
+    /// `MAX_REPLACED_CONNECTIONS` stay open: messages of the host may be in transit on them, and the host closes them
+    /// itself when they become idle.
     fn close_surplus_replaced(&self, host: &HostId, link: &HostLink) {
         for (id, conn) in link.replaced.iter().rev().skip(MAX_REPLACED_CONNECTIONS) {
             if !self.has_attempt_in_flight_on(host, *id) {
@@ -446,14 +453,14 @@
         }
     }
 
-    /// Returns a host that has no connection, and whose last connect did not fail.
+    /// Returns the link of a host if it has no connection and its last connect did not fail.
     fn disconnected_link(&self, host: &HostId) -> Option<&HostLink> {
         let link = self.hosts.get(host)?;
         let is_disconnected = matches!(link.connection, ConnectionState::Disconnected);
         (is_disconnected && link.connect_failures == 0).then_some(link)
     }
 
-    /// Whether an attempt is in flight on a connection.
+    /// Whether an attempt is in flight on this connection.
     pub(super) fn has_attempt_in_flight_on(&self, host: &HostId, id: ConnectionId) -> bool {
         self.request_index
             .in_flight(host)
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -1,6 +1,6 @@
-//! Owns what hosts send on their connections: starts, releases and reports. A message counts only for the attempt that
-//! is in flight at that host or the task that runs there. It never passes on a late message about an abandoned attempt,
-//! and never decides what follows: the decision module does.
+//! Handles the messages of hosts: starts, releases and reports. A message is processed only if it concerns the attempt
+//! in flight at that host or a task that runs there; a late message about an abandoned attempt is dropped. This module
+//! never decides what happens next: the decision module does.
 
 use super::connection_slots::ConnectionUse;
 use super::request::{Assignment, EndedTask, HostRelease, RequestState};
@@ -15,7 +15,7 @@
 use tracing::info;
 
 impl Dispatch {
-    /// Handles a message of a host.
+    /// Handles a message from a host.
     pub(super) fn handle_host_message(&mut self, host: &HostId, id: TaskId, message: HostMessage) {
         let now = self.clock.now();
         if let Some(link) = self.hosts.get_mut(host) {
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Handles a message about a task that is not in the table: a release is confirmed, and remembered.
+    /// Handles a message about a task that is not in the table: a release is acknowledged and remembered, anything else
+    /// is ignored.
     fn handle_unknown_task_message(
         &mut self,
         now: Micros,
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Handles a message about the attempt that is in flight at this host.
+    /// Handles a message about the attempt in flight at this host.
     fn handle_attempt_message(
         &mut self,
         now: Micros,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Handles a message about a task that runs at this host or is being released there.
+    /// Handles a message about a task that runs or is being released at this host.
     fn handle_running_task_message(
         &mut self,
         now: Micros,
@@ -108,7 +109,8 @@
         }
     }
 
-    /// The host of the attempt in flight has started the task: it runs, and its client gets the response.
+    /// Handles the start of the task by the host of the attempt in flight: the state becomes `Running`, and the client
+    /// is sent the response.
     fn attempt_started(&mut self, now: Micros, ticket: Ticket, description: &str) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
@@ -126,7 +128,7 @@
         info!(task = %request.id, host = &*host.0, attempt, elapsed_ms = elapsed / MILLISECOND, "task started");
         request.message = None;
         let relative_duration = elapsed as f64 / request.latency_objective as f64;
-        let in_aim = now - request.arrived_at <= request.latency_objective;
+        let meets_objective = now - request.arrived_at <= request.latency_objective;
         let client = request.client.take();
         let started = StartedTask {
             id: request.id,
@@ -157,7 +159,7 @@
         self.record_health_event(
             now,
             Event::RequestAnswered {
-                within_objective: in_aim,
+                within_objective: meets_objective,
             },
         );
         let event = PlacementEvent::AttemptStarted {
@@ -169,8 +171,8 @@
         self.report_event(now, event);
     }
 
-    /// The task's own time is over: hosts release it so wherever it is sent. Guards against another attempt, and
-    /// against holding each of these hosts for broken; the client is sent the cause.
+    /// Handles a host's report that the task's own time is over. Every host would release the task with the same cause,
+    /// so no other attempt is made, the host is not treated as broken, and the client is sent the cause.
     fn attempt_completed(&mut self, now: Micros, ticket: Ticket, detail: OutcomeDetail) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
@@ -199,9 +201,9 @@
         self.report_event(now, event);
     }
 
-    /// The task has run at this host and is over, though its start was not heard of: the answer was lost or is late. Its
-    /// client is notified of the end like that of any running task, and comes again by itself. Guards against another
-    /// attempt: the end that is due to the client would never be sent.
+    /// Handles the end of a task whose start was never reported here, because the host's answer was lost or is late.
+    /// The client is sent the end as for any running task, and requests the task again by itself. No other attempt is
+    /// made, because the client would then never be sent the end that is due to it.
     fn attempt_ended_after_start(&mut self, now: Micros, ticket: Ticket, detail: OutcomeDetail) {
         let event = self.end_attempt(now, ticket, Outcome::Reset, detail);
         self.respond_unplaced(now, ticket, Cause::RESET, None);
@@ -209,8 +211,8 @@
         self.report_optional_event(now, event);
     }
 
-    /// The host of the attempt in flight does not start the task: the attempt has ended, and the decision module
-    /// decides what follows.
+    /// Handles a release by the host of the attempt in flight, which does not start the task: the attempt ends, and the
+    /// decision module decides what to do next.
     fn attempt_released(
         &mut self,
         now: Micros,
@@ -235,7 +237,7 @@
         self.report_optional_event(now, event);
     }
 
-    /// Acknowledges a host's release.
+    /// Acknowledges a host's release of a task.
     fn acknowledge_release(&self, now: Micros, host: &HostId, id: TaskId) {
         let link = self.hosts.get(host);
         if let Some(ConnectionState::Connected(conn)) = link.map(|link| &link.connection) {
--- a/src/net/dispatch/invalid_task_request.rs
+++ b/src/net/dispatch/invalid_task_request.rs
@@ -1,20 +1,20 @@
-//! Why a request is answered before the decision module or a host sees it.
+//! The reasons for which a request is answered without reaching the decision module or a host.
 
 use task_placer::facade::InvalidRequest;
 
-/// A request that cannot be right.
+/// Why a request to place or adopt a task is invalid.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub(super) enum InvalidTaskRequest {
-    /// No deployment with these settings can mean it.
+    /// The request is not valid under any deployment with these settings.
     #[error(transparent)]
     Request(#[from] InvalidRequest),
-    /// The id 0 stands for no task.
-    #[error("task id 0, expected another")]
+    /// The task id is 0, which is reserved for "no task".
+    #[error("task id 0 is reserved")]
     MissingId,
-    /// Its id is that of a task that has ended.
-    #[error("the id of a task that is complete")]
+    /// The task id is that of a task that has ended.
+    #[error("task id already used by a task that has ended")]
     IdUsedBefore,
-    /// It does not fit into one line to a host.
-    #[error("description too long for a line to a host")]
+    /// The request does not fit into one line to a host.
+    #[error("description too long for one line to a host")]
     TooLongForHost,
 }
--- a/src/net/dispatch/loop_lag.rs
+++ b/src/net/dispatch/loop_lag.rs
@@ -1,26 +1,29 @@
-//! How late the event loop is: how long what is read now may have been waiting. Pure: time is an argument.
+//! Measures the lag of the event loop, which bounds how long input that is read now may have been waiting. Pure: time
+//! is an argument.
 //!
-//! A client's time runs from when it sent its request. The system does not say when that arrived, but it has not waited for
-//! longer than the loop did not run: the process was stopped, or got no processor.
+//! A client's time budget starts when it sends its request. The operating system does not report when the request
+//! arrived, but it cannot have waited longer than the event loop was not running, because the process was stopped or
+//! got no CPU.
 
 use crate::net::timer_wheel::TICK;
 use task_placer::Micros;
 
-/// A gap between two ticks up to this is ordinary.
-const ORDINARY_GAP: Micros = 4 * TICK;
-/// How long after a stall what is read may have arrived during it: other connections are read first.
+/// The longest gap between two ticks that does not count as a stall.
+const MAX_NORMAL_GAP: Micros = 4 * TICK;
+/// How long after a stall input that arrived during the stall may still be unread, because other connections are read
+/// first.
 const CATCH_UP_TIME: Micros = 50_000;
 
 /// The gaps between the ticks of the event loop.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct LoopLag {
     last_tick: Micros,
-    /// The start and the end of the last gap that was not ordinary.
+    /// The start and the end of the last gap that was longer than `MAX_NORMAL_GAP`.
     last_stall: Option<(Micros, Micros)>,
 }
 
 impl LoopLag {
-    /// Creates it for a loop that begins now.
+    /// Creates the lag measurement of an event loop that starts at `now`.
     pub(super) fn new(now: Micros) -> LoopLag {
         LoopLag {
             last_tick: now,
@@ -28,18 +31,18 @@
         }
     }
 
-    /// Records a tick.
+    /// Records a tick of the event loop.
     pub(super) fn tick(&mut self, now: Micros) {
-        if now - self.last_tick > ORDINARY_GAP {
+        if now - self.last_tick > MAX_NORMAL_GAP {
             self.last_stall = Some((self.last_tick, now));
         }
         self.last_tick = now;
     }
 
-    /// Returns for how long what is read now may have been waiting at most.
+    /// Returns the longest time for which input that is read now may have been waiting.
     pub(super) fn max_wait(&self, now: Micros) -> Micros {
         let since_tick = now - self.last_tick;
-        if since_tick > ORDINARY_GAP {
+        if since_tick > MAX_NORMAL_GAP {
             return since_tick;
         }
         match self.last_stall {
--- a/src/net/dispatch/loop_lag/tests.rs
+++ b/src/net/dispatch/loop_lag/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `loop_lag.rs`.
+//! Tests of `LoopLag`: how long input may have been waiting, with regular ticks and after a stall.
 
 use super::*;
 
 const MILLISECOND: Micros = 1_000;
 
 #[test]
-fn nothing_waits_while_ticks_are_regular() {
+fn no_input_waits_while_ticks_are_regular() {
     let mut lag = LoopLag::new(0);
     for at in (TICK..=100 * TICK).step_by(5_000) {
         lag.tick(at);
@@ -15,10 +15,10 @@
 }
 
 #[test]
-fn what_is_read_after_a_stall_may_have_waited_since_its_start() {
+fn input_read_after_a_stall_may_have_waited_since_its_start() {
     let stall = 800 * MILLISECOND;
 
-    // Read before the first tick after the stall, and after it.
+    // The input may be read before the first tick after the stall, or after that tick.
     let mut lag = LoopLag::new(0);
     assert_eq!(lag.max_wait(stall), stall);
     lag.tick(stall);
--- a/src/net/dispatch/overload_log.rs
+++ b/src/net/dispatch/overload_log.rs
@@ -1,16 +1,16 @@
-//! Limits the log lines about overload control: one line when the shedding step changes, and at most one a second about
-//! what was decided. It holds only what was logged last.
+//! Limits the log lines about overload control: one line when the shed level (`step` in the log) changes, and at most
+//! one line a second about the decisions that were made. Only the state as last logged is kept.
 
 use task_placer::Micros;
 use task_placer::overload::{Counters, admission};
 use tracing::info;
 
-/// The shortest time between two lines about decisions.
+/// The minimum time between two log lines about decisions.
 const MIN_LOG_INTERVAL: Micros = 1_000_000;
-/// Counters that every task increments: they are no decisions.
+/// Counters that every task increments, whatever is decided: their increments are not logged.
 const UNCONDITIONAL_COUNTERS: [&str; 3] = ["fresh", "repeats", "first"];
 
-/// What was logged last.
+/// The time and values of the last log lines.
 #[derive(Default)]
 pub(super) struct OverloadLog {
     logged_at: Micros,
@@ -19,7 +19,7 @@
 }
 
 impl OverloadLog {
-    /// Logs what was decided since the last line, if anything was.
+    /// Logs a change of the shed level, and the decisions since the last line about decisions, if there were any.
     pub(super) fn update(&mut self, now: Micros, step: u8, counters: Counters) {
         if step != self.step {
             let through = admission::admitted_fraction(step);
@@ -47,7 +47,7 @@
         (self.logged_at, self.counters) = (now, counters);
     }
 
-    /// Returns the increment of each counter that has grown and stands for a decision, as `name=count`.
+    /// Returns the increments of those counters that have grown and count decisions, as `name=count`.
     fn increments(&self, counters: &Counters) -> Vec<String> {
         let before = self.counters.named();
         counters
--- a/src/net/dispatch/overload_report.rs
+++ b/src/net/dispatch/overload_report.rs
@@ -1,5 +1,5 @@
-//! Owns what people see of overload control: the log lines, and the reply to `ctl overload`. It never limits anything
-//! itself: the overload engine does, through the facade.
+//! Reports on overload control to operators, in the log and in the reply to `ctl overload`. This module never limits
+//! anything itself: the overload engine does, through the facade.
 
 use super::Dispatch;
 use crate::ctl::CommandError;
@@ -9,7 +9,7 @@
 use task_placer::overload::{Counters, HostReport, Report};
 
 impl Dispatch {
-    /// Logs what overload control decided since the last line, if anything.
+    /// Logs what overload control has decided since the last log line, if anything.
     pub(super) fn log_overload(&mut self, now: Micros) {
         let Some(overload) = self.facade.overload() else {
             return;
--- a/src/net/dispatch/request.rs
+++ b/src/net/dispatch/request.rs
@@ -1,4 +1,4 @@
-//! One request and the states it passes through. Data only: [`requests`](super::requests) owns the table of requests and
+//! The data types of a request and its states. [`requests`](super::requests) maintains the table of requests and makes
 //! every change of state.
 
 use crate::net::clients::ClientId;
@@ -9,45 +9,45 @@
 /// The state of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum RequestState {
-    /// The decision module holds it; a response is pending.
+    /// The decision module has the request; a response is pending.
     Queued,
-    /// An attempt is assigned to a host; a response is pending.
+    /// An attempt is assigned to a host, sent or not; a response is pending.
     InFlight {
         /// The attempt's number within the request.
         attempt: u32,
-        /// Where it is to run.
+        /// The host that the attempt is assigned to.
         host: HostId,
         /// When the attempt was decided.
         since: Micros,
         /// When the attempt times out.
         deadline: Micros,
-        /// The connection that it was sent on, or none as long as not one byte of it has been sent.
+        /// The connection that the attempt was sent on, or `None` as long as no byte of it has been sent.
         sent_on: Option<ConnectionId>,
     },
-    /// The task runs at its host; its client has the response.
+    /// The task runs at its host; the response was sent to its client.
     Running {
-        /// The attempt that started it; 0 for an adopted task.
+        /// The number of the attempt that started the task; 0 for an adopted task.
         attempt: u32,
-        /// Where it runs.
+        /// The host that runs the task.
         host: HostId,
-        /// When its start was reported here.
+        /// When this placer learned of the start.
         since: Micros,
     },
-    /// The task was released from this side and its host has not confirmed yet. Nothing is pending for its client.
+    /// This placer has released the task, and its host has not confirmed that yet. No response is pending.
     Releasing {
-        /// The attempt that started it.
+        /// The number of the attempt that started the task; 0 for an adopted task.
         attempt: u32,
-        /// Where it runs.
+        /// The host that runs the task.
         host: HostId,
-        /// When its start was reported here.
+        /// When this placer learned of the start.
         since: Micros,
-        /// The cause that its client gave.
+        /// The cause sent to the host: the client's, or `CANCELLED` for a migration.
         cause: Cause,
     },
 }
 
 impl RequestState {
-    /// Returns the host that the request is assigned to, and whether its task has started there.
+    /// Returns the host that the request is assigned to, if any, and whether its task has started there.
     pub(super) fn assignment(&self) -> Option<(&HostId, Assignment)> {
         match self {
             RequestState::Queued => None,
@@ -58,12 +58,12 @@
         }
     }
 
-    /// Whether an attempt is assigned of which nothing has been sent.
+    /// Whether an attempt is assigned and no byte of it has been sent.
     pub(super) fn is_unsent(&self) -> bool {
         matches!(self, RequestState::InFlight { sent_on: None, .. })
     }
 
-    /// Returns the connection that the attempt in flight was sent on.
+    /// Returns the connection that the attempt in flight was sent on, if any.
     pub(super) fn in_flight_on(&self) -> Option<ConnectionId> {
         match self {
             RequestState::InFlight { sent_on, .. } => *sent_on,
@@ -72,39 +72,39 @@
     }
 }
 
-/// What a host has of a request that is assigned to it.
+/// How far a request has progressed at the host that it is assigned to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Assignment {
-    /// An attempt that has not been answered.
+    /// The host has not answered the attempt.
     InFlight,
-    /// A task that runs or is being released.
+    /// The task runs or is being released.
     Started,
 }
 
-/// One request, from its arrival until nothing is pending for it.
+/// One request, from its arrival until it is answered without a running task, or its task has ended.
 pub(super) struct Request {
     /// The task's id on the wire.
     pub(super) id: TaskId,
-    /// The client that waits for the response.
+    /// The client that waits for the response, or that asked to adopt the task.
     pub(super) client: Option<ClientId>,
-    /// The message of the client; dropped once the task runs.
+    /// The client's message, dropped once the task runs.
     pub(super) message: Option<Box<TaskRequest>>,
-    /// Attempts made so far.
+    /// The number of attempts made so far.
     pub(super) attempts: u32,
-    /// Its state.
+    /// The current state.
     pub(super) state: RequestState,
-    /// The index of its class, if the settings have it.
+    /// The index of the request's class, if the settings define the class.
     pub(super) class: Option<usize>,
-    /// When it arrived.
+    /// When the request arrived.
     pub(super) arrived_at: Micros,
-    /// The latency objective of its class.
+    /// The latency objective of the request's class.
     pub(super) latency_objective: Micros,
-    /// The connection on which the running task was requested or adopted.
+    /// The connection on which the running task was requested or adopted, if the task runs.
     pub(super) origin_client: Option<ClientId>,
 }
 
 impl Request {
-    /// Whether its client waits for a response.
+    /// Whether a response to the client is pending.
     pub(super) fn awaits_response(&self) -> bool {
         matches!(
             self.state,
@@ -113,18 +113,19 @@
     }
 }
 
-/// A task that has ended, kept for a while: its client may still ask to adopt it, and another request may reuse its id.
+/// A task that has ended. It is remembered for a while, because its client may still ask to adopt it, and another
+/// request may reuse its id.
 pub(super) struct EndedTask {
-    /// The host that released it, with the cause on the wire and the detail.
+    /// The host that released the task and the cause on the wire, if a host's release of an unknown task was recorded.
     pub(super) released_by: Option<HostRelease>,
-    /// When it ended.
+    /// When the task ended.
     pub(super) ended_at: Micros,
 }
 
 /// How a host released a task.
 pub(super) struct HostRelease {
-    /// The host.
+    /// The host that released the task.
     pub(super) host: HostId,
-    /// The cause on the wire.
+    /// The cause as sent on the wire.
     pub(super) cause: Cause,
 }
--- a/src/net/dispatch/request_index.rs
+++ b/src/net/dispatch/request_index.rs
@@ -1,5 +1,5 @@
-//! Owns the index of requests by host, so that an event of one host does not visit all requests. It holds tickets only,
-//! never a request.
+//! Indexes requests by host, so that an event of one host need not visit all requests. The index holds only tickets,
+//! not requests.
 
 use super::request::Assignment;
 use std::collections::{BTreeMap, BTreeSet};
@@ -22,12 +22,12 @@
     }
 }
 
-/// Requests by the host that they are assigned to.
+/// The tickets of assigned requests, by host.
 #[derive(Default)]
 pub(super) struct RequestIndex(BTreeMap<HostId, HostRequests>);
 
 impl RequestIndex {
-    /// Adds a request that was assigned to a host.
+    /// Adds a request that has been assigned to a host.
     pub(super) fn insert(&mut self, ticket: Ticket, host: &HostId, assignment: Assignment) {
         if !self.0.contains_key(host) {
             self.0.insert(host.clone(), HostRequests::default());
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Removes a request from a host.
+    /// Removes a request from a host's entry, and the entry once it is empty.
     pub(super) fn remove(&mut self, ticket: Ticket, host: &HostId, assignment: Assignment) {
         let Some(requests) = self.0.get_mut(host) else {
             return;
@@ -56,7 +56,7 @@
             .flat_map(|requests| requests.in_flight.iter().copied())
     }
 
-    /// Returns the requests whose tasks run at a host or are being released there.
+    /// Returns the requests whose tasks run or are being released at a host.
     pub(super) fn running(&self, host: &HostId) -> impl Iterator<Item = Ticket> + '_ {
         self.0
             .get(host)
@@ -64,12 +64,12 @@
             .flat_map(|requests| requests.started.iter().copied())
     }
 
-    /// Whether any task runs at a host or is being released there.
+    /// Whether any task runs or is being released at a host.
     pub(super) fn has_running_tasks(&self, host: &HostId) -> bool {
         self.running(host).next().is_some()
     }
 
-    /// Returns the hosts at which tasks run or are being released.
+    /// Returns the hosts at which at least one task runs or is being released.
     pub(super) fn hosts_with_running_tasks(&self) -> impl Iterator<Item = &HostId> {
         self.0
             .iter()
--- a/src/net/dispatch/requests.rs
+++ b/src/net/dispatch/requests.rs
@@ -1,6 +1,7 @@
-//! Owns the table of requests. Every request enters it by `insert_request`, changes its state by `set_request_state` and
-//! leaves it by `remove_request`, so that the indexes beside the table (`tickets_by_task`, `request_index`,
-//! `ended_tasks`) agree with it. It never decides on a change, and never writes to a peer.
+//! Maintains the table of requests. Every request is added by `insert_request`, changes its state through
+//! `set_request_state` and is removed by `remove_request`, which keeps the indexes of the table (`tickets_by_task`,
+//! `request_index`, `ended_tasks`) consistent with it. This module never decides on a change, and never writes to a
+//! peer.
 //!
 //! ```text
 //!  handle_task_request                                       adopt_task
@@ -16,12 +17,12 @@
 //!      │ the task's own time is over                            │ end_task_at_unknown_ │ TimerEvent::
 //!      │ cancel_request: cancelled by its client                │ host                 │ ReleaseTimeout
 //!      ▼                                                        ▼                      ▼
-//!   ═══════════════ remove_request: out of the table; its id is kept in `ended_tasks` ═════════════════
+//!   ═══════════════ remove_request: removed from the table; the id is kept in `ended_tasks` ═══════════
 //! ```
 //!
-//! A response is pending in `Queued` and `InFlight` (`Request::awaits_response`), and in no other state. Whatever ends
-//! a request that is in flight ends its attempt first. An attempt waits first (`sent_on: None`), and has been sent once
-//! it has a connection: see `attempts`.
+//! A response is pending in `Queued` and `InFlight` (`Request::awaits_response`), and in no other state. A request that
+//! is in flight is removed only after its attempt has been ended. An attempt starts as pending (`sent_on: None`), and
+//! `sent_on` holds a connection once the attempt has been sent: see `attempts`.
 
 use super::connection_slots::ConnectionUse;
 use super::request::{EndedTask, Request, RequestState};
@@ -67,7 +68,7 @@
         ticket
     }
 
-    /// Changes the state of a request.
+    /// Changes the state of a request, and updates the index of requests by host.
     pub(super) fn set_request_state(&mut self, ticket: Ticket, state: RequestState) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
@@ -81,7 +82,8 @@
         }
     }
 
-    /// Removes a request from the table. The caller sends its client whatever is still to be sent.
+    /// Removes a request from the table, and remembers its id as that of an ended task. The caller is responsible for
+    /// sending the client any response that is still pending.
     pub(super) fn remove_request(&mut self, ticket: Ticket) -> Option<Request> {
         let request = self.requests.remove(&ticket)?;
         if let Some((host, assignment)) = request.state.assignment() {
--- a/src/net/dispatch/responses.rs
+++ b/src/net/dispatch/responses.rs
@@ -1,11 +1,12 @@
-//! Owns the final responses. A request that was taken in is answered here and nowhere else, exactly once, because it
-//! leaves `Queued` and `InFlight` with its response. It never decides on a response, never sends an attempt, and never
-//! reports the end of a running task (`running_tasks` does).
+//! Sends the final responses. An accepted request is answered only here, and exactly once, because it leaves the states
+//! `Queued` and `InFlight` with its response. This module never decides on a response, never sends an attempt, and
+//! never reports the end of a running task (`running_tasks` does).
 //!
-//! - `respond_unplaced`: rejected or failed, and the one end that a host reports before a start (the task's own time is
-//!   over).
-//! - `respond_placed`: a host has started the task; its description goes to the client unchanged.
-//! - `respond_invalid`: an invalid request, which never entered the table.
+//! - `respond_unplaced`: the request is rejected or fails, or a host reports the end of the task before any start
+//!   (because
+//!   the task's own time is over, or the report of the start was lost).
+//! - `respond_placed`: a host has started the task; the host's description is forwarded to the client unchanged.
+//! - `respond_invalid`: the request is invalid and was never added to the table.
 //!
 //! A request to adopt a task (`at` on the wire) has no pending response; its client may only be sent the end of that
 //! task at once (`adopt_task`).
@@ -20,8 +21,8 @@
 use task_placer::{Micros, Outcome};
 
 impl Dispatch {
-    /// Sends the final response to a request without a running task: the only place that rejects or fails one. Returns
-    /// the end of the attempt that was in flight, if any.
+    /// Sends the final response to a request without a running task, and ends its attempt in flight, if any. Requests
+    /// are rejected or failed only here. Returns the event that reports the end of that attempt.
     pub(super) fn respond_unplaced(
         &mut self,
         now: Micros,
@@ -54,7 +55,7 @@
         event
     }
 
-    /// Sends the final response to a request whose task a host has started.
+    /// Sends the final response to a request whose task has been started by a host.
     pub(super) fn respond_placed(
         &mut self,
         now: Micros,
@@ -69,7 +70,7 @@
         self.clients.response_sent(client, ticket);
     }
 
-    /// Sends the final response to a request that neither the decision module nor a host sees.
+    /// Sends the final response to an invalid request, which reaches neither the decision module nor a host.
     pub(super) fn respond_invalid(&mut self, now: Micros, client: ClientId, id: TaskId) {
         let message = binary::release(id, Cause::FAILED, None);
         self.clients.send(now, client, &message);
@@ -78,10 +79,10 @@
 
 /// A task that a host has just started.
 pub(super) struct StartedTask<'a> {
-    /// Its id on the wire.
+    /// The task's id on the wire.
     pub(super) id: TaskId,
-    /// The index of its class, if the settings have it.
+    /// The index of the task's class, if the settings define the class.
     pub(super) class: Option<usize>,
-    /// The host's description, as it is forwarded.
+    /// The host's description, forwarded unchanged.
     pub(super) description: &'a str,
 }
--- a/src/net/dispatch/running_tasks.rs
+++ b/src/net/dispatch/running_tasks.rs
@@ -1,5 +1,6 @@
-//! Owns the running tasks, from the moment that their start is known here until their end has been sent to a client.
-//! They belong to no connection. It never sends a task to a host again, and never sends a final response.
+//! Tracks running tasks, from the time that their start is known to this placer until their end has been sent to a
+//! client. Running tasks are not bound to a connection. This module never sends a task to a host again, and never sends
+//! a final response.
 
 use super::connection_slots::ConnectionUse;
 use super::invalid_task_request::InvalidTaskRequest;
@@ -13,19 +14,20 @@
 use task_placer::{EndpointState, HostId, Micros, Outcome, OutcomeDetail};
 use tracing::info;
 
-/// How long a host may take to confirm a release.
+/// How long a host may take to confirm a release before the task counts as ended.
 const RELEASE_TIMEOUT: Micros = 3_000 * MILLISECOND;
-/// How long it may take until the release is sent again on another connection.
+/// How long a host may take to confirm a release before the release is sent again on another connection.
 const RELEASE_RESEND_TIMEOUT: Micros = 1_000 * MILLISECOND;
-/// How late the endpoint list may name the host of an adopted task.
+/// How long after the adoption of a task the endpoint list may take to include the task's host.
 const UNKNOWN_HOST_TIMEOUT: Micros = 2_000 * MILLISECOND;
-/// How long a response may be on its way to its client.
+/// The longest time assumed for the delivery of a response to its client.
 const RESPONSE_DELIVERY_TIME: Micros = 2_000 * MILLISECOND;
 
 impl Dispatch {
-    /// Adopts a task that a host runs already.
+    /// Adopts a task that a host already runs.
     ///
-    /// Its release may have arrived first. The endpoint list may be late to name its host, which gets a while for that.
+    /// If the host's release of the task has arrived before, the client is sent the end of the task instead. If the
+    /// host is not in the endpoint list yet, the task is kept for `UNKNOWN_HOST_TIMEOUT` until the list includes it.
     pub(super) fn adopt_task(
         &mut self,
         now: Micros,
@@ -72,8 +74,8 @@
         Ok(())
     }
 
-    /// Returns the cause of the end of a task that a client wants adopted, if it has ended before. Guards against a
-    /// release that arrived on a new connection to the host before the client's message.
+    /// Returns the cause with which a task has ended, if it ended before its client asked to adopt it. The host's
+    /// release may arrive on a new connection before the client's message.
     fn end_before_adoption(&self, id: TaskId, host: &HostId) -> Option<Cause> {
         let ended = self.ended_tasks.get(&id);
         if let Some(EndedTask {
@@ -97,7 +99,7 @@
         }
     }
 
-    /// Migrates a task: it ends, also at its host, and its client requests it again.
+    /// Migrates a task: notifies the client, which will request the task again, and releases the task at its host.
     pub(super) fn migrate_task(&mut self, now: Micros, ticket: Ticket) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
@@ -109,8 +111,8 @@
         }
     }
 
-    /// Notifies a client that a task which has run since then has ended or migrates. Where its response went out only
-    /// just now, the notification follows it on the same connection.
+    /// Notifies a client that a task which has run since `since` has ended or is migrated. If the response was sent
+    /// less than `RESPONSE_DELIVERY_TIME` ago, the notification is sent after it on the same connection.
     fn notify_task_end(
         &mut self,
         now: Micros,
@@ -128,7 +130,7 @@
         }
     }
 
-    /// Releases a running task at its host, on the open connection or on the next one.
+    /// Releases a running task at its host, on the open connection or the next one to be established.
     pub(super) fn release_running_task(&mut self, now: Micros, ticket: Ticket, cause: Cause) {
         let Some(request) = self.requests.get_mut(&ticket) else {
             return;
@@ -162,8 +164,8 @@
         self.request_connection(now, &host);
     }
 
-    /// Sends the releases again that a host has not confirmed, on a connection that has just come up. Guards against a
-    /// release that was lost with the connection before, or found none.
+    /// Sends the releases that a host has not confirmed on a connection that has just been established. They may have
+    /// been lost with the previous connection, or there was no connection to send them on.
     pub(super) fn send_unconfirmed_releases(&self, now: Micros, host: &HostId) {
         let Some(conn) = self.hosts.get(host).and_then(HostLink::current_connection) else {
             return;
@@ -173,7 +175,7 @@
         }
     }
 
-    /// Whether a host has releases to confirm.
+    /// Whether a host has not confirmed all releases of its tasks.
     pub(super) fn has_unconfirmed_releases(&self, host: &HostId) -> bool {
         self.unconfirmed_releases(host).next().is_some()
     }
@@ -188,7 +190,7 @@
             })
     }
 
-    /// Makes another connection to a host that has not confirmed a release yet: the release is sent again on it.
+    /// Requests another connection to a host that has not confirmed a release yet; the release is sent again on it.
     pub(super) fn resend_unconfirmed_release(&mut self, now: Micros, ticket: Ticket) {
         let state = self.requests.get(&ticket).map(|request| &request.state);
         if let Some(RequestState::Releasing { host, .. }) = state {
@@ -197,7 +199,8 @@
         }
     }
 
-    /// Ends an adopted task whose host no endpoint list names. Guards against tasks that would be held for ever.
+    /// Ends an adopted task if its host is still not in the endpoint list, since the task would otherwise be kept
+    /// forever.
     pub(super) fn end_task_at_unknown_host(&mut self, now: Micros, ticket: Ticket) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
@@ -231,7 +234,8 @@
         self.report_event(now, event);
     }
 
-    /// Ends a task that runs or is being released. Its client is notified, unless it ended the task itself.
+    /// Ends a task that runs or is being released. The client is notified, unless the task was being released already:
+    /// by the client, or in a migration that it was notified of.
     pub(super) fn end_running_task(
         &mut self,
         now: Micros,
@@ -272,7 +276,7 @@
         self.report_event(now, event);
     }
 
-    /// Ends the tasks that have run at a host since before then: they are lost.
+    /// Ends the tasks that started at a host before the time `before`: they are lost.
     pub(super) fn end_lost_tasks(&mut self, now: Micros, host: &HostId, before: Micros) {
         let is_lost = |ticket: &Ticket| {
             let request = self.requests.get(ticket);
@@ -293,7 +297,7 @@
     }
 }
 
-/// Returns the outcome that a host's release of a running task stands for.
+/// Returns the outcome that corresponds to the cause of a host's release of a running task.
 fn outcome_of_release(cause: Cause) -> Outcome {
     match cause {
         Cause::NORMAL => Outcome::Completed,
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -1,5 +1,5 @@
-//! Owns the shutdown of the process: SIGTERM, drains, and when the process may or must exit. It never takes back a
-//! pending response: a shutdown makes the decision module answer in time.
+//! Handles the shutdown of the process: SIGTERM, drains, and when the process may or must exit. This module never drops
+//! a pending response: a shutdown makes the decision module answer every request in time.
 
 use super::request::{Request, RequestState};
 use super::{Dispatch, MILLISECOND};
@@ -11,18 +11,21 @@
 use task_placer::operation::lifecycle;
 use tracing::{info, warn};
 
-/// The longest wait of a client that counts at a shutdown. The platform ends the process no sooner after SIGTERM than
-/// after that wait and 700 ms more (the protocol's figures).
+/// The cap on the longest client wait that a shutdown takes into account. The protocol states this cap, and that the
+/// platform kills the process no earlier than the longest client wait plus 700 ms after SIGTERM.
 const MAX_CLIENT_WAIT: Micros = 3_000 * MILLISECOND;
-/// How long after that wait pending responses are sent.
+/// How long after the longest client wait the last pending responses are sent.
 const RESPONSE_GRACE: Micros = 300 * MILLISECOND;
-/// How long after that wait the process exits at last. What peers still send is waited for afterwards, for 100 ms.
+/// How long after the longest client wait the process must exit. Data that peers still send is then read for another
+/// 100 ms.
 const EXIT_GRACE: Micros = 550 * MILLISECOND;
-/// The process does not exit before: new requests may still arrive for 0.6 s (the protocol's figure).
+/// The minimum time from the start of a shutdown to the exit: according to the protocol, new requests may still arrive
+/// for 0.6 s.
 const MIN_SHUTDOWN_TIME: Micros = 1_000 * MILLISECOND;
 
 impl Dispatch {
-    /// Handles SIGTERM: where no operator's file asks for a drain, the process shuts down as the platform expects it.
+    /// Handles SIGTERM: begins a drain if the operator's file enables it, and otherwise the shutdown that the platform
+    /// expects.
     pub fn terminate(&mut self) {
         let now = self.clock.now();
         match self
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Does what a drain asks for.
+    /// Runs the tasks that a drain requires of the program.
     pub(super) fn run_drain_tasks(&mut self, now: Micros, tasks: Vec<DrainTask>) {
         for task in tasks {
             match task {
@@ -62,7 +65,7 @@
         }
     }
 
-    /// Returns what a drain waits for.
+    /// Returns the outstanding work that a drain waits for.
     pub(super) fn pending_work(&self) -> Outstanding {
         let now = self.clock.now();
         let pending_responses = self.pending_responses();
@@ -74,7 +77,7 @@
         }
     }
 
-    /// Logs what a drain could not wait for, task by task.
+    /// Logs the work that was unfinished when a drain ended, and each task that still runs.
     fn log_unfinished_work(&self, left: Outstanding) {
         info!(
             owed = left.pending_responses,
@@ -86,12 +89,12 @@
             if let RequestState::Running { host, .. } | RequestState::Releasing { host, .. } =
                 &request.state
             {
-                warn!(task = %request.id, host = &*host.0, "left standing");
+                warn!(task = %request.id, host = &*host.0, "task still running at exit");
             }
         }
     }
 
-    /// Begins the shutdown: every pending response is to be sent within this time.
+    /// Begins the shutdown, if it has not begun: every pending response must be sent within `within`.
     pub(super) fn begin_shutdown(&mut self, now: Micros, within: Micros) {
         if self.shutdown_since.is_none() {
             self.shutdown_since = Some(now);
@@ -100,18 +103,19 @@
         }
     }
 
-    /// Returns the longest wait of a client, as the platform counts it at a shutdown.
+    /// Returns the longest wait of a client, capped as by the platform at a shutdown.
     fn max_client_wait(&self) -> Micros {
         self.facade.max_deadline().clamp(0, MAX_CLIENT_WAIT)
     }
 
-    /// Closes connections as they come to rest, once all pending responses are due.
+    /// Closes each client connection as soon as it is quiescent, once all pending responses are due.
     ///
-    /// Clients go on sending on open connections until the process ends, and a moment at which all of them are at rest may
-    /// never come. A request that crosses the close of its connection is sent again elsewhere; one that is pending when the
-    /// process ends is lost.
-    pub(super) fn close_resting_clients(&mut self, now: Micros) {
-        // Where another process accepts, the ends of tasks are reported on these connections until the exit.
+    /// Clients keep sending on open connections until the process exits, so there may never be a moment at which all
+    /// connections are quiescent. A request in transit when its connection closes is sent again to another placer,
+    /// whereas one that is pending when the process exits is lost.
+    pub(super) fn close_quiescent_clients(&mut self, now: Micros) {
+        // While another process accepts connections, the ends of tasks are reported on these connections until the
+        // exit.
         if self.lifecycle.is_shutting_down() {
             return;
         }
@@ -124,7 +128,7 @@
         }
     }
 
-    /// Answers whatever is still pending when the process exits: it has failed.
+    /// Sends a failure response to every request that is still pending when the process exits.
     pub fn fail_pending_requests(&mut self) {
         let now = self.clock.now();
         let pending: Vec<Ticket> = self
@@ -137,13 +141,13 @@
             let request = self.requests.get(&ticket).map(|request| request.id);
             warn!(
                 task = request.map(|id| id.to_string()),
-                "failed at the exit"
+                "request failed at exit"
             );
             self.respond_unplaced(now, ticket, Cause::FAILED, None);
         }
     }
 
-    /// Whether the process must exit, whatever is left.
+    /// Whether the process must exit, regardless of unfinished work.
     pub fn is_overdue(&self) -> bool {
         let now = self.clock.now();
         let max_duration = self.max_client_wait() + EXIT_GRACE;
@@ -166,7 +170,7 @@
         let Some(since) = self.shutdown_since else {
             return false;
         };
-        // A drain that has begun the shutdown reports itself when it is over.
+        // A drain that has begun the shutdown determines itself when the process may exit (`DrainTask::Exit`).
         if self
             .health_reporter
             .as_ref()
@@ -175,14 +179,15 @@
             return false;
         }
         let has_pending = self.requests.values().any(Request::awaits_response);
-        let is_clear =
+        let nothing_pending =
             !has_pending && self.clients.is_flushed() && !self.clients.is_delivering_task_ends(now);
         if self.lifecycle.is_shutting_down() {
-            return (is_clear && self.clients.is_at_rest(now))
+            return (nothing_pending && self.clients.is_at_rest(now))
                 || self.lifecycle.exit_is_overdue(now);
         }
         let elapsed = now - since;
         let max_duration = self.max_client_wait() + EXIT_GRACE;
-        elapsed >= max_duration || (elapsed >= MIN_SHUTDOWN_TIME.min(max_duration) && is_clear)
+        elapsed >= max_duration
+            || (elapsed >= MIN_SHUTDOWN_TIME.min(max_duration) && nothing_pending)
     }
 }
--- a/src/net/dispatch/timer_event.rs
+++ b/src/net/dispatch/timer_event.rs
@@ -1,34 +1,34 @@
-//! The timers of dispatch. Data only: [`timers`](super::timers) fires them.
+//! The timer events of dispatch. [`timers`](super::timers) handles them when they fire.
 
 use crate::net::hosts::ConnectionId;
 use task_placer::facade::Ticket;
 use task_placer::{HostId, Micros};
 
-/// How often connections are swept.
+/// The interval between two sweeps of all connections.
 pub(super) const SWEEP_INTERVAL: Micros = 250_000;
 
-/// What is to be looked at when a timer fires. What it was set for may be over by then.
+/// What to check when a timer fires. The situation for which the timer was set may no longer exist by then.
 pub(super) enum TimerEvent {
-    /// The attempt has had its time.
+    /// The attempt's deadline is reached.
     AttemptTimeout(Ticket, u32),
-    /// The attempt's host has been silent for long enough to suspect it.
+    /// The attempt's host may have been silent for long enough to become suspect.
     SilenceCheck(Ticket, u32),
-    /// Nothing of the attempt has been sent in the time that a connection may take.
+    /// The connect timeout has passed since the attempt began, and nothing of it may have been sent.
     UnsentTimeout(Ticket, u32),
-    /// The connection has had its time to come up.
+    /// The connect timeout of this connection is reached.
     ConnectTimeout(HostId, ConnectionId),
-    /// The backoff after a failed connection is over.
+    /// The backoff after this connection's failed connect is over.
     Reconnect(HostId, ConnectionId),
-    /// The tasks of a host that is unreachable since then may count as lost.
+    /// The tasks of a host that has been unreachable since the given time may count as lost.
     HostUnreachable(HostId, Micros),
-    /// The host has had its time to close an evicted connection.
+    /// The time that a host has to close an evicted connection is over.
     EvictionTimeout(HostId, ConnectionId),
-    /// A release that the host has not confirmed is to be sent again.
+    /// The release of a task is to be sent again if the host has not confirmed it.
     ReleaseCheck(Ticket),
-    /// The host has had its time to confirm a release.
+    /// The time that a host has to confirm the release of a task is over.
     ReleaseTimeout(Ticket),
-    /// The endpoint list has had its time to name the host of an adopted task.
+    /// The time within which the endpoint list must include the host of an adopted task is over.
     UnknownHostTimeout(Ticket),
-    /// Connections are to be swept.
+    /// The periodic sweep of all connections is due.
     Sweep,
 }
--- a/src/net/dispatch/timers.rs
+++ b/src/net/dispatch/timers.rs
@@ -1,5 +1,5 @@
-//! Owns the passing of time: fires the timers of the wheel and sweeps connections at a fixed interval. It never decides
-//! on a request itself: each timer names the function that does.
+//! Handles ticks: fires due timers of the timer wheel, and sweeps connections at a fixed interval. This module never
+//! decides on a request itself: each timer event is passed to the function that does.
 
 use super::request::RequestState;
 use super::timer_event::{SWEEP_INTERVAL, TimerEvent};
@@ -11,11 +11,12 @@
 use task_placer::operation::lifecycle;
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
-/// How long the end of a task is remembered.
+/// How long an ended task is remembered.
 const ENDED_TASK_RETENTION: Micros = 10_000 * MILLISECOND;
 
 impl Dispatch {
-    /// Advances the wheel by one tick.
+    /// Handles one tick of the event loop: retries pending attempts, fires due timers, and applies the decisions of the
+    /// decision module.
     pub fn tick(&mut self) {
         let now = self.clock.now();
         self.loop_lag.tick(now);
@@ -28,12 +29,12 @@
             self.fire_timer(now, timer);
         }
         self.clients.resend_task_ends(now);
-        self.close_resting_clients(now);
+        self.close_quiescent_clients(now);
         let decisions = self.facade.tick(now);
         self.apply_decisions(now, decisions);
     }
 
-    /// Handles a timer whose time has come, if what it was set for still holds.
+    /// Handles a due timer, if the situation for which it was set still exists.
     fn fire_timer(&mut self, now: Micros, timer: TimerEvent) {
         match timer {
             TimerEvent::AttemptTimeout(ticket, attempt) => {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// Stops a connection attempt that has had its time.
+    /// Aborts a connect that has reached its timeout, and handles it as failed.
     fn end_slow_connect(&mut self, host: &HostId, id: ConnectionId) {
         if let Some(HostLink {
             connection: ConnectionState::Connecting(stop),
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Ends a task whose host has not confirmed its release in time.
+    /// Ends a task whose host has not confirmed its release within `RELEASE_TIMEOUT`.
     fn end_unconfirmed_release(&mut self, now: Micros, ticket: Ticket) {
         let state = self.requests.get(&ticket).map(|request| &request.state);
         if let Some(RequestState::Releasing { .. }) = state {
@@ -86,7 +87,8 @@
         }
     }
 
-    /// Sweeps all connections, and forgets ended tasks after their retention.
+    /// Sweeps all connections, updates the health engine, logs overload control, and forgets ended tasks whose
+    /// retention time is over.
     fn sweep(&mut self, now: Micros) {
         self.clients.sweep(now);
         self.sweep_host_connections(now);
--- a/src/net/feed.rs
+++ b/src/net/feed.rs
@@ -1,5 +1,5 @@
-//! Follows the service discovery feed: subscribes, reads, and subscribes again from the last event that it has. It knows
-//! nothing of dispatch: what the feed sends goes to whoever implements [`FeedEvents`].
+//! Follows the service discovery feed: subscribes, reads events, and after a disconnect subscribes again from the last
+//! received event. This module does not depend on dispatch: events are passed to the implementation of [`FeedEvents`].
 
 use super::codec::feed::{self, EndpointUpdate, FeedMessage, RejectedEndpoint};
 use super::codec::next_line;
@@ -14,40 +14,41 @@
 use task_placer::Micros;
 use task_placer::settings::Names;
 
-/// How often it is looked at whether the feed has sent anything; it sends a line each second.
+/// The interval between two checks of whether the feed has sent anything. The feed sends a line every second.
 const SILENCE_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// A feed that sent nothing for so many checks is dead.
+/// The number of consecutive checks without a message after which the feed counts as silent, and its connection is
+/// closed.
 const MAX_SILENT_CHECKS: u32 = 7;
-/// How long a connection may take to come up. It may take a second, and what a silent feed would send counts as sent
-/// after 4 s (the protocol's figures): of these the silence takes 2 s.
+/// How long a connect may take. According to the protocol, a connect may take one second, and an event that a silent
+/// feed failed to deliver counts as sent after 4 s, of which the detection of the silence takes 2 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_200);
-/// Pause after a connection that brought nothing of use. After one that did, the feed is connected to again at once:
-/// what it sends counts as sent soon after it broke off.
+/// The pause before reconnecting after a connection that delivered no usable message. After any other connection, the
+/// feed is reconnected to at once, because its events count as sent soon after the connection broke.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(150);
 
-/// Handles what the feed sends. Each call is handled before it returns.
+/// Handles the events of the feed. Each event is handled completely before the call returns.
 pub trait FeedEvents {
-    /// Returns the time now.
+    /// Returns the current time.
     fn now(&self) -> Micros;
 
-    /// Returns the names that the settings state, by which endpoints are read.
+    /// Returns the names defined in the settings, which are needed to decode endpoints.
     fn names(&self) -> &Names;
 
-    /// A message names endpoints that cannot be right.
+    /// A message contains endpoint entries that are invalid.
     fn endpoints_rejected(&mut self, rejected: &[RejectedEndpoint]);
 
     /// The endpoint list has changed.
     fn endpoints_changed(&mut self, update: EndpointUpdate);
 
-    /// A message shows that the feed is up and no event is missing.
+    /// A message without an update shows that the feed is up and no event is missing.
     fn feed_alive(&mut self);
 
-    /// The connection has ended, or was not made; it is made again.
+    /// The connection has ended, or could not be established; it will be made again.
     fn feed_closed(&mut self, last_sequence: u64, reason: CloseReason);
 }
 
-/// Follows the feed for the life of the process, from the event after `last_sequence`. Another address from
-/// `new_addresses` takes the place of the old one at once, and the sequence goes on.
+/// Follows the feed for the life of the process, starting with the event after `last_sequence`. An address received
+/// from `new_addresses` replaces the current one at once, and the sequence numbers continue.
 pub async fn follow<H: FeedEvents>(
     mut address: SocketAddr,
     mut last_sequence: u64,
@@ -72,8 +73,9 @@
     }
 }
 
-/// Serves one connection until it ends, and returns whether it brought a message that could be used. Guards against a
-/// feed that leaves the same gap, or sends the same bad line, on each connection: it is not connected to without a pause.
+/// Serves one connection until it ends, and returns whether it delivered a usable message. A feed that leaves the same
+/// gap, or sends the same malformed line, on each connection delivers none, so it is not reconnected to without a
+/// pause.
 async fn connect<H: FeedEvents>(
     address: SocketAddr,
     last_sequence: &mut u64,
@@ -99,8 +101,9 @@
     useful_messages.get() > 0
 }
 
-/// Serves one subscription until it ends. Guards against a feed that falls silent on an open connection, events that
-/// come twice, and gaps: each ends it, and the next one resumes after the last event.
+/// Serves one subscription until it ends, and returns why. Silence on an open connection, a malformed line and a gap in
+/// the sequence numbers each end the subscription, and the next one resumes after the last received event. An event
+/// that arrives twice is applied only once.
 async fn subscribe<H: FeedEvents>(
     conn: &Connection,
     last_sequence: &mut u64,
@@ -136,7 +139,11 @@
     future::or(conn.run(consume), silence).await
 }
 
-/// Hands one message over, unless it has come before; fails if an event before it is missing.
+/// Passes one message to the handler, unless its event has been received before.
+///
+/// # Errors
+///
+/// Returns [`CloseReason::SequenceGap`] if an earlier event is missing.
 fn handle_message<H: FeedEvents>(
     handler: &mut H,
     last_sequence: &mut u64,
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -1,5 +1,5 @@
-//! Owns the connections to hosts: one for each, kept open, made again when lost. It knows nothing of dispatch: what
-//! happens on a connection goes to whoever implements [`HostEvents`], and so does every decision on it.
+//! Runs the connections to hosts: one connection per host, kept open and made again when lost. This module does not
+//! depend on dispatch: events and decisions about a connection are delegated to the implementation of [`HostEvents`].
 
 mod connect_reason;
 
@@ -24,31 +24,31 @@
 use task_placer::facade::Ticket;
 use task_placer::{CellId, EndpointState, HostId, Micros, Resources, ZoneId};
 
-/// The backoff after the first failure to connect.
+/// The base of the exponential reconnect backoff, which is doubled for each failed connect.
 const BASE_RECONNECT_BACKOFF: Micros = 50_000;
-/// The backoff doubles with each failure, up to this.
+/// The maximum reconnect backoff.
 const MAX_RECONNECT_BACKOFF: Micros = 800_000;
-/// The backoff is not computed for more doublings than these.
+/// The maximum number of times that the base backoff is doubled, which bounds the shift that computes it.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
 
-/// How long a host may take to see that its connection was closed, before another is made.
-const CLOSE_NOTICE_TIME: Duration = Duration::from_millis(50);
+/// How long to wait for a host to detect that its connection was closed, before another connection is made.
+const CLOSE_DETECTION_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Identifies a connection among those to one host.
+/// Identifies a connection among the connections to one host.
 pub type ConnectionId = u64;
 
-/// Whether a connection that came up is used.
+/// Whether an established connection is to be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectOutcome {
-    /// It is used.
+    /// The connection is used.
     InUse,
-    /// It is not wanted any more, and is closed.
+    /// The connection is no longer wanted, and is closed.
     NotWanted,
 }
 
-/// Handles what happens on connections to hosts. Each call is handled before it returns.
+/// Handles the events of connections to hosts. Each event is handled completely before the call returns.
 pub trait HostEvents {
-    /// A connection has come up.
+    /// A connection has been established. Returns whether it is to be used.
     fn host_connected(
         &mut self,
         host: &HostId,
@@ -56,96 +56,98 @@
         conn: Rc<Connection>,
     ) -> ConnectOutcome;
 
-    /// A connection was not made.
+    /// A connection could not be established.
     fn host_connect_failed(&mut self, host: &HostId, id: ConnectionId, error: ConnectError);
 
-    /// A message has arrived.
+    /// A message has arrived from a host.
     fn host_message(&mut self, host: &HostId, task: TaskId, message: HostMessage);
 
-    /// A connection that was in use has ended.
+    /// A connection that was in use has closed.
     fn host_closed(&mut self, host: &HostId, id: ConnectionId, reason: CloseReason);
 
-    /// A connection that this process closed for unreadable input has ended at the host, too, some time after
-    /// [`HostEvents::host_closed`]: what the host sent until then is lost.
+    /// The host has closed a connection that this process had closed because of unreadable input, some time after the
+    /// call of [`HostEvents::host_closed`]. Messages that the host sent in between are lost.
     fn host_stopped_sending(&mut self, host: &HostId);
 
-    /// The descriptor of a connection, or of the attempt to make one, has been given back.
+    /// The descriptor of a connection, or of a connect that did not succeed, has been closed.
     fn host_descriptor_released(&mut self, host: &HostId, id: ConnectionId);
 }
 
 /// The state of the current connection to a host.
 pub enum ConnectionState {
-    /// There is none.
+    /// There is no connection.
     Disconnected,
-    /// It is being made; a message on the channel aborts that.
+    /// A connection is being made; a message on the channel aborts the connect.
     Connecting(Sender<()>),
-    /// It is up.
+    /// The connection is established.
     Connected(Rc<Connection>),
 }
 
-/// An attempt of which nothing has been sent.
+/// An attempt of which no byte has been sent.
 #[derive(Debug, Clone, Copy)]
 pub struct PendingAttempt {
-    /// The request.
+    /// The ticket of the request.
     pub ticket: Ticket,
     /// The attempt's number within the request.
     pub attempt: u32,
-    /// How far its client must be read first, once that was looked at.
+    /// How much of the client's input must be read before the attempt is sent, if that has been determined.
     pub read_mark: Option<ReadMark>,
 }
 
-/// One host: its entry in the endpoint list, the connections to it, and what waits for them.
+/// One host: its entry in the endpoint list, the connections to it, and the attempts waiting to be sent on them.
 pub struct HostLink {
-    /// Where it listens.
+    /// The address at which the host listens, if known.
     pub address: Option<SocketAddr>,
-    /// Its state in the endpoint list.
+    /// The host's state in the endpoint list.
     pub state: EndpointState,
-    /// Its cell: machines of a cell fail together.
+    /// The host's cell; machines of a cell may fail together.
     pub cell: CellId,
-    /// Its zone.
+    /// The host's zone.
     pub zone: ZoneId,
-    /// Resources that no task has requested, by the endpoint list.
+    /// Resources that no task has requested, according to the endpoint list.
     pub free_resources: Resources,
-    /// When it last rejected an attempt because it is full, if it has not started a task since.
+    /// When the host last rejected an attempt for lack of capacity, if it has not started a task since.
     pub rejected_full_at: Option<Micros>,
-    /// When its process started, by this process's clock, or 0.
+    /// When the host's process started, on the clock of this process, or 0 if unknown.
     pub started_at: Micros,
-    /// The same as the endpoint list states it, in Unix time.
+    /// When the host's process started according to the endpoint list, in Unix time, or 0 if unknown.
     pub listed_start: Micros,
-    /// The current connection.
+    /// The state of the current connection.
     pub connection: ConnectionState,
-    /// The id of the latest connection.
+    /// The id of the latest connection or connect.
     pub connection_id: ConnectionId,
-    /// Why the latest connection was made.
+    /// The reason for the latest connection or connect.
     pub connect_reason: ConnectReason,
-    /// Connections that were replaced because they fell silent; attempts may still be in flight on them.
+    /// Open connections that are no longer the current one, because a second one was made after they fell silent or
+    /// messages were lost, or because they were evicted. Attempts may still be in flight on them.
     pub replaced: Vec<(ConnectionId, Rc<Connection>)>,
-    /// When the last message arrived from it.
+    /// When the last message arrived from the host, or the last connection was established.
     pub last_message_at: Micros,
     /// When the last connect began.
     pub last_connect_at: Micros,
-    /// When the last connection ended.
+    /// When the last current connection ended or was evicted.
     pub last_closed_at: Micros,
-    /// Another connection is to be made beside the one that is up, unless the host is heard before.
+    /// Whether a second connection is to be made beside the established one, unless a message arrives from the host
+    /// before.
     pub is_suspect: bool,
-    /// Another connection is to be made in any case: a host repeats the ends of tasks on the next one that opens, and some
-    /// may have been lost.
+    /// Whether a second connection is to be made even if a message arrives before. Ends of tasks may have been lost,
+    /// and a host repeats them on the next connection that opens.
     pub needs_repeated_ends: bool,
-    /// Attempts of which nothing has been sent: they wait for the connection, for what is queued on it, or for unread
-    /// input of their clients.
+    /// Attempts of which no byte has been sent: they wait for the connection, for its write queue to be empty, or for
+    /// unread input of their clients.
     pub pending_attempts: Vec<PendingAttempt>,
-    /// Connects that have failed in a row.
+    /// The number of connects that have failed in a row.
     pub connect_failures: u32,
-    /// When the first of them failed.
+    /// When the first of these connects failed, if any failed.
     pub unreachable_since: Option<Micros>,
-    /// When the tasks there count as lost, unless the host is reached before.
+    /// When the tasks at the host count as lost, unless the host is reached before.
     pub tasks_lost_at: Option<Micros>,
-    /// Whether the last failed connect was refused.
+    /// Whether the last failed connect was refused by the host's machine.
     pub was_refused: bool,
 }
 
 impl HostLink {
-    /// Creates the link to a host that was just listed, without a connection.
+    /// Creates the link to a host that has just been listed, without a connection.
     pub fn new(discovered: &DiscoveredEndpoint) -> HostLink {
         let endpoint = &discovered.endpoint;
         HostLink {
@@ -174,8 +176,8 @@
         }
     }
 
-    /// Returns the start of its process by this process's clock. It is converted once for each start that the endpoint list
-    /// states: a step of the system's clock later on makes no other process of it.
+    /// Returns when the host's process started, on the clock of this process. Each start time in the endpoint list is
+    /// converted only once, so that a later step of the system clock does not make the process look like a new one.
     pub fn local_start(&mut self, listed_start: Micros, clock: &Clock) -> Micros {
         if self.listed_start == listed_start {
             return self.started_at;
@@ -187,12 +189,12 @@
         clock.convert_unix(listed_start)
     }
 
-    /// Whether the connection of this id is being made.
+    /// Whether the connection with this id is being made.
     pub fn is_connecting(&self, id: ConnectionId) -> bool {
         self.connection_id == id && matches!(self.connection, ConnectionState::Connecting(_))
     }
 
-    /// Returns the current connection, if it is up.
+    /// Returns the current connection, if it is established.
     pub fn current_connection(&self) -> Option<&Rc<Connection>> {
         match &self.connection {
             ConnectionState::Connected(conn) => Some(conn),
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Returns the connection of this id, if it is open.
+    /// Returns the connection with this id, if it is open.
     pub fn open_connection(&self, id: ConnectionId) -> Option<&Rc<Connection>> {
         match &self.connection {
             ConnectionState::Connected(conn) if self.connection_id == id => Some(conn),
@@ -211,7 +213,7 @@
         }
     }
 
-    /// Whether a connection beside the one that is up is wanted.
+    /// Whether a second connection is wanted beside the established one.
     pub fn wants_second_connection(&self) -> bool {
         self.is_suspect || self.needs_repeated_ends
     }
@@ -234,7 +236,7 @@
         self.connections().for_each(|conn| conn.close(reason));
     }
 
-    /// Aborts a connect, and returns whether there was one.
+    /// Aborts the connect in progress, and returns whether there was one.
     pub fn abort_connect(&mut self) -> bool {
         let ConnectionState::Connecting(stop) = &self.connection else {
             return false;
@@ -244,7 +246,8 @@
         true
     }
 
-    /// Whether the host was removed and nothing of it is left: a new one under its name inherits nothing.
+    /// Whether the host was removed and has no connection and no pending attempt. A new host of the same name then
+    /// starts with fresh state.
     pub fn can_be_forgotten(&self) -> bool {
         let is_unused = matches!(self.connection, ConnectionState::Disconnected)
             && self.replaced.is_empty()
@@ -252,29 +255,29 @@
         self.state == EndpointState::Removed && is_unused
     }
 
-    /// Returns the pause before the next connect.
+    /// Returns the backoff before the next connect.
     pub fn reconnect_backoff(&self) -> Micros {
         let doublings = self.connect_failures.min(MAX_BACKOFF_DOUBLINGS);
         (BASE_RECONNECT_BACKOFF << doublings).min(MAX_RECONNECT_BACKOFF)
     }
 }
 
-/// Why a connection was not made.
+/// Why a connection could not be established.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectError {
-    /// Nothing listens there: proof that nothing ran, and that the process has ended.
+    /// Nothing listens at the address, which proves that the host's process has exited and that no attempt ran.
     #[error("connect-failed:refused")]
     Refused,
-    /// It never came up.
+    /// The connection was not established within the connect timeout.
     #[error("connect-failed:timed-out")]
     TimedOut,
-    /// This process has no descriptor left for it: nothing is known of the host.
+    /// This process has no descriptor left; the failure says nothing about the host.
     #[error("connect-failed:no-descriptor")]
     NoDescriptor,
-    /// This machine could not make it for a moment, as without a free port: nothing is known of the host.
+    /// A temporary failure of this machine, such as no free port; it says nothing about the host.
     #[error("connect-failed:local:{0}")]
     LocalFault(ErrorKind),
-    /// There is no way to the host at the moment.
+    /// The host cannot be reached at the moment.
     #[error("connect-failed:{0}")]
     Unreachable(ErrorKind),
 }
@@ -294,7 +297,7 @@
     }
 }
 
-/// Connects to a host and serves the connection until it ends and its descriptor is given back. A message on `stop`
+/// Connects to a host and serves the connection until it has ended and its descriptor is closed. A message on `stop`
 /// aborts the connect.
 pub async fn serve<H: HostEvents>(
     host: HostId,
@@ -348,21 +351,21 @@
     if !reason.is_unreadable_input() {
         return handler.borrow_mut().host_closed(host, id, reason);
     }
-    // A host repeats the ends of tasks on the next connection that opens. It must not open before the host has seen the
-    // close, or what the host writes until then is lost.
-    let mut shutdown = pin!(conn.discard_until_closed());
-    let is_seen = closes_within(shutdown.as_mut(), CLOSE_NOTICE_TIME).await;
+    // A host repeats the ends of tasks on the next connection that opens. That connection must not open before the host
+    // has detected the close, or the ends that the host writes to the old connection until then are lost.
+    let mut peer_close = pin!(conn.discard_until_closed());
+    let is_closed = closes_within(peer_close.as_mut(), CLOSE_DETECTION_TIMEOUT).await;
     handler.borrow_mut().host_closed(host, id, reason);
-    if !is_seen {
-        shutdown.await;
+    if !is_closed {
+        peer_close.await;
         handler.borrow_mut().host_stopped_sending(host);
     }
 }
 
-/// Waits for the end of a connection for this long, and returns whether it has come.
-async fn closes_within(shutdown: Pin<&mut impl Future<Output = ()>>, limit: Duration) -> bool {
+/// Waits for the peer to close a connection, for `limit` at most, and returns whether it has.
+async fn closes_within(peer_close: Pin<&mut impl Future<Output = ()>>, limit: Duration) -> bool {
     let closed = async {
-        shutdown.await;
+        peer_close.await;
         true
     };
     let timeout = async {
--- a/src/net/hosts/connect_reason.rs
+++ b/src/net/hosts/connect_reason.rs
@@ -1,4 +1,4 @@
-//! Why connections to hosts are made, and how often each reason has made one.
+//! The reasons for connections to hosts, and counters of the connections established for each reason.
 
 use simd_json::OwnedValue;
 use std::fmt;
@@ -6,18 +6,20 @@
 /// Why a connection to a host was made.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 pub enum ConnectReason {
-    /// The host may be needed soon.
+    /// The host may be needed soon, and connections have no price.
     #[default]
     Prewarm,
-    /// Tasks run at the host, and it may have ends to report.
+    /// Tasks run at the host, which reports their ends on a connection only.
     RunningTasks,
     /// The host must be notified that a task was released.
     Release,
-    /// Another connection broke, or was silent: the host repeats on a new one what may have been lost.
+    /// Another connection broke, or was silent: ends of tasks may have been lost, and the host repeats them on a new
+    /// one.
     RepeatedEnds,
-    /// Nothing arrives on the connection that is up, or the hosts beside this one have failed.
+    /// Nothing arrives on the established connection, a release on it is unconfirmed, or another host of the cell has
+    /// failed.
     Suspicion,
-    /// An attempt is waiting.
+    /// An attempt is waiting to be sent.
     Attempt,
 }
 
@@ -31,7 +33,7 @@
         ConnectReason::Attempt,
     ];
 
-    /// Returns its name in the log and among the metrics.
+    /// Returns the name of the reason in the log and the metrics.
     pub fn as_str(self) -> &'static str {
         match self {
             ConnectReason::Prewarm => "prewarm",
@@ -50,17 +52,17 @@
     }
 }
 
-/// The connections to hosts that have come up since the start of this process, by the reason of each.
+/// The number of connections to hosts that have been established since this process started, by reason.
 #[derive(Debug, Clone, Default)]
 pub struct ConnectCounters([u64; ConnectReason::ALL.len()]);
 
 impl ConnectCounters {
-    /// Counts a connection that has come up.
+    /// Counts an established connection.
     pub fn record(&mut self, reason: ConnectReason) {
         self.0[reason as usize] += 1;
     }
 
-    /// Returns the counters as the metrics report them.
+    /// Returns the counters as reported in the metrics.
     pub fn to_json(&self) -> OwnedValue {
         let fields = ConnectReason::ALL.into_iter().zip(self.0);
         let fields = fields.map(|(reason, count)| (reason.as_str().to_owned(), count.into()));
--- a/src/net/hosts/tests.rs
+++ b/src/net/hosts/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `hosts.rs`: when a host is forgotten.
+//! Tests of `HostLink`: when the state of a removed host may be dropped.
 
 use super::*;
 use std::sync::Arc;
@@ -51,5 +51,5 @@
         read_mark: None,
     });
 
-    assert!(!link.can_be_forgotten(), "an attempt is still pending");
+    assert!(!link.can_be_forgotten(), "the host has a pending attempt");
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,6 +1,7 @@
-//! The network side: one thread, one local executor, and [`dispatch::Dispatch`] in the middle.
+//! The network side of the placer: one thread that runs one local executor, whose tasks share one
+//! [`dispatch::Dispatch`].
 //!
-//! [`clients`], [`hosts`] and [`feed`] own connections and hand what happens on them to traits that dispatch implements.
+//! [`clients`], [`hosts`] and [`feed`] run the connections and pass their events to traits that dispatch implements.
 //! [`admin`], [`ctl`] and [`health`] serve operators and load balancers.
 
 mod admin;
@@ -39,24 +40,24 @@
 use std::time::Duration;
 use tracing::{info, warn};
 
-/// Takes over the handling of signals. Guards against one that arrives during the start: a request to read the
-/// configuration again would end the process.
+/// Installs the signal handlers. This must happen early during the start: without a handler, a SIGHUP that requests a
+/// reload of the configuration would kill the process.
 ///
 /// # Errors
 ///
-/// Fails if the system does not allow it.
+/// Fails if the handlers cannot be installed.
 pub fn signals() -> io::Result<Signals> {
     async_io::block_on(retry("signals", || {
         Signals::new([Signal::Term, Signal::Int, Signal::Hup])
     }))
 }
 
-/// Serves until a signal asks for the shutdown and no response is pending. `path` is where the configuration came from,
-/// for reading it again.
+/// Serves until a signal requests the shutdown and no response is pending. `path` is the file that the configuration is
+/// reloaded from.
 ///
 /// # Errors
 ///
-/// Fails if an address or a socket can't be listened at.
+/// Fails if an address or a socket cannot be listened on.
 pub fn serve(
     config: Config,
     path: Option<PathBuf>,
@@ -78,13 +79,14 @@
     async_io::block_on(executor.run(server.run(path, signals)))
 }
 
-/// Where a process listens and connects, and what it is called.
+/// The name of the placer, and the addresses that the process listens on and connects to.
 struct Addresses {
     name: String,
     listen: SocketAddr,
     admin: Option<SocketAddr>,
     feed: SocketAddr,
-    /// The feed is followed from the event after this one.
+    /// The sequence number of the last feed event contained in the configuration; the feed is followed from the next
+    /// one.
     feed_sequence: u64,
 }
 
@@ -110,10 +112,10 @@
 
 impl Server {
     async fn run(self, path: Option<PathBuf>, signals: Signals) -> io::Result<()> {
-        // The cached hosts are taken in before anyone can connect: a health check that passes means ready.
+        // The cached hosts are applied before anyone can connect, because a passing health check means ready.
         self.shared.borrow_mut().start();
         self.open_operator_listeners().await?;
-        // Last: whoever can connect finds all else open.
+        // The client listener opens last, so that all other listeners are open once a client can connect.
         let acceptor = self.open_client_listener().await?;
         let new_addresses = self.follow_feed();
         self.handle_signals(signals, path, new_addresses);
@@ -126,7 +128,7 @@
         Ok(())
     }
 
-    /// Opens the listeners of load balancers and operators, where the operator's file and the configuration have them.
+    /// Opens the listeners for load balancers and operators that the operator's file and the configuration define.
     async fn open_operator_listeners(&self) -> io::Result<()> {
         health::open(&self.operator.health, &self.executor, &self.shared).await?;
         if let Some(socket) = &self.operator.control_socket {
@@ -140,7 +142,7 @@
         Ok(())
     }
 
-    /// Begins to accept clients, on the inherited socket or on one of its own.
+    /// Starts to accept clients, on the inherited socket if there is one, or else on a new one.
     async fn open_client_listener(&self) -> io::Result<Rc<Acceptor<Dispatch>>> {
         let listener = self.client_listener().await?;
         let acceptor = Acceptor::new(listener, self.shared.clone(), self.executor.clone());
@@ -162,10 +164,10 @@
         }
         retry("listen", || accept::listen(listen))
             .await
-            .map_err(|e| io::Error::new(e.kind(), format!("listen: {listen}: {e}")))
+            .map_err(|e| io::Error::new(e.kind(), format!("cannot listen on {listen}: {e}")))
     }
 
-    /// Begins to follow the feed, and returns where new addresses of it are sent.
+    /// Starts to follow the feed, and returns the channel through which its address can be changed.
     fn follow_feed(&self) -> Sender<SocketAddr> {
         let (new_addresses, receiver) = async_channel::unbounded();
         let Addresses {
@@ -184,8 +186,8 @@
         new_addresses
     }
 
-    /// Begins to handle signals: SIGHUP reads the configuration again, the others begin the shutdown. A file that cannot
-    /// be read for a while delays no shutdown.
+    /// Starts to handle signals: SIGHUP reloads the configuration, all others begin the shutdown. The reload runs in
+    /// its own task, so that a file that blocks while it is read does not delay a shutdown.
     fn handle_signals(
         &self,
         mut signals: Signals,
@@ -201,15 +203,15 @@
                 match signal {
                     Ok(Signal::Hup) => drop(reload_requests.try_send(())),
                     Ok(_) => shared.borrow_mut().terminate(),
-                    // No signal was read: nobody has asked for the shutdown.
-                    Err(error) => warn!(reason = %error.kind(), "signal not read"),
+                    // No signal was received, so no shutdown was requested.
+                    Err(error) => warn!(reason = %error.kind(), "cannot receive signal"),
                 }
             }
         };
         self.executor.spawn(handling).detach();
     }
 
-    /// Drives the wheel and the log until the process may exit.
+    /// Drives the timer wheel and the log until the process may exit.
     async fn run_until_finished(&self, acceptor: &Acceptor<Dispatch>) {
         let mut ticks = Timer::interval(Duration::from_micros(timer_wheel::TICK.unsigned_abs()));
         while ticks.next().await.is_some() {
@@ -226,8 +228,8 @@
     }
 }
 
-/// Reads the configuration again for each request: the feed and the limits are taken over, all else stays as it was at the
-/// start. Guards against a file that can't be read: the one before stays in force.
+/// Reloads the configuration for each request. Only the feed address and the limits are applied; everything else keeps
+/// the values from the start. If the file cannot be read, the previous configuration stays in effect.
 async fn reload_on_request(
     shared: SharedDispatch,
     path: Option<PathBuf>,
@@ -237,11 +239,11 @@
     while requests.recv().await.is_ok() {
         match config::load(path.as_deref()).await {
             Ok(config) => {
-                info!(feed = %config.feed, "configuration read again");
+                info!(feed = %config.feed, "configuration reloaded");
                 shared.borrow_mut().apply_limits(config.limits);
                 let _ = new_addresses.try_send(config.feed);
             }
-            Err(problem) => warn!(%problem, "configuration not read again"),
+            Err(problem) => warn!(%problem, "cannot reload configuration"),
         }
     }
 }
--- a/tests/endings/process.rs
+++ b/tests/endings/process.rs
@@ -19,7 +19,7 @@
     // A second SIGTERM, and a reload of an invalid configuration, change nothing.
     program.terminate();
     program.reload("{");
-    program.wait_for_log("configuration not read again");
+    program.wait_for_log("cannot reload configuration");
     assert!(program.wait_exit().success());
 }
 
@@ -40,8 +40,8 @@
     assert!(program.wait_exit().success());
 }
 
-// Regression: one failed call of the system ended the start, although it would have succeeded a moment later. The evidence
-// was `can't serve` with the system's text for a lack of descriptors, and no later line.
+// Regression: one failed call of the system ended the start, although it would have succeeded a moment later. The
+// evidence was `can't serve` with the system's text for a lack of descriptors, and no later line.
 #[test]
 fn start_waits_for_what_the_system_lacks_for_a_moment() {
     let mut feed = Feed::new();
@@ -192,7 +192,7 @@
     // Once it listens it has read the file, and the reload waits for a writer.
     let mut client = program.client();
     write(open());
-    program.wait_for_log("configuration read again");
+    program.wait_for_log("configuration reloaded");
     assert!(client.health_check() && program.is_running());
     let _ = std::fs::remove_file(&pipe);
 }
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -260,5 +260,5 @@
     assert_eq!(connection.expect_offer(), hex(1));
     connection.report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
-    program.wait_for_log("entry set aside host=\"odd\" reason=bad-field:dial");
+    program.wait_for_log("endpoint entry rejected host=\"odd\" reason=bad-field:dial");
 }
--- a/tests/fronts/drains.rs
+++ b/tests/fronts/drains.rs
@@ -115,7 +115,7 @@
     assert_eq!(deployment.program.wait_exit().code(), Some(0));
     let log = deployment.program.log();
     assert!(
-        log.contains(&format!("left standing task={}", hex(1)))
+        log.contains(&format!("task still running at exit task={}", hex(1)))
             && log.contains("reason=\"standing-bound\""),
         "{log}"
     );
