--- a/src/net/dispatch.rs
+++ b/src/net/dispatch.rs
@@ -141,7 +141,7 @@
     pub(super) health_reporter: Option<HealthReporter>,
     /// Limits the connections from load balancers.
     pub(super) balancer_connections: Rc<ConnectionLimiter>,
-    /// Limit the connections from operators and from the platform.
+    /// The limiters of the connections from operators and from the platform, one for each listener.
     pub(super) operator_connections: Vec<Rc<ConnectionLimiter>>,
     /// Whether a drain is complete, so that the process may exit.
     is_drained: bool,
--- a/src/net/dispatch/timer_event.rs
+++ b/src/net/dispatch/timer_event.rs
@@ -11,15 +11,15 @@
 pub(super) enum TimerEvent {
     /// The attempt's deadline is reached.
     AttemptTimeout(Ticket, u32),
-    /// The attempt's host may have been silent for long enough to become suspect.
+    /// The attempt's host becomes suspect if its connection has been silent for `SILENCE_TIMEOUT`.
     SilenceCheck(Ticket, u32),
-    /// The connect timeout has passed since the attempt began, and nothing of it may have been sent.
+    /// The connect timeout has passed since the attempt began; the attempt ends if nothing of it has been sent.
     UnsentTimeout(Ticket, u32),
     /// The connect timeout of this connection is reached.
     ConnectTimeout(HostId, ConnectionId),
     /// The backoff after this connection's failed connect is over.
     Reconnect(HostId, ConnectionId),
-    /// The tasks of a host that has been unreachable since the given time may count as lost.
+    /// The tasks of a host count as lost if it has been unreachable since the given time.
     HostUnreachable(HostId, Micros),
     /// The time that a host has to close an evicted connection is over.
     EvictionTimeout(HostId, ConnectionId),
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -24,7 +24,7 @@
 use task_placer::facade::Ticket;
 use task_placer::{CellId, EndpointState, HostId, Micros, Resources, ZoneId};
 
-/// The base of the exponential reconnect backoff, which is doubled for each failed connect.
+/// The reconnect backoff after the first failed connect. It doubles with each further failure in a row.
 const BASE_RECONNECT_BACKOFF: Micros = 50_000;
 /// The maximum reconnect backoff.
 const MAX_RECONNECT_BACKOFF: Micros = 800_000;
--- a/src/net/hosts/connect_reason.rs
+++ b/src/net/hosts/connect_reason.rs
@@ -16,7 +16,7 @@
     /// Another connection broke, or was silent: ends of tasks may have been lost, and the host repeats them on a new
     /// one.
     RepeatedEnds,
-    /// Nothing arrives on the established connection, a release on it is unconfirmed, or another host of the cell has
+    /// The established connection is silent or stalled, a release on it is unconfirmed, or another host of the cell has
     /// failed.
     Suspicion,
     /// An attempt is waiting to be sent.
--- a/tests/endings/process.rs
+++ b/tests/endings/process.rs
@@ -40,8 +40,8 @@
     assert!(program.wait_exit().success());
 }
 
-// Regression: one failed call of the system ended the start, although it would have succeeded a moment later. The
-// evidence was `can't serve` with the system's text for a lack of descriptors, and no later line.
+// Regression: one failed call of the system ended the start, although it would have succeeded a moment later. The evidence
+// was `can't serve` with the system's text for a lack of descriptors, and no later line.
 #[test]
 fn start_waits_for_what_the_system_lacks_for_a_moment() {
     let mut feed = Feed::new();
