--- a/src/net/dispatch/health_inputs.rs
+++ b/src/net/dispatch/health_inputs.rs
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Passes the current gauges to the health engine, and runs the tasks that a drain requires.
+    /// Passes the current gauges to the health engine, and runs the actions that a drain requires.
     pub(super) fn update_health(&mut self, now: Micros) {
         if self.health_reporter.is_none() {
             return;
@@ -39,8 +39,8 @@
         let pending_work = self.pending_work();
         if let Some(reporter) = &mut self.health_reporter {
             reporter.notify(now, Event::GaugesSampled(gauges));
-            let tasks = reporter.advance_drain(now, pending_work);
-            self.run_drain_tasks(now, tasks);
+            let actions = reporter.advance_drain(now, pending_work);
+            self.run_drain_actions(now, actions);
         }
     }
 
