--- a/crates/emulator/src/admin_socket.rs
+++ b/crates/emulator/src/admin_socket.rs
@@ -6,23 +6,23 @@
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 
-/// The address of the admin socket of one process.
+/// The address of the admin socket of one placer process.
 #[derive(Debug, Clone, Copy)]
 pub struct AdminSocket(pub SocketAddr);
 
 impl AdminSocket {
-    /// Connects as soon as it listens.
+    /// Connects as soon as the admin socket listens.
     ///
     /// # Panics
     ///
-    /// If the socket cannot be set up.
+    /// If the socket does not listen within [`TEST_TIMEOUT`], or its read timeout cannot be set.
     pub fn connect(&self) -> TcpStream {
-        let stream = wait_for("the admin socket listens", || {
+        let stream = wait_for("the admin socket to listen", || {
             TcpStream::connect(self.0).ok()
         });
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a socket option");
+            .expect("cannot set a socket option");
         stream
     }
 
@@ -35,13 +35,13 @@
         let mut stream = self.connect();
         stream
             .write_all(format!("{line}\n").as_bytes())
-            .expect("the placer reads");
+            .expect("cannot send to the placer");
         let mut reply = String::new();
-        stream.read_to_string(&mut reply).expect("a reply");
+        stream.read_to_string(&mut reply).expect("cannot read the reply");
         reply
     }
 
-    /// Returns the result of the health check `check`.
+    /// Returns whether the command `check` reports the placer as healthy.
     ///
     /// # Panics
     ///
@@ -50,30 +50,30 @@
         match self.request("check") {
             reply if reply.starts_with("ok") => true,
             reply if reply.starts_with("fail") => false,
-            other => panic!("neither ok nor fail: {other:?}"),
+            other => panic!("the reply is neither `ok` nor `fail`: {other:?}"),
         }
     }
 
-    /// Returns the metrics that `vars` reports.
+    /// Returns the metrics that the command `vars` reports.
     ///
     /// # Panics
     ///
-    /// If the placer does not reply, or not with one line of JSON.
+    /// If the placer does not reply, or its reply is not one line of JSON followed by the line `eof`.
     pub fn metrics(&self) -> OwnedValue {
         let mut stream = self.connect();
-        stream.write_all(b"vars\n").expect("the placer reads");
+        stream.write_all(b"vars\n").expect("cannot send to the placer");
         let lines: Vec<String> = BufReader::new(stream)
             .lines()
-            .map(|line| line.expect("text"))
+            .map(|line| line.expect("cannot read the metrics"))
             .collect();
         let [json, last] = lines.as_slice() else {
-            panic!("not two lines: {lines:?}")
+            panic!("the reply does not have two lines: {lines:?}")
         };
         assert_eq!(last, "eof");
-        to_owned_value(json.clone().into_bytes().as_mut()).expect("JSON")
+        to_owned_value(json.clone().into_bytes().as_mut()).expect("the metrics are not JSON")
     }
 
-    /// Returns a request counter of a class.
+    /// Returns the value of a request counter of a class.
     ///
     /// # Panics
     ///
@@ -85,6 +85,6 @@
             .and_then(|requests| requests.get(class));
         counts
             .and_then(|counts| counts.get_u64(counter))
-            .expect("a count")
+            .expect("the metrics do not contain the counter")
     }
 }
--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -1,23 +1,24 @@
-//! A scripted client: requests tasks on a connection, and reads the messages of the placer.
+//! A scripted client that requests tasks on a connection and reads the messages of the placer.
 
 use crate::TEST_TIMEOUT;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// A message to a client.
+/// A decoded message from the placer to a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Message {
-    /// Its type on the wire.
+    /// The number of the message type on the wire.
     pub kind: u8,
-    /// The id of its task.
+    /// The id of the request that the message belongs to.
     pub id: u64,
-    /// Its parameters: code and value.
+    /// The parameters of the message, each with its code and its value.
     pub parameters: Vec<(u8, Vec<u8>)>,
 }
 
 impl Message {
-    /// Decodes the first message of `bytes`, and returns it with its length; none if it is incomplete.
+    /// Decodes the first message in `bytes`, and returns it with its encoded length. Returns `None` if it is incomplete
+    /// or malformed.
     pub fn decode(bytes: &[u8]) -> Option<(Message, usize)> {
         let (length, rest) = bytes.split_first_chunk::<2>()?;
         let length = usize::from(u16::from_be_bytes(*length));
@@ -41,7 +42,7 @@
         })
     }
 
-    /// Returns a parameter.
+    /// Returns the value of the parameter with this code.
     pub fn get(&self, code: u8) -> Option<&[u8]> {
         self.parameters
             .iter()
@@ -49,41 +50,41 @@
             .map(|(_, value)| value.as_slice())
     }
 
-    /// Returns a parameter as text.
+    /// Returns the value of the parameter with this code as text.
     ///
     /// # Panics
     ///
-    /// If the parameter is no text.
+    /// If the value is not valid UTF-8.
     pub fn text(&self, code: u8) -> Option<&str> {
         self.get(code)
-            .map(|value| std::str::from_utf8(value).expect("text"))
+            .map(|value| std::str::from_utf8(value).expect("the parameter is not valid UTF-8"))
     }
 
-    /// Returns the cause, which must be there.
+    /// Returns the cause code of the message.
     ///
     /// # Panics
     ///
-    /// If the message carries no cause.
+    /// If the message has no cause, or one that is not a single byte.
     pub fn cause(&self) -> u8 {
         match self.get(171) {
             Some([cause]) => *cause,
-            other => panic!("no cause: {other:?}"),
+            other => panic!("no valid cause: {other:?}"),
         }
     }
 }
 
-/// A connection of a client.
+/// A client's connection to a placer.
 pub struct Client(pub TcpStream);
 
-/// A request for a task.
+/// A request for the placement of a task.
 pub struct TaskRequest<'a> {
     /// The class of the task.
     pub class: &'a str,
-    /// How long the client waits, in milliseconds.
+    /// How long the client waits for the answer, in milliseconds.
     pub wait_ms: u64,
-    /// Its service.
+    /// The id of the service that the task belongs to.
     pub service: u64,
-    /// The host that runs it already, for a client that reconnects.
+    /// The name of the host that already runs the task, if the client reconnects to a running task.
     pub running_at: Option<&'a str>,
 }
 
@@ -94,7 +95,7 @@
     service: 7,
     running_at: None,
 };
-/// A request for a task that must not start twice.
+/// A request for a non-idempotent task, which must not be started twice.
 pub const NON_IDEMPOTENT_TASK: TaskRequest<'_> = TaskRequest {
     class: "once",
     wait_ms: 6_000,
@@ -102,7 +103,7 @@
     running_at: None,
 };
 
-/// Encodes a message.
+/// Encodes a message of a client, including its length prefix.
 pub fn encode_message(kind: u8, id: u64, parameters: &[(u8, &[u8])]) -> Vec<u8> {
     let mut body = vec![kind];
     body.extend(id.to_be_bytes());
@@ -116,11 +117,11 @@
     all
 }
 
-/// Encodes a request for a task.
+/// Encodes a request for a task. The idempotency key of the task is derived from `id`.
 pub fn encode_task_request(id: u64, request: &TaskRequest<'_>, description: &str) -> Vec<u8> {
-    let mut figures = format!("cores:1;memory:2;service:{:016x}", request.service);
+    let mut requirements = format!("cores:1;memory:2;service:{:016x}", request.service);
     if let Some(host) = request.running_at {
-        figures.push_str(&format!(";at:{host}"));
+        requirements.push_str(&format!(";at:{host}"));
     }
     let (wait, key) = (request.wait_ms.to_string(), format!("{:016x}", id + 0xabc0));
     encode_message(
@@ -131,33 +132,33 @@
             (132, wait.as_bytes()),
             (135, b"ours"),
             (141, key.as_bytes()),
-            (144, figures.as_bytes()),
+            (144, requirements.as_bytes()),
             (174, description.as_bytes()),
         ],
     )
 }
 
 impl Client {
-    /// Sends bytes.
+    /// Sends bytes as they are.
     ///
     /// # Panics
     ///
-    /// If the placer does not read.
+    /// If the connection has failed.
     pub fn send(&mut self, bytes: &[u8]) {
-        self.0.write_all(bytes).expect("the placer reads");
+        self.0.write_all(bytes).expect("cannot send to the placer");
     }
 
-    /// Requests a task.
+    /// Requests a task with a default description.
     pub fn request_task(&mut self, id: u64, request: &TaskRequest<'_>) {
         self.send(&encode_task_request(id, request, &format!("c=IN {id}\r\n")));
     }
 
-    /// Requests a task with this description.
+    /// Requests a task with the given description.
     pub fn request_task_with(&mut self, id: u64, request: &TaskRequest<'_>, description: &str) {
         self.send(&encode_task_request(id, request, description));
     }
 
-    /// Gives a request up, or ends a task.
+    /// Releases a task: withdraws its request if it is still open, otherwise ends the running task.
     pub fn release(&mut self, id: u64, cause: u8) {
         self.send(&encode_message(12, id, &[(171, &[cause])]));
     }
@@ -166,7 +167,7 @@
     ///
     /// # Panics
     ///
-    /// If something else than the result of the check comes.
+    /// If the next message is not the result of the health check.
     pub fn health_check(&mut self) -> bool {
         self.send(&encode_message(52, 0xfe, &[(171, &[0])]));
         let result = self.expect_message();
@@ -174,21 +175,21 @@
         result.cause() == 1
     }
 
-    /// Reads the next message; none where the connection ends.
+    /// Reads the next message, and returns `None` if the connection has ended.
     ///
     /// # Panics
     ///
-    /// If the connection fails or nothing comes in time.
+    /// If the connection fails, or no message arrives within [`TEST_TIMEOUT`].
     pub fn next_message(&mut self) -> Option<Message> {
         self.try_message()
-            .unwrap_or_else(|e| panic!("no message: {e}"))
+            .unwrap_or_else(|e| panic!("cannot read the next message: {e}"))
     }
 
-    /// Reads the next message; none where the connection ends.
+    /// Reads the next message, and returns `None` if the connection has ended.
     ///
     /// # Errors
     ///
-    /// No message comes in time, or the connection fails.
+    /// Returns an error if no message arrives within [`TEST_TIMEOUT`], or the connection fails.
     pub fn try_message(&mut self) -> std::io::Result<Option<Message>> {
         let mut length = [0; 2];
         match self.0.read_exact(&mut length) {
@@ -208,11 +209,11 @@
         Ok(Message::decode_body(&body))
     }
 
-    /// Reads the next message; none where the connection ends.
+    /// Reads the next message, and returns `None` if the connection has ended.
     ///
     /// # Errors
     ///
-    /// No message begins within the limit, or the connection fails.
+    /// Returns an error if no message begins to arrive within `limit`, or the connection fails.
     pub fn message_within(&mut self, limit: Duration) -> std::io::Result<Option<Message>> {
         self.0.set_read_timeout(Some(limit))?;
         let begun = self.0.peek(&mut [0; 2]);
@@ -224,16 +225,17 @@
         }
     }
 
-    /// Closes the connection now. If it were only dropped, a process that another test is just forking could keep
-    /// a copy open until it executes its program.
+    /// Closes the connection at once by shutting down its write side. Dropping the socket would not be enough: a
+    /// process that another test is just forking may hold a copy of its descriptor until that process executes its
+    /// program.
     ///
     /// # Panics
     ///
-    /// If the connection has ended already.
+    /// If the connection has already ended.
     pub fn close(self) {
         self.0
             .shutdown(Shutdown::Write)
-            .expect("an open connection");
+            .expect("the connection has already ended");
     }
 
     /// Acknowledges the end of a task.
@@ -241,12 +243,12 @@
         let _ = self.0.write_all(&encode_message(16, id, &[]));
     }
 
-    /// Reads the next message, which must come.
+    /// Reads the next message.
     ///
     /// # Panics
     ///
-    /// If no message comes in time.
+    /// If the connection ends, or no message arrives within [`TEST_TIMEOUT`].
     pub fn expect_message(&mut self) -> Message {
-        self.next_message().expect("a message")
+        self.next_message().expect("the connection ended instead of a message")
     }
 }
--- a/crates/emulator/src/deployment_config.rs
+++ b/crates/emulator/src/deployment_config.rs
@@ -1,15 +1,16 @@
-//! Configurations of placers in a small deployment.
+//! Configurations of placers in a small test deployment.
 
 use crate::{Feed, UpdateKind, endpoint_event, free_address};
 use simd_json::{OwnedValue, json};
 
-/// Returns the configuration of the only placer of a deployment. Class `quick` is idempotent and limited to 2 tasks
-/// of a service in a zone; class `once` is not idempotent; a cold host tolerates 3 offers a second.
+/// Returns the configuration of the only placer of a deployment. Class `quick` is idempotent and limited to 2 tasks of
+/// a service in a zone; class `once` is not idempotent. A host in slow start tolerates 3 offers per second.
 pub fn single_placer_config(feed: &Feed, hosts: Vec<OwnedValue>) -> OwnedValue {
     placer_config("n1", 0, 1, &feed.address(), hosts)
 }
 
-/// Returns the configuration of one of several placers.
+/// Returns the configuration of placer `index` of a deployment with `placers` placers, with the same classes and limits
+/// as [`single_placer_config`].
 pub fn placer_config(
     name: &str,
     index: u64,
--- a/crates/emulator/src/event_log/event.rs
+++ b/crates/emulator/src/event_log/event.rs
@@ -1,110 +1,111 @@
-//! What the parties of a run record: requests, offers, reports, notices, and what becomes of processes and links.
+//! The events that the parties of a run record: requests, offers, reports, notices, and changes of processes and links.
 
 use crate::host_model::Micros;
 
 /// The state of a host in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ListedState {
-    /// In service.
+    /// The host is in service.
     Up,
-    /// Finishing its tasks.
+    /// The host finishes its tasks and takes no new ones.
     Draining,
-    /// No longer in the list.
+    /// The host is no longer in the list.
     Removed,
 }
 
-/// What a placer notified a client of.
+/// A placer's notice to a client about its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientNotice {
-    /// The task runs; the fingerprint of the description that came with it.
+    /// The task is running; holds the fingerprint of the description that the notice contained.
     Placed(u64),
-    /// The task was rejected or has ended, with this cause.
+    /// The task was rejected or has ended; holds the cause.
     Released(u8),
-    /// The task migrates.
+    /// The task is migrated to another host.
     Migrated,
 }
 
-/// What a host reported of a task.
+/// A host's report about a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostReport {
-    /// It runs; the fingerprint of the description in the report.
+    /// The task is running; holds the fingerprint of the description in the report.
     Running(u64),
-    /// It was rejected or has ended, with this cause.
+    /// The task was rejected or has ended; holds the cause.
     Ended(u8),
-    /// The same, but without a connection: the report goes out on the next one.
+    /// The task was rejected or has ended, with this cause, while the host had no connection of the placer: the report
+    /// is sent on the next one.
     EndedUndelivered(u8),
-    /// The host reset the connection: earlier reports on it may not arrive.
+    /// The host reset the connection, so earlier reports on it may be lost.
     ConnectionReset,
 }
 
-/// What became of a placer's process.
+/// A change of the state of a placer's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ProcessChange {
-    /// It was started.
+    /// The process was started.
     Started,
-    /// It was killed.
+    /// The process was killed.
     Killed,
-    /// It was stopped by a signal, and does nothing until it is resumed.
+    /// The process was stopped by a signal, and does nothing until it is resumed.
     Paused,
-    /// It was resumed.
+    /// The process was resumed.
     Resumed,
-    /// It was asked to terminate.
+    /// The process was requested to shut down.
     TerminationRequested,
-    /// It exited by itself with this code.
+    /// The process exited without being killed; holds the exit code.
     Exited(i32),
 }
 
-/// The other end of a placer's link.
+/// The peer at the other end of a placer's link.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Peer {
     /// All clients.
     Clients,
-    /// The host in a slot.
+    /// The host in this slot.
     Host(usize),
-    /// Its service discovery feed.
+    /// The placer's service discovery feed.
     Feed,
 }
 
-/// One event of a run. Hosts are named by their number, placers by their index.
+/// One event of a run. Hosts are identified by their number in the log, and placers by their index.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A client has written a complete request.
+    /// A client has sent a complete request.
     TaskRequested {
         /// The id of the request.
         id: u64,
         /// The idempotency key of the task.
         key: u64,
-        /// Index of its class.
+        /// The index of the task's class.
         class: usize,
-        /// Its service.
+        /// The id of the task's service.
         service: u64,
-        /// The placer.
+        /// The placer to which the request was sent.
         placer: usize,
-        /// How long the client waits.
+        /// How long the client waits for the answer.
         wait: Micros,
-        /// The fingerprint of its description.
+        /// The fingerprint of the task's description.
         description: u64,
-        /// The host that already runs it, for a client that reconnects.
+        /// The host that already runs the task, if the client reconnects to it.
         running_at: Option<usize>,
     },
-    /// A client has read a notice.
+    /// A client has received a notice.
     ClientNotified {
         /// The id of the request.
         id: u64,
         /// The notice.
         notice: ClientNotice,
     },
-    /// A client has given a request up.
+    /// A client has withdrawn its request, or ended its task.
     ClientGaveUp {
         /// The id of the request.
         id: u64,
     },
-    /// The connection of an open request ended.
+    /// The connection of a client with an open request has ended.
     ClientDisconnected {
         /// The id of the request.
         id: u64,
     },
-    /// A complete offer has reached a host.
+    /// A host has received a complete offer.
     OfferReceived {
         /// The id of the request.
         id: u64,
@@ -113,7 +114,7 @@
         /// The fingerprint of the description that arrived.
         description: u64,
     },
-    /// A host has written a report.
+    /// A host has sent a report, or would have sent it if it had a connection.
     HostReported {
         /// The id of the request.
         id: u64,
@@ -122,21 +123,21 @@
         /// The report.
         report: HostReport,
     },
-    /// A host has read that an offer is withdrawn, or that a task is to stop.
+    /// A host has received a message that withdraws an offer or stops a task.
     AttemptStopped {
         /// The id of the request.
         id: u64,
         /// The host.
         host: usize,
     },
-    /// The connection of an open offer ended.
+    /// The connection on which a host had received a still open offer has ended.
     OfferConnectionClosed {
         /// The id of the request.
         id: u64,
         /// The host.
         host: usize,
     },
-    /// A host's process died, and all its tasks with it.
+    /// A host's process has died, and all its tasks with it.
     HostDied {
         /// The host.
         host: usize,
@@ -157,32 +158,32 @@
         placer: usize,
         /// The host.
         host: usize,
-        /// Its state.
+        /// The state of the host.
         state: ListedState,
     },
-    /// A placer's process was started, stopped or has ended.
+    /// The state of a placer's process has changed.
     PlacerChanged {
         /// The placer.
         placer: usize,
-        /// What happened.
+        /// The change.
         change: ProcessChange,
     },
-    /// A link of a placer is impaired or intact again. What was sent in between may come late, or never.
+    /// A link of a placer has become impaired or intact. Messages sent while it is impaired may arrive late or never.
     LinkChanged {
         /// The placer.
         placer: usize,
-        /// The other end.
+        /// The peer at the other end of the link.
         peer: Peer,
-        /// Whether it is intact from now on.
+        /// Whether the link is intact from this time on.
         intact: bool,
     },
 }
 
-/// An event and its time.
+/// An event with the time since the start of the log.
 pub type TimedEvent = (Micros, Event);
 
 impl Event {
-    /// Returns the id of the request that it belongs to, if any.
+    /// Returns the id of the request that the event belongs to, if any.
     pub fn request_id(&self) -> Option<u64> {
         match self {
             Event::TaskRequested { id, .. }
--- a/crates/emulator/src/event_log/mod.rs
+++ b/crates/emulator/src/event_log/mod.rs
@@ -1,7 +1,7 @@
-//! The log of a run: every party records what it sent and received, on one clock.
+//! The event log of a run: each party records what it sends and receives, with times of one common clock.
 //!
-//! The log also knows where each task runs and how hosts are named, so that clients can reconnect to a running
-//! task. It draws no conclusions: that is the rule checker's part.
+//! The log also keeps track of which host runs each task and of the names of hosts, so that clients can reconnect to a
+//! running task. It does not evaluate the events: the rule checker does.
 
 mod event;
 
@@ -11,24 +11,24 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// A task that runs on a host.
+/// A task that is running on a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunningTask {
-    /// The id of the request that started it there.
+    /// The id of the request that started the task there.
     pub id: u64,
-    /// The number of the host.
+    /// The number of the host in the log.
     pub host: usize,
 }
 
 #[derive(Debug, Default)]
 struct LogState {
     events: Vec<TimedEvent>,
-    /// By the key of the task.
+    /// The running tasks, by idempotency key.
     running: HashMap<u64, RunningTask>,
     host_names: Vec<String>,
 }
 
-/// The events of one run and its clock, shared by all parties.
+/// The events and the clock of a run. Clones share the same log.
 #[derive(Debug, Clone)]
 pub struct EventLog {
     started_at: Instant,
@@ -45,12 +45,12 @@
 }
 
 impl EventLog {
-    /// Returns the time since the log began.
+    /// Returns the time since the start of the log.
     pub fn now(&self) -> Micros {
         Micros::try_from(self.started_at.elapsed().as_micros()).unwrap_or(Micros::MAX)
     }
 
-    /// Converts a time of the run to an instant.
+    /// Converts a time since the start of the log to an instant.
     pub fn instant(&self, at: Micros) -> Instant {
         self.started_at + Duration::from_micros(u64::try_from(at).unwrap_or(0))
     }
@@ -59,40 +59,41 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Records an event of now.
+    /// Records an event with the current time.
     pub fn record(&self, event: Event) {
         let now = self.now();
         self.state().events.push((now, event));
     }
 
-    /// Records an event of another time.
+    /// Records an event with the given time.
     pub fn record_at(&self, at: Micros, event: Event) {
         self.state().events.push((at, event));
     }
 
-    /// Returns all events so far, in the order of recording.
+    /// Returns all events so far, in the order in which they were recorded.
     pub fn events(&self) -> Vec<TimedEvent> {
         self.state().events.clone()
     }
 
-    /// Registers the next host under its name, and returns its number.
+    /// Registers a host under its name, and returns the number assigned to it.
     pub fn register_host(&self, name: &str) -> usize {
         let mut state = self.state();
         state.host_names.push(name.to_string());
         state.host_names.len() - 1
     }
 
-    /// Returns the name of a host.
+    /// Returns the name of the host with this number.
     pub fn host_name(&self, host: usize) -> Option<String> {
         self.state().host_names.get(host).cloned()
     }
 
-    /// Remembers that a task runs.
+    /// Stores that the task with this idempotency key is running.
     pub fn task_started(&self, key: u64, task: RunningTask) {
         self.state().running.insert(key, task);
     }
 
-    /// Forgets a task that ran on this host; one that runs elsewhere by now stays.
+    /// Removes a task that ran on this host from the running tasks. If the task is running on another host by now, it
+    /// stays.
     pub fn task_ended(&self, key: u64, host: usize) {
         let mut state = self.state();
         if state
@@ -104,19 +105,19 @@
         }
     }
 
-    /// Records that a host's process died, and forgets its tasks.
+    /// Records that a host's process has died, and removes its tasks from the running tasks.
     pub fn host_died(&self, host: usize) {
         self.record(Event::HostDied { host });
         self.state().running.retain(|_, task| task.host != host);
     }
 
-    /// Returns where a task runs.
+    /// Returns the running task with this idempotency key.
     pub fn running_task(&self, key: u64) -> Option<RunningTask> {
         self.state().running.get(&key).copied()
     }
 }
 
-/// Returns a fingerprint of a text that is the same in every process (FNV-1a, 64 bits).
+/// Returns a hash of a text that is the same in every process (FNV-1a, 64 bits).
 pub fn fingerprint(text: &str) -> u64 {
     text.bytes().fold(0xcbf2_9ce4_8422_2325, |hash, byte| {
         (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
--- a/crates/emulator/src/fixtures.rs
+++ b/crates/emulator/src/fixtures.rs
@@ -1,4 +1,4 @@
-//! Deployments and steps that several tests and benches share.
+//! Deployments and helper functions that are shared by several tests and benches.
 
 use crate::host_emulator::{EmulatedHost, HostBehavior, HostRecords};
 use crate::{
@@ -8,22 +8,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// How long hosts start nothing before all their tasks count as ended; longer than tasks run in benches.
+/// All tasks count as ended once no host has started a task for this long, which is longer than tasks run in benches.
 const ALL_ENDED_AFTER: Duration = Duration::from_secs(4);
 
-/// A program with scripted hosts and their connections.
+/// A running program with its scripted feed, its scripted hosts, and its connection to each host.
 pub type ScriptedDeployment = (Program, Feed, Vec<Host>, Vec<HostConnection>);
 
-/// Starts the program with hosts `h0`, `h1` and so on, all up, and returns it with their connections.
+/// Starts the program with scripted hosts `h0`, `h1` and so on, all listed as up, and waits until it has connected to
+/// them.
 pub fn start_with_hosts(count: usize) -> ScriptedDeployment {
     start_configured(count, |config| config)
 }
 
-/// Starts the program like [`start_with_hosts`], on an adjusted configuration.
+/// Starts the program like [`start_with_hosts`], with a configuration that `adjust` has changed.
 ///
 /// # Panics
 ///
-/// If the placer does not start or subscribe.
+/// If the placer does not start, subscribe to the feed from event 1, and connect to the hosts.
 pub fn start_configured(
     count: usize,
     adjust: impl FnOnce(OwnedValue) -> OwnedValue,
@@ -41,7 +42,7 @@
     (program, feed, hosts, connections)
 }
 
-/// Starts emulated hosts `h0`, `h1` and so on in one zone, with common records.
+/// Starts emulated hosts `h0`, `h1` and so on in one zone, and returns them with the records that they share.
 pub fn start_emulated_hosts(
     count: usize,
     behavior: &HostBehavior,
@@ -53,12 +54,12 @@
     (hosts, records)
 }
 
-/// Requests an idempotent task of a service of its own and waits until it is placed. Ends of earlier tasks are
-/// acknowledged; any other message panics.
+/// Requests an idempotent task of a separate service, and waits until it is placed. Reported ends of earlier tasks are
+/// acknowledged in the meantime.
 ///
 /// # Panics
 ///
-/// If the task is neither placed nor ended.
+/// If any other message arrives, or the task is not placed within [`TEST_TIMEOUT`](crate::TEST_TIMEOUT).
 pub fn place_task(client: &mut Client, id: u64) {
     let request = TaskRequest {
         class: "quick",
@@ -72,22 +73,22 @@
         match (message.kind, message.id == id) {
             (9, true) => return,
             (12, false) => client.acknowledge_end(message.id),
-            other => panic!("neither a placement nor an end: {other:?}"),
+            other => panic!("unexpected message (type, whether of this task): {other:?}"),
         }
     }
 }
 
-/// Waits until the placed tasks have ended, and acknowledges their ends.
+/// Waits until all placed tasks have ended, and acknowledges their ends.
 ///
 /// # Panics
 ///
-/// If the tasks do not end in time.
+/// If the tasks do not end within [`TEST_TIMEOUT`](crate::TEST_TIMEOUT).
 pub fn wait_until_tasks_ended(client: &mut Client, records: &Mutex<HostRecords>) {
     wait_for("the end of all tasks", || {
         while let Ok(Some(message)) = client.message_within(Duration::from_millis(5)) {
             client.acknowledge_end(message.id);
         }
-        let records = records.lock().expect("no host has panicked");
+        let records = records.lock().expect("the lock of the host records is poisoned");
         records
             .starts
             .last()
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -1,4 +1,4 @@
-//! A scripted host and its connections.
+//! A scripted host and its connections, driven step by step by a test.
 
 use crate::{TEST_TIMEOUT, accept, listen};
 use simd_json::prelude::*;
@@ -7,14 +7,15 @@
 use std::net::{Shutdown, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A connection that is not up by then will not come up.
+/// How long a connection that fills an accept queue may take to be established. A connection that takes longer has
+/// found the queue full and will not be established.
 const UNREACHABLE_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// A listener under the name of a host.
+/// A named host with a listener for placers.
 pub struct Host {
-    /// Its name.
+    /// The name of the host in the endpoint list.
     pub name: String,
-    /// Its zone.
+    /// The zone of the host.
     pub zone: &'static str,
     listener: TcpListener,
 }
@@ -29,54 +30,55 @@
         }
     }
 
-    /// The same with a small receive buffer, so that a connection that is not read soon blocks.
+    /// Returns a host whose connections have a small receive buffer, so that writes of the placer soon block if the
+    /// host does not read.
     ///
     /// # Panics
     ///
-    /// If the socket cannot be set up.
+    /// If the size of the receive buffer cannot be set.
     pub fn with_small_receive_buffer(name: &str, zone: &'static str) -> Host {
         let host = Host::new(name, zone);
         rustix::net::sockopt::set_socket_recv_buffer_size(&host.listener, 4_096)
-            .expect("a socket option");
+            .expect("cannot set a socket option");
         host
     }
 
-    /// Returns its listener, for a host that runs by itself.
+    /// Returns a copy of the listener, for a host that runs by itself.
     pub(crate) fn listener(&self) -> TcpListener {
-        self.listener.try_clone().expect("a socket")
+        self.listener.try_clone().expect("cannot duplicate the listener")
     }
 
-    /// Returns its entry in the endpoint list.
+    /// Returns the entry of the host in the endpoint list.
     ///
     /// # Panics
     ///
     /// If the listener has no address.
     pub fn entry(&self, state: &str, born_ms: u64) -> OwnedValue {
-        let address = self.listener.local_addr().expect("an address").to_string();
+        let address = self.listener.local_addr().expect("the listener has no address").to_string();
         json!({
             "host": self.name.as_str(), "dial": address, "site": self.zone, "class": "plain", "block": 1,
             "health": state, "share": 1, "born_ms": born_ms, "unasked": [32, 64]
         })
     }
 
-    /// Waits for the next connection, which must come.
+    /// Waits for the next connection of a placer.
     ///
     /// # Panics
     ///
-    /// If no connection comes in time.
+    /// If no connection arrives within [`TEST_TIMEOUT`].
     pub fn accept(&self) -> HostConnection {
-        let stream = accept(&self.listener, TEST_TIMEOUT).expect("a connection");
+        let stream = accept(&self.listener, TEST_TIMEOUT).expect("no connection arrived in time");
         HostConnection {
             reader: BufReader::new(stream),
         }
     }
 
-    /// Waits for the next connection and returns its bare socket; none if there is none within the limit.
+    /// Waits for the next connection and returns its socket, or `None` if no connection arrives within `limit`.
     pub fn accept_stream_within(&self, limit: Duration) -> Option<TcpStream> {
         accept(&self.listener, limit)
     }
 
-    /// Waits for the next connection; none if there is none within the limit.
+    /// Waits for the next connection, and returns `None` if no connection arrives within `limit`.
     pub fn accept_within(&self, limit: Duration) -> Option<HostConnection> {
         accept(&self.listener, limit).map(|stream| HostConnection {
             reader: BufReader::new(stream),
@@ -84,15 +86,15 @@
     }
 }
 
-/// Connections that fill an accept queue, and so keep its listener out of reach.
+/// Connections that keep the accept queue of a listener full, so that further connections cannot be established.
 pub struct Unreachable(Vec<TcpStream>);
 
 impl Unreachable {
-    /// Fills the accept queue of a listener.
+    /// Shrinks the accept queue of a listener to length 0 and fills it.
     pub(crate) fn of(listener: &TcpListener) -> Unreachable {
-        rustix::net::listen(listener, 0).expect("a listener");
-        let address = listener.local_addr().expect("an address");
-        // One more than the length of the queue, by the kernel's count.
+        rustix::net::listen(listener, 0).expect("cannot change the length of the accept queue");
+        let address = listener.local_addr().expect("the listener has no address");
+        // The kernel admits one connection more than the length of the queue, so two fill it.
         Unreachable(
             (0..2)
                 .filter_map(|_| TcpStream::connect_timeout(&address, UNREACHABLE_TIMEOUT).ok())
@@ -102,18 +104,18 @@
 }
 
 impl Host {
-    /// Makes it unreachable: new connections neither come up nor are refused.
+    /// Makes the host unreachable: new connections are neither established nor refused.
     pub fn make_unreachable(&self) -> Unreachable {
         Unreachable::of(&self.listener)
     }
 
-    /// Makes it reachable again.
+    /// Makes the host reachable again, and closes the connections that filled its accept queue.
     ///
     /// # Panics
     ///
-    /// If the port cannot listen again.
+    /// If the length of the accept queue cannot be restored.
     pub fn make_reachable(&self, unreachable: Unreachable) {
-        rustix::net::listen(&self.listener, 128).expect("a listener");
+        rustix::net::listen(&self.listener, 128).expect("cannot change the length of the accept queue");
         unreachable
             .0
             .iter()
@@ -121,41 +123,41 @@
     }
 }
 
-/// A connection of a placer to a host.
+/// A connection of a placer to a scripted host.
 pub struct HostConnection {
     reader: BufReader<TcpStream>,
 }
 
 impl HostConnection {
-    /// Reads the next message; none if there is none within the limit. Checks of the connection are answered, as by any
-    /// host, and not returned.
+    /// Reads the next message, and returns `None` if no message arrives within `limit`. Connection checks of the placer
+    /// (`hb`) are answered, as every host does, and not returned.
     ///
     /// # Panics
     ///
-    /// If the socket cannot be set up, or what comes is no message.
+    /// If the read timeout cannot be set, or the received line is not JSON.
     pub fn read_within(&mut self, limit: Duration) -> Option<OwnedValue> {
         let end = Instant::now() + limit;
         loop {
-            // A limit of zero would wait for ever.
-            let rest = end.saturating_duration_since(Instant::now());
-            let message = self.read_any_within(rest.max(Duration::from_millis(1)))?;
+            // A timeout of zero is invalid, since the system would take it as no timeout at all.
+            let remaining = end.saturating_duration_since(Instant::now());
+            let message = self.read_any_within(remaining.max(Duration::from_millis(1)))?;
             if message.get_str("t") != Some("hb") {
                 return Some(message);
             }
             let id = message.get_str("ref").unwrap_or_default();
             let answer = json!({ "t": "hb_ok", "ref": id, "f": {}, "c": 1 });
-            // The placer may have closed the connection meanwhile.
+            // Ignores errors: the placer may have closed the connection in the meantime.
             let _ = writeln!(self.reader.get_ref(), "{}", answer.encode());
         }
     }
 
-    /// Waits for a check of the connection, and leaves it unanswered.
+    /// Waits for a connection check of the placer, and does not answer it.
     ///
     /// # Panics
     ///
-    /// If another message comes, or none in time.
+    /// If another message arrives, or no message arrives within [`TEST_TIMEOUT`].
     pub fn ignore_check(&mut self) {
-        let message = self.read_any_within(TEST_TIMEOUT).expect("a check");
+        let message = self.read_any_within(TEST_TIMEOUT).expect("no connection check arrived in time");
         assert_eq!(message.get_str("t"), Some("hb"), "{message}");
     }
 
@@ -163,24 +165,24 @@
         self.reader
             .get_ref()
             .set_read_timeout(Some(limit))
-            .expect("a socket option");
+            .expect("cannot set a socket option");
         let mut line = Vec::new();
         match self.reader.read_until(b'\n', &mut line) {
-            Ok(n) if n > 0 => Some(simd_json::to_owned_value(&mut line).expect("JSON")),
+            Ok(n) if n > 0 => Some(simd_json::to_owned_value(&mut line).expect("the received line is not JSON")),
             _ => None,
         }
     }
 
-    /// Waits for the placer to close the connection, whatever it still sends. Returns whether it did.
+    /// Discards all messages until the placer closes the connection. Returns false if reading fails or times out first.
     ///
     /// # Panics
     ///
-    /// If the socket cannot be set up.
+    /// If the read timeout cannot be set.
     pub fn wait_closed(&mut self) -> bool {
         self.reader
             .get_ref()
             .set_read_timeout(Some(TEST_TIMEOUT))
-            .expect("a socket option");
+            .expect("cannot set a socket option");
         let mut line = Vec::new();
         loop {
             line.clear();
@@ -192,45 +194,46 @@
         }
     }
 
-    /// Closes the connection now. If it were only dropped, a process that another test is just forking could keep
-    /// a copy open until it executes its program.
+    /// Closes the connection at once by shutting down its write side. Dropping the socket would not be enough: a
+    /// process that another test is just forking may hold a copy of its descriptor until that process executes its
+    /// program.
     ///
     /// # Panics
     ///
-    /// If the connection has ended already.
+    /// If the connection has already ended.
     pub fn close(self) {
         self.reader
             .get_ref()
             .shutdown(Shutdown::Write)
-            .expect("an open connection");
+            .expect("the connection has already ended");
     }
 
-    /// Reads the next message, which must come and be of this type.
+    /// Reads the next message, and checks that it is of this type.
     ///
     /// # Panics
     ///
-    /// If no message of this kind comes in time.
+    /// If another message arrives, or no message arrives within [`TEST_TIMEOUT`].
     pub fn expect(&mut self, kind: &str) -> OwnedValue {
         let message = self
             .read_within(TEST_TIMEOUT)
-            .unwrap_or_else(|| panic!("no {kind} comes"));
+            .unwrap_or_else(|| panic!("no `{kind}` message arrived in time"));
         assert_eq!(message.get_str("t"), Some(kind), "{message}");
         message
     }
 
-    /// Reads the next message, which must be an offer, and returns its id.
+    /// Reads the next message, checks that it is an offer, and returns its id.
     ///
     /// # Panics
     ///
-    /// If no attempt comes in time.
+    /// If another message arrives, or no message arrives within [`TEST_TIMEOUT`].
     pub fn expect_offer(&mut self) -> String {
         self.expect("new")
             .get_str("ref")
-            .expect("an id")
+            .expect("the offer has no id")
             .to_string()
     }
 
-    /// Sends a message.
+    /// Sends a message as one line of JSON.
     pub fn send(&mut self, line: &OwnedValue) {
         self.send_bytes(format!("{}\n", line.encode()).as_bytes());
     }
@@ -239,20 +242,20 @@
     ///
     /// # Panics
     ///
-    /// If the placer has closed the connection.
+    /// If the connection has failed.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.reader
             .get_ref()
             .write_all(bytes)
-            .expect("the placer reads");
+            .expect("cannot send to the placer");
     }
 
-    /// Reports that the task is running.
+    /// Reports that the task of an offer is running.
     pub fn report_running(&mut self, id: &str) {
         self.send(&json!({ "t": "up", "ref": id, "f": {}, "d": format!("stands {id}\r\n") }));
     }
 
-    /// Rejects an offer or reports the end of a task.
+    /// Rejects an offer, or reports the end of a task, depending on the cause.
     pub fn report_ended(&mut self, id: &str, cause: u8, note: &str) {
         self.send(&json!({ "t": "down", "ref": id, "f": { "note": note }, "c": cause }));
     }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,10 @@
 //! Emulated peers of the placer on loopback, for tests, benches and load tests.
 //!
-//! - The program under test as a process ([`Program`], [`supervisor`]).
-//! - Scripted peers that act one step at a time: [`Feed`], [`Host`], [`Client`]. A peer that can't act as scripted
-//!   panics, which fails its test: these are not for use in a program.
-//! - Peers that run by themselves: [`host_emulator`], [`cluster`], [`load_balancer`], [`fault_proxy`].
-//! - The record of a run and the check of the rules on it: [`event_log`], [`rule_check`].
+//! - Processes of the program under test: [`Program`] for single ones, [`supervisor`] for all placers of a run.
+//! - Scripted peers that a test drives step by step: [`Feed`], [`Host`] and [`Client`]. A scripted peer panics if a
+//!   step fails, which fails the test; these types are therefore unsuitable outside tests.
+//! - Peers that run by themselves: [`host_emulator`], [`cluster`], [`load_balancer`] and [`fault_proxy`].
+//! - The event log of a run, and the check of the protocol's rules on it: [`event_log`] and [`rule_check`].
 
 #![recursion_limit = "256"]
 
@@ -41,14 +41,14 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How long a test waits for what must come; only a failing test waits so long.
+/// The timeout for everything that a test expects to happen. It is generous, since only a failing test waits this long.
 pub const TEST_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Polls every 5 ms until there is something, and returns it. Panics after [`TEST_TIMEOUT`].
+/// Calls `poll` every 5 ms until it returns a value, and returns that value.
 ///
 /// # Panics
 ///
-/// If it does not happen within [`TEST_TIMEOUT`].
+/// If `poll` returns no value within [`TEST_TIMEOUT`].
 pub fn wait_for<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
@@ -60,24 +60,24 @@
     }
 }
 
-/// Returns the Unix time in milliseconds.
+/// Returns the current Unix time in milliseconds.
 ///
 /// # Panics
 ///
-/// If the clock is before 1970.
+/// If the system clock is set to a time before 1970.
 pub fn unix_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .expect("after 1970")
+        .expect("the system clock is set to a time before 1970")
         .as_millis() as u64
 }
 
 pub(crate) fn listen() -> TcpListener {
-    TcpListener::bind("127.0.0.1:0").expect("a free port")
+    TcpListener::bind("127.0.0.1:0").expect("no free port on loopback")
 }
 
-/// Returns a free address for the program. It is on a loopback network of its own, so that no other socket of the
-/// tests takes the port before the program does.
+/// Returns a free address for the program to listen at. Each call uses a different loopback network, so that no other
+/// socket of the tests takes the port before the program binds it.
 ///
 /// # Panics
 ///
@@ -89,20 +89,20 @@
     let ip = Ipv4Addr::new(127, 100 + network as u8, high, low);
     TcpListener::bind((ip, 0))
         .and_then(|l| l.local_addr())
-        .expect("a free port")
+        .expect("no free port on loopback")
 }
 
-/// Accepts a connection; none if there is none within the limit.
+/// Accepts a connection, and returns `None` if none arrives within `limit`.
 pub(crate) fn accept(listener: &TcpListener, limit: Duration) -> Option<TcpStream> {
-    listener.set_nonblocking(true).expect("a socket option");
+    listener.set_nonblocking(true).expect("cannot set a socket option");
     let deadline = Instant::now() + limit;
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
-                stream.set_nonblocking(false).expect("a socket option");
+                stream.set_nonblocking(false).expect("cannot set a socket option");
                 stream
                     .set_read_timeout(Some(TEST_TIMEOUT))
-                    .expect("a socket option");
+                    .expect("cannot set a socket option");
                 return Some(stream);
             }
             Err(e) if e.kind() == ErrorKind::WouldBlock && Instant::now() < deadline => {
@@ -113,28 +113,29 @@
     }
 }
 
-/// How long a test waits for what must not come: many times what it takes to come.
+/// How long a test waits to confirm that something does not happen. This is many times longer than it would take to
+/// happen.
 pub const QUIET_PERIOD: Duration = Duration::from_millis(400);
 
-/// Returns an id as hosts write it.
+/// Returns an id in the format of host messages: 16 hexadecimal digits.
 pub fn hex(id: u64) -> String {
     format!("{id:016x}")
 }
 
-/// Returns the index of the connection on which the next offer comes, and its id.
+/// Waits for the next offer on any of the connections, and returns the index of its connection and the id of the offer.
 ///
 /// # Panics
 ///
-/// If no attempt comes in time, or another message.
+/// If no offer arrives within [`TEST_TIMEOUT`], or if another message arrives first.
 pub fn next_offer(connections: &mut [HostConnection]) -> (usize, String) {
     let deadline = Instant::now() + TEST_TIMEOUT;
     while Instant::now() < deadline {
         for (n, connection) in connections.iter_mut().enumerate() {
             if let Some(message) = connection.read_within(Duration::from_millis(20)) {
                 assert_eq!(message.get_str("t"), Some("new"), "{message}");
-                return (n, message.get_str("ref").expect("an id").to_string());
+                return (n, message.get_str("ref").expect("the offer has no id").to_string());
             }
         }
     }
-    panic!("no offer");
+    panic!("no offer arrived in time");
 }
--- a/crates/emulator/src/rule_check/answers.rs
+++ b/crates/emulator/src/rule_check/answers.rs
@@ -1,20 +1,21 @@
-//! What clients are notified of: one answer in time, confirmed by a host, and the end of the task.
+//! Checks of what clients are notified of: one answer in time, a placement only if a host has confirmed it, and the end
+//! of the task.
 
 use super::rule::{Finding, Rule};
 use super::run::{Request, Run};
 use crate::event_log::{ClientNotice, Event, HostReport, Peer, TimedEvent};
 use crate::host_model::Micros;
 
-/// The cause of a task that the placer itself has stopped.
+/// The cause with which a host reports that the placer itself has stopped a task.
 const STOPPED_BY_PLACER: u8 = 31;
 
-/// What the client of a request was told.
+/// The notices that the client of a request received.
 #[derive(Default)]
 struct Answers {
     first: Option<(Micros, ClientNotice)>,
-    /// Whether there was more than one answer.
-    more: bool,
-    /// When the client first gave up or lost its connection.
+    /// Whether the request was answered more than once.
+    repeated: bool,
+    /// The time when the client first gave up or lost its connection.
     abandoned: Option<Micros>,
 }
 
@@ -25,12 +26,12 @@
             match event {
                 Event::ClientNotified { notice, .. } => match (answers.first, notice) {
                     (None, _) => answers.first = Some((*at, *notice)),
-                    // After a placement these are the end of the task, once or repeated.
+                    // After a placement, these notices report the end of the task, and may be repeated.
                     (
                         Some((_, ClientNotice::Placed(_))),
                         ClientNotice::Released(_) | ClientNotice::Migrated,
                     ) => {}
-                    _ => answers.more = true,
+                    _ => answers.repeated = true,
                 },
                 Event::ClientGaveUp { .. } | Event::ClientDisconnected { .. } => {
                     answers.abandoned = answers.abandoned.or(Some(*at));
@@ -42,14 +43,15 @@
     }
 }
 
-/// Checks that a request gets one answer in time, and only what a host has reported.
+/// Checks that a request is answered once and in time, that a placement is one that a host has reported, and that
+/// descriptions are unchanged.
 pub(super) fn check_answer(run: &Run<'_>, id: u64, findings: &mut Vec<Finding>) {
     let Some(request) = run.request(id) else {
         return;
     };
     let events = run.events_of(id);
     let answers = Answers::of(&events);
-    if answers.more {
+    if answers.repeated {
         findings.push(run.finding(Rule::SingleAnswer, id));
     }
     if let Some(rule) = timing_violation(run, &request, &answers) {
@@ -71,7 +73,7 @@
     }
 }
 
-/// Which rule the time of the first answer violates, if any.
+/// Returns the rule that the time of the first answer violates, if any.
 fn timing_violation(run: &Run<'_>, request: &Request, answers: &Answers) -> Option<Rule> {
     let settings = run.settings;
     let timeout = request.at + request.wait;
@@ -84,7 +86,8 @@
     match answers.first {
         Some((at, _)) => (at > deadline).then_some(Rule::PromptAnswer),
         None if run.end > deadline => {
-            // A client that gave up at its timeout should have had an answer, one that left earlier not.
+            // A client that gave up at its timeout should have been answered before; one that left earlier need not
+            // have been.
             let left_early = answers
                 .abandoned
                 .is_some_and(|at| at < timeout - settings.time_tolerance);
@@ -94,7 +97,7 @@
     }
 }
 
-/// The descriptions with which hosts have reported the task as running by then.
+/// Returns the fingerprints of the descriptions with which hosts had reported the task as running up to `until`.
 fn running_reports(events: &[&TimedEvent], until: Micros) -> Vec<u64> {
     let reports = events.iter().filter_map(|(at, event)| match event {
         Event::HostReported {
@@ -106,17 +109,17 @@
     reports.collect()
 }
 
-/// A task that ran as far as its client knows, and has ended.
+/// A task that its client knew to be running, and that has ended.
 struct EndedTask {
-    /// When its client was notified that it runs.
+    /// The time when the client was notified of the placement, or reconnected to the running task.
     placed_at: Micros,
     host: usize,
     ended_at: Micros,
-    /// How soon its client is to be notified.
+    /// The time within which the client must be notified of the end.
     limit: Micros,
 }
 
-/// Checks that the client of a running task is notified of its end.
+/// Checks that the client of a running task is notified of its end in time.
 pub(super) fn check_end_notice(run: &Run<'_>, id: u64, findings: &mut Vec<Finding>) {
     let events = run.events_of(id);
     let Some(task) = ended_task(run, &events) else {
@@ -142,7 +145,7 @@
         );
         is_end && *at >= task.placed_at && *at <= deadline
     });
-    // A client that ended the task itself needs no notice.
+    // A client that ended the task itself need not be notified.
     let given_up = events
         .iter()
         .any(|(_, event)| matches!(event, Event::ClientGaveUp { .. }));
@@ -151,8 +154,8 @@
     }
 }
 
-/// Follows a task on the host that its client knows of. A start elsewhere that nobody was notified of ends
-/// without notice.
+/// Returns the end of a task on the host that its client knows of, if it has ended there. The end of a start on another
+/// host, of which no client was notified, needs no notice.
 fn ended_task(run: &Run<'_>, events: &[&TimedEvent]) -> Option<EndedTask> {
     let mut placed: Option<(Micros, Option<usize>)> = None;
     let mut ended = None;
@@ -190,7 +193,7 @@
     })
 }
 
-/// The host that reported a task as running with this description.
+/// Returns the host that reported the task as running with this description.
 fn reporting_host(events: &[&TimedEvent], description: u64) -> Option<usize> {
     events.iter().find_map(|(_, event)| match event {
         Event::HostReported {
--- a/crates/emulator/src/rule_check/attempts.rs
+++ b/crates/emulator/src/rule_check/attempts.rs
@@ -1,4 +1,5 @@
-//! How tasks are attempted: one attempt of a request at a time, and no second start of a non-idempotent task.
+//! Checks of the attempts to place tasks: one attempt of a request at a time, and no second start of a non-idempotent
+//! task.
 
 use super::rule::{Finding, Rule};
 use super::run::{Run, is_rejection};
@@ -6,22 +7,22 @@
 use crate::host_model::Micros;
 use std::collections::{BTreeMap, HashMap};
 
-/// One offer of a request and how it ended.
+/// One offer of a task to a host, and how it ended.
 struct Attempt {
     host: usize,
     offered_at: Micros,
     end: Option<AttemptEnd>,
 }
 
-/// The end of an attempt.
+/// The event that ended an attempt.
 struct AttemptEnd {
     at: Micros,
-    /// Whether it proves that nothing ran.
+    /// Whether the host rejected the offer, which proves that nothing ran.
     rejected: bool,
 }
 
-/// Checks the attempts of one request: never two in flight, and for a non-idempotent class none after one that
-/// may have run.
+/// Checks that a request never has two attempts in flight, and that a non-idempotent task is not offered again after an
+/// attempt that may have started it.
 pub(super) fn check_attempts(run: &Run<'_>, id: u64, findings: &mut Vec<Finding>) {
     let Some(request) = run.request(id) else {
         return;
@@ -31,7 +32,7 @@
         let [attempt, next] = pair else {
             continue;
         };
-        // The withdrawal may have been delayed on its way.
+        // The withdrawal of the first offer may have been delayed on the impaired link.
         if run.host_link_impaired(
             request.placer,
             attempt.host,
@@ -93,7 +94,7 @@
     attempts
 }
 
-/// A span in which a task ran on a host.
+/// An interval in which a task ran on a host.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TaskRun {
     from: Micros,
@@ -102,7 +103,7 @@
     host: usize,
 }
 
-/// Checks that a non-idempotent task never ran twice at the same time, over all its requests.
+/// Checks that no non-idempotent task ran twice at the same time, counting all requests with the same idempotency key.
 pub(super) fn check_concurrent_runs(run: &Run<'_>, findings: &mut Vec<Finding>) {
     for mut runs in runs_by_key(run).into_values() {
         runs.sort_unstable();
@@ -124,10 +125,10 @@
     }
 }
 
-/// Collects the runs of non-idempotent tasks by their idempotency keys.
+/// Collects the runs of non-idempotent tasks by idempotency key.
 struct RunCollector {
     keys: HashMap<u64, u64>,
-    /// When a task that still runs has started, by request and host.
+    /// The start times of the tasks that are still running, by request and host.
     open: HashMap<(u64, usize), Micros>,
     runs: BTreeMap<u64, Vec<TaskRun>>,
 }
--- a/crates/emulator/src/rule_check/deployment.rs
+++ b/crates/emulator/src/rule_check/deployment.rs
@@ -1,4 +1,5 @@
-//! Rules of the deployment as a whole: clean exits, slow starts, drains and the limit of a service in a zone.
+//! Checks of rules that concern the deployment as a whole: clean exits, slow starts, drains, and the limit of a service
+//! in a zone.
 
 use super::rule::{Finding, MILLISECOND, Rule};
 use super::run::Run;
@@ -8,10 +9,11 @@
 use crate::host_model::Micros;
 use std::collections::{BTreeMap, HashMap};
 
-/// How long after a reconnection its task does not count yet: the placer may still learn of it.
+/// How long the task of a reconnecting client does not count towards the limit of a zone, since the placer may not have
+/// learned of it yet.
 const RECONNECTION_GRACE: Micros = 200 * MILLISECOND;
 
-/// Checks that placers exit only on request, and without an error.
+/// Checks that placers exit only on request, and with exit code 0.
 pub(super) fn check_exits(run: &Run<'_>, findings: &mut Vec<Finding>) {
     for history in run.processes.values() {
         let mut requested = false;
@@ -34,7 +36,7 @@
     }
 }
 
-/// Checks that no host was overloaded in its slow start.
+/// Checks that no host was overloaded during its slow start.
 pub(super) fn check_slow_starts(run: &Run<'_>, findings: &mut Vec<Finding>) {
     let overloads = run
         .events
@@ -47,9 +49,9 @@
     }));
 }
 
-/// Checks that no offer goes to a host that its placer knows to be draining or removed.
+/// Checks that no offer is sent to a host that the placer knows to be draining or removed.
 pub(super) fn check_drains(run: &Run<'_>, findings: &mut Vec<Finding>) {
-    // By placer and host: since when the placer knows.
+    // By placer and host: the time since which the placer has known that the host is draining or removed.
     let mut known_since: HashMap<(usize, usize), Micros> = HashMap::new();
     for (at, event) in run.events {
         match event {
@@ -96,20 +98,20 @@
     }
 }
 
-/// What the limit of a service in a zone is counted over.
+/// The key by which the tasks of a service in a zone are counted.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
 struct ZoneGroup {
     placer: usize,
-    /// Which process of the placer.
+    /// The ordinal number of the placer's process.
     incarnation: usize,
     service: u64,
     zone: usize,
 }
 
-/// The attempts and tasks of each group.
+/// The open attempts and running tasks of each group.
 #[derive(Default)]
 struct ZoneCounts {
-    /// By group: the requests, and since when each counts.
+    /// The ids of the requests in each group, with the time from which each of them counts.
     members: HashMap<ZoneGroup, BTreeMap<u64, Micros>>,
     groups_of: HashMap<u64, Vec<ZoneGroup>>,
 }
@@ -131,7 +133,7 @@
         }
     }
 
-    /// The other requests of a group that count at a time.
+    /// Returns the number of other requests of a group that count at a time.
     fn count_others(&self, group: ZoneGroup, id: u64, at: Micros) -> usize {
         let members = self.members.get(&group).into_iter().flatten();
         members
@@ -145,7 +147,7 @@
     }
 }
 
-/// Checks the attempts and tasks of a service that each placer has in a zone.
+/// Checks that no placer has more attempts and tasks of a service in a zone than its limit allows.
 pub(super) fn check_zone_limits(run: &Run<'_>, findings: &mut Vec<Finding>) {
     let mut counts = ZoneCounts::default();
     for (at, event) in run.events {
@@ -207,7 +209,7 @@
     }
 }
 
-/// The first offer of each request.
+/// Returns the first offer of each request.
 fn first_offers(run: &Run<'_>, ids: &[u64]) -> Vec<TimedEvent> {
     let offers = ids.iter().filter_map(|id| {
         run.events_of(*id)
--- a/crates/emulator/src/rule_check/mod.rs
+++ b/crates/emulator/src/rule_check/mod.rs
@@ -1,8 +1,8 @@
-//! Checks the rules of the protocol on the event log of a run.
+//! Checks the event log of a run for violations of the protocol's rules.
 //!
-//! [`check`] joins the events of clients, hosts, feeds and the supervisor by request, and returns each violation
-//! with the events that show it. It looks at nothing else, and excuses a placer for what it could not do: while
-//! its process was not active, or one of its links was impaired.
+//! [`check`] groups the events of clients, hosts, feeds and the supervisor by request, and returns each violation with
+//! the events that show it. It uses no other information. A placer is excused for what it could not do while its
+//! process was not active or one of its links was impaired.
 
 mod answers;
 mod attempts;
@@ -17,7 +17,7 @@
 pub use rule::{ClassRules, Finding, Rule, RuleSettings};
 use run::Run;
 
-/// Returns the violations in the events of a run that ended at `end`, in the order of their times.
+/// Returns the violations in the events of a run that ended at `end`, ordered by the times of their first events.
 pub fn check(events: &[TimedEvent], settings: &RuleSettings, end: Micros) -> Vec<Finding> {
     let mut events: Vec<TimedEvent> = events.to_vec();
     events.sort_by_key(|(at, _)| *at);
--- a/crates/emulator/src/rule_check/rule.rs
+++ b/crates/emulator/src/rule_check/rule.rs
@@ -1,40 +1,40 @@
-//! The rules by name, what a check of them depends on, and what it finds.
+//! The rules with their printed names, the settings of a check, and its findings.
 
 use crate::event_log::TimedEvent;
 use crate::host_model::Micros;
 use std::fmt;
 
-/// A millisecond.
+/// One millisecond.
 pub(super) const MILLISECOND: Micros = 1_000;
 
-/// A rule that placers must keep.
+/// A rule that placers must not violate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// An accepted request is answered.
+    /// Every accepted request is answered.
     Answer,
-    /// The answer is in time.
+    /// A request is answered within the time that its client waits, plus a tolerance.
     PromptAnswer,
-    /// There is only one answer.
+    /// A request is answered only once.
     SingleAnswer,
-    /// A task is reported as placed only if a host has reported it as running.
+    /// A task is reported to its client as placed only if a host has reported it as running.
     ConfirmedPlacement,
-    /// Descriptions arrive unchanged.
+    /// The descriptions of tasks are passed on unchanged, to hosts and to clients.
     UnchangedDescription,
-    /// A non-idempotent task is not retried if an earlier attempt may have started it.
+    /// A non-idempotent task is not offered again if an earlier attempt may have started it.
     SafeRetry,
-    /// A non-idempotent task does not run twice at the same time.
+    /// A non-idempotent task never runs twice at the same time.
     SingleRun,
-    /// A request has only one attempt in flight.
+    /// A request never has more than one attempt in flight.
     SingleAttempt,
-    /// No offers to a host that is known to be draining or removed.
+    /// No offer is sent to a host that the placer knows to be draining or removed.
     RespectDrain,
-    /// No more tasks of a service in a zone than allowed.
+    /// A placer has no more tasks of a service in a zone than its limit allows.
     ZoneLimit,
-    /// Hosts in slow start are not overloaded.
+    /// A host in slow start is not overloaded.
     SlowStart,
-    /// Clients are notified of the end of a task in time.
+    /// The client of a running task is notified in time of its end.
     EndNotice,
-    /// Placers exit only on request, and without an error.
+    /// A placer exits only on request, and with exit code 0.
     CleanExit,
 }
 
@@ -56,7 +56,8 @@
         Rule::CleanExit,
     ];
 
-    /// Returns the name of its violation in results and reports, a fixed format.
+    /// Returns the name under which a violation appears in results and reports. These names must not change, as they
+    /// are part of the output format.
     pub fn as_str(self) -> &'static str {
         match self {
             Rule::Answer => "no-answer",
@@ -76,33 +77,35 @@
     }
 }
 
-/// The rules of a task class.
+/// The rules that apply to the tasks of a class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClassRules {
-    /// Whether its tasks must not be started twice.
+    /// Whether the tasks of the class must not be started twice.
     pub non_idempotent: bool,
-    /// The tasks of one service that a placer may have in a zone, if limited.
+    /// The maximum number of tasks of one service that a placer may have in a zone, or `None` for no limit.
     pub max_per_zone: Option<u32>,
 }
 
-/// The deployment and the tolerances that a check depends on.
+/// The description of the deployment and the tolerances that a check uses.
 #[derive(Debug, Clone)]
 pub struct RuleSettings {
-    /// The rules of each class.
+    /// The rules of each class, by its index.
     pub classes: Vec<ClassRules>,
-    /// The zone of each host.
+    /// The zone of each host, by the number of the host.
     pub host_zones: Vec<usize>,
-    /// The slot of each host, for links; a host without an entry is in the slot of its number.
+    /// The slot of each host, by the number of the host, used to look up its links. A host without an entry is in the
+    /// slot that equals its number.
     pub host_slots: Vec<usize>,
-    /// How long after its notification a placer may still send to a draining host.
+    /// How long after the notification of a drain the placer may still send offers to the draining host.
     pub drain_grace: Micros,
-    /// How late an answer may be.
+    /// How long after the client's waiting time an answer is still in time.
     pub answer_grace: Micros,
-    /// How soon a client is notified of the end of its task.
+    /// The time within which a client must be notified of the end of its task.
     pub end_notice_limit: Micros,
-    /// The same where the host had no connection for its report.
+    /// The time within which a client must be notified of the end of its task if the host had no connection to report
+    /// it on.
     pub undelivered_end_limit: Micros,
-    /// The tolerance between the times of different parties.
+    /// The tolerance when comparing the times that different parties have recorded.
     pub time_tolerance: Micros,
 }
 
@@ -124,11 +127,11 @@
 /// A violation of a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Finding {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// The id of the request; 0 where it concerns none.
+    /// The id of the request, or 0 if the violation does not concern a request.
     pub id: u64,
-    /// The events that show it.
+    /// The events that show the violation.
     pub evidence: Vec<TimedEvent>,
 }
 
--- a/crates/emulator/src/rule_check/run.rs
+++ b/crates/emulator/src/rule_check/run.rs
@@ -1,19 +1,19 @@
-//! A run as the checks look at it: its events by request, the history of each placer's process, and when links
-//! were impaired.
+//! The index of a run that the checks use: its events by request, the history of each placer's process, and the outages
+//! of links.
 
 use super::rule::{ClassRules, Finding, Rule, RuleSettings};
 use crate::event_log::{Event, Peer, ProcessChange, TimedEvent};
 use crate::host_model::Micros;
 use std::collections::{BTreeMap, HashMap};
 
-/// The processes of one placer, one after the other.
+/// The history of the consecutive processes of one placer.
 #[derive(Default)]
 pub(super) struct ProcessHistory {
     pub(super) changes: Vec<(Micros, ProcessChange)>,
 }
 
 impl ProcessHistory {
-    /// Returns how many processes had been started by then.
+    /// Returns the number of processes that had been started up to `at`.
     pub(super) fn incarnation(&self, at: Micros) -> usize {
         self.changes
             .iter()
@@ -21,7 +21,8 @@
             .count()
     }
 
-    /// Whether no process could act at some time of a span, or before it up to the span.
+    /// Returns whether there was an instant between `from` and `to` at which no process of the placer could act,
+    /// because it was paused, killed or had exited.
     fn was_inactive(&self, from: Micros, to: Micros) -> bool {
         let mut inactive_since = None;
         for (at, change) in &self.changes {
@@ -44,13 +45,13 @@
     }
 }
 
-/// When a link was impaired, and until when; open if it still is.
+/// An interval in which a link was impaired. It has no end if the link is still impaired.
 struct Outage {
     from: Micros,
     to: Option<Micros>,
 }
 
-/// A new request, as its client sent it.
+/// A request for a new task, as its client sent it.
 #[derive(Clone, Copy)]
 pub(super) struct Request {
     pub(super) at: Micros,
@@ -58,25 +59,25 @@
     pub(super) class: usize,
     pub(super) service: u64,
     pub(super) wait: Micros,
-    /// The fingerprint of its description.
+    /// The fingerprint of the task's description.
     pub(super) description: u64,
 }
 
-/// All that is known of a run.
+/// The indexed events of a run, and the settings of the check.
 pub(super) struct Run<'a> {
     pub(super) settings: &'a RuleSettings,
-    /// When the run ended.
+    /// The time at which the run ended.
     pub(super) end: Micros,
-    /// In the order of their times.
+    /// All events, ordered by time.
     pub(super) events: &'a [TimedEvent],
     pub(super) processes: BTreeMap<usize, ProcessHistory>,
     outages: BTreeMap<(usize, Peer), Vec<Outage>>,
-    /// Indices into the events, by request.
+    /// The indices into `events` of the events of each request, by its id.
     by_request: HashMap<u64, Vec<usize>>,
 }
 
 impl<'a> Run<'a> {
-    /// Indexes events that are in the order of their times.
+    /// Indexes events, which must be ordered by time.
     pub(super) fn new(
         events: &'a [TimedEvent],
         settings: &'a RuleSettings,
@@ -119,14 +120,14 @@
         }
     }
 
-    /// Returns the ids of all requests, in order.
+    /// Returns the ids of all requests in ascending order.
     pub(super) fn request_ids(&self) -> Vec<u64> {
         let mut ids: Vec<u64> = self.by_request.keys().copied().collect();
         ids.sort_unstable();
         ids
     }
 
-    /// Returns the events of a request.
+    /// Returns the events of a request, ordered by time.
     pub(super) fn events_of(&self, id: u64) -> Vec<&'a TimedEvent> {
         let events = self.events;
         self.by_request
@@ -137,13 +138,13 @@
             .collect()
     }
 
-    /// Returns a violation that all events of a request show.
+    /// Returns a finding with all events of the request as evidence.
     pub(super) fn finding(&self, rule: Rule, id: u64) -> Finding {
         let evidence = self.events_of(id).into_iter().cloned().collect();
         Finding { rule, id, evidence }
     }
 
-    /// Returns a request for a new task; none for one that only reconnects.
+    /// Returns the request for a new task with this id, or `None` if the request only reconnects to a running task.
     pub(super) fn request(&self, id: u64) -> Option<Request> {
         self.events_of(id)
             .iter()
@@ -168,7 +169,8 @@
             })
     }
 
-    /// Whether a link was impaired at a time in a span: what was sent on it may have come only later.
+    /// Returns whether a link was impaired at any time between `from` and `to`, so that a message sent on it may have
+    /// been delayed. The end of an outage is extended by the time tolerance.
     pub(super) fn link_impaired(
         &self,
         placer: usize,
@@ -177,16 +179,16 @@
         to: Micros,
     ) -> bool {
         let outages = self.outages.get(&(placer, peer)).into_iter().flatten();
-        let mut spans = outages.map(|outage| {
+        let mut intervals = outages.map(|outage| {
             let end = outage
                 .to
                 .map_or(Micros::MAX, |at| at + self.settings.time_tolerance);
             (outage.from, end)
         });
-        spans.any(|(begin, end)| begin <= to && end >= from)
+        intervals.any(|(begin, end)| begin <= to && end >= from)
     }
 
-    /// The same for the link of a placer to a host.
+    /// Returns whether the link between a placer and a host was impaired at any time between `from` and `to`.
     pub(super) fn host_link_impaired(
         &self,
         placer: usize,
@@ -198,14 +200,15 @@
         self.link_impaired(placer, Peer::Host(slot), from, to)
     }
 
-    /// Whether a placer had no active process at a time in a span.
+    /// Returns whether a placer had no active process at any time between `from` and `to`.
     pub(super) fn placer_inactive(&self, placer: usize, from: Micros, to: Micros) -> bool {
         self.processes
             .get(&placer)
             .is_some_and(|history| history.was_inactive(from, to))
     }
 
-    /// Returns which process of a placer was there at a time.
+    /// Returns the ordinal number of the process that a placer had at `at`, starting with 1. It is 0 before the first
+    /// start.
     pub(super) fn incarnation(&self, placer: usize, at: Micros) -> usize {
         self.processes
             .get(&placer)
@@ -216,23 +219,23 @@
         self.settings.classes.get(class)
     }
 
-    /// Whether the tasks of a class must not be started twice.
+    /// Returns whether the tasks of a class must not be started twice.
     pub(super) fn non_idempotent(&self, class: usize) -> bool {
         self.class(class).is_some_and(|class| class.non_idempotent)
     }
 
-    /// Returns how many tasks of one service a placer may have in a zone, if limited.
+    /// Returns the maximum number of tasks of one service that a placer may have in a zone, or `None` for no limit.
     pub(super) fn max_per_zone(&self, class: usize) -> Option<u32> {
         self.class(class).and_then(|class| class.max_per_zone)
     }
 
-    /// Returns the zone of a host.
+    /// Returns the zone of a host, or zone 0 if it is not known.
     pub(super) fn zone(&self, host: usize) -> usize {
         self.settings.host_zones.get(host).copied().unwrap_or(0)
     }
 }
 
-/// Whether a cause says that the host rejected the offer before anything ran.
+/// Returns whether a cause means that the host rejected the offer before anything ran.
 pub(super) fn is_rejection(cause: u8) -> bool {
     matches!(cause, 34 | 102)
 }
--- a/crates/emulator/src/rule_check/tests.rs
+++ b/crates/emulator/src/rule_check/tests.rs
@@ -62,7 +62,7 @@
     Event::PlacerChanged { placer: 0, change }
 }
 
-/// A run of three requests that keeps all rules.
+/// Returns the events of a run of three requests that violates no rule.
 fn correct_run() -> Vec<TimedEvent> {
     let mut events = vec![(0, placer_changed(ProcessChange::Started))];
     events.extend(
@@ -101,7 +101,7 @@
 fn violated_rules(events: &[TimedEvent]) -> Vec<Rule> {
     let mut rules: Vec<Rule> = check(events, &settings(), 60 * SECOND)
         .into_iter()
-        .map(|f| f.rule)
+        .map(|finding| finding.rule)
         .collect();
     rules.dedup();
     rules
@@ -112,7 +112,7 @@
     assert_eq!(check(&correct_run(), &settings(), 60 * SECOND), []);
 }
 
-/// The correct run without the events that match, and with others.
+/// Returns the correct run without the events that `remove` selects, and with additional events.
 fn altered_run(remove: impl Fn(&Event) -> bool, add: Vec<TimedEvent>) -> Vec<TimedEvent> {
     let mut events = correct_run();
     events.retain(|(_, event)| !remove(event));
@@ -193,7 +193,8 @@
                 vec![(1_400 * MILLISECOND, notified(8, ClientNotice::Placed(24)))],
             ),
         ),
-        // A reset attempt may have run: a non-idempotent task is not retried.
+        // An attempt that ended without a rejection may have started the task: a non-idempotent task must not be
+        // retried.
         (
             Rule::SafeRetry,
             altered_run(
@@ -328,7 +329,7 @@
         );
     }
     let covered: BTreeSet<Rule> = cases.iter().map(|(rule, _)| *rule).collect();
-    assert_eq!(covered.len(), Rule::ALL.len(), "every rule has a violation");
+    assert_eq!(covered.len(), Rule::ALL.len(), "some rules have no violating case");
 }
 
 #[test]
@@ -413,7 +414,7 @@
     assert_eq!(check(&again, &settings(), 60 * SECOND), []);
 }
 
-/// A link that is impaired for a span.
+/// Returns the events of a link that is impaired from `from` to `to`.
 fn outage(placer: usize, peer: Peer, from: Micros, to: Micros) -> [TimedEvent; 2] {
     [
         (
@@ -438,7 +439,7 @@
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn only_an_outage_of_the_link_concerned_excuses_a_violation() {
-    // A rule, a run that violates it, when it shows, and the link that could be the cause.
+    // The violated rule, a run that violates it, the time of the violation, and the link that could be its cause.
     type Case = (Rule, Vec<TimedEvent>, Micros, Peer);
     let cases: Vec<Case> = vec![
         (
@@ -484,7 +485,7 @@
             let events: Vec<_> = events.iter().cloned().chain(more).collect();
             check(&events, &settings, 60 * SECOND)
                 .iter()
-                .any(|f| f.rule == rule)
+                .any(|finding| finding.rule == rule)
         };
         assert!(
             !is_found(outage(
@@ -493,7 +494,7 @@
                 at - 10 * MILLISECOND,
                 at + 10 * MILLISECOND
             )),
-            "{rule:?}: {peer:?} was impaired"
+            "{rule:?}: found although {peer:?} was impaired"
         );
         assert!(
             is_found(outage(
@@ -502,7 +503,7 @@
                 at - 10 * MILLISECOND,
                 at + 10 * MILLISECOND
             )),
-            "{rule:?}: a link of another placer"
+            "{rule:?}: excused by an outage of another placer's link"
         );
         assert!(
             is_found(outage(
@@ -511,11 +512,11 @@
                 at - 10 * MILLISECOND,
                 at + 10 * MILLISECOND
             )),
-            "{rule:?}: another link"
+            "{rule:?}: excused by an outage of another link"
         );
         assert!(
             is_found(outage(0, peer, 0, 10 * MILLISECOND)),
-            "{rule:?}: {peer:?} before"
+            "{rule:?}: excused by an earlier outage of {peer:?}"
         );
     }
 }
--- a/crates/emulator/src/tcp_delivery.rs
+++ b/crates/emulator/src/tcp_delivery.rs
@@ -1,12 +1,13 @@
-//! Whether the kernel has delivered everything that was sent to a process, by its table of TCP connections.
+//! Checks in the kernel's table of TCP connections whether everything that was sent to a process has been delivered.
 
 use std::collections::BTreeSet;
 
-/// One end of a connection in the kernel's table.
+/// One end of a connection, as listed in `/proc/net/tcp`.
 struct TcpEndpoint<'a> {
     local: &'a str,
     remote: &'a str,
-    /// Bytes that the other end has not acknowledged, and one for a close.
+    /// The number of sent bytes that the other end has not acknowledged, in hexadecimal. An unacknowledged close counts
+    /// as one byte.
     unacknowledged: &'a str,
     inode: &'a str,
 }
@@ -23,8 +24,9 @@
     })
 }
 
-/// Whether everything sent to a process has reached its sockets, closes included: the other endpoints of its
-/// connections wait for no acknowledgement. A connection not yet accepted shows by its listener's address.
+/// Returns whether everything sent to a process, including closes, has reached its sockets: no other end of its
+/// connections waits for an acknowledgement. A connection that the process has not accepted yet is found by the address
+/// of its listener.
 pub(crate) fn all_delivered(pid: u32) -> bool {
     let Ok(descriptors) = std::fs::read_dir(format!("/proc/{pid}/fd")) else {
         return true;
@@ -43,7 +45,7 @@
             )
         })
         .collect();
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("a table of connections");
+    let table = std::fs::read_to_string("/proc/net/tcp").expect("cannot read the table of TCP connections");
     let endpoints: Vec<TcpEndpoint<'_>> =
         table.lines().skip(1).filter_map(parse_endpoint).collect();
     let own_addresses: BTreeSet<&str> = endpoints
