--- a/crates/emulator/src/admin_socket.rs
+++ b/crates/emulator/src/admin_socket.rs
@@ -37,7 +37,9 @@
             .write_all(format!("{line}\n").as_bytes())
             .expect("cannot send to the placer");
         let mut reply = String::new();
-        stream.read_to_string(&mut reply).expect("cannot read the reply");
+        stream
+            .read_to_string(&mut reply)
+            .expect("cannot read the reply");
         reply
     }
 
@@ -61,7 +63,9 @@
     /// If the placer does not reply, or its reply is not one line of JSON followed by the line `eof`.
     pub fn metrics(&self) -> OwnedValue {
         let mut stream = self.connect();
-        stream.write_all(b"vars\n").expect("cannot send to the placer");
+        stream
+            .write_all(b"vars\n")
+            .expect("cannot send to the placer");
         let lines: Vec<String> = BufReader::new(stream)
             .lines()
             .map(|line| line.expect("cannot read the metrics"))
--- a/crates/emulator/src/client.rs
+++ b/crates/emulator/src/client.rs
@@ -249,6 +249,7 @@
     ///
     /// If the connection ends, or no message arrives within [`TEST_TIMEOUT`].
     pub fn expect_message(&mut self) -> Message {
-        self.next_message().expect("the connection ended instead of a message")
+        self.next_message()
+            .expect("the connection ended instead of a message")
     }
 }
--- a/crates/emulator/src/cluster/feed_server.rs
+++ b/crates/emulator/src/cluster/feed_server.rs
@@ -1,4 +1,4 @@
-//! The service discovery feeds of a cluster: one per placer, each event late by a random delay.
+//! The service discovery feeds of a cluster: one per placer, with a random delay before each event.
 
 use super::FeedFault;
 use super::runtime::{Runtime, listen_anywhere};
@@ -12,21 +12,21 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How often a subscription is looked at without a new event.
+/// The interval at which a subscription is served if no new event wakes it earlier.
 const POLL_INTERVAL: Duration = Duration::from_millis(250);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What a subscription has sent so far.
+/// The progress of a placer's subscription.
 struct Subscription {
     placer: usize,
-    /// The restart of the feed that it belongs to.
+    /// The generation of the feed at the time of the subscription, which ends when the feed restarts.
     generation: Option<u64>,
     sent_events: usize,
     last_heartbeat: Option<Instant>,
 }
 
 impl Subscription {
-    /// Returns the lines to send now; none where the subscription ends.
+    /// Returns the lines to send now, or `None` if the subscription ends.
     fn next_lines(&mut self, state: &State) -> Option<String> {
         let feed = state
             .feeds
@@ -58,7 +58,7 @@
 }
 
 impl Runtime {
-    /// Notifies all feeds of the state of a slot.
+    /// Reports the current state of the host in a slot through all feeds, and publishes the endpoint list.
     pub(super) fn notify_state(&self, slot: usize) {
         if let Some(change) = self.with(|state| state.endpoint_change(slot)) {
             self.notify_feeds(vec![change]);
@@ -66,7 +66,7 @@
         self.with(|state| state.publish_endpoints());
     }
 
-    /// Appends an event to each feed, each after a delay of its own.
+    /// Appends an event with these changes to each feed, after a separate random delay for each of them.
     pub(super) fn notify_feeds(&self, changes: Vec<EndpointChange>) {
         let placers = self.with(|state| state.feeds.len());
         for placer in 0..placers {
@@ -101,7 +101,7 @@
         self.spawn(async move { runtime.accept_subscriptions(placer, listener).await });
     }
 
-    /// Serves subscriptions until the feed has moved away.
+    /// Serves subscriptions at this listener until the feed has moved to another address.
     pub(super) async fn accept_subscriptions(&self, placer: usize, listener: Async<TcpListener>) {
         loop {
             let Ok((stream, _)) = listener.accept().await else {
@@ -152,7 +152,8 @@
     }
 }
 
-/// Reads which event a subscription begins with; none where the connection fails.
+/// Reads the number of the first event that a subscription requests. It is 1 if the line is malformed, and `None` if
+/// the connection fails.
 async fn read_subscription(stream: &Async<TcpStream>) -> Option<usize> {
     let mut line = Vec::new();
     let read = BufReader::new(stream).read_until(b'\n', &mut line).await;
@@ -164,7 +165,7 @@
     Some(number.unwrap_or(1))
 }
 
-/// Waits for an event or the next poll; false where the subscription has ended.
+/// Waits for an event or the next poll. Returns false if the subscription has ended.
 async fn wait_for_more(stream: &Async<TcpStream>, woken: &Receiver<()>) -> bool {
     let poll = async {
         Timer::after(POLL_INTERVAL).await;
--- a/crates/emulator/src/cluster/host_process.rs
+++ b/crates/emulator/src/cluster/host_process.rs
@@ -1,4 +1,4 @@
-//! A host's process: its model, its connections, and the reports that it writes on them.
+//! The process of an emulated host: its model, its connections, and the reports that it sends on them.
 
 use super::HostFault;
 use crate::event_log::{Event, EventLog, HostReport, ListedState, RunningTask, fingerprint};
@@ -9,62 +9,62 @@
 use simd_json::{OwnedValue, json};
 use std::collections::{BTreeMap, HashMap};
 
-/// Whether a closed connection is reset instead of shut down.
+/// How a connection is closed: by a regular shutdown or by a reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Close {
     Graceful,
     Reset,
 }
 
-/// A connection of a placer, as its host writes to it.
+/// A host's connection from a placer.
 pub(super) struct PlacerConnection {
-    /// The placer, where each has a listener of its own.
+    /// The placer that connected. It is `None` if all placers share one listener, which does not tell them apart.
     pub(super) placer: Option<usize>,
     pub(super) output: Sender<Vec<u8>>,
     pub(super) close: Sender<Close>,
 }
 
-/// A task that was offered.
+/// A task that was offered to the host, and has not ended.
 pub(super) struct OfferedTask {
     pub(super) connection: u64,
-    /// Its idempotency key.
+    /// The idempotency key of the task.
     pub(super) key: u64,
 }
 
-/// The report of a task's end that its placer has not acknowledged.
+/// The report of a task's end that the placer has not acknowledged yet.
 pub(super) struct UnacknowledgedEnd {
     pub(super) placer: Option<usize>,
     pub(super) line: Vec<u8>,
 }
 
-/// The process in a slot.
+/// The state of the process in a slot.
 pub(super) struct HostProcess {
-    /// Its number in the event log.
+    /// The number of the host in the event log.
     pub(super) number: usize,
     pub(super) name: String,
     pub(super) model: HostModel,
     pub(super) connections: BTreeMap<u64, PlacerConnection>,
     pub(super) next_connection: u64,
-    /// By the id of the offer.
+    /// The offered and running tasks, by the id of the offer.
     pub(super) tasks: HashMap<u64, OfferedTask>,
-    /// The placer of each connection that ever was, where it is known.
+    /// The placer of each connection since the start of the process, if it is known.
     pub(super) placer_of_connection: HashMap<u64, usize>,
-    /// By the id of the offer.
+    /// The unacknowledged task ends, by the id of the offer.
     pub(super) unacknowledged: BTreeMap<u64, UnacknowledgedEnd>,
     pub(super) fault: HostFault,
     pub(super) state: ListedState,
     pub(super) born_ms: u64,
-    /// Updates not reported while it is silent.
+    /// The updates withheld during [`HostFault::Silent`], which are reported when the fault ends.
     pub(super) suppressed: TaskUpdates,
-    /// Wakes the task that ticks its model.
+    /// Wakes the asynchronous task that ticks the model.
     pub(super) wake: Sender<()>,
-    /// Ends its listeners.
+    /// Ends the listeners of the host.
     pub(super) stop: Sender<()>,
     /// The free resources that the feeds last reported.
     pub(super) reported_free: Resources,
 }
 
-/// Encodes a message as a line.
+/// Encodes a message as one line of JSON.
 fn line(message: &OwnedValue) -> Vec<u8> {
     let mut bytes = message.encode().into_bytes();
     bytes.push(b'\n');
@@ -72,7 +72,7 @@
 }
 
 impl HostProcess {
-    /// Registers a connection, and sends it the ends of tasks that its placer has not acknowledged.
+    /// Registers a connection, sends it the task ends that its placer has not acknowledged, and returns its id.
     pub(super) fn add_connection(&mut self, connection: PlacerConnection) -> u64 {
         let id = self.next_connection;
         self.next_connection += 1;
@@ -89,7 +89,8 @@
         id
     }
 
-    /// Sends a message on a connection, or on all of its placer's where that one has ended.
+    /// Sends a message on a connection. If that connection has ended, the message is sent on all connections of the
+    /// same placer.
     pub(super) fn send(&self, connection: u64, message: &OwnedValue) {
         self.send_bytes(connection, &line(message));
     }
@@ -114,7 +115,7 @@
             .filter(move |other| other.placer == placer)
     }
 
-    /// Reports an update to the placer of the task, and records it.
+    /// Reports an update to the placer of the task, and records the report in the event log.
     pub(super) fn report(&mut self, log: &EventLog, id: u64, update: TaskUpdate) {
         let Some(&OfferedTask { connection, key }) = self.tasks.get(&id) else {
             return;
@@ -140,7 +141,8 @@
             return self.send_bytes(connection, truncated.as_bytes());
         }
         self.record(log, id, HostReport::Running(fingerprint(&description)));
-        // Without its connection nobody learns of the start; the task is found later.
+        // If the connection of the offer has ended, nobody is notified of the start; the placer may find the task
+        // later.
         if self.connections.contains_key(&connection) {
             self.send(
                 connection,
--- a/crates/emulator/src/cluster/host_server.rs
+++ b/crates/emulator/src/cluster/host_server.rs
@@ -1,4 +1,4 @@
-//! The hosts of a cluster on their sockets: connections, messages of placers, and the ticks of each model.
+//! The socket side of a cluster's hosts: connections, messages of placers, and the ticks of each model.
 
 use super::HostFault;
 use super::host_process::{Close, HostProcess, OfferedTask, PlacerConnection};
@@ -20,17 +20,17 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A connection to the process in a slot.
+/// Identifies a connection to the process in a slot.
 #[derive(Clone, Copy)]
 struct ConnectionRef {
     slot: usize,
-    /// The number of the host's process.
+    /// The number of the host in the event log, which differs for each process in the slot.
     host: usize,
     id: u64,
 }
 
 impl Runtime {
-    /// Starts a process in a slot.
+    /// Starts a process in a slot, which accepts connections from these listeners.
     pub(super) fn start_host(
         &self,
         slot: usize,
@@ -76,7 +76,7 @@
             let (runtime, stopped) = (self.clone(), stopped.clone());
             self.spawn(async move {
                 let stop = async {
-                    // One message ends all listeners: the channel is closed after it.
+                    // A single message ends all listeners, because the channel is closed after it.
                     while stopped.recv().await.is_ok() {}
                 };
                 runtime
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Serves one connection to its end, and returns how it is to be closed.
+    /// Serves one connection until it ends, and returns how it is to be closed.
     async fn serve_connection(
         &self,
         connection: ConnectionRef,
@@ -149,7 +149,8 @@
         let read = self.read_messages(connection, stream);
         let close = async { closed.recv().await.unwrap_or(Close::Graceful) };
         let close = read.or(write).or(close).await;
-        // Reports from before the placer closed its side still go out: it may only have shut down its writes.
+        // Reports that were queued before the placer closed its side are still sent, because the placer may have shut
+        // down only its writes.
         while let Some(line) = lines.try_recv().ok().filter(|_| close == Close::Graceful) {
             let mut writer = stream;
             if writer.write_all(&line).await.is_err() {
@@ -167,7 +168,7 @@
                 let process = state.process(connection.slot);
                 process.map_or(HostFault::None, |process| process.fault)
             });
-            // Waits for an offer to come, and does not read it.
+            // Waits until an offer has arrived, but does not read it.
             if fault == HostFault::ResetBeforeRead && stream.readable().await.is_ok() {
                 return Close::Reset;
             }
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Handles a message of a placer.
+    /// Handles a message of a placer, and returns whether its connection continues.
     fn handle_message(&self, connection: ConnectionRef, message: &OwnedValue) -> Continue {
         let (next, updates) = self.with(|state| {
             let log = state.log.clone();
@@ -201,7 +202,7 @@
         next
     }
 
-    /// Withdraws the offers that are open on a connection that has ended.
+    /// Removes a connection that has ended, and withdraws the offers that are still open on it.
     fn connection_ended(&self, connection: ConnectionRef) {
         self.with(|state| {
             let log = state.log.clone();
@@ -214,7 +215,7 @@
         });
     }
 
-    /// Reports updates of the model in a slot to the placers that they concern.
+    /// Reports updates of the model in a slot to the placers concerned, or withholds them while the host is silent.
     pub(super) fn report(&self, slot: usize, updates: TaskUpdates) {
         self.with(|state| {
             let log = state.log.clone();
@@ -231,7 +232,7 @@
         });
     }
 
-    /// Ticks the model in a slot whenever a change is due, until its process has ended.
+    /// Ticks the model in a slot whenever a change is due, until the process has ended.
     async fn tick_host(&self, slot: usize, woken: Receiver<()>) {
         loop {
             let next_due = self.with(|state| {
@@ -263,7 +264,7 @@
         }
     }
 
-    /// Kills the process in a slot, and notifies all feeds.
+    /// Kills the process in a slot, and reports its removal through all feeds.
     pub(super) fn kill_host(&self, slot: usize) {
         let killed = self.with(|state| {
             let slot = state.slots.get_mut(slot)?;
@@ -285,7 +286,7 @@
     }
 }
 
-/// Whether a connection goes on after a message.
+/// What happens to a connection after a message: reading continues, or the connection is reset.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Continue {
     Read,
@@ -293,7 +294,7 @@
 }
 
 impl HostProcess {
-    /// Handles a message of a placer, and returns the updates to report.
+    /// Handles a message of a placer, and returns whether the connection continues and which updates to report.
     fn handle_message(
         &mut self,
         log: &EventLog,
@@ -380,7 +381,7 @@
         updates
     }
 
-    /// Removes a connection, and withdraws the offers that are open on it.
+    /// Removes a connection, and withdraws the offers that are still open on it.
     fn remove_connection(&mut self, log: &EventLog, connection: u64) {
         self.connections.remove(&connection);
         let running: BTreeSet<u64> = self.model.running_ids().collect();
--- a/crates/emulator/src/cluster/mod.rs
+++ b/crates/emulator/src/cluster/mod.rs
@@ -1,8 +1,9 @@
-//! An emulated cluster: hosts and service discovery feeds on loopback sockets, on one thread of their own.
+//! An emulated cluster: hosts and service discovery feeds on loopback sockets, served by one separate thread.
 //!
-//! Each host is a [`HostModel`](crate::host_model::HostModel) behind a listener. Each placer has a feed of its
-//! own, which notifies it of all hosts after a random delay. Commands come through a channel, so that a fault is
-//! one line of a plan. What is sent and received is recorded in the event log; rules are not checked here.
+//! Each host is a [`HostModel`](crate::host_model::HostModel) behind a listener. Each placer has a separate feed, which
+//! notifies it of all hosts, each event after a random delay. Commands are sent through a channel, so that a plan can
+//! cause a fault with a single line. Everything sent and received is recorded in the event log; whether placers keep
+//! the rules is not checked here.
 
 mod feed_server;
 mod host_process;
@@ -29,74 +30,75 @@
 use std::time::Duration;
 pub use task_description::describe;
 
-/// How long a placer that starts waits for its feed to restart.
+/// How long the start of a placer waits for the restart of its feed.
 const FEED_RESTART_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a cluster consists of.
+/// The size, the timing and the seed of a cluster.
 #[derive(Debug, Clone)]
 pub struct ClusterConfig {
-    /// Names of the zones.
+    /// The names of the zones.
     pub zones: Vec<String>,
-    /// Hosts at the start, spread over the zones.
+    /// The number of hosts at the start, spread over the zones.
     pub hosts: usize,
-    /// Hosts in a rack.
+    /// The number of hosts in a rack.
     pub rack_size: usize,
-    /// What each host is.
+    /// The capacity and timing of each host.
     pub host_spec: HostSpec,
-    /// Number of placers.
+    /// The number of placers.
     pub placers: usize,
-    /// Minimum delay of an event in a feed.
+    /// The minimum delay of an event in a feed.
     pub min_feed_delay: Micros,
-    /// Maximum delay of an event in a feed.
+    /// The maximum delay of an event in a feed.
     pub max_feed_delay: Micros,
-    /// How often feeds report what is free on each host; 0 for never.
+    /// The interval at which feeds report the free resources of hosts, or 0 for never.
     pub refresh_interval: Micros,
-    /// Seed of the random delays.
+    /// The seed of the random delays.
     pub seed: u64,
 }
 
-/// What is wrong with a host.
+/// A fault of a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostFault {
-    /// Nothing.
+    /// The host has no fault.
     None,
-    /// It rejects every offer.
+    /// The host rejects every offer.
     Reject,
-    /// It is ten times slower.
+    /// The host is ten times slower.
     Slow,
-    /// It accepts offers and reports nothing.
+    /// The host accepts offers and reports nothing.
     Silent,
-    /// It resets a connection on which an offer comes, before reading it.
+    /// The host resets a connection as soon as an offer arrives on it, without reading the offer.
     ResetBeforeRead,
-    /// It reads the offer, then resets the connection.
+    /// The host reads an offer, and then resets the connection.
     ResetAfterRead,
-    /// Its reports are malformed.
+    /// The host reports running tasks with malformed messages.
     MalformedReports,
 }
 
-/// What is wrong with a feed.
+/// A fault of a feed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FeedFault {
-    /// Nothing.
+    /// The feed has no fault.
     None,
-    /// Its connection breaks, and new ones are not served.
+    /// The connection of the feed ends, and new connections are not served.
     Disconnected,
-    /// It stays connected and sends nothing.
+    /// The feed stays connected and sends nothing.
     Silent,
-    /// It sends each event twice.
+    /// The feed sends each event twice.
     Duplicated,
 }
 
-/// A command to the cluster. Hosts are named by their slot, which outlives their processes.
+/// A command to the cluster. Hosts are identified by their slot, which stays the same when a host's process is
+/// replaced.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClusterCommand {
     /// Sets or clears a fault of a host.
     SetHostFault(usize, HostFault),
-    /// Kills the host's process.
+    /// Kills the process in a slot.
     KillHost(usize),
-    /// Starts a process in the slot, cold and under a new id.
+    /// Starts a process in a slot, with a slow start and under a new name.
     StartHost(usize),
-    /// Begins to drain a host.
+    /// Starts the drain of a host.
     StartDraining(usize),
     /// Ends the drain of a host.
     StopDraining(usize),
@@ -104,34 +106,34 @@
     EvictTasks {
         /// The slot of the host.
         slot: usize,
-        /// How many.
+        /// The number of tasks to evict.
         count: usize,
     },
     /// Sets or clears a fault of a placer's feed.
     SetFeedFault(usize, FeedFault),
     /// Moves the feed of a placer to another address.
     MoveFeed(usize),
-    /// Ends the thread.
+    /// Ends the cluster's thread.
     Stop,
 }
 
-/// The load of the hosts at one time.
+/// A sample of the load of all hosts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LoadSample {
-    /// When.
+    /// The time of the sample.
     pub at: Micros,
-    /// By slot, the requested fraction of the cores; none where no process runs.
+    /// The requested fraction of the cores of each host, by slot. It is `None` for a slot without a process.
     pub load: Vec<Option<f64>>,
 }
 
-/// What the cluster's thread receives.
+/// A message to the cluster's thread.
 enum Message {
     Command(ClusterCommand),
-    /// The feed of a placer restarts; confirmed once it has.
+    /// Restarts the feed of a placer, and sends a confirmation when it has restarted.
     RestartFeed(usize, mpsc::Sender<()>),
 }
 
-/// A running cluster; it ends when dropped.
+/// A running cluster, which is stopped when this value is dropped.
 pub struct Cluster {
     messages: Sender<Message>,
     shared: Arc<Mutex<SharedState>>,
@@ -139,11 +141,11 @@
 }
 
 impl Cluster {
-    /// Starts a cluster and waits until all its hosts and feeds listen.
+    /// Starts a cluster, and waits until all its hosts and feeds listen.
     ///
     /// # Errors
     ///
-    /// An error of the system: there is no thread, or no free port.
+    /// Returns an error if the thread cannot be started or a socket cannot be bound.
     pub fn start(config: ClusterConfig, log: EventLog) -> io::Result<Cluster> {
         let (messages, received) = async_channel::unbounded();
         let shared = Arc::<Mutex<SharedState>>::default();
@@ -152,9 +154,11 @@
         let thread = std::thread::Builder::new()
             .name("cluster".into())
             .spawn(move || serve(config, log, thread_shared, &received, &ready))?;
-        is_ready
-            .recv()
-            .unwrap_or_else(|_| Err(io::Error::other("the cluster's thread ended")))?;
+        is_ready.recv().unwrap_or_else(|_| {
+            Err(io::Error::other(
+                "the cluster's thread ended before the cluster was ready",
+            ))
+        })?;
         Ok(Cluster {
             messages,
             shared,
@@ -162,7 +166,7 @@
         })
     }
 
-    /// Sends a command; it takes effect soon after.
+    /// Sends a command, which takes effect asynchronously soon after.
     pub fn command(&self, command: ClusterCommand) {
         let _ = self.messages.try_send(Message::Command(command));
     }
@@ -171,30 +175,31 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Restarts the feed of a placer that is about to start, and returns its address and the endpoint list.
+    /// Restarts the feed of a placer that is about to start, and returns the address of the feed and the endpoint list.
     pub fn register_placer(&self, placer: usize) -> (SocketAddr, Vec<OwnedValue>) {
         let (done, is_done) = mpsc::channel();
         let _ = self.messages.try_send(Message::RestartFeed(placer, done));
         let _ = is_done.recv_timeout(FEED_RESTART_TIMEOUT);
         let shared = self.shared();
-        // Nothing listens on the discard port: a placer without a feed finds none.
+        // Nothing listens at the discard port, so a placer without a feed cannot connect to one.
         let address = shared
             .feed_address(placer)
             .unwrap_or_else(|| SocketAddr::from((Ipv4Addr::LOCALHOST, 9)));
         (address, shared.endpoint_list(placer))
     }
 
-    /// Returns where the feed of a placer is now.
+    /// Returns the address at which a placer currently connects to its feed.
     pub fn feed_address(&self, placer: usize) -> Option<SocketAddr> {
         self.shared().feed_address(placer)
     }
 
-    /// Returns where the host in a slot listens for a placer.
+    /// Returns the address at which the host in a slot listens for a placer.
     pub fn host_address(&self, placer: usize, slot: usize) -> Option<SocketAddr> {
         self.shared().host_address(placer, slot)
     }
 
-    /// Replaces the addresses that placers are given: of hosts, by placer and slot, and of feeds, by placer.
+    /// Replaces the addresses of proxies that placers are given instead of the real addresses: those of hosts by placer
+    /// and slot, and those of feeds by placer.
     pub fn set_routes(
         &self,
         hosts: BTreeMap<(usize, usize), SocketAddr>,
@@ -203,17 +208,17 @@
         self.shared().set_routes(hosts, feeds);
     }
 
-    /// Returns the zone of each host so far, by its number.
+    /// Returns the zones of all hosts started so far, by the number of the host.
     pub fn host_zones(&self) -> Vec<usize> {
         self.shared().host_zones.clone()
     }
 
-    /// Returns the slot of each host so far, by its number.
+    /// Returns the slots of all hosts started so far, by the number of the host.
     pub fn host_slots(&self) -> Vec<usize> {
         self.shared().host_slots.clone()
     }
 
-    /// Returns the load samples so far.
+    /// Returns all load samples so far.
     pub fn load_samples(&self) -> Vec<LoadSample> {
         self.shared().load_samples.clone()
     }
@@ -229,7 +234,8 @@
     }
 }
 
-/// The cluster's thread: starts it, reports whether that worked, and executes commands until told to stop.
+/// Runs on the cluster's thread: starts the cluster, sends the result through `ready`, and executes commands until it
+/// receives [`ClusterCommand::Stop`].
 fn serve(
     config: ClusterConfig,
     log: EventLog,
--- a/crates/emulator/src/cluster/runtime.rs
+++ b/crates/emulator/src/cluster/runtime.rs
@@ -1,4 +1,4 @@
-//! Starts a cluster and executes commands. Everything runs on one thread, as tasks of one executor.
+//! Starts a cluster and executes its commands. Everything runs on one thread, as tasks of one executor.
 
 use super::shared_state::SharedState;
 use super::state::{EndpointChange, HostSlot, PlacerFeed, State};
@@ -17,19 +17,20 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// With more pairs of a host and a placer than this, a host has one listener for all placers, since each listener
-/// takes a descriptor. Then it can't tell placers apart, and a report whose connection has ended goes to all.
+/// The maximum number of pairs of a host and a placer for which each host has a separate listener per placer. With more
+/// pairs, a host has one listener for all placers, since each listener takes a descriptor. The host then cannot tell
+/// placers apart, and a report whose connection has ended is sent to all placers.
 const MAX_SEPARATE_LISTENERS: usize = 2_048;
-/// Sets the random delays apart from other draws with the same seed.
+/// Makes the random delays independent of other random numbers drawn with the same seed.
 const SEED_SALT: u64 = 0x7369_7465;
-/// How often a host that starts tries to listen at its address, which the kernel may hold for a moment.
+/// How many times a restarted host tries to listen at its address, which the kernel may still hold for a moment.
 const LISTEN_ATTEMPTS: usize = 100;
 const LISTEN_RETRY_DELAY: Duration = Duration::from_millis(20);
 const MONITOR_INTERVAL: Duration = Duration::from_millis(100);
 const MONITOR_INTERVAL_MICROS: Micros = 100_000;
 const LOAD_SAMPLE_INTERVAL: Micros = 500_000;
 
-/// The running cluster, shared by the tasks of its executor.
+/// The running cluster, which the tasks of the executor share.
 #[derive(Clone)]
 pub(super) struct Runtime(Rc<RefCell<State>>);
 
@@ -38,7 +39,7 @@
     Async::<TcpListener>::bind(address)
 }
 
-/// Listens at a free port.
+/// Listens at a free loopback port.
 pub(super) fn listen_anywhere() -> io::Result<Async<TcpListener>> {
     listen(SocketAddr::from((Ipv4Addr::LOCALHOST, 0)))
 }
@@ -80,7 +81,7 @@
         Ok(runtime)
     }
 
-    /// Adds a slot with a host that is already warm.
+    /// Adds a slot with a host that needs no slow start.
     fn add_host(&self, slot: usize, listener_count: usize) -> io::Result<()> {
         let listeners: Vec<Async<TcpListener>> = (0..listener_count)
             .map(|_| listen_anywhere())
@@ -116,7 +117,8 @@
         Ok(())
     }
 
-    /// Borrows the state; the closure must not call back into the runtime.
+    /// Calls `act` with the borrowed state. The closure must not call methods of the runtime, which would borrow the
+    /// state again.
     pub(super) fn with<T>(&self, act: impl FnOnce(&mut State) -> T) -> T {
         act(&mut self.0.borrow_mut())
     }
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Starts a cold process in a slot, as soon as its address is free.
+    /// Starts a process with a slow start in a slot, as soon as the slot's address is free.
     fn restart_host(&self, slot: usize) {
         let addresses = self.with(|state| state.slots.get(slot).map(|slot| slot.addresses.clone()));
         let Some(addresses) = addresses else { return };
@@ -208,7 +210,7 @@
         self.report(slot, suppressed);
     }
 
-    /// Samples the load of the hosts, and has the feeds report what is free.
+    /// Periodically samples the load of the hosts, and reports their free resources through the feeds.
     async fn monitor_hosts(&self) {
         let mut ticks = Timer::interval(MONITOR_INTERVAL);
         let mut elapsed: Micros = 0;
@@ -225,7 +227,7 @@
         }
     }
 
-    /// Has the feeds report each host on which other resources are free than last reported.
+    /// Reports each host whose free resources have changed since the last report through all feeds.
     fn refresh_free_resources(&self) {
         let changes: Vec<EndpointChange> = self.with(|state| {
             let slots = 0..state.slots.len();
@@ -259,7 +261,7 @@
         self.shared().load_samples.push(LoadSample { at, load });
     }
 
-    /// The change that reports the present state of a slot.
+    /// Returns the change that reports the current state of a slot, if a process runs in it.
     pub(super) fn endpoint_change(&mut self, slot: usize) -> Option<EndpointChange> {
         let endpoint = self.endpoint(slot)?;
         let process = self.process(slot)?;
--- a/crates/emulator/src/cluster/shared_state.rs
+++ b/crates/emulator/src/cluster/shared_state.rs
@@ -1,4 +1,4 @@
-//! The part of the cluster's state that other threads read.
+//! The part of the cluster's state that is shared with other threads.
 
 use super::LoadSample;
 use simd_json::OwnedValue;
@@ -6,28 +6,29 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// Addresses, the endpoint list and the load samples.
+/// The addresses, the endpoint list and the load samples.
 #[derive(Debug, Default)]
 pub(super) struct SharedState {
-    /// Where the feed of each placer listens.
+    /// The address at which the feed of each placer listens.
     pub(super) feed_addresses: Vec<SocketAddr>,
-    /// The endpoint list, with the slot of each host in `place`.
+    /// The endpoint list, in which the field `place` holds the slot of each host.
     pub(super) endpoints: Vec<OwnedValue>,
-    /// The zone of each host, by its number.
+    /// The zone of each host, by the number of the host.
     pub(super) host_zones: Vec<usize>,
-    /// The slot of each host, by its number.
+    /// The slot of each host, by the number of the host.
     pub(super) host_slots: Vec<usize>,
     pub(super) load_samples: Vec<LoadSample>,
-    /// By slot: where its host listens for each placer, or one address for all of them.
+    /// The addresses at which the host in each slot listens: one per placer, or one for all placers.
     pub(super) host_addresses: Vec<Vec<SocketAddr>>,
-    /// Addresses of proxies, by placer and slot.
+    /// The addresses of the proxies in front of hosts, by placer and slot.
     host_routes: BTreeMap<(usize, usize), SocketAddr>,
-    /// Addresses of proxies, by placer.
+    /// The addresses of the proxies in front of feeds, by placer.
     feed_routes: BTreeMap<usize, SocketAddr>,
 }
 
 impl SharedState {
-    /// Returns an endpoint as one placer is to see it: with the address it connects to, and without the slot.
+    /// Returns an endpoint entry for a placer: with the address at which this placer connects to the host, and without
+    /// the slot.
     pub(super) fn routed_endpoint(&self, placer: usize, endpoint: &OwnedValue) -> OwnedValue {
         let mut endpoint = endpoint.clone();
         let slot = endpoint
@@ -49,13 +50,13 @@
             .collect()
     }
 
-    /// Returns where the host in a slot listens for a placer.
+    /// Returns the address at which the host in a slot listens for a placer.
     pub(super) fn host_address(&self, placer: usize, slot: usize) -> Option<SocketAddr> {
         let addresses = self.host_addresses.get(slot)?;
         addresses.get(placer).or(addresses.first()).copied()
     }
 
-    /// Returns where a placer connects to its feed.
+    /// Returns the address at which a placer connects to its feed.
     pub(super) fn feed_address(&self, placer: usize) -> Option<SocketAddr> {
         self.feed_routes
             .get(&placer)
@@ -63,7 +64,7 @@
             .copied()
     }
 
-    /// Replaces the proxies in front of hosts and feeds.
+    /// Replaces the addresses of the proxies in front of hosts and feeds.
     pub(super) fn set_routes(
         &mut self,
         hosts: BTreeMap<(usize, usize), SocketAddr>,
--- a/crates/emulator/src/cluster/state.rs
+++ b/crates/emulator/src/cluster/state.rs
@@ -1,4 +1,4 @@
-//! The state of a cluster: the slots of hosts and their processes, and the feeds.
+//! The state of a cluster: the slots of hosts with their processes, and the feeds of placers.
 
 use super::host_process::HostProcess;
 use super::shared_state::SharedState;
@@ -13,12 +13,13 @@
 use std::rc::Rc;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// A placer whose feed is disturbed counts as notified of an event at the latest so long after the fault began.
+/// The longest time for which a feed fault excuses a placer: an event counts as delivered at the latest this long after
+/// the fault began.
 const MAX_FEED_FAULT: Micros = 4_000_000;
-/// The number of the first event of a feed; the endpoint list of the configuration is event 1.
+/// The number of the first event that a feed sends. Event 1 is the endpoint list in the configuration.
 const FIRST_FEED_EVENT: u64 = 2;
 
-/// A slot for a host. It keeps its address, zone and rack over the processes in it.
+/// A slot for a host, which keeps its addresses, zone and rack when the process in it is replaced.
 pub(super) struct HostSlot {
     pub(super) zone: usize,
     pub(super) rack: usize,
@@ -26,12 +27,12 @@
     pub(super) process: Option<HostProcess>,
 }
 
-/// A change of one endpoint, for the feeds.
+/// A change of one endpoint, to be reported through the feeds.
 #[derive(Clone)]
 pub(super) struct EndpointChange {
-    /// The number of the host.
+    /// The number of the host in the event log.
     pub(super) host: usize,
-    /// Its entry in the endpoint list.
+    /// The entry of the host in the endpoint list.
     pub(super) endpoint: OwnedValue,
     pub(super) state: ListedState,
 }
@@ -41,9 +42,9 @@
     pub(super) events: Vec<OwnedValue>,
     pub(super) fault: FeedFault,
     fault_since: Micros,
-    /// Counts its restarts.
+    /// The number of restarts of the feed.
     pub(super) generation: u64,
-    /// Wakes the open subscriptions.
+    /// The channels that wake the open subscriptions.
     pub(super) subscribers: Vec<Sender<()>>,
 }
 
@@ -70,7 +71,7 @@
     }
 }
 
-/// All that the cluster's thread owns.
+/// The state that the cluster's thread owns.
 pub(super) struct State {
     pub(super) config: ClusterConfig,
     pub(super) log: EventLog,
@@ -79,7 +80,7 @@
     pub(super) feeds: Vec<PlacerFeed>,
     pub(super) rng: ChaCha8Rng,
     pub(super) shared: Arc<Mutex<SharedState>>,
-    /// Processes of hosts started so far.
+    /// The number of host processes started so far.
     pub(super) host_count: usize,
 }
 
@@ -94,7 +95,7 @@
         self.shared.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// The endpoint of the process in a slot, with the slot itself in `place`.
+    /// Returns the endpoint entry of the process in a slot, with the slot in the additional field `place`.
     pub(super) fn endpoint(&self, slot: usize) -> Option<OwnedValue> {
         let host = self.slots.get(slot)?;
         let process = host.process.as_ref()?;
@@ -114,7 +115,7 @@
         }))
     }
 
-    /// Publishes the endpoint list for placers that start.
+    /// Updates the shared endpoint list, which placers receive when they start.
     pub(super) fn publish_endpoints(&self) {
         let endpoints: Vec<OwnedValue> = (0..self.slots.len())
             .filter_map(|slot| self.endpoint(slot))
@@ -122,8 +123,8 @@
         self.shared().endpoints = endpoints;
     }
 
-    /// Restarts the feed of a placer that starts: its configuration holds the first event, and numbering begins
-    /// with it.
+    /// Restarts the feed of a placer that is about to start. The placer's configuration contains event 1, so the feed
+    /// continues with event 2.
     pub(super) fn restart_feed(&mut self, placer: usize) {
         if let Some(feed) = self.feeds.get_mut(placer) {
             feed.events.clear();
@@ -133,8 +134,8 @@
         self.publish_endpoints();
     }
 
-    /// Appends an event to the feed of a placer, unless the feed has restarted since, and records that the placer
-    /// is notified.
+    /// Appends an event to the feed of a placer and records when the placer counts as notified. Does nothing if the
+    /// feed has been restarted since the event was scheduled.
     pub(super) fn append_feed_event(
         &mut self,
         placer: usize,
--- a/crates/emulator/src/cluster/task_description.rs
+++ b/crates/emulator/src/cluster/task_description.rs
@@ -1,11 +1,12 @@
-//! The description of an emulated task: all that a host needs to know of it, as text that placers pass on.
+//! The description of an emulated task: text that placers pass on unchanged, with everything that a host needs to know
+//! about the task.
 
 use crate::host_model::{Micros, Offer};
 
-/// How long a task runs whose description does not say it.
+/// How long a task runs if its description does not contain the run time.
 const DEFAULT_RUN_TIME: Micros = 1_000_000;
 
-/// Writes the description of a task.
+/// Returns the description of a task.
 pub fn describe(offer: &Offer, key: u64) -> String {
     format!(
         "k={key:016x}\r\ns={:016x}\r\na={} {}\r\np={}\r\nl={}\r\n",
@@ -13,7 +14,7 @@
     )
 }
 
-/// Reads a description; what is missing or malformed gets a default.
+/// Parses a description. Missing or malformed fields get default values.
 pub(super) fn parse_description(text: &str, id: u64, time_left: Micros) -> Offer {
     let field = |prefix: &str| {
         text.lines()
--- a/crates/emulator/src/event_log/event.rs
+++ b/crates/emulator/src/event_log/event.rs
@@ -51,7 +51,7 @@
     Resumed,
     /// The process was requested to shut down.
     TerminationRequested,
-    /// The process exited without being killed; holds the exit code.
+    /// The process exited by itself; holds the exit code.
     Exited(i32),
 }
 
--- a/crates/emulator/src/fault_proxy/mod.rs
+++ b/crates/emulator/src/fault_proxy/mod.rs
@@ -1,17 +1,18 @@
-//! Faults of the links between processes: each link leads through a proxy on loopback, and the proxy does what a
-//! bad link does.
+//! Emulates faults of the links between processes: each link leads through a proxy on loopback, which applies the fault
+//! to it.
 //!
 //! | fault | open connections | new connections |
 //! | --- | --- | --- |
-//! | cut | nothing arrives, in either direction | do not come up |
-//! | cut in one direction | nothing arrives that the caller sends (or that it is sent) | do not come up |
-//! | stall | bytes wait, in both directions | come up, and their bytes wait |
-//! | delay | bytes are late by a time | likewise |
-//! | reset | are reset | are reset once they are up |
-//! | black hole | go on | do not come up |
+//! | cut | nothing arrives in either direction | are not established |
+//! | cut in one direction | nothing arrives that the caller sends (or that is sent to the caller) | are not established |
+//! | stall | bytes wait in both directions | are established, and their bytes wait |
+//! | delay | bytes arrive late by a fixed time | are established, and their bytes arrive late by a fixed time |
+//! | reset | are reset | are reset once they are established |
+//! | black hole | continue | are not established |
 //!
-//! TCP loses nothing: bytes withheld by a cut arrive when it heals. A new connection that is not to come up finds
-//! the proxy's accept queue full, so that the kernel drops its first packet and the caller gets no reply at all.
+//! TCP loses no data: bytes withheld by a cut arrive when the fault ends. A new connection that must not be established
+//! finds the accept queue of the proxy full, so that the kernel drops its first packet and the caller gets no reply at
+//! all.
 
 mod proxy;
 #[cfg(test)]
@@ -29,7 +30,7 @@
 use std::sync::mpsc;
 use std::time::Duration;
 
-/// How long the proxies' thread may take for a reply.
+/// The timeout for replies of the proxies' thread.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// A party at one end of a link.
@@ -37,38 +38,38 @@
 pub enum Party {
     /// All clients.
     Clients,
-    /// A placer.
+    /// The placer with this index.
     Placer(usize),
-    /// The host in a slot.
+    /// The host in this slot.
     Host(usize),
-    /// The feed of a placer.
+    /// The feed of the placer with this index.
     Feed(usize),
 }
 
-/// What is wrong with a link.
+/// A fault of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum LinkFault {
-    /// Nothing.
+    /// The link has no fault.
     #[default]
     None,
-    /// Nothing arrives.
+    /// Nothing arrives in either direction, and new connections are not established.
     Cut,
-    /// Nothing arrives that the caller sends.
+    /// Nothing arrives that the caller sends, and new connections are not established.
     CutForward,
-    /// Nothing arrives that the caller is sent.
+    /// Nothing arrives that is sent to the caller, and new connections are not established.
     CutBackward,
-    /// Bytes wait until it ends.
+    /// Bytes wait until the fault ends.
     Stall,
-    /// Bytes are late by this time.
+    /// Bytes arrive late by this time.
     Delay(Duration),
-    /// Connections are reset.
+    /// Open and new connections are reset.
     Reset,
-    /// New connections do not come up.
+    /// New connections are not established; open connections continue.
     BlackHole,
 }
 
 impl LinkFault {
-    /// Whether bytes of a direction wait.
+    /// Returns whether the bytes of a direction are withheld.
     fn withholds(self, direction: Direction) -> bool {
         match self {
             LinkFault::Cut | LinkFault::Stall => true,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether new connections do not come up.
+    /// Returns whether new connections are not established.
     fn blocks_connections(self) -> bool {
         matches!(
             self,
@@ -88,7 +89,7 @@
         )
     }
 
-    /// By how much bytes are late.
+    /// Returns the time by which bytes are delayed, if they are.
     fn delay(self) -> Option<Duration> {
         if let LinkFault::Delay(delay) = self {
             Some(delay)
@@ -107,54 +108,54 @@
     Backward,
 }
 
-/// What the proxies' thread receives.
+/// A message to the proxies' thread.
 enum Message {
-    /// Adds a proxy, and replies its address.
+    /// Adds a proxy, and replies with its address.
     AddProxy {
         from: Party,
         to: Party,
         target: SocketAddr,
         reply: mpsc::Sender<io::Result<SocketAddr>>,
     },
-    /// Changes the target of a link.
+    /// Changes the target to which new connections of a link are forwarded.
     Redirect {
         from: Party,
         to: Party,
         target: SocketAddr,
     },
-    /// Sets the fault of the links between two sets of parties, and replies their number.
+    /// Sets the fault of all links between two sets of parties, and replies with the number of these links.
     SetFault {
         side: BTreeSet<Party>,
         other_side: BTreeSet<Party>,
         fault: LinkFault,
         reply: mpsc::Sender<usize>,
     },
-    /// Replies the traffic of all links so far.
+    /// Replies with the traffic of all links so far.
     CountTraffic(mpsc::Sender<TrafficTotals>),
     Stop,
 }
 
-/// The traffic that all links have forwarded.
+/// The total traffic that all links have forwarded.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TrafficTotals {
-    /// Number of connections.
+    /// The number of forwarded connections.
     pub connections: u64,
-    /// Number of bytes, both directions.
+    /// The number of forwarded bytes in both directions.
     pub bytes: u64,
 }
 
-/// All proxies, on a thread of their own; they end when dropped.
+/// All proxies of a run, served by one separate thread. They stop when this value is dropped.
 pub struct FaultProxies {
     messages: Sender<Message>,
     thread: Option<std::thread::JoinHandle<()>>,
 }
 
 impl FaultProxies {
-    /// Starts without a proxy.
+    /// Starts the thread, without any proxy yet.
     ///
     /// # Errors
     ///
-    /// An error of the system: there is no thread.
+    /// Returns an error if the thread cannot be started.
     pub fn start() -> io::Result<FaultProxies> {
         let (messages, received) = async_channel::unbounded();
         let thread = std::thread::Builder::new()
@@ -174,14 +175,14 @@
         let _ = self.messages.try_send(message(reply));
         replied
             .recv_timeout(REPLY_TIMEOUT)
-            .map_err(|_| io::Error::other("the proxies' thread ended"))
+            .map_err(|_| io::Error::other("the proxies' thread did not reply"))
     }
 
-    /// Adds a proxy for the connections of one party to another, and returns its address.
+    /// Adds a proxy for the connections from one party to another, and returns the address of the proxy.
     ///
     /// # Errors
     ///
-    /// An error of the system: there is no free port, or the thread has ended.
+    /// Returns an error if the proxy cannot listen, or the thread has ended.
     pub fn add_proxy(&self, from: Party, to: Party, target: SocketAddr) -> io::Result<SocketAddr> {
         self.request(|reply| Message::AddProxy {
             from,
@@ -191,19 +192,19 @@
         })?
     }
 
-    /// Changes the target of a link; open connections stay where they are.
+    /// Changes the target to which new connections of a link are forwarded. Open connections are not affected.
     pub fn redirect(&self, from: Party, to: Party, target: SocketAddr) {
         let _ = self
             .messages
             .try_send(Message::Redirect { from, to, target });
     }
 
-    /// Sets or clears the fault of all links between two sets of parties, whichever side calls, and returns their
-    /// number. A cut in one direction is seen from the first set.
+    /// Sets or clears the fault of all links between two sets of parties, whichever side opens the connections, and
+    /// returns the number of these links. The direction of a one-way cut is seen from the first set.
     ///
     /// # Errors
     ///
-    /// The thread has ended.
+    /// Returns an error if the thread has ended.
     pub fn set_fault(
         &self,
         side: &BTreeSet<Party>,
@@ -218,7 +219,7 @@
         })
     }
 
-    /// Returns the traffic so far.
+    /// Returns the total traffic of all links so far, or zeros if the thread has ended.
     pub fn traffic(&self) -> TrafficTotals {
         self.request(Message::CountTraffic).unwrap_or_default()
     }
@@ -233,7 +234,7 @@
     }
 }
 
-/// The proxies' thread: handles messages until told to stop.
+/// Runs on the proxies' thread: handles messages until it receives [`Message::Stop`].
 async fn serve(received: Receiver<Message>, executor: Rc<LocalExecutor<'static>>) {
     let mut proxies: Vec<Rc<FaultProxy>> = Vec::new();
     let traffic = Rc::new(Cell::new(TrafficTotals::default()));
@@ -275,7 +276,7 @@
     }
 }
 
-/// Sets the fault of all links between two sets, and returns their number.
+/// Sets the fault of all links between two sets of parties, and returns the number of these links.
 fn set_fault(
     proxies: &[Rc<FaultProxy>],
     side: &BTreeSet<Party>,
@@ -286,7 +287,7 @@
     for proxy in proxies {
         let forward = side.contains(&proxy.from) && other_side.contains(&proxy.to);
         let backward = side.contains(&proxy.to) && other_side.contains(&proxy.from);
-        // A direction is the one from the first set to the second, whichever side calls.
+        // The forward direction of a fault is from the first set to the second, whichever side opens the connections.
         let oriented = match fault {
             LinkFault::CutForward if backward && !forward => LinkFault::CutBackward,
             LinkFault::CutBackward if backward && !forward => LinkFault::CutForward,
--- a/crates/emulator/src/fault_proxy/proxy.rs
+++ b/crates/emulator/src/fault_proxy/proxy.rs
@@ -1,4 +1,4 @@
-//! One proxy: accepts connections in place of its target, and forwards or withholds their bytes.
+//! A single proxy: accepts connections in place of its target, and forwards or withholds their bytes.
 
 use super::{Direction, LinkFault, Party, TrafficTotals};
 use async_channel::Sender;
@@ -12,45 +12,45 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-/// How often a proxy that withholds bytes checks whether it still has to.
+/// The interval at which a proxy that withholds bytes or connections checks whether the fault still applies.
 const POLL_INTERVAL: Duration = Duration::from_millis(2);
-/// Length of the accept queue while connections are accepted.
+/// The length of the accept queue while no fault blocks new connections.
 const ACCEPT_QUEUE_LENGTH: i32 = 1_024;
-/// How long a connection that fills the accept queue may take to come up.
+/// How long a connection that fills the accept queue may take to be established.
 const FILL_TIMEOUT: Duration = Duration::from_millis(50);
-/// Connections that fill an accept queue of length 0: one more than its length, by the kernel's count.
+/// The number of connections that fill an accept queue of length 0: the kernel admits one more than the length.
 const QUEUE_FILLERS: usize = 2;
 const BUFFER_BYTES: usize = 16 * 1024;
 
-/// A proxy for the connections of one party to another.
+/// A proxy for the connections from one party to another.
 pub(super) struct FaultProxy {
     pub(super) from: Party,
     pub(super) to: Party,
     pub(super) target: Cell<SocketAddr>,
-    /// Where it listens.
+    /// The address at which the proxy listens.
     pub(super) address: SocketAddr,
     fault: Cell<LinkFault>,
-    /// Connections that keep the accept queue full.
+    /// The connections that keep the accept queue full while a fault blocks new connections.
     queue_fillers: RefCell<Vec<TcpStream>>,
-    /// The local addresses of fillers that are still to be accepted.
+    /// The local addresses of those `queue_fillers` that have not been accepted yet. They are dropped once accepted.
     filler_addresses: RefCell<BTreeSet<SocketAddr>>,
     listener: Async<TcpListener>,
-    /// Resets the open connections.
+    /// The channels that reset the open connections.
     open_connections: RefCell<Vec<Sender<()>>>,
     traffic: Rc<Cell<TrafficTotals>>,
 }
 
-/// How a direction of a connection ended.
+/// How one direction of a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Ending {
-    /// The sender shut it down.
+    /// The sender shut down the direction.
     Clean,
-    /// A side failed.
+    /// Reading or writing failed.
     Failed,
 }
 
 impl FaultProxy {
-    /// Listens for connections to the target.
+    /// Creates a proxy that listens at a free loopback port for connections to the target.
     pub(super) fn open(
         from: Party,
         to: Party,
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Sets or clears its fault.
+    /// Sets or clears the fault of the link.
     pub(super) fn set_fault(&self, fault: LinkFault) {
         let before = self.fault.replace(fault);
         if fault.blocks_connections() && !before.blocks_connections() {
@@ -99,13 +99,13 @@
         *self.queue_fillers.borrow_mut() = fillers;
     }
 
-    /// Accepts connections for ever, except while a fault blocks them.
+    /// Accepts connections forever, except while a fault blocks them.
     pub(super) async fn accept(self: Rc<Self>, executor: Rc<LocalExecutor<'static>>) {
         loop {
             while self.fault.get().blocks_connections() {
                 Timer::after(POLL_INTERVAL).await;
             }
-            // The fault is checked between readiness and accept: once it is set, nothing is accepted.
+            // The fault is checked again between readiness and accept, so that nothing is accepted once a fault is set.
             if self.listener.readable().await.is_err() || self.fault.get().blocks_connections() {
                 continue;
             }
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Forwards one connection until both directions end, or it is reset.
+    /// Forwards one connection until both directions have ended or the connection is reset.
     async fn forward(self: Rc<Self>, caller: Async<TcpStream>) {
         let _ = caller.get_ref().set_nodelay(true);
         let set_reset = |stream: &Async<TcpStream>| {
@@ -144,7 +144,7 @@
         let both = async {
             let forward = self.forward_one_way(&caller, &callee, Direction::Forward);
             let backward = self.forward_one_way(&callee, &caller, Direction::Backward);
-            // Each direction ends by itself: a half-closed connection still carries the other one.
+            // Each direction ends separately: a half-closed connection still forwards the other direction.
             let (forward, backward) = future::zip(forward, backward).await;
             forward == Ending::Failed || backward == Ending::Failed
         };
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Forwards one direction to its end.
+    /// Forwards one direction of a connection until it ends.
     async fn forward_one_way(
         &self,
         from: &Async<TcpStream>,
@@ -189,7 +189,7 @@
                 .await
                 .is_err()
             {
-                // The sender is to notice that nobody reads any more.
+                // Lets the sender notice that its bytes are no longer read.
                 let _ = from.get_ref().shutdown(Shutdown::Both);
                 return Ending::Failed;
             }
--- a/crates/emulator/src/fault_proxy/tests.rs
+++ b/crates/emulator/src/fault_proxy/tests.rs
@@ -5,14 +5,14 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::Instant;
 
-/// Starts an echo server.
+/// Starts an echo server and returns its address.
 fn start_echo() -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("no free port");
+    let address = listener.local_addr().expect("the listener has no address");
     std::thread::spawn(move || {
         while let Ok((mut stream, _)) = listener.accept() {
             std::thread::spawn(move || {
-                let mut reader = stream.try_clone().expect("a socket");
+                let mut reader = stream.try_clone().expect("cannot duplicate the socket");
                 let _ = io::copy(&mut reader, &mut stream);
             });
         }
@@ -24,10 +24,12 @@
     list.iter().copied().collect()
 }
 
-/// Sends bytes and returns the echo; none if it does not come within the limit.
+/// Sends bytes and returns the echo, or `None` if it does not arrive within the limit.
 fn echoed(stream: &mut TcpStream, bytes: &[u8], limit: Duration) -> Option<Vec<u8>> {
     stream.write_all(bytes).ok()?;
-    stream.set_read_timeout(Some(limit)).expect("an option");
+    stream
+        .set_read_timeout(Some(limit))
+        .expect("cannot set a socket option");
     let mut echo = vec![0; bytes.len()];
     stream.read_exact(&mut echo).ok()?;
     Some(echo)
@@ -38,13 +40,13 @@
 
 #[test]
 fn each_fault_takes_effect_and_heals() {
-    let proxies = FaultProxies::start().expect("proxies");
+    let proxies = FaultProxies::start().expect("the proxies' thread has failed");
     let (one, other) = (parties(&[Party::Placer(0)]), parties(&[Party::Host(3)]));
     let address = proxies
         .add_proxy(Party::Placer(0), Party::Host(3), start_echo())
-        .expect("a proxy");
+        .expect("cannot add a proxy");
     let call = || TcpStream::connect_timeout(&address, SHORT_TIMEOUT);
-    // By fault: whether an open connection echoes, and whether a new one comes up.
+    // For each fault: whether an open connection still echoes, and whether a new connection is established.
     for (fault, passes, connects) in [
         (LinkFault::Cut, false, false),
         (LinkFault::CutForward, false, false),
@@ -52,13 +54,18 @@
         (LinkFault::Stall, false, true),
         (LinkFault::BlackHole, true, false),
     ] {
-        let mut open = TcpStream::connect(address).expect("the proxy listens");
+        let mut open = TcpStream::connect(address).expect("cannot connect to the proxy");
         assert_eq!(
             echoed(&mut open, b"before", LONG_TIMEOUT).as_deref(),
             Some(&b"before"[..]),
             "{fault:?}"
         );
-        assert_eq!(proxies.set_fault(&one, &other, fault).expect("proxies"), 1);
+        assert_eq!(
+            proxies
+                .set_fault(&one, &other, fault)
+                .expect("the proxies' thread has failed"),
+            1
+        );
         let echo = echoed(
             &mut open,
             b"during",
@@ -69,18 +76,20 @@
         assert_eq!(
             proxies
                 .set_fault(&one, &other, LinkFault::None)
-                .expect("proxies"),
+                .expect("the proxies' thread has failed"),
             1
         );
         if !passes {
-            // The withheld bytes arrive.
+            // The withheld bytes arrive once the fault is cleared.
             open.set_read_timeout(Some(LONG_TIMEOUT))
-                .expect("an option");
+                .expect("cannot set a socket option");
             let mut echo = [0; 6];
-            open.read_exact(&mut echo).expect("it was only delayed");
+            open.read_exact(&mut echo)
+                .expect("the withheld bytes did not arrive");
             assert_eq!(&echo, b"during", "{fault:?}");
         }
-        let mut new = TcpStream::connect_timeout(&address, LONG_TIMEOUT).expect("healed");
+        let mut new = TcpStream::connect_timeout(&address, LONG_TIMEOUT)
+            .expect("cannot connect after the fault was cleared");
         assert_eq!(
             echoed(&mut new, b"after", LONG_TIMEOUT).as_deref(),
             Some(&b"after"[..]),
@@ -91,68 +100,73 @@
 
 #[test]
 fn reset_ends_open_and_new_connections() {
-    let proxies = FaultProxies::start().expect("proxies");
+    let proxies = FaultProxies::start().expect("the proxies' thread has failed");
     let ends = (parties(&[Party::Clients]), parties(&[Party::Placer(1)]));
     let address = proxies
         .add_proxy(Party::Clients, Party::Placer(1), start_echo())
-        .expect("a proxy");
-    let mut open = TcpStream::connect(address).expect("the proxy listens");
+        .expect("cannot add a proxy");
+    let mut open = TcpStream::connect(address).expect("cannot connect to the proxy");
     assert!(echoed(&mut open, b"before", LONG_TIMEOUT).is_some());
-    // The order of the two sets does not matter.
+    // The sets are passed in reverse order, which makes no difference.
     assert_eq!(
         proxies
             .set_fault(&ends.1, &ends.0, LinkFault::Reset)
-            .expect("proxies"),
+            .expect("the proxies' thread has failed"),
         1
     );
     open.set_read_timeout(Some(LONG_TIMEOUT))
-        .expect("an option");
+        .expect("cannot set a socket option");
     assert_eq!(
-        open.read(&mut [0; 8]).expect_err("reset").kind(),
+        open.read(&mut [0; 8])
+            .expect_err("the connection was not reset")
+            .kind(),
         ErrorKind::ConnectionReset
     );
-    let mut new = TcpStream::connect(address).expect("the proxy listens");
-    new.set_read_timeout(Some(LONG_TIMEOUT)).expect("an option");
+    let mut new = TcpStream::connect(address).expect("cannot connect to the proxy");
+    new.set_read_timeout(Some(LONG_TIMEOUT))
+        .expect("cannot set a socket option");
     assert_eq!(
-        new.read(&mut [0; 8]).expect_err("reset").kind(),
+        new.read(&mut [0; 8])
+            .expect_err("the connection was not reset")
+            .kind(),
         ErrorKind::ConnectionReset
     );
 }
 
 #[test]
 fn delayed_links_are_late_and_only_new_connections_follow_a_redirect() {
-    let proxies = FaultProxies::start().expect("proxies");
+    let proxies = FaultProxies::start().expect("the proxies' thread has failed");
     let ends = (parties(&[Party::Placer(0)]), parties(&[Party::Feed(0)]));
     let address = proxies
         .add_proxy(Party::Placer(0), Party::Feed(0), start_echo())
-        .expect("a proxy");
-    let mut open = TcpStream::connect(address).expect("the proxy listens");
+        .expect("cannot add a proxy");
+    let mut open = TcpStream::connect(address).expect("cannot connect to the proxy");
     assert!(echoed(&mut open, b"before", LONG_TIMEOUT).is_some());
     let delay = Duration::from_millis(60);
     proxies
         .set_fault(&ends.0, &ends.1, LinkFault::Delay(delay))
-        .expect("proxies");
+        .expect("the proxies' thread has failed");
     let begun = Instant::now();
     assert!(echoed(&mut open, b"slow", LONG_TIMEOUT).is_some());
     assert!(
         begun.elapsed() >= 2 * delay,
-        "both ways: {:?}",
+        "not delayed in both directions: {:?}",
         begun.elapsed()
     );
     proxies
         .set_fault(&ends.0, &ends.1, LinkFault::None)
-        .expect("proxies");
-    let nobody = TcpListener::bind("127.0.0.1:0")
+        .expect("the proxies' thread has failed");
+    let closed_address = TcpListener::bind("127.0.0.1:0")
         .and_then(|l| l.local_addr())
-        .expect("a port");
-    proxies.redirect(Party::Placer(0), Party::Feed(0), nobody);
-    let mut new = TcpStream::connect(address).expect("the proxy listens");
+        .expect("no free port");
+    proxies.redirect(Party::Placer(0), Party::Feed(0), closed_address);
+    let mut new = TcpStream::connect(address).expect("cannot connect to the proxy");
     assert_eq!(
         echoed(&mut new, b"lost", LONG_TIMEOUT),
         None,
-        "nothing listens at the new target"
+        "echo received although nothing listens at the new target"
     );
     assert!(echoed(&mut open, b"still", LONG_TIMEOUT).is_some());
-    let carried = proxies.traffic();
-    assert_eq!((carried.connections, carried.bytes), (1, 2 * (6 + 4 + 5)));
+    let traffic = proxies.traffic();
+    assert_eq!((traffic.connections, traffic.bytes), (1, 2 * (6 + 4 + 5)));
 }
--- a/crates/emulator/src/feed.rs
+++ b/crates/emulator/src/feed.rs
@@ -39,7 +39,10 @@
     ///
     /// If the listener has no address.
     pub fn address(&self) -> String {
-        self.listener.local_addr().expect("the listener has no address").to_string()
+        self.listener
+            .local_addr()
+            .expect("the listener has no address")
+            .to_string()
     }
 
     pub(crate) fn into_listener(self) -> TcpListener {
@@ -52,7 +55,8 @@
     ///
     /// If no valid subscription arrives within [`TEST_TIMEOUT`].
     pub fn accept_subscription(&mut self) -> u64 {
-        let subscription = accept(&self.listener, TEST_TIMEOUT).expect("no subscription arrived in time");
+        let subscription =
+            accept(&self.listener, TEST_TIMEOUT).expect("no subscription arrived in time");
         let mut line = String::new();
         BufReader::new(&subscription)
             .read_line(&mut line)
--- a/crates/emulator/src/fixtures.rs
+++ b/crates/emulator/src/fixtures.rs
@@ -88,7 +88,9 @@
         while let Ok(Some(message)) = client.message_within(Duration::from_millis(5)) {
             client.acknowledge_end(message.id);
         }
-        let records = records.lock().expect("the lock of the host records is poisoned");
+        let records = records
+            .lock()
+            .expect("the lock of the host records is poisoned");
         records
             .starts
             .last()
--- a/crates/emulator/src/host.rs
+++ b/crates/emulator/src/host.rs
@@ -45,7 +45,9 @@
 
     /// Returns a copy of the listener, for a host that runs by itself.
     pub(crate) fn listener(&self) -> TcpListener {
-        self.listener.try_clone().expect("cannot duplicate the listener")
+        self.listener
+            .try_clone()
+            .expect("cannot duplicate the listener")
     }
 
     /// Returns the entry of the host in the endpoint list.
@@ -54,7 +56,11 @@
     ///
     /// If the listener has no address.
     pub fn entry(&self, state: &str, born_ms: u64) -> OwnedValue {
-        let address = self.listener.local_addr().expect("the listener has no address").to_string();
+        let address = self
+            .listener
+            .local_addr()
+            .expect("the listener has no address")
+            .to_string();
         json!({
             "host": self.name.as_str(), "dial": address, "site": self.zone, "class": "plain", "block": 1,
             "health": state, "share": 1, "born_ms": born_ms, "unasked": [32, 64]
@@ -115,7 +121,8 @@
     ///
     /// If the length of the accept queue cannot be restored.
     pub fn make_reachable(&self, unreachable: Unreachable) {
-        rustix::net::listen(&self.listener, 128).expect("cannot change the length of the accept queue");
+        rustix::net::listen(&self.listener, 128)
+            .expect("cannot change the length of the accept queue");
         unreachable
             .0
             .iter()
@@ -157,7 +164,9 @@
     ///
     /// If another message arrives, or no message arrives within [`TEST_TIMEOUT`].
     pub fn ignore_check(&mut self) {
-        let message = self.read_any_within(TEST_TIMEOUT).expect("no connection check arrived in time");
+        let message = self
+            .read_any_within(TEST_TIMEOUT)
+            .expect("no connection check arrived in time");
         assert_eq!(message.get_str("t"), Some("hb"), "{message}");
     }
 
@@ -168,7 +177,9 @@
             .expect("cannot set a socket option");
         let mut line = Vec::new();
         match self.reader.read_until(b'\n', &mut line) {
-            Ok(n) if n > 0 => Some(simd_json::to_owned_value(&mut line).expect("the received line is not JSON")),
+            Ok(n) if n > 0 => {
+                Some(simd_json::to_owned_value(&mut line).expect("the received line is not JSON"))
+            }
             _ => None,
         }
     }
--- a/crates/emulator/src/host_emulator/connection.rs
+++ b/crates/emulator/src/host_emulator/connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a placer to an emulated host: its offers, the running tasks, and what is due for them.
+//! One connection of a placer to an emulated host, with its offers, its running tasks and their due actions.
 
 use super::HostBehavior;
 use super::records::{HostRecords, TaskStart};
@@ -12,30 +12,30 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// How long to wait for a message while nothing is due.
+/// How long the connection waits for a message if no action is due earlier.
 const IDLE_WAIT: Duration = Duration::from_secs(60);
-/// The constants of the generator that varies how long tasks run.
+/// The constants of the linear congruential generator that varies how long tasks run.
 const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 const RANDOM_FACTOR: u64 = 0x5851_f42d_4c95_7f2d;
 
-/// What a host does at a later time.
+/// An action that the host performs at a later time.
 enum DueAction {
-    /// Starts the task and reports it as running.
+    /// Starts a task and reports it as running.
     Start {
         id: String,
         key: String,
         class: String,
     },
-    /// Ends the task.
+    /// Ends a task and reports its end.
     End { id: String },
 }
 
-/// What follows a message.
+/// What a connection does after it has handled a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Next {
-    /// What is due by now.
+    /// Performs the actions that are due.
     DueActions,
-    /// The next message, as after a rejection.
+    /// Handles the next message first, as after a rejection.
     Message,
 }
 
@@ -44,15 +44,15 @@
     stream: TcpStream,
     behavior: &'a HostBehavior,
     records: &'a Mutex<HostRecords>,
-    /// How many more tasks the host takes.
+    /// The number of further tasks that the host accepts, over all its connections.
     free_capacity: &'a AtomicU64,
-    /// By time, and a random number that keeps the keys apart.
+    /// The due actions, by time. The random number keeps actions of the same time apart.
     due: BTreeMap<(Instant, u64), DueAction>,
     running: BTreeSet<String>,
     random: u64,
 }
 
-/// Serves a connection to its end; the seed sets the run times of its tasks apart from others.
+/// Serves a connection until it ends. The seed makes the run times of its tasks differ from those of other connections.
 pub(super) fn serve(
     stream: TcpStream,
     behavior: &HostBehavior,
@@ -60,10 +60,14 @@
     free_capacity: &AtomicU64,
     seed: u64,
 ) {
-    stream.set_read_timeout(None).expect("a socket option");
-    stream.set_nodelay(true).expect("a socket option");
+    stream
+        .set_read_timeout(None)
+        .expect("cannot set a socket option");
+    stream
+        .set_nodelay(true)
+        .expect("cannot set a socket option");
     let (sender, receiver) = channel::<OwnedValue>();
-    let reader = stream.try_clone().expect("a socket");
+    let reader = stream.try_clone().expect("cannot duplicate the socket");
     std::thread::spawn(move || read_messages(reader, &sender));
     let mut connection = Connection {
         stream,
@@ -108,7 +112,9 @@
 
 impl Connection<'_> {
     fn records(&self) -> MutexGuard<'_, HostRecords> {
-        self.records.lock().expect("no connection panicked")
+        self.records
+            .lock()
+            .expect("the lock of the host records is poisoned")
     }
 
     fn send(&mut self, message: &OwnedValue) {
@@ -165,7 +171,7 @@
         Next::DueActions
     }
 
-    /// Withdraws an offer before its start, or stops a running task; either way its capacity is free.
+    /// Withdraws an offer that has not started, or stops a running task. Either way its capacity becomes free.
     fn handle_stop(&mut self, stopped: &str) {
         let offer = self.due.iter().find_map(|(at, action)| match action {
             DueAction::Start { id, .. } if id == stopped => Some(*at),
@@ -214,14 +220,15 @@
         let description = format!("stands {id}\r\n");
         self.send(&json!({ "t": "up", "ref": id.as_str(), "f": {}, "d": description }));
         self.running.insert(id.clone());
-        // Between half and one and a half times the run time, from the high bits of the generator.
+        // The run time is between half and one and a half times the configured one; the high bits of the generator are
+        // used.
         let fraction = (self.random >> 40) as f64 / (1u64 << 24) as f64;
         let run_time = self.behavior.run_time.mul_f64(0.5 + fraction);
         self.due
             .insert((at + run_time, self.random), DueAction::End { id });
     }
 
-    /// Frees the capacity of all offers and tasks.
+    /// Frees the capacity of all offers and tasks of the connection.
     fn release_all(&self) {
         let offers = self
             .due
--- a/crates/emulator/src/host_emulator/feed.rs
+++ b/crates/emulator/src/host_emulator/feed.rs
@@ -12,10 +12,10 @@
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(200);
 const SEND_INTERVAL: Duration = Duration::from_millis(20);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// The number of the first event; the endpoint list of the configuration is event 1.
+/// The number of the first event that the feed sends. Event 1 is the endpoint list in the configuration.
 const FIRST_EVENT: u64 = 2;
 
-/// What the threads of a feed share.
+/// The state that the threads of a feed share.
 #[derive(Default)]
 struct FeedState {
     silent: AtomicBool,
@@ -23,7 +23,7 @@
     events: Mutex<Vec<OwnedValue>>,
 }
 
-/// A feed that sends events and a heartbeat each second, until it is dropped.
+/// A feed that sends its events, and a heartbeat every second, until it is dropped.
 pub struct EmulatedFeed {
     address: String,
     state: Arc<FeedState>,
@@ -36,7 +36,7 @@
 }
 
 impl EmulatedFeed {
-    /// Starts a feed whose first event is in the configuration.
+    /// Starts a feed without events. Its events are numbered from 2, as event 1 is in the configuration.
     pub fn start() -> EmulatedFeed {
         let feed = Feed::new();
         let address = feed.address();
@@ -47,28 +47,32 @@
         EmulatedFeed { address, state }
     }
 
-    /// Returns where it listens.
+    /// Returns the address at which the feed listens.
     pub fn address(&self) -> String {
         self.address.clone()
     }
 
-    /// Sends nothing more, not even heartbeats, until it is resumed.
+    /// Makes the feed send nothing, not even heartbeats, until [`resume`](EmulatedFeed::resume) is called.
     pub fn silence(&self) {
         self.state.silent.store(true, Ordering::Relaxed);
     }
 
-    /// Sends again, what was withheld first.
+    /// Makes the feed send again, starting with the events that were withheld.
     pub fn resume(&self) {
         self.state.silent.store(false, Ordering::Relaxed);
     }
 
-    /// Adds an event with these endpoints.
+    /// Adds an event with these changed endpoints.
     ///
     /// # Panics
     ///
-    /// If a thread of the feed has panicked.
+    /// If a thread of the feed has panicked while it held the lock of the events.
     pub fn send_update(&self, endpoints: Vec<OwnedValue>) {
-        let mut events = self.state.events.lock().expect("no subscription panicked");
+        let mut events = self
+            .state
+            .events
+            .lock()
+            .expect("the lock of the feed's events is poisoned");
         let number = events.len() as u64 + FIRST_EVENT;
         events.push(endpoint_event(number, UpdateKind::Delta, endpoints));
     }
@@ -106,7 +110,7 @@
             let events = state
                 .events
                 .lock()
-                .expect("no subscription panicked")
+                .expect("the lock of the feed's events is poisoned")
                 .clone();
             let mut text = String::new();
             for event in events.iter().skip(sent_events) {
--- a/crates/emulator/src/host_emulator/mod.rs
+++ b/crates/emulator/src/host_emulator/mod.rs
@@ -1,9 +1,9 @@
 //! Hosts and feeds that run by themselves, for tests of whole deployments.
 //!
-//! A host starts offered tasks after a start time, ends them after their run time, rejects offers beyond its
-//! capacity, and records what a test checks the placers against: which task started when, and whether a
-//! non-idempotent one started twice. Scripted hosts are [`Host`]; hosts with queues, slow starts and faults are
-//! those of [`cluster`](crate::cluster).
+//! A host starts each offered task after a start time, ends it after its run time, and rejects offers beyond its
+//! capacity. It records the starts of all tasks, so that a test can check which task started when, and whether a
+//! non-idempotent task started twice. For hosts driven step by step by a test, see [`Host`]; for hosts with queues,
+//! slow starts and faults, see [`cluster`](crate::cluster).
 
 mod connection;
 mod feed;
@@ -19,14 +19,14 @@
 
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// How an emulated host behaves.
+/// The timing and the capacity of an emulated host.
 #[derive(Debug, Clone)]
 pub struct HostBehavior {
-    /// Time from an offer to the start of the task.
+    /// The time from an offer to the start of its task.
     pub start_time: Duration,
-    /// Time from the start to the end of the task; each task's own differs by up to half of it.
+    /// The mean time from the start to the end of a task. The time of each task differs from it by up to half.
     pub run_time: Duration,
-    /// Tasks at a time; offers beyond them are rejected.
+    /// The number of tasks that the host accepts at a time. Further offers are rejected.
     pub capacity: usize,
 }
 
@@ -38,7 +38,7 @@
 }
 
 impl EmulatedHost {
-    /// Starts a host.
+    /// Starts a host that adds to the given records.
     pub fn start(
         name: &str,
         zone: &'static str,
@@ -71,17 +71,17 @@
         }
     }
 
-    /// Returns its entry in the endpoint list.
+    /// Returns the entry of the host in the endpoint list.
     pub fn entry(&self, state: &str) -> OwnedValue {
         self.host.entry(state, 0)
     }
 
-    /// Returns its name.
+    /// Returns the name of the host.
     pub fn name(&self) -> &str {
         &self.host.name
     }
 
-    /// Sets how many more tasks it takes.
+    /// Sets the number of further tasks that the host accepts.
     pub fn set_free_capacity(&self, capacity: usize) {
         self.free_capacity.store(capacity as u64, Ordering::Relaxed);
     }
--- a/crates/emulator/src/host_emulator/records.rs
+++ b/crates/emulator/src/host_emulator/records.rs
@@ -1,4 +1,4 @@
-//! What emulated hosts record, for tests to check placers against.
+//! The records that emulated hosts keep, for tests to check placers against.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -8,29 +8,29 @@
 pub struct TaskStart {
     /// The idempotency key of the task.
     pub key: String,
-    /// Its class.
+    /// The class of the task.
     pub class: String,
-    /// The id of the request.
+    /// The id of the request that the offer was made for.
     pub id: String,
-    /// When it started.
+    /// The time at which the task started.
     pub at: Instant,
 }
 
-/// The records of all hosts of a test.
+/// The records that all hosts of a test share.
 #[derive(Debug, Default)]
 pub struct HostRecords {
-    /// Every start, in order.
+    /// All starts of tasks, in the order of recording.
     pub starts: Vec<TaskStart>,
-    /// Offers rejected for lack of capacity.
+    /// The number of offers rejected for lack of capacity.
     pub rejected: usize,
-    /// Offers received.
+    /// The number of offers received.
     pub offers: usize,
-    /// Tasks stopped by a placer.
+    /// The number of running tasks that a placer stopped.
     pub stopped: usize,
 }
 
 impl HostRecords {
-    /// Returns the keys of the tasks of a class that started more than once.
+    /// Returns the idempotency keys of the tasks of a class that were started more than once.
     pub fn started_more_than_once(&self, class: &str) -> Vec<String> {
         let mut counts: BTreeMap<&str, usize> = BTreeMap::new();
         for start in self.starts.iter().filter(|start| start.class == class) {
--- a/crates/emulator/src/host_model/mod.rs
+++ b/crates/emulator/src/host_model/mod.rs
@@ -1,10 +1,10 @@
-//! Model of a host: a pure state machine driven by offers, faults and the time.
+//! Model of a host: a pure state machine that is driven by offers, faults and the time.
 //!
-//! The host decides on one offer at a time and queues a limited number. It accepts while the requested cores
-//! and memory fit, and reports a task as running only once it has started. Starts are limited in number and
-//! take longer without a cached program. Higher priorities may preempt lower ones. A draining host evicts its
-//! tasks one by one. A host that comes up cold is slow at first and crashes when it is offered far more than
-//! it can start. The model has no sockets and no clock of its own.
+//! The host decides on one offer at a time and queues a limited number of offers. It accepts an offer if the requested
+//! cores and memory are free, and reports the task as running only once it has started. The number of concurrent starts
+//! is limited, and a start takes longer if the program is not cached. Tasks of higher priority may preempt tasks of
+//! lower priority. A draining host evicts its tasks one by one. A host with a slow start is slow at first, and crashes
+//! if it is offered far more than it can start. The model uses no sockets and no clock.
 
 mod spec;
 #[cfg(test)]
@@ -18,28 +18,28 @@
 pub use update::{EndReason, TaskUpdate, TaskUpdates};
 
 const SECOND: Micros = 1_000_000;
-/// Speed of a host with [`ModelFault::Slow`], as a fraction of its own.
+/// The speed of a host with [`ModelFault::Slow`], as a fraction of its normal speed.
 const SLOW_FAULT_SPEED: f64 = 0.1;
 
-/// A fault of the host itself. Faults of its connections are not the model's.
+/// A fault of the host itself. Faults of its connections are not part of the model.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ModelFault {
-    /// It rejects every offer.
+    /// The host rejects every offer.
     Reject,
-    /// Everything takes ten times as long.
+    /// Decisions and starts take ten times as long.
     Slow,
 }
 
-/// Whether a host starts at full speed.
+/// Whether a host begins with a slow start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Warmth {
-    /// It begins with a slow start.
+    /// The host begins with a slow start.
     Cold,
-    /// It has been up for long.
+    /// The host has been up for a long time and has its full speed.
     Warm,
 }
 
-/// What a stop request found.
+/// The state in which a request to stop a task found it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StopOutcome {
     /// The task had not started.
@@ -50,39 +50,39 @@
     Unknown,
 }
 
-/// An offer in a stage that ends by itself.
+/// An offer in a stage of its life that is limited in time.
 #[derive(Debug, Clone, PartialEq)]
 struct Timed {
     offer: Offer,
-    /// When the stage ends; for a queued offer, when it came.
+    /// The time at which the stage ends, or for a queued offer the time at which it arrived.
     until: Micros,
 }
 
-/// One host.
+/// The state of one host.
 #[derive(Debug, Clone)]
 pub struct HostModel {
     spec: HostSpec,
     started_at: Micros,
     warmth: Warmth,
     queued: VecDeque<Timed>,
-    /// The offer being decided on.
+    /// The offer that the host is deciding on.
     deciding: Option<Timed>,
-    /// Accepted, and waiting for a free start.
+    /// The accepted offers that wait until fewer tasks are starting.
     accepted: VecDeque<Offer>,
     starting: Vec<Timed>,
     running: BTreeMap<u64, Timed>,
-    /// Programs without a task, the most recently used last.
+    /// The services whose programs are cached without a running task, the most recently used last.
     cached_programs: VecDeque<u64>,
-    /// When the next task is evicted, while draining.
+    /// The time of the next eviction, while the host drains.
     next_drain_eviction: Option<Micros>,
     fault: Option<ModelFault>,
-    /// Offers of the last second of a slow start: when, and the work of their starts in seconds.
+    /// The offers of the last second during a slow start: the time of each, and the work of its start in seconds.
     recent_offers: VecDeque<(Micros, f64)>,
     down: bool,
 }
 
 impl HostModel {
-    /// Returns a host that comes up at `now`.
+    /// Returns the model of a host that starts at `now`.
     pub fn new(spec: HostSpec, now: Micros, warmth: Warmth) -> HostModel {
         HostModel {
             spec,
@@ -106,22 +106,22 @@
         self.fault = fault;
     }
 
-    /// Begins to drain; the first eviction follows after the drain interval.
+    /// Starts to drain the host. The first eviction follows after the drain interval.
     pub fn start_draining(&mut self, now: Micros) {
         self.next_drain_eviction = Some(now + self.spec.drain_interval);
     }
 
-    /// Takes offers again.
+    /// Ends the drain, so that the host accepts offers again.
     pub fn stop_draining(&mut self) {
         self.next_drain_eviction = None;
     }
 
-    /// Whether an overload has crashed it.
+    /// Returns whether an overload has crashed the host.
     pub fn is_down(&self) -> bool {
         self.down
     }
 
-    /// Returns the cores and memory that no task has requested.
+    /// Returns the cores and memory that no accepted task has requested.
     pub fn free(&self) -> Resources {
         let admitted = self.admitted();
         let sum = |requested: fn(&Offer) -> f64| admitted.clone().map(requested).sum::<f64>();
@@ -136,12 +136,12 @@
         self.running.keys().copied()
     }
 
-    /// Returns the requested fraction of its cores.
+    /// Returns the requested fraction of the host's cores.
     pub fn load(&self) -> f64 {
         1.0 - self.free().cores / self.spec.cores
     }
 
-    /// Offers that were accepted, in whatever stage.
+    /// Returns all offers that were accepted and have not ended: those waiting, starting and running.
     fn admitted(&self) -> impl Iterator<Item = &Offer> + Clone {
         let starting = self.starting.iter().map(|task| &task.offer);
         self.accepted
@@ -150,7 +150,7 @@
             .chain(self.running.values().map(|task| &task.offer))
     }
 
-    /// The current speed, as a fraction of the full speed.
+    /// Returns the current speed, as a fraction of the full speed.
     fn speed(&self, now: Micros) -> f64 {
         let fault_speed = match self.fault {
             Some(ModelFault::Slow) => SLOW_FAULT_SPEED,
@@ -164,8 +164,8 @@
         fault_speed * (floor + (1.0 - floor) * elapsed.clamp(0.0, 1.0))
     }
 
-    /// Takes an offer that has arrived completely; updates on it come with the next tick. Returns true if it
-    /// has overloaded and crashed the host.
+    /// Adds an offer that has been received completely; its updates are returned by the next tick. Returns true if the
+    /// offer has overloaded and crashed the host.
     pub fn offer(&mut self, now: Micros, offer: Offer) -> bool {
         if self.in_slow_start(now) && self.overloads(now) {
             self.down = true;
@@ -179,7 +179,7 @@
         self.warmth == Warmth::Cold && now - self.started_at < self.spec.slow_start
     }
 
-    /// Records an offer and returns whether the offers of the last second exceed what the host tolerates.
+    /// Records an offer, and returns whether the offers of the last second exceed what the host tolerates.
     fn overloads(&mut self, now: Micros) -> bool {
         let work = self.spec.warm_start as f64 / SECOND as f64;
         self.recent_offers.push_back((now, work));
@@ -196,14 +196,14 @@
             && offered > self.spec.overload_factor * capacity
     }
 
-    /// Withdraws an offer, or stops a running task.
+    /// Withdraws an offer that has not started, or stops a running task.
     pub fn stop(&mut self, id: u64) -> StopOutcome {
-        let is_it = |task: &Timed| task.offer.id == id;
-        if let Some(at) = self.queued.iter().position(is_it) {
+        let has_id = |task: &Timed| task.offer.id == id;
+        if let Some(at) = self.queued.iter().position(has_id) {
             self.queued.remove(at);
             return StopOutcome::NotStarted;
         }
-        if self.deciding.as_ref().is_some_and(is_it) {
+        if self.deciding.as_ref().is_some_and(has_id) {
             self.deciding = None;
             return StopOutcome::NotStarted;
         }
@@ -211,7 +211,7 @@
             self.accepted.remove(at);
             return StopOutcome::NotStarted;
         }
-        if let Some(at) = self.starting.iter().position(is_it) {
+        if let Some(at) = self.starting.iter().position(has_id) {
             self.starting.remove(at);
             return StopOutcome::NotStarted;
         }
@@ -224,7 +224,8 @@
         }
     }
 
-    /// Evicts tasks, the lowest priorities first and the youngest of each, as a host short of memory does.
+    /// Evicts up to `count` running tasks, as a host that is short of memory does. Tasks of the lowest priority are
+    /// evicted first, and among them the one with the highest id, which is the youngest.
     pub fn evict(&mut self, count: usize) -> TaskUpdates {
         let mut candidates: Vec<(u8, u64)> = self
             .running
@@ -240,7 +241,7 @@
             .collect()
     }
 
-    /// Returns when the next change is due.
+    /// Returns the time at which the next change is due, if any.
     pub fn next_due(&self) -> Option<Micros> {
         let deciding = self.deciding.iter().map(|task| task.until);
         let starting = self.starting.iter().map(|task| task.until);
@@ -271,7 +272,8 @@
             .any(|task| task.offer.service == service)
     }
 
-    /// Caches the program of a service whose last task is gone, within the limit.
+    /// Caches the program of a service whose last task has ended, and evicts the least recently used programs beyond
+    /// the limit.
     fn cache_program(&mut self, service: u64) {
         if self.runs_service(service) {
             return;
--- a/crates/emulator/src/host_model/spec.rs
+++ b/crates/emulator/src/host_model/spec.rs
@@ -1,47 +1,48 @@
-//! What a host is and what it is asked to run: sizes, times and limits of the model.
+//! The capacity and timing of a host, and the offers that it receives.
 
-/// A span or a point of time in microseconds.
+/// A duration or a point in time, in microseconds.
 pub type Micros = i64;
 
 /// An amount of cores and memory.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Resources {
-    /// Cores.
+    /// The number of cores.
     pub cores: f64,
-    /// Memory, in the unit of the endpoint list.
+    /// The memory, in the unit of the endpoint list.
     pub memory: f64,
 }
 
 /// The capacity and the timing of a host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostSpec {
-    /// Cores in total.
+    /// The total number of cores.
     pub cores: f64,
-    /// Memory in total.
+    /// The total memory, in the unit of the endpoint list.
     pub memory: f64,
-    /// Time to decide on one offer.
+    /// The time that the decision on one offer takes.
     pub admission_time: Micros,
-    /// Offers that may wait for a decision.
+    /// The maximum number of offers that wait for a decision; further offers are rejected.
     pub max_queued_offers: usize,
-    /// Tasks that start at the same time.
+    /// The maximum number of tasks that start at the same time.
     pub max_concurrent_starts: usize,
-    /// Time of a start with the program cached.
+    /// The time that a start takes if the program is cached.
     pub warm_start: Micros,
-    /// Factor on `warm_start` without the program.
+    /// The factor by which a start takes longer than `warm_start` if the program is not cached.
     pub cold_start_factor: f64,
-    /// Programs that stay cached after their last task.
+    /// The maximum number of programs that stay cached after their last task has ended.
     pub max_cached_programs: usize,
-    /// Whether tasks of lower priority make way for higher ones.
+    /// Whether tasks of higher priority preempt tasks of lower priority.
     pub preempts: bool,
-    /// Length of the slow start after the host comes up cold.
+    /// The length of the slow start after a cold start of the host.
     pub slow_start: Micros,
-    /// Speed at the beginning of the slow start, as a fraction of the full speed.
+    /// The speed at the beginning of the slow start, as a fraction of the full speed.
     pub slow_start_floor: f64,
-    /// During slow start the host crashes when offered more than this many times what it can start.
+    /// The factor that limits the load during the slow start: the host crashes if it is offered more than this many
+    /// times what it can start.
     pub overload_factor: f64,
-    /// Offers within a second that never crash it.
+    /// The number of offers within a second that never crash the host.
     pub always_tolerated_offers: usize,
-    /// Time between two evictions while it drains.
+    /// The time between two evictions while the host drains.
     pub drain_interval: Micros,
 }
 
@@ -52,14 +53,14 @@
     pub id: u64,
     /// The service of the task.
     pub service: u64,
-    /// Requested cores.
+    /// The requested number of cores.
     pub cores: f64,
-    /// Requested memory.
+    /// The requested memory, in the unit of the endpoint list.
     pub memory: f64,
-    /// Priority, 0 (lowest) to 3.
+    /// The priority of the task, from 0 (lowest) to 3.
     pub priority: u8,
-    /// How long the task runs once started.
+    /// How long the task runs once it has started.
     pub run_time: Micros,
-    /// How long the placer waits for the reply.
+    /// How long the placer waits for the host's reply.
     pub time_left: Micros,
 }
--- a/crates/emulator/src/host_model/tests.rs
+++ b/crates/emulator/src/host_model/tests.rs
@@ -35,7 +35,7 @@
     }
 }
 
-/// Ticks whenever something is due, and returns the updates with their times in milliseconds.
+/// Ticks the model whenever a change is due up to `until`, and returns the updates with their times in milliseconds.
 fn run(host: &mut HostModel, until: Micros) -> Vec<(Micros, u64, TaskUpdate)> {
     let mut updates = Vec::new();
     while let Some(now) = host.next_due().filter(|at| *at <= until) {
@@ -57,11 +57,11 @@
         assert_eq!(
             updates.is_empty(),
             id <= 3,
-            "one is being decided and two are queued"
+            "only one offer is being decided on and two are queued"
         );
     }
     let updates = run(&mut host, SECOND);
-    // The first start of a program takes eight times as long; two start at a time.
+    // The first start of a program takes eight times as long, and at most two tasks start at the same time.
     assert_eq!(
         updates,
         [
@@ -178,12 +178,12 @@
     );
     host.tick(SECOND);
     let updates = run(&mut host, 2 * SECOND);
-    let out: Vec<u64> = updates
+    let preempted: Vec<u64> = updates
         .iter()
-        .filter(|(_, _, w)| *w == TaskUpdate::Ended(EndReason::Preempted))
+        .filter(|(_, _, update)| *update == TaskUpdate::Ended(EndReason::Preempted))
         .map(|(_, id, _)| *id)
         .collect();
-    assert_eq!(out, [2, 4]);
+    assert_eq!(preempted, [2, 4]);
     assert!(
         updates
             .iter()
@@ -203,7 +203,7 @@
     assert_eq!(
         updates,
         [(1_010, 9, TaskUpdate::Ended(EndReason::NoCores))],
-        "no task is preempted in vain"
+        "tasks were preempted although that does not free enough"
     );
 }
 
@@ -233,11 +233,11 @@
     ];
     let found: Vec<(Micros, u64, &str)> = updates
         .iter()
-        .map(|(at, id, w)| {
+        .map(|(at, id, update)| {
             (
                 *at,
                 *id,
-                if let TaskUpdate::Ended(reason) = w {
+                if let TaskUpdate::Ended(reason) = update {
                     reason.note()
                 } else {
                     ""
@@ -254,9 +254,9 @@
     host.offer(0, offer(1));
     host.tick(0);
     let updates = run(&mut host, 5 * SECOND);
-    // 10 ms to decide and 320 ms to start, at a quarter of its speed and a little more.
+    // The decision takes 10 ms and the start 320 ms at full speed; the host runs at slightly more than a quarter of it.
     assert!(updates[0].0 > 1_200 && updates[0].0 < 1_330, "{updates:?}");
-    // It tolerates any 3 offers in a second, and beyond that 4 times what it can start.
+    // The host tolerates any 3 offers in a second, and beyond them 4 times what it can start.
     let mut host = HostModel::new(
         HostSpec {
             warm_start: 500 * MS,
--- a/crates/emulator/src/host_model/tick.rs
+++ b/crates/emulator/src/host_model/tick.rs
@@ -1,10 +1,10 @@
-//! What happens on a host as time passes: decisions on offers, starts, ends and evictions.
+//! Changes of a host over time: decisions on offers, starts, ends and evictions.
 
 use super::{
     EndReason, HostModel, Micros, ModelFault, Offer, Resources, TaskUpdate, TaskUpdates, Timed,
 };
 
-/// Speeds below this count as this, so that times stay finite.
+/// The lower bound of the speed in computations of times, which keeps them finite.
 const MIN_SPEED: f64 = 0.01;
 
 impl HostModel {
@@ -21,7 +21,8 @@
         }
     }
 
-    /// Decides on one offer at a time. Returns whether anything changed.
+    /// Completes a due decision, rejects offers beyond the length of the queue, and begins the next decision. Returns
+    /// whether anything changed.
     fn tick_admission(&mut self, now: Micros, updates: &mut TaskUpdates) -> bool {
         let mut changed = false;
         if self.deciding.as_ref().is_some_and(|task| task.until <= now)
@@ -47,7 +48,7 @@
         changed
     }
 
-    /// Begins starts and completes one that is due. Returns whether anything changed.
+    /// Begins starts up to the limit, and completes one start that is due. Returns whether anything changed.
     fn tick_starts(&mut self, now: Micros, updates: &mut TaskUpdates) -> bool {
         let mut changed = false;
         while self.starting.len() < self.spec.max_concurrent_starts
@@ -75,7 +76,8 @@
         changed
     }
 
-    /// Ends one complete task, and evicts one where the host drains. Returns whether anything changed.
+    /// Ends one task that is complete, and evicts one task if the host drains and an eviction is due. Returns whether
+    /// anything changed.
     fn tick_ends(&mut self, now: Micros, updates: &mut TaskUpdates) -> bool {
         let mut changed = false;
         let complete = self.running.iter().find(|(_, task)| task.until <= now);
@@ -95,7 +97,7 @@
         changed
     }
 
-    /// Accepts or rejects an offer, preempting others where that is enough.
+    /// Accepts or rejects an offer. If resources are short, tasks of lower priority are preempted if that frees enough.
     fn decide(&mut self, now: Micros, task: Timed, updates: &mut TaskUpdates) {
         let expired = now - task.until > task.offer.time_left;
         let offer = task.offer;
@@ -118,8 +120,8 @@
         updates.push((offer.id, TaskUpdate::Ended(reason)));
     }
 
-    /// Preempts as few tasks of lower priority as make space for an offer, the lowest first; none if all of
-    /// them together do not. Returns whether there is space.
+    /// Preempts tasks of lower priority, the lowest first, until an offer fits. Preempts none if the offer would not
+    /// fit even then. Returns whether the offer fits.
     fn preempt_for(&mut self, offer: &Offer, updates: &mut TaskUpdates) -> bool {
         let mut lower: Vec<(u8, u64)> = self
             .running
@@ -151,7 +153,7 @@
     }
 }
 
-/// Which resource an offer lacks, if any.
+/// Returns the reason for rejecting an offer if the free resources are not sufficient for it.
 fn shortage(free: Resources, offer: &Offer) -> Option<EndReason> {
     if free.cores < offer.cores {
         Some(EndReason::NoCores)
--- a/crates/emulator/src/host_model/update.rs
+++ b/crates/emulator/src/host_model/update.rs
@@ -1,6 +1,6 @@
-//! What a host reports of a task, and why tasks end.
+//! The updates that a host reports about a task, and the reasons for which tasks end.
 
-/// Why a task ended, or never ran.
+/// The reason why a task was rejected or has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndReason {
     /// Too many offers were queued.
@@ -11,26 +11,26 @@
     Expired,
     /// The host rejects every offer because of a fault.
     RejectFault,
-    /// Too few free cores.
+    /// The host had too few free cores.
     NoCores,
-    /// Too little free memory.
+    /// The host had too little free memory.
     NoMemory,
-    /// The host was short of memory.
+    /// The host evicted the task because it was short of memory.
     Evicted,
-    /// The host drained.
+    /// The host evicted the task while it was draining.
     Drained,
-    /// A task of higher priority took its place.
+    /// The host preempted the task in favor of one of higher priority.
     Preempted,
-    /// The task was complete.
+    /// The task had run to completion.
     Completed,
-    /// The placer stopped it.
+    /// The placer stopped the task.
     Stopped,
     /// The host was lost.
     HostLost,
 }
 
 impl EndReason {
-    /// The number of the cause on the wire.
+    /// Returns the code of the cause on the wire.
     pub fn cause(self) -> u8 {
         match self {
             EndReason::QueueFull
@@ -46,7 +46,7 @@
         }
     }
 
-    /// The note on the wire; empty where there is none.
+    /// Returns the note on the wire, which is empty for reasons without a note.
     pub fn note(self) -> &'static str {
         match self {
             EndReason::QueueFull => "nq",
@@ -61,14 +61,14 @@
     }
 }
 
-/// What a host reports of a task.
+/// A change of a task's state that the host reports.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskUpdate {
-    /// It runs.
+    /// The task is running.
     Running,
-    /// It was rejected, or it has ended.
+    /// The task was rejected or has ended.
     Ended(EndReason),
 }
 
-/// An update and the id of its task.
+/// Updates, each with the id of its task.
 pub type TaskUpdates = Vec<(u64, TaskUpdate)>;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -94,12 +94,16 @@
 
 /// Accepts a connection, and returns `None` if none arrives within `limit`.
 pub(crate) fn accept(listener: &TcpListener, limit: Duration) -> Option<TcpStream> {
-    listener.set_nonblocking(true).expect("cannot set a socket option");
+    listener
+        .set_nonblocking(true)
+        .expect("cannot set a socket option");
     let deadline = Instant::now() + limit;
     loop {
         match listener.accept() {
             Ok((stream, _)) => {
-                stream.set_nonblocking(false).expect("cannot set a socket option");
+                stream
+                    .set_nonblocking(false)
+                    .expect("cannot set a socket option");
                 stream
                     .set_read_timeout(Some(TEST_TIMEOUT))
                     .expect("cannot set a socket option");
@@ -133,7 +137,13 @@
         for (n, connection) in connections.iter_mut().enumerate() {
             if let Some(message) = connection.read_within(Duration::from_millis(20)) {
                 assert_eq!(message.get_str("t"), Some("new"), "{message}");
-                return (n, message.get_str("ref").expect("the offer has no id").to_string());
+                return (
+                    n,
+                    message
+                        .get_str("ref")
+                        .expect("the offer has no id")
+                        .to_string(),
+                );
             }
         }
     }
--- a/crates/emulator/src/load_balancer/agent_report.rs
+++ b/crates/emulator/src/load_balancer/agent_report.rs
@@ -1,13 +1,13 @@
-//! Reports of an agent check, as the public description of HAProxy's `agent-check` has them.
+//! The reports of agent checks, in the format that HAProxy's public documentation of `agent-check` describes.
 
-/// What an agent check has reported; absent parts change nothing.
+/// A report of an agent check. Absent parts change nothing.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AgentReport {
     /// The weight, as a percentage of the configured one.
     pub weight: Option<u32>,
     /// The administrative state.
     pub admin: Option<AdminState>,
-    /// The operational state: whether it is up.
+    /// The operational state: whether the server is up.
     pub up: Option<bool>,
     /// The maximum number of connections.
     pub max_connections: Option<u32>,
@@ -16,50 +16,51 @@
 /// The administrative state of a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum AdminState {
-    /// It gets its part of new connections.
+    /// The server gets its share of new connections.
     #[default]
     Ready,
-    /// It gets no new connections.
+    /// The server gets no new connections.
     Drain,
-    /// It gets no new connections, and is not checked.
+    /// The server gets no new connections, and is not checked.
     Maintenance,
 }
 
-/// Why an agent's report is invalid.
+/// The reason why the report of an agent check is invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidAgentReport {
-    /// The line has no end.
-    #[error("no end of line")]
+    /// The line is not terminated.
+    #[error("the line is not terminated")]
     Unterminated,
-    /// There is something after the line.
-    #[error("more than one line")]
+    /// There is text after the first line.
+    #[error("text after the first line")]
     TrailingText,
-    /// The line has other characters than ASCII.
-    #[error("not ASCII")]
+    /// The line contains non-ASCII characters.
+    #[error("the line contains non-ASCII characters")]
     NotAscii,
-    /// A percentage without a number.
+    /// A percentage is not a valid number.
     #[error("expected a percentage, found `{0}`")]
     BadPercentage(String),
-    /// A connection limit without a number.
+    /// A connection limit is not a valid number.
     #[error("expected a number of connections, found `{0}`")]
     BadConnectionLimit(String),
-    /// A word that no agent check knows.
+    /// A word is not part of the format.
     #[error("unknown word `{0}`")]
     UnknownWord(String),
-    /// Two words of one kind.
-    #[error("`{0}` after another word of its kind")]
+    /// There are two words of the same kind.
+    #[error("`{0}` follows another word of the same kind")]
     Repeated(String),
-    /// Words that contradict each other.
-    #[error("in maintenance and up")]
+    /// The administrative and the operational state contradict each other.
+    #[error("the server is reported as both in maintenance and up")]
     Contradiction,
 }
 
-/// Parses a report: words separated by spaces, tabs or commas, at most one of each kind (administrative state,
-/// operational state, percentage, `maxconn:`); a comment begins with `#`.
+/// Parses a report. It consists of words separated by spaces, tabs or commas, with at most one word of each kind
+/// (administrative state, operational state, percentage, `maxconn:`). A comment begins with `#`.
 ///
 /// # Errors
 ///
-/// Load balancers ignore what they do not understand. Here it is an error, so that a test shows it.
+/// Returns an error for anything that is not part of the format. Load balancers ignore such text, but a test should
+/// reveal it.
 pub fn parse_agent_report(line: &str) -> Result<AgentReport, InvalidAgentReport> {
     let end = line
         .find(['\r', '\n'])
--- a/crates/emulator/src/load_balancer/balancer.rs
+++ b/crates/emulator/src/load_balancer/balancer.rs
@@ -1,22 +1,22 @@
-//! The state of a load balancer: checks, agent reports, and smooth weighted round robin. It has no sockets.
+//! The state of a load balancer without its sockets: health checks, agent reports, and smooth weighted round robin.
 
 use super::agent_report::{AdminState, AgentReport};
 use std::cmp::Reverse;
 
-/// The weight of a server that no agent has changed, in percent.
+/// The initial weight of a server, in percent, until an agent report changes it.
 const FULL_WEIGHT: u32 = 100;
 
 /// The result of one health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CheckResult {
-    /// The server passed.
+    /// The server passed the check.
     Passed,
-    /// It failed, or did not answer in time.
+    /// The server failed the check, or did not answer in time.
     Failed,
 }
 
 impl CheckResult {
-    /// Converts from whether the check passed.
+    /// Returns the result of a check that passed or failed.
     pub fn from_pass(passed: bool) -> CheckResult {
         if passed {
             CheckResult::Passed
@@ -26,19 +26,19 @@
     }
 }
 
-/// What a load balancer knows of a server.
+/// The state of a server as a load balancer sees it.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// The weight in force, in percent.
+    /// The current weight, in percent.
     pub weight: u32,
     /// The administrative state.
     pub admin: AdminState,
-    /// Whether checks consider it up.
+    /// Whether the server is considered up according to the checks.
     pub up: bool,
-    /// Consecutive checks that contradict `up`.
+    /// The number of consecutive checks that contradict `up`.
     contrary_checks: u32,
-    /// Its balance in the smooth weighted round robin.
-    current: i64,
+    /// The balance of the server in the smooth weighted round robin.
+    balance: i64,
 }
 
 impl Default for Server {
@@ -48,13 +48,13 @@
             admin: AdminState::Ready,
             up: true,
             contrary_checks: 0,
-            current: 0,
+            balance: 0,
         }
     }
 }
 
 impl Server {
-    /// Its weight for new connections.
+    /// Returns the weight for new connections, which is 0 if the server gets none.
     fn effective_weight(&self) -> i64 {
         if self.up && self.admin == AdminState::Ready {
             i64::from(self.weight)
@@ -69,9 +69,9 @@
 pub struct LoadBalancer {
     /// The servers.
     pub servers: Vec<Server>,
-    /// Consecutive passed checks that bring a server up.
+    /// The number of consecutive passed checks after which a server counts as up.
     pub rise: u32,
-    /// Consecutive failed checks that bring it down.
+    /// The number of consecutive failed checks after which a server counts as down.
     pub fall: u32,
 }
 
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Applies an agent's report.
+    /// Applies the report of a server's agent check.
     pub fn apply_report(&mut self, server: usize, report: AgentReport) {
         let Some(server) = self.servers.get_mut(server) else {
             return;
@@ -95,7 +95,7 @@
         server.up = report.up.unwrap_or(server.up);
     }
 
-    /// Applies the result of a health check.
+    /// Applies the result of a server's health check.
     pub fn apply_check(&mut self, server: usize, result: CheckResult) {
         let (rise, fall) = (self.rise, self.fall);
         let Some(server) = self.servers.get_mut(server) else {
@@ -114,14 +114,15 @@
         }
     }
 
-    /// Returns the server for the next connection. Each server gains its weight; the one with the highest balance
-    /// is picked, and pays the sum of all weights.
+    /// Returns the server for the next connection, or `None` if no server gets connections. The balance of each server
+    /// is increased by its weight; the server with the highest balance is picked, and its balance is reduced by the sum
+    /// of all weights.
     pub fn pick(&mut self) -> Option<usize> {
         let total: i64 = self.servers.iter().map(Server::effective_weight).sum();
         for server in &mut self.servers {
-            server.current = match server.effective_weight() {
+            server.balance = match server.effective_weight() {
                 0 => 0,
-                weight => server.current + weight,
+                weight => server.balance + weight,
             };
         }
         let candidates = self
@@ -130,8 +131,8 @@
             .enumerate()
             .filter(|(_, server)| server.effective_weight() > 0);
         let (index, server) =
-            candidates.max_by_key(|(index, server)| (server.current, Reverse(*index)))?;
-        server.current -= total;
+            candidates.max_by_key(|(index, server)| (server.balance, Reverse(*index)))?;
+        server.balance -= total;
         Some(index)
     }
 }
--- a/crates/emulator/src/load_balancer/clients.rs
+++ b/crates/emulator/src/load_balancer/clients.rs
@@ -1,5 +1,6 @@
-//! Clients that connect through the load balancer. They arrive in an open loop, each at its time, whatever became
-//! of those before. Every client records what it is notified of, so that a test can check each task.
+//! Clients that connect through the load balancer. They arrive in an open loop: each starts at its time, independent of
+//! the progress of the earlier ones. Every client records the notices that it receives, so that a test can check each
+//! task.
 
 use super::polling::PollingLoadBalancer;
 use crate::{Client, Message, TEST_TIMEOUT, TaskRequest};
@@ -8,11 +9,11 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// One in so many requests asks for a non-idempotent task.
+/// One in this many requests is for a non-idempotent task.
 const NON_IDEMPOTENT_EVERY: u64 = 16;
 const CLIENT_WAIT_MS: u64 = 6_000;
 const READ_INTERVAL: Duration = Duration::from_millis(20);
-/// Message types of the protocol.
+/// Message types of the client protocol.
 const PLACED: u8 = 9;
 const RELEASED: u8 = 12;
 
@@ -25,43 +26,43 @@
     Released(u8),
 }
 
-/// What became of a client's task.
+/// The record of a client's task.
 #[derive(Debug, Clone)]
 pub struct TaskRecord {
-    /// Its id.
+    /// The id of the request.
     pub id: u64,
-    /// Its class.
+    /// The class of the task.
     pub class: String,
-    /// When it was due to be requested.
+    /// The time at which the request was scheduled.
     pub due: Instant,
-    /// The placer that the load balancer picked.
+    /// The index of the placer that the load balancer picked, if any.
     pub server: Option<usize>,
-    /// The first answer, and when it came.
+    /// The first answer, with the time of its arrival.
     pub answer: Option<(Instant, Answer)>,
-    /// Answers beyond the first.
+    /// The number of answers after the first.
     pub extra_answers: usize,
-    /// When the client was notified of the end of the task.
+    /// The time at which the client was notified of the end of the task.
     pub ended_at: Option<Instant>,
 }
 
 impl TaskRecord {
-    /// Returns the time from when it was due until it was answered.
+    /// Returns the time from the scheduled request to the first answer.
     pub fn wait(&self) -> Option<Duration> {
         self.answer
             .map(|(at, _)| at.saturating_duration_since(self.due))
     }
 
-    /// Whether it was placed.
+    /// Returns whether the task was placed.
     pub fn is_placed(&self) -> bool {
         matches!(self.answer, Some((_, Answer::Placed)))
     }
 
-    /// Whether its client expects nothing more.
+    /// Returns whether the client expects no further messages.
     fn is_complete(&self) -> bool {
         self.ended_at.is_some() || (self.answer.is_some() && !self.is_placed())
     }
 
-    /// Applies a message; returns whether it is the end of the task, which the client acknowledges.
+    /// Applies a message, and returns whether it reports the end of the task, which the client must acknowledge.
     fn apply(&mut self, message: &Message, now: Instant) -> bool {
         match (message.kind, self.answer) {
             (PLACED, None) => self.answer = Some((now, Answer::Placed)),
@@ -79,10 +80,10 @@
 type Records = Mutex<Vec<TaskRecord>>;
 
 fn lock(records: &Records) -> MutexGuard<'_, Vec<TaskRecord>> {
-    records.lock().expect("no client has panicked")
+    records.lock().expect("a client has panicked")
 }
 
-/// Clients that arrive at a steady rate.
+/// Clients that arrive at a constant rate.
 pub struct ClientPopulation {
     records: Arc<Records>,
     stop: Arc<AtomicBool>,
@@ -90,7 +91,7 @@
 }
 
 impl ClientPopulation {
-    /// Starts arrivals at a rate per second.
+    /// Starts the arrivals, with the given number of clients per second. The ids of their requests are consecutive.
     pub fn start(
         balancer: &Arc<PollingLoadBalancer>,
         rate: f64,
@@ -124,27 +125,30 @@
         }
     }
 
-    /// Returns what became of all tasks so far.
+    /// Returns the records of all tasks so far.
     pub fn records(&self) -> Vec<TaskRecord> {
         lock(&self.records).clone()
     }
 
-    /// Ends the arrivals, and waits until every client is done.
+    /// Ends the arrivals, waits until every client has finished, and returns the records of all tasks.
     ///
     /// # Panics
     ///
-    /// If a thread of the clients has panicked.
+    /// If a thread of a client, or the one that starts them, has panicked.
     pub fn finish(mut self) -> Vec<TaskRecord> {
         self.stop.store(true, Ordering::Relaxed);
         if let Some(arrivals) = self.arrivals.take() {
-            for client in arrivals.join().expect("arrivals do not panic") {
-                client.join().expect("no client has panicked");
+            for client in arrivals
+                .join()
+                .expect("the thread of arrivals has panicked")
+            {
+                client.join().expect("a client has panicked");
             }
         }
         self.records()
     }
 
-    /// Returns how many tasks that were due since then went to each server.
+    /// Returns for each server the number of its tasks that were scheduled at `since` or later.
     pub fn tasks_per_server(&self, servers: usize, since: Instant) -> Vec<usize> {
         let mut counts = vec![0; servers];
         for record in self.records().iter().filter(|record| record.due >= since) {
@@ -156,8 +160,9 @@
     }
 }
 
-/// One client: requests a task once, and stays until it has ended or the time is up. The end of a task may be
-/// notified on the connection of any client, so each one reads for all.
+/// Runs one client: requests a task once, and stays connected until the task has ended or the time is over. The end of
+/// a task may be reported on the connection of any client, so each client also records messages about the tasks of
+/// others.
 fn run_client(balancer: &PollingLoadBalancer, id: u64, due: Instant, records: &Records) {
     let class = if id.is_multiple_of(NON_IDEMPOTENT_EVERY) {
         "once"
--- a/crates/emulator/src/load_balancer/mod.rs
+++ b/crates/emulator/src/load_balancer/mod.rs
@@ -1,5 +1,5 @@
-//! A common load balancer in front of placers: as pure state for models, on sockets for tests, and the clients
-//! that connect through it.
+//! A typical load balancer in front of placers: its state without sockets, the same with sockets for tests, and the
+//! clients that connect through it.
 
 mod agent_report;
 mod balancer;
--- a/crates/emulator/src/load_balancer/polling.rs
+++ b/crates/emulator/src/load_balancer/polling.rs
@@ -1,4 +1,4 @@
-//! A load balancer on sockets: it polls the agent check of each placer.
+//! A load balancer with sockets, which polls the agent check of each placer.
 
 use super::agent_report::{AdminState, parse_agent_report};
 use super::balancer::{CheckResult, LoadBalancer};
@@ -8,32 +8,33 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Consecutive passed checks that bring a server up.
+/// The number of consecutive passed checks after which a server counts as up.
 const RISE: u32 = 2;
-/// Consecutive failed checks that bring it down.
+/// The number of consecutive failed checks after which a server counts as down.
 const FALL: u32 = 3;
 
 /// The addresses of a placer.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerAddresses {
-    /// Where clients connect.
+    /// The address at which clients connect.
     pub clients: SocketAddr,
-    /// Where the agent check answers.
+    /// The address at which the agent check answers.
     pub agent: SocketAddr,
 }
 
 /// One poll of an agent check.
 #[derive(Debug, Clone)]
 pub struct Poll {
-    /// When it was complete.
+    /// The time at which the poll was complete.
     pub at: Instant,
-    /// The index of the server.
+    /// The index of the polled server.
     pub server: usize,
-    /// The reply; none if there was none in time.
+    /// The reply, or `None` if there was no reply in time.
     pub line: Option<String>,
 }
 
-/// Polls an agent check once: connects, sends a line, and returns the complete reply.
+/// Polls an agent check once: connects, sends a line, and returns the complete reply. Returns `None` if any step fails,
+/// or the reply is empty.
 pub fn query_agent(address: SocketAddr, line: &str, limit: Duration) -> Option<String> {
     let mut stream = TcpStream::connect_timeout(&address, limit).ok()?;
     stream.set_read_timeout(Some(limit)).ok()?;
@@ -51,7 +52,7 @@
     stop: Arc<AtomicBool>,
 }
 
-/// The thread that polls one server.
+/// The state of the thread that polls one server.
 struct Poller {
     server: usize,
     agent: SocketAddr,
@@ -75,10 +76,10 @@
         let server = self.server;
         let request = format!("front/p{server}\n");
         let line = query_agent(self.agent, &request, self.limit);
-        // An invalid report is the placer's fault, and ends the test.
+        // An invalid report is a fault of the placer, so it panics and fails the test.
         let report = line
             .as_deref()
-            .map(|line| parse_agent_report(line).expect("a valid agent report"));
+            .map(|line| parse_agent_report(line).expect("invalid agent report"));
         if let Some(report) = report {
             lock(&self.balancer).apply_report(server, report);
         }
@@ -90,11 +91,11 @@
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
-    mutex.lock().expect("no poller has panicked")
+    mutex.lock().expect("a poller has panicked")
 }
 
 impl PollingLoadBalancer {
-    /// Starts to poll each of these placers.
+    /// Starts polling each of these placers. `limit` is the timeout for each step of a poll.
     pub fn start(
         servers: &[ServerAddresses],
         interval: Duration,
@@ -123,17 +124,17 @@
         }
     }
 
-    /// Returns the server for the next client.
+    /// Returns the server for the next client, or `None` if no server gets new clients.
     pub fn pick(&self) -> Option<usize> {
         lock(&self.balancer).pick()
     }
 
-    /// Returns where clients connect to a server.
+    /// Returns the address at which clients connect to a server.
     pub(super) fn client_address(&self, server: usize) -> SocketAddr {
         self.servers[server].clients
     }
 
-    /// Returns the weight of a server for new clients; 0 if it gets none.
+    /// Returns the weight of a server for new clients, which is 0 if it gets none.
     pub fn weight(&self, server: usize) -> u32 {
         let balancer = lock(&self.balancer);
         let server = &balancer.servers[server];
--- a/crates/emulator/src/load_balancer/tests.rs
+++ b/crates/emulator/src/load_balancer/tests.rs
@@ -40,8 +40,8 @@
         (true, false),
         (true, true),
     ];
-    for (good, up) in checks {
-        balancer.apply_check(0, CheckResult::from_pass(good));
+    for (passed, up) in checks {
+        balancer.apply_check(0, CheckResult::from_pass(passed));
         assert_eq!(balancer.servers[0].up, up);
     }
 }
--- a/crates/emulator/src/program.rs
+++ b/crates/emulator/src/program.rs
@@ -128,7 +128,11 @@
     ///
     /// If the descriptor cannot be duplicated.
     pub fn inherit_listener(mut self, listener: &TcpListener) -> Launch {
-        self.inherited = Some(listener.try_clone().expect("cannot duplicate the listener's descriptor"));
+        self.inherited = Some(
+            listener
+                .try_clone()
+                .expect("cannot duplicate the listener's descriptor"),
+        );
         self.env("LB_ACCEPT_FD", "5")
     }
 
@@ -151,7 +155,11 @@
         );
         command.args(["-c", &script]);
         if let Some(listener) = &self.inherited {
-            command.stdin(OwnedFd::from(listener.try_clone().expect("cannot duplicate the listener's descriptor")));
+            command.stdin(OwnedFd::from(
+                listener
+                    .try_clone()
+                    .expect("cannot duplicate the listener's descriptor"),
+            ));
         }
         command
             .arg(binary())
@@ -175,13 +183,19 @@
         let mut child = spawned.expect("cannot start the program");
         let end = Instant::now() + TEST_TIMEOUT;
         // A program that does not exit is killed: it should fail the test rather than block it.
-        while child.try_wait().expect("cannot read the state of the child process").is_none() {
+        while child
+            .try_wait()
+            .expect("cannot read the state of the child process")
+            .is_none()
+        {
             if Instant::now() > end {
                 let _ = child.kill();
             }
             std::thread::sleep(Duration::from_millis(5));
         }
-        let output = child.wait_with_output().expect("cannot read the output of the program");
+        let output = child
+            .wait_with_output()
+            .expect("cannot read the output of the program");
         self.files
             .iter()
             .for_each(|file| drop(std::fs::remove_file(file)));
@@ -202,7 +216,9 @@
             .stderr(stderr)
             .spawn()
             .expect("cannot start the program");
-        let address = self.address.expect("the configuration has no valid `listen` address");
+        let address = self
+            .address
+            .expect("the configuration has no valid `listen` address");
         self.files.push(log.clone());
         Program {
             child,
@@ -261,7 +277,8 @@
             maximum: getrlimit(Resource::Nofile).maximum,
         };
         let pid = Pid::from_child(&self.child);
-        prlimit(Some(pid), Resource::Nofile, limit).expect("cannot change the limit of descriptors");
+        prlimit(Some(pid), Resource::Nofile, limit)
+            .expect("cannot change the limit of descriptors");
     }
 
     /// Returns the resident memory of the program in kB.
@@ -288,7 +305,10 @@
         let log = std::fs::read_to_string(&self.log).unwrap_or_default();
         let lines: Vec<&str> = log.lines().collect();
         let last = lines.len().saturating_sub(MAX_PRINTED_LINES);
-        eprintln!("program {}: exit status {exit:?}; end of its log:", self.child.id());
+        eprintln!(
+            "program {}: exit status {exit:?}; end of its log:",
+            self.child.id()
+        );
         lines[last..].iter().for_each(|line| eprintln!("  {line}"));
     }
 
@@ -322,8 +342,10 @@
     /// If the program does not stop, or the messages are not delivered, within [`TEST_TIMEOUT`].
     pub fn while_stopped(&self, act: impl FnOnce()) {
         self.signal("-STOP");
-        let stat =
-            || std::fs::read_to_string(format!("/proc/{}/stat", self.pid())).expect("cannot read the state of the process");
+        let stat = || {
+            std::fs::read_to_string(format!("/proc/{}/stat", self.pid()))
+                .expect("cannot read the state of the process")
+        };
         wait_for("the placer to be stopped", || {
             stat().rsplit(") ").next()?.starts_with('T').then_some(())
         });
@@ -355,7 +377,10 @@
     ///
     /// If the state of the program cannot be read.
     pub fn is_running(&mut self) -> bool {
-        self.child.try_wait().expect("cannot read the state of the child process").is_none()
+        self.child
+            .try_wait()
+            .expect("cannot read the state of the child process")
+            .is_none()
     }
 
     /// Waits until the program exits, and returns its exit status.
@@ -371,7 +396,11 @@
     pub fn wait_exit_within(&mut self, limit: Duration) -> ExitStatus {
         let end = Instant::now() + limit;
         loop {
-            if let Some(status) = self.child.try_wait().expect("cannot read the state of the child process") {
+            if let Some(status) = self
+                .child
+                .try_wait()
+                .expect("cannot read the state of the child process")
+            {
                 return status;
             }
             assert!(
@@ -421,7 +450,9 @@
         stream
             .set_read_timeout(Some(TEST_TIMEOUT))
             .expect("cannot set a socket option");
-        stream.set_nodelay(true).expect("cannot set a socket option");
+        stream
+            .set_nodelay(true)
+            .expect("cannot set a socket option");
         Some(Client(stream))
     }
 }
--- a/crates/emulator/src/rule_check/tests.rs
+++ b/crates/emulator/src/rule_check/tests.rs
@@ -329,7 +329,11 @@
         );
     }
     let covered: BTreeSet<Rule> = cases.iter().map(|(rule, _)| *rule).collect();
-    assert_eq!(covered.len(), Rule::ALL.len(), "some rules have no violating case");
+    assert_eq!(
+        covered.len(),
+        Rule::ALL.len(),
+        "some rules have no violating case"
+    );
 }
 
 #[test]
--- a/crates/emulator/src/supervisor/guard.rs
+++ b/crates/emulator/src/supervisor/guard.rs
@@ -1,12 +1,12 @@
-//! The guard: runs a program in such a way that it dies with whoever started it.
+//! The guard: runs a program so that the kernel kills it when the process that started it dies.
 
 use rustix::process::{Pid, Resource, Rlimit, Signal};
 use std::io;
 use std::path::Path;
 use std::process::Command;
 
-/// Becomes the program, with at most so many descriptors, and has the kernel kill it when the thread that started
-/// it ends. Returns only if that fails.
+/// Replaces the current process by the program, limits its open descriptors to `max_descriptors` if given, and makes
+/// the kernel kill it when the thread that started it ends. Returns only if a step fails.
 pub fn guard(program: &Path, max_descriptors: Option<u64>) -> io::Error {
     use std::os::unix::process::CommandExt;
     if let Some(max) = max_descriptors {
@@ -21,7 +21,7 @@
     if let Err(e) = rustix::process::set_parent_process_death_signal(Some(Signal::KILL)) {
         return e.into();
     }
-    // The parent may have died before that call.
+    // The parent may have died before the signal was requested, and would then not trigger it.
     if rustix::process::getppid().is_none_or(Pid::is_init) {
         return io::Error::other("the supervisor has exited");
     }
--- a/crates/emulator/src/supervisor/mod.rs
+++ b/crates/emulator/src/supervisor/mod.rs
@@ -1,7 +1,7 @@
-//! Runs real placers as processes: starts, signals and restarts each in its slot, and watches what it uses.
+//! Runs real placers as processes: starts, signals and restarts them, and observes their resource usage.
 //!
-//! The supervisor owns the processes, their configurations and their logs. It records every change of a process
-//! in the event log, and kills all processes when dropped.
+//! The supervisor owns the processes, their configurations and their logs. It records every change of a process in the
+//! event log, and kills all processes when it is dropped.
 
 mod guard;
 mod process_usage;
@@ -20,36 +20,37 @@
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-/// Spreads the seed of a run over the seeds of its placers.
+/// The factor that derives the seeds of the placers from the seed of a run.
 const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The distance between the seeds of two placers; restarts of one lie in between.
+/// The distance between the seeds of two placers. The seeds after restarts of a placer are taken from this range.
 const SEEDS_PER_PLACER: u64 = 1_000;
-/// How often ending processes are checked.
+/// The interval at which processes that are shutting down are checked.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How placers are launched.
+/// The configuration with which placers are launched.
 #[derive(Debug, Clone)]
 pub struct LaunchConfig {
-    /// The placer's program.
+    /// The path of the placer's program.
     pub binary: PathBuf,
-    /// A program that is run as `GUARD guard PROGRAM` and has the placer die with the supervisor. Without it a
-    /// placer may outlive a supervisor that is killed.
+    /// The path of a program that is run as `GUARD guard PROGRAM` and makes the placer die with the supervisor. Without
+    /// it, a placer may outlive a supervisor that is killed.
     pub guard: Option<PathBuf>,
-    /// The folder of configurations and logs.
+    /// The folder for configurations and logs.
     pub folder: PathBuf,
-    /// The settings of the deployment, except `me` and `locality`.
+    /// The settings of the deployment, except those that are filled in for each placer, such as `me` and `locality`.
     pub settings: OwnedValue,
     /// The names of the zones.
     pub zones: Vec<String>,
-    /// `limits` of the configuration.
+    /// The value of `limits` in the configurations.
     pub limits: OwnedValue,
-    /// The operator's file; `{n}`, `{agent}`, `{http}` and `{socket}` are filled in for each placer.
+    /// The template of the operator's file, in which `{n}`, `{agent}`, `{http}` and `{socket}` are replaced for each
+    /// placer.
     pub operator_file: Option<String>,
-    /// The seed of the placers' seeds.
+    /// The seed of the run, from which the seeds of the placers are derived.
     pub seed: u64,
 }
 
-/// The slot of a placer, which outlives its processes.
+/// The slot of a placer, which stays the same when its process is replaced.
 struct PlacerSlot {
     client_address: SocketAddr,
     agent_address: SocketAddr,
@@ -76,16 +77,16 @@
     }
 }
 
-/// The resources that a process uses now.
+/// The resources that a process currently uses.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProcessUsage {
     /// Resident memory in kB.
     pub memory_kb: u64,
-    /// Processor time so far.
+    /// The processor time used so far.
     pub cpu_time: Duration,
 }
 
-/// All placers of a run.
+/// The supervisor of all placers of a run.
 pub struct Supervisor {
     config: LaunchConfig,
     log: EventLog,
@@ -97,7 +98,7 @@
     ///
     /// # Errors
     ///
-    /// An error of the system: the folder can't be written, or the program can't be run.
+    /// Returns an error if a file or folder cannot be written, or the program cannot be run.
     pub fn start(
         config: LaunchConfig,
         count: usize,
@@ -117,12 +118,12 @@
         Ok(supervisor)
     }
 
-    /// Returns where a placer listens for clients.
+    /// Returns the address at which a placer listens for clients.
     pub fn client_address(&self, placer: usize) -> Option<SocketAddr> {
         self.placers.get(placer).map(|slot| slot.client_address)
     }
 
-    /// Returns where its agent check answers, if its operator's file enables it.
+    /// Returns the address for a placer's agent check, which answers there if the operator's file enables it.
     pub fn agent_address(&self, placer: usize) -> Option<SocketAddr> {
         self.placers.get(placer).map(|slot| slot.agent_address)
     }
@@ -170,11 +171,11 @@
         std::fs::write(self.path(placer, "json"), config.encode())
     }
 
-    /// Launches a placer, unless it is running.
+    /// Launches a placer, unless it is already running.
     ///
     /// # Errors
     ///
-    /// An error of the system: a file can't be written, or the program can't be run.
+    /// Returns an error if a file cannot be written, or the program cannot be run.
     pub fn launch(&mut self, placer: usize, cluster: &Cluster) -> io::Result<()> {
         if self.is_running(placer) || self.placers.get(placer).is_none() {
             return Ok(());
@@ -189,7 +190,7 @@
             .stdin(Stdio::null());
         if let Some(path) = self.write_operator_file(placer)? {
             command.env("TASK_PLACER_OPERATOR", &path);
-            // Placers of earlier versions read the former name.
+            // Placers of earlier versions read this former name of the variable.
             command.env("ANISEHEAD_OPERATOR", &path);
         }
         let log = File::options()
@@ -206,7 +207,7 @@
         Ok(())
     }
 
-    /// The command that runs a placer, under the guard if there is one.
+    /// Returns the command that runs a placer, through the guard if one is configured.
     fn command(&self) -> Command {
         let Some(guard) = &self.config.guard else {
             return Command::new(&self.config.binary);
@@ -214,14 +215,14 @@
         let mut command = Command::new(guard);
         command.arg("guard").arg(&self.config.binary);
         let sockets = self.config.limits.get("sockets");
-        // The kernel enforces the limit of descriptors as well.
+        // The guard makes the kernel enforce the limit of descriptors as well.
         if let Some(sockets) = sockets.and_then(OwnedValue::as_u64) {
             command.args(["--descriptors", &sockets.to_string()]);
         }
         command
     }
 
-    /// Writes the operator's file of a placer and returns its path, if there is one.
+    /// Writes the operator's file of a placer if a template is configured, and returns its path.
     fn write_operator_file(&self, placer: usize) -> io::Result<Option<PathBuf>> {
         let (Some(template), Some(slot)) = (&self.config.operator_file, self.placers.get(placer))
         else {
@@ -241,7 +242,7 @@
         self.log.record(Event::PlacerChanged { placer, change });
     }
 
-    /// Whether the process of a placer runs.
+    /// Returns whether the process of a placer is running, as of the last poll.
     pub fn is_running(&self, placer: usize) -> bool {
         self.process(placer).is_some()
     }
@@ -274,7 +275,7 @@
         }
     }
 
-    /// Stops a placer with SIGSTOP: it does nothing until it is resumed.
+    /// Stops a placer with SIGSTOP, so that it does nothing until it is resumed.
     pub fn pause(&mut self, placer: usize) {
         self.record(placer, ProcessChange::Paused);
         self.signal(placer, Signal::STOP);
@@ -292,7 +293,7 @@
         }
     }
 
-    /// Requests the graceful shutdown of a placer with SIGTERM.
+    /// Requests a graceful shutdown of a placer with SIGTERM.
     pub fn terminate(&mut self, placer: usize) {
         if self.is_running(placer) {
             self.record(placer, ProcessChange::TerminationRequested);
@@ -300,11 +301,11 @@
         }
     }
 
-    /// Has a placer reload its configuration, with the present address of its feed.
+    /// Rewrites the configuration of a placer with the current address of its feed, and makes the placer reload it.
     ///
     /// # Errors
     ///
-    /// An error of the system: the configuration can't be written.
+    /// Returns an error if the configuration cannot be written.
     pub fn reload(&mut self, placer: usize, cluster: &Cluster) -> io::Result<()> {
         let Some(feed) = cluster.feed_address(placer) else {
             return Ok(());
@@ -314,7 +315,7 @@
         Ok(())
     }
 
-    /// Records the placers that have exited by themselves, and the peak usage of the others.
+    /// Records the placers that have exited by themselves, and updates the peak usage of the others.
     pub fn poll(&mut self) {
         for (placer, slot) in self.placers.iter_mut().enumerate() {
             let Some(process) = &mut slot.process else {
@@ -332,21 +333,21 @@
         }
     }
 
-    /// Returns the highest polled memory of a placer in kB.
+    /// Returns the highest resident memory of a placer found by the polls, in kB.
     pub fn peak_memory_kb(&self, placer: usize) -> u64 {
         self.placers
             .get(placer)
             .map_or(0, |slot| slot.peak_memory_kb)
     }
 
-    /// Returns the highest polled number of descriptors of a placer.
+    /// Returns the highest number of open descriptors of a placer found by the polls.
     pub fn peak_descriptors(&self, placer: usize) -> usize {
         self.placers
             .get(placer)
             .map_or(0, |slot| slot.peak_descriptors)
     }
 
-    /// Returns what a placer uses now.
+    /// Returns the current resource usage of a placer.
     pub fn usage(&self, placer: usize) -> ProcessUsage {
         self.process(placer)
             .map_or_else(ProcessUsage::default, |process| ProcessUsage {
@@ -355,7 +356,7 @@
             })
     }
 
-    /// Shuts all placers down, and kills those that have not exited within the limit.
+    /// Shuts down all placers, and kills those that have not exited within the limit.
     pub fn finish(&mut self, limit: Duration) {
         for placer in 0..self.placers.len() {
             if self.placers.get(placer).is_some_and(|slot| slot.paused) {
@@ -379,7 +380,7 @@
         }
     }
 
-    /// Returns the folder of configurations and logs.
+    /// Returns the folder that contains configurations and logs.
     pub fn folder(&self) -> &Path {
         &self.config.folder
     }
--- a/crates/emulator/src/supervisor/process_usage.rs
+++ b/crates/emulator/src/supervisor/process_usage.rs
@@ -1,14 +1,14 @@
-//! What a process uses, read from `/proc`. A process that has ended uses nothing.
+//! The resource usage of processes, read from `/proc`. All values are 0 for a process that has ended.
 
 use std::time::Duration;
 
-/// The length of a kernel tick, the unit of processor time in `/proc`.
+/// The length of a clock tick of the kernel, which is the unit of processor time in `/proc`.
 const KERNEL_TICK: Duration = Duration::from_millis(10);
-/// Positions of the user and the system time, counted after the name of the program.
+/// The positions of the user and the system time in `/proc/PID/stat`, counted after the name of the program.
 const USER_TIME: usize = 11;
 const SYSTEM_TIME: usize = 12;
 
-/// Returns the resident memory in kB.
+/// Returns the resident memory of a process in kB.
 pub(crate) fn resident_kb(pid: u32) -> u64 {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -17,12 +17,12 @@
         .unwrap_or(0)
 }
 
-/// Returns the number of open descriptors.
+/// Returns the number of open descriptors of a process.
 pub(crate) fn open_descriptors(pid: u32) -> usize {
     std::fs::read_dir(format!("/proc/{pid}/fd")).map_or(0, Iterator::count)
 }
 
-/// Returns the processor time spent so far.
+/// Returns the user and system time that a process has used so far.
 pub(crate) fn cpu_time(pid: u32) -> Duration {
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let after_name = stat.rsplit_once(')').map_or("", |(_, after)| after);
--- a/crates/emulator/src/tcp_delivery.rs
+++ b/crates/emulator/src/tcp_delivery.rs
@@ -45,7 +45,8 @@
             )
         })
         .collect();
-    let table = std::fs::read_to_string("/proc/net/tcp").expect("cannot read the table of TCP connections");
+    let table =
+        std::fs::read_to_string("/proc/net/tcp").expect("cannot read the table of TCP connections");
     let endpoints: Vec<TcpEndpoint<'_>> =
         table.lines().skip(1).filter_map(parse_endpoint).collect();
     let own_addresses: BTreeSet<&str> = endpoints
