--- a/src/net/clients/idle.rs
+++ b/src/net/clients/idle.rs
@@ -38,7 +38,7 @@
 
     /// Closes the connections on which no response is pending and nothing is partly read, unsent or unread, whatever tasks
     /// were placed on them.
-    pub fn close_resting(&self, now: Micros) {
+    pub fn close_quiescent(&self, now: Micros) {
         for client in self.connections.values() {
             if !client.conn.is_closing() && !client.is_busy(now) {
                 client.conn.close(CloseReason::Draining);
--- a/src/net/clients/table.rs
+++ b/src/net/clients/table.rs
@@ -202,7 +202,7 @@
     }
 
     /// Records that a task has run which was requested or adopted on a connection.
-    pub fn mark_proven(&mut self, id: ClientId) {
+    pub fn record_task_run(&mut self, id: ClientId) {
         if let Some(client) = self.connections.get_mut(&id) {
             client.is_proven = true;
         }
@@ -251,7 +251,7 @@
     }
 
     /// Whether no connection is busy.
-    pub fn is_at_rest(&self, now: Micros) -> bool {
+    pub fn is_quiescent(&self, now: Micros) -> bool {
         let mut clients = self.connections.values();
         clients.all(|client| client.conn.is_closing() || !client.is_busy(now))
     }
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -142,7 +142,7 @@
         self.update_priorities(now, &host, ConnectionUse::JustUsed);
         if let Some(client) = client {
             self.respond_placed(now, client, ticket, &started);
-            self.clients.mark_proven(client);
+            self.clients.record_task_run(client);
             self.assign_running_task(ticket, client);
         }
         if let Some(link) = self.hosts.get_mut(&host) {
--- a/src/net/dispatch/running_tasks.rs
+++ b/src/net/dispatch/running_tasks.rs
@@ -53,7 +53,7 @@
         info!(task = %id, host = &*host.0, connection = %client, "task adopted");
         self.assign_running_task(ticket, client);
         if self.hosts.contains_key(host) {
-            self.clients.mark_proven(client);
+            self.clients.record_task_run(client);
             self.update_priorities(now, host, ConnectionUse::Unchanged);
             self.request_connection(now, host);
         } else {
--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -120,7 +120,7 @@
             .shutdown_since
             .is_some_and(|since| now - since >= due_after)
         {
-            self.clients.close_resting(now);
+            self.clients.close_quiescent(now);
         }
     }
 
@@ -178,7 +178,7 @@
         let is_clear =
             !has_pending && self.clients.is_flushed() && !self.clients.is_delivering_task_ends(now);
         if self.lifecycle.is_shutting_down() {
-            return (is_clear && self.clients.is_at_rest(now))
+            return (is_clear && self.clients.is_quiescent(now))
                 || self.lifecycle.exit_is_overdue(now);
         }
         let elapsed = now - since;
