--- a/src/net/clients.rs
+++ b/src/net/clients.rs
@@ -1,10 +1,10 @@
-//! Owns the connections from clients: what is pending on each, when one is closed, and where the end of a task is sent.
-//! It knows nothing of requests beyond their tickets, and nothing of dispatch: what happens on a connection goes to
-//! whoever implements [`ClientEvents`].
+//! Manages the connections from clients: tracks what is pending on each connection, decides when one is closed, and
+//! chooses the connections on which the end of a task is sent. Requests are known here only by their tickets, and
+//! dispatch is not known at all: events on a connection are passed to the implementation of [`ClientEvents`].
 //!
-//! [`table`] holds the connections, [`accept`] listens and serves the sockets, [`status`] tells whether a client is still
-//! there, [`task_ends`] sends the ends of tasks until a client has acknowledged them, and [`idle`] closes connections that
-//! are idle or in the way.
+//! [`table`] holds the connections, [`accept`] listens for and serves them, [`status`] tells whether a client is still
+//! connected, [`task_ends`] sends task ends until a client has acknowledged them, and [`idle`] closes connections that
+//! are idle or whose descriptors are needed elsewhere.
 
 pub mod accept;
 mod accept_delay;
--- a/src/net/clients/accept.rs
+++ b/src/net/clients/accept.rs
@@ -1,7 +1,7 @@
-//! Listens for clients, accepts their connections within the limit, and serves each until it ends.
+//! Listens for clients, accepts their connections within the connection limit, and serves each one until it ends.
 
 use super::accept_delay::AcceptDelay;
-use super::accept_fault::{ACCEPT_RETRY_PAUSE, log_accept_error, make_room};
+use super::accept_fault::{ACCEPT_RETRY_PAUSE, log_accept_error, recover_from_accept_error};
 use super::events::{AcceptWait, ClientEvents};
 use super::id::ClientId;
 use super::read_summary::ReadSummary;
@@ -17,14 +17,14 @@
 use std::time::Duration;
 use tracing::info;
 
-/// Connections that may wait to be accepted. The standard library asks for 128, and clients come back by hundreds where
-/// placers were killed together; the system takes off what exceeds its own limit.
+/// Length of the accept queue. The standard library asks for 128, but hundreds of clients reconnect at once when
+/// several placers are killed together. The kernel lowers the value to its own limit.
 const LISTEN_BACKLOG: i32 = 4_096;
-/// Connections that are accepted in one turn.
+/// Limit of connections accepted before the acceptor yields to other tasks.
 const MAX_ACCEPTS_PER_TURN: usize = 16;
-/// How often at most, at the exit of the process, it is looked at whether peers have closed after us.
+/// Limit of checks, at process exit, whether peers have closed their connections after this process closed its side.
 const MAX_SHUTDOWN_CHECKS: u32 = 10;
-/// The time between two of these checks.
+/// Interval between two checks whether peers have closed their connections at process exit.
 const SHUTDOWN_CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Accepts connections from clients on one listening socket.
@@ -35,7 +35,7 @@
     delay: Cell<AcceptDelay>,
 }
 
-/// Listens for clients.
+/// Opens a listening socket for clients with an accept queue of `LISTEN_BACKLOG` connections.
 pub fn listen(address: SocketAddr) -> io::Result<Async<TcpListener>> {
     let listener = Async::<TcpListener>::bind(address)?;
     rustix::net::listen(&listener, LISTEN_BACKLOG)?;
@@ -57,11 +57,11 @@
         }
     }
 
-    /// Accepts for the life of the process.
+    /// Accepts connections for the life of the process, or until this process no longer accepts connections.
     ///
-    /// Guards against a process out of descriptors: an idle connection is evicted for the next, and the loop goes on.
-    /// Guards also what has been sent on a connection that waits here: the machine has accepted it, so that its request
-    /// counts as taken. While all others are busy it waits for the first that is not, and is never closed unread.
+    /// When the process runs out of descriptors, an idle connection is evicted for the next one and the loop continues.
+    /// If all connections are busy, the acceptor waits until one becomes idle. A connection in the accept queue is
+    /// never closed unread: the kernel has already accepted it, so a request sent on it counts as taken.
     pub async fn run(&self) {
         loop {
             if let Err(error) = self.listener.readable().await {
@@ -69,11 +69,12 @@
                 continue;
             }
             for turn in 0..MAX_ACCEPTS_PER_TURN {
-                // What waits here from now on is another process's to accept.
+                // Connections that arrive from now on are accepted by another process.
                 if !self.handler.borrow().accepts_connections() {
                     return;
                 }
-                // A connection is evicted for one that is there, not for one that may come.
+                // After the first accept the queue may be empty: an idle connection is evicted only for a connection
+                // that is known to wait, not for one that may arrive.
                 if turn > 0 && self.handler.borrow().client_limit_reached() {
                     break;
                 }
@@ -94,7 +95,7 @@
         }
     }
 
-    /// Waits until another connection is within the limit.
+    /// Waits until another connection is within the connection limit, evicting an idle connection if necessary.
     async fn wait_for_descriptor(&self) {
         let handler = &self.handler;
         let mut wait = AcceptWait::None;
@@ -104,13 +105,13 @@
             if !is_full || handler.borrow().clients().evict_idle(now, 1) > 0 {
                 handler.borrow_mut().client_accepted(now, wait);
                 if is_full {
-                    // The evicted one gives its descriptor back first.
+                    // Lets the evicted connection release its descriptor first.
                     future::yield_now().await;
                 }
                 return;
             }
             if wait == AcceptWait::None {
-                info!(peer = "client", reason = %CloseReason::Evicted, "connection waits");
+                info!(peer = "client", reason = %CloseReason::Evicted, "connection waits for a free descriptor");
             }
             wait = AcceptWait::Waited;
             self.update_delay(|delay| delay.waits_for_descriptor(now));
@@ -118,7 +119,8 @@
         }
     }
 
-    /// Pauses after a failure, unless it may be gone at the next try. Connections are evicted only for one that lasts.
+    /// Pauses after a failed accept, unless the failure may be gone at the next attempt. Connections are evicted only
+    /// for a failure that persists.
     async fn recover(&self, error: &io::Error) {
         let now = self.handler.borrow().now();
         let pause = self.update_delay(|delay| delay.failed(now));
@@ -126,7 +128,7 @@
             return future::yield_now().await;
         }
         log_accept_error(error);
-        if !make_room(&self.handler, error) {
+        if !recover_from_accept_error(&self.handler, error) {
             Timer::after(pause).await;
         }
     }
@@ -138,7 +140,8 @@
         result
     }
 
-    /// Accepts a connection that waits. It counts from here on, not from when its task first runs.
+    /// Accepts one connection from the queue. The connection counts towards the limit from now on, not from the first
+    /// run of the task that serves it.
     fn accept_one(&self) -> io::Result<()> {
         let (stream, _) = self.listener.get_ref().accept()?;
         let conn = Rc::new(Connection::new(Async::new(stream)?));
@@ -152,9 +155,9 @@
         Ok(())
     }
 
-    /// Before the exit of the process: accepts a connection that waits, and returns whether there was one or anything
-    /// waits to be read. Guards what has been sent on a connection that waits here or arrived since the last look: it
-    /// counts as taken.
+    /// Called before the process exits: accepts one connection from the queue, and returns whether there was one or any
+    /// connection has unread input. Requests that were sent on a queued connection, or that arrived since the last
+    /// check, count as taken and must not be lost.
     pub fn accept_before_exit(&self) -> bool {
         if self.handler.borrow().exit_is_overdue() {
             return false;
@@ -164,15 +167,16 @@
             || !self.handler.borrow().clients().has_no_unread_input()
     }
 
-    /// Accepts a connection that waits, and returns whether there was or may have been one: an accept that failed for a
-    /// moment proves nothing.
+    /// Accepts one connection from the queue, and returns whether there was or may have been one: an accept that failed
+    /// temporarily does not prove that the queue is empty.
     fn may_have_waiting_connection(&self) -> bool {
         !matches!(self.accept_one(), Err(error) if error.kind() == ErrorKind::WouldBlock)
     }
 }
 
-/// At the exit of the process: closes all connections for writing, and gives peers a while to close. Guards against the
-/// reset that exiting with unread input sends: it can take a response along that was written, and not read yet.
+/// Called when the process exits: shuts down the write side of all connections, and waits for a bounded time for peers
+/// to close. Exiting with unread input would send a reset, which can destroy a response that was written but not yet
+/// read by the peer.
 pub async fn shutdown_connections<H: ClientEvents>(handler: &Rc<RefCell<H>>) {
     handler.borrow().clients().shutdown_unread();
     for _ in 0..MAX_SHUTDOWN_CHECKS {
@@ -200,8 +204,8 @@
             {
                 consumed += length;
                 handler.borrow_mut().client_message(id, task, message);
-                // Nothing more is taken from one that is closed deliberately. From one that has failed all is: what it
-                // sent about running tasks holds.
+                // No more messages are taken from a connection that is closed deliberately. From a connection that has
+                // failed, all messages are taken: what the client sent about running tasks remains valid.
                 if conn.is_closed_deliberately() {
                     return Ok(());
                 }
@@ -217,7 +221,7 @@
             Ok(())
         })
         .await;
-    // Nothing is to be queued on it from here on.
+    // No message may be queued on the connection from here on.
     conn.close(reason);
     handler.borrow_mut().client_closed(id, reason);
     let is_fault = matches!(reason, CloseReason::Malformed(_) | CloseReason::IdInUse);
--- a/src/net/clients/accept_delay.rs
+++ b/src/net/clients/accept_delay.rs
@@ -1,33 +1,35 @@
-//! How late connections are accepted. Pure: time is an argument.
+//! Estimates since when accepted connections have been waiting. Pure: the current time is passed as an argument.
 //!
-//! A client's time runs from when it sent its request, which may have been while its connection waited in the system's
-//! accept queue. The system does not say since when that was.
+//! A client's timeout runs from when it sent its request, which may have been while its connection waited in the
+//! kernel's accept queue. The kernel does not report how long a connection waited there.
 
 use std::time::Duration;
 use task_placer::Micros;
 
-/// So many failures in a row are followed by another try at once: most pass by themselves.
+/// Number of consecutive failures after which accepting is retried at once: most failures pass by themselves.
 const IMMEDIATE_RETRIES: u32 = 4;
-/// The first pause before another try.
+/// Length of the first pause before accepting is retried.
 const MIN_RETRY_PAUSE: Duration = Duration::from_millis(1);
-/// The pause doubles with each failure, up to this.
+/// Upper limit of the pause, which doubles with each failure.
 const MAX_RETRY_PAUSE: Duration = Duration::from_millis(20);
-/// The pause is not computed for more doublings than these.
+/// Limit of doublings in the computation of the pause, which prevents an overflow.
 const MAX_PAUSE_DOUBLINGS: u32 = 5;
 
-/// Since when connections may have been waiting to be accepted.
+/// Tracks since when connections may have been waiting to be accepted.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct AcceptDelay {
-    /// Failures to accept in a row.
+    /// Number of consecutive failures to accept.
     failures: u32,
-    /// When the first and the last failure were since the queue was last empty: whatever is in it may have come then.
+    /// Times of the first and the last failure since the queue was last empty. Any connection in the queue may have
+    /// arrived between the two.
     failures_between: Option<(Micros, Micros)>,
-    /// Since when the first connection in the queue has waited for a descriptor. Those behind it may have come later.
+    /// Since when the first connection in the queue has waited for a descriptor. The connections behind it may have
+    /// arrived later.
     first_waits_since: Option<Micros>,
 }
 
 impl AcceptDelay {
-    /// Records that accepting failed, and returns the pause before the next try.
+    /// Records that accepting failed, and returns the pause before the next attempt.
     pub(super) fn failed(&mut self, now: Micros) -> Duration {
         let first = self.failures_between.map_or(now, |(first, _)| first);
         self.failures_between = Some((first, now));
@@ -46,7 +48,7 @@
 
     /// Records that a connection was accepted, and returns since when it may have been waiting.
     ///
-    /// The failures have delayed it by as long as they lasted; what else it may have waited for is not known.
+    /// Failures to accept delayed the connection by as long as they lasted; any other wait is unknown.
     pub(super) fn accepted(&mut self, now: Micros) -> Option<Micros> {
         self.failures = 0;
         let first_waits_since = self.first_waits_since.take();
@@ -59,7 +61,7 @@
         }
     }
 
-    /// Records that no connection waits.
+    /// Records that the accept queue is empty.
     pub(super) fn queue_emptied(&mut self) {
         *self = AcceptDelay::default();
     }
--- a/src/net/clients/accept_fault.rs
+++ b/src/net/clients/accept_fault.rs
@@ -1,4 +1,4 @@
-//! What every listener does where accepting fails.
+//! Handling of failed accepts, shared by all listeners.
 
 use super::events::ClientEvents;
 use crate::net::system_error::is_out_of_descriptors;
@@ -9,16 +9,16 @@
 use std::time::Duration;
 use tracing::warn;
 
-/// The pause until accepting is tried again.
+/// Pause before accepting is retried.
 pub(super) const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Makes room or pauses, as the failure requires it.
+/// Logs a failed accept, and then evicts an idle connection or pauses, as the failure requires.
 pub async fn pause_after_accept_error<H: ClientEvents>(
     handler: &Rc<RefCell<H>>,
     error: &io::Error,
 ) {
     log_accept_error(error);
-    if !make_room(handler, error) {
+    if !recover_from_accept_error(handler, error) {
         Timer::after(ACCEPT_RETRY_PAUSE).await;
     }
 }
@@ -27,9 +27,12 @@
     warn!(reason = %error.kind(), code = error.raw_os_error(), "accept failed");
 }
 
-/// Returns whether accepting may be tried again at once: the failure concerned one connection that has ended already, or
-/// no descriptor is left, and an idle connection of a client was evicted for the next.
-pub(super) fn make_room<H: ClientEvents>(handler: &Rc<RefCell<H>>, error: &io::Error) -> bool {
+/// Evicts an idle client connection if no descriptor is left. Returns whether accepting may be retried at once: either
+/// a connection was evicted, or the failure concerned a single connection that has already ended.
+pub(super) fn recover_from_accept_error<H: ClientEvents>(
+    handler: &Rc<RefCell<H>>,
+    error: &io::Error,
+) -> bool {
     match AcceptFault::of(error) {
         AcceptFault::ConnectionEnded => true,
         AcceptFault::NoDescriptor => {
@@ -40,14 +43,14 @@
     }
 }
 
-/// What a failed accept is about.
+/// Classifies why an accept failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum AcceptFault {
-    /// The connection that waited has ended, or the call was interrupted: the next one may be accepted at once.
+    /// The queued connection has ended, or the call was interrupted: the next connection may be accepted at once.
     ConnectionEnded,
     /// The process or the system has no descriptor left.
     NoDescriptor,
-    /// The system is out of something for a moment.
+    /// The kernel is temporarily short of another resource.
     Temporary,
 }
 
--- a/src/net/clients/id.rs
+++ b/src/net/clients/id.rs
@@ -1,8 +1,8 @@
-//! Identifies connections from clients.
+//! Identifiers of client connections.
 
 use std::fmt;
 
-/// Identifies a connection for the life of the process.
+/// Identifies a client connection. Ids are not reused during the life of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ClientId(pub(super) u64);
 
--- a/src/net/clients/idle.rs
+++ b/src/net/clients/idle.rs
@@ -1,26 +1,28 @@
-//! Closes connections of clients that are stalled, idle, silent, or in the way of others.
+//! Closes client connections that are stalled, idle or silent, or whose descriptors are needed for other connections.
 
 use super::table::{Client, Clients, MIN_CONNECTION_AGE};
 use crate::net::conn::{CloseReason, MAX_WRITE_STALL};
 use task_placer::Micros;
 
-/// A silent connection without a pending response is closed after this.
+/// Time without a message after which a connection without a pending response is closed.
 const IDLE_TIMEOUT: Micros = 60_000_000;
-/// How long a connection may go without a whole message, from its start or from part of one on.
+/// Limit of the time to a whole message, counted from the opening of the connection or from the arrival of part of a
+/// message.
 const HANDSHAKE_TIMEOUT: Micros = 2_200_000;
 
 impl Clients {
-    /// Sets whether connections that carry no task are closed.
+    /// Sets whether connections without running tasks are closed.
     pub fn set_close_idle(&mut self, closes_idle: bool) {
         self.closes_idle = closes_idle;
     }
 
-    /// Closes the connections that carry no task, where that is required: neither a response nor the end of a task is
-    /// pending on them.
+    /// Closes idle connections if `set_close_idle` has enabled that: connections without running tasks, on which
+    /// neither a response nor the end of a task is pending.
     ///
-    /// Guards against a close that takes a message along: nothing may be partly read, unsent or unread, a connection
-    /// that has just opened has its first message still before it, and the end of a task that was sent just now is sent
-    /// again elsewhere if it is not acknowledged.
+    /// No message may be lost by the close. A connection is therefore kept while a message is partly read, unsent or
+    /// unread, and while it is so new that its first message may still be on its way. The end of a task that was sent
+    /// shortly before also keeps its connection open; if it is not acknowledged, it is sent again on another
+    /// connection.
     pub fn close_idle_connections(&self, now: Micros) {
         if !self.closes_idle {
             return;
@@ -36,8 +38,8 @@
         }
     }
 
-    /// Closes the connections on which no response is pending and nothing is partly read, unsent or unread, whatever tasks
-    /// were placed on them.
+    /// Closes all connections on which no response is pending and nothing is partly read, unsent or unread, even if
+    /// tasks that were placed on them are running.
     pub fn close_quiescent(&self, now: Micros) {
         for client in self.connections.values() {
             if !client.conn.is_closing() && !client.is_busy(now) {
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Closes connections that are stalled, long idle, or never send a whole message.
+    /// Closes connections that are stalled, have been idle for too long, or did not send a whole message in time, and
+    /// discards task ends that were not acknowledged in time.
     pub fn sweep(&mut self, now: Micros) {
         for client in self.connections.values() {
             client.conn.close_if_write_stalled(now, MAX_WRITE_STALL);
@@ -65,8 +68,9 @@
         self.task_ends.forget_old(now);
     }
 
-    /// Evicts up to `max` idle connections, and returns how many. One that has sent nothing goes before the one idle for
-    /// longest; none with a pending response goes, nor one on which something waits to be read.
+    /// Evicts up to `max` idle connections, and returns how many were evicted. Connections that have sent nothing are
+    /// evicted first, then those without a task that has run, and within each group those idle for longest. Connections
+    /// with a pending response or unread input are never evicted.
     pub fn evict_idle(&self, now: Micros, max: usize) -> usize {
         let clients = self.connections.values();
         let mut idle: Vec<&Client> = clients
@@ -78,7 +82,7 @@
         idle.sort_by_key(|client| {
             (
                 client.has_sent_message,
-                client.is_proven,
+                client.has_run_task,
                 client.last_message_at,
             )
         });
--- a/src/net/clients/pending_task_ends.rs
+++ b/src/net/clients/pending_task_ends.rs
@@ -1,36 +1,38 @@
-//! The ends of running tasks that no client has acknowledged. Data only: [`task_ends`](super::task_ends) sends them.
+//! Ends of running tasks that no client has acknowledged. This module holds only data; [`task_ends`](super::task_ends)
+//! sends the messages.
 //!
-//! An end that was handed to a socket has reached nobody yet: its client may have fallen silent with the connection open, or
-//! be none that knows the task. So an end stays here until it is acknowledged, with the connections that had it.
+//! Handing a task end to a socket does not prove delivery: the client may have stopped reading while its connection
+//! stays open, or may not know the task. Each task end is therefore kept until it is acknowledged, together with the
+//! connections on which it was sent.
 
 use super::id::ClientId;
 use crate::net::codec::TaskId;
 use std::collections::{BTreeMap, BTreeSet};
 use task_placer::Micros;
 
-/// How long an end is kept after it was last sent.
+/// Time after the last send for which an unacknowledged task end is kept.
 const MAX_UNACKNOWLEDGED: Micros = 10_000_000;
-/// How long the end of a task may be on its way to its client.
+/// Time after a send during which a task end may still be in transit to its client.
 const DELIVERY_TIME: Micros = 1_000_000;
-/// How long a client may take to acknowledge an end until it is sent on other connections too. An end has to reach its
-/// client within 1 s of the host's release (the protocol's figure), so several rounds must fit into that.
+/// Time to wait for an acknowledgement before a task end is sent on other connections too. A task end has to reach its
+/// client within 1 s of the host's release, as the protocol requires, so several rounds must fit into that time.
 pub(super) const ACKNOWLEDGE_TIMEOUT: Micros = 150_000;
-/// Rounds after which the number of connections is no longer doubled.
+/// Limit of the doublings of the number of connections per round.
 const MAX_DOUBLINGS: u32 = 10;
 
-/// The end of a task, until a client acknowledges it.
+/// The end of a task that no client has acknowledged yet.
 pub(super) struct PendingTaskEnd {
-    /// The message.
+    /// The encoded message.
     pub(super) bytes: Vec<u8>,
-    /// The connections that it was sent on.
+    /// All connections on which the message was sent.
     tried: BTreeSet<ClientId>,
-    /// Those of the last round.
+    /// Connections on which the message was sent in the last round.
     last_round: Vec<ClientId>,
-    /// How often it was sent so far, each time on all connections of a round.
+    /// Number of rounds so far; each round sends the message on one or more connections.
     rounds: u32,
-    /// When it was last sent, if it was.
+    /// When the message was last sent, if it was sent at all.
     sent_at: Option<Micros>,
-    /// No connection is left that it was not sent on.
+    /// Whether the message has been sent on every usable connection, so that it waits for a new client.
     waits_for_client: bool,
 }
 
@@ -46,18 +48,18 @@
         }
     }
 
-    /// Whether it was sent on this connection.
+    /// Returns whether the message was sent on this connection.
     pub(super) fn was_sent_on(&self, id: ClientId) -> bool {
         self.tried.contains(&id)
     }
 
-    /// Whether it was sent before.
+    /// Returns whether the message was sent before, so that the next round is a resend.
     pub(super) fn is_resend(&self) -> bool {
         self.rounds > 0
     }
 
-    /// Returns on how many connections it is sent next: twice as many each time, so that many silent clients do not use
-    /// up the time in which it has to arrive.
+    /// Returns the number of connections for the next round. It doubles each round, so that many silent clients do not
+    /// use up the time in which the message has to arrive.
     pub(super) fn connections_per_round(&self) -> usize {
         1 << self.rounds.min(MAX_DOUBLINGS)
     }
@@ -67,41 +69,42 @@
     }
 }
 
-/// What became of the ends of tasks since the start of this process.
+/// Counts of task ends by outcome since the start of this process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct TaskEndCounters {
-    /// Ends that were sent on a connection at least.
+    /// Task ends that were sent on at least one connection.
     pub sent: u64,
-    /// Times that an end which was not acknowledged was sent again, on other connections.
+    /// Rounds in which an unacknowledged task end was sent again on other connections.
     pub resent: u64,
-    /// Ends that a client has acknowledged.
+    /// Task ends that a client has acknowledged.
     pub acknowledged: u64,
-    /// Ends that no client has acknowledged yet, those that wait included.
+    /// Task ends that no client has acknowledged yet, including the waiting ones.
     pub unacknowledged: usize,
-    /// Ends that wait for the next client, since no connection is left to try.
+    /// Task ends that wait for another client, since they were sent on every usable connection.
     pub waiting: usize,
 }
 
-/// The ends of tasks that no client has acknowledged.
+/// The task ends that no client has acknowledged, by task.
 #[derive(Default)]
 pub(super) struct PendingTaskEnds {
     ends: BTreeMap<TaskId, PendingTaskEnd>,
-    /// Of the counters, those that only grow.
+    /// The cumulative counters. The fields for current numbers stay 0 here and are computed on demand.
     totals: TaskEndCounters,
 }
 
 impl PendingTaskEnds {
-    /// Adds the end of a task.
+    /// Adds the end of a task that has not been sent yet.
     pub(super) fn insert(&mut self, task: TaskId, bytes: Vec<u8>) {
         self.ends.insert(task, PendingTaskEnd::new(bytes));
     }
 
-    /// Returns the end of a task, if it is pending.
+    /// Returns the pending end of a task, if there is one.
     pub(super) fn get(&self, task: TaskId) -> Option<&PendingTaskEnd> {
         self.ends.get(&task)
     }
 
-    /// Records on which connections an end was sent now; on none, it waits for the next client.
+    /// Records the connections on which a task end was sent in this round. If there were none, the task end waits for
+    /// another client.
     pub(super) fn record_round(&mut self, now: Micros, task: TaskId, connections: Vec<ClientId>) {
         let Some(end) = self.ends.get_mut(&task) else {
             return;
@@ -121,14 +124,14 @@
         end.last_round = connections;
     }
 
-    /// Forgets an end that a client has acknowledged, and returns whether it was pending.
+    /// Removes a task end that a client has acknowledged, and returns whether it was pending.
     pub(super) fn acknowledge(&mut self, task: TaskId) -> bool {
         let was_pending = self.ends.remove(&task).is_some();
         self.totals.acknowledged += u64::from(was_pending);
         was_pending
     }
 
-    /// Returns what became of the ends since the start of this process, and what is pending now.
+    /// Returns the cumulative counters and the current numbers of pending task ends.
     pub(super) fn counters(&self) -> TaskEndCounters {
         TaskEndCounters {
             unacknowledged: self.ends.len(),
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Returns the ends that were last sent on a connection.
+    /// Returns the tasks whose ends were sent on this connection in their last round.
     pub(super) fn last_sent_on(&self, id: ClientId) -> Vec<TaskId> {
         let ends = self.ends.iter();
         ends.filter(|(_, end)| end.last_round.contains(&id))
@@ -145,7 +148,7 @@
             .collect()
     }
 
-    /// Returns the ends that wait for the next client.
+    /// Returns the tasks whose ends wait for another client.
     pub(super) fn waiting(&self) -> Vec<TaskId> {
         let ends = self.ends.iter();
         ends.filter(|(_, end)| end.waits_for_client)
@@ -153,7 +156,7 @@
             .collect()
     }
 
-    /// Returns the ends that were not acknowledged in time, with the connections that had them last.
+    /// Returns the tasks whose ends were not acknowledged in time, with the connections of the last round.
     pub(super) fn overdue(&self, now: Micros) -> Vec<(TaskId, Vec<ClientId>)> {
         let ends = self.ends.iter();
         ends.filter(|(_, end)| !end.waits_for_client && !end.sent_within(now, ACKNOWLEDGE_TIMEOUT))
@@ -161,7 +164,7 @@
             .collect()
     }
 
-    /// Returns the connections on which the end of a task was sent within this time.
+    /// Returns the connections on which a task end was sent less than `time` ago.
     pub(super) fn sent_within(&self, now: Micros, time: Micros) -> BTreeSet<ClientId> {
         let ends = self.ends.values();
         ends.filter(|end| end.sent_within(now, time))
@@ -169,20 +172,21 @@
             .collect()
     }
 
-    /// Forgets what was sent and has waited for its acknowledgement for too long.
+    /// Discards task ends that were sent and not acknowledged within the maximum time.
     pub(super) fn forget_old(&mut self, now: Micros) {
         self.ends
             .retain(|_, end| end.sent_at.is_none() || end.sent_within(now, MAX_UNACKNOWLEDGED));
     }
 
-    /// Returns the number of ends that no client has taken, or may not have read yet.
+    /// Returns the number of task ends that were never sent, or were sent so recently that the client may not have read
+    /// them yet.
     pub(super) fn unconfirmed(&self, now: Micros) -> usize {
         let ends = self.ends.values();
         ends.filter(|end| end.sent_at.is_none() || end.sent_within(now, DELIVERY_TIME))
             .count()
     }
 
-    /// Whether an end is on its way to a client, or will be sent on other connections soon.
+    /// Returns whether a task end is in transit to a client, or will soon be sent on other connections.
     pub(super) fn is_delivering(&self, now: Micros) -> bool {
         let mut ends = self.ends.values();
         ends.any(|end| !end.waits_for_client || end.sent_within(now, ACKNOWLEDGE_TIMEOUT))
--- a/src/net/clients/read_summary.rs
+++ b/src/net/clients/read_summary.rs
@@ -1,12 +1,12 @@
-//! What a read from a client brought.
+//! Summary of one read from a client connection.
 
-/// What one read from a client brought.
+/// Describes the data that one read from a client returned.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadSummary {
-    /// Bytes that were read.
+    /// Number of bytes read.
     pub bytes: usize,
-    /// Whether it completed at least one message.
+    /// Whether the read completed at least one message.
     pub has_message: bool,
-    /// Whether part of another message is left.
+    /// Whether an incomplete message is left in the buffer.
     pub has_partial_message: bool,
 }
--- a/src/net/clients/status.rs
+++ b/src/net/clients/status.rs
@@ -1,51 +1,55 @@
-//! Tells whether a client that waits for a response is still there, before an attempt for it is sent.
+//! Tells whether a client is still waiting for a response, before an attempt for it is sent to a host.
 
 use super::id::ClientId;
 use super::table::Clients;
 use crate::net::conn::Unread;
 use task_placer::{HostId, Micros};
 
-/// How much of what a client has sent may be read before an attempt for it is sent: more than a system's usual buffer.
-/// Guards the attempts of a client that sends faster than it is read.
+/// Limit in bytes of the input that is read from a client before an attempt for it is sent. The limit is larger than
+/// the usual socket buffer of an operating system, and keeps a client that sends faster than it is read from delaying
+/// its own attempts forever.
 const MAX_READ_AHEAD_BYTES: u64 = 256 * 1024;
-/// The same after a stall of this process: more than a system's largest buffer, since all that waits in it is old.
+/// Limit in bytes of the input that is read from a client before an attempt for it is sent, after a stall of this
+/// process. It is larger than the largest socket buffer of an operating system, since all input waiting in the buffer
+/// is old.
 const MAX_READ_AHEAD_AFTER_STALL_BYTES: u64 = 16 * 1024 * 1024;
-/// Input that has waited for so long may hold a cancellation that has to take effect at once: within 100 ms (the
-/// protocol's figure).
+/// Waiting time from which unread input counts as old: it may hold a cancellation, which has to take effect within 100
+/// ms, as the protocol requires.
 const LONG_INPUT_WAIT: Micros = 50_000;
 
-/// How far a client must be read until an attempt for it may be sent.
+/// The position up to which a client's input must be read before an attempt for it may be sent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ReadMark {
-    /// The connection that it is about.
+    /// The connection to which the positions refer.
     pub(super) client: ClientId,
-    /// The position in its input, in bytes from the start.
+    /// The required position in the input, in bytes from the start of the connection.
     pub(super) position: u64,
-    /// Whether nothing beyond the position had arrived at that time.
+    /// Whether no input beyond `position` had arrived when this mark was made.
     pub(super) covers_all: bool,
-    /// The position from which on nothing is waited for.
+    /// The position in the input, in bytes, beyond which an attempt no longer waits for unread input.
     pub(super) max_position: u64,
 }
 
-/// Whether a client that waits for a response is still there.
+/// Whether a client that waits for a response is still connected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ClientStatus {
-    /// It is, as far as its input shows.
+    /// The client is connected, as far as its input shows.
     Connected,
-    /// It has closed its connection, or the connection is closing.
+    /// The client has closed its connection, or the connection is closing.
     Disconnected,
-    /// It has sent something that was not read yet: it may have cancelled the request.
+    /// The client has sent input that has not been read yet and may cancel the request. The mark, if any, is passed to
+    /// the next check.
     UnreadInput(Option<ReadMark>),
 }
 
 impl Clients {
-    /// Returns whether a client is still there, for an attempt at a host.
+    /// Returns whether a client is still connected, before an attempt for it is sent to `host`.
     ///
-    /// Guards against an attempt that begins after its client has closed the connection or cancelled the request: a
-    /// request and its cancellation arrive in one read, and after a stall of this process hosts may be read before
-    /// clients are. What the client had sent by the time of the first look (`mark`) is read before the attempt is sent;
-    /// what it sends later is not waited for, or one that never pauses would hold up its own attempts.
-    /// `input_wait` is for how long unread input may have been waiting.
+    /// This prevents an attempt after its client has closed the connection or cancelled the request: a request and its
+    /// cancellation may arrive in one read, and after a stall of this process hosts may be read before clients. Input
+    /// that the client had sent by the time of the first check (`mark`) is read before the attempt is sent. Later input
+    /// is not waited for; otherwise a client that sends without pause would hold up its own attempts. `input_wait` is
+    /// the time for which unread input may have been waiting.
     pub fn status(
         &mut self,
         id: ClientId,
--- a/src/net/clients/status/tests.rs
+++ b/src/net/clients/status/tests.rs
@@ -10,37 +10,48 @@
 
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// A client, and its end of the connection.
+/// Returns a table with one client, the client's id, and the client's end of the connection.
 fn client() -> (Clients, ClientId, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let peer =
-        TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-    let (stream, _) = listener.accept().expect("a connection");
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a port");
+    let peer = TcpStream::connect(
+        listener
+            .local_addr()
+            .expect("failed to read the local address"),
+    )
+    .expect("failed to connect");
+    let (stream, _) = listener.accept().expect("failed to accept the connection");
     let mut clients = Clients::new(256, 0);
     let id = clients.insert(
         0,
-        Rc::new(Connection::new(Async::new(stream).expect("a socket"))),
+        Rc::new(Connection::new(
+            Async::new(stream).expect("failed to register the socket"),
+        )),
         None,
     );
     (clients, id, peer)
 }
 
-/// Returns how many reads of a client that never pauses are waited for, whose input has waited for this long.
+/// Returns the number of reads for which an attempt waits, if its client sends without pause and its input has been
+/// waiting for `input_wait`.
 fn awaited_reads(input_wait: Micros) -> u64 {
     let (mut clients, id, mut peer) = client();
     let host = HostId(Arc::from("h0"));
-    peer.write_all(&[0; 8 * CHUNK_BYTES]).expect("it has room");
+    peer.write_all(&[0; 8 * CHUNK_BYTES])
+        .expect("failed to write to the socket");
     let (mut mark, mut reads) = (None, 0);
-    // As much as before waits each time that some was read.
+    // The unread input never shrinks: reads are only simulated.
     while let ClientStatus::UnreadInput(next) = clients.status(id, mark, &host, input_wait) {
         mark = next;
         assert_eq!(
             clients.input_processed(id, CHUNK_BYTES).len(),
             1,
-            "the host where it waits"
+            "the host whose attempt waits is returned"
         );
         reads += 1;
-        assert!(reads < 10_000, "{reads} reads");
+        assert!(
+            reads < 10_000,
+            "the attempt still waits after {reads} reads"
+        );
     }
     assert_eq!(clients.status(id, mark, &host, 0), ClientStatus::Connected);
     reads
@@ -53,19 +64,21 @@
     assert_eq!(awaited_reads(LONG_INPUT_WAIT - 1), limit);
 }
 
-// Regression: after a stall, a cancellation behind more input than the limit was read only after the attempt was sent.
+// Regression: after a stall, a cancellation behind more input than the usual limit was read only after the attempt had
+// been sent.
 #[test]
 fn after_a_stall_all_that_a_buffer_may_hold_is_read_before_an_attempt() {
     let limit = MAX_READ_AHEAD_AFTER_STALL_BYTES / CHUNK_BYTES as u64;
     assert_eq!(awaited_reads(LONG_INPUT_WAIT), limit);
 }
 
-/// A client that has sent ten bytes, and the mark that an attempt for it waits for.
+/// Returns a client that has sent ten bytes, and the mark that an attempt for it waits for.
 fn client_with_unread_input(host: &HostId) -> (Clients, ClientId, TcpStream, Option<ReadMark>) {
     let (mut clients, id, mut peer) = client();
-    peer.write_all(&[0; 10]).expect("it has room");
+    peer.write_all(&[0; 10])
+        .expect("failed to write to the socket");
     let ClientStatus::UnreadInput(mark @ Some(_)) = clients.status(id, None, host, 0) else {
-        panic!("ten bytes wait")
+        panic!("the ten bytes are not reported as unread input")
     };
     (clients, id, peer, mark)
 }
@@ -79,7 +92,7 @@
     clients.input_processed(id, 10);
     let after = clients.status(id, mark, &host, 0);
 
-    assert_eq!(before, ClientStatus::UnreadInput(mark), "nothing was read");
+    assert_eq!(before, ClientStatus::UnreadInput(mark), "no input was read");
     assert_eq!(after, ClientStatus::Connected);
 }
 
@@ -110,7 +123,7 @@
 
     assert!(
         matches!(status, ClientStatus::UnreadInput(_)),
-        "its messages are being processed"
+        "the client's messages are still being processed"
     );
 }
 
--- a/src/net/clients/table.rs
+++ b/src/net/clients/table.rs
@@ -1,4 +1,4 @@
-//! The table of connections from clients, and what is pending on each.
+//! The table of client connections, with the responses and task ends that are pending on each.
 
 use super::id::ClientId;
 use super::pending_task_ends::PendingTaskEnds;
@@ -10,35 +10,35 @@
 use task_placer::facade::Ticket;
 use task_placer::{HostId, Micros};
 
-/// A connection this young may still be waiting for its first message: it is not closed for another.
+/// Age below which a connection may still be waiting for its first message, and is not evicted for another connection.
 pub(super) const MIN_CONNECTION_AGE: Micros = 100_000;
 
 /// One connection from a client.
 pub(super) struct Client {
     pub(super) conn: Rc<Connection>,
-    /// Requests on it whose response is pending.
+    /// Requests from this connection whose response is pending.
     pub(super) pending_responses: BTreeSet<Ticket>,
-    /// When the last message arrived, or the connection.
+    /// When the last message arrived, or when the connection was added if there was none.
     pub(super) last_message_at: Micros,
-    /// Since when a whole message is awaited: from the start, or since part of one arrived.
+    /// Since when a whole message is awaited: since the connection was added, or since part of a message arrived.
     pub(super) message_awaited_since: Option<Micros>,
-    /// A whole message has arrived.
+    /// Whether a whole message has arrived.
     pub(super) has_sent_message: bool,
-    /// A message has arrived that only clients send: it is no load balancer's that only checks health.
+    /// Whether a message has arrived that only clients send, which excludes load balancers that only check health.
     pub(super) is_client: bool,
-    /// A task has run that was requested or adopted on it.
-    pub(super) is_proven: bool,
-    /// Whether the last end of a task that was sent on it was acknowledged in time, if any was sent.
+    /// Whether a task that was requested or adopted on this connection has run.
+    pub(super) has_run_task: bool,
+    /// Whether the last task end sent on this connection was acknowledged in time; `None` if none was sent.
     pub(super) acknowledges_ends: Option<bool>,
-    /// Running tasks that were requested or adopted on it.
+    /// Number of running tasks that were requested or adopted on this connection.
     pub(super) running_tasks: usize,
-    /// Since when its first input may have been waiting, until that is read.
+    /// Since when the first input of the connection may have been waiting; `None` once that input has been read.
     pub(super) input_waits_since: Option<Micros>,
-    /// Bytes that were read from it.
+    /// Number of bytes read from this connection and processed.
     pub(super) bytes_read: u64,
-    /// What arrived with the last read is being processed.
+    /// Whether the input of the last read is being processed.
     pub(super) is_processing: bool,
-    /// Hosts where attempts wait until its input has been processed.
+    /// Hosts whose attempts wait until the input of this connection has been processed.
     pub(super) waiting_hosts: BTreeSet<HostId>,
 }
 
@@ -52,7 +52,7 @@
             message_awaited_since: Some(now),
             has_sent_message: false,
             is_client: false,
-            is_proven: false,
+            has_run_task: false,
             acknowledges_ends: None,
             running_tasks: 0,
             input_waits_since: waits_since.filter(|_| has_input),
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Whether a response is pending on it, part of a message is read, something is unsent or unread, or may arrive
-    /// just now.
+    /// Returns whether a response is pending on the connection, a message is partly read, data is unsent or unread, or
+    /// the connection is so new that its first message may be about to arrive.
     pub(super) fn is_busy(&self, now: Micros) -> bool {
         let is_new = !self.has_sent_message && now - self.last_message_at < MIN_CONNECTION_AGE;
         let is_quiet = self.conn.is_flushed()
@@ -73,24 +73,25 @@
     }
 }
 
-/// All connections from clients.
+/// All connections from clients, with the task ends that are to be delivered to them.
 pub struct Clients {
     pub(super) connections: BTreeMap<ClientId, Client>,
     next_id: u64,
-    /// Ends of tasks that no client has acknowledged.
+    /// Task ends that no client has acknowledged.
     pub(super) task_ends: PendingTaskEnds,
-    /// Descriptors of the whole process.
+    /// Limit of descriptors of the whole process.
     max_descriptors: usize,
-    /// Connections that still read what arrives after their shutdown.
+    /// Number of connections that have been removed from the table but keep their descriptors until their shutdown
+    /// completes.
     pub(super) shutting_down: usize,
-    /// Descriptors set apart for load balancers and operators.
+    /// Number of descriptors reserved for load balancers and operators.
     reserved_descriptors: usize,
-    /// Connections without a task are closed.
+    /// Whether connections without running tasks are closed.
     pub(super) closes_idle: bool,
 }
 
 impl Clients {
-    /// Creates an empty table of connections within the descriptors of the whole process, less the reserved ones.
+    /// Creates an empty table. Connections may use the process's descriptors, except for the reserved ones.
     pub fn new(max_descriptors: usize, reserved_descriptors: usize) -> Clients {
         Clients {
             connections: BTreeMap::new(),
@@ -103,7 +104,8 @@
         }
     }
 
-    /// Adds a connection. It and its first input may have been waiting since the time stated, if one is.
+    /// Adds a connection, and returns its id. The connection and its first input may have been waiting since
+    /// `waits_since`, if that is known.
     pub fn insert(
         &mut self,
         now: Micros,
@@ -117,8 +119,8 @@
         id
     }
 
-    /// Removes a closed connection, and returns the requests whose response was pending on it. Guards against the end of
-    /// a task that was written to it and not acknowledged: it is sent again on another.
+    /// Removes a closed connection, and returns the requests whose response was pending on it. Task ends that were sent
+    /// on it and not acknowledged are sent again on another connection, so that they are not lost with it.
     pub fn remove(&mut self, now: Micros, id: ClientId) -> BTreeSet<Ticket> {
         let client = self.connections.remove(&id);
         let pending_responses = client.map(|client| client.pending_responses);
@@ -128,7 +130,7 @@
         pending_responses.unwrap_or_default()
     }
 
-    // ---- What arrives ----
+    // ---- Input ----
 
     /// Records that a whole message arrived.
     pub fn message_received(&mut self, now: Micros, id: ClientId) {
@@ -139,12 +141,12 @@
         }
     }
 
-    /// Returns since when the input of a connection may have been waiting that is read now, where that is known.
+    /// Returns since when the input that is now being read from a connection may have been waiting, if that is known.
     pub fn input_waits_since(&self, id: ClientId) -> Option<Micros> {
         self.connections.get(&id)?.input_waits_since
     }
 
-    /// Records what one read brought, once all its messages have been processed.
+    /// Records the result of one read, after all its messages have been processed.
     pub fn input_read(&mut self, now: Micros, id: ClientId, summary: ReadSummary) {
         let Some(client) = self.connections.get_mut(&id) else {
             return;
@@ -160,15 +162,15 @@
         };
     }
 
-    /// Records that a message is being processed, and others that arrived with it may follow.
+    /// Records that a message is being processed, and that other messages of the same read may follow.
     pub fn input_processing_started(&mut self, id: ClientId) {
         if let Some(client) = self.connections.get_mut(&id) {
             client.is_processing = true;
         }
     }
 
-    /// Records that all that arrived with the last read has been processed, and returns the hosts where attempts waited
-    /// for that.
+    /// Records that all input of the last read, `bytes` long, has been processed, and returns the hosts whose attempts
+    /// waited for that.
     pub fn input_processed(&mut self, id: ClientId, bytes: usize) -> BTreeSet<HostId> {
         let Some(client) = self.connections.get_mut(&id) else {
             return BTreeSet::new();
@@ -178,14 +180,14 @@
         std::mem::take(&mut client.waiting_hosts)
     }
 
-    /// Records that an attempt for this client waits at a host until its input has been processed.
+    /// Records that an attempt for this client waits at `host` until the client's input has been processed.
     pub fn wait_for_input(&mut self, id: ClientId, host: &HostId) {
         if let Some(client) = self.connections.get_mut(&id) {
             client.waiting_hosts.insert(host.clone());
         }
     }
 
-    // ---- What is pending ----
+    // ---- Pending responses and running tasks ----
 
     /// Records that a response is pending on a connection.
     pub fn response_pending(&mut self, id: ClientId, ticket: Ticket) {
@@ -201,21 +203,21 @@
         }
     }
 
-    /// Records that a task has run which was requested or adopted on a connection.
+    /// Records that a task which was requested or adopted on this connection has run.
     pub fn record_task_run(&mut self, id: ClientId) {
         if let Some(client) = self.connections.get_mut(&id) {
-            client.is_proven = true;
+            client.has_run_task = true;
         }
     }
 
-    /// Records that a task runs which was requested or adopted on a connection.
+    /// Records that a task which was requested or adopted on this connection is running.
     pub fn running_task_started(&mut self, id: ClientId) {
         if let Some(client) = self.connections.get_mut(&id) {
             client.running_tasks += 1;
         }
     }
 
-    /// Records that such a task no longer runs.
+    /// Records that a task which was requested or adopted on this connection has ended.
     pub fn running_task_ended(&mut self, id: ClientId) {
         if let Some(client) = self.connections.get_mut(&id) {
             client.running_tasks = client.running_tasks.saturating_sub(1);
@@ -224,14 +226,14 @@
 
     // ---- Writing and closing ----
 
-    /// Writes to a connection, if it is still there.
+    /// Writes to a connection, if it still exists.
     pub fn send(&self, now: Micros, id: ClientId, bytes: &[u8]) {
         if let Some(client) = self.connections.get(&id) {
             client.conn.send(now, bytes);
         }
     }
 
-    /// Closes a connection.
+    /// Closes a connection for the given reason, if it still exists.
     pub fn close(&self, id: ClientId, reason: CloseReason) {
         if let Some(client) = self.connections.get(&id) {
             client.conn.close(reason);
@@ -244,25 +246,26 @@
         clients.filter(|client| !client.conn.is_flushed()).count()
     }
 
-    /// Whether all that was sent has been handed to the system.
+    /// Returns whether all data sent to clients has been handed to the kernel.
     pub fn is_flushed(&self) -> bool {
         let mut clients = self.connections.values();
         clients.all(|client| client.conn.is_flushed())
     }
 
-    /// Whether no connection is busy.
+    /// Returns whether every connection is closing or idle: no response is pending and no data is unsent, unread or
+    /// expected.
     pub fn is_quiescent(&self, now: Micros) -> bool {
         let mut clients = self.connections.values();
         clients.all(|client| client.conn.is_closing() || !client.is_busy(now))
     }
 
-    /// Whether nothing waits to be read on any connection.
+    /// Returns whether no open connection has unread input.
     pub(super) fn has_no_unread_input(&self) -> bool {
         let mut clients = self.connections.values();
         clients.all(|client| client.conn.is_closing() || client.conn.has_no_unread_input())
     }
 
-    /// Closes all connections for writing, and reads nothing more from them.
+    /// Shuts down the write side of all connections, and stops reading from them.
     pub(super) fn shutdown_unread(&self) {
         let clients = self.connections.values();
         clients.for_each(|client| client.conn.shutdown_unread());
@@ -270,29 +273,29 @@
 
     // ---- Limits ----
 
-    /// Sets the descriptors of the whole process.
+    /// Sets the limit of descriptors of the whole process.
     pub fn set_descriptor_limit(&mut self, max_descriptors: usize) {
         self.max_descriptors = max_descriptors;
     }
 
-    /// Returns how the descriptors are split with this number of hosts.
+    /// Returns how the descriptors are divided between clients and other uses with this number of hosts.
     pub fn descriptor_quotas(&self, hosts: usize) -> DescriptorQuotas {
         DescriptorQuotas::split(self.max_descriptors, self.reserved_descriptors, hosts)
     }
 
-    /// Returns how many connections there may be with this number of hosts.
+    /// Returns the limit of client connections with this number of hosts.
     pub fn connection_limit(&self, hosts: usize) -> usize {
         self.descriptor_quotas(hosts).clients
     }
 
-    /// Returns how many connections there are, with those that are shutting down.
+    /// Returns the number of open connections, including those that are shutting down.
     pub fn live_connections(&self) -> usize {
         let clients = self.connections.values();
         let open = clients.filter(|client| !client.conn.is_closing()).count();
         open + self.shutting_down
     }
 
-    /// Whether another connection would exceed the limit.
+    /// Returns whether another connection would exceed the limit with this number of hosts.
     pub fn is_full(&self, hosts: usize) -> bool {
         self.live_connections() >= self.connection_limit(hosts)
     }
--- a/src/net/clients/task_ends.rs
+++ b/src/net/clients/task_ends.rs
@@ -1,7 +1,7 @@
-//! Sends the ends of running tasks to clients, and keeps each until a client has acknowledged it.
+//! Sends the ends of running tasks to clients, and keeps each one until a client has acknowledged it.
 //!
-//! The end of a task belongs to no connection: it goes out on the one that is the most likely to be read, and on others if
-//! it is not acknowledged soon, or if that connection closes first.
+//! The end of a task is not tied to a connection: it is sent on the connection that is most likely to be read, and then
+//! on others if it is not acknowledged soon or that connection closes first.
 
 use super::id::ClientId;
 use super::pending_task_ends::TaskEndCounters;
@@ -12,22 +12,23 @@
 use tracing::info;
 
 impl Clients {
-    /// Returns the number of ends of tasks that no client has taken, or may not have read yet.
+    /// Returns the number of task ends that were never sent, or were sent so recently that the client may not have read
+    /// them yet.
     pub fn unconfirmed_task_ends(&self, now: Micros) -> usize {
         self.task_ends.unconfirmed(now)
     }
 
-    /// Returns what became of the ends of tasks, for the metrics.
+    /// Returns the counts of task ends by outcome, for the metrics.
     pub fn task_end_counters(&self) -> TaskEndCounters {
         self.task_ends.counters()
     }
 
-    /// Whether the end of a task is on its way to a client, or will be sent on another connection soon.
+    /// Returns whether a task end is in transit to a client, or will soon be sent on another connection.
     pub fn is_delivering_task_ends(&self, now: Micros) -> bool {
         self.task_ends.is_delivering(now)
     }
 
-    /// Records that a client has acknowledged the end of this task.
+    /// Records that a client has acknowledged the end of this task on connection `id`.
     pub fn task_end_acknowledged(&mut self, id: ClientId, task: TaskId) {
         if !self.task_ends.acknowledge(task) {
             return;
@@ -38,8 +39,9 @@
         }
     }
 
-    /// Records a message that only clients send: the connection is sent what found no other. Guards the ends of tasks
-    /// against load balancers, which check health on connections of their own and read nothing but the result.
+    /// Records that a message that only clients send has arrived on this connection. On the first such message, the
+    /// task ends that wait for a client are sent on it. Task ends are sent only on these connections because load
+    /// balancers check health on connections of their own and read nothing but the result.
     pub fn client_traffic_seen(&mut self, now: Micros, id: ClientId) {
         let client = self.connections.get_mut(&id);
         let is_first = client.is_some_and(|client| !std::mem::replace(&mut client.is_client, true));
@@ -50,11 +52,11 @@
         }
     }
 
-    /// Sends the end of a task whose response went out on this connection just now.
+    /// Sends the end of a task on the connection on which its response has just been sent.
     ///
-    /// Guards against an end on another connection that its client reads before the response: it would be taken for the
-    /// response, and the response for a second one. Where the connection has closed, the response is on its way or lost
-    /// already.
+    /// On another connection, the client could read the task end before the response, take it for the response, and
+    /// take the response for a second one. If the connection has closed, the end is sent on another: the response is
+    /// already in transit or lost.
     pub fn send_task_end_after_response(
         &mut self,
         now: Micros,
@@ -73,17 +75,17 @@
         self.task_ends.record_round(now, task, vec![id]);
     }
 
-    /// Sends the end of a task. It belongs to no connection; with none open, the next client that sends a message gets
-    /// it.
+    /// Sends the end of a task on the most suitable connection. If there is none, the task end is sent to the next
+    /// client that sends a message.
     pub fn send_task_end(&mut self, now: Micros, task: TaskId, bytes: Vec<u8>) {
         self.task_ends.insert(task, bytes);
         self.deliver_task_end(now, task);
     }
 
-    /// Sends the ends again that were not acknowledged in time.
+    /// Sends the task ends that were not acknowledged in time again on other connections.
     ///
-    /// Guards against clients that have fallen silent with their connections open, and against those that never knew the
-    /// task: writing to either succeeds, and nothing else would ever show that the end has not arrived.
+    /// Writing succeeds even if the client has stopped reading with its connection open or never knew the task, so a
+    /// missing acknowledgement is the only sign that the task end has not arrived.
     pub fn resend_task_ends(&mut self, now: Micros) {
         for (task, connections) in self.task_ends.overdue(now) {
             for id in connections {
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Sends an end on the best connections that have not had it yet.
+    /// Sends a task end on the most suitable connections on which it has not been sent yet.
     pub(super) fn deliver_task_end(&mut self, now: Micros, task: TaskId) {
         let Some(end) = self.task_ends.get(task) else {
             return;
@@ -108,7 +110,7 @@
             })
             .collect();
         candidates.sort_by_key(|(id, client)| Reverse((likelihood_of_delivery(client), **id)));
-        // One that has closed under the write has been sent nothing.
+        // A connection that fails before anything is written does not count as tried.
         let sent_on: Vec<ClientId> = candidates
             .into_iter()
             .filter(|(_, client)| client.conn.send(now, &end.bytes))
@@ -120,15 +122,16 @@
     }
 }
 
-/// Orders connections by how likely an end is read there. One that has acknowledged ends is a client's and is read; one
-/// that has left an end unacknowledged comes last. Of the others, one on which a task was placed is no load balancer's,
-/// and the one that sent last is the least likely to be closing under our hands.
+/// Ranks connections by how likely a task end sent on them is read. A connection that acknowledged its last task end is
+/// a client's and is being read; one that left its last task end unacknowledged ranks lowest. Among the others, a
+/// connection on which a task was placed is not a load balancer's, and the one that sent a message last is the least
+/// likely to be closing at the moment.
 fn likelihood_of_delivery(client: &Client) -> impl Ord + use<> {
     (
         client.acknowledges_ends != Some(false),
         client.acknowledges_ends == Some(true),
         client.conn.is_flushed(),
-        client.is_proven,
+        client.has_run_task,
         !client.pending_responses.is_empty(),
         client.last_message_at,
     )
--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -17,17 +17,18 @@
     let passed = clock.now() - first;
 
     assert!((0..SECOND).contains(&(first - unix_before)), "{first}");
-    let elapsed = Micros::try_from(started_at.elapsed().as_micros()).expect("a short time");
+    let elapsed = Micros::try_from(started_at.elapsed().as_micros())
+        .expect("the elapsed time does not fit into Micros");
     assert!((20_000..=elapsed + 1_000).contains(&passed), "{passed}");
 }
 
 #[test]
 fn step_of_the_systems_unix_clock_changes_no_span() {
     for step in [-HOUR, -5 * SECOND, 5 * SECOND, HOUR] {
-        // As after a step since the start, ten seconds ago.
+        // Simulates a step of the Unix clock since the start of the process ten seconds ago.
         let started_at = Instant::now()
             .checked_sub(Duration::from_secs(10))
-            .expect("the machine is up for longer");
+            .expect("the machine has not been up for long enough");
         let clock = Clock {
             started_at,
             unix_at_start: unix_now() - 10 * SECOND - step,
@@ -53,7 +54,7 @@
 fn recent_start_stays_recent_after_a_step_of_this_clock_or_of_all_clocks() {
     for step in [-HOUR, -5 * SECOND, 5 * SECOND, HOUR] {
         let started = NOW - 2 * SECOND;
-        // Stated by a machine whose clock was not stepped, and by one whose clock was stepped as well.
+        // The time is stated by a machine whose clock was not stepped, or by one whose clock was stepped as well.
         for stated in [started, started + step] {
             let age = NOW - convert_unix(stated, NOW, NOW + step);
 
@@ -67,7 +68,7 @@
     let stall = 9 * SECOND;
     let started_at = Instant::now()
         .checked_sub(Duration::from_secs(9))
-        .expect("the machine is up for longer");
+        .expect("the machine has not been up for long enough");
     let clock = Clock {
         started_at,
         unix_at_start: NOW,
@@ -75,6 +76,7 @@
 
     let now = clock.now();
 
-    let elapsed = Micros::try_from(started_at.elapsed().as_micros()).expect("a short time");
+    let elapsed = Micros::try_from(started_at.elapsed().as_micros())
+        .expect("the elapsed time does not fit into Micros");
     assert!((NOW + stall..=NOW + elapsed).contains(&now), "{now}");
 }
--- a/src/net/conn.rs
+++ b/src/net/conn.rs
@@ -1,5 +1,5 @@
-//! Owns one TCP connection: reads it in chunks, and writes to it through a bounded queue. It never waits for a peer, and
-//! knows nothing of what is sent on it.
+//! Owns one TCP connection: reads it in chunks, and writes to it through a bounded queue. It never blocks on a peer,
+//! and does not know the messages that are sent.
 
 mod close_reason;
 mod reading;
@@ -18,35 +18,36 @@
 use std::time::{Duration, Instant};
 use task_placer::Micros;
 
-/// The pause after a call of the system that failed for a moment.
+/// Pause after a system call that failed temporarily.
 const TEMPORARY_FAULT_PAUSE: Duration = Duration::from_millis(1);
 
-/// A connection that is shared by the task that runs it and by those who write to it.
+/// A TCP connection, shared by the async task that runs it and the code that writes to it.
 pub struct Connection {
     stream: Async<TcpStream>,
-    /// What the socket has not taken yet.
+    /// Bytes that the socket has not taken yet.
     queue: RefCell<Vec<u8>>,
-    /// Since when the queue has made no progress, and whether it has made some since that was recorded.
+    /// Since when the queue has made no progress.
     stalled_since: Cell<Micros>,
+    /// Whether the queue has made progress since `stalled_since` was last updated.
     has_progressed: Cell<bool>,
-    /// Since when part of a message waits for its rest.
+    /// Since when an incomplete message has been waiting for its remainder.
     partial_since: Cell<Option<Instant>>,
-    /// When something last arrived, or the connection came up.
+    /// When data last arrived, or when the connection was created if none has.
     last_received_at: Cell<Instant>,
-    /// Since when the answer to a check of the connection is awaited.
+    /// When the unanswered connection check was sent; `None` if no answer is awaited.
     check_sent_at: Cell<Option<Instant>>,
-    /// Why it is closing, if it is.
+    /// Why the connection is closing; `None` while it is open.
     close_reason: Cell<Option<CloseReason>>,
-    /// Nothing more is read from it.
+    /// Whether reading from the connection has stopped.
     stops_reading: Cell<bool>,
-    /// Wakes the task that runs it.
+    /// Wakes the async task that runs the connection.
     wake: (Sender<()>, Receiver<()>),
 }
 
 impl Connection {
-    /// Takes over a connected stream.
+    /// Creates a connection from a connected stream, and sets `TCP_NODELAY` on it.
     pub fn new(stream: Async<TcpStream>) -> Connection {
-        // Without it small messages wait for the peer's acknowledgements.
+        // Without `TCP_NODELAY`, small messages wait for the peer's acknowledgements.
         let _ = stream.get_ref().set_nodelay(true);
         Connection {
             stream,
@@ -62,7 +63,7 @@
         }
     }
 
-    /// Closes the connection; the first reason counts.
+    /// Closes the connection. If it is closed more than once, the first reason is kept.
     pub fn close(&self, reason: CloseReason) {
         if self.close_reason.get().is_none() {
             self.close_reason.set(Some(reason));
@@ -70,42 +71,45 @@
         let _ = self.wake.0.try_send(());
     }
 
-    /// Closes our side, after what was handed to the system; the peer's is still read.
+    /// Shuts down the write side of the socket, after the data that was handed to the kernel. Data from the peer is
+    /// still read.
     pub fn shutdown_write(&self) {
         let _ = self.stream.get_ref().shutdown(Shutdown::Write);
     }
 
-    /// Closes our side, and reads nothing more. Guards against requests that cross the close: one that is read has been
-    /// taken, and one that is left unread is sent again by its client elsewhere.
+    /// Shuts down the write side of the socket, and stops reading. A request that arrives at the same time as the close
+    /// must stay unread: a request that is read counts as taken, and one that is left unread is sent elsewhere by its
+    /// client.
     pub fn shutdown_unread(&self) {
         self.stops_reading.set(true);
         self.shutdown_write();
     }
 
-    /// Whether it is closing or has failed.
+    /// Returns whether the connection is closing or has failed.
     pub fn is_closing(&self) -> bool {
         self.close_reason.get().is_some()
     }
 
-    /// Whether it is closing for what the peer did on it or for another's need, and not because it failed.
+    /// Returns whether the connection is being closed by choice, because of the peer's behaviour or because its
+    /// descriptor is needed elsewhere, and not because it failed.
     pub fn is_closed_deliberately(&self) -> bool {
         self.close_reason
             .get()
             .is_some_and(|reason| !matches!(reason, CloseReason::Reset | CloseReason::Failed(_)))
     }
 
-    /// Keeps what the system queues of our writes small. Guards against attempts that can't be taken back: what a peer
-    /// that reads slowly has not taken waits here.
+    /// Limits the size of the kernel's send buffer. An attempt in the kernel's buffer cannot be withdrawn, whereas data
+    /// that a slow peer has not taken yet stays in the queue of this process.
     pub fn limit_send_buffer(&self) {
         let _ = rustix::net::sockopt::set_socket_send_buffer_size(&self.stream, CHUNK_BYTES);
     }
 
-    /// Whether part of a message has arrived.
+    /// Returns whether an incomplete message has arrived.
     pub fn has_partial_message(&self) -> bool {
         self.partial_since.get().is_some()
     }
 
-    /// Closes a connection on which part of a message has waited for its rest for longer than `timeout`.
+    /// Closes the connection if an incomplete message has waited for its remainder for longer than `timeout`.
     pub fn close_if_partial(&self, timeout: Duration) {
         let since = self.partial_since.get();
         if since.is_some_and(|since| since.elapsed() > timeout) {
@@ -113,19 +117,19 @@
         }
     }
 
-    /// Returns for how long nothing has arrived.
+    /// Returns the time since data last arrived.
     pub fn silent_for(&self) -> Duration {
         self.last_received_at.get().elapsed()
     }
 
-    /// Sends a message that the peer answers at once, unless the answer to an earlier one is awaited.
+    /// Sends a check message, which the peer answers at once, unless the answer to an earlier check is still awaited.
     pub fn send_check(&self, now: Micros, message: &[u8]) {
         if self.check_sent_at.get().is_none() && self.send(now, message) {
             self.check_sent_at.set(Some(Instant::now()));
         }
     }
 
-    /// Whether a check was sent longer ago than `timeout`, and nothing has arrived since.
+    /// Returns whether a check was sent longer than `timeout` ago and nothing has arrived since.
     pub fn check_failed(&self, timeout: Duration) -> bool {
         let sent_at = self.check_sent_at.get();
         sent_at.is_some_and(|at| at.elapsed() > timeout)
--- a/src/net/conn/close_reason.rs
+++ b/src/net/conn/close_reason.rs
@@ -1,27 +1,27 @@
-//! Why connections end, as the log names it.
+//! Reasons for the end of a connection, with their names in the log.
 
 use crate::net::codec::Malformed;
 use std::fmt;
 use std::io::{self, ErrorKind};
 
-/// Why a connection ended.
+/// The reason why a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The peer closed it.
+    /// The peer closed the connection.
     Closed,
-    /// The peer or its machine reset it.
+    /// The peer or its machine reset the connection.
     Reset,
-    /// Another failure of the socket.
+    /// The socket failed with another error.
     Failed(ErrorKind),
-    /// The peer reads too slowly: its write queue is full.
+    /// The peer reads too slowly, and its write queue is full.
     QueueFull,
-    /// The peer takes nothing from its write queue.
+    /// The peer has not taken any data from its write queue for too long.
     WriteStalled,
-    /// The peer sent what is no message.
+    /// The peer sent data that is not a valid message.
     Malformed(Malformed),
-    /// Nothing happened on it.
+    /// The connection was idle for too long.
     Idle,
-    /// The host was removed or has another address.
+    /// The host was removed or its address changed.
     HostRemoved,
     /// The peer sent nothing for too long.
     Silent,
@@ -29,18 +29,19 @@
     Replaced,
     /// The feed's sequence numbers leave a gap.
     SequenceGap,
-    /// The peer never sent a whole message, or left one unfinished.
+    /// The peer did not send a whole message in time, or left a message incomplete.
     HandshakeTimeout,
-    /// Its descriptor is needed for another.
+    /// The descriptor is needed for another connection.
     Evicted,
-    /// It carries no task, and the process is draining.
+    /// The connection carries no task, and the process is draining.
     Draining,
-    /// A request under the id of another that is open.
+    /// The peer sent a request with the id of another open request.
     IdInUse,
 }
 
 impl CloseReason {
-    /// Whether this process closed the connection since what its peer sent cannot be read; the peer may be sending on.
+    /// Returns whether this process closed the connection because the peer's input could not be read. The peer may
+    /// still be sending.
     pub fn is_unreadable_input(self) -> bool {
         matches!(
             self,
--- a/src/net/conn/reading.rs
+++ b/src/net/conn/reading.rs
@@ -1,4 +1,4 @@
-//! Reading: in chunks, until the peer or this process ends the connection, and what is read after that.
+//! Reads a connection in chunks until the peer or this process ends it, and reads the remaining input after that.
 
 use super::{CloseReason, Connection, TEMPORARY_FAULT_PAUSE};
 use crate::net::system_error::is_short_of_memory;
@@ -8,43 +8,44 @@
 use std::io::{self, ErrorKind, Read};
 use std::time::{Duration, Instant};
 
-/// Bytes that one read takes at most.
+/// Limit of bytes per read.
 pub(super) const CHUNK_BYTES: usize = 16 * 1024;
-/// Bytes that are read at most from a connection that has failed.
+/// Limit of bytes read from a connection after it has failed.
 const MAX_BYTES_AFTER_FAILURE: usize = 64 * CHUNK_BYTES;
-/// Bytes that are read at most from a connection after our end of it.
+/// Limit of bytes read from a connection after this process has shut down its write side.
 const MAX_SHUTDOWN_READ_BYTES: usize = 128 * 1024 * 1024;
-/// How long a connection is read after our end of it.
+/// Time for which a connection is kept open for the peer after this process has shut down its write side.
 const SHUTDOWN_READ_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// How often a connection that is not read any more is looked at for the peer's close.
+/// Interval between checks for the peer's close on a connection that is no longer read.
 const UNREAD_CLOSE_CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
 thread_local! {
-    /// Where all connections read to. One for each would be the largest part of what an idle connection holds.
+    /// Read buffer shared by all connections. A buffer for each would be the largest part of an idle connection's
+    /// memory.
     static READ_BUFFER: RefCell<Vec<u8>> = RefCell::new(vec![0; CHUNK_BYTES]);
 }
 
-/// What has arrived on a connection and was not read yet.
+/// Input that has arrived on a connection and has not been read yet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Unread {
-    /// Nothing.
+    /// No input is waiting.
     Nothing,
-    /// So many bytes, or more where it is as many as one read takes.
+    /// This many bytes, or more if the number equals the limit of one read.
     Bytes(usize),
-    /// The peer's end of the connection, and nothing before it.
+    /// The peer has ended the connection, and no input is left before its end.
     EndOfStream,
 }
 
 impl Unread {
-    /// Whether the next read takes all of it.
+    /// Returns whether the next read takes all of the input.
     pub fn fits_next_read(self) -> bool {
         !matches!(self, Unread::Bytes(CHUNK_BYTES..))
     }
 }
 
 impl Connection {
-    /// Whether nothing waits to be read. Guards a request that has arrived and was not read yet against a close of what
-    /// looks idle.
+    /// Returns whether no input is waiting to be read. Checked before a connection that seems idle is closed, since a
+    /// request may have arrived that has not been read yet.
     pub fn has_no_unread_input(&self) -> bool {
         loop {
             match self.stream.get_ref().peek(&mut [0]) {
@@ -55,15 +56,16 @@
         }
     }
 
-    /// Returns what waits to be read. A peer that has closed or reset the connection may be gone for long before that is
-    /// read: others are read first, and the process may have been stopped.
+    /// Returns the input that is waiting to be read. The end of a connection may be read long after the peer has closed
+    /// or reset it, since other connections are read first and the process may have been stopped; this check detects it
+    /// earlier.
     pub fn unread(&self) -> Unread {
         loop {
             match READ_BUFFER.with_borrow_mut(|buffer| self.stream.get_ref().peek(buffer)) {
                 Ok(0) => return Unread::EndOfStream,
                 Ok(count) => return Unread::Bytes(count),
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // A fault that passes is no reason to end the connection.
+                // A temporary failure is no reason to end the connection.
                 Err(e) if e.kind() == ErrorKind::WouldBlock || is_short_of_memory(&e) => {
                     return Unread::Nothing;
                 }
@@ -75,8 +77,9 @@
         }
     }
 
-    /// Reads and writes until it ends. `consume` removes whole messages from what has arrived. Guards what a peer sent
-    /// before it closed against a write that fails first: an answer may be among it.
+    /// Reads and writes until the connection ends, and returns the reason. `consume` removes whole messages from the
+    /// received data. If a write fails, the data that the peer sent before it closed is still read, since it may
+    /// contain an answer.
     pub async fn run(
         &self,
         mut consume: impl FnMut(&mut Vec<u8>) -> Result<(), CloseReason>,
@@ -115,16 +118,16 @@
             if inbox.is_empty() {
                 *inbox = Vec::new();
             }
-            // A peer that sends without pause does not keep the thread to itself.
+            // Yields so that a peer that sends without pause does not monopolize the thread.
             future::yield_now().await;
         }
     }
 
-    /// Appends what has arrived, at most a chunk; waits until there is something. Returns zero once the connection is to be
-    /// closed: a request that is read has been taken, so nothing is read from then on.
+    /// Appends received data to `inbox`, at most one chunk, and waits until there is some. Returns zero once the
+    /// connection is to be closed: a request that is read counts as taken, so nothing is read from then on.
     async fn read_while_open(&self, inbox: &mut Vec<u8>) -> io::Result<usize> {
         loop {
-            self.may_read().await;
+            self.wait_until_reading_allowed().await;
             if self.is_closed_deliberately() {
                 return Ok(0);
             }
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Appends what has arrived, at most a chunk; waits until there is something.
+    /// Appends received data to `inbox`, at most one chunk, and waits until there is some.
     async fn read_some(&self, inbox: &mut Vec<u8>) -> io::Result<usize> {
         loop {
             match self.read_now(inbox) {
@@ -145,7 +148,7 @@
         }
     }
 
-    /// Waits until a read that has failed may succeed.
+    /// Waits until a failed read may succeed.
     ///
     /// # Errors
     ///
@@ -162,14 +165,14 @@
         }
     }
 
-    /// Waits for ever, but for the end of the connection, once nothing more is to be read.
-    async fn may_read(&self) {
+    /// Returns at once while reading is allowed. Once reading has stopped, waits until the peer ends the connection.
+    async fn wait_until_reading_allowed(&self) {
         while self.stops_reading.get() && self.unread() != Unread::EndOfStream {
             Timer::after(UNREAD_CLOSE_CHECK_INTERVAL).await;
         }
     }
 
-    /// Appends what has arrived, at most a chunk, without waiting for it.
+    /// Appends received data to `inbox`, at most one chunk, without waiting for it.
     fn read_now(&self, inbox: &mut Vec<u8>) -> io::Result<usize> {
         READ_BUFFER.with_borrow_mut(|buffer| {
             let count = self.stream.get_ref().read(buffer)?;
@@ -180,8 +183,8 @@
         })
     }
 
-    /// Closes our side after the last message and reads what still arrives, for a bounded time. Guards against the reset
-    /// that closing with unread input would send: it can take the message along.
+    /// Flushes the write queue, shuts down the write side, and reads the peer's remaining input for a bounded time.
+    /// Closing with unread input would send a reset, which can destroy the last message.
     pub async fn shutdown_gracefully(&self) {
         let limit = async {
             Timer::after(SHUTDOWN_READ_TIMEOUT).await;
@@ -189,7 +192,8 @@
         future::or(self.flush_and_read_to_end(), limit).await;
     }
 
-    /// Closes our side without what is still queued, and discards what arrives until the peer closes, for a bounded time.
+    /// Shuts down the write side without flushing the write queue, and discards input until the peer closes, for a
+    /// bounded time.
     pub async fn discard_until_closed(&self) {
         self.shutdown_write();
         let limit = async {
@@ -198,14 +202,14 @@
         future::or(self.read_to_end(), limit).await;
     }
 
-    /// Closes our side and waits for the peer to close, for a bounded time, without reading what it still sends. Guards
-    /// against the reset that closing at once could send: it can take a message along that the peer has not read yet.
+    /// Shuts down the write side and waits for the peer to close, for a bounded time, without reading what it still
+    /// sends. Closing at once could send a reset, which can destroy a message that the peer has not read yet.
     pub async fn close_unread(&self) {
         self.shutdown_unread();
         let limit = async {
             Timer::after(SHUTDOWN_READ_TIMEOUT).await;
         };
-        future::or(self.may_read(), limit).await;
+        future::or(self.wait_until_reading_allowed(), limit).await;
     }
 
     async fn flush_and_read_to_end(&self) {
--- a/src/net/conn/tests.rs
+++ b/src/net/conn/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `conn.rs`: writing through a bounded queue, and what is read before the end of a connection.
+//! Tests of `conn.rs`: writing through a bounded queue, and reading the remaining input at the end of a connection.
 
 use super::reading::CHUNK_BYTES;
 use super::writing::MAX_QUEUED_BYTES;
@@ -7,13 +7,20 @@
 use std::io::Write;
 use std::net::TcpListener;
 
-/// A connection, and the peer's end of it, which reads nothing.
+/// Returns a connection and the peer's end of it, which reads nothing.
 fn pair() -> (Connection, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let stream =
-        TcpStream::connect(listener.local_addr().expect("an address")).expect("a connection");
-    let (peer, _) = listener.accept().expect("a connection");
-    (Connection::new(Async::new(stream).expect("a socket")), peer)
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind a port");
+    let stream = TcpStream::connect(
+        listener
+            .local_addr()
+            .expect("failed to read the local address"),
+    )
+    .expect("failed to connect");
+    let (peer, _) = listener.accept().expect("failed to accept the connection");
+    (
+        Connection::new(Async::new(stream).expect("failed to register the socket")),
+        peer,
+    )
 }
 
 #[test]
@@ -23,7 +30,10 @@
     while !conn.is_closing() {
         conn.send(0, &[0; 8192]);
         sent += 8192;
-        assert!(sent < 1 << 30, "no end");
+        assert!(
+            sent < 1 << 30,
+            "the write queue is never full after {sent} bytes"
+        );
     }
     assert_eq!(conn.close_reason.get(), Some(CloseReason::QueueFull));
     assert!(conn.queue.borrow().len() <= MAX_QUEUED_BYTES);
@@ -41,11 +51,12 @@
     assert_eq!(conn.close_reason.get(), Some(CloseReason::WriteStalled));
 }
 
-/// What a host sent before it closed is read, also where a write to it fails before that.
+/// Guards against the loss of what a host sent before it closed, if a write to the host fails before that input is
+/// read.
 #[test]
 fn input_sent_before_a_close_is_read_although_a_write_fails_first() {
     let (conn, mut peer) = pair();
-    // Unread input at the peer: its close resets the connection.
+    // The peer does not read this, so that its close resets the connection.
     assert!(conn.send(0, b"never read"));
     let mut received = Vec::new();
     let run = conn.run(|inbox| {
@@ -54,9 +65,10 @@
     });
     let fails = async {
         future::yield_now().await;
-        peer.write_all(&[7; 3 * CHUNK_BYTES]).expect("it has room");
+        peer.write_all(&[7; 3 * CHUNK_BYTES])
+            .expect("failed to write to the socket");
         drop(peer);
-        while conn.send(0, b"into the void") {}
+        while conn.send(0, b"after closing") {}
     };
     let (end, ()) = async_io::block_on(future::zip(run, fails));
     assert_eq!((end, received.len()), (CloseReason::Reset, 3 * CHUNK_BYTES));
@@ -66,12 +78,14 @@
 fn unread_input_is_counted_up_to_one_read() {
     let (conn, mut peer) = pair();
     assert_eq!(conn.unread(), Unread::Nothing);
-    peer.write_all(&[7; 3]).expect("it has room");
+    peer.write_all(&[7; 3])
+        .expect("failed to write to the socket");
     assert_eq!(
         (conn.unread(), conn.unread().fits_next_read()),
         (Unread::Bytes(3), true)
     );
-    peer.write_all(&[7; CHUNK_BYTES]).expect("it has room");
+    peer.write_all(&[7; CHUNK_BYTES])
+        .expect("failed to write to the socket");
     assert_eq!(
         (conn.unread(), conn.unread().fits_next_read()),
         (Unread::Bytes(CHUNK_BYTES), false)
--- a/src/net/conn/writing.rs
+++ b/src/net/conn/writing.rs
@@ -1,4 +1,4 @@
-//! Writing: a bounded queue for each connection, and a limit for all of them.
+//! Writes to a connection through a bounded queue, with a limit for the queues of all connections together.
 
 use super::{CloseReason, Connection, TEMPORARY_FAULT_PAUSE};
 use crate::net::system_error::is_short_of_memory;
@@ -8,31 +8,32 @@
 use std::io::{self, ErrorKind, Write};
 use task_placer::Micros;
 
-/// Bytes that may be queued for a peer that reads slowly.
+/// Limit of bytes queued for one peer that reads slowly.
 pub(super) const MAX_QUEUED_BYTES: usize = 256 * 1024;
-/// How long a peer may take nothing from its write queue.
+/// Time in microseconds without progress of the write queue after which a connection is closed.
 pub const MAX_WRITE_STALL: Micros = 5_000_000;
 
 thread_local! {
-    /// Bytes queued on all connections.
+    /// Number of bytes queued on all connections together.
     static TOTAL_QUEUED_BYTES: Cell<usize> = const { Cell::new(0) };
-    /// Bytes that may be queued on all connections.
+    /// Limit of bytes queued on all connections together.
     static MAX_TOTAL_QUEUED_BYTES: Cell<usize> = const { Cell::new(8 * 1024 * 1024) };
 }
 
-/// Sets how many bytes may be queued on all connections together.
+/// Sets the limit of bytes queued on all connections together.
 pub fn set_max_queued_bytes(bytes: usize) {
     MAX_TOTAL_QUEUED_BYTES.set(bytes);
 }
 
-/// Returns the bytes queued on all connections as a fraction of how many may be.
+/// Returns the number of bytes queued on all connections as a fraction of the limit.
 pub fn queued_fraction() -> f64 {
     TOTAL_QUEUED_BYTES.get() as f64 / MAX_TOTAL_QUEUED_BYTES.get().max(1) as f64
 }
 
 impl Connection {
-    /// Writes at once what the socket takes, and queues the rest. Never waits: a connection whose peer does not read is
-    /// closed with a reason, and stalls nobody else. False proves that not one byte has been sent.
+    /// Writes as much as the socket takes at once, and queues the rest. It never blocks: a connection whose peer does
+    /// not read is closed with a reason, without stalling other connections. If it returns false, not a single byte has
+    /// been sent.
     pub fn send(&self, now: Micros, bytes: &[u8]) -> bool {
         if self.close_reason.get().is_some() {
             return false;
@@ -53,7 +54,8 @@
         if rest.is_empty() {
             return true;
         }
-        // The second limit guards against many slow readers that each stay within the first.
+        // The limit for all connections guards against many slow readers that each stay within the limit of one
+        // connection.
         let total = TOTAL_QUEUED_BYTES.get() + rest.len();
         if queue.len() + rest.len() > MAX_QUEUED_BYTES || total > MAX_TOTAL_QUEUED_BYTES.get() {
             self.close(CloseReason::QueueFull);
@@ -68,12 +70,12 @@
         true
     }
 
-    /// Whether all that was sent has been handed to the system.
+    /// Returns whether all sent data has been handed to the kernel, or the connection is closing.
     pub fn is_flushed(&self) -> bool {
         self.queue.borrow().is_empty() || self.is_closing()
     }
 
-    /// Closes a connection whose peer has taken nothing from the write queue for longer than `max_stall`.
+    /// Closes the connection if the peer has taken nothing from the write queue for longer than `max_stall`.
     pub fn close_if_write_stalled(&self, now: Micros, max_stall: Micros) {
         if self.has_progressed.take() {
             self.stalled_since.set(now);
@@ -83,7 +85,7 @@
         }
     }
 
-    /// Writes what is queued until the connection closes.
+    /// Writes the queued data until the connection closes, and returns the reason.
     pub(super) async fn write(&self) -> CloseReason {
         loop {
             if let Some(reason) = self.close_reason.get() {
@@ -99,7 +101,7 @@
                 future::or(woken, self.stream.writable()).await
             };
             match ready.and_then(|()| self.flush()) {
-                // The system is short of memory for a moment, and what is queued waits for it.
+                // The kernel is temporarily short of memory; the queued data is written later.
                 Err(e) if is_short_of_memory(&e) => drop(Timer::after(TEMPORARY_FAULT_PAUSE).await),
                 Err(e) => return e.into(),
                 Ok(()) => {}
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Writes what the socket takes at once of the queue.
+    /// Writes as much of the queue as the socket takes at once.
     pub(super) fn flush(&self) -> io::Result<()> {
         let mut queue = self.queue.borrow_mut();
         while !queue.is_empty() {
--- a/src/net/retry.rs
+++ b/src/net/retry.rs
@@ -1,4 +1,4 @@
-//! Repeats what the process needs of the system while the system fails for a moment.
+//! Retries system calls that fail temporarily.
 
 use super::system_error::is_temporary;
 use async_io::Timer;
@@ -6,16 +6,17 @@
 use std::time::{Duration, Instant};
 use tracing::warn;
 
-/// How long a call of the system may fail until the failure counts.
+/// Time for which a system call that keeps failing temporarily is retried.
 const MAX_RETRY_TIME: Duration = Duration::from_secs(3);
-/// The pause between two tries.
+/// Pause between two attempts.
 const RETRY_PAUSE: Duration = Duration::from_millis(20);
 
-/// Tries this operation until it succeeds, fails for good, or has failed for a few seconds. `what` names it in the log.
+/// Calls the operation until it succeeds, fails permanently, or has failed temporarily for `MAX_RETRY_TIME`. `what`
+/// names the operation in the log.
 ///
 /// # Errors
 ///
-/// Returns the error of the last try.
+/// Returns the error of the last attempt.
 pub async fn retry<T>(what: &str, mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     let began = Instant::now();
     let mut is_first = true;
@@ -25,7 +26,7 @@
             result => return result,
         };
         if std::mem::take(&mut is_first) {
-            warn!(what, %error, "tried again");
+            warn!(what, %error, "operation failed temporarily and is retried");
         }
         Timer::after(RETRY_PAUSE).await;
     }
--- a/src/net/system_error.rs
+++ b/src/net/system_error.rs
@@ -1,11 +1,11 @@
-//! What an error of a system call says: about this machine, or about the peer.
+//! Classifies errors of system calls: whether they concern this machine or the peer, and whether they are temporary.
 
 use rustix::io::Errno;
 use std::io;
 
-/// The process or the machine has no descriptor left.
+/// Error codes for a process or machine that has no descriptor left.
 const OUT_OF_DESCRIPTORS: [Errno; 2] = [Errno::MFILE, Errno::NFILE];
-/// This machine could not make the call for a moment; nothing has reached the peer.
+/// Error codes for a call that this machine could not make at the moment, so that nothing has reached the peer.
 const LOCAL_FAULTS: [Errno; 6] = [
     Errno::NOBUFS,
     Errno::NOMEM,
@@ -15,7 +15,7 @@
     Errno::INTR,
 ];
 
-/// What a call may be made again for: something is short that comes back, or a signal came.
+/// Error codes after which a call may be retried: a resource was temporarily short, or a signal interrupted the call.
 const TEMPORARY: [Errno; 6] = [
     Errno::NOBUFS,
     Errno::NOMEM,
@@ -25,25 +25,25 @@
     Errno::IO,
 ];
 
-/// The system has no memory for the data of a connection; the connection is as it was.
+/// Error codes for a kernel that has no memory for the data of a connection; the connection itself is unaffected.
 const SHORT_OF_MEMORY: [Errno; 2] = [Errno::NOBUFS, Errno::NOMEM];
 
-/// Whether the process or the machine has no descriptor left.
+/// Returns whether the process or the machine has no descriptor left.
 pub fn is_out_of_descriptors(error: &io::Error) -> bool {
     has_code(error, &OUT_OF_DESCRIPTORS)
 }
 
-/// Whether the failure lies at this machine, and says nothing about the peer.
+/// Returns whether the failure was caused by this machine and says nothing about the peer.
 pub fn is_local_fault(error: &io::Error) -> bool {
     is_out_of_descriptors(error) || has_code(error, &LOCAL_FAULTS)
 }
 
-/// Whether a read or write failed for want of memory: the same call may succeed a moment later.
+/// Returns whether a read or write failed for lack of memory; the same call may succeed a moment later.
 pub fn is_short_of_memory(error: &io::Error) -> bool {
     has_code(error, &SHORT_OF_MEMORY)
 }
 
-/// Whether the same call may succeed a moment later.
+/// Returns whether the same call may succeed a moment later.
 pub fn is_temporary(error: &io::Error) -> bool {
     is_out_of_descriptors(error) || has_code(error, &TEMPORARY)
 }
--- a/src/net/timer_wheel.rs
+++ b/src/net/timer_wheel.rs
@@ -1,17 +1,17 @@
-//! A timer wheel of coarse ticks: it owns all timers of the network side, so that there is no timer of the system's for
-//! each request.
+//! A timer wheel with coarse ticks. It holds all timers of the network side, so that no system timer is needed for each
+//! request.
 
 use task_placer::Micros;
 
-/// Length of a tick.
+/// Length of a tick in microseconds.
 pub const TICK: Micros = 5_000;
-/// Slots of the wheel; one turn is as many ticks.
+/// Number of slots of the wheel, which is the number of ticks per turn.
 const SLOTS: usize = 1_024;
 
-/// Items by the tick in which they are due. An item is never early and at most a tick late.
+/// Items grouped by the tick in which they are due. An item is never returned early, and is at most one tick late.
 pub struct TimerWheel<T> {
     slots: Vec<Vec<(i64, T)>>,
-    /// The last tick whose items were returned.
+    /// The last tick whose items have been returned.
     last_tick: i64,
 }
 
@@ -39,7 +39,8 @@
     /// Removes and returns the items that are due by `now`, in the order of their ticks.
     pub fn due(&mut self, now: Micros) -> Vec<T> {
         let until = now / TICK;
-        // After a long stall one turn visits every slot; what is due is then sorted by its tick.
+        // After a stall longer than one turn, each slot is visited once, so the due items are sorted by tick
+        // afterwards.
         let first = (self.last_tick + 1).max(until.saturating_sub(SLOTS as i64 - 1));
         let mut due = Vec::new();
         for tick in first..=until {
--- a/src/net/timer_wheel/tests.rs
+++ b/src/net/timer_wheel/tests.rs
@@ -22,6 +22,6 @@
     assert_eq!(
         wheel.due(1_000_000 + 3 * turn),
         ['d'],
-        "after a stall of more than a turn"
+        "an item is lost after a stall of more than one turn"
     );
 }
