--- a/tests/endings/accept_queue.rs
+++ b/tests/endings/accept_queue.rs
@@ -1,25 +1,25 @@
-//! Requests that wait in the accept queue with their connections.
+//! Requests that wait in the kernel's accept queue together with their connections.
 //!
-//! What users saw: hosts were told of more time than the client had left, and tasks started that nobody waited for any
-//! more. The order of events: a client connects and sends its request; accepting fails for a while, or all descriptors are
-//! in use; the connection waits in the accept queue of the system; the request is read when it is accepted at last. The
-//! cause: its time counted from the moment it was read. The evidence: `accept failed` lines, and right after them an
-//! attempt whose time is that of a request that has just been sent.
+//! Guards against counting a request's timeout from when it is read. While accepting fails, or while all descriptors
+//! are in use, a connection with a sent request waits in the accept queue. Hosts were then told of more time than the
+//! client had left, and started tasks that nobody waited for any more. The sign in the log is an `accept failed` line,
+//! followed by an attempt with the full timeout of a request that was just sent.
 
 use super::*;
 
-/// How long the connection waits to be accepted: well over the slack.
+/// Time for which the connection waits to be accepted, well over the tolerance.
 const QUEUE_TIME: Duration = Duration::from_millis(600);
-/// By how much the time that a host is told of may exceed what the client has left.
-const TIME_SLACK: Duration = Duration::from_millis(150);
+/// Tolerance by which the time stated to a host may exceed the time that the client has left.
+const TIME_TOLERANCE: Duration = Duration::from_millis(150);
 const DESCRIPTORS: u64 = 256;
 
 #[test]
 fn time_in_the_accept_queue_counts_while_accepting_fails() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
-    // The first ones are in use: no other can be had.
+    // The first descriptors are in use, so no other can be opened.
     program.set_descriptor_limit(3);
-    let mut client = Client::connect(program.address).expect("the accept queue has room");
+    let mut client =
+        Client::connect(program.address).expect("failed to connect through the accept queue");
     client.request_task(1, &request(1));
     let sent_at = Instant::now();
     program.wait_for_log("accept failed");
@@ -28,14 +28,14 @@
     program.set_descriptor_limit(DESCRIPTORS);
 
     let offer = connections[0].expect("new");
-    let fields = offer.get("f").expect("fields");
-    let told: u64 = fields
+    let fields = offer.get("f").expect("the offer has no fields");
+    let offered_ms: u64 = fields
         .get_str("left")
         .and_then(|left| left.parse().ok())
-        .expect("a time in ms");
+        .expect("the offer has no time left in ms");
     let client_left = Duration::from_millis(request(1).wait_ms) - sent_at.elapsed();
     assert!(
-        Duration::from_millis(told) <= client_left + TIME_SLACK,
-        "{told} ms told, {client_left:?} left"
+        Duration::from_millis(offered_ms) <= client_left + TIME_TOLERANCE,
+        "the host was told {offered_ms} ms, but the client had {client_left:?} left"
     );
 }
--- a/tests/endings/disconnected_clients.rs
+++ b/tests/endings/disconnected_clients.rs
@@ -1,8 +1,8 @@
-//! Clients that disconnect or cancel: their requests are not offered, retried or answered.
+//! Clients that disconnect or cancel: their requests are neither offered, retried nor answered afterwards.
 
 use super::*;
 
-// What a client does while the program is stopped is all there at once when it continues.
+// While the program is stopped, the client's request and its close both arrive, and are read together afterwards.
 #[test]
 fn request_of_a_disconnected_client_is_not_offered() {
     let (program, _feed, hosts, mut connections) = start_with_hosts(1);
@@ -33,10 +33,10 @@
         offers_until_last(&program, &hosts, &mut connections),
         NO_OFFERS
     );
-    assert!(client.health_check(), "its connection stays open");
+    assert!(client.health_check(), "the client's connection was closed");
 }
 
-// Hundreds of requests, cancelled at once: their cancels are several reads behind.
+// Hundreds of requests are cancelled at once, so that their cancellations are several reads behind.
 #[test]
 fn requests_cancelled_some_reads_later_are_not_offered() {
     let (program, _feed, hosts, mut connections) = start_with_hosts(1);
@@ -52,21 +52,23 @@
     assert!(client.health_check());
 }
 
-// The host's rejection is read before the client's close.
+// The host's rejection is read before the client's close or cancellation.
 #[test]
 fn request_of_a_disconnected_client_is_not_retried() {
-    for (kind, leaves) in [("close", true), ("cancel", false)] {
+    for (kind, closes_connection) in [("close", true), ("cancel", false)] {
         let (program, _feed, hosts, mut connections) = start_with_hosts(2);
         let mut client = checked_client(&program);
         client.request_task(1, &request(1));
         let (at, id) = next_offer(&mut connections);
-        let mut held = Some(client);
+        let mut open_client = Some(client);
         program.while_stopped(|| {
             connections[at].report_ended(&id, 34, "nq");
-            if leaves {
-                held.take().into_iter().for_each(Client::close);
+            if closes_connection {
+                open_client.take().into_iter().for_each(Client::close);
             } else {
-                held.iter_mut().for_each(|client| client.release(1, 16));
+                open_client
+                    .iter_mut()
+                    .for_each(|client| client.release(1, 16));
             }
         });
         assert_eq!(
@@ -77,7 +79,7 @@
     }
 }
 
-// The connect to the first host has timed out when the program continues, and the client has disconnected.
+// When the program continues, the connect to the first host has timed out and the client has disconnected.
 #[test]
 fn client_that_disconnects_during_a_host_connect_gets_no_further_attempt() {
     let mut feed = Feed::new();
@@ -87,17 +89,17 @@
         hosts.iter().map(|host| host.entry("up", 0)).collect(),
     );
     config["settings"]["prices"] = json!({ "handshake": 0.05 });
-    let held: Vec<Unreachable> = hosts.iter().map(Host::make_unreachable).collect();
+    let unreachable: Vec<Unreachable> = hosts.iter().map(Host::make_unreachable).collect();
     let program = Program::start(&config);
     feed.accept_subscription();
     let mut client = checked_client(&program);
     client.request_task(1, &request(1));
-    assert!(client.health_check(), "the set-up was taken in");
+    assert!(client.health_check(), "the set-up was not processed");
     program.while_stopped(|| {
         hosts
             .iter()
-            .zip(held)
-            .for_each(|(host, held)| host.make_reachable(held));
+            .zip(unreachable)
+            .for_each(|(host, unreachable)| host.make_reachable(unreachable));
         client.close();
         std::thread::sleep(Duration::from_millis(300));
     });
@@ -119,7 +121,7 @@
     let program = Program::start_with_descriptors(&config, 1_024);
     feed.accept_subscription();
     let mut connections = vec![host.accept()];
-    // All connections within the limit are busy, so that the next one waits.
+    // Makes all connections within the limit busy, so that the next one waits.
     let mut busy: Vec<Client> = Vec::new();
     while !program.log().contains("connection waits") {
         let id = busy.len() as u64 + 1;
@@ -136,7 +138,7 @@
     assert!(!offered.contains(&hex(0x99)), "{offered:?}");
 }
 
-// Regression: an offer that a host had not read could not be withdrawn; the cancel was sent after it.
+// Regression: an offer that the host had not read yet could not be withdrawn; the cancellation was sent after it.
 #[test]
 fn offer_not_read_by_a_slow_host_is_withheld_once_its_client_disconnects() {
     let mut feed = Feed::new();
@@ -148,21 +150,21 @@
     feed.accept_subscription();
     let mut connections = vec![hosts[0].accept()];
     let (mut closes, mut cancels) = (checked_client(&program), checked_client(&program));
-    let mut wide = fill_receive_buffer(&program);
-    // A host that sends messages is not connected again.
+    let mut large_requests = fill_receive_buffer(&program);
+    // Because the host sends a message, no other connection to it is opened.
     connections[0].report_running(&hex(1));
-    assert_eq!(wide.expect_message().kind, 9);
+    assert_eq!(large_requests.expect_message().kind, 9);
     // One client closes its connection and one cancels.
     closes.request_task(0x990, &request(0x990));
     cancels.request_task(0x991, &request(0x991));
     assert!(
         closes.health_check() && cancels.health_check(),
-        "the requests were read"
+        "the requests were not read"
     );
     closes.close();
     cancels.release(0x991, 16);
     program.wait_for_log("reason=closed");
-    assert!(cancels.health_check(), "the cancel was read");
+    assert!(cancels.health_check(), "the cancellation was not read");
     let offered = offers_until_last(&program, &hosts, &mut connections);
     assert!(offered.contains(&hex(1)), "{offered:?}");
     assert!(
@@ -171,7 +173,7 @@
     );
 }
 
-// A host that reads nothing counts as unreachable: offers queued for it are retried elsewhere.
+// A host that reads nothing counts as unreachable, and the offers queued for it are retried elsewhere.
 #[test]
 fn offer_that_a_host_does_not_read_is_retried_elsewhere_soon() {
     let mut feed = Feed::new();
@@ -182,17 +184,17 @@
     let known_hosts = vec![hosts[0].entry("up", 0), hosts[1].entry("draining", 0)];
     let program = Program::start(&single_placer_config(&feed, known_hosts));
     feed.accept_subscription();
-    let mut reads_nothing = hosts[0].accept();
-    // Nor does it accept another connection.
-    let _held = hosts[0].make_unreachable();
+    let mut silent_connection = hosts[0].accept();
+    // The host does not accept another connection either.
+    let _unreachable = hosts[0].make_unreachable();
     let mut client = checked_client(&program);
-    let _wide = fill_receive_buffer(&program);
+    let _large_requests = fill_receive_buffer(&program);
     client.request_task(0x990, &request(0x990));
-    assert!(client.health_check(), "the set-up was taken in");
+    assert!(client.health_check(), "the set-up was not processed");
     feed.send_host_state(2, &hosts[1], "up");
     let start = Instant::now();
     let mut connection = hosts[1].accept();
-    // What was queued before it goes there, too.
+    // The offers that were queued before this one are sent there first.
     while connection.expect_offer() != hex(0x990) {}
     assert!(
         start.elapsed() < Duration::from_secs(1),
@@ -202,8 +204,8 @@
     connection.report_running(&hex(0x990));
     let answer = client.expect_message();
     assert_eq!((answer.kind, answer.id), (9, 0x990));
-    // Nothing of it was sent to the other.
-    while let Some(message) = reads_nothing.read_within(Duration::from_millis(20)) {
+    // The offer must not have been sent to the host that reads nothing.
+    while let Some(message) = silent_connection.read_within(Duration::from_millis(20)) {
         assert_ne!(
             message.get_str("ref"),
             Some(hex(0x990).as_str()),
@@ -217,50 +219,50 @@
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
-    // As long as the kernel takes to retry.
+    // The kernel takes this long to retry the connect.
     config["settings"]["caps"]["connect_timeout"] = json!(3_000.0);
-    let held = host.make_unreachable();
+    let unreachable = host.make_unreachable();
     let program = Program::start(&config);
     feed.accept_subscription();
-    for leaves in [true, false] {
+    for closes_connection in [true, false] {
         let mut client = checked_client(&program);
-        client.request_task(1 + u64::from(leaves), &request(1));
+        client.request_task(1 + u64::from(closes_connection), &request(1));
         assert!(client.health_check());
-        if !leaves {
+        if !closes_connection {
             client.release(1, 16);
             assert!(client.health_check());
         }
     }
-    host.make_reachable(held);
+    host.make_reachable(unreachable);
     assert_eq!(
         offers_until_last(&program, &[host], &mut Vec::new()),
         NO_OFFERS
     );
 }
 
-// A client that keeps sending is still connected: later messages do not delay its offer.
+// A client that keeps sending is still connected, so its later messages must not delay its offer.
 #[test]
 fn client_that_sends_without_pause_gets_its_attempt() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = checked_client(&program);
-    let mut talks = Client(client.0.try_clone().expect("a socket"));
+    let mut sender = Client(client.0.try_clone().expect("failed to clone the socket"));
     let flood: Vec<u8> = (0..1_000)
         .flat_map(|_| encode_message(16, 77, &[]))
         .collect();
-    let over = Arc::new(AtomicBool::new(false));
-    let told = over.clone();
+    let stop = Arc::new(AtomicBool::new(false));
+    let is_stopped = stop.clone();
     let thread = std::thread::spawn(move || {
         for id in 1..=5 {
-            talks.request_task(id, &request(id));
-            talks.send(&flood);
+            sender.request_task(id, &request(id));
+            sender.send(&flood);
         }
-        while !told.load(Ordering::Relaxed) {
-            talks.send(&flood);
+        while !is_stopped.load(Ordering::Relaxed) {
+            sender.send(&flood);
         }
     });
     let mut ids: Vec<String> = (0..5).map(|_| connections[0].expect_offer()).collect();
-    over.store(true, Ordering::Relaxed);
-    thread.join().expect("it wrote");
+    stop.store(true, Ordering::Relaxed);
+    thread.join().expect("the sending thread panicked");
     ids.sort();
     assert_eq!(ids, (1..=5).map(hex).collect::<Vec<_>>());
     ids.iter().for_each(|id| connections[0].report_running(id));
--- a/tests/endings/feed.rs
+++ b/tests/endings/feed.rs
@@ -1,4 +1,4 @@
-//! The subscription to the feed, and connections at the limit of descriptors.
+//! Tests of the feed subscription, and of connections at the descriptor limit.
 
 use super::*;
 
@@ -7,35 +7,38 @@
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let program = Program::start(&single_placer_config(&feed, vec![host.entry("up", 0)]));
-    let mut calls = 0;
+    let mut subscriptions = 0;
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(1) {
         assert_eq!(feed.accept_subscription(), 1);
         feed.send_host_state(9, &host, "draining");
-        calls += 1;
+        subscriptions += 1;
     }
-    assert!((2..=9).contains(&calls), "{calls} calls in a second");
+    assert!(
+        (2..=9).contains(&subscriptions),
+        "{subscriptions} subscriptions within a second"
+    );
     assert!(checked_client(&program).health_check());
 }
 
-// The address of the feed does not answer, and the configuration names another.
+// A connect to the feed hangs because its address does not answer, and a reloaded configuration names another address.
 #[test]
 fn feed_that_moves_during_a_hanging_connect_is_followed_at_once() {
     let (program, mut feed, hosts, mut connections) = start_with_hosts(1);
     let second = Feed::new();
     let mut config = single_placer_config(&second, vec![hosts[0].entry("up", 0)]);
     config["listen"] = program.address.to_string().into();
-    let held = feed.make_unreachable();
+    let unreachable = feed.make_unreachable();
     drop(feed.take_subscription());
     program.wait_for_log("connection ended peer=\"feed\"");
     let mut second = second;
-    let moved = Instant::now();
+    let reloaded_at = Instant::now();
     program.reload(&config.encode());
     assert_eq!(second.accept_subscription(), 1);
     assert!(
-        moved.elapsed() < Duration::from_millis(500),
+        reloaded_at.elapsed() < Duration::from_millis(500),
         "{:?}",
-        moved.elapsed()
+        reloaded_at.elapsed()
     );
     second.send_host_state(2, &hosts[0], "draining");
     second.send(&json!({ "n": 2 }));
@@ -53,10 +56,10 @@
             .read_within(Duration::from_millis(20))
             .is_none()
     );
-    drop(held);
+    drop(unreachable);
 }
 
-// Regression: idle clients took the descriptors while few hosts were listed.
+// Regression: while few hosts were listed, idle clients took the descriptors that the feed and later hosts needed.
 #[test]
 fn idle_clients_at_the_limit_do_not_block_the_feed_hosts_or_other_clients() {
     let sockets = 160;
@@ -69,7 +72,7 @@
     feed.accept_subscription();
     let mut connection = first.accept();
     drop(feed.take_subscription());
-    // The feed is unreachable, and each client that has sent a message stays.
+    // The feed is unreachable now. Each client that has sent a message stays connected.
     drop(feed);
     let mut idle: Vec<Client> = Vec::new();
     for _ in 0..sockets {
--- a/tests/endings/host_connections.rs
+++ b/tests/endings/host_connections.rs
@@ -1,15 +1,14 @@
-//! Connections to hosts that carry nothing more while tasks run there.
+//! Connections to hosts that fail or stop carrying data while tasks run on the host.
 //!
-//! What users saw: tasks that had ended at their hosts stayed on clients' books as running. The order of events: a host
-//! has several connections open to the placer; the one that it reports on is reset, is closed for an unreadable answer, or
-//! carries nothing more; the host repeats the ends of tasks on the next connection that opens, and none does. The cause:
-//! only the end of the current connection led to another one, and whether a connection is silent was judged by when the
-//! host was last heard on any. The evidence: with a task running, no connection follows in these tests until an attempt
-//! happens to need one.
+//! Guards against task ends that never reach the client. A host repeats unacknowledged task ends on the next connection
+//! that opens. If the connection on which it reports is reset, closed for an unreadable answer, or silent, the placer
+//! has to open another one. It failed to do so because only the end of the current connection led to a new one, and
+//! because a connection was judged silent by when the host was last heard on any connection. Without the fix, no
+//! connection follows in these tests until an attempt happens to need one.
 
 use super::*;
 
-/// A host where task 1 runs, its connection, and the client of the task.
+/// Starts a host with task 1 running, and returns it with its connection and the client of the task.
 fn start_with_running_task() -> (Program, Feed, Host, HostConnection, Client) {
     let (program, feed, mut hosts, mut connections) = start_with_hosts(1);
     let mut client = checked_client(&program);
@@ -23,9 +22,11 @@
     )
 }
 
-/// Reports the end of task 1 on the connection that a host opens to repeat it on, and expects it at the client.
+/// Accepts the next connection of the host, repeats the end of task 1 on it, and expects the client to receive it.
 fn assert_end_is_read_on_a_new_connection(host: &Host, client: &mut Client, limit: Duration) {
-    let mut connection = host.accept_within(limit).expect("another connection");
+    let mut connection = host
+        .accept_within(limit)
+        .expect("no new connection was opened in time");
     connection.report_ended(&hex(1), 16, "");
     loop {
         let message = client.expect_message();
@@ -40,7 +41,7 @@
     let (_program, _feed, host, mut connection, mut client) = start_with_running_task();
     client.request_task(2, &request(2));
     connection.expect_offer();
-    // Silence: another connection is made beside the first.
+    // The host stays silent, so another connection is opened beside the first.
     let _second = host.accept();
 
     connection.send_bytes(b"{ not a message }\n");
@@ -49,8 +50,8 @@
     assert_end_is_read_on_a_new_connection(&host, &mut client, Duration::from_secs(1));
 }
 
-// The host has not seen yet that its connection was closed: it writes the end of a task there, although another connection
-// is open already. What it wrote is lost, and it repeats the end on the next connection.
+// The host has not noticed yet that its connection was closed, and writes the end of a task to it although another
+// connection is already open. That message is lost, and the host repeats it on the next connection.
 #[test]
 fn end_that_crosses_the_close_of_its_connection_is_repeated_on_a_new_one() {
     let (_program, _feed, host, mut connection, mut client) = start_with_running_task();
@@ -70,7 +71,7 @@
     client.request_task(2, &request(2));
     connection.expect_offer();
 
-    // Heard once more while the attempt is in flight, and never again.
+    // The host sends one more message on the connection while the attempt is in flight, and none after that.
     connection.report_ended(&hex(3), 16, "");
 
     assert_end_is_read_on_a_new_connection(&host, &mut client, Duration::from_secs(2));
@@ -80,7 +81,7 @@
 fn silent_connection_of_a_host_with_a_running_task_is_checked_and_replaced() {
     let (_program, _feed, host, mut connection, mut client) = start_with_running_task();
 
-    // Nothing is in flight, and the check of the connection is not answered.
+    // No attempt is in flight, and the connection check is not answered.
     connection.ignore_check();
 
     assert_end_is_read_on_a_new_connection(&host, &mut client, Duration::from_secs(2));
@@ -92,7 +93,7 @@
     client.release(1, 31);
     connection.expect("down");
 
-    // The host is gone before it has read the release, and comes back with the task.
+    // The host fails before it reads the release, and returns with the task still running.
     connection.close();
 
     let mut connection = host.accept();
--- a/tests/endings/hosts.rs
+++ b/tests/endings/hosts.rs
@@ -1,8 +1,8 @@
-//! Hosts that drain, are replaced, or answer several times at once.
+//! Tests of hosts that drain, are replaced, or send several answers at once.
 
 use super::*;
 
-// The list changes while the connection comes up; the address may belong to another host by then.
+// The endpoint list changes while the connection is being established; the address may belong to another host by then.
 #[test]
 fn queued_offers_are_withheld_once_their_host_drains_or_is_replaced() {
     for change in ["draining", "gone", "born", "moved"] {
@@ -10,14 +10,14 @@
         let host = Host::new("h0", "north");
         let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
         config["settings"]["caps"]["connect_timeout"] = json!(3_000.0);
-        // A process that has just started tolerates nothing.
+        // Disables the tolerance for removed hosts that applies just after the start of the process.
         config["settings"]["family_info"]["young_limit"] = json!(0.0);
-        let held = host.make_unreachable();
+        let unreachable = host.make_unreachable();
         let program = Program::start(&config);
         feed.accept_subscription();
         let mut client = checked_client(&program);
         client.request_task(1, &request(1));
-        assert!(client.health_check(), "the offer is queued");
+        assert!(client.health_check(), "the offer was not queued");
         let mut entry = host.entry("up", 0);
         match change {
             "draining" => feed.send_host_state(2, &host, "draining"),
@@ -39,17 +39,17 @@
         }
         feed.send(&json!({ "n": 2 }));
         assert!(client.health_check());
-        // Nor is anything offered to it from now on, where it has another address.
+        // A new request must not be offered to the host either, if its address has changed.
         client.request_task(2, &request(2));
         assert!(client.health_check());
-        host.make_reachable(held);
+        host.make_reachable(unreachable);
         if let Some(mut connection) = host.accept_within(Duration::from_millis(1_500)) {
             assert!(connection.read_within(QUIET_PERIOD).is_none(), "{change}");
         }
     }
 }
 
-// The host closes an idle connection just before an offer is sent on it.
+// The host closes an idle connection just before an offer would be sent on it.
 #[test]
 fn offer_is_not_written_to_a_connection_closed_by_its_host() {
     let (program, _feed, hosts, mut connections) = start_with_hosts(1);
@@ -64,7 +64,7 @@
     assert_eq!(client.expect_message().kind, 9);
 }
 
-// Messages of a host in one read, in every order that could be misread.
+// A host's messages are read at once, in each order that could be misinterpreted.
 #[test]
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn host_messages_in_one_read_end_an_attempt_once() {
@@ -73,7 +73,8 @@
         format!("{{\"t\":\"down\",\"ref\":\"{id}\",\"f\":{{}},\"c\":{cause}}}\n")
     };
     let id = hex(1);
-    // What the host sends, what the client gets (type and cause), and whether the host gets another offer.
+    // Each case: its name, what the host sends, what the client receives (type and cause), and whether another host
+    // gets an offer.
     let cases = [
         (
             "answered twice and ended",
@@ -82,60 +83,70 @@
             false,
         ),
         (
-            "answered, and then spoilt",
+            "answered, then a malformed message",
             up(&id) + "\u{1}\u{2}\n",
             vec![(9, 0)],
             false,
         ),
         (
-            "answered, and half of another",
+            "answered, then half of a message",
             up(&id) + "{\"t\":\"up\",\"re",
             vec![(9, 0)],
             false,
         ),
         (
-            "refused, and then answered",
+            "refused, then answered",
             down(&id, 34) + &up(&id),
             Vec::new(),
             true,
         ),
         (
-            "an error, and then a refusal",
+            "error, then refused",
             down(&id, 47) + &down(&id, 34),
             Vec::new(),
             true,
         ),
     ];
-    for (what, said, words, again) in cases {
+    for (name, host_messages, expected, is_offered_again) in cases {
         let (program, _feed, _hosts, mut connections) = start_with_hosts(2);
         let mut client = checked_client(&program);
         client.request_task(1, &request(1));
         let (at, offer) = next_offer(&mut connections);
         assert_eq!(offer, id);
-        // It has also closed the connection before any of it is read.
+        // The host also closes the connection before any of its messages is read.
         let mut connection = connections.remove(at);
         program.while_stopped(|| {
-            connection.send_bytes(said.as_bytes());
+            connection.send_bytes(host_messages.as_bytes());
             connection.close();
         });
-        if again {
-            assert_eq!(connections[0].expect_offer(), id, "{what}");
+        if is_offered_again {
+            assert_eq!(connections[0].expect_offer(), id, "{name}");
             connections[0].report_running(&id);
-            assert_eq!(client.expect_message().kind, 9, "{what}");
+            assert_eq!(client.expect_message().kind, 9, "{name}");
         }
-        for (kind, cause) in words {
-            let word = client.expect_message();
+        for (kind, cause) in expected {
+            let message = client.expect_message();
             assert_eq!(
-                (word.kind, if word.kind == 12 { word.cause() } else { 0 }),
+                (
+                    message.kind,
+                    if message.kind == 12 {
+                        message.cause()
+                    } else {
+                        0
+                    }
+                ),
                 (kind, cause),
-                "{what}"
+                "{name}"
             );
         }
-        assert!(client.health_check(), "nothing else was said: {what}");
+        assert!(
+            client.health_check(),
+            "the client received an unexpected message: {name}"
+        );
     }
 }
 
-// The host's answer has arrived and the client's timeout has passed when both are read.
+// Both the host's answer and the end of the client's timeout are due when the program continues.
 #[test]
 fn answer_and_timeout_in_one_iteration_give_one_final_answer() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
@@ -153,8 +164,11 @@
         std::thread::sleep(Duration::from_millis(350));
     });
     let answer = client.expect_message();
-    assert!(client.health_check(), "one answer");
-    // A task that was answered as failed does not run on.
+    assert!(
+        client.health_check(),
+        "the client received more than one answer"
+    );
+    // If the client was told of a failure, the task must not keep running.
     if answer.kind == 12 {
         assert_eq!(
             connections[0].expect("down").get_str("ref"),
@@ -178,8 +192,8 @@
             ..NON_IDEMPOTENT_TASK
         },
     );
-    let (other, once) = next_offer(&mut connections);
-    // Twice, and the second event changes nothing.
+    let (other, non_idempotent_id) = next_offer(&mut connections);
+    // The same event is sent twice; the second one changes nothing.
     let rest: Vec<_> = (0..2)
         .filter(|n| *n != at)
         .map(|n| hosts[n].entry("up", 0))
@@ -187,25 +201,26 @@
     feed.send(&endpoint_event(2, UpdateKind::Complete, rest.clone()));
     feed.send(&endpoint_event(2, UpdateKind::Complete, rest));
     assert!(connections[at].wait_closed());
-    let left = 1 - at;
+    let remaining = 1 - at;
     assert_eq!(
-        connections[left]
+        connections[remaining]
             .read_within(TEST_TIMEOUT)
             .and_then(|m| m.get_str("ref").map(str::to_string)),
         Some(id.clone())
     );
-    connections[left].report_running(&id);
+    connections[remaining].report_running(&id);
     if other == at {
-        // It may have run there.
-        let words =
-            [client.expect_message(), client.expect_message()].map(|word| (word.id, word.kind));
+        // Both tasks were offered to the removed host. The non-idempotent one may have run there, so it is reported as
+        // ended.
+        let messages = [client.expect_message(), client.expect_message()]
+            .map(|message| (message.id, message.kind));
         assert!(
-            words.contains(&(1, 9)) && words.contains(&(2, 12)),
-            "{words:?}"
+            messages.contains(&(1, 9)) && messages.contains(&(2, 12)),
+            "{messages:?}"
         );
     } else {
         assert_eq!(client.expect_message().kind, 9);
-        connections[left].report_running(&once);
+        connections[remaining].report_running(&non_idempotent_id);
         assert_eq!(client.expect_message().kind, 9);
     }
     assert!(client.health_check());
--- a/tests/endings/main.rs
+++ b/tests/endings/main.rs
@@ -1,5 +1,5 @@
-//! The end of a request, a connection, a host, the subscription or the process: in each test the peers force the
-//! unfavourable order, and nothing pending is lost or started too late.
+//! Tests of the end of a request, a connection, a host, the feed subscription or the process. In each test the peers
+//! force an unfavourable order of events; nothing pending may be lost or started too late.
 
 #![recursion_limit = "256"]
 
@@ -20,10 +20,10 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// Id of the last request, which shows that nothing else was in flight.
-const LAST: u64 = 0x7fff;
+/// Id of the last request. Once it is offered, no earlier request is in flight any more.
+const LAST_REQUEST_ID: u64 = 0x7fff;
 
-/// A request of a service of its own.
+/// Returns a request whose service no other request uses.
 fn request(id: u64) -> TaskRequest<'static> {
     TaskRequest {
         service: id + 100,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Starts a task for this client and leaves it running.
+/// Starts a task for this client, and leaves it running.
 fn run_task(client: &mut Client, connection: &mut HostConnection, id: u64) {
     client.request_task(id, &request(id));
     assert_eq!(connection.expect_offer(), hex(id));
@@ -39,41 +39,42 @@
     assert_eq!(client.expect_message().kind, 9);
 }
 
-/// A connection that the placer has read from: what is sent on it next is read at once.
+/// Returns a client whose connection the placer has already read from, so that its next message is read at once.
 fn checked_client(program: &Program) -> Client {
     let mut client = program.client();
     assert!(client.health_check());
     client
 }
 
-/// Number of wide requests: three times what the kernel buffers for a host that reads nothing, and together with two
-/// others the maximum number in flight to one host.
-const WIDE_REQUESTS: u64 = 6;
+/// Number of large requests: together three times what the kernel buffers for a host that reads nothing, and, together
+/// with two other requests, the maximum number in flight to one host.
+const LARGE_REQUESTS: u64 = 6;
 
-/// Sends the wide requests on a connection of their own, which is silent from then on. They are not cancelled: each
-/// unsent offer is queued before later ones, whatever the kernel still buffers.
+/// Sends the large requests on a connection of their own, which sends nothing more after that. The requests are not
+/// cancelled, so each unsent offer stays queued before later ones, whatever the kernel still buffers.
 fn fill_receive_buffer(program: &Program) -> Client {
     let mut client = checked_client(program);
-    let wide = "w".repeat(15_000);
-    (1..=WIDE_REQUESTS).for_each(|id| client.request_task_with(id, &request(id), &wide));
-    assert!(client.health_check(), "the requests were read");
+    let padding = "w".repeat(15_000);
+    (1..=LARGE_REQUESTS).for_each(|id| client.request_task_with(id, &request(id), &padding));
+    assert!(client.health_check(), "the requests were not read");
     client
 }
 
-/// Collects the ids offered to these hosts, on these connections and on new ones, until the last request is offered.
+/// Collects the ids offered to these hosts, on the given connections and on new ones, until the last request is
+/// offered.
 fn offers_until_last(
     program: &Program,
     hosts: &[Host],
     connections: &mut Vec<HostConnection>,
 ) -> Vec<String> {
     let mut client = checked_client(program);
-    client.request_task(LAST, &request(LAST));
+    client.request_task(LAST_REQUEST_ID, &request(LAST_REQUEST_ID));
     let mut ids = Vec::new();
     let end = Instant::now() + TEST_TIMEOUT;
     loop {
         assert!(
             Instant::now() < end,
-            "the last request is not offered: {ids:?}"
+            "the last request was not offered in time; offered: {ids:?}"
         );
         connections.extend(
             hosts
@@ -85,8 +86,11 @@
                 if message.get_str("t") != Some("new") {
                     continue;
                 }
-                let id = message.get_str("ref").expect("an id").to_string();
-                if id == hex(LAST) {
+                let id = message
+                    .get_str("ref")
+                    .expect("an offer has no id")
+                    .to_string();
+                if id == hex(LAST_REQUEST_ID) {
                     return ids;
                 }
                 ids.push(id);
--- a/tests/soak/clients.rs
+++ b/tests/soak/clients.rs
@@ -1,7 +1,7 @@
-//! Clients that request tasks all the time, on connections that they keep, and a crowd of connections of no use.
+//! Clients that continuously request tasks on connections that they keep, and a large number of useless connections.
 
 use crate::registry::Registry;
-use crate::{CLIENT_WAIT, Dice};
+use crate::{CLIENT_WAIT, SeededRng};
 use emulator::{Client, IDEMPOTENT_TASK, NON_IDEMPOTENT_TASK, TaskRequest, encode_message};
 use std::io::{ErrorKind, Write};
 use std::net::SocketAddr;
@@ -10,104 +10,105 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant};
 
-/// How long a read waits for the next message; requests are sent in between.
-const READ_TIME: Duration = Duration::from_millis(2);
-/// How long a client still reads once it is to stop.
-const LAST_READS: Duration = Duration::from_secs(1);
+/// Time for which a read waits for the next message; requests are sent between reads.
+const READ_TIMEOUT: Duration = Duration::from_millis(2);
+/// Time for which a client keeps reading after it was told to stop.
+const FINAL_READ_TIME: Duration = Duration::from_secs(1);
 const RECONNECT_PAUSE: Duration = Duration::from_millis(20);
 
 #[derive(Default)]
-struct Switches {
+struct Controls {
     paused: AtomicBool,
-    /// No more connections are opened: the front sends none to a placer that ends.
+    /// Whether no more connections are opened, since the load balancer sends none to a placer that is shutting down.
     keeps_connections: AtomicBool,
     stopped: AtomicBool,
 }
 
-/// All clients of one seed.
+/// The clients of one seed.
 pub struct Clients {
-    switches: Arc<Switches>,
+    controls: Arc<Controls>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Clients {
     pub fn start(seed: u64, count: u64, address: SocketAddr, registry: &Arc<Registry>) -> Clients {
-        let switches = Arc::<Switches>::default();
+        let controls = Arc::<Controls>::default();
         let threads = (0..count)
             .map(|number| {
-                let party = Party {
+                let client = ClientThread {
                     address,
                     registry: registry.clone(),
-                    switches: switches.clone(),
-                    dice: Dice::new(seed, 100 + number),
+                    controls: controls.clone(),
+                    rng: SeededRng::new(seed, 100 + number),
                     next_id: (number + 1) << 32,
-                    // The first client's connections fall silent one after the other.
+                    // The connections of the first client fall silent one after the other.
                     falls_silent: number == 0,
                 };
-                std::thread::spawn(move || party.run())
+                std::thread::spawn(move || client.run())
             })
             .collect();
-        Clients { switches, threads }
+        Clients { controls, threads }
     }
 
-    /// Sends no more requests until resumed; what arrives is read.
+    /// Stops sending requests until resumed; responses are still read.
     pub fn pause(&self) {
-        self.switches.paused.store(true, Ordering::Relaxed);
+        self.controls.paused.store(true, Ordering::Relaxed);
     }
 
     pub fn resume(&self) {
-        self.switches.paused.store(false, Ordering::Relaxed);
+        self.controls.paused.store(false, Ordering::Relaxed);
     }
 
-    /// Goes on sending on open connections, and opens no more.
+    /// Keeps sending on open connections, but opens no new ones.
     pub fn keep_connections(&self) {
-        self.switches
+        self.controls
             .keeps_connections
             .store(true, Ordering::Relaxed);
     }
 
-    /// Reads what is left, and ends.
+    /// Reads the remaining messages for a bounded time, and waits for all clients to end.
     pub fn stop(self) {
-        self.switches.stopped.store(true, Ordering::Relaxed);
+        self.controls.stopped.store(true, Ordering::Relaxed);
         for thread in self.threads {
-            thread.join().expect("no client panicked");
+            thread.join().expect("a client thread panicked");
         }
     }
 }
 
-struct Party {
+struct ClientThread {
     address: SocketAddr,
     registry: Arc<Registry>,
-    switches: Arc<Switches>,
-    dice: Dice,
+    controls: Arc<Controls>,
+    rng: SeededRng,
     next_id: u64,
     falls_silent: bool,
 }
 
-/// What is open on one connection.
+/// One connection of a client and its open requests.
 struct Session {
     client: Client,
     open: Vec<u64>,
     /// When the next request is sent.
     next_at: Instant,
+    /// When the client stops reading, if it does.
     silent_at: Option<Instant>,
 }
 
-impl Party {
+impl ClientThread {
     fn run(mut self) {
         let mut silent = Vec::new();
-        let may_connect = |switches: &Switches| {
-            !switches.stopped.load(Ordering::Relaxed)
-                && !switches.keeps_connections.load(Ordering::Relaxed)
+        let may_connect = |controls: &Controls| {
+            !controls.stopped.load(Ordering::Relaxed)
+                && !controls.keeps_connections.load(Ordering::Relaxed)
         };
-        while may_connect(&self.switches) {
+        while may_connect(&self.controls) {
             let Some(client) = Client::connect(self.address) else {
                 std::thread::sleep(RECONNECT_PAUSE);
                 continue;
             };
             let silent_at = self
                 .falls_silent
-                .then(|| Instant::now() + self.dice.millis(300, 900));
+                .then(|| Instant::now() + self.rng.millis(300, 900));
             let mut session = Session {
                 client,
                 open: Vec::new(),
@@ -116,8 +117,8 @@
             };
             self.serve(&mut session);
             if session.silent_at.is_some_and(|at| Instant::now() >= at) {
-                self.registry.unheard(&session.open);
-                // Open and never read again.
+                self.registry.client_stopped_reading(&session.open);
+                // The connection stays open and is never read again.
                 silent.push(session.client);
             } else {
                 self.registry.closed(&session.open);
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Requests tasks and reads until the connection closes, falls silent, or the client is to stop.
+    /// Requests tasks and reads messages until the connection closes or falls silent, or the client has to stop.
     fn serve(&mut self, session: &mut Session) {
         let mut stop_at = None;
         loop {
@@ -133,16 +134,16 @@
             if session.silent_at.is_some_and(|at| now >= at) {
                 return;
             }
-            if self.switches.stopped.load(Ordering::Relaxed)
-                && now > *stop_at.get_or_insert(now + LAST_READS)
+            if self.controls.stopped.load(Ordering::Relaxed)
+                && now > *stop_at.get_or_insert(now + FINAL_READ_TIME)
             {
                 return;
             }
-            let may_send = stop_at.is_none() && !self.switches.paused.load(Ordering::Relaxed);
+            let may_send = stop_at.is_none() && !self.controls.paused.load(Ordering::Relaxed);
             if may_send && now >= session.next_at {
                 self.request(session);
             }
-            match session.client.message_within(READ_TIME) {
+            match session.client.message_within(READ_TIMEOUT) {
                 Ok(Some(message)) => self.received(session, message.kind, message.id),
                 Ok(None) => return,
                 Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {}
@@ -164,11 +165,11 @@
     }
 
     fn request(&mut self, session: &mut Session) {
-        session.next_at = Instant::now() + self.dice.millis(10, 80);
+        session.next_at = Instant::now() + self.rng.millis(10, 80);
         let id = self.next_id;
         self.next_id += 1;
-        let once = self.dice.percent(15);
-        let template = if once {
+        let non_idempotent = self.rng.percent(15);
+        let template = if non_idempotent {
             NON_IDEMPOTENT_TASK
         } else {
             IDEMPOTENT_TASK
@@ -179,15 +180,15 @@
             ..template
         };
         let bytes = emulator::encode_task_request(id, &request, "runs");
-        // Before it is written: the host may be faster than this thread.
-        self.registry.written(id, once);
+        // Recorded before the request is written, since the host may answer faster than this thread continues.
+        self.registry.written(id, non_idempotent);
         if session.client.0.write_all(&bytes).is_err() {
-            // Nothing was taken: the connection had closed.
-            return self.registry.unheard(&[id]);
+            // The placer took nothing: the connection had closed.
+            return self.registry.client_stopped_reading(&[id]);
         }
         session.open.push(id);
-        if self.dice.percent(5) {
-            std::thread::sleep(self.dice.millis(0, 30));
+        if self.rng.percent(5) {
+            std::thread::sleep(self.rng.millis(0, 30));
             self.registry.cancelled(id);
             let cancel = encode_message(12, id, &[(171, &[16])]);
             let _ = session.client.0.write_all(&cancel);
@@ -196,8 +197,8 @@
     }
 }
 
-/// Opens connections that say nothing, half a message, or name a task that no host knows and read nothing.
-pub fn crowd(address: SocketAddr, count: usize) -> Vec<Client> {
+/// Opens connections that send nothing, send half a message, or name a task that no host knows and are never read.
+pub fn open_useless_connections(address: SocketAddr, count: usize) -> Vec<Client> {
     (0..count)
         .filter_map(|number| {
             let mut client = Client::connect(address)?;
--- a/tests/soak/hosts.rs
+++ b/tests/soak/hosts.rs
@@ -1,7 +1,8 @@
-//! Hosts whose answers and connections fail. As the protocol says, a running task belongs to no connection: its end is sent
-//! on the connection of its request, else on any open one, and again on each connection that opens until it is acknowledged.
+//! Hosts whose answers and connections fail. As the protocol requires, the end of a running task is not tied to a
+//! connection: it is sent on the connection of its request, or on any open one if that is closed, and again on each new
+//! connection until it is acknowledged.
 
-use crate::Dice;
+use crate::SeededRng;
 use crate::registry::{HostEnd, Registry};
 use emulator::Host;
 use simd_json::prelude::*;
@@ -14,21 +15,21 @@
 use std::time::{Duration, Instant};
 
 const ACCEPT_INTERVAL: Duration = Duration::from_millis(20);
-const TURN: Duration = Duration::from_millis(4);
-/// The causes of a release: the task's own end, and lost or sent away.
-const ENDED: u64 = 16;
-const RESET: u64 = 41;
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// Causes of a release: the task ended by itself, or it was lost or removed from the host.
+const TASK_ENDED: u64 = 16;
+const TASK_RESET: u64 = 41;
 
-/// What becomes of an answer.
+/// How a host's answer is sent or lost.
 #[derive(Clone, Copy)]
 enum Answer {
-    Whole,
-    Twice,
-    Unreadable,
-    StopsShort,
+    SentOnce,
+    SentTwice,
+    Malformed,
+    Truncated,
     NeverSent,
-    /// The host sends the task away before the answer leaves.
-    SentAway,
+    /// The host releases the task before the answer is sent.
+    ReleasedBeforeAnswer,
 }
 
 enum Task {
@@ -39,25 +40,25 @@
 struct Link {
     stream: TcpStream,
     is_open: bool,
-    /// It stays open and carries nothing more.
-    is_useless: bool,
+    /// Whether the connection stays open but carries no more data.
+    is_black_holed: bool,
 }
 
 struct State {
-    dice: Dice,
+    rng: SeededRng,
     links: Vec<Link>,
     tasks: BTreeMap<u64, Task>,
-    /// Releases that were not acknowledged.
+    /// Releases that have not been acknowledged yet.
     releases: BTreeMap<u64, OwnedValue>,
 }
 
-/// A host that runs by itself until it is dropped.
+/// A host that runs on its own threads until it is dropped.
 pub struct FaultyHost {
     entry: OwnedValue,
     stop: Arc<AtomicBool>,
 }
 
-/// One host, as its threads share it.
+/// State of one host, shared by its threads.
 struct Shared {
     number: u64,
     state: Mutex<State>,
@@ -65,12 +66,12 @@
 }
 
 impl FaultyHost {
-    pub fn start(number: u64, dice: Dice, registry: &Arc<Registry>) -> FaultyHost {
+    pub fn start(number: u64, rng: SeededRng, registry: &Arc<Registry>) -> FaultyHost {
         let host = Host::new(&format!("h{number}"), "north");
         let entry = host.entry("up", 0);
         let stop = Arc::new(AtomicBool::new(false));
         let state = State {
-            dice,
+            rng,
             links: Vec::new(),
             tasks: BTreeMap::new(),
             releases: BTreeMap::new(),
@@ -92,7 +93,7 @@
         std::thread::spawn(move || {
             while !stopped.load(Ordering::Relaxed) {
                 shared.run_due();
-                std::thread::sleep(TURN);
+                std::thread::sleep(POLL_INTERVAL);
             }
         });
         FaultyHost { entry, stop }
@@ -121,14 +122,15 @@
 impl State {
     fn write(&mut self, at: usize, text: &str) -> bool {
         let link = &mut self.links[at];
-        link.is_open && !link.is_useless && link.stream.write_all(text.as_bytes()).is_ok()
+        link.is_open && !link.is_black_holed && link.stream.write_all(text.as_bytes()).is_ok()
     }
 
     fn send(&mut self, at: usize, message: &OwnedValue) -> bool {
         self.write(at, &format!("{}\n", message.encode()))
     }
 
-    /// Sends a release on the connection of its request, else on any open one. A useless one swallows it.
+    /// Sends a release on the connection of its request, or on any open connection if that is closed. Returns false if
+    /// it was not written; a black-holed connection loses it.
     fn send_release(&mut self, at: usize, id: u64, message: OwnedValue) -> bool {
         let open = |link: &Link| link.is_open;
         let at = if open(&self.links[at]) {
@@ -142,17 +144,17 @@
     }
 
     fn answer(&mut self) -> Answer {
-        match self.dice.between(0, 100) {
-            0..70 => Answer::Whole,
-            70..76 => Answer::Twice,
-            76..82 => Answer::Unreadable,
-            82..88 => Answer::StopsShort,
+        match self.rng.between(0, 100) {
+            0..70 => Answer::SentOnce,
+            70..76 => Answer::SentTwice,
+            76..82 => Answer::Malformed,
+            82..88 => Answer::Truncated,
             88..94 => Answer::NeverSent,
-            _ => Answer::SentAway,
+            _ => Answer::ReleasedBeforeAnswer,
         }
     }
 
-    /// Ends a connection: what has not started on it is given up.
+    /// Marks a connection as closed, and drops the tasks that have not started on it.
     fn close(&mut self, at: usize) {
         self.links[at].is_open = false;
         self.tasks.retain(
@@ -163,19 +165,19 @@
 
 impl Shared {
     fn lock(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no thread of the host panicked")
+        self.state.lock().expect("a thread of the host panicked")
     }
 
-    /// Serves a connection in a thread of its own; what was not acknowledged is sent on it first.
+    /// Serves a connection in a thread of its own, after sending the unacknowledged releases on it.
     fn connected(self: &Arc<Shared>, stream: TcpStream) {
         let _ = stream.set_read_timeout(None);
-        let reader = BufReader::new(stream.try_clone().expect("a socket"));
+        let reader = BufReader::new(stream.try_clone().expect("failed to clone the socket"));
         let at = {
             let mut state = self.lock();
             state.links.push(Link {
                 stream,
                 is_open: true,
-                is_useless: false,
+                is_black_holed: false,
             });
             let at = state.links.len() - 1;
             let releases: Vec<OwnedValue> = state.releases.values().cloned().collect();
@@ -198,7 +200,7 @@
 
     fn received(&self, at: usize, message: &OwnedValue) {
         let mut state = self.lock();
-        if state.links[at].is_useless {
+        if state.links[at].is_black_holed {
             return;
         }
         let id = id_of(message);
@@ -207,7 +209,7 @@
                 let left = message.get("f").and_then(|fields| fields.get_str("left"));
                 let left = left.and_then(|left| left.parse().ok()).unwrap_or(0);
                 self.registry.offered(id, Duration::from_millis(left));
-                let start = Instant::now() + state.dice.millis(2, 40);
+                let start = Instant::now() + state.rng.millis(2, 40);
                 let task = Task::Starting {
                     connection: at,
                     at: start,
@@ -250,14 +252,14 @@
                     self.start_task(&mut state, id, connection)
                 }
                 Some(Task::Running { connection, .. }) => {
-                    self.end_task(&mut state, id, connection, ENDED, "")
+                    self.end_task(&mut state, id, connection, TASK_ENDED, "")
                 }
                 None => {}
             }
         }
-        if state.dice.between(0, 1_000) < 5 && !state.links.is_empty() {
+        if state.rng.between(0, 1_000) < 5 && !state.links.is_empty() {
             let count = state.links.len() as u64;
-            let at = state.dice.between(0, count) as usize;
+            let at = state.rng.between(0, count) as usize;
             let _ = rustix::net::sockopt::set_socket_linger(
                 &state.links[at].stream,
                 Some(Duration::ZERO),
@@ -272,27 +274,27 @@
         let text = format!("{{\"t\":\"up\",\"ref\":\"{id:016x}\",\"f\":{{}},\"d\":\"runs\"}}\n");
         let answer = state.answer();
         match answer {
-            Answer::Whole | Answer::Twice => {
-                // Before it is sent: the client may be faster than this thread.
+            Answer::SentOnce | Answer::SentTwice => {
+                // Recorded before the answer is sent, since the client may be faster than this thread.
                 self.registry.answered(id, self.number);
                 state.write(at, &text);
-                if let Answer::Twice = answer {
+                if let Answer::SentTwice = answer {
                     state.write(at, &text);
                 }
             }
-            Answer::Unreadable => {
+            Answer::Malformed => {
                 state.write(at, "{ not a message }\n");
             }
-            Answer::StopsShort => {
+            Answer::Truncated => {
                 state.write(at, &text[..text.len() / 2]);
             }
             Answer::NeverSent => {}
-            Answer::SentAway => return self.end_task(state, id, at, RESET, "dr"),
+            Answer::ReleasedBeforeAnswer => return self.end_task(state, id, at, TASK_RESET, "dr"),
         }
-        if let Answer::Unreadable | Answer::StopsShort | Answer::NeverSent = answer {
-            state.links[at].is_useless = true;
+        if let Answer::Malformed | Answer::Truncated | Answer::NeverSent = answer {
+            state.links[at].is_black_holed = true;
         }
-        let until = Instant::now() + state.dice.millis(100, 1_500);
+        let until = Instant::now() + state.rng.millis(100, 1_500);
         let task = Task::Running {
             connection: at,
             until,
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,8 +1,8 @@
-//! Soak test: one placer among hosts, clients and connections that fail, with signals in series, a crowd on some seeds, and
-//! clients that go on sending on open connections until the process has ended.
+//! Soak test: one placer among hosts, clients and connections that fail, with series of signals, on some seeds a large
+//! number of useless connections, and clients that keep sending on open connections until the process has ended.
 //!
-//! `cargo test --test soak` plays a few seeds. `SOAK_SEEDS=50 SOAK_FIRST=100 cargo test --test soak -- --nocapture` plays
-//! 50 from 100 on and prints a line for each; a seed that fails can be played again alone.
+//! `cargo test --test soak` runs a few seeds. `SOAK_SEEDS=50 SOAK_FIRST=100 cargo test --test soak -- --nocapture` runs
+//! 50 seeds from 100 on and prints a line for each; a seed that fails can be run again alone.
 
 #![recursion_limit = "256"]
 
@@ -23,34 +23,35 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Seeds that a run plays unless the environment says otherwise, and those played side by side.
+/// Number of seeds to run unless the environment sets another.
 const DEFAULT_SEEDS: u64 = 8;
-const SEEDS_AT_ONCE: usize = 4;
+/// Number of seeds that run at the same time.
+const MAX_CONCURRENT_SEEDS: usize = 4;
 const HOSTS: u64 = 4;
 const CLIENTS: u64 = 5;
-/// Every third seed has a crowd of connections of no use.
-const CROWD_EVERY: u64 = 3;
-const CROWD: usize = 150;
-/// How long clients wait, which is also the longest deadline of the deployment.
+/// Interval between seeds that also open useless connections: every third seed does.
+const USELESS_CONNECTIONS_SEED_INTERVAL: u64 = 3;
+const USELESS_CONNECTIONS: usize = 150;
+/// Client timeout, which is also the longest deadline of the deployment.
 const CLIENT_WAIT: Duration = Duration::from_millis(1_500);
-/// The process is killed so long after that wait, counted from SIGTERM.
+/// Time after the client timeout, counted from SIGTERM, at which the process is killed.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// The longest time in which the end of a task may reach its client.
+/// Limit of the time in which the end of a task has to reach its client.
 const MAX_END_TIME: Duration = Duration::from_secs(8);
 const TRAFFIC_TIME: Duration = Duration::from_secs(3);
 const DESCRIPTORS: u32 = 320;
 
-/// Random decisions of one party of one seed.
-pub struct Dice(ChaCha8Rng);
+/// Random number generator for one participant of one seed.
+pub struct SeededRng(ChaCha8Rng);
 
-impl Dice {
-    fn new(seed: u64, party: u64) -> Dice {
-        Dice(ChaCha8Rng::seed_from_u64(
-            seed.wrapping_mul(1_000).wrapping_add(party),
+impl SeededRng {
+    fn new(seed: u64, stream: u64) -> SeededRng {
+        SeededRng(ChaCha8Rng::seed_from_u64(
+            seed.wrapping_mul(1_000).wrapping_add(stream),
         ))
     }
 
-    /// A number from `low` to `high`, without `high`.
+    /// Returns a number from `low` to `high`, excluding `high`.
     fn between(&mut self, low: u64, high: u64) -> u64 {
         low + self.0.next_u64() % (high - low)
     }
@@ -59,7 +60,7 @@
         Duration::from_millis(self.between(low, high))
     }
 
-    /// True in so many of 100 cases.
+    /// Returns true with a probability of `percent` in 100.
     fn percent(&mut self, percent: u64) -> bool {
         self.between(0, 100) < percent
     }
@@ -67,8 +68,8 @@
 
 fn config(feed: &EmulatedFeed, hosts: &[FaultyHost]) -> OwnedValue {
     let entries = hosts.iter().map(FaultyHost::entry).collect();
-    let listed = emulator::Feed::new();
-    let mut config = single_placer_config(&listed, entries);
+    let unused_feed = emulator::Feed::new();
+    let mut config = single_placer_config(&unused_feed, entries);
     config["feed"] = json!(feed.address());
     config["limits"]["sockets"] = json!(DESCRIPTORS);
     for class in 0..2 {
@@ -78,26 +79,28 @@
     config
 }
 
-/// Sends signals in series while traffic runs: reloads, good and bad, and on odd seeds a stop of the process.
-fn disturb(seed: u64, program: &Program, config: &OwnedValue) {
-    let mut dice = Dice::new(seed, 900);
+/// Sends series of signals while traffic runs: reloads of valid and invalid configurations, and on odd seeds stops of
+/// the process.
+fn send_signals(seed: u64, program: &Program, config: &OwnedValue) {
+    let mut rng = SeededRng::new(seed, 900);
     let end = Instant::now() + TRAFFIC_TIME;
-    let good = config.encode();
+    let valid = config.encode();
     while Instant::now() < end {
-        std::thread::sleep(dice.millis(100, 700));
-        for _ in 0..dice.between(1, 6) {
-            program.reload(if dice.percent(30) { "{" } else { &good });
+        std::thread::sleep(rng.millis(100, 700));
+        for _ in 0..rng.between(1, 6) {
+            program.reload(if rng.percent(30) { "{" } else { &valid });
         }
-        if seed % 2 == 1 && dice.percent(30) {
+        if seed % 2 == 1 && rng.percent(30) {
             program.signal("-STOP");
-            std::thread::sleep(dice.millis(50, 400));
+            std::thread::sleep(rng.millis(50, 400));
             program.signal("-CONT");
         }
     }
-    program.reload(&good);
+    program.reload(&valid);
 }
 
-/// Terminates the process under traffic, and kills it as early as the platform may. Returns when it was gone.
+/// Terminates the process under traffic, and kills it at the earliest time at which the platform may. Returns when the
+/// process had ended.
 fn terminate(program: &mut Program, registry: &Registry) -> Instant {
     program.terminate();
     let kill_at = Instant::now() + CLIENT_WAIT + KILL_GRACE;
@@ -108,30 +111,30 @@
     }
     if program.is_running() {
         program.signal("-KILL");
-        registry.violation("the process had not ended when it was killed".into());
+        registry.record_violation("the process had not ended by itself and was killed".into());
     }
     let status = program.wait_exit();
     if !status.success() {
-        registry.violation(format!("ended with {status}"));
+        registry.record_violation(format!("the process ended with {status}"));
     }
     Instant::now()
 }
 
-/// Plays one seed and returns the rules that were broken.
-fn play(seed: u64) -> Vec<String> {
+/// Runs one seed and returns the violated rules.
+fn run_seed(seed: u64) -> Vec<String> {
     let registry = Arc::new(Registry::default());
     let feed = EmulatedFeed::start();
     let hosts: Vec<FaultyHost> = (0..HOSTS)
-        .map(|n| FaultyHost::start(n, Dice::new(seed, n), &registry))
+        .map(|n| FaultyHost::start(n, SeededRng::new(seed, n), &registry))
         .collect();
     let config = config(&feed, &hosts);
     let mut program = Launch::new(&config).descriptors(DESCRIPTORS).start();
     drop(program.client());
-    let crowd = seed
-        .is_multiple_of(CROWD_EVERY)
-        .then(|| clients::crowd(program.address, CROWD));
+    let useless_connections = seed
+        .is_multiple_of(USELESS_CONNECTIONS_SEED_INTERVAL)
+        .then(|| clients::open_useless_connections(program.address, USELESS_CONNECTIONS));
     let clients = Clients::start(seed, CLIENTS, program.address, &registry);
-    disturb(seed, &program, &config);
+    send_signals(seed, &program, &config);
     clients.pause();
     registry.wait_until_ends_arrived(MAX_END_TIME + Duration::from_secs(1));
     clients.resume();
@@ -139,50 +142,54 @@
     clients.keep_connections();
     let exited_at = terminate(&mut program, &registry);
     clients.stop();
-    drop(crowd);
+    drop(useless_connections);
     let mut violations = registry.check(exited_at);
     if program.log().contains("panicked") {
         violations.push("the program panicked".into());
     }
     if !violations.is_empty() {
-        keep_log(seed, &program);
+        save_log(seed, &program);
     }
     violations
 }
 
-/// Keeps the log of a failed seed, where `SOAK_LOGS` names a folder for it.
-fn keep_log(seed: u64, program: &Program) {
+/// Saves the log of a failed seed in the directory that `SOAK_LOGS` names, if it is set.
+fn save_log(seed: u64, program: &Program) {
     if let Ok(folder) = std::env::var("SOAK_LOGS") {
         let path = std::path::Path::new(&folder).join(format!("soak-{seed}.log"));
         let _ = std::fs::write(path, program.log());
     }
 }
 
-fn from_environment(name: &str, default: u64) -> u64 {
-    let stated = std::env::var(name).ok();
-    stated.map_or(default, |text| text.parse().expect("a number"))
+fn read_from_environment(name: &str, default: u64) -> u64 {
+    let value = std::env::var(name).ok();
+    value.map_or(default, |text| {
+        text.parse()
+            .expect("the environment variable is not a number")
+    })
 }
 
 #[test]
 fn rules_hold_among_failing_peers_until_the_process_has_ended() {
-    let first = from_environment("SOAK_FIRST", 1);
-    let seeds: Vec<u64> = (first..first + from_environment("SOAK_SEEDS", DEFAULT_SEEDS)).collect();
+    let first = read_from_environment("SOAK_FIRST", 1);
+    let seeds: Vec<u64> =
+        (first..first + read_from_environment("SOAK_SEEDS", DEFAULT_SEEDS)).collect();
     let mut failed = Vec::new();
-    for group in seeds.chunks(SEEDS_AT_ONCE) {
-        let plays: Vec<_> = group
+    for group in seeds.chunks(MAX_CONCURRENT_SEEDS) {
+        let runs: Vec<_> = group
             .iter()
             .map(|seed| {
                 (
                     *seed,
                     std::thread::spawn({
                         let seed = *seed;
-                        move || play(seed)
+                        move || run_seed(seed)
                     }),
                 )
             })
             .collect();
-        for (seed, played) in plays {
-            let violations = played.join().expect("a play of a seed");
+        for (seed, run) in runs {
+            let violations = run.join().expect("the thread of a seed panicked");
             println!(
                 "seed {seed}: {}",
                 if violations.is_empty() {
@@ -194,12 +201,12 @@
             violations
                 .iter()
                 .take(5)
-                .for_each(|what| println!("  {what}"));
+                .for_each(|violation| println!("  {violation}"));
             if !violations.is_empty() {
                 failed.push((seed, violations));
             }
         }
     }
-    println!("{} seeds played, {} failed", seeds.len(), failed.len());
+    println!("{} seeds run, {} failed", seeds.len(), failed.len());
     assert!(failed.is_empty(), "{failed:#?}");
 }
--- a/tests/soak/registry.rs
+++ b/tests/soak/registry.rs
@@ -1,59 +1,61 @@
-//! What happened to each request, by everybody's records, and the check of the rules on it.
+//! Records of what happened to each request, made by clients and hosts, and the checks of the rules on these records.
 
 use crate::{CLIENT_WAIT, MAX_END_TIME};
 use std::collections::BTreeMap;
 use std::sync::{Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// A final response may be so late; later, the request is lost.
+/// Limit of the delay of a final response; after that, the request counts as lost.
 const LATE_RESPONSE: Duration = Duration::from_millis(500);
-/// A request that is written so shortly before its connection is seen to close goes out again elsewhere.
+/// Time before the close of a connection within which a written request may go unread, so that its client sends it
+/// elsewhere.
 const CROSSING_TIME: Duration = Duration::from_millis(50);
-/// An end that its host could send reaches its client within 1 s.
+/// Limit of the time in which a task end that its host was able to send reaches the client.
 const MAX_DELIVERY_TIME: Duration = Duration::from_secs(1);
-/// What the threads of the test may take on a busy machine, added to each limit.
+/// Tolerance added to each limit for delays of the test's threads on a busy machine.
 const MACHINE_SLACK: Duration = Duration::from_millis(500);
-/// An attempt may begin so long after its client has cancelled.
+/// Time after the client's cancellation within which an attempt may still begin.
 const CANCEL_SLACK: Duration = Duration::from_millis(100);
-/// The time passed to a host may exceed what the client has left by this.
+/// Tolerance by which the time stated to a host may exceed the time that the client has left.
 const BUDGET_SLACK: Duration = Duration::from_millis(150);
-/// What a reading thread of a host may take on a busy machine.
+/// Tolerance for delays of a host's reading thread on a busy machine.
 const READER_SLACK: Duration = Duration::from_millis(150);
 
-/// How a task ended at its host.
+/// When a task ended at its host, and whether its release was sent.
 #[derive(Debug, Clone, Copy)]
 pub struct HostEnd {
     pub at: Instant,
-    /// It was written to a connection that carried it.
+    /// Whether the release was written to a connection that works.
     pub was_sent: bool,
 }
 
 #[derive(Debug, Default, Clone)]
 struct Record {
     written_at: Option<Instant>,
-    once: bool,
+    non_idempotent: bool,
     cancelled_at: Option<Instant>,
-    /// Its client does not read any more.
-    unheard: bool,
-    finals: Vec<Instant>,
+    /// Whether the client no longer reads the connection of this request.
+    client_stopped_reading: bool,
+    final_responses: Vec<Instant>,
     placed: bool,
     notified_at: Option<Instant>,
     closed_at: Option<Instant>,
     starts: u32,
-    /// The host whose answer was sent whole, and how the task ended there.
+    /// The host whose answer was sent completely.
     answered_by: Option<u64>,
+    /// How the task ended at that host.
     host_end: Option<HostEnd>,
 }
 
 impl Record {
-    /// Whether its client is to be notified of the end. One that cancelled while the answer was under way has ended the
-    /// task itself.
-    fn is_owed_an_end(&self) -> bool {
-        self.placed && !self.unheard && self.cancelled_at.is_none()
+    /// Returns whether the client has to be notified of the task end. A client that cancelled while the answer was in
+    /// transit has ended the task itself.
+    fn expects_task_end(&self) -> bool {
+        self.placed && !self.client_stopped_reading && self.cancelled_at.is_none()
     }
 }
 
-/// The records of one seed.
+/// The records of one seed, by request, and the violations found while it runs.
 #[derive(Default)]
 pub struct Registry {
     records: Mutex<BTreeMap<u64, Record>>,
@@ -61,95 +63,99 @@
 }
 
 impl Registry {
-    fn with<T>(&self, id: u64, act: impl FnOnce(&mut Record) -> T) -> T {
+    fn update<T>(&self, id: u64, act: impl FnOnce(&mut Record) -> T) -> T {
         act(self.lock().entry(id).or_default())
     }
 
     fn lock(&self) -> MutexGuard<'_, BTreeMap<u64, Record>> {
-        self.records.lock().expect("no party panicked")
+        self.records.lock().expect("a thread of the test panicked")
     }
 
-    /// Records a broken rule.
-    pub fn violation(&self, what: String) {
+    /// Records the violation of a rule.
+    pub fn record_violation(&self, violation: String) {
         self.violations
             .lock()
-            .expect("no party panicked")
-            .push(what);
+            .expect("a thread of the test panicked")
+            .push(violation);
     }
 
-    // ---- What clients record ----
+    // ---- Records made by clients ----
 
-    pub fn written(&self, id: u64, once: bool) {
-        self.with(id, |record| {
+    pub fn written(&self, id: u64, non_idempotent: bool) {
+        self.update(id, |record| {
             record.written_at = Some(Instant::now());
-            record.once = once;
+            record.non_idempotent = non_idempotent;
         });
     }
 
     pub fn cancelled(&self, id: u64) {
-        self.with(id, |record| record.cancelled_at = Some(Instant::now()));
+        self.update(id, |record| record.cancelled_at = Some(Instant::now()));
     }
 
-    /// The client of these requests reads nothing more.
-    pub fn unheard(&self, ids: &[u64]) {
+    /// Records that the client of these requests no longer reads their connection.
+    pub fn client_stopped_reading(&self, ids: &[u64]) {
         for id in ids {
-            self.with(*id, |record| record.unheard = true);
+            self.update(*id, |record| record.client_stopped_reading = true);
         }
     }
 
-    /// The connection of these requests was seen to close.
+    /// Records that the client has seen the connection of these requests close.
     pub fn closed(&self, ids: &[u64]) {
         for id in ids {
-            self.with(*id, |record| {
+            self.update(*id, |record| {
                 record.closed_at.get_or_insert_with(Instant::now);
             });
         }
     }
 
     pub fn placed(&self, id: u64) {
-        self.with(id, |record| {
-            record.finals.push(Instant::now());
+        self.update(id, |record| {
+            record.final_responses.push(Instant::now());
             record.placed = true;
         });
     }
 
-    /// A release has arrived: the final response, or the end of a task that was placed.
+    /// Records that a release has arrived, which is either the final response or the end of a placed task.
     pub fn released(&self, id: u64) {
-        self.with(id, |record| {
+        self.update(id, |record| {
             if record.placed {
                 record.notified_at.get_or_insert_with(Instant::now);
             } else {
-                record.finals.push(Instant::now());
+                record.final_responses.push(Instant::now());
             }
         });
     }
 
-    // ---- What hosts record ----
+    // ---- Records made by hosts ----
 
     pub fn offered(&self, id: u64, left: Duration) {
         let now = Instant::now();
-        let record = self.with(id, |record| record.clone());
+        let record = self.update(id, |record| record.clone());
         if let Some(cancelled_at) = record.cancelled_at
             && now > cancelled_at + CANCEL_SLACK + READER_SLACK
         {
             let late = now - cancelled_at;
-            self.violation(format!("{id:x}: attempt {late:?} after it was cancelled"));
+            self.record_violation(format!(
+                "{id:x}: attempt {late:?} after the request was cancelled"
+            ));
         }
         if let Some(written_at) = record.written_at {
             let client_left = CLIENT_WAIT.saturating_sub(now - written_at);
             if left > client_left + BUDGET_SLACK + READER_SLACK {
-                self.violation(format!("{id:x}: {left:?} passed on, {client_left:?} left"));
+                self.record_violation(format!(
+                    "{id:x}: the host was told {left:?}, but the client had {client_left:?} left"
+                ));
             }
         }
     }
 
     pub fn started(&self, id: u64) {
-        self.with(id, |record| record.starts += 1);
+        self.update(id, |record| record.starts += 1);
     }
 
     pub fn answered(&self, id: u64, host: u64) {
-        self.with(id, |record| {
-            // The run at another host, whose answer was lost, is none that the client knows; nor is its end.
+        self.update(id, |record| {
+            // The client does not know the run at an earlier host whose answer was lost, nor the end of that run.
             if record.answered_by.replace(host) != Some(host) {
                 record.host_end = None;
             }
@@ -157,20 +163,21 @@
     }
 
     pub fn ended(&self, id: u64, host: u64, end: HostEnd) {
-        self.with(id, |record| {
+        self.update(id, |record| {
             if record.answered_by == Some(host) {
                 record.host_end = Some(end);
             }
         });
     }
 
-    // ---- The check ----
+    // ---- Checks ----
 
-    /// Waits until all placed tasks have ended and their clients know, at most so long.
+    /// Waits until all placed tasks have ended and their clients know of it, or until `limit` has passed.
     pub fn wait_until_ends_arrived(&self, limit: Duration) {
         let deadline = Instant::now() + limit;
         while Instant::now() < deadline {
-            let is_open = |record: &Record| record.is_owed_an_end() && record.notified_at.is_none();
+            let is_open =
+                |record: &Record| record.expects_task_end() && record.notified_at.is_none();
             if !self.lock().values().any(is_open) {
                 return;
             }
@@ -178,14 +185,22 @@
         }
     }
 
-    /// Returns the rules that were broken. The process had ended at `exited_at`.
+    /// Returns the violated rules. The process had ended at `exited_at`.
     pub fn check(&self, exited_at: Instant) -> Vec<String> {
-        let mut violations = std::mem::take(&mut *self.violations.lock().expect("no panic"));
+        let mut violations = std::mem::take(
+            &mut *self
+                .violations
+                .lock()
+                .expect("a thread of the test panicked"),
+        );
         for (id, record) in self.lock().iter() {
             violations.extend(check_response(*id, record));
             violations.extend(check_end(*id, record, exited_at));
-            if record.once && record.starts > 1 {
-                violations.push(format!("{id:x}: started {} times", record.starts));
+            if record.non_idempotent && record.starts > 1 {
+                violations.push(format!(
+                    "{id:x}: non-idempotent task started {} times",
+                    record.starts
+                ));
             }
         }
         violations
@@ -194,17 +209,19 @@
 
 fn check_response(id: u64, record: &Record) -> Option<String> {
     let written_at = record.written_at?;
-    if record.cancelled_at.is_some() || record.unheard {
+    if record.cancelled_at.is_some() || record.client_stopped_reading {
         return None;
     }
-    match record.finals.as_slice() {
+    match record.final_responses.as_slice() {
         [] => {
-            let crossed = |closed_at: Instant| written_at + CROSSING_TIME >= closed_at;
-            let is_free = record.closed_at.is_some_and(crossed);
+            let crosses_close = |closed_at: Instant| written_at + CROSSING_TIME >= closed_at;
+            let is_excused = record.closed_at.is_some_and(crosses_close);
             let age = record
                 .closed_at
                 .map(|at| at.saturating_duration_since(written_at));
-            (!is_free).then(|| format!("{id:x}: no final response; closed {age:?} after it"))
+            (!is_excused).then(|| {
+                format!("{id:x}: no final response; connection closed {age:?} after the request")
+            })
         }
         [at] => {
             let late = at.saturating_duration_since(written_at + CLIENT_WAIT + LATE_RESPONSE);
@@ -215,23 +232,25 @@
 }
 
 fn check_end(id: u64, record: &Record, exited_at: Instant) -> Option<String> {
-    let end = record.host_end.filter(|_| record.is_owed_an_end())?;
+    let end = record.host_end.filter(|_| record.expects_task_end())?;
     let limit = if end.was_sent {
         MAX_DELIVERY_TIME
     } else {
         MAX_END_TIME
     };
-    // What is not due before the exit passes to the next process.
+    // A task end that is not due before the exit is delivered by the next process.
     if end.at + limit > exited_at {
         return None;
     }
     let Some(notified_at) = record.notified_at else {
         return Some(format!(
-            "{id:x}: its end never reached a client; sent: {}",
+            "{id:x}: the task end never reached a client; sent by its host: {}",
             end.was_sent
         ));
     };
     let took = notified_at.saturating_duration_since(end.at);
     let sent = end.was_sent;
-    (took > limit + MACHINE_SLACK).then(|| format!("{id:x}: its end took {took:?}; sent: {sent}"))
+    (took > limit + MACHINE_SLACK).then(|| {
+        format!("{id:x}: the task end took {took:?} to reach a client; sent by its host: {sent}")
+    })
 }
