--- a/tests/endings/process.rs
+++ b/tests/endings/process.rs
@@ -19,7 +19,7 @@
     // A second SIGTERM and a reload of an invalid configuration have no effect.
     program.terminate();
     program.reload("{");
-    program.wait_for_log("configuration not read again");
+    program.wait_for_log("cannot reload configuration");
     assert!(program.wait_exit().success());
 }
 
@@ -194,7 +194,7 @@
     // Once the program listens, it has read the configuration, and the reload waits for a writer.
     let mut client = program.client();
     write(open());
-    program.wait_for_log("configuration read again");
+    program.wait_for_log("configuration reloaded");
     assert!(client.health_check() && program.is_running());
     let _ = std::fs::remove_file(&pipe);
 }
