--- a/tests/endings/hosts.rs
+++ b/tests/endings/hosts.rs
@@ -10,7 +10,7 @@
         let host = Host::new("h0", "north");
         let mut config = single_placer_config(&feed, vec![host.entry("up", 0)]);
         config["settings"]["caps"]["connect_timeout"] = json!(3_000.0);
-        // Disables the tolerance for removed hosts that applies just after the start of the process.
+        // A slow-start budget of zero: a host process that has just started gets no attempt.
         config["settings"]["family_info"]["young_limit"] = json!(0.0);
         let unreachable = host.make_unreachable();
         let program = Program::start(&config);
--- a/tests/soak/hosts.rs
+++ b/tests/soak/hosts.rs
@@ -29,7 +29,7 @@
     Truncated,
     NeverSent,
     /// The host releases the task before the answer is sent.
-    ReleasedBeforeAnswer,
+    ReleasedEarly,
 }
 
 enum Task {
@@ -150,7 +150,7 @@
             76..82 => Answer::Malformed,
             82..88 => Answer::Truncated,
             88..94 => Answer::NeverSent,
-            _ => Answer::ReleasedBeforeAnswer,
+            _ => Answer::ReleasedEarly,
         }
     }
 
@@ -289,7 +289,7 @@
                 state.write(at, &text[..text.len() / 2]);
             }
             Answer::NeverSent => {}
-            Answer::ReleasedBeforeAnswer => return self.end_task(state, id, at, TASK_RESET, "dr"),
+            Answer::ReleasedEarly => return self.end_task(state, id, at, TASK_RESET, "dr"),
         }
         if let Answer::Malformed | Answer::Truncated | Answer::NeverSent = answer {
             state.links[at].is_black_holed = true;
