--- a/src/net/clients/status/tests.rs
+++ b/src/net/clients/status/tests.rs
@@ -39,13 +39,13 @@
     peer.write_all(&[0; 8 * CHUNK_BYTES])
         .expect("failed to write to the socket");
     let (mut mark, mut reads) = (None, 0);
-    // The unread input never shrinks: reads are only simulated.
+    // Reads are only simulated, so the same amount of input stays unread each time.
     while let ClientStatus::UnreadInput(next) = clients.status(id, mark, &host, input_wait) {
         mark = next;
         assert_eq!(
             clients.input_processed(id, CHUNK_BYTES).len(),
             1,
-            "the host whose attempt waits is returned"
+            "the host whose attempt waits was not returned"
         );
         reads += 1;
         assert!(
@@ -92,7 +92,11 @@
     clients.input_processed(id, 10);
     let after = clients.status(id, mark, &host, 0);
 
-    assert_eq!(before, ClientStatus::UnreadInput(mark), "no input was read");
+    assert_eq!(
+        before,
+        ClientStatus::UnreadInput(mark),
+        "the mark changed although no input was read"
+    );
     assert_eq!(after, ClientStatus::Connected);
 }
 
--- a/src/net/clients/table.rs
+++ b/src/net/clients/table.rs
@@ -1,4 +1,4 @@
-//! The table of client connections, with the responses and task ends that are pending on each.
+//! The table of client connections, with the responses that are pending on each and the task ends to be delivered.
 
 use super::id::ClientId;
 use super::pending_task_ends::PendingTaskEnds;
--- a/src/net/clients/task_ends.rs
+++ b/src/net/clients/task_ends.rs
@@ -82,7 +82,7 @@
         self.deliver_task_end(now, task);
     }
 
-    /// Sends the task ends that were not acknowledged in time again on other connections.
+    /// Resends the task ends that were not acknowledged in time on other connections.
     ///
     /// Writing succeeds even if the client has stopped reading with its connection open or never knew the task, so a
     /// missing acknowledgement is the only sign that the task end has not arrived.
--- a/tests/endings/process.rs
+++ b/tests/endings/process.rs
@@ -141,7 +141,7 @@
     }
 }
 
-// The platform kills a process 0.7 s after the longest client timeout.
+// The platform kills a process 0.7 s after the longest client timeout, so the shutdown must have ended by then.
 #[test]
 fn shutdown_is_quick_with_short_client_timeouts() {
     let mut feed = Feed::new();
