--- a/src/overload/admission.rs
+++ b/src/overload/admission.rs
@@ -1,61 +1,67 @@
-//! Admission control: which tasks are admitted while more is requested than can be started.
+//! Admission control: decides which tasks are admitted while more tasks are requested than hosts can start.
 //!
 //! Load is shed by levels. At level `n` the fraction [`LEVEL_FRACTION`]^n of the requests is admitted. Requests
-//! are ranked in one order, the same at every placer: by priority, then those within their tenant's quota
-//! before those beyond it, then first requests before retries, then by a hash of the task and an epoch, which
-//! rotates who comes last. Overload control of large services does the same with a level that all instances
-//! share (Zhou et al., "Overload Control for Scaling WeChat Microservices", SoCC 2018). Here placers exchange
-//! no messages, and each finds its own level. All see the queues of the same hosts, so they arrive at similar
-//! levels; coarse levels and two thresholds keep them there.
+//! are ranked in one order, which is the same at every placer: by priority, then those within their tenant's quota
+//! before those beyond it, then first requests before retries, then by a hash of the task and the current epoch,
+//! so that each epoch sheds other tasks first. WeChat's overload control ranks requests in the same way, but all its
+//! instances share one level (Zhou et al., "Overload Control for Scaling WeChat Microservices", SoCC 2018). Placers
+//! exchange no messages, so each determines its own level. Since all placers observe the queues of the same hosts,
+//! they arrive at similar levels; coarse levels and separate thresholds for rise and fall keep the levels similar.
 //!
 //! ```text
-//!             late starts, or tasks given up:        starts within the objective for a while:
-//!             at most MAX_RISE levels at once        by earlier starts over requests
+//!             late starts, or tasks given up:        starts within the objective for a while: falls
+//!             rises by at most MAX_RISE levels       to the level for the capacity observed earlier
 //!   level 0 ─────────────────────────────▶ level n ─────────────────────────▶ level m < n
 //! ```
 //!
-//! Only what was requested after the latest change of the level counts for the next change: earlier requests
-//! still show the effect of the level before.
+//! Only tasks requested after the latest change of the level count for the next change, because earlier requests
+//! still show the effect of the previous level.
 
 use super::hash::hash_fraction;
 use crate::Micros;
 use crate::health::sliding_window::SlidingWindow;
 
-/// The fraction of one level's admissions that the next level admits.
+/// The fraction of the requests admitted at one level that the next higher level still admits.
 pub const LEVEL_FRACTION: f64 = 0.9;
-/// The highest level admits 3.4 %: some starts are needed to notice that there is capacity again.
+/// The highest shed level. It admits 3.4 % of the requests, because some tasks must start for the placer to detect
+/// that there is capacity again.
 pub const MAX_LEVEL: u8 = 32;
-/// The level rises by at most this at once: a third is still admitted until the effect is known.
+/// The most levels by which one adjustment raises the level. After such a rise a third of the requests admitted
+/// before is still admitted, until the effect of the new level is known.
 const MAX_RISE: f64 = 10.0;
-/// Fewer outcomes than these say nothing about a level.
+/// The number of outcomes below which late starts do not change the level, since so few say nothing about it.
 const MIN_OUTCOMES: f64 = 6.0;
-/// How long the mix of requests is observed, in multiples of the shortest latency objective.
-const MIX_OBJECTIVES: Micros = 1;
-/// A backlog cannot be started in time if its oldest task has waited for this fraction of the latency
-/// objective, and it holds more tasks than are started within the second one.
+/// The length of the window over which requests are counted by bucket, in multiples of the shortest latency
+/// objective.
+const MIX_WINDOW_OBJECTIVES: Micros = 1;
+/// A backlog cannot be started in time if its oldest task has waited longer than this fraction of the latency
+/// objective, and it also holds more tasks than [`BACKLOG_STARTS`] permits.
 const BACKLOG_WAIT: f64 = 0.25;
+/// The fraction of the latency objective within which all tasks of a backlog must be able to start, at the current
+/// rate of starts.
 const BACKLOG_STARTS: f64 = 0.4;
-/// The fraction of the starts observed under overload that counts as capacity.
+/// The fraction of the rate of starts observed under overload that is taken as the capacity.
 const CAPACITY_MARGIN: f64 = 0.95;
-/// A level that has lasted for so many latency objectives starts new counts.
-const RECOUNT_OBJECTIVES: Micros = 4;
-/// Levels by which a level falls after calm starts, and after very early ones.
-const CALM_FALL: f64 = 1.0;
-const VERY_CALM_FALL: f64 = 2.0;
-/// Salt of the hash that decides which tasks of a tenant count as within its quota.
+/// The counts of outcomes are reset once a level has lasted for this many latency objectives.
+const OUTCOME_RESET_OBJECTIVES: Micros = 4;
+/// How many levels the level may fall if the mean delay of starts is at most [`Settings::low_delay`].
+const LOW_DELAY_FALL: f64 = 1.0;
+/// How many levels the level may fall if the mean delay of starts is at most half of [`Settings::low_delay`].
+const VERY_LOW_DELAY_FALL: f64 = 2.0;
+/// Salt of the hash that decides which tasks of a tenant are taken to be within its quota.
 pub const QUOTA_SALT: u64 = 0x7368_6172;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// Settings of admission control. Fractions are of a task's latency objective, from its request on.
+/// Settings of admission control. Delays are fractions of a task's latency objective, measured from its request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Starts later than this are too late.
+    /// The mean delay of starts above which starts are too late and the level may rise.
     pub late: f64,
-    /// Starts up to this are calm.
+    /// The mean delay of starts up to which the level may fall below what the observed capacity calls for.
     pub low_delay: f64,
-    /// While load is shed, a task that has waited longer than this is given up: it can't start in time.
+    /// While load is shed, a task that has waited longer than this is given up, because it cannot start in time.
     pub give_up_after: f64,
-    /// How long the same tasks are shed first.
+    /// How long the same tasks are shed first, in microseconds.
     pub epoch: Micros,
 }
 
@@ -70,45 +76,46 @@
     }
 }
 
-/// Whether a client sends a request for the first time. A retry can hardly start in time any more.
+/// Whether a client sends a request for the first time or retries it. A retry ranks lower, since it can hardly start
+/// within the latency objective any more.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClientAttempt {
-    /// The first request.
+    /// The client's first request for the task.
     #[default]
     First,
-    /// A retry.
+    /// A retry whose Retry-After, if any, has passed.
     Retry,
-    /// A retry before its Retry-After has passed.
+    /// A retry that arrives before its Retry-After has passed.
     EarlyRetry,
 }
 
-/// What decides the rank of a request.
+/// The attributes of a request that determine its rank.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// 0 (lowest) to 3.
+    /// The priority of its class, from 0 (lowest) to 3.
     pub priority: u8,
-    /// The fraction of its tenant's requests that is within the quota.
+    /// The fraction of its tenant's requests that is within the tenant's quota.
     pub within_quota: f64,
-    /// Whether its client has sent it before.
+    /// Whether its client has sent the request before.
     pub client_attempt: ClientAttempt,
-    /// A hash of the task, the same at every placer.
+    /// A hash of the task, which is the same at every placer.
     pub task_hash: u64,
 }
 
 const MAX_PRIORITY: u8 = 3;
 const QUOTA_STATES: usize = 2;
 const CLIENT_ATTEMPTS: usize = 3;
-/// One bucket for each priority, quota state and client attempt.
+/// The number of buckets: one for each combination of priority, quota state and client attempt.
 const BUCKETS: usize = (MAX_PRIORITY as usize + 1) * QUOTA_STATES * CLIENT_ATTEMPTS;
-/// Retries are admitted only if what ranks before them is at most this fraction of what is admitted, so that
-/// no placer admits retries while another, a level apart, sheds first requests.
+/// A retry is admitted only if the requests that rank before it are at most this fraction of those admitted.
+/// Otherwise one placer could admit retries while another, whose level is higher by one, sheds first requests.
 const RETRY_HEADROOM: f64 = 0.65;
-/// The epochs of retries are so many times shorter: a retry was shed by the order of its epoch, and would be
-/// again.
+/// The factor by which the epochs of retries are shorter than those of first requests. A retry was shed because of
+/// its rank in one epoch, and would be shed again in the same epoch.
 const RETRY_EPOCH_DIVISOR: Micros = 4;
 
 impl Candidate {
-    /// The bucket of the candidate; lower buckets are admitted first.
+    /// Returns the bucket of the candidate; lower buckets are admitted first.
     fn bucket(&self) -> usize {
         let beyond_quota = hash_fraction(self.task_hash, QUOTA_SALT) >= self.within_quota;
         let priority = usize::from(MAX_PRIORITY - self.priority.min(MAX_PRIORITY));
@@ -117,20 +124,20 @@
     }
 }
 
-/// The admitted tasks that are waiting for an attempt, of those requested after the latest change of the level.
+/// The admitted tasks that were requested after the latest change of the level and have no attempt in flight.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Backlog {
-    /// Their number.
+    /// The number of waiting tasks.
     pub tasks: usize,
-    /// How long the oldest has waited.
+    /// How long the oldest of them has waited, in microseconds.
     pub oldest_wait: Micros,
 }
 
-/// Outcomes of what was requested after the latest change of the level.
+/// Outcomes of the tasks that were requested after the latest change of the level or reset of these counts.
 #[derive(Debug, Clone, Copy, Default)]
 struct Outcomes {
     starts: f64,
-    /// The delays of the starts, as fractions of their latency objectives.
+    /// The sum of the delays of the starts, each as a fraction of its task's latency objective.
     relative_delays: f64,
     given_up: f64,
 }
@@ -156,20 +163,21 @@
     /// The shortest latency objective of any class.
     latency_objective: Micros,
     level: u8,
+    /// When the level last changed or its counts were last reset.
     level_since: Micros,
     /// Recent requests by bucket.
     mix: Vec<SlidingWindow>,
-    /// Requests within the last latency objective, admitted or not.
+    /// Requests within the last latency objective, whether admitted or not.
     requests: SlidingWindow,
     /// Starts within the last half of a latency objective.
     starts: SlidingWindow,
     outcomes: Outcomes,
-    /// Starts per second under overload, as of the latest rise.
+    /// The rate of starts per second under overload, as observed when the level last rose.
     capacity_per_second: f64,
 }
 
 impl AdmissionController {
-    /// Creates a controller that admits everything. `latency_objective` is the shortest of any class.
+    /// Creates a controller that admits every request. `latency_objective` is the shortest of any class.
     pub fn new(settings: Settings, latency_objective: Micros) -> AdmissionController {
         let latency_objective = latency_objective.max(1);
         AdmissionController {
@@ -177,7 +185,7 @@
             latency_objective,
             level: 0,
             level_since: 0,
-            mix: vec![SlidingWindow::new(MIX_OBJECTIVES * latency_objective); BUCKETS],
+            mix: vec![SlidingWindow::new(MIX_WINDOW_OBJECTIVES * latency_objective); BUCKETS],
             requests: SlidingWindow::new(latency_objective),
             starts: SlidingWindow::new(latency_objective / 2),
             outcomes: Outcomes::default(),
@@ -185,23 +193,23 @@
         }
     }
 
-    /// Returns the shed level; 0 admits everything.
+    /// Returns the shed level; at level 0 every request is admitted.
     pub fn level(&self) -> u8 {
         self.level
     }
 
-    /// Returns since when the outcomes of this level are counted.
+    /// Returns the time from which on the outcomes of the current level are counted.
     pub fn level_since(&self) -> Micros {
         self.level_since
     }
 
-    /// Returns the fraction of the requests that is admitted.
+    /// Returns the fraction of the requests that is admitted at the current level.
     pub fn admitted_fraction(&self) -> f64 {
         admitted_fraction(self.level)
     }
 
-    /// Counts a request and returns its rank, from 0 (admitted first) to 1 (shed first). It is admitted if the
-    /// rank is below [`AdmissionController::admitted_fraction`].
+    /// Counts a request and returns its rank, from 0 (admitted first) to 1 (shed first). The request is admitted if
+    /// its rank is below [`AdmissionController::admitted_fraction`].
     pub fn rank(&mut self, now: Micros, wall_clock: Micros, candidate: Candidate) -> f64 {
         let bucket = candidate.bucket();
         self.requests.add(now, 1.0, 0.0);
@@ -230,7 +238,8 @@
         }
     }
 
-    /// Records that a task has started, with its delay since `requested_at` as a fraction of its objective.
+    /// Records that a task has started. `relative_delay` is the time since `requested_at` as a fraction of the task's
+    /// latency objective.
     pub fn record_start(&mut self, now: Micros, requested_at: Micros, relative_delay: f64) {
         self.starts.add(now, 1.0, 0.0);
         if requested_at >= self.level_since {
@@ -239,14 +248,14 @@
         }
     }
 
-    /// Records that an admitted task was given up, for lack of time or of attempts.
+    /// Records that an admitted task was given up because it had no time or no attempts left.
     pub fn record_give_up(&mut self, requested_at: Micros) {
         if requested_at >= self.level_since {
             self.outcomes.given_up += 1.0;
         }
     }
 
-    /// Adjusts the level to the outcomes and the backlog. Returns whether it has changed.
+    /// Adjusts the level to the outcomes and the backlog. Returns whether the level has changed.
     pub fn adjust(&mut self, now: Micros, backlog: Backlog) -> bool {
         let elapsed = now - self.level_since;
         let starts_per_second = per_second(now, &self.starts);
@@ -259,13 +268,14 @@
         if let Some(level) = self.level_after_recovery(elapsed, requests_per_second) {
             return self.set_level(now, level);
         }
-        if elapsed >= RECOUNT_OBJECTIVES * self.latency_objective {
+        if elapsed >= OUTCOME_RESET_OBJECTIVES * self.latency_objective {
             self.set_level(now, f64::from(self.level));
         }
         false
     }
 
-    /// The higher level that a backlog calls for which cannot be started in time.
+    /// Returns the higher level that a backlog calls for, or `None` if the backlog can be started in time or calls
+    /// for no higher level.
     fn level_by_backlog(
         &self,
         backlog: Backlog,
@@ -284,18 +294,20 @@
         (level > current).then(|| level.round().min(current + MAX_RISE))
     }
 
-    fn outcomes_are_bad(&self) -> bool {
+    /// Returns whether any task was given up, or tasks started too late on average.
+    fn outcomes_show_overload(&self) -> bool {
         self.outcomes.given_up > 0.0 || self.outcomes.mean_relative_delay() > self.settings.late
     }
 
-    /// The level that late starts and given-up tasks call for. A small fraction of them may call for the
-    /// current level.
+    /// Returns the level that late starts and given-up tasks call for, or `None` if there are too few outcomes or
+    /// they show no overload. If only a small fraction is late or given up, this may be the current level.
     fn level_by_late_outcomes(&self) -> Option<f64> {
         let outcomes = self.outcomes.count();
-        if outcomes < MIN_OUTCOMES || !self.outcomes_are_bad() {
+        if outcomes < MIN_OUTCOMES || !self.outcomes_show_overload() {
             return None;
         }
-        // The fraction of the admitted tasks that started; if those were late, reduced by how much.
+        // The fraction of the admitted tasks that started. If they started late, the fraction is reduced in
+        // proportion to their delay.
         let started = self.outcomes.starts / outcomes;
         let mean_delay = self.outcomes.mean_relative_delay();
         let sustainable = if mean_delay > self.settings.late {
@@ -309,42 +321,42 @@
         Some(f64::from(self.level) + rise)
     }
 
-    /// The lower level that suffices once starts are within the objective again.
+    /// Returns the lower level that suffices once starts are within the objective again, if there is one.
     fn level_after_recovery(&self, elapsed: Micros, requests_per_second: f64) -> Option<f64> {
-        if self.level == 0 || self.outcomes_are_bad() || elapsed < self.min_level_duration() {
+        if self.level == 0 || self.outcomes_show_overload() || elapsed < self.min_level_duration() {
             return None;
         }
-        // The capacity observed under overload may suffice for more of the current requests. Where starts have
-        // been calm for a while, there may be more capacity than was observed.
+        // The capacity observed under overload may suffice for a larger fraction of the current requests. If the
+        // delay of starts has been low for a while, there may be more capacity than was observed.
         let capacity = if requests_per_second > 0.0 {
             (CAPACITY_MARGIN * self.capacity_per_second / requests_per_second).min(1.0)
         } else {
             1.0
         };
         let by_capacity = level_of(capacity.max(f64::MIN_POSITIVE)).round();
-        let by_calm_starts = f64::from(self.level) - self.calm_fall();
-        let level = by_capacity.min(by_calm_starts);
+        let by_low_delay = f64::from(self.level) - self.max_fall();
+        let level = by_capacity.min(by_low_delay);
         (level < f64::from(self.level)).then_some(level)
     }
 
-    /// How many levels the mean delay of the starts allows to fall.
-    fn calm_fall(&self) -> f64 {
+    /// Returns by how many levels the level may fall, given the mean delay of the starts.
+    fn max_fall(&self) -> f64 {
         let mean_delay = self.outcomes.mean_relative_delay();
         if self.outcomes.starts == 0.0 || mean_delay > self.settings.low_delay {
             0.0
         } else if mean_delay > self.settings.low_delay / 2.0 {
-            CALM_FALL
+            LOW_DELAY_FALL
         } else {
-            VERY_CALM_FALL
+            VERY_LOW_DELAY_FALL
         }
     }
 
-    /// How long a level lasts before it falls: long enough for what it admits to start.
+    /// Returns how long a level lasts at least before it falls: long enough for the tasks that it admits to start.
     fn min_level_duration(&self) -> Micros {
         self.latency_objective / 2
     }
 
-    /// Sets the level and starts new counts. Returns whether the level has changed.
+    /// Sets the level and resets the counts of outcomes. Returns whether the level has changed.
     fn set_level(&mut self, now: Micros, level: f64) -> bool {
         let level = level.clamp(0.0, f64::from(MAX_LEVEL)) as u8;
         let has_changed = level != self.level;
@@ -355,12 +367,12 @@
     }
 }
 
-/// Returns the fraction of the requests that is admitted at a level.
+/// Returns the fraction of the requests that is admitted at the level `level`.
 pub fn admitted_fraction(level: u8) -> f64 {
     LEVEL_FRACTION.powi(i32::from(level))
 }
 
-/// The level, not rounded, that admits this fraction.
+/// Returns the level, not rounded, at which this fraction of the requests is admitted.
 fn level_of(admitted_fraction: f64) -> f64 {
     admitted_fraction.ln() / LEVEL_FRACTION.ln()
 }
--- a/src/overload/concurrency_limit.rs
+++ b/src/overload/concurrency_limit.rs
@@ -1,14 +1,15 @@
-//! Concurrency limit of one host: how many attempts of this placer may be in flight there, so that the queue of
-//! all placers together stays short whatever their number.
+//! Concurrency limit of one host: how many attempts of this placer may be in flight there. It keeps the queue of the
+//! attempts of all placers short, whatever the number of placers.
 //!
-//! No placer sees the queue of the others, and none knows a host's capacity. Each sees how long its own starts
-//! take, and that delay is common to all who wait in one queue. So a congestion window follows a target delay,
-//! as Swift does for packets (Kumar et al., "Swift: Delay is Simple and Effective for Congestion Control in the
-//! Datacenter", SIGCOMM 2020, section 3.2): it grows additively while starts come within the target, and is
-//! decreased in proportion to the excess, at most once per queueing delay. Windows below one are kept by
-//! pacing: one attempt may be in flight for that fraction of the time. Different from Swift: the windows of all
-//! placers together grow by one attempt, whatever their number; growth is faster while the delay is below half
-//! of the target; and a host that is slow even when idle gets a longer target, up to a limit.
+//! A placer neither sees the attempts that other placers have queued at a host nor knows the host's capacity. But it
+//! measures how long its own tasks take to start, and this delay is the same for all attempts that wait in one queue.
+//! So the placer adapts a congestion window to a target delay, as Swift does for packets (Kumar et al., "Swift:
+//! Delay is Simple and Effective for Congestion Control in the Datacenter", SIGCOMM 2020, section 3.2): the window
+//! grows additively while starts are within the target, and is decreased in proportion to the excess, at most once per
+//! queueing delay. A window below one is enforced by pacing: one attempt may be in flight for that fraction of the
+//! time. There are three differences from Swift: the windows of all placers together grow by one attempt, whatever
+//! the number of placers; a window grows faster while the delay is below half of the target; and a host that is slow
+//! even when idle gets a longer target, up to a limit.
 //!
 //! ```text
 //!             start within the target                late start, loss, or full queue
@@ -23,39 +24,41 @@
 
 use crate::Micros;
 
-/// Starts longer ago than this no longer count for a host's minimum delay.
-const DELAY_FLOOR_SPAN: Micros = 30_000_000;
-/// The target delay of a slow host, as a multiple of its minimum delay.
-const TARGET_OVER_FLOOR: f64 = 1.3;
-/// The largest fraction by which one decrease narrows the window (Swift's max_mdf).
+/// How long a start counts for a host's minimum delay, in microseconds.
+const MIN_DELAY_EXPIRY: Micros = 30_000_000;
+/// The target delay of a host that is slow even when idle, as a multiple of its minimum delay.
+const TARGET_PER_MIN_DELAY: f64 = 1.3;
+/// The largest fraction by which the window is narrowed at once (Swift's max_mdf).
 const MAX_DECREASE: f64 = 0.5;
-/// The fraction of the excess delay by which the window is narrowed (Swift's beta).
+/// The window is narrowed by this factor times the excess delay as a fraction of the delay (Swift's beta).
 const DECREASE_GAIN: f64 = 0.8;
 /// The weight of one start in the moving average of the delay.
 const DELAY_WEIGHT: f64 = 0.25;
-/// The window returns to its initial value after a pause of so many mean delays, and of at least
-/// [`MIN_IDLE`]: what it was adapted to is over.
+/// A window above its initial value returns to it after a pause of this many mean delays, and of at least
+/// [`MIN_IDLE`], since the load that the window was adapted to has passed.
 const IDLE_DELAYS: f64 = 20.0;
+/// The shortest pause after which a window returns to its initial value, in microseconds.
 const MIN_IDLE: Micros = 5_000_000;
-/// The minimum window as a fraction of the initial one: so many attempts keep a host busy and its queue short.
+/// The minimum window as a fraction of the initial one. This many attempts keep a host busy and its queue short.
 const MIN_WINDOW_FRACTION: f64 = 0.25;
-/// The largest fraction of itself by which the window grows per start while the queue is very short.
+/// The largest fraction of a window, or of 1 if the window is larger, by which it grows per start while the host's
+/// queue is very short.
 const FAST_GROWTH: f64 = 0.5;
-/// The shortest delay is assumed to be at most this fraction of the target delay.
-const MAX_SHORTEST_FRACTION: f64 = 0.25;
-/// Consecutive losses after which a host is suspect.
+/// The upper bound of the shortest delay in the computation of the pacing delay, as a fraction of the target delay.
+const MAX_SHORTEST_DELAY_FRACTION: f64 = 0.25;
+/// The number of consecutive losses after which a host is suspect.
 const SUSPECT_LOSSES: u32 = 2;
-/// A window that was full within so many mean delays may grow.
+/// A window may grow only if it was full within this many mean delays.
 const RECENTLY_FULL_DELAYS: f64 = 4.0;
 
-/// Settings of all concurrency limits.
+/// Settings of the concurrency limits of all hosts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// The target delay of a start, as a fraction of the latency objective of its class.
     pub target: f64,
-    /// The largest target at hosts that are slow even when idle.
+    /// The largest target delay at hosts that are slow even when idle, as a fraction of the latency objective.
     pub max_target: f64,
-    /// The initial window of a host, of all placers together.
+    /// The sum of the initial windows of all placers at a host.
     pub initial_window: f64,
     /// The largest window of this placer at a host.
     pub max_window: f64,
@@ -75,22 +78,22 @@
 /// Whether a lost attempt had been delivered to its host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Delivery {
-    /// The host had received it, and did not answer in time.
+    /// The host received the attempt and did not answer in time.
     Delivered,
-    /// It may not have been received.
+    /// The host may not have received the attempt.
     Unknown,
 }
 
-/// Whether an attempt that ended without a start shows that its host answers.
+/// Whether an attempt that ended without starting its task shows that its host answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HostResponse {
     /// The host answered.
     Answered,
-    /// The end says nothing about the host.
+    /// The end of the attempt does not show whether the host answers.
     None,
 }
 
-/// The minimum of a value over the last while, in two halves, so that old values expire.
+/// The minimum of a value over the last [`MIN_DELAY_EXPIRY`], kept for two halves of the span so that old values expire.
 #[derive(Debug, Clone, Copy)]
 struct WindowedMinimum {
     half_started_at: Micros,
@@ -107,8 +110,8 @@
 
     fn add(&mut self, now: Micros, value: f64) {
         let elapsed = now - self.half_started_at;
-        if elapsed > DELAY_FLOOR_SPAN / 2 {
-            let has_expired = elapsed > DELAY_FLOOR_SPAN;
+        if elapsed > MIN_DELAY_EXPIRY / 2 {
+            let has_expired = elapsed > MIN_DELAY_EXPIRY;
             self.previous_half = if has_expired {
                 f64::INFINITY
             } else {
@@ -128,34 +131,36 @@
 /// The concurrency limit of one host, as one placer keeps it.
 #[derive(Debug, Clone)]
 pub struct ConcurrencyLimit {
-    /// Attempts that may be in flight at once; below 1, for that fraction of the time.
+    /// The number of attempts that may be in flight at once. Below 1, one attempt may be in flight for that fraction of
+    /// the time.
     window: f64,
     initial_window: f64,
     min_window: f64,
-    /// This placer's part of the one attempt by which the windows of all placers grow together.
+    /// This placer's part of the one attempt by which the windows of all placers together grow.
     growth: f64,
     in_flight: u32,
-    /// Moving average of the delay of starts, in microseconds.
+    /// The moving average of the delay of starts, in microseconds.
     mean_delay: f64,
     last_start: Micros,
-    /// The shortest delay of any start, in microseconds.
+    /// The shortest delay of any start at this host, in microseconds.
     shortest_delay: f64,
-    /// The target delay, in microseconds.
+    /// The target delay of the class with the shortest latency objective, in microseconds.
     target_delay: f64,
-    /// Delays as fractions of their latency objectives.
-    delay_floor: WindowedMinimum,
-    /// Attempts sent before this were taken into account by the latest decrease.
+    /// The minimum of recent delays, each as a fraction of its latency objective.
+    min_relative_delay: WindowedMinimum,
+    /// When the window was last decreased. Attempts sent earlier do not decrease it again.
     last_decrease: Micros,
-    /// When the fraction of an attempt beyond the whole ones may be sent.
+    /// When the next attempt may be sent beyond the whole attempts of the window.
     next_paced_attempt: Micros,
     last_attempt: Micros,
+    /// When the window was last full.
     last_full: Micros,
     consecutive_losses: u32,
 }
 
 impl ConcurrencyLimit {
-    /// Creates the limit of an unknown host, for one of `placer_count` placers. `latency_objective` is the
-    /// shortest of any class.
+    /// Creates the limit of a host about which nothing is known yet, for one of `placer_count` placers.
+    /// `latency_objective` is the shortest of any class.
     pub fn new(
         settings: &Settings,
         placer_count: usize,
@@ -174,7 +179,7 @@
             last_start: Micros::MIN,
             shortest_delay: f64::INFINITY,
             target_delay,
-            delay_floor: WindowedMinimum::EMPTY,
+            min_relative_delay: WindowedMinimum::EMPTY,
             last_decrease: Micros::MIN,
             next_paced_attempt: Micros::MIN,
             last_attempt: Micros::MIN,
@@ -183,33 +188,33 @@
         }
     }
 
-    /// Returns the window.
+    /// Returns the congestion window, in attempts.
     pub fn window(&self) -> f64 {
         self.window
     }
 
-    /// Returns the mean delay of starts.
+    /// Returns the moving average of the delay of starts.
     pub fn mean_delay(&self) -> Micros {
         self.mean_delay as Micros
     }
 
-    /// Returns the number of this placer's attempts that are in flight.
+    /// Returns the number of this placer's attempts that are in flight at the host.
     pub fn in_flight(&self) -> u32 {
         self.in_flight
     }
 
-    /// Returns whether the last attempts were all lost. A suspect host gets health checks only.
+    /// Returns whether the host is suspect because the latest attempts were all lost. It then gets only health checks.
     pub fn is_suspect(&self) -> bool {
         self.consecutive_losses >= SUSPECT_LOSSES
     }
 
-    /// Marks the host as suspect because its neighbours are.
+    /// Marks the host as suspect because other hosts of its zone are.
     pub fn mark_suspect(&mut self) {
         self.consecutive_losses = self.consecutive_losses.max(SUSPECT_LOSSES);
     }
 
-    /// Returns how many attempts may be in flight at `now`, including those that are. None at a suspect host;
-    /// see [`super::health_check_schedule`].
+    /// Returns how many attempts may be in flight at `now`, including those in flight already. For a suspect host this
+    /// is 0; [`super::health_check_schedule`] decides when it gets an attempt.
     pub fn max_in_flight(&self, now: Micros) -> u32 {
         if self.is_suspect() {
             return 0;
@@ -219,14 +224,15 @@
         whole + paced
     }
 
-    /// Returns when [`ConcurrencyLimit::max_in_flight`] next changes by the passing of time.
+    /// Returns when [`ConcurrencyLimit::max_in_flight`] next changes without an event, or `None` if it does not.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let waits_for_pace =
             !self.is_suspect() && self.window_parts().1 > 0.0 && self.next_paced_attempt > now;
         waits_for_pace.then_some(self.next_paced_attempt)
     }
 
-    /// Records that an attempt was sent. `jitter`, from 0 to 1, keeps placers from staying in step.
+    /// Records that an attempt was sent. `jitter`, from 0 to 1, varies the pacing so that placers do not stay
+    /// synchronized.
     pub fn attempt_sent(&mut self, now: Micros, jitter: f64) {
         let idle_limit = MIN_IDLE.max((IDLE_DELAYS * self.mean_delay) as Micros);
         if now.saturating_sub(self.last_attempt) > idle_limit {
@@ -266,7 +272,7 @@
         self.shortest_delay = self.shortest_delay.min(delay_micros);
         let relative_delay = delay_micros / latency_objective.max(1) as f64;
         let target = self.target(settings);
-        self.delay_floor.add(now, relative_delay);
+        self.min_relative_delay.add(now, relative_delay);
         if relative_delay > target {
             let fraction = DECREASE_GAIN * (relative_delay - target) / relative_delay;
             return self.decrease(now - delay, now, fraction.min(MAX_DECREASE));
@@ -274,8 +280,8 @@
         self.grow(now, relative_delay / target, settings.max_window);
     }
 
-    /// Records that an attempt sent at `sent_at` was lost. One that was delivered, and had less time than
-    /// starts take, does not count.
+    /// Records that an attempt sent at `sent_at` was lost. A loss does not count if the attempt was delivered and had
+    /// less time than starts usually take.
     pub fn attempt_lost(&mut self, now: Micros, sent_at: Micros, delivery: Delivery) {
         self.in_flight = self.in_flight.saturating_sub(1);
         let usual_delay = self.mean_delay.min(self.target_delay) as Micros;
@@ -286,14 +292,14 @@
         self.decrease(sent_at, now, MAX_DECREASE);
     }
 
-    /// Records that the host rejected an attempt because its queue is full.
+    /// Records that the host rejected an attempt sent at `sent_at` because the host's queue is full.
     pub fn queue_full(&mut self, now: Micros, sent_at: Micros) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.consecutive_losses = 0;
         self.decrease(sent_at, now, MAX_DECREASE);
     }
 
-    /// Records that an attempt ended in another way.
+    /// Records that an attempt ended in a way other than a start, a loss or a rejection by a full queue.
     pub fn attempt_ended(&mut self, response: HostResponse) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if response == HostResponse::Answered {
@@ -301,14 +307,15 @@
         }
     }
 
-    /// The whole attempts of the window, and the fraction beyond them.
+    /// Returns the number of whole attempts in the window, and the remaining fraction of an attempt.
     fn window_parts(&self) -> (u32, f64) {
         let whole = self.window.floor();
         (whole as u32, self.window - whole)
     }
 
-    /// The delay of an attempt, for pacing, in microseconds: the mean, which decays with its age down to the
-    /// shortest one seen. A delay beyond the target narrows the window instead.
+    /// Returns the delay of an attempt that pacing assumes, in microseconds: the mean delay, which decays with the time
+    /// since the latest start down to the shortest delay observed. It is at most the target, since a delay beyond the
+    /// target narrows the window instead.
     fn pacing_delay(&self, now: Micros) -> f64 {
         if self.last_start == Micros::MIN {
             return self.mean_delay;
@@ -316,35 +323,38 @@
         let age = now.saturating_sub(self.last_start).max(0) as f64 / self.target_delay;
         let shortest = self
             .shortest_delay
-            .min(self.target_delay * MAX_SHORTEST_FRACTION);
+            .min(self.target_delay * MAX_SHORTEST_DELAY_FRACTION);
         (self.mean_delay.min(self.target_delay) * 0.5f64.powf(age)).max(shortest)
     }
 
-    /// The target delay at this host, as a fraction of the latency objective.
+    /// Returns the target delay at this host, as a fraction of the latency objective.
     fn target(&self, settings: &Settings) -> f64 {
-        let floor = self.delay_floor.minimum();
-        let floor_target = if floor.is_finite() {
-            TARGET_OVER_FLOOR * floor
+        let min_delay = self.min_relative_delay.minimum();
+        let slow_host_target = if min_delay.is_finite() {
+            TARGET_PER_MIN_DELAY * min_delay
         } else {
             0.0
         };
-        floor_target.clamp(settings.target, settings.max_target.max(settings.target))
+        slow_host_target.clamp(settings.target, settings.max_target.max(settings.target))
     }
 
-    /// Widens the window after a start at this fraction of the target delay, if it was full lately.
+    /// Widens the window after a start whose delay was `fraction_of_target` of the target, if the window was full
+    /// recently.
     fn grow(&mut self, now: Micros, fraction_of_target: f64, max_window: f64) {
-        let recently = (RECENTLY_FULL_DELAYS * self.mean_delay) as Micros;
-        if now.saturating_sub(self.last_full) > recently {
+        let recent_span = (RECENTLY_FULL_DELAYS * self.mean_delay) as Micros;
+        if now.saturating_sub(self.last_full) > recent_span {
             return;
         }
         let headroom = (1.0 - 2.0 * fraction_of_target).max(0.0);
         let fast = FAST_GROWTH * headroom * self.window.min(1.0);
-        // Below a window of one, a start is the evidence of several queueing delays.
+        // While the window is below one, attempts are several queueing delays apart, and so one start stands for
+        // several queueing delays.
         let additive = (self.growth / self.window).min(self.window);
         self.window = (self.window + fast.max(additive)).min(max_window);
     }
 
-    /// Narrows the window, unless the attempt that is the reason was sent before the latest decrease.
+    /// Narrows the window because of an attempt sent at `sent_at`, unless the attempt was sent before the latest
+    /// decrease.
     fn decrease(&mut self, sent_at: Micros, now: Micros, fraction: f64) {
         if sent_at >= self.last_decrease {
             self.last_decrease = now;
--- a/src/overload/controller.rs
+++ b/src/overload/controller.rs
@@ -1,4 +1,4 @@
-//! The overload controller: takes events, keeps the state of each feature, and emits limits.
+//! The overload controller: handles events, keeps the state of each feature, and emits limits.
 
 mod attempts;
 
@@ -15,13 +15,14 @@
 use super::{Features, ShedState};
 use crate::{ClassId, HostId, Limit, Micros, RequestId, Settings, Task};
 
-/// How often the shed level is adjusted within the shortest latency objective: as often as the module ticks.
+/// How many times the shed level is adjusted within the shortest latency objective. The decision module ticks at
+/// the same rate.
 const ADJUSTMENTS_PER_OBJECTIVE: Micros = 4;
-/// The epoch of the order of load shedding where admission control is disabled.
+/// How long the spread of Retry-After times stays the same while admission control is disabled, in microseconds.
 const DEFAULT_EPOCH: Micros = 8_000_000;
-/// The latency objective where the settings have no class.
+/// The latency objective if the settings define no task class, in microseconds.
 const DEFAULT_LATENCY_OBJECTIVE: Micros = 1_000_000;
-/// What matters here of a task class.
+/// The attributes of a task class that overload control uses.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Class {
     latency_objective: Micros,
@@ -35,29 +36,32 @@
     tenants: TenantUsages,
     /// The shortest latency objective of any class.
     latency_objective: Micros,
-    /// 0 if no Retry-After may be sent.
+    /// The longest Retry-After that may be sent; 0 if none may be sent.
     max_retry_after: Micros,
     spreads_retry_after: bool,
+    /// How long the spread of Retry-After times stays the same; with admission control, its epoch.
     epoch: Micros,
-    /// The wall clock at time 0.
+    /// The wall clock at time 0 of the events.
     wall_clock_offset: Micros,
     admission: Option<AdmissionController>,
+    /// The fraction of its latency objective after which a waiting task is given up while load is shed.
     give_up_after: f64,
     retry_budget: Option<RetryBudget>,
     hosts: HostTable,
     requests: OpenRequests,
     backed_off: BackedOffClients,
+    /// When the shed level may be adjusted next.
     next_adjustment: Micros,
     counters: Counters,
-    /// Counts attempts from the seed on, as the source of jitter.
+    /// The seed plus the number of attempts sent; hashed to get the jitter of each attempt.
     jitter_counter: u64,
 }
 
 impl OverloadController {
-    /// Creates a controller with these features for a placer with these settings.
+    /// Creates a controller with the features `features` for a placer with the settings `settings`.
     ///
-    /// `wall_clock_offset` is the wall clock, in microseconds, at the time 0 of the events. `seed` makes this
-    /// placer's pacing different from the others'.
+    /// `wall_clock_offset` is the wall-clock time, in microseconds, at time 0 of the events. `seed` gives this
+    /// placer a pacing jitter that differs from that of the other placers.
     pub fn new(
         features: Features,
         settings: &Settings,
@@ -99,7 +103,7 @@
         }
     }
 
-    /// Takes a request and returns its rank and Retry-After.
+    /// Records a new request, and returns its rank in the order of load shedding and its Retry-After.
     pub fn admit(&mut self, now: Micros, task: &Task) -> RequestAdmission {
         let wall_clock = self.wall_clock_offset + now;
         let class = self.class(task.class);
@@ -181,7 +185,7 @@
         )
     }
 
-    /// Applies an event, and appends the limits that it changes.
+    /// Handles an event, and appends the limits that have changed to `limits`.
     pub fn handle(&mut self, now: Micros, event: Event<'_>, limits: &mut Vec<Limit>) {
         match event {
             Event::EndpointsChanged { kind, endpoints } => {
@@ -258,13 +262,13 @@
         });
     }
 
-    /// Returns how long a connection attempt to a host that did not answer must wait for this placer's slot,
-    /// beyond its own backoff; `None` if it need not.
+    /// Returns the time until this placer's next slot at a host that does not answer. A connection attempt must
+    /// wait for the slot in addition to its own backoff; `None` means that it need not wait.
     pub fn time_until_slot(&self, now: Micros, host: &HostId) -> Option<Micros> {
         self.hosts.time_until_slot(now, host)
     }
 
-    /// Returns the state of the controller.
+    /// Returns the state of the controller and of its hosts at `now`.
     pub fn report(&self, now: Micros) -> Report {
         Report {
             shed_level: self.shed_level(),
@@ -279,12 +283,12 @@
         }
     }
 
-    /// Returns the counters.
+    /// Returns the counters of decisions since the start of the process.
     pub fn counters(&self) -> Counters {
         self.counters
     }
 
-    /// Returns the shed level; 0 admits everything.
+    /// Returns the shed level; at level 0 every request is admitted.
     pub fn shed_level(&self) -> u8 {
         self.admission
             .as_ref()
--- a/src/overload/controller/attempts.rs
+++ b/src/overload/controller/attempts.rs
@@ -1,4 +1,4 @@
-//! What the attempts of this placer change: host limits, retry budget and shed level.
+//! Handles attempts that were sent, started a task or ended: updates host limits, retry budget and shed level.
 
 use super::OverloadController;
 use crate::overload::hash::hash_fraction;
@@ -6,7 +6,7 @@
 use crate::overload::retry_budget::RetryDenied;
 use crate::{HostId, Limit, Micros, Outcome, OutcomeDetail, RequestId};
 
-/// Salt of the jitter of paced attempts.
+/// Salt of the hash that gives the jitter of paced attempts.
 const PACING_SALT: u64 = 0x7061_6365;
 
 impl OverloadController {
@@ -29,7 +29,8 @@
         self.hosts.refresh(now, host, limits);
     }
 
-    /// Counts an attempt as a first one or a retry, for the request and for the retry budget.
+    /// Records an attempt with its request, and counts it as a first attempt or a retry. A first attempt is added to
+    /// the retry budget unless its request is itself a client's retry.
     fn record_attempt(&mut self, now: Micros, id: &RequestId, host: &HostId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -102,7 +103,8 @@
         self.hosts.refresh(now, &attempt.host, limits);
     }
 
-    /// Charges the retry that may follow a failed attempt, or rules it out.
+    /// Charges the retry that may follow a failed attempt to the retry budget, or forbids that retry if the budget
+    /// is used up.
     fn charge_retry(
         &mut self,
         now: Micros,
@@ -125,7 +127,8 @@
     }
 }
 
-/// Whether a retry after this outcome is charged: what was not sent was no attempt.
+/// Returns whether a retry after this outcome is charged to the retry budget. It is not if the attempt was cancelled
+/// or its task completed, nor if the attempt was not sent: then it does not count as an attempt.
 fn costs_a_retry(outcome: Outcome) -> bool {
     !matches!(
         outcome,
--- a/src/overload/event.rs
+++ b/src/overload/event.rs
@@ -1,63 +1,65 @@
-//! What the overload controller is notified of, and what it returns for a request.
+//! The events that the overload controller handles, and its answer to a request.
 
 use crate::{Endpoint, HostId, Micros, Outcome, OutcomeDetail, RequestId, UpdateKind};
 
-/// Something that has happened.
+/// Something that has happened at the placer and may change limits.
 #[derive(Debug, Clone, Copy)]
 pub enum Event<'a> {
     /// The endpoint list has changed.
     EndpointsChanged {
-        /// What the update contains; [`UpdateKind::Failed`] changes nothing.
+        /// Whether the update is complete, cached or a delta; [`UpdateKind::Failed`] changes nothing.
         kind: UpdateKind,
-        /// Its endpoints.
+        /// The endpoints that the update lists.
         endpoints: &'a [Endpoint],
     },
     /// An attempt was sent.
     AttemptSent {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: &'a RequestId,
-        /// The host.
+        /// The host that it was sent to.
         host: &'a HostId,
     },
     /// An attempt has started its task.
     AttemptStarted {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: &'a RequestId,
     },
-    /// An attempt has ended without a start.
+    /// An attempt has ended without starting its task.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt belongs to.
         id: &'a RequestId,
-        /// How.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// Why.
+        /// Why it ended, if the host gave a reason.
         detail: OutcomeDetail,
     },
     /// No further attempt will be made for the request.
     RequestEnded {
-        /// The request.
+        /// The request that ended.
         id: &'a RequestId,
         /// How it ended.
         end: RequestEnd,
     },
-    /// Time has passed.
+    /// The placer's periodic tick.
     Tick,
 }
 
-/// How a request ended without a start.
+/// How a request ended without its task being started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestEnd {
-    /// This placer rejected or failed it.
+    /// This placer rejected or failed the request.
     GivenUp,
-    /// Its client cancelled it.
+    /// The client cancelled the request.
     Cancelled,
 }
 
 /// The controller's answer to a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RequestAdmission {
-    /// Its position in the order of load shedding: it is admitted if this is below the admitted fraction.
+    /// The request's position in the order of load shedding, from 0 (admitted first) to 1 (shed first). The request
+    /// is admitted if its rank is below the admitted fraction.
     pub shed_rank: f64,
-    /// The Retry-After to send if it is rejected; 0 leaves it to the decision module.
+    /// The Retry-After to send if the request is rejected, in microseconds; 0 leaves the choice to the decision
+    /// module.
     pub retry_after: Micros,
 }
--- a/src/overload/health_check_schedule.rs
+++ b/src/overload/health_check_schedule.rs
@@ -1,29 +1,32 @@
-//! Decides which placers may connect to a suspect host, or send it an attempt as a health check, at a time.
+//! Schedules in time slots which placers may connect to a suspect host, or send it an attempt as a health check.
 //!
-//! Every placer finds out by itself that a host, cell or zone is silent. If each then connected and probed at
-//! will, the load would grow with their number. Instead the placers are ranked for each host by rendezvous
-//! hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998), in groups of
-//! `concurrent_placers`, and the clock is divided into one slot for each group. At most one group has its slot
-//! at any moment, and every group gets its slot in each round, so a group whose placers are down costs one
-//! slot. No messages are exchanged: a placer knows only its index and the number of placers.
+//! Every placer detects by itself that a host, cell or zone does not answer. If each placer then connected and probed
+//! at any time, the load on the host would grow with the number of placers. Instead the placers are ranked for each
+//! host by rendezvous hashing (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", 1998) and
+//! divided by rank into groups of `concurrent_placers`. Time is divided into rounds with one slot for each group. At
+//! most one group has an active slot at any moment, and every group gets its slot in each round, so a group whose
+//! placers are down costs only one slot. No messages are exchanged: a placer knows only its index and the number of
+//! placers.
 //!
-//! The clock is the wall clock as it was at the start of the process, advanced evenly (`net::clock`). If the clocks of two
-//! placers differ by up to a slot, two groups may overlap, and the limit is then twice `concurrent_placers`.
+//! The schedule uses the wall clock as read at the start of the process and advanced evenly since (`net::clock`). If
+//! the clocks of two placers differ by up to a slot, the slots of two groups may overlap, and up to twice
+//! `concurrent_placers` then check a host at a time.
 
 use crate::Micros;
 use crate::state::hash::combine_hashes;
 
-/// After failed health checks, a placer still uses at least one in 2 to this power of its slots.
+/// The most doublings of the interval between the slots that a placer uses after failed health checks: it still uses
+/// at least one in 2 to this power of its slots.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
-/// Salt of the hash by which the rounds of different hosts start at different times.
+/// Salt of the hash that makes the rounds of different hosts start at different times.
 const ROUND_OFFSET_SALT: u64 = 0x7475_726e;
 
-/// Settings of the schedule.
+/// Settings of the schedule of health checks.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
-    /// Placers that may check one host at a time.
+    /// The number of placers that may check one host at a time.
     pub concurrent_placers: usize,
-    /// How long their slot lasts.
+    /// How long the slot of one group of placers lasts, in microseconds.
     pub slot_length: Micros,
 }
 
@@ -36,16 +39,16 @@
     }
 }
 
-/// This placer's time slot at one host, at some time.
+/// The state of a placer's time slot at one host, at a given time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeSlot {
-    /// Whether the slot is now.
+    /// Whether the placer's slot is active at that time.
     pub is_active: bool,
-    /// When the next slot begins, by the wall clock.
+    /// When the placer's next slot begins, as wall-clock time in microseconds.
     pub next_starts_at: Micros,
 }
 
-/// The slots of one placer.
+/// The schedule of the time slots of one placer.
 #[derive(Debug, Clone)]
 pub struct HealthCheckSchedule {
     settings: Settings,
@@ -54,7 +57,7 @@
 }
 
 impl HealthCheckSchedule {
-    /// Creates the schedule of one placer among all.
+    /// Creates the schedule of the placer with the index `placer_index` among `placer_count` placers.
     pub fn new(
         settings: Settings,
         placer_index: usize,
@@ -70,7 +73,7 @@
         }
     }
 
-    /// Returns the rank of this placer at a host, from 0.
+    /// Returns the rank of this placer for a host among all placers, from 0.
     pub fn rank(&self, host_hash: u64) -> usize {
         let score = |placer: usize| (combine_hashes(host_hash, placer as u64), placer);
         let own_score = score(self.placer_index);
@@ -79,21 +82,21 @@
             .count()
     }
 
-    /// Returns the time between the starts of two slots of one placer at a host.
+    /// Returns the length of a round: the time between the starts of two successive slots of a placer at a host.
     pub fn round_length(&self) -> Micros {
         let groups = self.placer_count.div_ceil(self.settings.concurrent_placers) as i64;
         groups * self.settings.slot_length
     }
 
-    /// Returns this placer's slot at a host, at the time `wall_clock`.
+    /// Returns this placer's slot at a host at the time `wall_clock`, without backoff.
     pub fn slot(&self, host_hash: u64, wall_clock: Micros) -> TimeSlot {
         self.slot_with_backoff(host_hash, wall_clock, 0)
     }
 
-    /// Returns this placer's slot at a host after `failed_checks` consecutive failures.
+    /// Returns this placer's slot at a host at the time `wall_clock`, after `failed_checks` consecutive failures.
     ///
-    /// Only every second, fourth or eighth turn is then used, so that few tasks lose time at a host that stays
-    /// down. At most so many rounds pass without a slot.
+    /// After failures, only every second, fourth or eighth slot is used, so that few tasks lose time at a host that
+    /// stays down. The placer therefore gets a slot at least once in two, four or eight rounds.
     pub fn slot_with_backoff(
         &self,
         host_hash: u64,
@@ -102,7 +105,7 @@
     ) -> TimeSlot {
         let slot = self.slot_in_round(host_hash, wall_clock);
         let used_every = 1i64 << failed_checks.min(MAX_BACKOFF_DOUBLINGS);
-        // Different groups skip different rounds.
+        // Shifts the count of rounds by the group's number, so that different groups skip different rounds.
         let group_skew = self.rank(host_hash) as i64 / self.settings.concurrent_placers as i64;
         let is_used = |at: Micros| {
             (self.round_number(host_hash, at) + group_skew).rem_euclid(used_every) == 0
@@ -134,7 +137,8 @@
         (wall_clock + self.round_offset(host_hash)).div_euclid(self.round_length())
     }
 
-    /// Rounds of different hosts start at different times.
+    /// Returns an offset of the rounds that depends on the host, so that rounds of different hosts start at different
+    /// times.
     fn round_offset(&self, host_hash: u64) -> Micros {
         let round_length = self.round_length().unsigned_abs().max(1);
         (combine_hashes(host_hash, ROUND_OFFSET_SALT) % round_length) as Micros
--- a/src/overload/host.rs
+++ b/src/overload/host.rs
@@ -1,10 +1,10 @@
-//! One host of the endpoint list with its concurrency limit.
+//! A host of the endpoint list with its concurrency limit.
 
 use super::concurrency_limit::{ConcurrencyLimit, Delivery, HostResponse};
 use super::health_check_schedule::TimeSlot;
 use crate::{CellId, Micros, Outcome, OutcomeDetail, ZoneId};
 
-/// One host.
+/// The state of one host, as this placer knows it.
 #[derive(Debug, Clone)]
 pub(super) struct Host {
     pub hash: u64,
@@ -13,25 +13,26 @@
     pub started_at: Micros,
     pub is_up: bool,
     pub limit: ConcurrencyLimit,
-    /// While suspect: it is this placer's slot, and the health check of the slot was allowed.
+    /// Whether this placer's slot is active and its health check has been permitted; used while the host is suspect.
     pub slot_is_used: bool,
-    /// Consecutive health checks that failed.
+    /// The number of consecutive health checks that failed.
     pub failed_checks: u32,
-    /// The limit that the module was last notified of, if any.
+    /// The limit that the decision module was last notified of; the outer `None` means that it was not notified yet.
     pub notified: Option<Option<u32>>,
+    /// When the limit is due to be refreshed, if it changes with time.
     pub refresh_at: Option<Micros>,
-    /// The host's part of the table's totals.
-    pub counted: Totals,
+    /// What the host contributes to the totals of the host table.
+    pub contribution: Totals,
 }
 
-/// Windows and attempts in flight, of one host or of all.
+/// Sums of windows and of attempts in flight, of one host or of all hosts.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Totals {
     pub windows: f64,
     pub in_flight: u32,
 }
 
-/// The limit of one host, and when to look at it again.
+/// The limit of one host, and when to refresh it.
 pub(super) struct HostLimit {
     pub max_in_flight: Option<u32>,
     pub health_check: bool,
@@ -39,7 +40,7 @@
 }
 
 impl Host {
-    /// Records how an attempt ended without a start.
+    /// Records that an attempt ended without starting its task.
     pub fn record_outcome(
         &mut self,
         now: Micros,
@@ -54,13 +55,13 @@
             (Outcome::ConnectFailed, _) | (Outcome::Reset, OutcomeDetail::Unknown) => {
                 limit.attempt_lost(now, sent_at, Delivery::Unknown);
             }
-            // An attempt that was cancelled, or never sent, says nothing about the host.
+            // An attempt that was cancelled or never sent gives no information about the host.
             (Outcome::Cancelled | Outcome::NotSent, _) => limit.attempt_ended(HostResponse::None),
             _ => limit.attempt_ended(HostResponse::Answered),
         }
     }
 
-    /// A suspect host gets one attempt as a health check in each slot of this placer.
+    /// Returns the limit of a suspect host: one attempt, as a health check, in each slot of this placer.
     pub fn limit_while_suspect(
         &mut self,
         now: Micros,
@@ -80,7 +81,7 @@
         HostLimit {
             max_in_flight: Some(max_in_flight),
             health_check,
-            // The end of an active slot comes before the next one.
+            // An active slot ends before the next one starts, so the host is refreshed within one slot length.
             refresh_at: Some(if slot.is_active {
                 now + slot_length
             } else {
--- a/src/overload/hosts.rs
+++ b/src/overload/hosts.rs
@@ -1,7 +1,7 @@
-//! The hosts of the endpoint list with their concurrency limits, and the limits that the decision module knows.
+//! The hosts of the endpoint list with their concurrency limits, and the limits last sent to the decision module.
 //!
-//! Each change of a host goes through [`HostTable::refresh`], which emits a [`Limit`] if it differs from the one
-//! that the module was last notified of, and schedules the host's next look.
+//! After each change of a host, [`HostTable::refresh`] emits a [`Limit`] if it differs from the one that the
+//! decision module was last notified of, and schedules the next refresh of the host.
 
 mod suspect;
 
@@ -15,10 +15,11 @@
 use crate::{Endpoint, EndpointState, HostId, Limit, Micros, Outcome, OutcomeDetail, UpdateKind};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All hosts.
+/// All hosts of the endpoint list, with the settings of their limits.
 #[derive(Debug, Clone)]
 pub(super) struct HostTable {
     hosts: BTreeMap<HostId, Host>,
+    /// The scheduled refreshes of hosts, by time.
     refreshes: BTreeSet<(Micros, HostId)>,
     limit_settings: concurrency_limit::Settings,
     limits_are_enabled: bool,
@@ -27,14 +28,16 @@
     placer_count: usize,
     /// The shortest latency objective of any class.
     latency_objective: Micros,
-    /// The wall clock at time 0.
+    /// The wall clock at time 0 of the events.
     wall_clock_offset: Micros,
+    /// The sums over all hosts. The window of a host that is down or suspect counts as 0.
     totals: Totals,
+    /// The limit on all attempts in flight that the decision module was last notified of.
     notified_total: Option<u32>,
     total_is_reached: bool,
 }
 
-/// What the hosts are limited by.
+/// The settings of a [`HostTable`].
 pub(super) struct HostTableConfig {
     pub limits: Option<concurrency_limit::Settings>,
     pub schedule: Option<HealthCheckSchedule>,
@@ -66,7 +69,8 @@
         self.hosts.get_mut(id)
     }
 
-    /// The failure domains of a host; of an unknown one only the host itself.
+    /// Returns the failure domains of a host: itself, its cell and its zone. Those of an unknown host are only the
+    /// host itself.
     pub fn failure_domains(&self, id: &HostId) -> Vec<FailureDomain> {
         let mut domains = vec![FailureDomain::Host(id.clone())];
         if let Some(host) = self.hosts.get(id) {
@@ -135,10 +139,10 @@
                 failed_checks: 0,
                 notified: None,
                 refresh_at: None,
-                counted: Totals::default(),
+                contribution: Totals::default(),
             });
         if host.started_at != endpoint.started_at {
-            // Another incarnation: nothing learned about the one before holds.
+            // The host was restarted, so nothing learned about its previous incarnation holds.
             host.limit = fresh_limit();
         }
         host.cell = endpoint.cell;
@@ -151,8 +155,11 @@
         let Some(host) = self.hosts.remove(id) else {
             return;
         };
-        self.totals.windows -= host.counted.windows;
-        self.totals.in_flight = self.totals.in_flight.saturating_sub(host.counted.in_flight);
+        self.totals.windows -= host.contribution.windows;
+        self.totals.in_flight = self
+            .totals
+            .in_flight
+            .saturating_sub(host.contribution.in_flight);
         if let Some(refresh_at) = host.refresh_at {
             self.refreshes.remove(&(refresh_at, id.clone()));
         }
@@ -160,9 +167,9 @@
 
     // ---- Limits ----
 
-    /// Emits the limit of a host if it has changed, and schedules the next refresh.
+    /// Emits the limit of a host if it has changed, and schedules the host's next refresh.
     pub fn refresh(&mut self, now: Micros, id: &HostId, limits: &mut Vec<Limit>) {
-        self.recount(id);
+        self.update_totals(id);
         let Some(HostLimit {
             max_in_flight,
             health_check,
@@ -186,20 +193,20 @@
         }
     }
 
-    /// Updates a host's part of the totals.
-    fn recount(&mut self, id: &HostId) {
+    /// Updates a host's contribution to the totals.
+    fn update_totals(&mut self, id: &HostId) {
         let Some(host) = self.hosts.get_mut(id) else {
             return;
         };
         let is_usable = host.is_up && !host.limit.is_suspect();
-        let counted = Totals {
+        let contribution = Totals {
             windows: if is_usable { host.limit.window() } else { 0.0 },
             in_flight: host.limit.in_flight(),
         };
-        self.totals.windows += counted.windows - host.counted.windows;
-        self.totals.in_flight =
-            (self.totals.in_flight + counted.in_flight).saturating_sub(host.counted.in_flight);
-        host.counted = counted;
+        self.totals.windows += contribution.windows - host.contribution.windows;
+        self.totals.in_flight = (self.totals.in_flight + contribution.in_flight)
+            .saturating_sub(host.contribution.in_flight);
+        host.contribution = contribution;
     }
 
     fn host_limit(&mut self, now: Micros, id: &HostId) -> Option<HostLimit> {
@@ -250,7 +257,7 @@
         host.refresh_at = refresh_at;
     }
 
-    /// Refreshes the hosts that are due.
+    /// Refreshes the hosts whose scheduled refresh is due.
     pub fn refresh_due(&mut self, now: Micros, limits: &mut Vec<Limit>) {
         while let Some((due_at, id)) = self.refreshes.first().cloned() {
             if due_at > now {
@@ -261,17 +268,18 @@
                 host.refresh_at = None;
             }
             self.refresh(now, &id, limits);
-            // What is due at the same time again waits for the next tick.
+            // A host that is due again at the same time waits for the next tick, or this loop might not end.
             if self.refreshes.contains(&(due_at, id)) {
                 return;
             }
         }
     }
 
-    /// Emits the limit on all attempts in flight if it has changed: the sum of all windows, and at least one.
+    /// Emits the limit on all attempts in flight if it has changed, or if there is capacity again after the limit
+    /// was reached. The limit is the sum of all windows, and at least one.
     ///
-    /// Protects against a burst in which every placer has a fraction of a window free at every host, and each
-    /// would send an attempt there at once.
+    /// Protects against a burst: if every placer had a fraction of a window free at every host, each of them would
+    /// send attempts to all these hosts at once.
     pub fn refresh_total(&mut self, limits: &mut Vec<Limit>) {
         if !self.limits_are_enabled {
             return;
@@ -291,7 +299,7 @@
 
     // ---- Attempts ----
 
-    /// Records that an attempt started its task; the host is no longer suspect.
+    /// Records that an attempt started its task, which also ends the suspicion of its host.
     pub fn attempt_started(
         &mut self,
         id: &HostId,
@@ -307,7 +315,7 @@
         }
     }
 
-    /// Records that an attempt ended without a start, and returns whether its host became suspect.
+    /// Records that an attempt ended without starting its task, and returns whether its host became suspect by it.
     pub fn attempt_ended(
         &mut self,
         attempt: &InFlightAttempt,
@@ -326,7 +334,7 @@
         !was_suspect && host.limit.is_suspect()
     }
 
-    /// The state of each host that is up.
+    /// Returns the state of each host that is up.
     pub fn report(&self, now: Micros) -> Vec<HostReport> {
         let up = self.hosts.iter().filter(|(_, host)| host.is_up);
         up.map(|(id, host)| {
--- a/src/overload/hosts/suspect.rs
+++ b/src/overload/hosts/suspect.rs
@@ -1,4 +1,4 @@
-//! Suspect hosts: health checks in slots, and zones of which several cells are silent.
+//! Suspect hosts: health checks in time slots, and zones in which several cells do not answer.
 
 use super::HostTable;
 use crate::overload::health_check_schedule::TimeSlot;
@@ -6,12 +6,12 @@
 use crate::{CellId, HostId, Limit, Micros, ZoneId};
 use std::collections::BTreeMap;
 
-/// So many suspect cells of a zone make the whole zone suspect.
+/// The number of suspect cells that makes a whole zone suspect.
 const SUSPECT_CELLS_OF_ZONE: usize = 2;
-/// The fraction of a cell's hosts that must be suspect for the cell to be.
+/// The fraction of a cell's hosts that must be suspect for the cell to be suspect.
 const SUSPECT_FRACTION_OF_CELL: f64 = 0.5;
 
-/// The hosts of one cell that are up.
+/// Counts of the hosts of one cell that are up.
 #[derive(Debug, Default)]
 struct CellCount {
     hosts: usize,
@@ -25,7 +25,8 @@
 }
 
 impl HostTable {
-    /// Closes a suspect host again once its health check is sent. Returns whether the attempt was one.
+    /// Permits no further attempts to a suspect host once its health check is sent. Returns whether the attempt that
+    /// was sent is a health check.
     pub fn begin_health_check(&mut self, id: &HostId, limits: &mut Vec<Limit>) -> bool {
         if self.schedule.is_none() {
             return false;
@@ -45,9 +46,9 @@
         true
     }
 
-    /// Marks the other hosts of a zone as suspect if several of its cells are, and returns whether it did. The
-    /// fault is then the zone's, and its other hosts get health checks only, before each of them has lost
-    /// attempts of every placer.
+    /// Marks all hosts in the zone of the host `id` as suspect if several cells of the zone are, and returns whether
+    /// it did. The zone itself is then assumed to have failed, and its other hosts get only health checks without
+    /// first losing attempts of every placer.
     pub fn check_zone(&mut self, now: Micros, id: &HostId, limits: &mut Vec<Limit>) -> bool {
         if self.schedule.is_none() {
             return false;
@@ -73,7 +74,8 @@
         true
     }
 
-    /// Whether several cells of a zone are suspect, but not all: then the fault may be this placer's.
+    /// Returns whether several cells of a zone are suspect, but not all. If all are, the fault may be on the side of
+    /// this placer.
     fn zone_is_suspect(&self, zone: ZoneId) -> bool {
         let mut cells: BTreeMap<CellId, CellCount> = BTreeMap::new();
         for host in self.hosts.values() {
@@ -87,7 +89,8 @@
         suspect_cells >= SUSPECT_CELLS_OF_ZONE && suspect_cells < cells.len()
     }
 
-    /// The time until this placer's next slot at a host; `None` if the slot is now or the host is not scheduled.
+    /// Returns the time until this placer's next slot at a host, or `None` if the slot is active, the host is unknown
+    /// or there is no schedule.
     pub fn time_until_slot(&self, now: Micros, id: &HostId) -> Option<Micros> {
         let slot = self.slot(now, self.hosts.get(id)?)?;
         (!slot.is_active).then(|| slot.next_starts_at - self.wall_clock_offset - now)
--- a/src/overload/mod.rs
+++ b/src/overload/mod.rs
@@ -1,17 +1,17 @@
-//! Overload control: limits that a fleet of placers keeps together without exchanging messages.
+//! Overload control: limits that bound the load of a whole fleet of placers, which exchange no messages.
 //!
-//! [`OverloadController`] is notified of what the placer is asked, sends and receives, and returns [`Limit`]s,
-//! which the facade hands to the decision module. The module still chooses the host, retries and rejects; the
-//! limits say how far it may go. Each feature can be disabled, and a disabled feature limits nothing. Pure:
-//! time is an argument, and there is no I/O.
+//! [`OverloadController`] takes the requests, attempts and endpoint updates of one placer and returns [`Limit`]s,
+//! which the facade passes to the decision module. The decision module still chooses hosts, retries and rejects;
+//! the limits restrict what it may do. Each feature can be disabled, and a disabled feature imposes no limit. The
+//! code is pure: the time is an argument, and there is no I/O.
 //!
-//! | feature | limits | by |
+//! | feature | limits | based on |
 //! | --- | --- | --- |
-//! | [`concurrency_limit`] | attempts in flight at one host | the delay of the placer's own starts |
-//! | [`admission`] | which tasks are admitted | late starts, and one order of tasks for all placers |
-//! | [`retry_budget`] | attempts beyond a task's first | first attempts |
-//! | [`retry_after`] | when rejected clients come back | the shed level, spread by a hash |
-//! | [`health_check_schedule`] | who probes a suspect host, and when | ranks of placers, and the clock |
+//! | [`concurrency_limit`] | attempts in flight at one host | the delays of the starts that this placer observes |
+//! | [`admission`] | which tasks are admitted | late starts, and one ranking of tasks that is the same at all placers |
+//! | [`retry_budget`] | attempts beyond a task's first | the number of first attempts |
+//! | [`retry_after`] | when rejected clients retry | the shed level, with times spread by a hash |
+//! | [`health_check_schedule`] | who probes a suspect host, and when | ranks of placers for that host, and the clock |
 //!
 //! See `docs/design/overload.md`.
 //!
@@ -36,7 +36,7 @@
 pub use hash::hash_fraction;
 pub use report::{Counters, HostReport, Report};
 
-/// The enabled features with their settings.
+/// The settings of each feature; `None` or `false` disables it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Features {
     /// Concurrency limits of hosts.
@@ -45,14 +45,14 @@
     pub admission: Option<admission::Settings>,
     /// Retry budgets.
     pub retry_budget: Option<retry_budget::Settings>,
-    /// Spread Retry-After times.
+    /// Whether rejections carry a Retry-After that is spread over a span of time.
     pub retry_after: bool,
-    /// Scheduled health checks of suspect hosts.
+    /// Health checks of suspect hosts in time slots.
     pub health_check_schedule: Option<health_check_schedule::Settings>,
 }
 
 impl Features {
-    /// Returns every feature with its default settings.
+    /// Returns all features, enabled with their default settings.
     pub fn all() -> Features {
         Features {
             concurrency_limit: Some(concurrency_limit::Settings::default()),
@@ -69,11 +69,11 @@
     }
 }
 
-/// Whether this placer sheds load.
+/// Whether this placer sheds load at the moment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ShedState {
-    /// Everything is admitted.
+    /// The shed level is 0: every request is admitted.
     NotShedding,
-    /// Some requests are rejected.
+    /// The shed level is above 0: a fraction of the requests is rejected.
     Shedding,
 }
--- a/src/overload/report.rs
+++ b/src/overload/report.rs
@@ -1,44 +1,44 @@
-//! What the overload controller reports to logs and operators.
+//! The state and the counters that the overload controller reports in logs and to operators.
 
 use crate::{HostId, Micros};
 
-/// Decisions since the start of the process.
+/// Counts of requests, attempts and decisions since the start of the process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counters {
-    /// First requests.
+    /// Requests that clients sent for the first time.
     pub first_requests: u64,
     /// Requests that their clients marked as retries.
     pub client_retries: u64,
-    /// Requests shed at once.
+    /// Requests shed on arrival.
     pub shed: u64,
-    /// Client retries before their Retry-After had passed.
+    /// Client retries that arrived before their Retry-After had passed.
     pub early_retries: u64,
-    /// Admitted requests that were given up: too late to start in time, or out of attempts.
+    /// Admitted requests that were given up, because they could not start in time any more or had no attempts left.
     pub given_up: u64,
-    /// First attempts.
+    /// First attempts of requests.
     pub first_attempts: u64,
-    /// Further attempts.
+    /// Attempts of requests beyond their first.
     pub retries: u64,
     /// Retries denied by this placer's budget.
     pub retries_denied_by_placer: u64,
     /// Retries denied by the budget of a host, a cell or a zone.
     pub retries_denied_by_domain: u64,
-    /// Attempts to suspect hosts in the time slots of this placer.
+    /// Attempts sent to suspect hosts as health checks, in the time slots of this placer.
     pub health_checks: u64,
     /// Hosts that became suspect.
     pub suspect_hosts: u64,
     /// Zones that became suspect.
     pub suspect_zones: u64,
-    /// Rises of the shed level.
+    /// How often the shed level rose.
     pub level_rises: u64,
-    /// Falls of the shed level.
+    /// How often the shed level fell.
     pub level_falls: u64,
-    /// The highest shed level.
+    /// The highest shed level reached.
     pub highest_level: u64,
 }
 
 impl Counters {
-    /// Returns each counter with its name in the log and in the reply to `ctl overload`.
+    /// Returns each counter with the name that it has in the log and in the reply to `ctl overload`.
     pub fn named(&self) -> [(&'static str, u64); 15] {
         [
             ("fresh", self.first_requests),
@@ -63,33 +63,33 @@
 /// The state of one host.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostReport {
-    /// Which host.
+    /// The host's id.
     pub host: HostId,
-    /// The congestion window.
+    /// The congestion window: how many of this placer's attempts may be in flight at the host.
     pub window: f64,
-    /// Attempts in flight.
+    /// This placer's attempts in flight at the host.
     pub in_flight: u32,
-    /// The mean delay of starts.
+    /// The moving average of the delay of starts, in microseconds.
     pub mean_delay: Micros,
-    /// Whether the host is suspect.
+    /// Whether the host is suspect and gets health checks only.
     pub is_suspect: bool,
-    /// Time until this placer's next slot to check the host, if it is suspect.
+    /// The time until this placer's next slot for a health check of the host, in microseconds, if it is suspect.
     pub next_slot_in: Option<Micros>,
 }
 
 /// The state of the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
-    /// The shed level.
+    /// The shed level; at level 0 every request is admitted.
     pub shed_level: u8,
     /// The fraction of the requests that is admitted.
     pub admitted_fraction: f64,
-    /// Retries that are left; `None` if they are not limited.
+    /// Retries left in this placer's budget; `None` if retries are not limited.
     pub retries_left: Option<f64>,
-    /// Clients whose Retry-After has not passed.
+    /// The number of clients whose Retry-After has not passed yet.
     pub backed_off_clients: usize,
-    /// The counters.
+    /// The counters since the start of the process.
     pub counters: Counters,
-    /// The hosts that are up.
+    /// The state of each host that is up.
     pub hosts: Vec<HostReport>,
 }
--- a/src/overload/requests.rs
+++ b/src/overload/requests.rs
@@ -1,30 +1,31 @@
-//! The admitted requests that no host has started yet.
+//! The admitted requests whose task no host has started yet.
 
 use super::admission::Backlog;
 use crate::{HostId, Micros, RequestId};
 use std::collections::BTreeMap;
 
-/// The attempt of a request that is in flight.
+/// A request's attempt that is in flight.
 #[derive(Debug, Clone)]
 pub(super) struct InFlightAttempt {
     pub host: HostId,
     pub sent_at: Micros,
 }
 
-/// An admitted request.
+/// An admitted request whose task has not started.
 #[derive(Debug, Clone)]
 pub(super) struct OpenRequest {
     pub requested_at: Micros,
     pub latency_objective: Micros,
     pub task_hash: u64,
     pub is_client_retry: bool,
-    /// The Retry-After that its client is sent if it is rejected.
+    /// The Retry-After to send to the client if the request is rejected, in microseconds.
     pub retry_after: Micros,
+    /// The number of attempts sent so far.
     pub attempts: u32,
     pub in_flight: Option<InFlightAttempt>,
 }
 
-/// All admitted requests.
+/// All admitted requests whose task has not started, by id.
 #[derive(Debug, Clone, Default)]
 pub(super) struct OpenRequests {
     by_id: BTreeMap<RequestId, OpenRequest>,
@@ -43,7 +44,7 @@
         self.by_id.remove(id)
     }
 
-    /// The requests received since `since` that are waiting for an attempt.
+    /// Returns the number and the longest wait of the requests received since `since` that have no attempt in flight.
     pub fn backlog(&self, now: Micros, since: Micros) -> Backlog {
         let waiting = self
             .by_id
--- a/src/overload/retry_after.rs
+++ b/src/overload/retry_after.rs
@@ -1,27 +1,29 @@
-//! Retry-After: when rejected clients come back.
+//! Retry-After: when rejected clients should retry.
 //!
-//! One time for all would bring all clients back together. The times are spread over a span by a hash of the
-//! task, so that retries from all placers arrive as evenly as the rejections were sent. The span starts once
-//! the attempts that are in flight now have had their time, and grows with the shed level: a client that comes
-//! back sooner would be shed again.
+//! If all clients got the same Retry-After, they would all retry at the same time. So the times are spread over a span
+//! by a hash of the task, and retries of clients of all placers arrive as evenly as the rejections were sent. The span
+//! starts after the time that the attempts in flight at the rejection have to start, and it grows with the shed level:
+//! a client that retries sooner would be shed again.
 
 use super::hash::hash_fraction;
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The span at shed level 0, in multiples of the shortest latency objective, and the increase per level.
+/// The length of the span at shed level 0, in multiples of the shortest latency objective.
 const BASE_SPAN_OBJECTIVES: f64 = 1.0;
+/// By how much each shed level lengthens the span, in multiples of the shortest latency objective.
 const SPAN_OBJECTIVES_PER_LEVEL: f64 = 0.5;
-/// Where clients honour less than a latency objective, the span starts at this fraction of what they honour.
+/// The span starts after one latency objective, or after this fraction of the longest Retry-After that clients honour
+/// if that is sooner.
 const MIN_START_FRACTION: f64 = 0.5;
-/// Salt of the hash by which the times are spread.
+/// Salt of the hash by which the Retry-After times are spread.
 const SPREAD_SALT: u64 = 0x7265_7475;
-/// A client may come back this fraction of its Retry-After early: its clock and the network are not exact.
+/// A client may retry early by its Retry-After divided by this, since neither its clock nor the network is exact.
 const TOLERANCE_DIVISOR: Micros = 16;
-/// The most clients with a Retry-After that are remembered; beyond them the earliest are forgotten.
+/// The largest number of clients whose Retry-After is tracked. Beyond it those that may retry earliest are forgotten.
 pub const MAX_BACKED_OFF_CLIENTS: usize = 8_192;
 
-/// Returns the Retry-After of a task, or 0 if clients honour none (`max_retry_after`).
+/// Returns the Retry-After of a task, or 0 if clients honour none (`max_retry_after` is 0).
 pub fn retry_after(
     shed_level: u8,
     task_hash: u64,
@@ -40,22 +42,23 @@
     (earliest + (latest - earliest) * fraction) as Micros
 }
 
-/// The clients that were sent a Retry-After, by the hash of their task.
+/// The clients that were sent a Retry-After, identified by the hash of their task.
 #[derive(Debug, Clone, Default)]
 pub struct BackedOffClients {
+    /// When each client may retry, by the hash of its task.
     retry_at: BTreeMap<u64, Micros>,
     by_time: BTreeSet<(Micros, u64)>,
 }
 
 impl BackedOffClients {
-    /// Returns whether a client comes back before its Retry-After has passed.
+    /// Returns whether a client that retries at `now` does so before its Retry-After has passed.
     pub fn is_early(&self, now: Micros, task_hash: u64) -> bool {
         self.retry_at
             .get(&task_hash)
             .is_some_and(|retry_at| now < *retry_at)
     }
 
-    /// Records that a client was sent this Retry-After; 0 is none.
+    /// Records that a client was sent a Retry-After of `retry_after`; 0 means that it was sent none.
     pub fn record(&mut self, now: Micros, task_hash: u64, retry_after: Micros) {
         if retry_after <= 0 {
             return;
@@ -68,7 +71,7 @@
         self.by_time.insert((retry_at, task_hash));
     }
 
-    /// Returns how many clients have yet to come back.
+    /// Returns the number of clients whose Retry-After has not passed yet.
     pub fn waiting(&self, now: Micros) -> usize {
         self.retry_at
             .values()
@@ -76,7 +79,8 @@
             .count()
     }
 
-    /// Forgets the clients whose time has passed, and the earliest until another fits.
+    /// Forgets the clients whose Retry-After has passed, and then those that may retry earliest until there is space
+    /// for another client.
     fn forget_expired(&mut self, now: Micros) {
         while let Some((retry_at, task_hash)) = self.by_time.first().copied() {
             if retry_at > now && self.retry_at.len() < MAX_BACKED_OFF_CLIENTS {
--- a/src/overload/retry_budget.rs
+++ b/src/overload/retry_budget.rs
@@ -1,13 +1,14 @@
-//! Retry budget: how many attempts beyond a task's first may be made.
+//! Retry budget: a token bucket that limits the attempts beyond a task's first.
 //!
-//! Each task that is attempted for the first time, and is not itself a client's retry, earns a fraction of a
-//! retry; each retry costs a whole one. Savings are bounded. Every placer starts with its part of a small stock
-//! that belongs to the fleet, so all placers together never make more retries than
-//! `ratio` × first attempts + `stock`, whatever their number.
+//! The first attempt of each task earns a fraction of a token, unless the request is itself a client's retry. Each
+//! retry costs one token. The number of tokens that can be saved is bounded. Every placer starts with its part of a
+//! small number of tokens for the whole fleet, so all placers together never make more retries than
+//! `ratio` × first attempts + `fleet_burst`, whatever the number of placers.
 //!
-//! A retry is also charged to the failure domains of the attempt that failed: its host, cell and zone. A domain
-//! in which everything fails can use up no more than its own first attempts have earned, and leaves the budget
-//! of other zones alone. Pure: time is an argument, and there is no I/O.
+//! A retry is also charged to the failure domains of the attempt that failed: its host, cell and zone. A domain in
+//! which every attempt fails cannot use up more than its initial tokens and those that its own first attempts have
+//! earned, and it does not use up the budget of other zones. The code is pure: the time is an argument, and there is
+//! no I/O.
 
 use super::ShedState;
 use crate::{CellId, HostId, Micros, ZoneId};
@@ -20,9 +21,9 @@
     pub ratio: f64,
     /// Retries earned by each first attempt while load is shed.
     pub ratio_while_shedding: f64,
-    /// Retries earned by each first attempt in its host, cell and zone.
+    /// Retries earned by each first attempt in the budgets of its host, cell and zone.
     pub domain_ratio: f64,
-    /// Retries that the whole fleet has at its start, and may save.
+    /// Retries that the whole fleet has available at its start, and the most that it can save.
     pub fleet_burst: f64,
 }
 
@@ -37,20 +38,20 @@
     }
 }
 
-/// A failure domain: what fails together.
+/// A failure domain: one or more hosts that fail together.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub enum FailureDomain {
-    /// One host.
+    /// A single host.
     Host(HostId),
-    /// A cell.
+    /// All hosts of a cell.
     Cell(CellId),
-    /// A zone.
+    /// All hosts of a zone.
     Zone(ZoneId),
 }
 
 impl FailureDomain {
-    /// The part of the fleet's stock that a domain of this kind starts with and may save.
-    fn stock_fraction(&self) -> f64 {
+    /// Returns the fraction of [`Settings::fleet_burst`] that a domain of this kind starts with and can save at most.
+    fn burst_fraction(&self) -> f64 {
         match self {
             FailureDomain::Host(_) => 0.125,
             FailureDomain::Cell(_) => 0.25,
@@ -77,12 +78,13 @@
     last_used: Micros,
 }
 
-/// Domains unused for so long are forgotten: their budget is full again.
+/// How long a domain may be unused before it can be evicted, in microseconds. An evicted domain has a full budget
+/// when it is used again.
 const DOMAIN_EXPIRY: Micros = 60_000_000;
-/// The most domains that are remembered; beyond them the least recently used is forgotten.
+/// The largest number of domains that are tracked. Beyond it the least recently used domain is evicted.
 pub const MAX_DOMAINS: usize = 4_096;
 
-/// The retry budget of one placer, and of the failure domains that it has used.
+/// The retry budgets of one placer and of the failure domains that it has sent attempts to.
 #[derive(Debug, Clone)]
 pub struct RetryBudget {
     settings: Settings,
@@ -94,22 +96,23 @@
 impl RetryBudget {
     /// Creates the budget of one of `placer_count` placers.
     pub fn new(settings: Settings, placer_count: usize) -> RetryBudget {
-        let stock = settings.fleet_burst / placer_count.max(1) as f64;
+        let own_burst = settings.fleet_burst / placer_count.max(1) as f64;
         RetryBudget {
-            tokens: stock,
-            // Less than one cannot be spent, and what is earned has to be kept until it can.
-            max_tokens: stock.max(1.0),
+            tokens: own_burst,
+            // A retry costs a whole token, so the bucket must hold at least one for earned fractions to add up.
+            max_tokens: own_burst.max(1.0),
             domains: BTreeMap::new(),
             settings,
         }
     }
 
-    /// Returns the retries that are left.
+    /// Returns the number of retries left in the placer's own budget.
     pub fn available(&self) -> f64 {
         self.tokens
     }
 
-    /// Records the first attempt of a task that is not a client's retry, to a host of these domains.
+    /// Records a task's first attempt, sent to a host in the failure domains `domains`. Must not be called for a task
+    /// whose request is a client's retry.
     pub fn record_first_attempt(
         &mut self,
         now: Micros,
@@ -129,11 +132,11 @@
         }
     }
 
-    /// Spends one retry after an attempt failed in these domains.
+    /// Spends one retry after an attempt failed at a host in the failure domains `domains`.
     ///
     /// # Errors
     ///
-    /// Returns [`RetryDenied`] and spends nothing if a budget is used up.
+    /// Returns [`RetryDenied`] and spends nothing if the budget of the placer or of a domain is used up.
     pub fn try_spend(&mut self, now: Micros, domains: &[FailureDomain]) -> Result<(), RetryDenied> {
         if self.tokens < 1.0 {
             return Err(RetryDenied::PlacerBudget);
@@ -152,7 +155,7 @@
     }
 
     fn max_domain_tokens(&self, domain: &FailureDomain) -> f64 {
-        (domain.stock_fraction() * self.settings.fleet_burst).max(1.0)
+        (domain.burst_fraction() * self.settings.fleet_burst).max(1.0)
     }
 
     fn bucket(&mut self, now: Micros, domain: &FailureDomain) -> &mut Bucket {
@@ -168,7 +171,7 @@
         bucket
     }
 
-    /// Forgets domains until another fits.
+    /// Evicts expired domains, and then the least recently used ones, until there is space for another domain.
     fn evict_domains(&mut self, now: Micros) {
         if self.domains.len() < MAX_DOMAINS {
             return;
--- a/src/overload/tenants.rs
+++ b/src/overload/tenants.rs
@@ -1,4 +1,4 @@
-//! How much of each tenant's load is within its quota, as far as one placer sees.
+//! Estimates, from the requests at one placer, which fraction of each tenant's load is within its quota.
 
 use crate::health::sliding_window::SlidingWindow;
 use crate::{Micros, Settings, TenantId};
@@ -7,16 +7,16 @@
 const WINDOW_OBJECTIVES: Micros = 4;
 const MICROS_PER_SECOND: f64 = 1e6;
 
-/// One tenant.
+/// The quota and the recent requests of one tenant.
 #[derive(Debug, Clone)]
 struct TenantUsage {
-    /// New tasks per second over all placers; 0 is no limit.
+    /// The quota of new tasks per second over all placers; 0 means that there is no quota.
     quota_per_second: f64,
-    /// Recent requests at this placer.
+    /// The tenant's recent requests at this placer.
     requests: SlidingWindow,
 }
 
-/// The recent requests of all tenants.
+/// The quotas and recent requests of all tenants.
 #[derive(Debug, Clone)]
 pub(super) struct TenantUsages {
     tenants: Vec<TenantUsage>,
@@ -35,8 +35,8 @@
         }
     }
 
-    /// Counts a request and returns the fraction of its tenant's requests that is within the quota. The load at
-    /// the other placers is assumed to be the same as here.
+    /// Counts a request and returns the fraction of its tenant's requests that is within the quota. The tenant's
+    /// load at each other placer is assumed to be the same as at this one.
     pub fn record_request(&mut self, now: Micros, tenant: Option<TenantId>) -> f64 {
         let Some(usage) = tenant.and_then(|TenantId(index)| self.tenants.get_mut(index)) else {
             return 1.0;
