--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -1,7 +1,8 @@
-//! The cost of the fleet's size: memory, and processor time of a client's short connection, of a task that is placed
-//! and of an event of the feed, with 10, 100, 400 and 1,000 hosts, each with a program of its own.
+//! Measures how the cost of a placer grows with the number of hosts: its memory, and its CPU time per short client
+//! connection, per placed task and per feed event, with 10, 100, 400 and 1,000 hosts. Each number of hosts is measured
+//! with a newly started placer.
 //!
-//! `cargo bench --bench fleet`; `TASK_PLACER_BIN` names another version's program to hold against it.
+//! Run with `cargo bench --bench fleet`. Set `TASK_PLACER_BIN` to the binary of another version to compare with it.
 
 use emulator::fixtures::{place_task, start_emulated_hosts, wait_until_tasks_ended};
 use emulator::host_emulator::{EmulatedFeed, HostBehavior};
@@ -12,10 +13,10 @@
 
 const TASKS: u32 = 400;
 const EVENTS: u32 = 200;
-/// Hosts with free capacity; the others are full, and accept connections and nothing else.
+/// The number of hosts with free capacity. The other hosts are full and only accept connections.
 const HOSTS_WITH_CAPACITY: usize = 4;
 
-/// The entry of a full host in the endpoint list.
+/// Returns the endpoint-list entry of a host without free capacity.
 fn full_host(n: usize, address: &str, cores: i32) -> OwnedValue {
     json!({
         "host": format!("f{n}"), "dial": address, "site": "south", "class": "plain", "block": n / 8,
@@ -24,8 +25,11 @@
 }
 
 fn main() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    let address = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").expect("failed to bind to a free port");
+    let address = listener
+        .local_addr()
+        .expect("failed to read the listener's address")
+        .to_string();
     std::thread::spawn(move || {
         let mut connections: Vec<TcpStream> = Vec::new();
         connections.extend(listener.incoming().flatten());
--- a/src/overload/concurrency_limit.rs
+++ b/src/overload/concurrency_limit.rs
@@ -93,7 +93,8 @@
     None,
 }
 
-/// The minimum of a value over the last [`MIN_DELAY_EXPIRY`], kept for two halves of the span so that old values expire.
+/// The minimum of a value over the last [`MIN_DELAY_EXPIRY`], kept for each half of that time so that old values
+/// expire.
 #[derive(Debug, Clone, Copy)]
 struct WindowedMinimum {
     half_started_at: Micros,
--- a/tests/overload/main.rs
+++ b/tests/overload/main.rs
@@ -1,8 +1,8 @@
-//! A fleet of placers in an overload and after partial failures, in simulated time: the hard cases of
-//! `docs/design/overload.md`.
+//! Tests a fleet of placers under overload and after partial failures, in simulated time. The scenarios are the hard
+//! cases of `docs/design/overload.md`.
 //!
-//! Each case is simulated with 3, 12 and 30 placers, and with 12 placers without the features under test. Its
-//! condition must hold for each of the first, and must not hold for the last.
+//! Each scenario is simulated with 3, 12 and 30 placers with overload control, where its condition must hold for each
+//! number of placers, and with 12 placers without the features under test, where its condition must not hold.
 
 mod scenarios;
 mod simulation;
@@ -13,6 +13,8 @@
 
 const PLACER_COUNTS: [usize; 3] = [3, 12, 30];
 
+/// Asserts that `condition` holds for a scenario with all features, for each number of placers, and that it does not
+/// hold with only the features `without`.
 fn assert_holds_only_with_overload_control(
     make_scenario: MakeScenario,
     without: &Features,
@@ -21,17 +23,20 @@
     for placer_count in PLACER_COUNTS {
         let summary = Simulation::run(make_scenario(placer_count, Features::all()));
         let figures = format!(
-            "{:.3} {:.3} {:.2} {:?}",
+            "success {:.3}, at the end {:.3}, attempts per task {:.2}, futile attempts {:?}",
             summary.success(),
             summary.success_between(12, 16),
             summary.attempts_per_task(),
             summary.futile_attempts
         );
-        assert!(condition(&summary), "{placer_count} placers: {figures}");
+        assert!(
+            condition(&summary),
+            "condition does not hold with {placer_count} placers: {figures}"
+        );
         assert_eq!(
             (summary.unanswered, summary.duplicate_responses),
             (0, 0),
-            "{placer_count} placers"
+            "unanswered requests and duplicate responses with {placer_count} placers"
         );
     }
 
@@ -39,13 +44,14 @@
 
     assert!(
         !condition(&summary),
-        "the same without it: {:.3} {:.3}",
+        "condition holds without the features under test: success {:.3}, at the end {:.3}",
         summary.success(),
         summary.success_between(12, 16)
     );
 }
 
-/// Asserts a condition on the success over the whole time, and on that of the last seconds.
+/// Asserts that the fraction of tasks started within the objective is above `min_success` over the whole scenario,
+/// and above `min_final_success` in its last seconds, but only with overload control.
 fn assert_recovers(
     make_scenario: MakeScenario,
     without: &Features,
@@ -108,7 +114,7 @@
 
 #[test]
 fn unreachable_cell_is_checked_in_time_slots_whatever_the_number_of_placers() {
-    // The slots of two groups may fall into one quarter of a second.
+    // A quarter of a second may contain parts of the slots of two groups of placers.
     let concurrent_placers = health_check_schedule::Settings::default().concurrent_placers;
     let max_checks = 2 * concurrent_placers as u32;
     assert_holds_only_with_overload_control(
@@ -196,7 +202,7 @@
     }
 }
 
-/// What each scenario comes to, without and with overload control.
+/// Prints the results of each scenario without and with overload control.
 #[test]
 #[ignore = "a table for people: cargo test --release --test overload scenario_table -- --ignored --nocapture"]
 fn scenario_table() {
--- a/tests/overload/scenarios.rs
+++ b/tests/overload/scenarios.rs
@@ -1,13 +1,13 @@
-//! The scenarios: overload, partial failures, and what goes wrong in the middle of both.
+//! The scenarios: overload, partial failures, and faults of placers, hosts, links and clients during either.
 
 use crate::simulation::{Fault, MILLISECOND, SECOND, Scenario};
 use task_placer::Micros;
 use task_placer::overload::Features;
 
-/// Makes a scenario for a number of placers with these features.
+/// Creates a scenario for a number of placers with the given features of overload control.
 pub type MakeScenario = fn(usize, Features) -> Scenario;
 
-/// Every scenario by its name, for the table.
+/// Every scenario, with its name in the printed table.
 pub const ALL: [(&str, MakeScenario); 11] = [
     ("load peak x3", load_peak_of_three_times_the_capacity),
     ("zone lost", zone_lost_under_load_and_replaced_cold),
@@ -22,7 +22,7 @@
     ("flapping", hosts_that_flap),
 ];
 
-/// Sixteen seconds at a moderate load.
+/// Returns a scenario of sixteen seconds at a constant moderate load.
 fn moderate_load(placer_count: usize, features: Features) -> Scenario {
     Scenario {
         load: vec![(0, 0.6)],
@@ -31,7 +31,7 @@
     }
 }
 
-/// Six seconds of nearly twice the capacity between times of low load.
+/// Returns a scenario with six seconds of load at nearly twice the capacity, preceded and followed by low load.
 fn peak(placer_count: usize, features: Features) -> Scenario {
     Scenario {
         load: vec![(0, 0.2), (2 * SECOND, 1.8), (8 * SECOND, 0.2)],
--- a/tests/overload/simulation.rs
+++ b/tests/overload/simulation.rs
@@ -1,7 +1,7 @@
-//! A fleet in simulated time: real facades with the real decision module and overload control, emulated hosts,
-//! clients that retry, and a late endpoint list, joined by one queue of events.
+//! A discrete-event simulation of a fleet: real facades with the real decision module and overload control, emulated
+//! hosts, clients that retry, and an endpoint list that arrives late.
 //!
-//! No socket, no clock, no thread: the same seed gives the same run.
+//! The simulation uses no sockets, clocks or threads, so the same seed gives the same run.
 
 mod clients;
 mod faults;
@@ -24,19 +24,19 @@
 
 pub const MILLISECOND: Micros = 1_000;
 pub const SECOND: Micros = 1_000 * MILLISECOND;
-/// The delay of a message between any two.
+/// The delay of every message, in microseconds.
 const NETWORK_DELAY: Micros = 500;
 const TICK: Micros = 4 * MILLISECOND;
-/// How often placers poll the endpoint list.
+/// The interval at which placers poll the endpoint list.
 const LIST_INTERVAL: Micros = 2 * SECOND;
 /// How long a client waits for a response.
 const CLIENT_TIMEOUT: Micros = 2 * SECOND;
-/// How much longer than the scenario the simulation runs, for responses that are pending at its end.
+/// How long the simulation continues after the end of the scenario, for responses that are pending then.
 const DRAIN_TIME: Micros = 3 * SECOND;
-/// The time of the first event: wall clocks are not near 0.
+/// The time of the first event. It is far from 0, as times of real wall clocks are.
 const START: Micros = 1_000_000 * SECOND;
 
-/// Something that happens at a time.
+/// A scheduled event of the simulation.
 #[derive(Debug, Clone)]
 enum SimEvent {
     /// A new task is requested.
@@ -51,22 +51,22 @@
         attempt: AttemptId,
         offer: Offer,
     },
-    /// A host learns that an attempt was given up.
+    /// A host is notified that the placer has given up an attempt.
     AttemptStopped {
         host: usize,
         attempt: AttemptId,
     },
-    /// The state of a host changes by itself.
+    /// A host's state is due to change without a message.
     HostTick {
         host: usize,
     },
-    /// A report of a host arrives at a placer.
+    /// A host's report on an attempt or a running task arrives at a placer.
     HostReport {
         attempt: AttemptId,
         host: usize,
         update: TaskUpdate,
     },
-    /// An attempt has taken too long.
+    /// The timeout of an attempt expires.
     AttemptTimeout {
         attempt: AttemptId,
         number: u32,
@@ -77,7 +77,7 @@
         request: AttemptId,
         response: Response,
     },
-    /// A client has waited long enough.
+    /// A client's timeout for the response to a request expires.
     ClientTimeout {
         task: usize,
         request: AttemptId,
@@ -97,14 +97,14 @@
     },
 }
 
-/// The response to a request.
+/// A placer's response to a request.
 #[derive(Debug, Clone, Copy)]
 enum Response {
     Started,
     Rejected { retry_after: Micros },
 }
 
-/// One request at one placer; hosts know it as the id of its attempts.
+/// Identifies a request at one placer. All attempts of the request have this id at the hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct AttemptId {
     placer: usize,
@@ -114,7 +114,7 @@
 impl AttemptId {
     const TICKET_BITS: u32 = 40;
 
-    /// The id that hosts see.
+    /// Returns the id as a number, which is the form that hosts use.
     fn encode(self) -> u64 {
         ((self.placer as u64) << AttemptId::TICKET_BITS) | self.ticket
     }
@@ -123,21 +123,22 @@
 pub struct Simulation {
     scenario: Scenario,
     now: Micros,
-    /// Times of events, with their numbers.
+    /// The times and numbers of scheduled events, earliest first.
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
+    /// The scheduled events by their numbers.
     events: HashMap<u64, SimEvent>,
     event_count: u64,
     rng: ChaCha8Rng,
     hosts: Vec<SimulatedHost>,
     placers: Vec<SimulatedPlacer>,
     tasks: Vec<ClientTask>,
-    /// Pairs of placer and host between which nothing is delivered.
+    /// Pairs of placer and host between which no message is delivered.
     cut_links: BTreeSet<(usize, usize)>,
     summary: Summary,
 }
 
 impl Simulation {
-    /// Simulates a scenario to its end.
+    /// Simulates a scenario to its end and returns a summary of the results.
     pub fn run(scenario: Scenario) -> Summary {
         let mut simulation = Simulation::new(scenario);
         while let Some(Reverse((at, number))) = simulation.queue.pop() {
@@ -197,7 +198,7 @@
         self.queue.push(Reverse((at, self.event_count)));
     }
 
-    /// Schedules an event for when a message that is sent now arrives.
+    /// Schedules an event for the time at which a message sent now arrives.
     fn send(&mut self, event: SimEvent) {
         self.schedule(self.now + NETWORK_DELAY, event);
     }
@@ -206,12 +207,12 @@
         (self.rng.next_u64() % bound.max(1) as u64) as Micros
     }
 
-    /// A random number from 0 to 1.
+    /// Returns a random number from 0 (inclusive) to 1 (exclusive).
     fn random_fraction(&mut self) -> f64 {
         (self.rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// The summary of the second that a time falls in.
+    /// Returns the summary of the second of the scenario that contains the time `at`.
     fn second(&mut self, at: Micros) -> &mut SecondSummary {
         let last = self.summary.seconds.len() - 1;
         let second = ((at - START) / SECOND).clamp(0, last as Micros);
@@ -251,7 +252,7 @@
         }
     }
 
-    /// Sends the endpoint list to all placers, each with a random delay.
+    /// Sends the endpoint list to all placers, with a random delay for each.
     fn send_endpoints(&mut self) {
         let endpoints = self.endpoints();
         let half_delay = self.scenario.discovery_delay / 2;
--- a/tests/overload/simulation/clients.rs
+++ b/tests/overload/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! The clients: each wants one task started, and retries with a growing backoff.
+//! The simulated clients. Each requests the start of one task, and retries with a growing backoff.
 
 use super::placers::OpenRequest;
 use super::{
@@ -8,9 +8,9 @@
 use task_placer::Micros;
 use task_placer::facade::{PlacementRequest, Ticket};
 
-/// How long a task is wanted at all.
+/// How long a client keeps retrying, from the first request of its task.
 const TASK_LIFETIME: Micros = 8 * SECOND;
-/// The part of the client's timeout that the network takes.
+/// The part of the client's timeout that is reserved for the network.
 const CLIENT_SLACK: Micros = 15 * MILLISECOND;
 const INITIAL_BACKOFF: Micros = 1_500 * MILLISECOND;
 const MAX_BACKOFF: Micros = 8 * SECOND;
@@ -28,7 +28,7 @@
 }
 
 impl Simulation {
-    /// Adds a task, and schedules the next one by the load.
+    /// Adds a task, and schedules the next one according to the load.
     pub(super) fn new_task(&mut self) {
         let elapsed = self.now - START;
         let gap = self.random_gap(elapsed);
@@ -51,7 +51,7 @@
         self.request(self.tasks.len() - 1);
     }
 
-    /// A random time between two tasks, at the load of this time.
+    /// Returns a random time between two tasks, for the load at the time `elapsed` of the scenario.
     fn random_gap(&mut self, elapsed: Micros) -> Micros {
         let load = self.scenario.load.iter().rev();
         let mut current = load.filter(|(from, _)| *from <= elapsed);
@@ -61,7 +61,7 @@
         (-(1.0 - self.random_fraction()).ln() / rate * 1e6) as Micros
     }
 
-    /// Sends the request of a task to any placer that is not killed. One that is stalled ignores it.
+    /// Sends the request of a task to a placer that is not killed. A stalled placer ignores the request.
     pub(super) fn request(&mut self, task: usize) {
         let Some(placer) = self.choose_placer() else {
             return self.retry_later(task, 0);
@@ -96,7 +96,7 @@
         };
         let decisions = facade
             .place(self.now, Ticket(ticket), &placement_request)
-            .expect("the request is valid");
+            .expect("the placement request should be valid");
         self.apply_decisions(placer, decisions);
     }
 
@@ -137,7 +137,7 @@
             return;
         }
         self.tasks[task].pending = None;
-        // A response that a killed or stalled placer does not send is no fault of the code under test.
+        // A killed or stalled placer sends no response, which is not an error of the code under test.
         let placer = &self.placers[request.placer];
         let is_working = placer.facade.is_some() && !placer.is_stalled;
         if is_working && placer.requests.contains_key(&request.ticket) {
@@ -146,7 +146,7 @@
         self.retry_later(task, 0);
     }
 
-    /// Schedules the next request of a task, if it is still wanted by then.
+    /// Schedules the next request of a task, if its client still retries at that time.
     fn retry_later(&mut self, task: usize, retry_after: Micros) {
         let client = &mut self.tasks[task];
         client.failures += 1;
--- a/tests/overload/simulation/faults.rs
+++ b/tests/overload/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and recovers.
+//! The faults of a scenario and the recovery from them.
 
 use super::scenario::Fault;
 use super::{AttemptId, SimEvent, Simulation, hosts};
@@ -51,7 +51,7 @@
         self.report_updates(host, unsent);
     }
 
-    /// Kills a host. What ran or was queued there ends with its connections.
+    /// Kills a host. Running and queued tasks end with its connections.
     fn kill_host(&mut self, index: usize) {
         let now = self.now;
         let host = &mut self.hosts[index];
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Starts a cold host in place of a dead one.
+    /// Starts a cold host in place of a killed one.
     fn replace_host(&mut self, index: usize) {
         let now = self.now;
         let host = &mut self.hosts[index];
@@ -77,7 +77,7 @@
         host.model = HostModel::new(hosts::spec(), now, Warmth::Cold);
     }
 
-    /// Kills a placer. Attempts in flight end with its connections; running tasks go on.
+    /// Kills a placer. Its attempts in flight end with its connections, and running tasks continue.
     fn kill_placer(&mut self, placer: usize) {
         self.placers[placer].facade = None;
         let requests = std::mem::take(&mut self.placers[placer].requests);
--- a/tests/overload/simulation/hosts.rs
+++ b/tests/overload/simulation/hosts.rs
@@ -1,4 +1,4 @@
-//! The hosts: the emulator's host model behind links that may be cut.
+//! The simulated hosts: the emulator's host model behind links that can be cut.
 
 use super::{AttemptId, CLIENT_TIMEOUT, MILLISECOND, SECOND, START, SimEvent, Simulation};
 use emulator::host_model::{
@@ -16,11 +16,12 @@
 pub const TASK_CORES: f64 = 0.5;
 pub const TASK_MEMORY: f64 = 0.5;
 pub const TASK_RUN_TIME: Micros = 8 * SECOND;
-/// What one host starts a second.
+/// The number of tasks that one host can start per second.
 pub const STARTS_PER_SECOND: f64 = 2.0 / 0.060;
 const HOST_CORES: f64 = 200.0;
 const HOST_MEMORY: f64 = 400.0;
-/// The ids of successive incarnations of a host differ by this; there are fewer hosts.
+/// The difference between the numbers in the ids of successive incarnations of a host. It must be larger than the
+/// number of hosts.
 const INCARNATION_STEP: usize = 100;
 
 pub struct SimulatedHost {
@@ -29,15 +30,15 @@
     pub is_dead: bool,
     pub started_at: Micros,
     pub is_silent: bool,
-    /// Reports that a silent host has not sent.
+    /// Reports that the host has not sent because it is silent.
     pub unsent: Vec<(u64, TaskUpdate)>,
-    /// The attempts that are at the host, by the id that it sees.
+    /// The attempts and running tasks at the host, by the id that the host uses.
     pub attempts: BTreeMap<u64, AttemptId>,
     next_tick: Option<Micros>,
 }
 
 impl SimulatedHost {
-    /// A host that has been up for long.
+    /// Returns a host that has been up long enough to be warm.
     pub fn warm(now: Micros) -> SimulatedHost {
         SimulatedHost {
             model: HostModel::new(spec(), now, Warmth::Warm),
@@ -71,7 +72,7 @@
     }
 }
 
-/// The settings of one placer for these hosts.
+/// Returns the settings of one placer for the simulated hosts.
 pub fn settings(placer_index: usize, placer_count: usize) -> Settings {
     let example = Settings::example();
     Settings {
@@ -113,9 +114,11 @@
     }
 }
 
-/// The index and the incarnation of the host with this id.
+/// Returns the index and the incarnation of the host with the id `host`.
 pub fn parse_host_id(host: &HostId) -> (usize, usize) {
-    let number = host.0[1..].parse::<usize>().expect("a number");
+    let number = host.0[1..]
+        .parse::<usize>()
+        .expect("a host id should be a letter followed by a number");
     (number % INCARNATION_STEP, number / INCARNATION_STEP)
 }
 
@@ -125,7 +128,7 @@
         HostId(Arc::from(format!("s{number:03}")))
     }
 
-    /// The endpoint list.
+    /// Returns the endpoint list with the current state of all hosts.
     pub(super) fn endpoints(&self) -> Vec<Endpoint> {
         (0..self.hosts.len())
             .map(|host| self.endpoint(host))
--- a/tests/overload/simulation/placers.rs
+++ b/tests/overload/simulation/placers.rs
@@ -1,4 +1,4 @@
-//! The placers: real facades, whose decisions become messages.
+//! The simulated placers: real facades whose decisions are turned into messages.
 
 use super::hosts::{TASK_CORES, TASK_MEMORY, TASK_RUN_TIME, names, parse_host_id, settings};
 use super::{AttemptId, Response, SimEvent, Simulation, TICK};
@@ -7,7 +7,7 @@
 use task_placer::facade::{Decision, Facade, PlacementEvent, Ticket};
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail};
 
-/// The cause of a host's rejection in the protocol.
+/// The protocol's cause code for a rejection by a host.
 const CAUSE_REJECTED: u8 = 34;
 
 #[derive(Default)]
@@ -15,7 +15,7 @@
     /// `None` if the placer is killed.
     pub facade: Option<Facade>,
     pub is_stalled: bool,
-    /// Events that arrived while it was stalled.
+    /// Events that arrived while the placer was stalled.
     held_events: Vec<SimEvent>,
     incarnation: u64,
     ticket_count: u64,
@@ -23,7 +23,7 @@
 }
 
 impl SimulatedPlacer {
-    /// A ticket that no incarnation has used.
+    /// Returns a ticket that no incarnation of this placer has used.
     pub fn next_ticket(&mut self) -> u64 {
         self.ticket_count += 1;
         self.ticket_count | (self.incarnation << 32)
@@ -57,7 +57,7 @@
 }
 
 impl Simulation {
-    /// Starts a placer without any state but the endpoint list.
+    /// Starts a placer that has no state except the endpoint list.
     pub(super) fn start_placer(&mut self, placer: usize) {
         let seed = self
             .scenario
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Delivers an event, or holds it while the placer is stalled.
+    /// Delivers an event to a placer, or holds it until the placer is no longer stalled.
     pub(super) fn deliver_or_hold(&mut self, placer: usize, event: SimEvent) {
         if self.placers[placer].is_stalled {
             self.placers[placer].held_events.push(event);
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Delivers the events that arrived while a placer was stalled.
+    /// Delivers the events that were held while a placer was stalled.
     pub(super) fn deliver_held(&mut self, placer: usize) {
         for event in std::mem::take(&mut self.placers[placer].held_events) {
             self.deliver(placer, event);
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Applies decisions, and those that their effects lead to.
+    /// Applies decisions, and those that the facade makes in response to their effects.
     pub(super) fn apply_decisions(&mut self, placer: usize, decisions: Vec<Decision>) {
         let mut queue = VecDeque::from(decisions);
         while let Some(decision) = queue.pop_front() {
@@ -172,7 +172,10 @@
         let request = self.placers[placer].requests.get_mut(&ticket.0)?;
         let number = request.attempts;
         request.attempts += 1;
-        assert!(request.in_flight.is_none(), "two attempts at once");
+        assert!(
+            request.in_flight.is_none(),
+            "request has two attempts in flight"
+        );
         self.summary.attempts += 1;
         if self.hosts[host].is_dead || self.hosts[host].incarnation != incarnation {
             return Some(PlacementEvent::AttemptEnded {
@@ -213,7 +216,7 @@
         None
     }
 
-    /// Ends the attempt that is in flight, and notifies its host.
+    /// Ends a request's attempt in flight, if there is one, and notifies the host.
     fn give_up(&mut self, attempt: AttemptId, outcome: Outcome) -> Option<PlacementEvent> {
         let requests = &mut self.placers[attempt.placer].requests;
         let request = requests.get_mut(&attempt.ticket)?;
@@ -264,7 +267,7 @@
         event
     }
 
-    /// Handles what a host reports about an attempt or a running task.
+    /// Handles a host's report on an attempt or a running task.
     fn host_reported(
         &mut self,
         attempt: AttemptId,
@@ -316,7 +319,7 @@
     }
 }
 
-/// The outcome that a host's reason stands for in the protocol.
+/// Returns the outcome and detail that a host's reason stands for in the protocol.
 fn attempt_outcome(reason: EndReason) -> (Outcome, OutcomeDetail) {
     let detail = match reason.note() {
         "nc" => OutcomeDetail::NoCores,
--- a/tests/overload_random.rs
+++ b/tests/overload_random.rs
@@ -1,4 +1,5 @@
-//! Properties of overload control: sums over any number of placers, for any order of events.
+//! Property tests of overload control: bounds on the behaviour of the whole fleet, for any number of placers and any
+//! order of events.
 
 use proptest::prelude::*;
 use std::collections::VecDeque;
@@ -21,7 +22,7 @@
     ]
 }
 
-/// Priority, fraction within the quota, kind of client attempt and task of a request.
+/// The priority, the fraction within the quota, the kind of client attempt and the task hash of a request.
 type Request = (u8, f64, u8, u64);
 
 fn candidate((priority, within_quota, client_attempt, task_hash): &Request) -> Candidate {
@@ -41,7 +42,8 @@
     hash_fraction(*task_hash, admission::QUOTA_SALT) < *within_quota
 }
 
-/// Whether one request ranks before another in every respect, and strictly in priority or quota.
+/// Returns whether `first` ranks no lower than `second` in priority, quota and client attempt, and higher in priority
+/// or quota.
 fn ranks_before(first: &Request, second: &Request) -> bool {
     let (first_within, second_within) = (is_within_quota(first), is_within_quota(second));
     (first.0, first_within) > (second.0, second_within)
@@ -53,7 +55,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
 
-    /// The fleet's retries never exceed its budget, whatever the number of placers and the order.
+    /// The retries of the whole fleet never exceed its budget, for any number of placers and any order of attempts.
     #[test]
     fn retries_stay_within_the_budget_of_the_fleet(
         placers in 1usize..64,
@@ -75,11 +77,11 @@
         }
         prop_assert!(
             retries <= settings.ratio * first_attempts + settings.fleet_burst + 1e-6,
-            "{} of {}", retries, first_attempts
+            "{} retries exceed the budget earned by {} first attempts", retries, first_attempts
         );
     }
 
-    /// A host that fails everybody can't use up more than its own first attempts have earned.
+    /// A host at which every attempt fails cannot use up more than its own budget.
     #[test]
     fn one_host_does_not_spend_the_budget_of_the_others(failures in 1usize..500) {
         let settings = retry_budget::Settings::default();
@@ -90,13 +92,13 @@
         prop_assert!(spent as f64 <= (settings.fleet_burst / 8.0).max(1.0));
         prop_assert!(
             budget.try_spend(0, &failure_domains(9)).is_ok(),
-            "another zone's is not touched"
+            "the budget of another zone is used up"
         );
     }
 
-    /// Never more than `concurrent_placers` at any time, and each placer has its slot once in a round.
+    /// At most `concurrent_placers` placers have an active slot at any time, and each placer has one slot per round.
     #[test]
-    fn every_placer_has_its_turn_and_only_so_many_at_a_time(
+    fn every_placer_has_one_slot_per_round_and_few_have_it_at_a_time(
         placers in 1usize..200,
         concurrent_placers in 1usize..4,
         host in any::<u64>(),
@@ -108,7 +110,7 @@
             .collect();
 
         let active = schedules.iter().filter(|schedule| schedule.slot(host, at).is_active).count();
-        prop_assert!((1..=concurrent_placers).contains(&active), "{} at once", active);
+        prop_assert!((1..=concurrent_placers).contains(&active), "{} placers have an active slot at once", active);
 
         let mut ranks: Vec<usize> = schedules.iter().map(|schedule| schedule.rank(host)).collect();
         ranks.sort_unstable();
@@ -116,8 +118,8 @@
 
         for schedule in &schedules {
             let next = schedule.slot(host, at).next_starts_at;
-            prop_assert!(next > at && next <= at + schedule.round_length(), "comes within a round");
-            prop_assert!(schedule.slot(host, next).is_active, "and has begun then");
+            prop_assert!(next > at && next <= at + schedule.round_length(), "next slot is not within a round");
+            prop_assert!(schedule.slot(host, next).is_active, "the slot is not active at its start");
             prop_assert!(
                 !schedule.slot(host, next - 1).is_active
                     || schedule.round_length() == settings.slot_length
@@ -125,8 +127,8 @@
         }
     }
 
-    /// No request of higher priority and within its quota is shed while one of lower priority or beyond its
-    /// quota is admitted, and placers that have seen the same rank a request alike.
+    /// No request of higher priority and within its quota is shed while one of lower priority or beyond its quota is
+    /// admitted. Placers that have received the same requests give a request the same rank.
     #[test]
     fn load_is_shed_in_one_order(
         mix in prop::collection::vec((0u8..4, 0.0f64..=1.0, 0u8..3, any::<u64>()), 20..200),
@@ -141,13 +143,13 @@
         }
         let admitted = admission::admitted_fraction(level);
         let now = mix.len() as Micros;
-        // Each as if it came next, in the same state.
+        // Ranks each request as if it came next, from the same state.
         let ranks_at = |controller: &AdmissionController| -> Vec<f64> {
             mix.iter().map(|request| controller.clone().rank(now, 0, candidate(request))).collect()
         };
         let ranks = ranks_at(&controllers[0]);
         prop_assert_eq!(&ranks, &ranks_at(&controllers[1]));
-        // The mix moves by the one that is added.
+        // Ranking a request adds it to the mix, and so changes the ranks slightly.
         let tolerance = 2.0 / mix.len() as f64;
         for (first, first_rank) in mix.iter().zip(&ranks) {
             for (second, second_rank) in mix.iter().zip(&ranks) {
@@ -155,14 +157,14 @@
                     let is_shed = *first_rank >= admitted + tolerance;
                     prop_assert!(
                         !(is_shed && *second_rank < admitted),
-                        "{:?} shed, {:?} admitted", first, second
+                        "{:?} is shed although {:?} is admitted", first, second
                     );
                 }
             }
         }
     }
 
-    /// A window stays between its limits and is never closed for good, whatever happens.
+    /// A window stays between its limits, and another attempt can be sent in bounded time, for any order of events.
     #[test]
     fn windows_stay_within_their_limits(
         placers in 1usize..1_024,
@@ -195,35 +197,36 @@
             prop_assert_eq!(limit.in_flight(), in_flight);
             let initial_window = settings.initial_window / placers as f64;
             let min_window = (initial_window / 4.0).min(settings.max_window);
-            prop_assert!(limit.window() >= min_window - 1e-9, "{}", limit.window());
-            prop_assert!(limit.window() <= settings.max_window + 1e-9, "{}", limit.window());
+            prop_assert!(limit.window() >= min_window - 1e-9, "window {} is too small", limit.window());
+            prop_assert!(limit.window() <= settings.max_window + 1e-9, "window {} is too large", limit.window());
             if in_flight == 0 && !limit.is_suspect() {
                 let next_change = limit.next_change(now).unwrap_or(now);
-                prop_assert!(limit.max_in_flight(next_change) > 0, "one may be sent then");
+                prop_assert!(limit.max_in_flight(next_change) > 0, "no attempt may be sent at the next change");
                 prop_assert!(
                     next_change - now <= 60 * SECOND * placers as Micros,
-                    "and not in an age"
+                    "the next change is too far away"
                 );
             }
         }
     }
 }
 
-/// An attempt at the simulated host.
+/// An attempt that waits or is served at the simulated host.
 #[derive(Clone, Copy)]
 struct Attempt {
     placer: usize,
     sent_at: Micros,
 }
 
-/// What a simulated host has started after the first ten seconds.
+/// Counts of the attempts that the simulated host has started after the first ten seconds.
 #[derive(Default)]
 struct Starts {
     total: u32,
     late: u32,
 }
 
-/// Placers that always have work for one host, which starts one attempt after the other.
+/// Simulates placers that always have attempts to send to one host, which starts one attempt after the other, and
+/// returns the counts of its starts.
 fn simulate_one_host(placers: usize) -> Starts {
     const SERVICE_TIME: Micros = 28_000;
     const STEP: Micros = 2_000;
@@ -234,7 +237,7 @@
     let mut starts = Starts::default();
     let mut first_placer = 0;
     for now in (0..30 * SECOND).step_by(STEP as usize) {
-        // Which placer is first changes.
+        // A different placer sends first in each step.
         first_placer += 7;
         for n in 0..placers {
             let placer = (n + first_placer) % placers;
@@ -268,18 +271,18 @@
 }
 
 #[test]
-fn placers_that_do_not_know_of_each_other_keep_the_queue_of_a_host_short_and_the_host_busy() {
+fn independent_placers_keep_the_queue_of_a_host_short_and_the_host_busy() {
     for placers in [1, 3, 12, 30] {
         let starts = simulate_one_host(placers);
 
         assert!(
             starts.total > 560,
-            "{placers}: busy, {} of 666",
+            "host is not busy with {placers} placers: {} starts of 666 possible",
             starts.total
         );
         assert!(
             starts.late * 20 < starts.total,
-            "{placers}: {} of {} late",
+            "with {placers} placers, {} of {} starts are late",
             starts.late,
             starts.total
         );
