--- a/src/overload/admission.rs
+++ b/src/overload/admission.rs
@@ -3,14 +3,14 @@
 //! Load is shed by levels. At level `n` the fraction [`LEVEL_FRACTION`]^n of the requests is admitted. Requests
 //! are ranked in one order, which is the same at every placer: by priority, then those within their tenant's quota
 //! before those beyond it, then first requests before retries, then by a hash of the task and the current epoch,
-//! so that each epoch sheds other tasks first. WeChat's overload control ranks requests in the same way, but all its
-//! instances share one level (Zhou et al., "Overload Control for Scaling WeChat Microservices", SoCC 2018). Placers
-//! exchange no messages, so each determines its own level. Since all placers observe the queues of the same hosts,
-//! they arrive at similar levels; coarse levels and separate thresholds for rise and fall keep the levels similar.
+//! so that each epoch sheds other tasks first. Overload control of large services does the same with one level that all
+//! instances share (Zhou et al., "Overload Control for Scaling WeChat Microservices", SoCC 2018). Placers exchange no
+//! messages, so each determines its own level. Since all placers observe the queues of the same hosts, they arrive at
+//! similar levels; coarse levels and separate thresholds for rise and fall keep the levels similar.
 //!
 //! ```text
 //!             late starts, or tasks given up:        starts within the objective for a while: falls
-//!             rises by at most MAX_RISE levels       to the level for the capacity observed earlier
+//!             rises by at most MAX_RISE levels       by the ratio of earlier starts to requests
 //!   level 0 ─────────────────────────────▶ level n ─────────────────────────▶ level m < n
 //! ```
 //!
@@ -29,7 +29,8 @@
 /// The most levels by which one adjustment raises the level. After such a rise a third of the requests admitted
 /// before is still admitted, until the effect of the new level is known.
 const MAX_RISE: f64 = 10.0;
-/// The number of outcomes below which late starts do not change the level, since so few say nothing about it.
+/// The number of outcomes below which late starts and given-up tasks do not raise the level, because so few outcomes
+/// do not show whether the level is right.
 const MIN_OUTCOMES: f64 = 6.0;
 /// The length of the window over which requests are counted by bucket, in multiples of the shortest latency
 /// objective.
@@ -57,7 +58,7 @@
 pub struct Settings {
     /// The mean delay of starts above which starts are too late and the level may rise.
     pub late: f64,
-    /// The mean delay of starts up to which the level may fall below what the observed capacity calls for.
+    /// The mean delay of starts up to which the level may fall further than the observed capacity alone allows.
     pub low_delay: f64,
     /// While load is shed, a task that has waited longer than this is given up, because it cannot start in time.
     pub give_up_after: f64,
@@ -306,8 +307,8 @@
         if outcomes < MIN_OUTCOMES || !self.outcomes_show_overload() {
             return None;
         }
-        // The fraction of the admitted tasks that started. If they started late, the fraction is reduced in
-        // proportion to their delay.
+        // The fraction of the admitted tasks that started. If they started late, the sustainable fraction is also
+        // at most the acceptable delay divided by their mean delay.
         let started = self.outcomes.starts / outcomes;
         let mean_delay = self.outcomes.mean_relative_delay();
         let sustainable = if mean_delay > self.settings.late {
@@ -351,7 +352,7 @@
         }
     }
 
-    /// Returns how long a level lasts at least before it falls: long enough for the tasks that it admits to start.
+    /// Returns the shortest time for which a level lasts before it falls, so that the tasks that it admits can start.
     fn min_level_duration(&self) -> Micros {
         self.latency_objective / 2
     }
--- a/src/overload/concurrency_limit.rs
+++ b/src/overload/concurrency_limit.rs
@@ -39,7 +39,8 @@
 const IDLE_DELAYS: f64 = 20.0;
 /// The shortest pause after which a window returns to its initial value, in microseconds.
 const MIN_IDLE: Micros = 5_000_000;
-/// The minimum window as a fraction of the initial one. This many attempts keep a host busy and its queue short.
+/// The minimum window as a fraction of the initial one. The minimum windows of all placers together keep a host busy
+/// and its queue short.
 const MIN_WINDOW_FRACTION: f64 = 0.25;
 /// The largest fraction of a window, or of 1 if the window is larger, by which it grows per start while the host's
 /// queue is very short.
--- a/src/overload/controller/attempts.rs
+++ b/src/overload/controller/attempts.rs
@@ -29,8 +29,8 @@
         self.hosts.refresh(now, host, limits);
     }
 
-    /// Records an attempt with its request, and counts it as a first attempt or a retry. A first attempt is added to
-    /// the retry budget unless its request is itself a client's retry.
+    /// Records an attempt with its request, and counts it as a first attempt or a retry. A first attempt is credited
+    /// to the retry budget unless its request is itself a client's retry.
     fn record_attempt(&mut self, now: Micros, id: &RequestId, host: &HostId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
--- a/src/overload/health_check_schedule.rs
+++ b/src/overload/health_check_schedule.rs
@@ -15,8 +15,8 @@
 use crate::Micros;
 use crate::state::hash::combine_hashes;
 
-/// The most doublings of the interval between the slots that a placer uses after failed health checks: it still uses
-/// at least one in 2 to this power of its slots.
+/// How many times failed health checks double the interval between the slots that a placer uses. The placer still uses
+/// at least one in 2^`MAX_BACKOFF_DOUBLINGS` of its slots.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// Salt of the hash that makes the rounds of different hosts start at different times.
 const ROUND_OFFSET_SALT: u64 = 0x7475_726e;
--- a/src/overload/host.rs
+++ b/src/overload/host.rs
@@ -81,7 +81,7 @@
         HostLimit {
             max_in_flight: Some(max_in_flight),
             health_check,
-            // An active slot ends before the next one starts, so the host is refreshed within one slot length.
+            // An active slot ends before the next one starts, so the host is refreshed after one slot length.
             refresh_at: Some(if slot.is_active {
                 now + slot_length
             } else {
--- a/src/overload/hosts.rs
+++ b/src/overload/hosts.rs
@@ -69,8 +69,8 @@
         self.hosts.get_mut(id)
     }
 
-    /// Returns the failure domains of a host: itself, its cell and its zone. Those of an unknown host are only the
-    /// host itself.
+    /// Returns the failure domains of a host: the host itself, its cell and its zone, or only the host itself if it is
+    /// not in the endpoint list.
     pub fn failure_domains(&self, id: &HostId) -> Vec<FailureDomain> {
         let mut domains = vec![FailureDomain::Host(id.clone())];
         if let Some(host) = self.hosts.get(id) {
@@ -299,7 +299,7 @@
 
     // ---- Attempts ----
 
-    /// Records that an attempt started its task, which also ends the suspicion of its host.
+    /// Records that an attempt started its task. Its host is then no longer suspect.
     pub fn attempt_started(
         &mut self,
         id: &HostId,
@@ -315,7 +315,7 @@
         }
     }
 
-    /// Records that an attempt ended without starting its task, and returns whether its host became suspect by it.
+    /// Records that an attempt ended without starting its task. Returns whether this made its host suspect.
     pub fn attempt_ended(
         &mut self,
         attempt: &InFlightAttempt,
--- a/src/overload/hosts/suspect.rs
+++ b/src/overload/hosts/suspect.rs
@@ -46,9 +46,9 @@
         true
     }
 
-    /// Marks all hosts in the zone of the host `id` as suspect if several cells of the zone are, and returns whether
-    /// it did. The zone itself is then assumed to have failed, and its other hosts get only health checks without
-    /// first losing attempts of every placer.
+    /// Marks all hosts that are up in the zone of the host `id` as suspect if several cells of the zone are suspect,
+    /// and returns whether it did. The fault is then assumed to be the zone's, and its other hosts get only health
+    /// checks from now on, before each of them has lost attempts of every placer.
     pub fn check_zone(&mut self, now: Micros, id: &HostId, limits: &mut Vec<Limit>) -> bool {
         if self.schedule.is_none() {
             return false;
--- a/tests/overload/scenarios.rs
+++ b/tests/overload/scenarios.rs
@@ -4,7 +4,7 @@
 use task_placer::Micros;
 use task_placer::overload::Features;
 
-/// Creates a scenario for a number of placers with the given features of overload control.
+/// A function that creates a scenario for a number of placers with the given features of overload control.
 pub type MakeScenario = fn(usize, Features) -> Scenario;
 
 /// Every scenario, with its name in the printed table.
--- a/tests/overload_random.rs
+++ b/tests/overload_random.rs
@@ -98,7 +98,7 @@
 
     /// At most `concurrent_placers` placers have an active slot at any time, and each placer has one slot per round.
     #[test]
-    fn every_placer_has_one_slot_per_round_and_few_have_it_at_a_time(
+    fn every_placer_has_one_slot_per_round_and_active_slots_are_bounded(
         placers in 1usize..200,
         concurrent_placers in 1usize..4,
         host in any::<u64>(),
