--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -59,7 +59,7 @@
 fn config_lines(cli: &Cli, config: &Config) -> Vec<String> {
     let path = cli.files.config.as_deref();
     let origin = path.map_or_else(String::new, |path| path.display().to_string());
-    let values = config.in_force().into_iter();
+    let values = config.effective_values().into_iter();
     values
         .map(|(field, value)| format!("{field} = {value}  # {origin}"))
         .collect()
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -39,7 +39,7 @@
     operator.log.level = cli.log.log_level.unwrap_or(operator.log.level);
     log::start(&operator.log);
     let code = serve(cli, config, operator, signals);
-    log::finish();
+    log::flush_at_exit();
     code
 }
 
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -44,7 +44,7 @@
 
 impl Config {
     /// Returns the fields and values in force, as `task-placer check` prints them.
-    pub fn in_force(&self) -> Vec<(String, String)> {
+    pub fn effective_values(&self) -> Vec<(String, String)> {
         let updates = self.cached_updates.iter();
         let entries: usize = updates
             .filter_map(|message| message.update.as_ref())
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -76,7 +76,11 @@
 }
 
 /// Finds the other processes of this placer, and is found by them, for the life of the process.
-pub fn meet(name: &str, executor: &Rc<LocalExecutor<'static>>, shared: &SharedDispatch) {
+pub fn join_process_group(
+    name: &str,
+    executor: &Rc<LocalExecutor<'static>>,
+    shared: &SharedDispatch,
+) {
     let path = meeting_socket(name);
     executor.spawn(find(path, shared.clone())).detach();
 }
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -192,7 +192,7 @@
 }
 
 /// Writes what waits, as far as standard error takes it at once.
-pub fn pump() {
+pub fn write_queued() {
     if let Some(writer) = LOG.get() {
         if writer.queue().bytes.is_empty() {
             return;
@@ -202,7 +202,7 @@
 }
 
 /// Writes what waits before the process exits, and waits a little for the reader.
-pub fn finish() {
+pub fn flush_at_exit() {
     if let Some(writer) = LOG.get() {
         writer.write_ready(EXIT_FLUSH_TIMEOUT);
     }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -157,7 +157,7 @@
         let listen = self.addresses.listen;
         if let Some(inherited) = inherit::listener(listen).await? {
             self.shared.borrow_mut().shares_listener = true;
-            inherit::meet(&self.addresses.name, &self.executor, &self.shared);
+            inherit::join_process_group(&self.addresses.name, &self.executor, &self.shared);
             return Ok(inherited);
         }
         retry("listen", || accept::listen(listen))
@@ -213,7 +213,7 @@
     async fn run_until_finished(&self, acceptor: &Acceptor<Dispatch>) {
         let mut ticks = Timer::interval(Duration::from_micros(timer_wheel::TICK.unsigned_abs()));
         while ticks.next().await.is_some() {
-            log::pump();
+            log::write_queued();
             let is_finished = {
                 let mut dispatch = self.shared.borrow_mut();
                 dispatch.tick();
