--- a/src/net/dispatch/shutdown.rs
+++ b/src/net/dispatch/shutdown.rs
@@ -124,7 +124,7 @@
             .shutdown_since
             .is_some_and(|since| now - since >= due_after)
         {
-            self.clients.close_resting(now);
+            self.clients.close_quiescent(now);
         }
     }
 
@@ -182,7 +182,7 @@
         let nothing_pending =
             !has_pending && self.clients.is_flushed() && !self.clients.is_delivering_task_ends(now);
         if self.lifecycle.is_shutting_down() {
-            return (nothing_pending && self.clients.is_at_rest(now))
+            return (nothing_pending && self.clients.is_quiescent(now))
                 || self.lifecycle.exit_is_overdue(now);
         }
         let elapsed = now - since;
