--- a/crates/emulator/src/host_model/mod.rs
+++ b/crates/emulator/src/host_model/mod.rs
@@ -50,9 +50,9 @@
     Unknown,
 }
 
-/// An offer in a stage of its life that is limited in time.
+/// An offer in a stage that ends at a known time, or in the queue.
 #[derive(Debug, Clone, PartialEq)]
-struct Timed {
+struct TimedOffer {
     offer: Offer,
     /// The time at which the stage ends, or for a queued offer the time at which it arrived.
     until: Micros,
@@ -64,13 +64,13 @@
     spec: HostSpec,
     started_at: Micros,
     warmth: Warmth,
-    queued: VecDeque<Timed>,
+    queued: VecDeque<TimedOffer>,
     /// The offer that the host is deciding on.
-    deciding: Option<Timed>,
+    deciding: Option<TimedOffer>,
     /// The accepted offers that wait until fewer tasks are starting.
     accepted: VecDeque<Offer>,
-    starting: Vec<Timed>,
-    running: BTreeMap<u64, Timed>,
+    starting: Vec<TimedOffer>,
+    running: BTreeMap<u64, TimedOffer>,
     /// The services whose programs are cached without a running task, the most recently used last.
     cached_programs: VecDeque<u64>,
     /// The time of the next eviction, while the host drains.
@@ -171,7 +171,7 @@
             self.down = true;
             return true;
         }
-        self.queued.push_back(Timed { offer, until: now });
+        self.queued.push_back(TimedOffer { offer, until: now });
         false
     }
 
@@ -198,7 +198,7 @@
 
     /// Withdraws an offer that has not started, or stops a running task.
     pub fn stop(&mut self, id: u64) -> StopOutcome {
-        let has_id = |task: &Timed| task.offer.id == id;
+        let has_id = |task: &TimedOffer| task.offer.id == id;
         if let Some(at) = self.queued.iter().position(has_id) {
             self.queued.remove(at);
             return StopOutcome::NotStarted;
--- a/crates/emulator/src/host_model/tick.rs
+++ b/crates/emulator/src/host_model/tick.rs
@@ -1,7 +1,7 @@
 //! Changes of a host over time: decisions on offers, starts, ends and evictions.
 
 use super::{
-    EndReason, HostModel, Micros, ModelFault, Offer, Resources, TaskUpdate, TaskUpdates, Timed,
+    EndReason, HostModel, Micros, ModelFault, Offer, Resources, TaskUpdate, TaskUpdates, TimedOffer,
 };
 
 /// The lower bound of the speed in computations of times, which keeps them finite.
@@ -63,14 +63,15 @@
             self.cached_programs
                 .retain(|service| *service != offer.service);
             let until = now + time as Micros;
-            self.starting.push(Timed { offer, until });
+            self.starting.push(TimedOffer { offer, until });
             changed = true;
         }
         if let Some(at) = self.starting.iter().position(|task| task.until <= now) {
             let task = self.starting.remove(at);
             updates.push((task.offer.id, TaskUpdate::Running));
             let until = now + task.offer.run_time;
-            self.running.insert(task.offer.id, Timed { until, ..task });
+            self.running
+                .insert(task.offer.id, TimedOffer { until, ..task });
             changed = true;
         }
         changed
@@ -98,7 +99,7 @@
     }
 
     /// Accepts or rejects an offer. If resources are short, tasks of lower priority are preempted if that frees enough.
-    fn decide(&mut self, now: Micros, task: Timed, updates: &mut TaskUpdates) {
+    fn decide(&mut self, now: Micros, task: TimedOffer, updates: &mut TaskUpdates) {
         let expired = now - task.until > task.offer.time_left;
         let offer = task.offer;
         let rejected = if self.next_drain_eviction.is_some() {
