--- a/crates/load-test/src/arrivals.rs
+++ b/crates/load-test/src/arrivals.rs
@@ -1,8 +1,10 @@
-//! When tasks are due and what they are. Pure, and the same for the same plan and seed, byte for byte.
+//! Generates the arrivals of a plan: when tasks are due, and their properties. The functions are pure: the same plan
+//! and seed give exactly the same arrivals.
 //!
-//! Each process draws points of unit rate. A point is placed at the time at which the expected number of arrivals of
-//! the load profile reaches it (time change), so that every process follows every profile. The Poisson process is
-//! drawn by thinning instead (Lewis and Shedler, 1979), which needs no inverse.
+//! Each arrival process draws points at unit rate. A point is placed at the time at which the expected number of
+//! arrivals of the load profile reaches it (time change), so that every process follows every profile. The Poisson
+//! process is drawn by thinning instead (Lewis and Shedler, 1979), which does not need the inverse of the expected
+//! number.
 
 use crate::load_profile::{LoadProfile, Micros};
 use crate::plan::{ArrivalProcess, Batch, Plan, TaskClass, Tenant};
@@ -11,64 +13,68 @@
 use rand_distr::{Distribution, Exp1, Gamma, LogNormal};
 
 const SECOND: f64 = 1e6;
-/// Sets the draws of properties apart from those of times.
+/// Combined with the seed of the plan, so that the properties of tasks are drawn from another stream than their times.
 const PROPERTIES_SEED_SALT: u64 = 0x6d61_726b;
-/// Bounds of the time that a task runs, in microseconds.
+/// Minimum and maximum run time of a task, in microseconds.
 const MIN_RUN_TIME: f64 = 1e3;
 const MAX_RUN_TIME: f64 = 1e12;
-/// Maximum number of arrivals of a plan.
+/// Maximum number of arrivals that are drawn for a plan.
 pub const MAX_ARRIVALS: usize = 20_000_000;
 
-/// A task that is due.
+/// The arrival of a task.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Arrival {
-    /// When it is due, from the start of the plan.
+    /// When the task is due, from the start of the plan.
     pub due: Micros,
-    /// Index of its class in the plan.
+    /// Index of the task's class in the plan.
     pub class: usize,
-    /// Index of its tenant.
+    /// Index of the task's tenant in the plan.
     pub tenant: usize,
-    /// Index of its service within its class.
+    /// Index of the task's service within its class.
     pub service: u32,
-    /// Index of the zone of its client.
+    /// Index of the client's zone in the plan.
     pub zone: usize,
     /// Requested cores.
     pub cores: f64,
     /// Requested memory.
     pub memory: f64,
-    /// How long it runs.
+    /// How long the task runs.
     pub run_time: Micros,
 }
 
-/// Draws an index by weights.
+/// Draws an index with a probability in proportion to its weight.
 fn draw(rng: &mut ChaCha8Rng, weights: impl Iterator<Item = f64> + Clone) -> usize {
     let total: f64 = weights.clone().sum();
-    let mut left = rng.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     let mut last = 0;
     for (n, weight) in weights.enumerate() {
         last = n;
-        left -= weight;
-        if left < 0.0 {
+        remaining -= weight;
+        if remaining < 0.0 {
             return n;
         }
     }
     last
 }
 
-/// The weight of a rank in a Zipf distribution.
+/// Returns the weight of a rank, counted from 0, in a Zipf distribution.
 fn zipf(rank: usize, exponent: f64) -> f64 {
     1.0 / ((rank + 1) as f64).powf(exponent)
 }
 
-/// The times at which arrivals are due.
-fn times(process: ArrivalProcess, profile: &LoadProfile, rng: &mut ChaCha8Rng) -> Vec<Micros> {
+/// Draws the times at which arrivals are due, in increasing order.
+fn arrival_times(
+    process: ArrivalProcess,
+    profile: &LoadProfile,
+    rng: &mut ChaCha8Rng,
+) -> Vec<Micros> {
     match process {
-        ArrivalProcess::Poisson => thinned(profile, rng),
+        ArrivalProcess::Poisson => poisson_times(profile, rng),
         ArrivalProcess::Even => place_points(profile, std::iter::repeat_n(1.0, MAX_ARRIVALS)),
         ArrivalProcess::Gamma { cv } => {
-            // Mean 1 and the given coefficient of variation.
-            let order = 1.0 / (cv * cv);
-            match Gamma::new(order, 1.0 / order) {
+            // A gamma distribution with mean 1 has this shape for a coefficient of variation `cv`.
+            let shape = 1.0 / (cv * cv);
+            match Gamma::new(shape, 1.0 / shape) {
                 Ok(gaps) => place_points(
                     profile,
                     std::iter::repeat_with(|| gaps.sample(&mut *rng)).take(MAX_ARRIVALS),
@@ -77,23 +83,23 @@
             }
         }
         ArrivalProcess::Markov { high, stay } => {
-            // Two states with exponential stays, and rates that are 1 in the mean.
+            // Two states that last for exponentially distributed times, with rates whose mean is 1.
             let rates = [2.0 * high / (1.0 + high), 2.0 / (1.0 + high)];
-            let (mut state, mut left) = (usize::from(rng.random::<bool>()), 0.0);
+            let (mut state, mut remaining) = (usize::from(rng.random::<bool>()), 0.0);
             let gap = std::iter::from_fn(|| {
                 let (mut need, mut gap): (f64, f64) = (Exp1.sample(&mut *rng), 0.0);
                 loop {
-                    if left <= 0.0 {
+                    if remaining <= 0.0 {
                         state = 1 - state;
                         let drawn: f64 = Exp1.sample(&mut *rng);
-                        left = drawn * stay;
+                        remaining = drawn * stay;
                     }
-                    let within = left * rates[state];
+                    let within = remaining * rates[state];
                     if need <= within {
-                        left -= need / rates[state];
+                        remaining -= need / rates[state];
                         return Some(gap + need / rates[state]);
                     }
-                    (need, gap, left) = (need - within, gap + left, 0.0);
+                    (need, gap, remaining) = (need - within, gap + remaining, 0.0);
                 }
             });
             place_points(profile, gap.take(MAX_ARRIVALS))
@@ -101,17 +107,18 @@
     }
 }
 
-fn thinned(profile: &LoadProfile, rng: &mut ChaCha8Rng) -> Vec<Micros> {
+/// Draws the times of a Poisson process that follows a load profile, by thinning.
+fn poisson_times(profile: &LoadProfile, rng: &mut ChaCha8Rng) -> Vec<Micros> {
     let mut found = Vec::new();
-    // Phase by phase: the bound on the rate is then tight where it is low.
+    // Thinning each phase by itself keeps the bound on the rate tight in phases with a low rate.
     for phase in &profile.phases {
-        let alone = LoadProfile {
+        let single_phase = LoadProfile {
             phases: vec![crate::load_profile::Phase {
                 start: 0,
                 ..phase.clone()
             }],
         };
-        let max_rate = alone.max_rate();
+        let max_rate = single_phase.max_rate();
         if max_rate <= 0.0 {
             continue;
         }
@@ -122,7 +129,7 @@
             if at >= phase.length as f64 || found.len() >= MAX_ARRIVALS {
                 break;
             }
-            if rng.random::<f64>() * max_rate < alone.rate(at as Micros) {
+            if rng.random::<f64>() * max_rate < single_phase.rate(at as Micros) {
                 found.push(phase.start + at as Micros);
             }
         }
@@ -130,7 +137,7 @@
     found
 }
 
-/// Places points with these gaps, of mean 1, on the clock.
+/// Converts points with these gaps, whose mean is 1, to times that follow a load profile.
 fn place_points(profile: &LoadProfile, gaps: impl Iterator<Item = f64>) -> Vec<Micros> {
     let (mut found, mut point, mut from) = (Vec::new(), 0.0, 0);
     let (length, total) = (profile.length(), profile.expected(profile.length()));
@@ -139,7 +146,7 @@
         if point > total {
             break;
         }
-        // The expected number never decreases: bisect.
+        // The expected number of arrivals never decreases over time, so the time can be found by bisection.
         let (mut low, mut high) = (from, length);
         while low < high {
             let middle = low + (high - low) / 2;
@@ -155,33 +162,34 @@
     found
 }
 
-/// Returns all arrivals of a plan, in order.
+/// Returns all arrivals of a plan in order of their times.
 pub fn arrivals(plan: &Plan, profile: &LoadProfile) -> Vec<Arrival> {
-    let mut clock = ChaCha8Rng::seed_from_u64(plan.seed);
-    // The properties of tasks have a random stream of their own, so that another process does not change them.
-    let mut properties = ChaCha8Rng::seed_from_u64(plan.seed ^ PROPERTIES_SEED_SALT);
+    let mut time_rng = ChaCha8Rng::seed_from_u64(plan.seed);
+    // The properties of tasks are drawn from a random stream of their own, so that a change of the arrival process
+    // does not change them.
+    let mut property_rng = ChaCha8Rng::seed_from_u64(plan.seed ^ PROPERTIES_SEED_SALT);
     let mut found = Vec::new();
-    for due in times(plan.arrivals.process, profile, &mut clock) {
+    for due in arrival_times(plan.arrivals.process, profile, &mut time_rng) {
         let class = draw(
-            &mut properties,
+            &mut property_rng,
             plan.classes.iter().map(|class| class.share),
         );
         let Some(chosen) = plan.classes.get(class) else {
             continue;
         };
         let tenant = draw(
-            &mut properties,
+            &mut property_rng,
             plan.tenants
                 .iter()
                 .map(|tenant: &Tenant| tenant.arrival_weight()),
         );
         let services = chosen.services.max(1) as usize;
         let service = draw(
-            &mut properties,
+            &mut property_rng,
             (0..services).map(|rank| zipf(rank, plan.arrivals.service_skew)),
         );
         let zone = draw(
-            &mut properties,
+            &mut property_rng,
             (0..plan.zones.len().max(1)).map(|rank| zipf(rank, plan.arrivals.zone_skew)),
         );
         let size = chosen
@@ -190,10 +198,10 @@
             .copied()
             .unwrap_or_default();
         let batch = plan.arrivals.batch.map_or(1, |Batch { min, max }| {
-            properties.random_range(min..=max.max(min))
+            property_rng.random_range(min..=max.max(min))
         });
         for _ in 0..batch {
-            let run_time = run_time(chosen, &mut properties);
+            let run_time = run_time(chosen, &mut property_rng);
             let service = service as u32;
             found.push(Arrival {
                 due,
@@ -210,11 +218,12 @@
     found
 }
 
+/// Draws the run time of a task.
 fn run_time(class: &TaskClass, rng: &mut impl Rng) -> Micros {
     let mean = class.run_time.as_micros() as f64;
-    // Lognormal with this mean.
-    let spread = class.run_time_sigma;
-    let drawn = LogNormal::new(mean.max(1.0).ln() - spread * spread / 2.0, spread)
+    // The location parameter is chosen so that the lognormal distribution has this mean.
+    let sigma = class.run_time_sigma;
+    let drawn = LogNormal::new(mean.max(1.0).ln() - sigma * sigma / 2.0, sigma)
         .map_or(mean, |d| d.sample(rng));
     drawn.clamp(MIN_RUN_TIME, MAX_RUN_TIME) as Micros
 }
--- a/crates/load-test/src/arrivals/tests.rs
+++ b/crates/load-test/src/arrivals/tests.rs
@@ -1,4 +1,4 @@
-//! Arrivals follow the profile and the seed.
+//! Tests that arrivals follow the plan, its load profile and the seed.
 
 use super::*;
 use crate::load_profile::parse;
@@ -8,7 +8,7 @@
         "seed = 7\narrivals.shape = \"20/s for 100s, rise to 60/s over 10s, silence 5s, 10/s for 20s\"\n\
          arrivals.process = {process}\narrivals.service-skew = 1.0\n"
     );
-    Plan::parse(&text).expect("a plan")
+    Plan::parse(&text).expect("valid plan")
 }
 
 const PROCESSES: [&str; 4] = [
@@ -22,7 +22,7 @@
 fn arrivals_are_determined_by_plan_and_seed() {
     for process in PROCESSES {
         let plan = plan(process);
-        let profile = parse(&plan.arrivals.profile).expect("a shape");
+        let profile = parse(&plan.arrivals.profile).expect("valid load profile");
         let first = arrivals(&plan, &profile);
         assert_eq!(first, arrivals(&plan, &profile), "{process}");
         let other = Plan { seed: 8, ..plan };
@@ -35,7 +35,7 @@
 fn counts_follow_the_load_profile_in_every_phase_and_times_are_ordered() {
     for process in PROCESSES {
         let plan = plan(process);
-        let profile = parse(&plan.arrivals.profile).expect("a shape");
+        let profile = parse(&plan.arrivals.profile).expect("valid load profile");
         let all = arrivals(&plan, &profile);
         assert!(
             all.windows(2).all(|pair| pair[0].due <= pair[1].due),
@@ -48,7 +48,7 @@
                 .iter()
                 .filter(|a| (phase.start..end).contains(&a.due))
                 .count() as f64;
-            // Five times the deviation that the least even of these processes has.
+            // Five times the standard deviation of the most irregular of these processes.
             let slack = 5.0 * 4.0 * expected.sqrt() + 1.0;
             assert!(
                 (found - expected).abs() <= slack,
@@ -63,7 +63,7 @@
 fn gaps_have_the_requested_coefficient_of_variation() {
     let cv = |process: &str| {
         let plan = plan(process);
-        let profile = parse("50/s for 200s").expect("a shape");
+        let profile = parse("50/s for 200s").expect("valid load profile");
         let all = arrivals(&plan, &profile);
         let gaps: Vec<f64> = all
             .windows(2)
@@ -90,7 +90,7 @@
     let mut plan = plan("{ kind = \"poisson\" }");
     plan.arrivals.batch = Some(Batch { min: 2, max: 4 });
     plan.arrivals.zone_skew = 2.0;
-    let profile = parse("20/s for 100s").expect("a shape");
+    let profile = parse("20/s for 100s").expect("valid load profile");
     let all = arrivals(&plan, &profile);
     let mut groups = std::collections::BTreeMap::<Micros, Vec<&Arrival>>::new();
     all.iter()
@@ -102,13 +102,13 @@
             .filter(|g| g.len() <= 4)
             .all(|g| g.iter().all(|a| a.service == g[0].service))
     );
-    let of = |zone| all.iter().filter(|a| a.zone == zone).count();
+    let count_in_zone = |zone| all.iter().filter(|a| a.zone == zone).count();
     assert!(
-        of(0) > 3 * of(1) && of(1) > of(2),
+        count_in_zone(0) > 3 * count_in_zone(1) && count_in_zone(1) > count_in_zone(2),
         "{} {} {}",
-        of(0),
-        of(1),
-        of(2)
+        count_in_zone(0),
+        count_in_zone(1),
+        count_in_zone(2)
     );
     let first = all
         .iter()
--- a/crates/load-test/src/cli.rs
+++ b/crates/load-test/src/cli.rs
@@ -1,17 +1,18 @@
-//! The command line.
+//! Definition of the command line.
 
 use clap::{Args, Parser, Subcommand, ValueEnum};
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Load tests of real placers among emulated hosts: open-loop arrivals, faults, and a check of every task.
+/// Load tests of real placers among emulated hosts: open-loop arrivals, faults, and a check of every task
+/// against the rules.
 ///
-/// Exit codes: 0 good, 1 an objective was missed or the run was interrupted, 2 the input is invalid, 3 a rule is
-/// violated, 4 the generator itself was late.
+/// Exit codes: 0 success, 1 an objective was missed or the run was interrupted, 2 the input is invalid, 3 a rule was
+/// violated, 4 the load generator itself was late.
 #[derive(Debug, Parser)]
 #[command(name = "load-test", version, max_term_width = 100)]
 pub struct Cli {
-    /// What to do.
+    /// The command to execute.
     #[command(subcommand)]
     pub command: Command,
 }
@@ -24,27 +25,27 @@
     Plan(PlanCommand),
     /// Run a plan and write its report
     Run(RunArgs),
-    /// Run two plans over the same seeds, side by side
+    /// Run two plans with the same seeds and compare their results
     Compare {
         /// The first plan
         a: PathBuf,
         /// The second plan
         b: PathBuf,
-        /// Seeds to run each with
+        /// Number of seeds to run each plan with
         #[arg(long, default_value_t = 3)]
         seeds: u64,
-        /// Where things are
+        /// Paths of the placer and its files
         #[command(flatten)]
         common: CommonArgs,
     },
-    /// Run a plan with each retry policy, over several seeds
+    /// Run a plan with each retry policy and several seeds, and compare the results
     Policies {
         /// The plan
         plan: PathBuf,
-        /// Seeds to run each with
+        /// Number of seeds to run each policy with
         #[arg(long, default_value_t = 3)]
         seeds: u64,
-        /// Where things are
+        /// Paths of the placer and its files
         #[command(flatten)]
         common: CommonArgs,
     },
@@ -52,33 +53,33 @@
     Knee {
         /// The plan
         plan: PathBuf,
-        /// Runs of each rate
+        /// Number of runs at each rate
         #[arg(long, default_value_t = 3)]
         repeats: u32,
-        /// Stop where the knee is known to this fraction
+        /// Stop when the knee is known to within this fraction of its upper bound
         #[arg(long, default_value_t = 0.1)]
         precision: f64,
-        /// No more than so many times the plan's rate
+        /// Highest rate to try, as a multiple of the plan's rate
         #[arg(long = "most", value_name = "MOST", default_value_t = 64.0)]
         max_factor: f64,
-        /// Where things are
+        /// Paths of the placer and its files
         #[command(flatten)]
         common: CommonArgs,
     },
-    /// Convert a trace to another format, cut or scaled
+    /// Convert a trace to another format, optionally cut or scaled
     Trace(TraceArgs),
-    /// How many arrivals a second one core makes with a lateness p99 under 1 ms
+    /// Measure how many arrivals per second one core generates with a p99 lateness below 1 ms
     Pace {
-        /// Seconds at each rate
+        /// Duration of the measurement at each rate, in seconds
         #[arg(long, default_value_t = 3)]
         seconds: u64,
     },
-    /// Run a program that ends with this one (used for the placers)
+    /// Run a program that is killed when the caller of this command ends (used for the placers)
     #[command(hide = true)]
     Guard {
-        /// The program
+        /// The program to run
         program: PathBuf,
-        /// Maximum number of its descriptors
+        /// Maximum number of file descriptors that the program may open
         #[arg(long)]
         descriptors: Option<u64>,
     },
@@ -87,28 +88,28 @@
 /// The commands on plans.
 #[derive(Debug, Subcommand)]
 pub enum PlanCommand {
-    /// Read a plan and report what is wrong with it
+    /// Check a plan and report all invalid values
     Check {
         /// The plan
         file: PathBuf,
     },
-    /// Draw the load profile of its arrivals
+    /// Draw the load profile of a plan's arrivals
     Show {
         /// The plan
         file: PathBuf,
-        /// Also write it as SVG
+        /// File to write the drawing to as SVG as well
         #[arg(long)]
         svg: Option<PathBuf>,
     },
 }
 
-/// Where things are.
+/// The paths that several commands use.
 #[derive(Debug, Args)]
 pub struct CommonArgs {
-    /// The placer's program
+    /// The placer's executable
     #[arg(long, default_value = "target/release/task-placer")]
     pub placer: PathBuf,
-    /// Where configurations and logs of the placers go
+    /// Folder for the configurations and logs of the placers
     #[arg(long, default_value = "target/rehearsal")]
     pub folder: PathBuf,
 }
@@ -118,19 +119,19 @@
 pub struct RunArgs {
     /// The plan
     pub plan: PathBuf,
-    /// Another seed than the plan's
+    /// Seed to use instead of the plan's
     #[arg(long)]
     pub seed: Option<u64>,
-    /// Arrivals of a recorded trace in place of the plan's own
+    /// Trace whose recorded arrivals replace those of the plan
     #[arg(long)]
     pub trace: Option<PathBuf>,
-    /// How the trace is read
+    /// Columns, units and handling of bad rows
     #[command(flatten)]
     pub reading: ReadingArgs,
-    /// Where things are
+    /// Paths of the placer and its files
     #[command(flatten)]
     pub common: CommonArgs,
-    /// Print no more than the verdict
+    /// Print only the verdict
     #[arg(long)]
     pub quiet: bool,
 }
@@ -138,18 +139,18 @@
 /// How a trace is read.
 #[derive(Debug, Args)]
 pub struct ReadingArgs {
-    /// Which column of the trace holds what, such as due=ts,class=kind
+    /// Names of the trace's columns where they differ from the fields, such as due=ts,class=kind
     #[arg(long, default_value = "")]
     pub columns: String,
     /// Unit of the times in the trace
     #[arg(long, value_enum, default_value_t = UnitArg::Us)]
     pub unit: UnitArg,
-    /// Leave out rows that can't be read, and count them
+    /// Skip and count rows that cannot be read, instead of failing
     #[arg(long)]
     pub skip_bad: bool,
 }
 
-/// Units of times.
+/// Units of the times in a trace.
 #[derive(Debug, Clone, Copy, ValueEnum)]
 pub enum UnitArg {
     /// Microseconds.
@@ -166,26 +167,26 @@
 /// The arguments of `trace`.
 #[derive(Debug, Args)]
 pub struct TraceArgs {
-    /// The trace: .csv, .jsonl or .parquet
+    /// The trace to convert: .csv, .jsonl or .parquet
     pub from: PathBuf,
-    /// Where to write it: .csv, .jsonl or .parquet
+    /// The file to write: .csv, .jsonl or .parquet
     pub to: PathBuf,
-    /// The plan whose classes, tenants and zones it names
+    /// The plan that defines the classes, tenants and zones in the trace
     #[arg(long)]
     pub plan: Option<PathBuf>,
-    /// How the trace is read
+    /// Columns, units and handling of bad rows
     #[command(flatten)]
     pub reading: ReadingArgs,
-    /// Begin here
+    /// Time at which the part to keep begins, such as 30s
     #[arg(long, value_parser = humantime::parse_duration)]
     pub cut_from: Option<Duration>,
-    /// End here
+    /// Time at which the part to keep ends, such as 90s
     #[arg(long, value_parser = humantime::parse_duration)]
     pub cut_to: Option<Duration>,
-    /// Factor on all times
+    /// Factor to multiply all times by
     #[arg(long = "time", value_name = "TIME", default_value_t = 1.0)]
     pub time_factor: f64,
-    /// Factor on the number of arrivals
+    /// Factor to multiply the number of arrivals by
     #[arg(long = "rate", value_name = "RATE", default_value_t = 1.0)]
     pub rate_factor: f64,
 }
--- a/crates/load-test/src/clients/engine.rs
+++ b/crates/load-test/src/clients/engine.rs
@@ -1,4 +1,4 @@
-//! The state machine of all clients.
+//! The state machine of all clients and their tasks.
 
 use super::{Counts, Effect, EngineSettings, Event, Fate, Response, RetryPolicy, WantedTask};
 use crate::load_profile::Micros;
@@ -6,16 +6,16 @@
 use rand_chacha::ChaCha8Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Sets the draws of clients apart from others with the same seed.
+/// Combined with the seed of the plan, so that clients draw from another random stream than the arrivals.
 const SEED_SALT: u64 = 0x6f77_6e65;
-/// How long the notice of a task's end is waited for after its time.
+/// How long a client waits for the notice of a task's end after the task's time is over.
 const END_NOTICE_TIMEOUT: Micros = 9_000_000;
-/// Maximum number of retries that the budget saves up.
+/// Maximum number of unused retries that accumulate in the retry budget.
 pub(super) const MAX_TOKENS: f64 = 100.0;
-/// Failures beyond which the backoff does not double any more.
+/// Maximum number of times that the backoff doubles.
 const MAX_DOUBLINGS: u32 = 20;
 
-/// Where a task is in its life; see the diagram of the module.
+/// State of a task; see the table of transitions in the documentation of the module.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum State {
     Requested { id: u64, until: Micros },
@@ -28,11 +28,11 @@
 struct Task {
     wanted: WantedTask,
     state: State,
-    /// Consecutive failed attempts.
+    /// Number of consecutive failed attempts.
     failures: u32,
     attempts: u32,
     respects_retry_after: bool,
-    /// The ids of its attempts.
+    /// Ids of the attempts.
     ids: Vec<u64>,
 }
 
@@ -46,12 +46,12 @@
     }
 }
 
-/// What is known of a failed attempt.
+/// Whether a failed attempt may have started its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum FailureKind {
-    /// Nothing was started; the client may be asked to wait.
+    /// The attempt started nothing; the placer may ask the client to wait.
     NotStarted { retry_after: Option<Micros> },
-    /// The task may have been started.
+    /// The attempt may have started the task.
     MayHaveStarted,
 }
 
@@ -64,31 +64,31 @@
     settings: EngineSettings,
     rng: ChaCha8Rng,
     tasks: BTreeMap<u64, Task>,
-    by_id: BTreeMap<u64, u64>,
-    /// When each waiting task is due next, and its key.
-    alarms: BTreeSet<(Micros, u64)>,
+    key_by_id: BTreeMap<u64, u64>,
+    /// When a timer of a task fires, and the key of the task.
+    timers: BTreeSet<(Micros, u64)>,
     next_id: u64,
-    /// Retries that the budget still allows.
+    /// Number of retries that the retry budget still allows.
     tokens: f64,
     counts: Counts,
 }
 
 impl Clients {
-    /// Returns clients without tasks. Ids begin at `first_id`.
+    /// Returns clients without tasks. The ids of their attempts begin at `first_id`.
     pub fn new(settings: EngineSettings, seed: u64, first_id: u64) -> Clients {
         Clients {
             settings,
             rng: ChaCha8Rng::seed_from_u64(seed ^ SEED_SALT),
             tasks: BTreeMap::new(),
-            by_id: BTreeMap::new(),
-            alarms: BTreeSet::new(),
+            key_by_id: BTreeMap::new(),
+            timers: BTreeSet::new(),
             next_id: first_id,
             tokens: MAX_TOKENS / 4.0,
             counts: Counts::default(),
         }
     }
 
-    /// Returns what clients have done so far.
+    /// Returns the numbers of attempts and reconnections so far.
     pub fn counts(&self) -> Counts {
         self.counts
     }
@@ -98,14 +98,14 @@
         self.tasks.len()
     }
 
-    /// Returns when something is due next.
+    /// Returns when the next timer fires.
     pub fn next_due(&self) -> Option<Micros> {
-        self.alarms.first().map(|(at, _)| *at)
+        self.timers.first().map(|(at, _)| *at)
     }
 
-    /// Sets the placer of a running task, once the load balancer has picked one.
+    /// Sets the placer that a running task is connected to.
     pub fn assign_placer(&mut self, id: u64, placer: usize) {
-        let key = self.by_id.get(&id).copied();
+        let key = self.key_by_id.get(&id).copied();
         if let Some(task) = key.and_then(|key| self.tasks.get_mut(&key))
             && let State::Running {
                 placer: assigned, ..
@@ -115,13 +115,13 @@
         }
     }
 
-    /// Whether a request waits for its answer.
+    /// Returns whether the request with this id waits for its answer.
     pub fn is_open(&self, id: u64) -> bool {
-        let task = self.by_id.get(&id).and_then(|key| self.tasks.get(key));
+        let task = self.key_by_id.get(&id).and_then(|key| self.tasks.get(key));
         task.is_some_and(|task| task.is_requested_as(id))
     }
 
-    /// Returns the keys of the tasks that settle.
+    /// Returns the keys of the tasks that are settling.
     pub fn settling_tasks(&self) -> Vec<u64> {
         let settling = self
             .tasks
@@ -130,25 +130,25 @@
         settling.map(|(key, _)| *key).collect()
     }
 
-    /// Returns the key of a task by the id of one of its attempts.
+    /// Returns the key of the task to which the attempt with this id belongs.
     pub fn key(&self, id: u64) -> Option<u64> {
-        self.by_id.get(&id).copied()
+        self.key_by_id.get(&id).copied()
     }
 
-    /// Handles everything that is due by now.
+    /// Handles all timers that are due, and returns their effects.
     pub fn tick(&mut self, now: Micros) -> Vec<Effect> {
         let mut effects = Vec::new();
-        while let Some(&(at, key)) = self.alarms.first() {
+        while let Some(&(at, key)) = self.timers.first() {
             if at > now {
                 break;
             }
-            self.alarms.pop_first();
-            self.handle_alarm(now, key, &mut effects);
+            self.timers.pop_first();
+            self.handle_timer(now, key, &mut effects);
         }
         effects
     }
 
-    /// Handles an event.
+    /// Handles an event, and returns its effects.
     pub fn handle(&mut self, now: Micros, event: Event) -> Vec<Effect> {
         let mut effects = Vec::new();
         match event {
@@ -175,20 +175,22 @@
                 self.attempt_failed(now, id, FailureKind::NOT_STARTED, &mut effects)
             }
             Event::Disconnected(id) => {
-                // The placer cancels an open request with its connection; an attempt may have run all the same.
+                // The placer cancels an open request when its connection ends, but the attempt may already have started
+                // the task.
                 self.attempt_failed(now, id, FailureKind::MayHaveStarted, &mut effects);
             }
             Event::PlacerRestarted(placer) => {
-                let theirs = self
+                let running = self
                     .tasks
                     .iter()
                     .filter_map(|(key, task)| match task.state {
-                        State::Running { id, placer: theirs } if theirs == Some(placer) => {
-                            Some((*key, id))
-                        }
+                        State::Running {
+                            id,
+                            placer: assigned,
+                        } if assigned == Some(placer) => Some((*key, id)),
                         _ => None,
                     });
-                for (key, id) in theirs.collect::<Vec<_>>() {
+                for (key, id) in running.collect::<Vec<_>>() {
                     self.counts.reconnections += 1;
                     effects.push(Effect::Reconnect { key, id });
                 }
@@ -201,8 +203,8 @@
                     task.state = State::Running { id, placer: None };
                     let ends_at = task.wanted.ends_at;
                     task.ids.push(id);
-                    self.by_id.insert(id, key);
-                    self.alarms.insert((ends_at, key));
+                    self.key_by_id.insert(id, key);
+                    self.timers.insert((ends_at, key));
                     self.counts.reconnections += 1;
                     effects.push(Effect::Reconnect { key, id });
                 }
@@ -218,8 +220,8 @@
         response: Response,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(&key) = self.by_id.get(&id) else {
-            // The end of a task is notified again until it is acknowledged.
+        let Some(&key) = self.key_by_id.get(&id) else {
+            // A placer repeats the notice of a task's end until it is acknowledged.
             if matches!(response, Response::Ended | Response::Lost) {
                 effects.push(Effect::AcknowledgeEnd(id));
             }
@@ -235,7 +237,7 @@
                 task.state = State::Running { id, placer: None };
                 task.failures = 0;
                 let ends_at = task.wanted.ends_at;
-                self.alarms.insert((ends_at, key));
+                self.timers.insert((ends_at, key));
             }
             Response::Rejected(retry_after) if open => {
                 self.attempt_failed(now, id, FailureKind::NotStarted { retry_after }, effects)
@@ -243,22 +245,22 @@
             Response::Failed if open => {
                 self.attempt_failed(now, id, FailureKind::MayHaveStarted, effects);
             }
-            // The task was complete, as its host saw it.
+            // The host reported the task as complete.
             Response::Ended if open || running => {
                 effects.push(Effect::AcknowledgeEnd(id));
                 self.finish(key, Fate::Completed, effects);
             }
             Response::Lost if running => {
                 effects.push(Effect::AcknowledgeEnd(id));
-                self.reconnect_later(now, key);
+                self.rerequest_later(now, key);
             }
-            Response::Migrated if running => self.reconnect_later(now, key),
+            Response::Migrated if running => self.rerequest_later(now, key),
             Response::Lost | Response::Ended => effects.push(Effect::AcknowledgeEnd(id)),
             _ => {}
         }
     }
 
-    /// Handles a failed attempt.
+    /// Handles a failed attempt: the task settles, backs off, or is done if the retry budget is exhausted.
     fn attempt_failed(
         &mut self,
         now: Micros,
@@ -266,7 +268,7 @@
         failure: FailureKind,
         effects: &mut Vec<Effect>,
     ) {
-        let Some(&key) = self.by_id.get(&id) else {
+        let Some(&key) = self.key_by_id.get(&id) else {
             return;
         };
         let Some(task) = self.tasks.get_mut(&key) else {
@@ -280,7 +282,7 @@
         if failure == FailureKind::MayHaveStarted && task.wanted.non_idempotent {
             let until = now + self.settings.settle_time;
             task.state = State::Settling { until };
-            self.alarms.insert((until, key));
+            self.timers.insert((until, key));
             return;
         }
         let retry_after = match failure {
@@ -299,17 +301,18 @@
         self.back_off(now + wait, key);
     }
 
-    /// Has the client of a lost task request it again soon.
-    fn reconnect_later(&mut self, now: Micros, key: u64) {
-        let (min, max) = self.settings.reconnect_delay;
+    /// Schedules a new request for a lost or migrated task after a short random delay.
+    fn rerequest_later(&mut self, now: Micros, key: u64) {
+        let (min, max) = self.settings.rerequest_delay;
         let wait = self.rng.random_range(min..=max.max(min));
         self.back_off(now + wait, key);
     }
 
+    /// Puts a task into backoff until a time.
     fn back_off(&mut self, until: Micros, key: u64) {
         if let Some(task) = self.tasks.get_mut(&key) {
             task.state = State::Backoff { until };
-            self.alarms.insert((until, key));
+            self.timers.insert((until, key));
         }
     }
 
@@ -322,13 +325,14 @@
         match self.settings.policy {
             RetryPolicy::Fixed => min_backoff,
             RetryPolicy::Exponential => doubled,
-            // A quarter of the minimum at least: no retry is immediate.
+            // The lower bound of a quarter of the minimum backoff prevents immediate retries.
             RetryPolicy::Jitter | RetryPolicy::Budget => self.rng.random_range(
                 min_backoff / 4..=doubled.saturating_mul(2).min(max_backoff).max(min_backoff),
             ),
         }
     }
 
+    /// Makes the next attempt of a task, or finishes the task if its time is over.
     fn request(&mut self, now: Micros, key: u64, effects: &mut Vec<Effect>) {
         let Some(task) = self.tasks.get_mut(&key) else {
             return;
@@ -346,8 +350,8 @@
             until: now + wait,
         };
         task.ids.push(id);
-        self.by_id.insert(id, key);
-        self.alarms.insert((now + wait, key));
+        self.key_by_id.insert(id, key);
+        self.timers.insert((now + wait, key));
         if is_retry {
             self.counts.retries += 1;
         } else {
@@ -362,26 +366,26 @@
         });
     }
 
-    fn handle_alarm(&mut self, now: Micros, key: u64, effects: &mut Vec<Effect>) {
+    fn handle_timer(&mut self, now: Micros, key: u64, effects: &mut Vec<Effect>) {
         let Some(task) = self.tasks.get(&key) else {
             return;
         };
         match task.state {
             State::Requested { id, until } if until <= now => {
                 effects.push(Effect::CancelRequest(id));
-                // It may have run all the same: the answer may be on its way.
+                // The attempt may have started the task, since the answer may be in flight.
                 self.attempt_failed(now, id, FailureKind::MayHaveStarted, effects);
             }
             State::Backoff { until } | State::Settling { until } if until <= now => {
                 self.request(now, key, effects)
             }
             State::Running { .. } if task.wanted.ends_at <= now => {
-                // Its host ends it; the notice is waited for a little longer.
-                let late = task.wanted.ends_at + END_NOTICE_TIMEOUT;
-                if late <= now {
+                // The host ends the task at this time, so the client waits a little longer for the notice of its end.
+                let notice_deadline = task.wanted.ends_at + END_NOTICE_TIMEOUT;
+                if notice_deadline <= now {
                     self.finish(key, Fate::ExpiredRunning, effects);
                 } else {
-                    self.alarms.insert((late, key));
+                    self.timers.insert((notice_deadline, key));
                 }
             }
             _ => {}
@@ -391,7 +395,7 @@
     fn finish(&mut self, key: u64, fate: Fate, effects: &mut Vec<Effect>) {
         if let Some(task) = self.tasks.remove(&key) {
             for id in &task.ids {
-                self.by_id.remove(id);
+                self.key_by_id.remove(id);
             }
             effects.push(Effect::TaskDone(key, fate));
         }
--- a/crates/load-test/src/clients/mod.rs
+++ b/crates/load-test/src/clients/mod.rs
@@ -1,25 +1,27 @@
-//! The behaviour of clients: a pure state machine. Events and the time go in, effects come out; it opens no
-//! connection and keeps no clock.
+//! The behaviour of clients as a pure state machine. Events and the current time go in, effects come out; it opens no
+//! connections and reads no clock.
 //!
-//! ```text
-//!            due                   placed                  its time is over
-//!  (none) ─────────▶ ┌───────────┐ ──────────▶ ┌─────────┐ ─────────────────▶ done
-//!                    │ requested │             │ running │ ◀─┐ reconnect, to a
-//!         ┌────────▶ └─┬─┬─┬─────┘             └─┬───┬───┘ ──┘ restarted placer
-//!         │            │ │ │ no answer           │   │ lost, migrated
-//!         │   rejected │ │ └───────────┐         │   │
-//!         │     failed │ │ no start is │         │   │
-//!         │            │ │ possible    │ one may │   │
-//!         │            ▼ ▼             ▼ run     ▼   ▼
-//!         │       ┌─────────┐     ┌──────────┐
-//!         └───────┤ backoff │◀────┤ settling │
-//!         retry   └─────────┘     └──────────┘
-//! ```
+//! | State | Event | Next state |
+//! |---|---|---|
+//! | (none) | the task is due | requested |
+//! | requested | placed | running |
+//! | requested | rejected or never sent | backoff |
+//! | requested | failed, disconnected or timed out, idempotent | backoff |
+//! | requested | failed, disconnected or timed out, non-idempotent | settling |
+//! | requested | the retry budget allows no retry | done |
+//! | requested | the task is complete | done |
+//! | backoff | the backoff is over | requested |
+//! | settling | the settle time is over | requested |
+//! | settling | a host runs the task | running, after a reconnection to a placer |
+//! | running | its placer restarted | running, after a reconnection to the placer |
+//! | running | lost or migrated | backoff |
+//! | running | ended, or its time is over | done |
+//! | backoff, settling | due for a request, but its time is over | done |
 //!
 //! A task keeps its idempotency key through all its attempts; each attempt has an id of its own. A non-idempotent
-//! task settles first where an attempt may have run: for that long, a host that turns out to run it has its client
-//! reconnect to a placer; otherwise it is requested again. A placer's own response that such a task failed means
-//! that an attempt may have run.
+//! task settles after an attempt that may have started it: if a host turns out to run the task within the settle time,
+//! its client reconnects to a placer; otherwise the client requests it again. A placer's own response that such a task
+//! failed also means that an attempt may have started it.
 
 mod engine;
 #[cfg(test)]
@@ -33,18 +35,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RetryPolicy {
-    /// The same backoff each time.
+    /// The minimum backoff before each retry.
     Fixed,
-    /// Twice as long each time.
+    /// A backoff that doubles with each consecutive failure.
     Exponential,
-    /// A random time up to twice as long each time (full jitter).
+    /// A random backoff whose upper bound doubles with each consecutive failure (full jitter).
     Jitter,
-    /// Like `Jitter`, with all retries together within a budget relative to first attempts.
+    /// Like `Jitter`, with a limit on the retries of all clients in proportion to their first attempts.
     Budget,
 }
 
 impl RetryPolicy {
-    /// All policies.
+    /// All policies, in the order in which they are compared.
     pub const ALL: [RetryPolicy; 4] = [
         RetryPolicy::Fixed,
         RetryPolicy::Exponential,
@@ -52,7 +54,7 @@
         RetryPolicy::Budget,
     ];
 
-    /// Returns its name in plans.
+    /// Returns the policy's name in plans.
     pub fn as_str(self) -> &'static str {
         match self {
             RetryPolicy::Fixed => "fixed",
@@ -63,71 +65,71 @@
     }
 }
 
-/// The settings of all clients.
+/// Settings that all clients share.
 #[derive(Debug, Clone)]
 pub struct EngineSettings {
-    /// How retries are spaced.
+    /// Policy that spaces retries.
     pub policy: RetryPolicy,
-    /// Minimum backoff.
+    /// Minimum backoff before a retry.
     pub min_backoff: Micros,
-    /// Maximum backoff.
+    /// Maximum backoff before a retry.
     pub max_backoff: Micros,
     /// Retries per first attempt under [`RetryPolicy::Budget`].
     pub retry_budget: f64,
     /// Fraction of clients that respect Retry-After.
     pub retry_after_compliance: f64,
-    /// How long a non-idempotent task settles.
+    /// How long a non-idempotent task settles after an attempt that may have started it.
     pub settle_time: Micros,
-    /// How long the client of a lost or migrated task waits before it requests it again: minimum and maximum.
-    pub reconnect_delay: (Micros, Micros),
+    /// Minimum and maximum time that the client of a lost or migrated task waits before it requests the task again.
+    pub rerequest_delay: (Micros, Micros),
 }
 
 /// A task that a client wants.
 #[derive(Debug, Clone, PartialEq)]
 pub struct WantedTask {
-    /// Its idempotency key.
+    /// Idempotency key of the task.
     pub key: u64,
-    /// When it was due.
+    /// When the task was due.
     pub due: Micros,
-    /// When it is not wanted any more.
+    /// When the client no longer wants the task.
     pub ends_at: Micros,
-    /// How long its client waits for an answer.
+    /// How long the client waits for an answer to an attempt.
     pub timeout: Micros,
-    /// Whether it must not be started twice.
+    /// Whether the task must not be started twice.
     pub non_idempotent: bool,
 }
 
-/// What a client learns of an attempt.
+/// What a client learns about an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Response {
     /// The task runs.
     Placed,
-    /// It was rejected without effect; the client may be asked to wait so long (Retry-After).
+    /// The attempt was rejected without effect. The placer may ask the client to wait for this time (Retry-After).
     Rejected(Option<Micros>),
-    /// It failed.
+    /// The attempt failed and may have started the task.
     Failed,
-    /// The running task was complete.
+    /// The running task is complete.
     Ended,
     /// The running task was lost, stopped or evicted.
     Lost,
-    /// The task migrates: its client is to request it again.
+    /// The task migrates, and its client must request it again.
     Migrated,
 }
 
-/// An event for the clients.
+/// An event that the clients handle.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A task is due.
     TaskDue(WantedTask),
-    /// A response to the attempt with this id.
+    /// A placer responded to the attempt with this id.
     Response(u64, Response),
     /// The request with this id was never sent.
     RequestUnsent(u64),
     /// The connection of the request with this id ended.
     Disconnected(u64),
-    /// A placer has restarted and knows of no tasks.
+    /// The placer with this index has restarted and knows no running tasks.
     PlacerRestarted(usize),
-    /// A host runs a task whose client does not know it, as the event log shows.
+    /// The event log shows that a host runs a task, which its client does not know.
     RunningTaskFound {
         /// The key of the task.
         key: u64,
@@ -136,7 +138,7 @@
     },
 }
 
-/// What is to be done.
+/// An action that the caller carries out for the clients.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Effect {
     /// Request a task under a new id.
@@ -145,9 +147,9 @@
         key: u64,
         /// The new id.
         id: u64,
-        /// How long to wait for the answer.
+        /// How long the client waits for the answer.
         wait: Micros,
-        /// Whether it is a retry.
+        /// Whether the attempt is a retry.
         is_retry: bool,
     },
     /// Cancel the request with this id.
@@ -156,30 +158,30 @@
     Reconnect {
         /// The key of the task.
         key: u64,
-        /// Its id.
+        /// The id of the attempt that started it.
         id: u64,
     },
     /// Acknowledge the end of the task with this id.
     AcknowledgeEnd(u64),
-    /// The task with this key is done.
+    /// The task with this key is done, and ended like this for its client.
     TaskDone(u64, Fate),
 }
 
 /// How a task ended for its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Fate {
-    /// It ran to its end.
+    /// The task ran to its end.
     Completed,
-    /// Its time was over while it ran.
+    /// The task was running when its time was over, and no notice of its end arrived.
     ExpiredRunning,
-    /// Its time was over before it ran, or before it ran again.
+    /// The time of the task was over before it started, or before it started again.
     ExpiredWaiting,
     /// The retry budget was exhausted.
     OverBudget,
 }
 
 impl Fate {
-    /// Returns its name in results, a fixed format.
+    /// Returns the name in results, which is a fixed format.
     pub fn as_str(self) -> &'static str {
         match self {
             Fate::Completed => "ran",
@@ -190,17 +192,17 @@
     }
 }
 
-/// Counts of what clients did.
+/// Numbers of attempts and reconnections that clients made.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// First attempts.
+    /// Number of first attempts.
     pub first_attempts: u64,
-    /// Retries.
+    /// Number of retries.
     pub retries: u64,
-    /// Failed attempts.
+    /// Number of failed attempts.
     pub failed_attempts: u64,
-    /// Retries that the budget did not allow.
+    /// Number of retries that the retry budget did not allow.
     pub retries_over_budget: u64,
-    /// Reconnections to running tasks.
+    /// Number of reconnections to running tasks.
     pub reconnections: u64,
 }
--- a/crates/load-test/src/clients/tests.rs
+++ b/crates/load-test/src/clients/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the state machine of the clients.
+//! Tests of the state machine of clients.
 
 use super::engine::MAX_TOKENS;
 use super::*;
@@ -16,7 +16,7 @@
         retry_budget: 0.1,
         retry_after_compliance: 1.0,
         settle_time: 3 * SECOND,
-        reconnect_delay: (50 * MS, 500 * MS),
+        rerequest_delay: (50 * MS, 500 * MS),
     }
 }
 
@@ -41,7 +41,7 @@
     })
 }
 
-/// Ticks by 10 ms until a task is requested.
+/// Advances the time in steps of 10 ms until a task is requested, and returns the id of the request.
 fn next_request(clients: &mut Clients, now: &mut Micros, until: Micros) -> Option<u64> {
     while *now < until {
         *now += 10 * MS;
@@ -80,7 +80,7 @@
     assert_eq!(
         clients.handle(SECOND, Event::Response(100, Response::Ended)),
         [Effect::AcknowledgeEnd(100)],
-        "notified again"
+        "a repeated notice is acknowledged again"
     );
     assert_eq!(clients.open_count(), 0);
 }
@@ -194,7 +194,7 @@
         next_request(&mut clients, &mut now, 20 * SECOND);
         assert_eq!(now / MS, if settles { 3_000 } else { 1_000 }, "{name}");
     }
-    // A host turns out to run it.
+    // A host turns out to run the task while it settles.
     let mut clients = clients(RetryPolicy::Fixed);
     clients.handle(0, Event::TaskDue(wanted(1, true)));
     clients.handle(0, Event::Disconnected(100));
@@ -206,7 +206,7 @@
         None,
         "not requested again"
     );
-    // A running task is not found again.
+    // A second event for a task that is running already has no effect.
     assert_eq!(
         clients.handle(now, Event::RunningTaskFound { key: 1, id: 100 }),
         []
@@ -257,7 +257,7 @@
         clients.tick(12 * SECOND),
         [Effect::TaskDone(1, Fate::ExpiredWaiting)]
     );
-    // The end of a task past its time is waited for a little longer.
+    // The client waits a little longer for the notice of a task's end after the task's time is over.
     clients.handle(
         0,
         Event::TaskDue(WantedTask {
@@ -276,8 +276,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// After any events, every task has at most one open attempt, a non-idempotent one is retried only after a
-    /// rejection, an unsent request or its settle time, and every task ends.
+    /// For any sequence of events, a task has at most one open attempt; a non-idempotent task is retried only after a
+    /// rejection, an unsent request or its settle time; and every task ends.
     #[test]
     fn no_task_is_lost_or_requested_twice_at_once(
         steps in prop::collection::vec((0..12u64, 0..9u8, 0..2_000i64), 1..120),
@@ -292,8 +292,8 @@
             for effect in effects {
                 match effect {
                     Effect::RequestTask { key, id, .. } => {
-                        assert!(!open.contains_key(&key), "two at once");
-                        assert!(may_run.get(&key).is_none_or(|at| now - at >= 3 * SECOND), "retried before it settled");
+                        assert!(!open.contains_key(&key), "task requested while another request is open");
+                        assert!(may_run.get(&key).is_none_or(|at| now - at >= 3 * SECOND), "task requested before its settle time was over");
                         open.insert(key, id);
                     }
                     Effect::CancelRequest(id) => open.retain(|_, i| *i != id),
--- a/crates/load-test/src/lib.rs
+++ b/crates/load-test/src/lib.rs
@@ -1,7 +1,8 @@
-//! Load tests of whole deployments: plans, open-loop arrivals, clients that behave like real ones, faults, and the
+//! Load tests of whole deployments: plans, open-loop arrivals, clients that time out and retry, faults, and the
 //! evaluation of a run.
 //!
-//! The placers are real processes; everything around them is emulated. Times are microseconds.
+//! The placers are real processes; hosts, feeds, clients and load balancers are emulated. All times are in
+//! microseconds.
 
 #![recursion_limit = "256"]
 
--- a/crates/load-test/src/load_profile/parser.rs
+++ b/crates/load-test/src/load_profile/parser.rs
@@ -1,4 +1,4 @@
-//! The parser of load profiles.
+//! Parser of load profiles.
 
 use super::{
     LoadProfile, MAX_LENGTH, MAX_PHASES, MAX_RATE, MAX_REPEATS, Micros, Phase, RateCurve, SECOND,
@@ -10,7 +10,7 @@
 use winnow::prelude::*;
 use winnow::token::take_while;
 
-/// Why a text is not a load profile, and where.
+/// Why a text is not a valid load profile, and the position of the error.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProfileError {
     text: String,
@@ -41,23 +41,23 @@
 
 impl std::error::Error for ProfileError {}
 
-/// A limit that a profile exceeds with all its repeats.
+/// The limit that a profile exceeds once its repeats are expanded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 enum LimitExceeded {
-    #[error("more than {MAX_RATE} arrivals a second")]
+    #[error("more than {MAX_RATE} arrivals per second")]
     Rate,
     #[error("more than {MAX_PHASES} phases or 7 days, with all repeats")]
     PhasesOrLength,
 }
 
-/// An item as it was written.
+/// An item of the profile's text, before repeats are expanded.
 #[derive(Debug, Clone)]
 enum Item {
     Phase(Option<String>, PhaseSpec),
     Repeat(Option<String>, u32, Vec<Item>),
 }
 
-/// A phase as it was written.
+/// A phase of the profile's text.
 #[derive(Debug, Clone, Copy)]
 enum PhaseSpec {
     Level(f64, Micros),
@@ -74,12 +74,12 @@
     StrContext::Expected(StrContextValue::Description(what))
 }
 
-fn word<'a>(text: &'static str) -> impl Parser<&'a str, &'a str, ErrMode<ContextError>> {
+fn keyword<'a>(text: &'static str) -> impl Parser<&'a str, &'a str, ErrMode<ContextError>> {
     preceded(multispace0, text).context(StrContext::Expected(StrContextValue::StringLiteral(text)))
 }
 
 fn number(input: &mut &str) -> ParseResult<f64> {
-    // `inf` and `nan` are not numbers here.
+    // `float` parses `inf` and `nan` too, which are not valid here.
     preceded(
         multispace0,
         float.verify(|n: &f64| n.is_finite() && *n >= 0.0),
@@ -115,26 +115,32 @@
 
 fn phase_spec(input: &mut &str) -> ParseResult<PhaseSpec> {
     let to = preceded(
-        (alt((word("rise"), word("fall"))), cut_err(word("to"))),
-        cut_err((rate, preceded(word("over"), span))),
+        (
+            alt((keyword("rise"), keyword("fall"))),
+            cut_err(keyword("to")),
+        ),
+        cut_err((rate, preceded(keyword("over"), span))),
     );
     let wave = preceded(
-        word("wave"),
+        keyword("wave"),
         cut_err((
             rate,
-            preceded(word(".."), rate),
-            preceded(word("every"), span),
-            preceded(word("for"), span),
+            preceded(keyword(".."), rate),
+            preceded(keyword("every"), span),
+            preceded(keyword("for"), span),
         )),
     );
-    let burst = preceded(word("burst"), cut_err((number, preceded(word("in"), span))));
+    let burst = preceded(
+        keyword("burst"),
+        cut_err((number, preceded(keyword("in"), span))),
+    );
     alt((
         to.map(|(rate, over)| PhaseSpec::To(rate, over)),
-        preceded(word("hold"), cut_err(span)).map(PhaseSpec::Hold),
+        preceded(keyword("hold"), cut_err(span)).map(PhaseSpec::Hold),
         wave.map(|(low, high, every, length)| PhaseSpec::Wave(low, high, every, length)),
         burst.map(|(count, length)| PhaseSpec::Burst(count, length)),
-        preceded(word("silence"), cut_err(span)).map(PhaseSpec::Silence),
-        (rate, cut_err(preceded(word("for"), span)))
+        preceded(keyword("silence"), cut_err(span)).map(PhaseSpec::Silence),
+        (rate, cut_err(preceded(keyword("for"), span)))
             .map(|(rate, length)| PhaseSpec::Level(rate, length)),
     ))
     .context(expected("a rate, rise, fall, hold, wave, burst or silence"))
@@ -159,7 +165,7 @@
             return Err(ErrMode::Cut(ContextError::new()))
                 .context_here(input, "a count of repeats from 1 to 1000");
         }
-        let items = cut_err(terminated(items, word(")"))).parse_next(input)?;
+        let items = cut_err(terminated(items, keyword(")"))).parse_next(input)?;
         return Ok(Item::Repeat(name, count, items));
     }
     let phase_spec = phase_spec.parse_next(input)?;
@@ -187,15 +193,15 @@
 ///
 /// # Errors
 ///
-/// The text is not a profile, or exceeds a limit; the error shows the place and what was expected there.
+/// The text is not a profile, or exceeds a limit; the error shows the position and what was expected there.
 pub fn parse(text: &str) -> Result<LoadProfile, ProfileError> {
     let error = |offset: usize, problem: String| ProfileError {
         text: text.to_string(),
         offset,
         problem,
     };
-    let mut whole = terminated(items, (opt((multispace0, ",")), multispace0));
-    let items = whole.parse(text).map_err(|e| {
+    let mut profile_parser = terminated(items, (opt((multispace0, ",")), multispace0));
+    let items = profile_parser.parse(text).map_err(|e| {
         let found = text
             .get(e.offset()..)
             .unwrap_or_default()
@@ -223,7 +229,7 @@
     Ok(profile)
 }
 
-/// Appends items to a profile, with all repeats. `last_rate` is the rate that `hold` and `rise` continue from.
+/// Appends items to a profile and expands repeats. `last_rate` is the rate that `hold`, `rise` and `fall` continue from.
 fn append_items(
     items: &[Item],
     group_name: Option<&str>,
--- a/crates/load-test/src/load_profile/tests.rs
+++ b/crates/load-test/src/load_profile/tests.rs
@@ -1,13 +1,13 @@
-//! Tests of load profiles.
+//! Tests of parsing and evaluating load profiles.
 
 use super::*;
 
-const WHOLE: &str = "8/s for 30s, rise to 40/s over 5s, hold 20s, wave 20/s..40/s every 10s for 60s, \
+const ALL_PHASE_KINDS: &str = "8/s for 30s, rise to 40/s over 5s, hold 20s, wave 20/s..40/s every 10s for 60s, \
                      burst 200 in 500ms, silence 3s";
 
 #[test]
 fn profile_with_all_kinds_of_phases_is_parsed() {
-    let profile = parse(WHOLE).expect("a shape");
+    let profile = parse(ALL_PHASE_KINDS).expect("valid load profile");
     assert_eq!(profile.phases.len(), 6);
     assert_eq!(profile.length(), 118_500_000);
     for (at, rate) in [
@@ -39,7 +39,7 @@
 fn names_repeats_and_units_are_parsed() {
     let profile =
         parse("calm: 60/m for 1m30s, polls: 3x(burst 20 in 1s, hold 4s), fall to 0/s over 2s")
-            .expect("a shape");
+            .expect("valid load profile");
     let names: Vec<&str> = profile.phases.iter().map(|p| p.name.as_str()).collect();
     assert_eq!(
         names,
@@ -50,7 +50,7 @@
     assert_eq!(
         (profile.rate(0), profile.rate(92_000_000)),
         (1.0, 1.0),
-        "after a burst the rate before goes on"
+        "the rate before a burst applies again after it"
     );
     assert_eq!(profile.length(), 107_000_000);
     assert_eq!(profile.scaled(2.0).rate(0), 2.0);
@@ -58,7 +58,7 @@
 
 #[test]
 fn errors_show_the_place_and_what_was_expected() {
-    for (text, column, says) in [
+    for (text, column, message) in [
         (
             "8/s for 30s, rise 40/s over 5s",
             19,
@@ -78,18 +78,21 @@
     ] {
         let error = parse(text).expect_err(text);
         let shown = error.to_string();
-        assert!(shown.contains(says), "{text}: {shown}");
+        assert!(shown.contains(message), "{text}: {shown}");
         assert_eq!(error.offset + 1, column, "{text}: {shown}");
         assert!(shown.ends_with('^'), "{shown}");
     }
     assert!(
         parse("8/s for 30s,\n").is_ok(),
-        "a comma at the end does no harm"
+        "a trailing comma is allowed"
+    );
+    assert!(
+        parse("1000x(1000x(1/s for 1s))").is_err(),
+        "the number of phases is limited"
     );
-    assert!(parse("1000x(1000x(1/s for 1s))").is_err(), "bounded");
     assert!(parse("2000000/s for 1s").is_err());
     let lines = parse("8/s for 1s,\n  rise up")
-        .expect_err("no shape")
+        .expect_err("invalid load profile")
         .to_string();
     assert!(
         lines.contains("line 2, column 8") && lines.contains("\n    rise up\n"),
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -1,4 +1,4 @@
-//! `load-test`: load tests from the command line.
+//! The program `load-test`: runs load tests from the command line.
 
 mod cli;
 mod commands;
@@ -8,7 +8,7 @@
 use std::io::Write;
 use std::process::ExitCode;
 
-/// The exit code of invalid input.
+/// The exit code for invalid input.
 const INVALID_INPUT: u8 = 2;
 
 fn main() -> ExitCode {
--- a/crates/load-test/src/plan/deployment.rs
+++ b/crates/load-test/src/plan/deployment.rs
@@ -4,17 +4,17 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The placers, which are real.
+/// The placers, which run as real processes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Placers {
-    /// Their number, spread over the zones.
+    /// Number of placers, spread over the zones.
     pub count: usize,
-    /// Their limit of memory, as the configuration states it.
+    /// Memory limit of each placer in MB, as its configuration states it.
     pub memory_mb: u64,
-    /// Their limit of descriptors.
+    /// Maximum number of descriptors of each placer.
     pub sockets: u64,
-    /// The operator's file given to each; `{n}` stands for its number.
+    /// Template of the operator's file of each placer, in which `{n}` stands for the placer's number.
     #[serde(rename = "operator")]
     pub operator_file: Option<String>,
 }
@@ -34,39 +34,39 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Hosts {
-    /// Their number, spread over the zones.
+    /// Number of hosts, spread over the zones.
     pub count: usize,
-    /// Hosts in a rack, which fail together.
+    /// Number of hosts in a rack, which can fail together.
     #[serde(rename = "rack")]
     pub rack_size: usize,
-    /// Cores of each.
+    /// Cores of each host.
     pub cores: f64,
-    /// Memory of each.
+    /// Memory of each host.
     pub memory: f64,
-    /// Time to decide on an offer, one at a time.
+    /// Time that a host takes to decide on an offer; it decides on one at a time.
     #[serde(rename = "look", with = "duration")]
     pub admission_time: Duration,
-    /// Offers that may wait for a decision.
+    /// Maximum number of offers that wait for a host's decision.
     #[serde(rename = "queue")]
     pub max_queued_offers: usize,
-    /// Tasks that start at the same time.
+    /// Maximum number of tasks that start on a host at the same time.
     #[serde(rename = "starts")]
     pub max_concurrent_starts: usize,
-    /// Time of a start with the program cached.
+    /// Time that a task takes to start if its program is cached on the host.
     #[serde(rename = "start", with = "duration")]
     pub warm_start: Duration,
-    /// Factor on it without the program.
+    /// Factor by which a start takes longer if the program is not cached.
     #[serde(rename = "cold-start")]
     pub cold_start_factor: f64,
-    /// Programs that stay cached after their last task.
+    /// Maximum number of programs that stay cached on a host after their last task.
     #[serde(rename = "kept")]
     pub max_cached_programs: usize,
-    /// Whether tasks of lower priority make way for higher ones.
+    /// Whether hosts evict tasks of lower priority to make room for those of higher priority.
     pub preempts: bool,
-    /// Length of the slow start after a host has come up.
+    /// Duration of the slow start after a host has come up.
     #[serde(rename = "cold", with = "duration")]
     pub slow_start: Duration,
-    /// Speed at its beginning, as a fraction of the full speed.
+    /// Speed of a host at the beginning of its slow start, as a fraction of its full speed.
     #[serde(rename = "cold-from")]
     pub slow_start_floor: f64,
     /// Time between two evictions of a draining host.
@@ -99,13 +99,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Feed {
-    /// Minimum delay of an event.
+    /// Minimum delay of a feed event.
     #[serde(rename = "late-from", with = "duration")]
     pub min_delay: Duration,
-    /// Maximum delay of an event.
+    /// Maximum delay of a feed event.
     #[serde(rename = "late-to", with = "duration")]
     pub max_delay: Duration,
-    /// How often it reports the free capacity; 0s for never.
+    /// Time between two reports of the hosts' free capacity; 0s for no reports.
     #[serde(rename = "refresh", with = "duration")]
     pub refresh_interval: Duration,
 }
--- a/crates/load-test/src/plan/duration.rs
+++ b/crates/load-test/src/plan/duration.rs
@@ -1,4 +1,4 @@
-//! Durations in plans, written as `250ms`.
+//! Serialization of durations in plans, which are written as text such as `250ms`.
 
 use serde::{Deserialize, Deserializer, Serializer};
 use std::time::Duration;
--- a/crates/load-test/src/plan/error.rs
+++ b/crates/load-test/src/plan/error.rs
@@ -1,4 +1,4 @@
-//! Why a plan can't be used.
+//! Errors of reading and validating plans.
 
 use std::fmt;
 use std::path::PathBuf;
@@ -6,7 +6,7 @@
 /// A value of a plan that is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InvalidField {
-    /// The field, as in `placers.count` or `fault 2: which`.
+    /// Key of the value in the plan, such as `placers.count` or `fault 2: which`.
     pub field: String,
     /// What was expected and what was found.
     pub problem: String,
@@ -18,29 +18,29 @@
     }
 }
 
-/// Why a plan can't be used.
+/// Why a plan cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum PlanError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// The error of the system.
+        /// The I/O error.
         source: std::io::Error,
     },
     /// The plan in a file is invalid.
     #[error("{}: {source}", path.display())]
     InFile {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why it is invalid.
+        /// Why the plan is invalid.
         source: Box<PlanError>,
     },
-    /// It is not TOML, or has a key or a type that plans do not have.
+    /// The text is not TOML, or has an unknown key or a value of the wrong type.
     #[error(transparent)]
     Syntax(#[from] toml::de::Error),
-    /// Values that are not allowed, all of them.
+    /// All values of the plan that are not allowed.
     #[error("{}", lines(.0))]
     InvalidFields(Vec<InvalidField>),
 }
--- a/crates/load-test/src/plan/faults.rs
+++ b/crates/load-test/src/plan/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of a plan: what goes wrong, where and when.
+//! The faults of a plan: their kinds, targets and times.
 
 use super::duration;
 use super::parties::Parties;
@@ -7,31 +7,31 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// A fault.
+/// A fault that is injected during a run, once or several times.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Fault {
-    /// When it begins, from the start of the plan.
+    /// When the fault begins, from the start of the plan.
     #[serde(rename = "at", with = "duration")]
     pub start: Duration,
-    /// How long it lasts; zero for a fault without an end.
+    /// How long the fault lasts; zero for a fault without an end.
     #[serde(rename = "length", with = "duration", default)]
     pub duration: Duration,
-    /// Its kind.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Which placers, hosts or racks it affects, counted from 0: a number, a list, or a range such as `"3..12"`.
+    /// Placers, hosts or racks that the fault affects, counted from 0: a number, a list, or a range such as `"3..12"`.
     #[serde(rename = "which", default)]
     pub selection: Selection,
-    /// Time between one of them and the next.
+    /// Time between the beginnings of the fault at one target and at the next.
     #[serde(with = "duration", default)]
     pub stagger: Duration,
-    /// One side of the links that a fault of links affects.
+    /// Parties on one side of the links that a link fault affects.
     #[serde(default, skip_serializing_if = "Parties::is_empty")]
     pub from: Parties,
-    /// The other side.
+    /// Parties on the other side of these links.
     #[serde(default, skip_serializing_if = "Parties::is_empty")]
     pub to: Parties,
-    /// How late bytes are on a slow link, in each direction.
+    /// Delay of bytes on a slow link, in each direction.
     #[serde(
         rename = "by",
         with = "duration",
@@ -39,7 +39,7 @@
         skip_serializing_if = "Duration::is_zero"
     )]
     pub delay: Duration,
-    /// How often it occurs, with a pause of its own duration in between.
+    /// How many times the fault occurs, with pauses that are as long as the fault itself.
     #[serde(rename = "times", default = "once")]
     pub occurrences: u32,
 }
@@ -49,12 +49,12 @@
 }
 
 impl Fault {
-    /// Returns the placers, hosts or racks that it affects.
+    /// Returns the numbers of the placers, hosts or racks that the fault affects.
     pub fn targets(&self) -> Vec<usize> {
         self.selection.all()
     }
 
-    /// Returns what it does to links; none if it is not a fault of links.
+    /// Returns the effect on links, or none if this is not a link fault.
     pub fn link_fault(&self) -> Option<LinkFault> {
         match self.kind {
             FaultKind::LinkCut => Some(LinkFault::Cut),
@@ -69,55 +69,55 @@
     }
 }
 
-/// Kinds of faults, named as in plans.
+/// Kinds of faults. Plans write their names in kebab case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// A placer is killed, and started again at the end.
+    /// A placer is killed (SIGKILL), and started again at the end of the fault.
     PlacerKill,
-    /// A placer is stopped by a signal, and continued at the end.
+    /// A placer is stopped by a signal, and continued at the end of the fault.
     PlacerStop,
-    /// A placer is terminated (SIGTERM), and started again at the end.
+    /// A placer is terminated (SIGTERM), and started again at the end of the fault.
     PlacerRestart,
-    /// A host's process dies. At the end it comes up cold, under a new id at its old address.
+    /// A host's process dies. At the end of the fault it comes up cold, with a new id at its old address.
     HostDie,
-    /// All hosts of a rack die likewise.
+    /// All hosts of a rack die, and come up like hosts of [`HostDie`](FaultKind::HostDie).
     RackDie,
-    /// A host accepts offers and reports nothing.
+    /// A host accepts offers but sends no reports.
     HostSilent,
-    /// A host rejects everything.
+    /// A host rejects all offers.
     HostRefuse,
-    /// A host resets connections before it reads an offer.
+    /// A host resets each connection before it reads an offer.
     HostResetBefore,
-    /// A host resets the connection after it has read an offer.
+    /// A host resets each connection after it has read an offer.
     HostResetAfter,
-    /// A host's reports are malformed.
+    /// A host sends malformed reports.
     HostSpoilt,
-    /// A host is slow.
+    /// A host runs slower than usual.
     HostSlow,
     /// A host drains.
     HostDrain,
-    /// The feed of a placer disconnects, and serves no new connection.
+    /// The feed of a placer disconnects, and serves no new connections.
     FeedCut,
-    /// It stays connected and sends nothing.
+    /// The feed of a placer stays connected but sends nothing.
     FeedSilent,
-    /// It sends each event twice.
+    /// The feed of a placer sends each event twice.
     FeedDoubled,
-    /// It moves to another address; the placer is notified by its configuration and SIGHUP.
+    /// The feed of a placer moves to another address, which the placer learns from its configuration after a SIGHUP.
     FeedMoved,
-    /// Nothing arrives on links in either direction, and new connections do not come up. What was sent arrives at
-    /// the end.
+    /// Nothing arrives on links in either direction, and new connections are not established. What was sent arrives
+    /// at the end of the fault.
     LinkCut,
-    /// The same for what `from` sends to `to`.
+    /// Like [`LinkCut`](FaultKind::LinkCut), but only for what `from` sends to `to`.
     LinkCutTo,
-    /// The same for what `to` sends to `from`.
+    /// Like [`LinkCut`](FaultKind::LinkCut), but only for what `to` sends to `from`.
     LinkCutFrom,
-    /// Bytes wait on links.
+    /// Bytes on links are held back until the end of the fault.
     LinkStall,
-    /// Bytes are late on links.
+    /// Bytes on links are delayed by [`Fault::delay`].
     LinkSlow,
-    /// Connections are reset, and new ones as soon as they are up.
+    /// Connections on links are reset, and new ones as soon as they are established.
     LinkReset,
-    /// New connections do not come up; open ones go on.
+    /// New connections on links are not established; open ones continue to work.
     LinkBlackHole,
 }
--- a/crates/load-test/src/plan/links.rs
+++ b/crates/load-test/src/plan/links.rs
@@ -1,5 +1,5 @@
-//! The links of a plan. A fault of links affects every link between a party of one side and a party of the other,
-//! whichever side connects.
+//! The links between the parties of a deployment. A link fault affects every link between a party of one side and a
+//! party of the other, no matter which of the two opens the connection.
 
 use super::Plan;
 use super::faults::Fault;
@@ -8,17 +8,17 @@
 use emulator::fault_proxy::Party;
 use std::collections::BTreeSet;
 
-/// A link of a placer.
+/// A link between a placer and a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Link {
-    /// The placer.
+    /// Index of the placer.
     pub placer: usize,
-    /// The other end.
+    /// The peer at the other end.
     pub peer: Peer,
 }
 
-/// The link between two parties, the first of which connects: clients connect to placers; placers to hosts, and to
-/// their own feed.
+/// Returns the link on which `from` connects to `to`, if there is one: clients connect to placers; placers connect to
+/// hosts and to their own feed.
 fn link(from: Party, to: Party) -> Option<Link> {
     let (placer, peer) = match (from, to) {
         (Party::Clients, Party::Placer(placer)) => (placer, Peer::Clients),
@@ -29,11 +29,11 @@
     Some(Link { placer, peer })
 }
 
-/// Returns the links that a fault affects.
+/// Returns the links that a link fault affects.
 ///
 /// # Errors
 ///
-/// A side is invalid, or there is no link between the two.
+/// The parties of a side are invalid, or there is no link between the two sides.
 pub fn affected_links(plan: &Plan, fault: &Fault) -> Result<BTreeSet<Link>, InvalidParties> {
     let from = fault.from.resolve(plan)?;
     let to = fault.to.resolve(plan)?;
--- a/crates/load-test/src/plan/mod.rs
+++ b/crates/load-test/src/plan/mod.rs
@@ -1,7 +1,7 @@
-//! Plans: everything that a load test consists of, in one TOML file.
+//! Plans. A plan describes a whole load test in one TOML file: deployment, workload, faults and objectives.
 //!
-//! Keys of the file are a fixed format; fields that are named differently here carry the key in an attribute.
-//! Unknown keys are rejected, and a value that is not allowed is reported with its field before anything starts.
+//! The keys of the file are a fixed format; a field with another name in Rust carries its key in a `serde` attribute.
+//! Unknown keys are rejected, and values that are not allowed are reported with their fields before anything starts.
 
 mod deployment;
 mod duration;
@@ -29,15 +29,15 @@
     ArrivalProcess, Arrivals, Balancing, Batch, Clients, Objectives, TaskClass, TaskSize, Tenant,
 };
 
-/// A plan.
+/// A load test as its plan describes it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Plan {
-    /// Its name in reports.
+    /// Name of the plan in reports.
     pub name: String,
-    /// The seed of everything random.
+    /// Seed of all random numbers of the run.
     pub seed: u64,
-    /// Zones of placers, hosts and clients.
+    /// Names of the zones that placers, hosts and clients are spread over.
     #[serde(rename = "rooms")]
     pub zones: Vec<String>,
     /// The placers.
@@ -46,21 +46,21 @@
     pub hosts: Hosts,
     /// The service discovery feed.
     pub feed: Feed,
-    /// Classes of tasks.
+    /// Classes of tasks; each arrival belongs to one.
     #[serde(rename = "class")]
     pub classes: Vec<TaskClass>,
-    /// Tenants.
+    /// Tenants that tasks belong to.
     #[serde(rename = "tenant")]
     pub tenants: Vec<Tenant>,
     /// When tasks are due.
     pub arrivals: Arrivals,
-    /// How clients behave. Earlier plans call the table `owners`.
+    /// How clients behave. Earlier plans name the table `owners`, which is still read.
     #[serde(alias = "owners")]
     pub clients: Clients,
-    /// What goes wrong, and when.
+    /// Faults to inject, and when.
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
-    /// What the run is judged by.
+    /// Objectives that decide whether the run passes.
     #[serde(rename = "aims")]
     pub objectives: Objectives,
 }
@@ -74,7 +74,7 @@
             placers: Placers::default(),
             hosts: Hosts::default(),
             feed: Feed::default(),
-            classes: vec![TaskClass::default(), TaskClass::totalizador()],
+            classes: vec![TaskClass::default(), TaskClass::default_non_idempotent()],
             tenants: [
                 ("escritorio-rs", 0.34),
                 ("escritorio-pr", 0.27),
@@ -112,11 +112,11 @@
         })
     }
 
-    /// Reads a plan from a text.
+    /// Parses a plan from TOML text.
     ///
     /// # Errors
     ///
-    /// It is not TOML, has unknown keys, or values that are not allowed.
+    /// The text is not TOML, or has unknown keys or values that are not allowed.
     pub fn parse(text: &str) -> Result<Plan, PlanError> {
         let plan: Plan = toml::from_str(text)?;
         let invalid = validation::invalid_fields(&plan);
@@ -127,7 +127,8 @@
         }
     }
 
-    /// Returns the load profile of its arrivals; a plan that was parsed has one.
+    /// Returns the load profile of the arrivals. It is empty if the text of the profile is invalid, which
+    /// [`parse`](Plan::parse) rejects.
     pub fn load_profile(&self) -> LoadProfile {
         load_profile::parse(&self.arrivals.profile).unwrap_or_default()
     }
--- a/crates/load-test/src/plan/parties.rs
+++ b/crates/load-test/src/plan/parties.rs
@@ -1,7 +1,7 @@
-//! The parties of a plan, as faults of links name them.
+//! Parties of a deployment, as the `from` and `to` keys of link faults name them.
 //!
 //! Parties are written as `placers 0..3, hosts 2`, `rooms 1` (the hosts and the placers of a zone), `racks 0`,
-//! `feeds` or `clients`; without numbers all of a kind are meant.
+//! `feeds` or `clients`; a kind without numbers stands for all of its parties.
 
 use super::Plan;
 use super::selection::{InvalidRange, Selection};
@@ -10,9 +10,9 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// Kinds of parties.
+/// A kind of party.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Kind {
+enum PartyKind {
     Clients,
     Placers,
     Hosts,
@@ -21,64 +21,64 @@
     Feeds,
 }
 
-impl Kind {
-    /// The kinds with their names in plans.
-    const ALL: [(&'static str, Kind); 6] = [
-        ("clients", Kind::Clients),
-        ("placers", Kind::Placers),
-        ("hosts", Kind::Hosts),
-        ("racks", Kind::Racks),
-        ("rooms", Kind::Zones),
-        ("feeds", Kind::Feeds),
+impl PartyKind {
+    /// All kinds with their names in plans.
+    const ALL: [(&'static str, PartyKind); 6] = [
+        ("clients", PartyKind::Clients),
+        ("placers", PartyKind::Placers),
+        ("hosts", PartyKind::Hosts),
+        ("racks", PartyKind::Racks),
+        ("rooms", PartyKind::Zones),
+        ("feeds", PartyKind::Feeds),
     ];
 
-    /// The kind of a name; earlier plans call clients `owners`.
-    fn from_name(name: &str) -> Option<Kind> {
+    /// Returns the kind with a name. `owners` is the name of clients in earlier plans.
+    fn from_name(name: &str) -> Option<PartyKind> {
         let name = if name == "owners" { "clients" } else { name };
-        Kind::ALL
+        PartyKind::ALL
             .iter()
             .find(|(known, _)| *known == name)
             .map(|(_, kind)| *kind)
     }
 
     fn as_str(self) -> &'static str {
-        Kind::ALL
+        PartyKind::ALL
             .iter()
             .find(|(_, kind)| *kind == self)
             .map_or("", |(name, _)| name)
     }
 }
 
-/// Why parties of a plan are invalid.
+/// Why the parties of a link fault are invalid.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidParties {
-    /// No kind of party.
-    #[error("expected one of {}, found \"{found}\"", Kind::ALL.map(|(name, _)| name).join(", "))]
+    /// The text does not begin with a kind of party.
+    #[error("expected one of {}, found \"{found}\"", PartyKind::ALL.map(|(name, _)| name).join(", "))]
     UnknownKind {
-        /// The text.
+        /// The invalid text.
         found: String,
     },
-    /// More than one number or range after a kind.
+    /// More than one number or range follows a kind.
     #[error("expected one number or range in \"{found}\"")]
     TooManyNumbers {
-        /// The text.
+        /// The invalid text.
         found: String,
     },
-    /// Neither a number nor a range after a kind.
+    /// The text after a kind is neither a number nor a range.
     #[error(transparent)]
     Range(#[from] InvalidRange),
-    /// A number beyond the last.
+    /// The number of a party is not less than the count of its kind.
     #[error("there are {count} {kind}, counted from 0, found {found}")]
     OutOfRange {
-        /// How many there are.
+        /// Count of the parties of the kind.
         count: usize,
-        /// The kind.
+        /// Name of the kind in plans.
         kind: &'static str,
-        /// The number.
+        /// The invalid number.
         found: usize,
     },
-    /// No party of one side connects to one of the other.
-    #[error("nobody of \"{from}\" calls anybody of \"{to}\", nor the other way")]
+    /// There is no link between a party of one side and a party of the other.
+    #[error("no party of \"{from}\" connects to one of \"{to}\", nor the reverse")]
     NotConnected {
         /// One side.
         from: Parties,
@@ -87,13 +87,13 @@
     },
 }
 
-/// One side of a fault of links.
+/// The parties on one side of a link fault.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Parties {
     text: String,
-    /// Kinds with their numbers; all of a kind where there are none.
-    groups: Vec<(Kind, Option<Selection>)>,
+    /// Kinds with the selected numbers; without a selection, all parties of the kind.
+    groups: Vec<(PartyKind, Option<Selection>)>,
 }
 
 impl TryFrom<String> for Parties {
@@ -108,13 +108,13 @@
     }
 }
 
-fn parse_group(text: &str) -> Result<(Kind, Option<Selection>), InvalidParties> {
+fn parse_group(text: &str) -> Result<(PartyKind, Option<Selection>), InvalidParties> {
     let found = text.trim();
     let mut words = text.split_whitespace();
     let kind =
         words
             .next()
-            .and_then(Kind::from_name)
+            .and_then(PartyKind::from_name)
             .ok_or_else(|| InvalidParties::UnknownKind {
                 found: found.to_string(),
             })?;
@@ -146,7 +146,7 @@
 }
 
 impl Parties {
-    /// Whether there are none.
+    /// Returns whether no parties are named.
     pub fn is_empty(&self) -> bool {
         self.groups.is_empty()
     }
@@ -155,7 +155,7 @@
     ///
     /// # Errors
     ///
-    /// A number is beyond the last of its kind.
+    /// The number of a party is not less than the count of its kind.
     pub fn resolve(&self, plan: &Plan) -> Result<BTreeSet<Party>, InvalidParties> {
         let mut parties = BTreeSet::new();
         for (kind, selection) in &self.groups {
@@ -178,32 +178,32 @@
     }
 }
 
-/// How many of a kind a plan has.
-fn count(kind: Kind, plan: &Plan) -> usize {
+/// Returns how many numbers of a kind a plan has.
+fn count(kind: PartyKind, plan: &Plan) -> usize {
     match kind {
-        Kind::Clients => 1,
-        Kind::Placers | Kind::Feeds => plan.placers.count,
-        Kind::Hosts => plan.hosts.count,
-        Kind::Racks => plan.hosts.count.div_ceil(plan.hosts.rack_size.max(1)),
-        Kind::Zones => plan.zones.len().max(1),
+        PartyKind::Clients => 1,
+        PartyKind::Placers | PartyKind::Feeds => plan.placers.count,
+        PartyKind::Hosts => plan.hosts.count,
+        PartyKind::Racks => plan.hosts.count.div_ceil(plan.hosts.rack_size.max(1)),
+        PartyKind::Zones => plan.zones.len().max(1),
     }
 }
 
-/// The parties of one number of a kind: several for a rack or a zone.
-fn members(kind: Kind, number: usize, plan: &Plan) -> Vec<Party> {
+/// Returns the parties that a kind and a number stand for: one, or all those of a rack or a zone.
+fn members(kind: PartyKind, number: usize, plan: &Plan) -> Vec<Party> {
     let (placers, hosts) = (plan.placers.count, plan.hosts.count);
     match kind {
-        Kind::Clients => vec![Party::Clients],
-        Kind::Placers => vec![Party::Placer(number)],
-        Kind::Hosts => vec![Party::Host(number)],
-        Kind::Feeds => vec![Party::Feed(number)],
-        Kind::Racks => {
+        PartyKind::Clients => vec![Party::Clients],
+        PartyKind::Placers => vec![Party::Placer(number)],
+        PartyKind::Hosts => vec![Party::Host(number)],
+        PartyKind::Feeds => vec![Party::Feed(number)],
+        PartyKind::Racks => {
             let size = plan.hosts.rack_size.max(1);
             (number * size..hosts.min((number + 1) * size))
                 .map(Party::Host)
                 .collect()
         }
-        Kind::Zones => {
+        PartyKind::Zones => {
             let zones = plan.zones.len().max(1);
             let hosts = (number..hosts).step_by(zones).map(Party::Host);
             let placers = (number..placers).step_by(zones).map(Party::Placer);
--- a/crates/load-test/src/plan/selection.rs
+++ b/crates/load-test/src/plan/selection.rs
@@ -1,22 +1,22 @@
-//! Numbers of placers, hosts, racks or zones in plans.
+//! Selections of placers, hosts, racks or zones by number in plans.
 
 use serde::{Deserialize, Serialize};
 
-/// The end of the largest range, so that no plan asks for a list that does not fit memory.
+/// Maximum end of a range, which keeps the list of its numbers small enough for memory.
 const MAX_RANGE_END: usize = 4_096;
 
-/// One number, several, or a range.
+/// One number, a list of numbers, or a range of numbers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(
     untagged,
     expecting = "expected a number, a list of numbers, or a range such as \"3..12\""
 )]
 pub enum Selection {
-    /// One.
+    /// A single number.
     One(usize),
-    /// Several.
+    /// A list of numbers.
     List(Vec<usize>),
-    /// A range.
+    /// A range of numbers.
     Range(Range),
 }
 
@@ -37,7 +37,7 @@
     }
 }
 
-/// A range without its end, written as `3..12`.
+/// A range of numbers that excludes its end, written as `3..12`.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Range {
@@ -51,7 +51,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("expected a range such as \"3..12\", found \"{found}\"")]
 pub struct InvalidRange {
-    /// The text.
+    /// The invalid text.
     pub found: String,
 }
 
--- a/crates/load-test/src/plan/tests.rs
+++ b/crates/load-test/src/plan/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of plans.
+//! Tests of parsing and validating plans.
 
 use super::*;
 use emulator::event_log::Peer;
@@ -6,27 +6,30 @@
 
 #[test]
 fn empty_plan_is_the_default_and_round_trips_through_toml() {
-    let plan = Plan::parse("").expect("a plan");
+    let plan = Plan::parse("").expect("valid plan");
     assert_eq!(plan, Plan::default());
-    let text = toml::to_string(&plan).expect("text");
-    assert_eq!(Plan::parse(&text).expect("a plan"), plan);
+    let text = toml::to_string(&plan).expect("plan as TOML");
+    assert_eq!(Plan::parse(&text).expect("valid plan"), plan);
 }
 
 #[test]
 fn earlier_plans_with_owners_are_still_read() {
     let plan =
         |table: &str| Plan::parse(&format!("[{table}]\nspread = \"blind\"\ndrain = \"6s\"\n"));
-    let named = plan("clients").expect("a plan");
+    let named = plan("clients").expect("valid plan");
     assert_eq!(named.clients.drain_time, Duration::from_secs(6));
-    assert_eq!(plan("owners").expect("the table's former name"), named);
-    let both =
-        Plan::parse("[clients]\ndrain = \"6s\"\n[owners]\ndrain = \"6s\"\n").expect_err("both");
+    assert_eq!(
+        plan("owners").expect("plan with the former table name"),
+        named
+    );
+    let both = Plan::parse("[clients]\ndrain = \"6s\"\n[owners]\ndrain = \"6s\"\n")
+        .expect_err("both table names");
     assert!(both.to_string().contains("duplicate field"), "{both}");
 }
 
 #[test]
 fn invalid_values_are_reported_with_their_field() {
-    for (text, says) in [
+    for (text, message) in [
         ("sead = 1", "unknown field `sead`"),
         ("[hosts]\nlook = 5", "invalid type: integer"),
         ("[hosts]\nlook = \"soon\"", "expected a duration"),
@@ -38,7 +41,7 @@
             "[placers]\ncount = 0",
             "placers.count: expected 1 to 64, found 0",
         ),
-        ("[[class]]\nsizes = [[99, 1]]", "one fits no host"),
+        ("[[class]]\nsizes = [[99, 1]]", "a size fits on no host"),
         ("[[class]]\nname = \"a\"", "aims.class: no class pagina"),
         (
             "[[fault]]\nat = \"1s\"\nkind = \"placer-kill\"\nwhich = 3",
@@ -55,13 +58,18 @@
         ),
     ] {
         let error = Plan::parse(text).expect_err(text).to_string();
-        assert!(error.contains(says), "{text}: {error}");
+        assert!(error.contains(message), "{text}: {error}");
     }
-    let many = Plan::parse("[placers]\ncount = 0\n[hosts]\ncount = 0\n")
-        .expect_err("bad")
+    let all_errors = Plan::parse("[placers]\ncount = 0\n[hosts]\ncount = 0\n")
+        .expect_err("invalid plan")
         .to_string();
-    assert_eq!(many.lines().count(), 2, "all at once: {many}");
+    assert_eq!(
+        all_errors.lines().count(),
+        2,
+        "all invalid fields are reported: {all_errors}"
+    );
 }
+
 fn plan_with_faults(faults: &str) -> Result<Plan, String> {
     let text = format!(
         "rooms = [\"a\", \"b\"]\n[placers]\ncount = 3\n[hosts]\ncount = 5\nrack = 2\n{faults}"
@@ -92,14 +100,14 @@
             "placers 0..2",
             vec![(0, Peer::Clients), (1, Peer::Clients)],
         ),
-        // The name of clients in earlier plans.
+        // Earlier plans name clients `owners`.
         (
             "owners",
             "placers 0..2",
             vec![(0, Peer::Clients), (1, Peer::Clients)],
         ),
         ("placers", "feeds 2", vec![(2, Peer::Feed)]),
-        // A zone is its hosts and its placers.
+        // A zone stands for its hosts and its placers.
         (
             "rooms 0",
             "rooms 1",
@@ -122,7 +130,7 @@
 
 #[test]
 fn invalid_link_faults_are_reported_with_their_field() {
-    for (faults, says) in [
+    for (faults, message) in [
         (
             link("link-cut", "placer 0", "hosts"),
             "expected one of clients, placers",
@@ -145,11 +153,11 @@
         ),
         (
             link("link-cut", "clients", "hosts"),
-            "nobody of \"clients\" calls anybody of \"hosts\"",
+            "no party of \"clients\" connects to one of \"hosts\"",
         ),
         (
             link("link-slow", "clients", "placers"),
-            "by: expected how late",
+            "by: expected the delay",
         ),
         (
             link("placer-stop", "clients", "placers"),
@@ -166,10 +174,10 @@
         (
             link("link-cut", "placers", "feeds")
                 + "[[fault]]\nat = \"1s\"\nkind = \"feed-moved\"\n",
-            "a feed behind a link does not move",
+            "link faults of feeds cannot be combined with feed-moved",
         ),
     ] {
         let error = plan_with_faults(&faults).expect_err(&faults);
-        assert!(error.contains(says), "{faults}: {error}");
+        assert!(error.contains(message), "{faults}: {error}");
     }
 }
--- a/crates/load-test/src/plan/validation.rs
+++ b/crates/load-test/src/plan/validation.rs
@@ -1,4 +1,4 @@
-//! Finds the values of a plan that are not allowed, section by section. All are reported at once.
+//! Validation of plans, section by section. All values that are not allowed are reported at once.
 
 use super::error::InvalidField;
 use super::faults::{Fault, FaultKind};
@@ -9,7 +9,8 @@
 use emulator::event_log::Peer;
 use std::collections::BTreeSet;
 
-/// Maximum number of links that a plan may affect: each takes a listener, and two descriptors per connection.
+/// Maximum number of links that the faults of a plan may affect: each link needs a listener, and two descriptors per
+/// connection.
 pub const MAX_LINKS: usize = 1_024;
 const MAX_PLACERS: usize = 64;
 const MAX_HOSTS: usize = 512;
@@ -17,7 +18,7 @@
 const MAX_BATCH: u32 = 1_000;
 const MAX_OCCURRENCES: u32 = 1_000;
 
-/// The problems found so far.
+/// Collects the invalid fields that are found.
 #[derive(Default)]
 struct Problems(Vec<InvalidField>);
 
@@ -44,7 +45,7 @@
     (0.0..=1.0).contains(&value)
 }
 
-/// Returns everything in a plan that is not allowed.
+/// Returns all fields of a plan whose values are not allowed.
 pub(super) fn invalid_fields(plan: &Plan) -> Vec<InvalidField> {
     let mut problems = Problems::default();
     check_profile(plan, &mut problems);
@@ -110,12 +111,14 @@
         check_class(plan, &format!("class {n}"), class, problems);
     }
     let shares: f64 = plan.classes.iter().map(|class| class.share).sum();
-    problems.require(shares > 0.0, "class", "the shares are all 0");
-    let judged = &plan.objectives.class;
+    problems.require(shares > 0.0, "class", "all shares are 0");
+    let objective_class = &plan.objectives.class;
     problems.require(
-        plan.classes.iter().any(|class| class.name == *judged),
+        plan.classes
+            .iter()
+            .any(|class| class.name == *objective_class),
         "aims.class",
-        format!("no class {judged}"),
+        format!("no class {objective_class}"),
     );
 }
 
@@ -127,7 +130,7 @@
                 .iter()
                 .all(|size| is_positive(size.cores) && is_positive(size.memory)),
         format!("{field}: sizes"),
-        "expected pairs of cores and memory over 0",
+        "expected pairs of cores and memory, both more than 0",
     );
     problems.require(
         class.objective <= class.client_timeout,
@@ -149,11 +152,12 @@
         format!("{field}: priority"),
         "expected 0 to 3",
     );
-    let fits = |cores: f64, memory: f64| cores <= plan.hosts.cores && memory <= plan.hosts.memory;
+    let fits_host =
+        |cores: f64, memory: f64| cores <= plan.hosts.cores && memory <= plan.hosts.memory;
     problems.require(
-        sizes.iter().all(|size| fits(size.cores, size.memory)),
+        sizes.iter().all(|size| fits_host(size.cores, size.memory)),
         format!("{field}: sizes"),
-        "one fits no host",
+        "a size fits on no host",
     );
     let same_name = plan
         .classes
@@ -163,7 +167,7 @@
     problems.require(
         same_name == 1,
         field,
-        format!("{} is there twice", class.name),
+        format!("more than one class is named {}", class.name),
     );
 }
 
@@ -200,9 +204,9 @@
             format!("expected 1 <= least <= most <= {MAX_BATCH}"),
         );
     }
-    let is_skew = |value: f64| (0.0..=5.0).contains(&value);
+    let is_valid_skew = |value: f64| (0.0..=5.0).contains(&value);
     problems.require(
-        is_skew(arrivals.service_skew) && is_skew(arrivals.zone_skew),
+        is_valid_skew(arrivals.service_skew) && is_valid_skew(arrivals.zone_skew),
         "arrivals.service-skew, room-skew",
         "expected 0 to 5",
     );
@@ -270,7 +274,7 @@
     );
 }
 
-/// Checks a fault of links, and adds the links that it affects.
+/// Checks a fault of links, and adds the links that it affects to `all_links`.
 fn check_link_fault(
     plan: &Plan,
     field: &str,
@@ -292,7 +296,7 @@
     problems.require(
         fault.kind != FaultKind::LinkSlow || !fault.delay.is_zero(),
         format!("{field}: by"),
-        "expected how late bytes are",
+        "expected the delay of bytes",
     );
     for (side, parties) in [("from", &fault.from), ("to", &fault.to)] {
         if let Err(e) = parties.resolve(plan) {
@@ -309,7 +313,7 @@
             problems.require(
                 !(feed_moves && has_feed),
                 field,
-                "a feed behind a link does not move",
+                "link faults of feeds cannot be combined with feed-moved",
             );
             all_links.extend(links);
         }
@@ -319,7 +323,7 @@
     check_occurrences(field, fault, problems);
 }
 
-/// Checks a fault of placers, hosts, racks or feeds.
+/// Checks a fault whose targets are placers, hosts, racks or feeds.
 fn check_target_fault(plan: &Plan, field: &str, fault: &Fault, problems: &mut Problems) {
     let has_link_fields = !fault.from.is_empty() || !fault.to.is_empty() || !fault.delay.is_zero();
     problems.require(
@@ -329,10 +333,10 @@
     );
     let count = target_count(plan, fault.kind);
     let targets = fault.targets();
-    if let Some(beyond) = targets.iter().find(|target| **target >= count) {
+    if let Some(out_of_range) = targets.iter().find(|target| **target >= count) {
         problems.add(
             format!("{field}: which"),
-            format!("there are {count}, counted from 0, found {beyond}"),
+            format!("there are {count}, counted from 0, found {out_of_range}"),
         );
     }
     problems.require(
@@ -344,11 +348,11 @@
     problems.require(
         fault.occurrences == 1 || !fault.duration.is_zero(),
         format!("{field}: times"),
-        "what has no length comes once",
+        "a fault without length occurs only once",
     );
 }
 
-/// How many targets of a kind a plan has.
+/// Returns how many targets the plan has for a kind of fault.
 fn target_count(plan: &Plan, kind: FaultKind) -> usize {
     match kind {
         FaultKind::PlacerKill
--- a/crates/load-test/src/plan/workload.rs
+++ b/crates/load-test/src/plan/workload.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// The cores and memory of a task; a pair of numbers in plans.
+/// The cores and memory that a task requests, written as a pair of numbers in plans.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(from = "[f64; 2]", into = "[f64; 2]")]
 pub struct TaskSize {
@@ -37,35 +37,35 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct TaskClass {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Its share of the arrivals.
+    /// Weight of the class among all arrivals, relative to the shares of the other classes.
     pub share: f64,
-    /// Whether its tasks must not be started twice.
+    /// Whether tasks of the class must not be started twice.
     #[serde(rename = "once")]
     pub non_idempotent: bool,
-    /// Latency objective: tasks are to start within this time.
+    /// Latency objective: the time within which tasks are to start after they are due.
     #[serde(rename = "aim", with = "duration")]
     pub objective: Duration,
     /// How long clients wait for an answer.
     #[serde(rename = "limit", with = "duration")]
     pub client_timeout: Duration,
-    /// Mean time that a task runs.
+    /// Mean run time of a task.
     #[serde(rename = "life", with = "duration")]
     pub run_time: Duration,
-    /// Sigma of its lognormal distribution.
+    /// Sigma of the lognormal distribution of run times; 0 for a constant run time.
     #[serde(rename = "life-sigma")]
     pub run_time_sigma: f64,
-    /// Number of services.
+    /// Number of services in the class.
     pub services: u32,
-    /// Sizes of tasks, service by service in turn.
+    /// Sizes of tasks, assigned to the services in rotation.
     pub sizes: Vec<TaskSize>,
-    /// Priority, 0 (lowest) to 3.
+    /// Priority of tasks, from 0 (lowest) to 3.
     pub priority: u8,
     /// Maximum number of tasks of a service that a placer may have in a zone; 0 for no limit.
     #[serde(rename = "most-in-room")]
     pub max_per_zone: u32,
-    /// Priority weight of a second.
+    /// Priority weight that placers are configured with: the weight of one second of full service.
     #[serde(rename = "worth")]
     pub priority_weight: f64,
 }
@@ -92,8 +92,8 @@
 }
 
 impl TaskClass {
-    /// Returns the default class of non-idempotent tasks.
-    pub fn totalizador() -> TaskClass {
+    /// Returns the default class of non-idempotent tasks, named `totalizador`.
+    pub fn default_non_idempotent() -> TaskClass {
         TaskClass {
             name: "totalizador".into(),
             share: 0.03,
@@ -115,12 +115,12 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Its quota, as the placers are configured.
+    /// Quota that the placers are configured with, relative to the quotas of the other tenants.
     #[serde(rename = "share")]
     pub quota: f64,
-    /// Its arrivals, as a multiple of the quota.
+    /// Arrivals of the tenant as a multiple of its quota; more than 1 for a tenant that exceeds it.
     #[serde(rename = "flood")]
     pub quota_multiple: f64,
 }
@@ -136,60 +136,60 @@
 }
 
 impl Tenant {
-    /// Returns the weight of its arrivals.
+    /// Returns the weight of the tenant's arrivals among those of all tenants.
     pub fn arrival_weight(&self) -> f64 {
         self.quota * self.quota_multiple
     }
 }
 
-/// How arrivals are spaced.
+/// The random process that spaces arrivals.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", tag = "kind")]
 pub enum ArrivalProcess {
-    /// At even distances.
+    /// Equal gaps between arrivals.
     Even,
-    /// Independent of each other.
+    /// A Poisson process: arrivals are independent of each other.
     Poisson,
-    /// Gaps of a gamma distribution.
+    /// Gaps between arrivals follow a gamma distribution.
     Gamma {
-        /// Coefficient of variation: standard deviation over mean.
+        /// Coefficient of variation of the gaps: standard deviation divided by mean.
         cv: f64,
     },
     /// A Poisson process that switches between two rates.
     Markov {
-        /// How many times higher the high rate is.
+        /// Ratio of the high rate to the low rate.
         high: f64,
         /// Mean number of arrivals between two switches.
         stay: f64,
     },
 }
 
-/// Several tasks of one service at once.
+/// The number of tasks of one service that are due at the same time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case")]
 pub struct Batch {
-    /// Minimum number.
+    /// Minimum number of tasks.
     #[serde(rename = "least")]
     pub min: u32,
-    /// Maximum number.
+    /// Maximum number of tasks.
     #[serde(rename = "most")]
     pub max: u32,
 }
 
-/// When tasks are due.
+/// When tasks are due, and how they are distributed over services and zones.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Arrivals {
-    /// The rate over time, in the language of [`load_profile`](crate::load_profile).
+    /// Rate of arrivals over time, in the syntax of [`load_profile`](crate::load_profile).
     #[serde(rename = "shape")]
     pub profile: String,
-    /// How they are spaced.
+    /// Process that spaces arrivals.
     pub process: ArrivalProcess,
-    /// Several at once.
+    /// Size of batches; none if tasks arrive one by one.
     pub batch: Option<Batch>,
-    /// How unequal services are: the exponent of a Zipf distribution.
+    /// Exponent of the Zipf distribution of arrivals over the services of a class; 0 for equal shares.
     pub service_skew: f64,
-    /// How unequal zones are, likewise.
+    /// Exponent of the Zipf distribution of arrivals over the zones; 0 for equal shares.
     #[serde(rename = "room-skew")]
     pub zone_skew: f64,
 }
@@ -211,46 +211,46 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Clients {
-    /// How they space retries.
+    /// How clients space retries.
     #[serde(rename = "policy")]
     pub retry_policy: RetryPolicy,
-    /// Minimum backoff.
+    /// Minimum backoff before a retry.
     #[serde(rename = "base", with = "duration")]
     pub min_backoff: Duration,
-    /// Maximum backoff.
+    /// Maximum backoff before a retry.
     #[serde(rename = "most", with = "duration")]
     pub max_backoff: Duration,
-    /// Retries per first attempt that the budgeted policy allows.
+    /// Retries per first attempt that the policy `budget` allows.
     #[serde(rename = "budget")]
     pub retry_budget: f64,
     /// Fraction of clients that respect Retry-After.
     #[serde(rename = "honour")]
     pub retry_after_compliance: f64,
-    /// How long the client of a non-idempotent task waits where an attempt may have run.
+    /// Settle time: how long the client of a non-idempotent task waits after an attempt that may have started it.
     #[serde(rename = "settle", with = "duration")]
     pub settle_time: Duration,
-    /// Connections to each placer.
+    /// Maximum number of connections to each placer.
     #[serde(rename = "connections")]
     pub connections_per_placer: usize,
-    /// A connection without a task is closed after this time.
+    /// Time after which a connection without requests and running tasks is closed.
     #[serde(rename = "idle", with = "duration")]
     pub idle_timeout: Duration,
-    /// How long clients go on after the last arrival.
+    /// How long clients continue after the last arrival and the end of the load profile.
     #[serde(rename = "drain", with = "duration")]
     pub drain_time: Duration,
-    /// How the load balancer weighs placers.
+    /// How the load balancer distributes requests among placers.
     #[serde(rename = "spread")]
     pub balancing: Balancing,
 }
 
-/// How the load balancer weighs placers.
+/// How the load balancer distributes requests among placers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Balancing {
-    /// Equally, over those that pass their health checks.
+    /// Equally among the placers that pass their health checks.
     #[serde(rename = "blind")]
     RoundRobin,
-    /// By the weights of their agent checks, which `[placers] operator` must enable.
+    /// By the weights that placers report in agent checks, which `[placers] operator` must enable.
     #[serde(rename = "agent")]
     AgentWeights,
 }
@@ -272,15 +272,15 @@
     }
 }
 
-/// The objectives that a run is judged by.
+/// The objectives that decide whether a run passes.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, rename_all = "kebab-case", default)]
 pub struct Objectives {
-    /// The class.
+    /// Name of the class whose latency is compared with its objective.
     pub class: String,
-    /// The fraction of its tasks that start within its latency objective.
+    /// Fraction of the tasks of this class that must start within its latency objective.
     pub share: f64,
-    /// Limit of the generator's own lateness at the 99th percentile, beyond which a run reports no percentiles.
+    /// Maximum 99th percentile of the generator's own lateness; beyond it a run reports no percentiles.
     #[serde(rename = "own-lateness", with = "duration")]
     pub max_generator_lateness: Duration,
 }
--- a/crates/load-test/src/run/deployment.rs
+++ b/crates/load-test/src/run/deployment.rs
@@ -13,19 +13,20 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Offers within a second that never crash a host in slow start.
+/// Number of offers within a second up to which a host in slow start never crashes.
 const ALWAYS_TOLERATED_OFFERS: usize = 22;
-/// A host in slow start crashes when offered more than this many times what it can start.
+/// A host in slow start crashes when it is offered more than this multiple of what it can start.
 const OVERLOAD_FACTOR: f64 = 4.0;
 
-/// What a run needs of its deployment once faults are injected into the rest.
+/// The parts of a deployment that the run itself uses; the fault injector owns the others.
 pub(super) struct Deployment {
     pub(super) cluster: Arc<Cluster>,
     pub(super) placers: Vec<ServerAddresses>,
 }
 
 impl Deployment {
-    /// Starts everything, and returns it with the fault injector that owns the placers.
+    /// Starts the cluster, the fault proxies and the placers, and returns the deployment with the fault injector, which
+    /// owns the placers.
     pub(super) fn start(
         plan: &Plan,
         options: &Options,
@@ -37,10 +38,10 @@
         let network = FaultNetwork::open(plan, &cluster, log.clone())
             .map_err(not_started("the fault proxies"))?;
         let count = plan.placers.count;
-        let part = format!("placers ({})", options.placer.display());
+        let component = format!("placers ({})", options.placer.display());
         let supervisor =
             Supervisor::start(launch_config(plan, options), count, &cluster, log.clone())
-                .map_err(not_started(&part))?;
+                .map_err(not_started(&component))?;
         let mut placers = Vec::new();
         for placer in 0..supervisor.count() {
             let clients = match &network {
@@ -90,7 +91,7 @@
     }
 }
 
-/// The hosts of a plan.
+/// Returns the model of the hosts of a plan.
 fn host_spec(plan: &Plan) -> HostSpec {
     let hosts = &plan.hosts;
     HostSpec {
@@ -111,7 +112,7 @@
     }
 }
 
-/// The settings of the deployment, as placers are configured.
+/// Returns the settings of the deployment in the format of the placers' configuration.
 fn placer_settings(plan: &Plan) -> OwnedValue {
     let ms = |duration: Duration| duration.as_secs_f64() * 1_000.0;
     let per_class = |value: &dyn Fn(&TaskClass) -> OwnedValue| {
--- a/crates/load-test/src/run/evaluation.rs
+++ b/crates/load-test/src/run/evaluation.rs
@@ -1,4 +1,4 @@
-//! Evaluates a run once everything has stopped: checks the rules, and measures the impact on the hosts.
+//! Evaluates a run after all placers have exited: checks the rules, and measures the impact of overload on the hosts.
 
 use super::deployment::Deployment;
 use super::state::GeneratorState;
@@ -11,7 +11,7 @@
 use emulator::rule_check::{ClassRules, RuleSettings, check};
 use emulator::supervisor::Supervisor;
 
-/// A run whose placers have exited.
+/// A run whose clients have stopped and whose placers have exited.
 pub(super) struct FinishedRun {
     pub(super) supervisor: Supervisor,
     /// When the plan began.
@@ -22,7 +22,7 @@
     pub(super) interrupted: bool,
 }
 
-/// Evaluates a run.
+/// Returns the outcome of a run.
 pub(super) fn evaluate(
     plan: &Plan,
     profile: LoadProfile,
@@ -71,7 +71,8 @@
     }
 }
 
-/// The events until clients stopped, since nobody received what came later; how placers exited counts all the same.
+/// Returns the events until the clients stopped, since no client received later messages, and all later events about
+/// placers, since how they exited is checked as well.
 fn events_until(log: &EventLog, end: Micros) -> Vec<TimedEvent> {
     log.events()
         .into_iter()
@@ -79,7 +80,8 @@
         .collect()
 }
 
-/// The rules of a plan. A generator that was late itself has seen all answers late.
+/// Returns the settings of the rule check for a plan. The tolerance includes the generator's own lateness, by which it
+/// may have seen every answer late.
 fn rule_settings(plan: &Plan, state: &GeneratorState) -> RuleSettings {
     let lateness = Micros::try_from(state.lateness.max()).unwrap_or(0);
     let limit = |max: u32| (max > 0).then_some(max);
--- a/crates/load-test/src/run/generator.rs
+++ b/crates/load-test/src/run/generator.rs
@@ -1,5 +1,5 @@
-//! The generator: requests tasks when they are due, feeds the clients' state machine with responses, and carries its
-//! effects out. It runs on one thread; what its tasks share is borrowed one at a time and never over an `await`.
+//! The load generator. It requests tasks when they are due, passes responses to the clients' state machine, and carries
+//! out its effects. It runs on one thread; its async tasks share a state that is never borrowed across an `await`.
 
 use super::protocol::{
     Attempt, CANCELLED, CAUSE, DESCRIPTION, END_ACKNOWLEDGED, MIGRATED, PLACED, RELEASED,
@@ -22,25 +22,25 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The key of the first task; the others follow.
+/// Idempotency key of the first task; the keys of the others are consecutive.
 const FIRST_KEY: u64 = 0xabc0_0000;
-/// After so many tasks the sockets get their turn, even if the next tasks are due already.
-const TASKS_PER_TURN: usize = 64;
-/// Maximum time between two ticks of the clients, and minimum time.
+/// Number of requested tasks after which the generator yields to its connections, even if the next tasks are due.
+const TASKS_PER_YIELD: usize = 64;
+/// Maximum and minimum time between two ticks of the clients.
 const MAX_TICK_INTERVAL: Micros = 20 * MILLISECOND;
 const MIN_TICK_INTERVAL: Micros = MILLISECOND;
-/// How often settling tasks are looked up in the event log.
+/// Time between two lookups of the settling tasks in the event log.
 const SETTLING_CHECK_INTERVAL: Micros = 100 * MILLISECOND;
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The generator.
+/// Generates the load of a run.
 pub(super) struct Generator {
     pub(super) log: EventLog,
     pub(super) plan: Plan,
     pub(super) executor: Rc<LocalExecutor<'static>>,
     pub(super) placers: Vec<ServerAddresses>,
     pub(super) state: RefCell<GeneratorState>,
-    /// When the plan begins.
+    /// When the plan begins, in the time of the event log.
     pub(super) start: Cell<Micros>,
     pub(super) stopped: Cell<bool>,
 }
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Has each task requested when it is due.
+    /// Requests each task when it is due.
     pub(super) async fn run_arrivals(
         self: &Rc<Self>,
         start: Micros,
@@ -76,7 +76,7 @@
                 Timer::at(self.log.instant(due)).await;
             }
             self.request_new_task(FIRST_KEY + n as u64, due, arrival, profile);
-            if n % TASKS_PER_TURN == TASKS_PER_TURN - 1 {
+            if n % TASKS_PER_YIELD == TASKS_PER_YIELD - 1 {
                 future::yield_now().await;
             }
         }
@@ -122,7 +122,7 @@
         self.notify_clients(now, Event::TaskDue(wanted), None);
     }
 
-    /// Feeds the clients an event, and carries the effects out. Reconnections go to `placer` if it is given.
+    /// Has the clients handle an event, and carries out the effects. Reconnections go to `placer` if it is given.
     pub(super) fn notify_clients(
         self: &Rc<Self>,
         now: Micros,
@@ -148,7 +148,7 @@
                     self.send_on_request_connection(id, &release);
                 }
                 Effect::Reconnect { key, id } => self.reconnect(now, key, id, placer),
-                // The acknowledgement goes out where the message was read.
+                // The acknowledgement is sent on the connection on which the notice was read.
                 Effect::AcknowledgeEnd(_) => {}
                 Effect::TaskDone(key, fate) => self.task_done(key, fate),
             }
@@ -184,7 +184,7 @@
         self.send_request(placer, id, &sent.bytes);
     }
 
-    /// Counts an attempt of a task and picks its placer. Where none is up, clients try one all the same.
+    /// Counts an attempt of a task and picks its placer. If no placer is up, the attempt goes to one in rotation.
     fn pick_placer(&self, key: u64) -> Option<(TaskRecord, usize)> {
         let mut state = self.state.borrow_mut();
         let zone = state.tasks.get(&key).map_or(0, |task| task.arrival.zone);
@@ -198,13 +198,14 @@
         Some((task, placer.unwrap_or(fallback)))
     }
 
-    /// How long a task is still wanted.
+    /// Returns how long a task is still wanted.
     fn remaining_run_time(&self, task: &TaskRecord, now: Micros) -> Micros {
         let end = self.start.get() + task.arrival.due + task.arrival.run_time;
         (end - now).max(MILLISECOND)
     }
 
-    /// Reconnects to a running task through a placer.
+    /// Reconnects to a running task through a placer: the given one, or one that the load balancer picks. A task that
+    /// does not run any more is reported to the clients as lost.
     fn reconnect(self: &Rc<Self>, now: Micros, key: u64, id: u64, placer: Option<usize>) {
         let running = self.log.running_task(key).filter(|task| task.id == id);
         let Some(running) = running else {
@@ -242,7 +243,8 @@
         }
     }
 
-    /// Handles a message of a placer, on a connection of its own or of the health checks.
+    /// Handles a message from a placer. `connection` is none for a message that was read on the connection of the health
+    /// checks.
     pub(super) fn handle_message(
         self: &Rc<Self>,
         connection: Option<u64>,
@@ -289,7 +291,7 @@
         }
     }
 
-    /// Updates which connections carry the task of a message.
+    /// Updates which connections carry the task that a message is about.
     fn update_connections(&self, connection: Option<u64>, message: &Message) {
         let id = message.id;
         let mut state = self.state.borrow_mut();
@@ -307,7 +309,7 @@
         }
     }
 
-    /// Records the answer to an open request with its task.
+    /// Records the answer to an open request in the record of its task.
     fn record_answer(&self, now: Micros, id: u64, placer: usize, notice: ClientNotice) {
         let mut state = self.state.borrow_mut();
         let key = state.clients.key(id);
@@ -324,7 +326,7 @@
         }
     }
 
-    /// Ticks the clients for the whole run, and looks up settling tasks that turn out to run.
+    /// Ticks the clients for the whole run, and notifies them of settling tasks that turn out to run.
     pub(super) async fn tick_clients(self: Rc<Self>) {
         let mut checked_at = 0;
         loop {
@@ -354,7 +356,7 @@
         }
     }
 
-    /// Shows the progress of the run on the terminal.
+    /// Prints the progress of the run to standard error at regular intervals.
     pub(super) async fn show_progress(self: Rc<Self>, start: Micros, length: Micros, total: usize) {
         loop {
             Timer::after(PROGRESS_INTERVAL).await;
--- a/crates/load-test/src/run/health_checks.rs
+++ b/crates/load-test/src/run/health_checks.rs
@@ -1,4 +1,4 @@
-//! The load balancer's health checks of placers and polls of their agents, for the whole run.
+//! The load balancer's health checks and agent checks of placers, which run for the whole load test.
 
 use super::generator::Generator;
 use super::protocol::{CAUSE, END_ACKNOWLEDGED, RELEASED};
@@ -15,24 +15,24 @@
 
 const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 const CHECK_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Time between checks until the first one passes.
+/// Time between health checks until the first one passes.
 const STARTUP_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// The id of health checks on the wire.
+/// Message id of health checks.
 const CHECK_ID: u64 = 0xfe;
-/// Message types of health checks.
+/// Message types of health checks and their results.
 const CHECK: u8 = 52;
 const CHECK_RESULT: u8 = 53;
 
-/// The connection of the health checks of one placer.
+/// The connection for the health checks of one placer.
 #[derive(Default)]
 struct CheckConnection {
     stream: Option<Async<TcpStream>>,
-    /// Whether it was opened since the last check that passed.
+    /// Whether the connection was opened after the last health check that passed.
     reopened: bool,
 }
 
 impl Generator {
-    /// Checks every placer for the whole run, and polls its agent where the load balancer goes by it.
+    /// Starts the health checks of every placer, and its agent checks if the load balancer uses agent weights.
     pub(super) fn start_health_checks(self: Rc<Self>) {
         for placer in 0..self.placers.len() {
             let generator = self.clone();
@@ -66,7 +66,8 @@
                 .balancer
                 .apply_health_check(placer, result);
             if result == HealthCheckResult::Passed {
-                // After one that broke, a new connection that passes means a new process.
+                // A check that passes on a new connection, after the previous connection failed, means that the placer
+                // has restarted.
                 if has_passed && connection.reopened {
                     let now = self.log.now();
                     self.notify_clients(now, Event::PlacerRestarted(placer), Some(placer));
@@ -103,7 +104,7 @@
         result.unwrap_or(HealthCheckResult::Failed)
     }
 
-    /// Sends a health check and reads its result; none where the connection fails.
+    /// Sends a health check and returns its result, or none if the connection fails.
     async fn exchange_check(
         self: &Rc<Self>,
         placer: usize,
@@ -122,7 +123,7 @@
                         HealthCheckResult::Draining
                     });
                 }
-                // The end of a task may be notified on any connection.
+                // A placer may send the notice of a task's end on any connection.
                 self.handle_message(None, placer, &message);
                 if message.kind == RELEASED {
                     let acknowledgement = encode_message(END_ACKNOWLEDGED, message.id, &[]);
--- a/crates/load-test/src/run/mod.rs
+++ b/crates/load-test/src/run/mod.rs
@@ -1,7 +1,7 @@
-//! A run of a load test: the generator on one thread, the emulated cluster on another, the placers as processes.
+//! Runs a load test: the generator on one thread, the emulated cluster on another, and the placers as processes.
 //!
-//! The generator is an open loop: a task is requested when the plan says, whatever became of those before. Bytes
-//! that a socket does not take wait in memory, and the time counts from when their task was due.
+//! The generator is an open loop: each task is requested when the plan says, whatever the outcome of earlier tasks. Bytes
+//! that a socket does not accept yet are queued in memory, and latencies are measured from when tasks were due.
 
 mod connection;
 mod deployment;
@@ -39,67 +39,67 @@
 
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000_000;
-/// How long all placers may take until they pass their health checks.
+/// Maximum time until all placers pass their health checks.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Time between readiness and the start of the plan.
+/// Time between the readiness of all placers and the start of the plan.
 const START_DELAY: Micros = 100 * MILLISECOND;
 const END_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// How a run is made.
+/// Options of a run that are not part of the plan.
 #[derive(Debug, Clone)]
 pub struct Options {
-    /// The placer's program.
+    /// Path of the placer's executable.
     pub placer: PathBuf,
-    /// This program, as a guard of the placers.
+    /// Path of the program whose `guard` command starts placers so that they are killed with this process, if any.
     pub guard: Option<PathBuf>,
-    /// The folder for files of the run.
+    /// Folder for the configurations and logs of the placers.
     pub folder: PathBuf,
     /// Whether to show the progress on the terminal.
     pub progress: bool,
 }
 
-/// Why a run could not be made.
+/// Why a run failed.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
-    /// A part of the deployment could not be started.
-    #[error("{part}: {source}")]
+    /// A component of the run could not be started.
+    #[error("cannot start {component}: {source}")]
     NotStarted {
-        /// The part.
-        part: String,
-        /// The error of the system.
+        /// Name of the component.
+        component: String,
+        /// The I/O error.
         source: io::Error,
     },
-    /// The placers do not pass their health checks.
-    #[error("placers do not pass their tests; see {}", folder.display())]
+    /// Not all placers passed their health checks in time.
+    #[error("placers do not pass their health checks; see the logs in {}", folder.display())]
     NotReady {
-        /// The folder of their logs.
+        /// Folder of the placers' logs.
         folder: PathBuf,
     },
     /// The thread of the fault injector panicked.
-    #[error("the fault injector ended")]
+    #[error("the fault injector panicked")]
     FaultInjectorPanicked,
-    /// The plan made for the measurement is invalid.
+    /// The plan for the measurement of the generator is invalid.
     #[error(transparent)]
     Plan(#[from] PlanError),
 }
 
-/// Names the part that an error of the system belongs to.
-fn not_started(part: &str) -> impl FnOnce(io::Error) -> RunError {
-    let part = part.to_string();
-    move |source| RunError::NotStarted { part, source }
+/// Returns a function that converts an I/O error to the error that a component could not be started.
+fn not_started(component: &str) -> impl FnOnce(io::Error) -> RunError {
+    let component = component.to_string();
+    move |source| RunError::NotStarted { component, source }
 }
 
 fn micros(duration: Duration) -> Micros {
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
 
-/// How long a run lasts after its start.
+/// Durations of a run, from the start of the plan.
 #[derive(Debug, Clone, Copy)]
 struct RunLength {
-    /// Until the last arrival and the end of the load profile.
+    /// Time until the last arrival and the end of the load profile.
     load: Micros,
-    /// Until clients give up what is still open.
+    /// Time until clients stop waiting for open tasks.
     with_drain: Micros,
 }
 
@@ -118,18 +118,18 @@
 ///
 /// # Errors
 ///
-/// A part of the deployment could not be started, or the placers do not become ready.
+/// A component of the run could not be started, or the placers do not become ready.
 pub fn run(plan: &Plan, options: &Options) -> Result<Outcome, RunError> {
     let profile = plan.load_profile();
     let arrivals = arrivals(plan, &profile);
     run_arrivals(plan, profile, &arrivals, options)
 }
 
-/// Runs a plan with these arrivals in place of its own, as for a trace.
+/// Runs a plan with the given arrivals instead of its own, such as those of a trace.
 ///
 /// # Errors
 ///
-/// A part of the deployment could not be started, or the placers do not become ready.
+/// A component of the run could not be started, or the placers do not become ready.
 pub fn run_arrivals(
     plan: &Plan,
     profile: LoadProfile,
@@ -145,7 +145,8 @@
         executor.clone(),
         deployment.placers.clone(),
     ));
-    let signals = Signals::new([Signal::Int, Signal::Term]).map_err(not_started("signals"))?;
+    let signals =
+        Signals::new([Signal::Int, Signal::Term]).map_err(not_started("the signal handlers"))?;
     let generation = generate(&generator, injector, &profile, arrivals, options, signals);
     let run = future::block_on(executor.run(generation))?;
     if options.progress {
@@ -155,7 +156,8 @@
     Ok(evaluate(plan, profile, deployment, run, &state, &log))
 }
 
-/// Waits for the placers, then generates load and injects faults until the run is over or a signal ends it.
+/// Waits until the placers are ready, then generates load and injects faults until the run is over or a signal
+/// interrupts it.
 async fn generate(
     generator: &Rc<Generator>,
     injector: FaultInjector,
@@ -205,7 +207,7 @@
     })
 }
 
-/// Spawns a task of the generator that runs beside the load.
+/// Spawns a task of the generator that runs concurrently with the load.
 fn spawn<F: Future<Output = ()> + 'static>(
     generator: &Rc<Generator>,
     task: impl FnOnce(Rc<Generator>) -> F,
@@ -229,7 +231,7 @@
     ready.or(timeout).await
 }
 
-/// Waits until clients have no open tasks, or their time is over.
+/// Waits until clients have no open tasks, or the drain time is over.
 async fn wait_for_clients(generator: &Rc<Generator>, start: Micros, length: RunLength) {
     let deadline = generator.log.instant(start + length.with_drain);
     while Instant::now() < deadline && generator.state.borrow().clients.open_count() > 0 {
@@ -237,8 +239,8 @@
     }
 }
 
-/// Measures how late the generator is at a rate, alone on a core: its clients connect to a listener that reads
-/// everything and answers nothing, on another thread.
+/// Measures the lateness of the generator at a rate. The clients connect to a listener on another thread, which reads
+/// everything and answers nothing, so that the generator has a core to itself.
 ///
 /// # Errors
 ///
@@ -281,7 +283,7 @@
     Ok(lateness)
 }
 
-/// Starts a listener that reads everything and answers nothing.
+/// Starts a listener that reads everything and answers nothing, and returns its address.
 fn start_sink() -> io::Result<SocketAddr> {
     let listener = TcpListener::bind("127.0.0.1:0")?;
     let address = listener.local_addr()?;
--- a/crates/load-test/src/run/protocol.rs
+++ b/crates/load-test/src/run/protocol.rs
@@ -1,4 +1,4 @@
-//! The client's side of the protocol: requests as bytes, and what notices mean.
+//! The client side of the protocol: encodes requests and interprets notices.
 
 use super::MILLISECOND;
 use crate::arrivals::Arrival;
@@ -11,13 +11,13 @@
 use emulator::event_log::{ClientNotice, Event as LogEvent, fingerprint};
 use emulator::host_model::Offer;
 
-/// Message types.
+/// Types of messages.
 const REQUEST: u8 = 1;
 pub(super) const PLACED: u8 = 9;
 pub(super) const RELEASED: u8 = 12;
 pub(super) const END_ACKNOWLEDGED: u8 = 16;
 pub(super) const MIGRATED: u8 = 51;
-/// Parameters.
+/// Parameters of messages.
 const CLASS: u8 = 129;
 const WAIT_MS: u8 = 132;
 const TENANT: u8 = 135;
@@ -27,28 +27,28 @@
 pub(super) const RETRY_AFTER_MS: u8 = 147;
 pub(super) const CAUSE: u8 = 171;
 pub(super) const DESCRIPTION: u8 = 174;
-/// Causes.
+/// Causes of a release.
 const CAUSE_COMPLETE: u8 = 16;
 pub(super) const CANCELLED: u8 = 16;
 
-/// Whether a cause says that a request was rejected without effect.
+/// Returns whether a cause means that a request was rejected without effect.
 pub(super) fn is_rejection(cause: u8) -> bool {
     matches!(cause, 34 | 42 | 102)
 }
 
-/// The number of a service on the wire.
+/// Returns the number that identifies the service of an arrival in requests.
 fn service_number(arrival: &Arrival) -> u64 {
     ((arrival.class as u64 + 1) << 32) | (u64::from(arrival.service) + 1)
 }
 
-/// A request as it was sent.
+/// A request that was sent, kept so that it can be sent again.
 #[derive(Clone)]
 pub(super) struct SentRequest {
     pub(super) key: u64,
     pub(super) bytes: Vec<u8>,
-    /// What the event log records once it is written.
+    /// Event to record in the event log once the request is written completely.
     pub(super) event: LogEvent,
-    /// Whether it was sent again on another connection.
+    /// Whether the request was sent again on another connection.
     pub(super) was_resent: bool,
 }
 
@@ -58,21 +58,21 @@
     pub(super) wait: Micros,
     pub(super) placer: usize,
     pub(super) is_retry: bool,
-    /// The host that already runs the task.
+    /// The host that already runs the task, for a reconnection.
     pub(super) running_at: Option<RunningHost>,
     /// How long the task is still wanted.
     pub(super) run_time: Micros,
 }
 
-/// The host that runs a task.
+/// A host that runs a task.
 pub(super) struct RunningHost {
-    /// Its number in the event log.
+    /// Number of the host in the event log.
     pub(super) number: usize,
-    /// Its name in the endpoint list, if it is known.
+    /// Name of the host in the endpoint list, if known.
     pub(super) name: Option<String>,
 }
 
-/// Encodes a request for a task.
+/// Encodes a request for a task, or for a reconnection to a running task.
 pub(super) fn encode_request(plan: &Plan, task: &TaskRecord, attempt: &Attempt) -> SentRequest {
     let arrival = &task.arrival;
     let class = plan.classes.get(arrival.class);
@@ -130,7 +130,8 @@
     }
 }
 
-/// What a notice means for the client of a request.
+/// Returns what a notice means for the client of a request. `was_open` tells whether the request still waited for its
+/// answer.
 pub(super) fn response(
     notice: ClientNotice,
     was_open: bool,
--- a/crates/load-test/src/run/state.rs
+++ b/crates/load-test/src/run/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of the generator share.
+//! The state that the async tasks of the generator share.
 
 use super::connection::Connection;
 use super::protocol::SentRequest;
@@ -11,15 +11,15 @@
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, HashMap};
 
-/// Maximum lateness that is recorded, in microseconds.
+/// Upper bound of the lateness histogram, in microseconds.
 const MAX_LATENESS_MICROS: u64 = 60_000_000;
-/// Significant digits of the recorded lateness.
+/// Significant digits of the lateness histogram.
 const LATENESS_DIGITS: u8 = 3;
-/// How soon clients of lost tasks request them again.
-const MIN_RECONNECT_DELAY: Micros = 50 * MILLISECOND;
-const MAX_RECONNECT_DELAY: Micros = SECOND;
+/// Minimum and maximum time after which clients request lost or migrated tasks again.
+const MIN_REREQUEST_DELAY: Micros = 50 * MILLISECOND;
+const MAX_REREQUEST_DELAY: Micros = SECOND;
 
-/// What the tasks of the generator share.
+/// The shared state of the generator.
 pub(super) struct GeneratorState {
     pub(super) clients: Clients,
     pub(super) balancer: ZonalLoadBalancer,
@@ -27,9 +27,9 @@
     pub(super) next_connection: u64,
     pub(super) tasks: HashMap<u64, TaskRecord>,
     pub(super) sent: HashMap<u64, SentRequest>,
-    /// How late tasks were requested, in microseconds.
+    /// How late the generator requested tasks, in microseconds.
     pub(super) lateness: Histogram<u64>,
-    /// Counts requests, to spread those without a placer that is up.
+    /// Number of requests so far, by which requests rotate among placers when none is up.
     pub(super) request_count: usize,
 }
 
@@ -43,7 +43,7 @@
             retry_budget: clients.retry_budget,
             retry_after_compliance: clients.retry_after_compliance,
             settle_time: micros(clients.settle_time),
-            reconnect_delay: (MIN_RECONNECT_DELAY, MAX_RECONNECT_DELAY),
+            rerequest_delay: (MIN_REREQUEST_DELAY, MAX_REREQUEST_DELAY),
         };
         let first_id = (plan.seed.wrapping_mul(0x9e37_79b9) << 24) | 1;
         GeneratorState {
@@ -54,7 +54,9 @@
             tasks: HashMap::new(),
             sent: HashMap::new(),
             lateness: Histogram::new_with_bounds(1, MAX_LATENESS_MICROS, LATENESS_DIGITS)
-                .unwrap_or_else(|_| Histogram::new(LATENESS_DIGITS).expect("3 digits")),
+                .unwrap_or_else(|_| {
+                    Histogram::new(LATENESS_DIGITS).expect("valid number of significant digits")
+                }),
             request_count: 0,
         }
     }
--- a/crates/load-test/src/run/transport.rs
+++ b/crates/load-test/src/run/transport.rs
@@ -1,5 +1,5 @@
-//! The generator's connections on their sockets: which one a message goes out on, reading and writing, and what the
-//! end of a connection means for the requests on it.
+//! The generator's connections to placers: chooses the connection for a message, reads and writes sockets, and handles
+//! the requests of connections that end.
 
 use super::MILLISECOND;
 use super::connection::Connection;
@@ -15,22 +15,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A request written so shortly before the placer closed the connection is sent again, once.
-const CROSSING_WINDOW: Micros = 50 * MILLISECOND;
+/// A request that was written at most this long before the placer closed the connection is sent again, once, since the
+/// close may have crossed it in flight.
+const RESEND_WINDOW: Micros = 50 * MILLISECOND;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_000);
 const READ_BUFFER_BYTES: usize = 16 * 1024;
 
 /// How a connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ConnectionEnd {
-    /// The placer closed it without an error, or it was idle.
+    /// The placer closed the connection without an error, or the generator closed it because it was idle.
     Closed,
-    /// It failed, or never came up.
+    /// The connection failed, or could not be established.
     Failed,
 }
 
 impl Generator {
-    /// Writes to the placer of an open request, on the connection that carries it.
+    /// Queues a message on the connection that carries an open request, which is no longer open afterwards.
     pub(super) fn send_on_request_connection(&self, id: u64, bytes: &[u8]) {
         let mut state = self.state.borrow_mut();
         let connection = state
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Queues a request on a connection to a placer. Returns the connection.
+    /// Queues a request on a connection to a placer, and returns the connection's id.
     pub(super) fn send_request(self: &Rc<Self>, placer: usize, id: u64, bytes: &[u8]) -> u64 {
         let chosen = self.pick_connection(placer);
         let mut state = self.state.borrow_mut();
@@ -53,7 +54,7 @@
         chosen
     }
 
-    /// Queues a message that is not answered on a connection to a placer. Returns the connection.
+    /// Queues a message that is not answered on a connection to a placer, and returns the connection's id.
     pub(super) fn send_message(self: &Rc<Self>, placer: usize, bytes: &[u8]) -> u64 {
         let chosen = self.pick_connection(placer);
         let mut state = self.state.borrow_mut();
@@ -63,7 +64,8 @@
         chosen
     }
 
-    /// The least busy connection to a placer, or a new one where all are busy and there may be more.
+    /// Returns the connection to a placer with the fewest requests, or a new one if all have requests and the maximum
+    /// number of connections is not reached.
     fn pick_connection(self: &Rc<Self>, placer: usize) -> u64 {
         let existing = {
             let state = self.state.borrow();
@@ -83,7 +85,7 @@
         existing.unwrap_or_else(|| self.open_connection(placer))
     }
 
-    /// Opens a connection; what is sent meanwhile waits for it.
+    /// Opens a connection and returns its id. Messages are queued until the connection is established.
     fn open_connection(self: &Rc<Self>, placer: usize) -> u64 {
         let (wake, woken) = async_channel::bounded(1);
         let id = {
@@ -146,7 +148,8 @@
         }
     }
 
-    /// Writes what is queued, and records the requests that are complete. Ends where the connection is idle.
+    /// Writes queued bytes, and records the requests that are written completely. Returns when the connection is idle or
+    /// fails.
     async fn write_queue(
         self: &Rc<Self>,
         id: u64,
@@ -199,7 +202,7 @@
         }
     }
 
-    /// Handles the end of a connection. Requests that were written completely may have been accepted.
+    /// Handles the end of a connection. Requests that were written completely may have been accepted by the placer.
     fn connection_ended(self: &Rc<Self>, id: u64, placer: usize, end: ConnectionEnd) {
         let now = self.log.now();
         let Some(connection) = self.state.borrow_mut().connections.remove(&id) else {
@@ -213,8 +216,13 @@
             self.notify_clients(now, Event::RequestUnsent(id), None);
         }
         for (id, written_at) in requests.written {
-            let crossed = end == ConnectionEnd::Closed && now - written_at <= CROSSING_WINDOW;
-            let resend = if crossed { self.take_resend(id) } else { None };
+            let may_have_crossed =
+                end == ConnectionEnd::Closed && now - written_at <= RESEND_WINDOW;
+            let resend = if may_have_crossed {
+                self.take_resend(id)
+            } else {
+                None
+            };
             match resend {
                 Some(bytes) => {
                     self.send_request(placer, id, &bytes);
@@ -227,7 +235,7 @@
         }
     }
 
-    /// The bytes of a request that was not sent again yet.
+    /// Returns the bytes of a request that has not been sent again yet, and marks it as sent again.
     fn take_resend(&self, id: u64) -> Option<Vec<u8>> {
         let mut state = self.state.borrow_mut();
         let sent = state.sent.get_mut(&id).filter(|sent| !sent.was_resent)?;
