--- a/crates/load-test/src/load_profile/parser.rs
+++ b/crates/load-test/src/load_profile/parser.rs
@@ -229,7 +229,8 @@
     Ok(profile)
 }
 
-/// Appends items to a profile and expands repeats. `last_rate` is the rate that `hold`, `rise` and `fall` continue from.
+/// Appends items to a profile and expands repeats. `last_rate` is the rate that `hold`, `rise` and `fall` continue
+/// from.
 fn append_items(
     items: &[Item],
     group_name: Option<&str>,
--- a/crates/load-test/src/plan/mod.rs
+++ b/crates/load-test/src/plan/mod.rs
@@ -40,9 +40,9 @@
     /// Names of the zones that placers, hosts and clients are spread over.
     #[serde(rename = "rooms")]
     pub zones: Vec<String>,
-    /// The placers.
+    /// The placers under test.
     pub placers: Placers,
-    /// The hosts.
+    /// The emulated hosts.
     pub hosts: Hosts,
     /// The service discovery feed.
     pub feed: Feed,
@@ -52,7 +52,7 @@
     /// Tenants that tasks belong to.
     #[serde(rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// When tasks are due.
+    /// When tasks are due, and how they are distributed.
     pub arrivals: Arrivals,
     /// How clients behave. Earlier plans name the table `owners`, which is still read.
     #[serde(alias = "owners")]
--- a/crates/load-test/src/plan/parties.rs
+++ b/crates/load-test/src/plan/parties.rs
@@ -80,9 +80,9 @@
     /// There is no link between a party of one side and a party of the other.
     #[error("no party of \"{from}\" connects to one of \"{to}\", nor the reverse")]
     NotConnected {
-        /// One side.
+        /// Parties of one side.
         from: Parties,
-        /// The other side.
+        /// Parties of the other side.
         to: Parties,
     },
 }
--- a/crates/load-test/src/run/generator.rs
+++ b/crates/load-test/src/run/generator.rs
@@ -243,8 +243,8 @@
         }
     }
 
-    /// Handles a message from a placer. `connection` is none for a message that was read on the connection of the health
-    /// checks.
+    /// Handles a message from a placer. `connection` is none for a message that was read on the connection of the
+    /// health checks.
     pub(super) fn handle_message(
         self: &Rc<Self>,
         connection: Option<u64>,
--- a/crates/load-test/src/run/mod.rs
+++ b/crates/load-test/src/run/mod.rs
@@ -1,7 +1,7 @@
 //! Runs a load test: the generator on one thread, the emulated cluster on another, and the placers as processes.
 //!
-//! The generator is an open loop: each task is requested when the plan says, whatever the outcome of earlier tasks. Bytes
-//! that a socket does not accept yet are queued in memory, and latencies are measured from when tasks were due.
+//! The generator is an open loop: each task is requested when the plan says, whatever the outcome of earlier tasks.
+//! Bytes that a socket does not accept yet are queued in memory, and latencies are measured from when tasks were due.
 
 mod connection;
 mod deployment;
--- a/crates/load-test/src/run/state.rs
+++ b/crates/load-test/src/run/state.rs
@@ -54,9 +54,7 @@
             tasks: HashMap::new(),
             sent: HashMap::new(),
             lateness: Histogram::new_with_bounds(1, MAX_LATENESS_MICROS, LATENESS_DIGITS)
-                .unwrap_or_else(|_| {
-                    Histogram::new(LATENESS_DIGITS).expect("valid number of significant digits")
-                }),
+                .unwrap_or_else(|_| Histogram::new(LATENESS_DIGITS).expect("valid precision")),
             request_count: 0,
         }
     }
--- a/crates/load-test/src/run/transport.rs
+++ b/crates/load-test/src/run/transport.rs
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Writes queued bytes, and records the requests that are written completely. Returns when the connection is idle or
-    /// fails.
+    /// Writes queued bytes, and records the requests that are written completely. Returns when the connection is idle
+    /// or fails.
     async fn write_queue(
         self: &Rc<Self>,
         id: u64,
