--- a/src/descriptors/mod.rs
+++ b/src/descriptors/mod.rs
@@ -1,41 +1,41 @@
 //! Splits the process's file descriptors between clients and hosts, and pools those of the hosts.
 //!
-//! One budget serves all sockets. Clients are guaranteed the third of it that they may hold. Hosts get what is
-//! left, up to what each of them can need; what the hosts cannot need goes to clients again. Pure: nothing here
-//! opens or closes a socket.
+//! All sockets share one budget. Clients are guaranteed a third of it, the share that the protocol allows them.
+//! Hosts get the rest, up to the number that all of them can need; what is left after that goes to clients. This module
+//! is pure computation: it opens and closes no sockets.
 //!
 //! ```text
 //! total = process + reserved + clients + hosts
 //!         process   listener, reactor, signals, log, service discovery
 //!         reserved  load balancers and operators, where the operator's file enables them
-//!         clients   at least a third, and a few connections that are closing
-//!         hosts     at most three for each host: its connection, one beside it, one that is closing
+//!         clients   at least a third, and a few for connections that are closing
+//!         hosts     at most three for each host: its connection, a second one, and one that is closing
 //! ```
 
 mod pool;
 
 pub use pool::{ConnectPurpose, ConnectionPool, ConnectionPriority, SlotDecision};
 
-/// Descriptors that the process always holds: standard streams, the listener, the reactor, signals, the log,
-/// two connections to service discovery, and some that are being opened or closed.
+/// The number of descriptors that the process always needs: for the standard streams, the listener, the reactor,
+/// signals, the log, two connections to service discovery, and some that are being opened or closed.
 pub const PROCESS_DESCRIPTORS: usize = 24;
-/// The most descriptors that one host can need: its connection, one beside it, and one that is closing.
+/// The maximum number of descriptors that one host can need: for its connection, a second one, and one that is closing.
 pub const MAX_DESCRIPTORS_PER_HOST: usize = 3;
-/// Clients hold at most one in so many of all descriptors (the protocol's figure).
+/// The protocol allows clients at most one in this many of all descriptors.
 const CLIENT_FRACTION_DIVISOR: usize = 3;
-/// Client connections that may be closing while others take their places.
+/// The number of client connections that may still be closing while new ones replace them.
 const CLOSING_CLIENTS: usize = 8;
-/// The fewest descriptors for clients, and for hosts: with fewer, no task can be placed.
+/// The minimum number of descriptors for clients and for hosts each. With fewer, no task can be placed.
 const MIN_DESCRIPTORS_PER_SIDE: usize = 4;
-/// The fewest descriptors with which a handful of peers can be served.
+/// The minimum number of descriptors of a process, which suffices for a few clients and hosts.
 pub const MIN_DESCRIPTORS: usize = PROCESS_DESCRIPTORS + 2 * MIN_DESCRIPTORS_PER_SIDE;
 
 /// How the descriptors are split between clients and hosts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DescriptorQuotas {
-    /// For connections of clients, including those that are closing.
+    /// The number of descriptors for connections of clients, including those that are closing.
     pub clients: usize,
-    /// For connections to hosts, including those that are being established or closing.
+    /// The number of descriptors for connections to hosts, including those that are being established or closing.
     pub hosts: usize,
 }
 
--- a/src/descriptors/pool.rs
+++ b/src/descriptors/pool.rs
@@ -1,7 +1,7 @@
 //! Decides which hosts have a connection when there are fewer descriptors than hosts.
 //!
 //! A connection holds a slot from its first connect call until its descriptor is closed. While slots are free,
-//! every request for a connection gets one. When none is free, a request that is needed evicts the connection
+//! every request for a connection gets one. When none is free, a request (other than a prewarm) evicts the connection
 //! with the lowest priority and waits for its slot:
 //!
 //! ```text
@@ -14,11 +14,11 @@
 //!              and within a purpose the one that has waited longest
 //! ```
 //!
-//! A prewarm evicts nothing and does not wait. `ReadTaskEnds` is for a host with running tasks, whose ends are
-//! reported over a connection only: it evicts the connection of another such host only after
-//! [`MIN_RESIDENCE`], so that all of them get their turn.
+//! A prewarm evicts nothing and does not wait. `ReadTaskEnds` is for a host with running tasks, which can report their
+//! ends only over a connection. It evicts the connection of another such host only once that has not been used for
+//! [`MIN_RESIDENCE`], so that all of them get a connection in turn.
 //!
-//! The pool opens and closes no connection: its caller does, and reports it.
+//! The pool opens and closes no connections itself: its caller does, and reports it to the pool.
 
 use crate::Micros;
 use std::cmp::Reverse;
@@ -27,43 +27,43 @@
 /// How long a host with running tasks keeps its connection, to report their ends, before a request to read
 /// task ends from another host may evict it.
 pub const MIN_RESIDENCE: Micros = 250_000;
-/// One in so many slots is kept free for requests that are needed: a prewarm does not take it.
+/// One in this many slots is kept free for other requests: a prewarm can't take it.
 const SPARE_FRACTION_DIVISOR: usize = 8;
 
-/// What a connection is used for. The lowest priority is evicted first.
+/// How much a connection is needed. Connections of the lowest priority are evicted first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectionPriority {
-    /// Another connection to its host has replaced it, and nothing is in flight on it.
+    /// Another connection to the same host has replaced it, and nothing is in flight on it.
     Replaced,
-    /// No task runs at its host.
+    /// The host has no running tasks.
     Idle,
-    /// Tasks run at its host.
+    /// The host has running tasks.
     HasRunningTasks,
     /// An attempt is in flight on it.
     Busy,
 }
 
-/// What a new connection is needed for. The highest purpose is served first.
+/// What a new connection is needed for. Requests of the highest purpose are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectPurpose {
-    /// The host may be needed soon.
+    /// The host may be needed soon, so that an open connection would save time.
     Prewarm,
-    /// Tasks run at the host, and it may have ends to report.
+    /// The host has running tasks, and may have to report that some have ended.
     ReadTaskEnds,
     /// The host must be notified that a task was released.
     ReportRelease,
-    /// An attempt is waiting.
+    /// An attempt is waiting to be sent to the host.
     SendAttempt,
 }
 
-/// The answer to a request for a connection.
+/// The pool's decision about a request for a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SlotDecision {
-    /// A slot is free: connect now.
+    /// A slot is free: the caller connects now.
     Connect,
-    /// The request waits; [`ConnectionPool::evict`] returns what to close for it.
+    /// The request waits for a slot; [`ConnectionPool::evict`] returns the connection to close for it.
     Wait,
-    /// No slot is free, and the request does not wait.
+    /// No slot is free for a prewarm, and the request is dropped.
     Skip,
 }
 
@@ -71,20 +71,21 @@
 struct Slot {
     priority: ConnectionPriority,
     last_used: Micros,
-    /// It is being closed, and is no eviction candidate any more.
+    /// Whether the connection is being closed, and thus no longer an eviction candidate.
     closing: bool,
 }
 
-/// The slots, and the requests that wait for one. `H` names a host, `C` one connection to it.
+/// The slots, and the requests that wait for one. `H` identifies a host, `C` a connection to a host.
 #[derive(Debug)]
 pub struct ConnectionPool<H, C> {
     capacity: usize,
     slots: BTreeMap<C, Slot>,
-    /// Connections that may be closed, the next to evict first.
+    /// The connections that are not being closed yet, in the order in which they are evicted.
     eviction_candidates: BTreeSet<(ConnectionPriority, Micros, C)>,
     closing_slots: usize,
+    /// The purpose of each waiting request, and since when it waits.
     waiting: BTreeMap<H, (ConnectPurpose, Micros)>,
-    /// The waiting requests, the next to serve first.
+    /// The waiting requests in the order in which they are served.
     queue: BTreeSet<(Reverse<ConnectPurpose>, Micros, H)>,
 }
 
@@ -101,7 +102,7 @@
         }
     }
 
-    /// Sets the number of slots. [`ConnectionPool::evict`] returns the connections in excess.
+    /// Sets the number of slots. [`ConnectionPool::evict`] then returns the connections that exceed it.
     pub fn set_capacity(&mut self, capacity: usize) {
         self.capacity = capacity;
     }
@@ -122,7 +123,8 @@
         self.waiting.is_empty() && self.slots.len() < self.capacity - spare
     }
 
-    /// Requests a connection to a host. A request that waits already keeps its age, and its purpose is raised.
+    /// Requests a connection to a host. If a request for this host already waits, it keeps its waiting time and takes
+    /// the higher of both purposes.
     pub fn request_slot(&mut self, now: Micros, host: H, purpose: ConnectPurpose) -> SlotDecision {
         if purpose == ConnectPurpose::Prewarm {
             return if self.has_spare_capacity() {
@@ -142,12 +144,13 @@
         SlotDecision::Wait
     }
 
-    /// Picks a connection to close, if a waiting request has no slot coming or the capacity is exceeded.
+    /// Returns a connection to close, if the capacity is exceeded or a waiting request has neither a free slot nor one
+    /// that is being released.
     ///
-    /// To be called until it returns `None`, whenever a request waits or a priority falls.
+    /// The caller repeats the call until it returns `None`, whenever a request begins to wait or a priority is lowered.
     pub fn evict(&mut self, now: Micros) -> Option<C> {
         let open = self.slots.len().saturating_sub(self.closing_slots);
-        // The first waiting requests have slots that are free or about to be.
+        // The first `available` requests of the queue get the slots that are free or being released.
         let purpose = match self.capacity.checked_sub(open) {
             Some(available) => self.queue.iter().nth(available)?.0.0,
             None => ConnectPurpose::SendAttempt,
@@ -166,14 +169,14 @@
         })
     }
 
-    /// Withdraws the waiting request for a host.
+    /// Withdraws the waiting request for a host, if there is one.
     pub fn cancel_request(&mut self, host: &H) {
         if let Some((purpose, since)) = self.waiting.remove(host) {
             self.queue.remove(&(Reverse(purpose), since, host.clone()));
         }
     }
 
-    /// Takes the next waiting request for which a slot is free, and returns the host to connect to.
+    /// Removes the next waiting request if a slot is free, and returns the host to connect to.
     pub fn next_to_connect(&mut self) -> Option<H> {
         if self.slots.len() >= self.capacity {
             return None;
@@ -183,7 +186,7 @@
         Some(host)
     }
 
-    /// Records that a connection holds a slot. Until it is established it counts as busy.
+    /// Records that a connection holds a slot. It counts as busy until its priority is set.
     pub fn occupy(&mut self, now: Micros, conn: C) {
         let slot = Slot {
             priority: ConnectionPriority::Busy,
@@ -195,7 +198,7 @@
         self.slots.insert(conn, slot);
     }
 
-    /// Sets the priority of a connection, and the time of its last use if it has just been used.
+    /// Sets the priority of a connection, and the time of its last use if `used_at` is given.
     pub fn set_priority(
         &mut self,
         conn: &C,
@@ -216,7 +219,7 @@
             .insert((priority, last_used, conn.clone()));
     }
 
-    /// Records that a connection is being closed; its slot is released later.
+    /// Records that a connection is being closed. It holds its slot until [`ConnectionPool::release`].
     pub fn mark_closing(&mut self, conn: &C) {
         if let Some(slot) = self.slots.get_mut(conn).filter(|slot| !slot.closing) {
             slot.closing = true;
@@ -226,7 +229,7 @@
         }
     }
 
-    /// Records that a connection's descriptor was closed.
+    /// Records that the descriptor of a connection was closed, and frees its slot.
     pub fn release(&mut self, conn: &C) {
         if let Some(slot) = self.slots.remove(conn) {
             if slot.closing {
--- a/src/descriptors/pool/tests.rs
+++ b/src/descriptors/pool/tests.rs
@@ -5,7 +5,7 @@
 
 const MILLISECOND: Micros = 1_000;
 
-/// A pool whose connections 0, 1, ... have these priorities and were used in this order.
+/// Returns a pool whose connections 0, 1, ... have these priorities and were last used in this order.
 fn pool_with(capacity: usize, priorities: &[ConnectionPriority]) -> ConnectionPool<u32, u32> {
     let mut pool = ConnectionPool::new(capacity);
     for (conn, priority) in priorities.iter().enumerate() {
@@ -75,7 +75,7 @@
     assert_eq!(
         pool_with(8, &busy).request_slot(0, 9, ConnectPurpose::Prewarm),
         SlotDecision::Skip,
-        "one in eight is kept"
+        "one in eight slots is kept free"
     );
 }
 
@@ -90,7 +90,7 @@
     ] {
         assert_eq!(pool.request_slot(now, host, purpose), SlotDecision::Wait);
     }
-    // A higher purpose moves the request up, and it keeps its age.
+    // A higher purpose moves a waiting request up in the queue, and the request keeps its waiting time.
     assert_eq!(
         pool.request_slot(5, 1, ConnectPurpose::SendAttempt),
         SlotDecision::Wait
@@ -109,10 +109,18 @@
 
     pool.request_slot(1, 7, ConnectPurpose::SendAttempt);
     assert_eq!(pool.evict(1), Some(0));
-    assert_eq!(pool.evict(1), None, "its slot is about to be free");
+    assert_eq!(
+        pool.evict(1),
+        None,
+        "the slot of the evicted connection is being released"
+    );
 
     pool.request_slot(1, 7, ConnectPurpose::SendAttempt);
-    assert_eq!(pool.evict(1), None, "it is the same request");
+    assert_eq!(
+        pool.evict(1),
+        None,
+        "a repeated request needs no second slot"
+    );
 
     pool.request_slot(1, 8, ConnectPurpose::SendAttempt);
     assert_eq!((pool.evict(1), pool.evict(1)), (Some(1), None));
@@ -154,7 +162,7 @@
     ConnectionPriority::Busy,
 ];
 
-/// A pool with the connections that its caller has open.
+/// A caller of the pool, with the connections that it has open.
 struct Caller {
     pool: ConnectionPool<u32, u32>,
     open: BTreeMap<u32, ConnectionPriority>,
@@ -184,7 +192,10 @@
         }
         while let Some(conn) = self.pool.evict(now) {
             assert_ne!(self.open[&conn], ConnectionPriority::Busy);
-            assert!(self.closing.insert(conn), "evicted once");
+            assert!(
+                self.closing.insert(conn),
+                "a connection is evicted only once"
+            );
         }
     }
 
@@ -225,8 +236,8 @@
 }
 
 proptest! {
-    /// Whatever happens, no more connections are opened than there are slots, a busy one is never evicted,
-    /// and a waiting request is served once slots are released.
+    /// Guards the invariants of the pool under random calls: connections never exceed the slots, no busy connection is
+    /// evicted, and every waiting request is served once slots are released.
     #[test]
     fn capacity_is_kept_and_every_waiting_request_is_served(
         capacity in 1usize..6,
--- a/src/descriptors/tests.rs
+++ b/src/descriptors/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the split between clients and hosts.
+//! Tests of the split of descriptors between clients and hosts.
 
 use super::*;
 
--- a/src/net/admin.rs
+++ b/src/net/admin.rs
@@ -1,5 +1,5 @@
-//! Owns the listener where operators and the platform connect: one command a connection, one line, and its reply. What
-//! a command does is up to dispatch.
+//! The admin listener, to which operators and the platform connect. A connection carries one command, which is a single
+//! line, and its reply. Dispatch executes the commands.
 
 use super::clients::accept_fault::pause_after_accept_error;
 use super::codec;
@@ -18,21 +18,21 @@
 use task_placer::operation::admin;
 use tracing::{debug, info};
 
-/// How long a peer may take for its command, and to read its reply and close.
+/// How long a connection may stay open: the time for sending the command, reading the reply and closing.
 const CONNECTION_TIMEOUT: Micros = 5_000_000;
 
-/// Why an admin connection ended, as the log names it.
+/// Why an admin connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndReason {
-    /// Its command got a reply.
+    /// The peer's command was answered.
     Answered,
-    /// It sent a line longer than any command.
+    /// The peer sent a line that is longer than any command.
     TooLong,
-    /// The peer closed it before it sent a command.
+    /// The peer closed the connection before it had sent a command.
     Closed,
-    /// The socket failed.
+    /// Reading from or writing to the socket failed.
     Failed,
-    /// It took too long, or its descriptor is needed for another.
+    /// The connection exceeded its timeout, or its descriptor was needed for another one.
     Evicted,
 }
 
@@ -48,11 +48,11 @@
     }
 }
 
-/// Opens the listener, and serves it for the life of the process.
+/// Opens the listener, and serves its connections until the process exits.
 ///
 /// # Errors
 ///
-/// Fails if nothing can listen at the address.
+/// Fails if the address can't be bound.
 pub async fn open(
     address: SocketAddr,
     executor: &Rc<LocalExecutor<'static>>,
@@ -77,32 +77,32 @@
         match listener.accept().await {
             Ok((stream, peer)) => {
                 let dispatch = shared.borrow();
-                let place = limiter.admit(dispatch.clock.now() + CONNECTION_TIMEOUT);
+                let permit = limiter.admit(dispatch.clock.now() + CONNECTION_TIMEOUT);
                 dispatch.task_spawner.spawn(serve(
                     stream,
                     peer,
-                    place,
+                    permit,
                     limiter.clone(),
                     shared.clone(),
                 ));
             }
             Err(e) => pause_after_accept_error(&shared, &e).await,
         }
-        // Evicted connections give their descriptors back before the next is accepted.
+        // Lets evicted connections close their descriptors before the next connection is accepted.
         future::yield_now().await;
     }
 }
 
-/// Serves one connection until it ends or is evicted.
+/// Serves a connection until it ends or is evicted, and logs why it ended.
 async fn serve(
     stream: Async<TcpStream>,
     peer: SocketAddr,
-    place: ConnectionPermit,
+    permit: ConnectionPermit,
     limiter: Rc<ConnectionLimiter>,
     shared: SharedDispatch,
 ) {
     let evicted = async {
-        place.evicted().await;
+        permit.evicted().await;
         EndReason::Evicted
     };
     let served = async {
@@ -111,15 +111,15 @@
         reason
     };
     let reason = future::or(served, evicted).await;
-    limiter.release(&place);
-    // The platform checks ten times a second.
+    limiter.release(&permit);
+    // Answered commands are logged at debug level only, because the platform sends a health check ten times a second.
     match reason {
         EndReason::Answered => debug!(%peer, %reason, "admin connection ended"),
         _ => info!(%peer, %reason, "admin connection ended"),
     }
 }
 
-/// Reads one command, runs it, and writes its reply.
+/// Reads a command, executes it, and writes its reply.
 async fn serve_command(mut stream: &Async<TcpStream>, shared: &SharedDispatch) -> EndReason {
     let (reply, reason) = match read_command(stream).await {
         Ok(Some(line)) => {
@@ -138,7 +138,7 @@
     }
 }
 
-/// Reads one line, or returns none if it is longer than any command.
+/// Reads a line, and returns it without its line feed, or `None` if it is longer than any command.
 async fn read_command(mut stream: &Async<TcpStream>) -> Result<Option<Vec<u8>>, EndReason> {
     let (mut inbox, mut buffer) = (Vec::new(), [0; admin::MAX_COMMAND_BYTES]);
     loop {
--- a/src/net/codec/binary.rs
+++ b/src/net/codec/binary.rs
@@ -1,6 +1,7 @@
 //! The binary messages that clients and placers exchange.
 //!
-//! `length:2 type:1 task:8 parameters`, each parameter `code:1 length:2 value`, all big-endian.
+//! A message is `length:2 type:1 task:8 parameters`, and each parameter is `code:1 length:2 value`. The numbers are
+//! field sizes in bytes; all integers are big-endian.
 
 use super::{Cause, MAX_MESSAGE_BYTES, Malformed, TaskId, TaskRequest};
 use std::sync::Arc;
@@ -8,14 +9,15 @@
 use task_placer::settings::{millis_to_micros, parse_number};
 use task_placer::{HostId, Micros};
 
-/// Bytes of the length field, which does not count itself.
+/// Size of a length field in bytes. The length of a message does not include the field itself.
 const LENGTH_BYTES: usize = 2;
-/// Bytes of the type and the task, the least that a length may count.
+/// Size of the type and the task id in bytes, the smallest valid length of a message.
 const MIN_BODY_BYTES: usize = 9;
-/// The longest wait of a client that is taken over, a day: later sums of times stay far from their limits.
+/// The maximum wait of a client in milliseconds, one day. Longer waits are reduced to it, so that later sums of times
+/// can't overflow.
 const MAX_WAIT_MS: f64 = 86_400_000.0;
 
-/// The type field, by the terms of the code.
+/// Values of the type field. Comments give the protocol's name where it differs.
 mod kind {
     /// "set-up"
     pub const TASK_REQUEST: u8 = 1;
@@ -32,7 +34,7 @@
     pub const HEALTH_CHECK_RESULT: u8 = 53;
 }
 
-/// The codes of parameters, by the terms of the code.
+/// Parameter codes. Comments give the protocol's name where it differs.
 mod code {
     pub const CLASS: u8 = 129;
     pub const WAIT: u8 = 132;
@@ -52,23 +54,24 @@
 pub enum ClientMessage {
     /// A request to place or adopt a task ("set-up" on the wire).
     TaskRequest(Box<TaskRequest>),
-    /// Such a request that can't be read; the rest of the connection can.
+    /// A task request with a missing or invalid field. The messages after it can still be read.
     InvalidTaskRequest(Malformed),
-    /// It cancels the request, or ends the task, with this cause.
+    /// Cancels the request or ends the running task, with this cause.
     Release(Cause),
     /// A health check ("test" on the wire).
     HealthCheck,
-    /// It acknowledges a release ("heard" on the wire).
+    /// Acknowledges a release that the placer sent ("heard" on the wire).
     ReleaseAck,
-    /// A message of another type.
+    /// A message of an unknown type.
     Other,
 }
 
-/// Reads the first message of `bytes`, and returns its task, its content and its length, or none if more must arrive.
+/// Decodes the first message of `bytes`, and returns its task, its content and its total length in bytes, or `None` if
+/// the message is still incomplete.
 ///
 /// # Errors
 ///
-/// Fails if no message can begin like this.
+/// Fails if the bytes are not the start of a valid message.
 pub fn read(bytes: &[u8]) -> Result<Option<(TaskId, ClientMessage, usize)>, Malformed> {
     let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
@@ -106,7 +109,7 @@
     })
 }
 
-/// The parameters of a message, in their order.
+/// The parameters of a message as (code, value) pairs, in message order.
 struct Parameters<'a>(Vec<(u8, &'a [u8])>);
 
 impl<'a> Parameters<'a> {
@@ -129,19 +132,19 @@
         parameter.map(|(_, value)| *value)
     }
 
-    /// Returns a parameter as text, if the message has it.
+    /// Returns a parameter as text, or `None` if the message does not have it.
     fn text(&self, code: u8, name: &'static str) -> Result<Option<&'a str>, Malformed> {
         let value = self.find(code).map(std::str::from_utf8);
         value.transpose().map_err(|_| Malformed::Field(name))
     }
 
-    /// Returns a parameter as text that the message must have.
+    /// Returns a parameter as text, and fails if the message does not have it.
     fn required_text(&self, code: u8, name: &'static str) -> Result<&'a str, Malformed> {
         self.text(code, name)?.ok_or(Malformed::Field(name))
     }
 }
 
-/// The attributes of a task, `name:value;...` ("figures" on the wire).
+/// The attributes of a task, written as `name:value;...` ("figures" on the wire).
 struct Attributes<'a>(&'a str);
 
 impl<'a> Attributes<'a> {
@@ -152,7 +155,7 @@
             .map(|(_, value)| value)
     }
 
-    /// Returns an amount of resources, at least 0.
+    /// Returns an amount of a resource, and fails if it is missing, invalid or negative.
     fn amount(&self, name: &'static str) -> Result<f64, Malformed> {
         let value = self.find(name).and_then(parse_number);
         value
@@ -193,7 +196,8 @@
     })
 }
 
-/// Returns how long the client waits for its response; a request to adopt a running task need not state it.
+/// Returns how long the client waits for its response. A request to adopt a running task may omit the parameter, which
+/// then counts as 0.
 fn client_wait(parameters: &Parameters<'_>, is_adoption: bool) -> Result<Micros, Malformed> {
     let wait_ms = match parameters.text(code::WAIT, "wait")? {
         None if is_adoption => 0.0,
@@ -209,7 +213,8 @@
     u64::from_str_radix(text, 16).map_err(|_| Malformed::Field(name))
 }
 
-/// Encodes a message. Values come from messages that were short enough themselves.
+/// Encodes a message. Lengths fit into their fields, because the values come from messages that did not exceed
+/// [`MAX_MESSAGE_BYTES`].
 fn message(kind: u8, task: TaskId, parameters: &[(u8, &[u8])]) -> Vec<u8> {
     let values = parameters.iter().map(|(_, value)| 3 + value.len());
     let length = MIN_BODY_BYTES + values.sum::<usize>();
@@ -231,8 +236,8 @@
     message(kind::TASK_STARTED, task, &[description])
 }
 
-/// Encodes a rejection, a failure or the end of a task, with the time after which to retry ("stay away" on the wire)
-/// where one is given.
+/// Encodes a rejection, a failure or the end of a task, with the time after which the client may retry ("stay away" on
+/// the wire), if one is given.
 pub fn release(task: TaskId, cause: Cause, retry_after_ms: Option<u64>) -> Vec<u8> {
     let retry_after = retry_after_ms.map(|ms| ms.to_string());
     let mut parameters = vec![(code::CAUSE, std::slice::from_ref(&cause.0))];
@@ -246,7 +251,7 @@
     message(kind::RELEASE_ACK, task, &[])
 }
 
-/// Encodes that a task migrates, so that its client requests it again ("move" on the wire).
+/// Encodes the notification that a task migrates, on which its client requests the task again ("move" on the wire).
 pub fn migrate(task: TaskId) -> Vec<u8> {
     message(kind::MIGRATE, task, &[])
 }
--- a/src/net/codec/binary/tests.rs
+++ b/src/net/codec/binary/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `binary.rs`.
+//! Tests of the binary messages.
 
 use super::*;
 
@@ -24,7 +24,7 @@
     let Ok(Some((task, ClientMessage::TaskRequest(task_request), length))) =
         read(&request_bytes(&GOOD))
     else {
-        panic!("not read")
+        panic!("the request is not read")
     };
     assert_eq!((task, length), (TaskId(0x9b1f), request_bytes(&GOOD).len()));
     let placement = PlacementRequest {
@@ -49,12 +49,12 @@
 fn partial_message_waits_for_its_rest() {
     let whole = request_bytes(&GOOD);
     for end in 0..whole.len() {
-        assert_eq!(read(&whole[..end]), Ok(None), "{end} bytes");
+        assert_eq!(read(&whole[..end]), Ok(None), "first {end} bytes");
     }
-    let two = [whole.clone(), release_ack(TaskId(7))].concat();
-    assert!(matches!(read(&two), Ok(Some((TaskId(0x9b1f), _, n))) if n == whole.len()));
+    let two_messages = [whole.clone(), release_ack(TaskId(7))].concat();
+    assert!(matches!(read(&two_messages), Ok(Some((TaskId(0x9b1f), _, n))) if n == whole.len()));
     assert_eq!(
-        read(&two[whole.len()..]),
+        read(&two_messages[whole.len()..]),
         Ok(Some((TaskId(7), ClientMessage::ReleaseAck, 11)))
     );
 }
@@ -72,15 +72,15 @@
         (5, Some(b""), "service"),
         (6, Some(b"\xc3("), "description"),
     ];
-    for (place, value, field) in cases {
+    for (index, value, field) in cases {
         let mut parameters = GOOD.to_vec();
         match value {
-            Some(value) => parameters[place].1 = value,
-            None => drop(parameters.remove(place)),
+            Some(value) => parameters[index].1 = value,
+            None => drop(parameters.remove(index)),
         }
         let read = read(&request_bytes(&parameters))
-            .expect("a message")
-            .expect("a whole one");
+            .expect("a valid message")
+            .expect("a complete message");
         assert_eq!(
             read.1,
             ClientMessage::InvalidTaskRequest(Malformed::Field(field)),
@@ -106,8 +106,13 @@
             Malformed::Field("cause"),
         ),
     ];
-    for (bytes, why) in broken {
-        assert_eq!(read(bytes), Err(why), "{:?}", &bytes[..bytes.len().min(16)]);
+    for (bytes, reason) in broken {
+        assert_eq!(
+            read(bytes),
+            Err(reason),
+            "{:?}",
+            &bytes[..bytes.len().min(16)]
+        );
     }
 }
 
--- a/src/net/codec/feed.rs
+++ b/src/net/codec/feed.rs
@@ -1,4 +1,4 @@
-//! The lines of the service discovery feed, and the same events in the configuration.
+//! Decodes the events of the service discovery feed, which come as JSON lines or as a part of the configuration.
 
 use super::Malformed;
 use super::lines::number;
@@ -9,71 +9,73 @@
 use task_placer::settings::{Names, millis_to_micros};
 use task_placer::{CellId, Endpoint, EndpointState, HostId, KindId, ZoneId};
 
-/// Hosts that an endpoint list may name.
+/// The maximum number of hosts in an endpoint list.
 const MAX_HOSTS: usize = 16_384;
-/// Bytes that an entry of the endpoint list may take; most take some 170.
+/// The size in bytes that is allowed for an entry of the endpoint list. Most entries take about 170.
 const MAX_ENTRY_BYTES: usize = 512;
-/// No line of the feed is longer: the complete list may be one line.
+/// The maximum length of a line of the feed, which may hold a complete endpoint list.
 pub const MAX_LINE_BYTES: usize = MAX_HOSTS * MAX_ENTRY_BYTES;
-/// The latest start of a process that is taken over: sums with it stay far from their limits.
+/// The maximum start time of a host process, in milliseconds. Later times are reduced to it, so that sums with it can't
+/// overflow.
 const MAX_STARTED_AT_MS: f64 = 1e14;
-/// Set in the ids of zones that the settings do not state.
-const UNSTATED_ZONE_BIT: usize = 1 << 31;
+/// Set in the ids of zones that the settings do not list, so that they differ from the ids of those that are listed.
+const UNLISTED_ZONE_BIT: usize = 1 << 31;
 
-/// One entry of the endpoint list, and the address where the host listens.
+/// An entry of the endpoint list, with the address on which the host listens.
 #[derive(Debug, Clone)]
 pub struct DiscoveredEndpoint {
-    /// The entry, for the decision module.
+    /// The endpoint, as the decision module takes it.
     pub endpoint: Endpoint,
-    /// Where it listens ("dial" on the wire); a removed host may have none.
+    /// The address on which the host listens ("dial" on the wire). A removed host may have none.
     pub address: Option<SocketAddr>,
 }
 
-/// A change of the endpoint list ("members" on the wire).
+/// An update of the endpoint list ("members" on the wire).
 #[derive(Debug, Clone)]
 pub struct EndpointUpdate {
-    /// Whether it names all endpoints ("whole" on the wire), or those that changed.
+    /// Whether the update lists all endpoints ("whole" on the wire) or only those that changed.
     pub is_complete: bool,
-    /// The endpoints ("hosts" on the wire).
+    /// The endpoints that the update lists ("hosts" on the wire).
     pub endpoints: Vec<DiscoveredEndpoint>,
 }
 
-/// An entry of the endpoint list that cannot be right.
+/// An invalid entry of an endpoint list.
 #[derive(Debug, Clone)]
 pub struct RejectedEndpoint {
-    /// Its host, if it names one.
+    /// The name of the entry's host, or empty if it has none.
     pub host: String,
-    /// What is wrong.
+    /// The fault of the entry.
     pub reason: Malformed,
 }
 
-/// One line of the feed: its sequence number and, unless it only shows that the feed is up, an update.
+/// An event of the feed: a sequence number and usually an update. An event without an update only shows that the feed
+/// is alive.
 #[derive(Debug, Clone)]
 pub struct FeedMessage {
-    /// The number of the latest event ("n" on the wire).
+    /// The sequence number of the latest event ("n" on the wire).
     pub sequence: u64,
-    /// The update.
+    /// The update of the endpoint list, if the event has one.
     pub update: Option<EndpointUpdate>,
-    /// Entries that cannot be right. Guards against one of them taking the event along: all others would be unknown,
-    /// and a placer whose configuration names it would not start.
+    /// Invalid entries of the update. They don't fail the event: otherwise all its valid entries would be lost too, and
+    /// a placer whose configuration holds an invalid entry would not start.
     pub rejected: Vec<RejectedEndpoint>,
 }
 
-/// Reads one line.
+/// Decodes one line of the feed.
 ///
 /// # Errors
 ///
-/// Fails if the line is no event.
+/// Fails if the line is not a valid event. Invalid entries don't fail it: see [`FeedMessage::rejected`].
 pub fn read(line: &mut [u8], names: &Names) -> Result<FeedMessage, Malformed> {
     let value = simd_json::to_borrowed_value(line).map_err(|_| Malformed::Json)?;
     read_event(&value, names)
 }
 
-/// Reads one event, of the feed or of the configuration.
+/// Decodes an event from a line of the feed or from the configuration.
 ///
 /// # Errors
 ///
-/// Fails if the value is no event. Entries that cannot be right don't fail it: see [`FeedMessage::rejected`].
+/// Fails if the value is not a valid event. Invalid entries don't fail it: see [`FeedMessage::rejected`].
 pub fn read_event(value: &BorrowedValue<'_>, names: &Names) -> Result<FeedMessage, Malformed> {
     let sequence = value.get_u64("n").ok_or(Malformed::Field("n"))?;
     let mut rejected = Vec::new();
@@ -117,7 +119,7 @@
     if address.is_none() && !is_removed {
         return Err(Malformed::Field("dial"));
     }
-    // Of a removed host only its name counts.
+    // Only the name of a removed host is used, so its kind may be missing or unknown.
     let kind = host_kind(value, names)
         .or(is_removed.then_some(KindId(0)))
         .ok_or(Malformed::Field("class"))?;
@@ -138,7 +140,7 @@
     })
 }
 
-/// The state of an endpoint ("health" on the wire).
+/// Returns the state of an endpoint ("health" on the wire).
 fn endpoint_state(value: &BorrowedValue<'_>) -> Result<EndpointState, Malformed> {
     match value.get_str("health") {
         Some("up") => Ok(EndpointState::Up),
@@ -148,29 +150,30 @@
     }
 }
 
-/// The kind of a host ("class" on the wire), if the settings state it.
+/// Returns the kind of a host ("class" on the wire), or `None` if the settings do not list it.
 fn host_kind(value: &BorrowedValue<'_>, names: &Names) -> Option<KindId> {
     let name = normalized(value.get_str("class")?);
     let index = names.kinds.iter().position(|kind| *kind == name)?;
     Some(KindId(index))
 }
 
-/// One of the amounts that no task has requested ("unasked" on the wire: cores, memory).
+/// Returns how much of a resource no task has requested ("unasked" on the wire): cores at index 0, memory at index 1.
 fn free_amount(value: &BorrowedValue<'_>, index: usize) -> f64 {
     let amounts = value.get_array("unasked");
     let amount = amounts.and_then(|amounts| amounts.get(index));
     amount.and_then(number).unwrap_or(0.0)
 }
 
-/// The zone ("site" on the wire) by its name, alike at every placer. Where the settings do not state it, or the entry
-/// names none, it is a zone all the same: hosts there are apart from those of all others.
-fn zone(name: Option<&str>, stated_zones: &[String]) -> ZoneId {
+/// Returns the id of the zone of this name ("site" on the wire), which is the same at every placer. A zone that the
+/// settings do not list, or that has no name, gets an id from a hash of its name: its hosts still count as separate
+/// from those of all other zones.
+fn zone(name: Option<&str>, listed_zones: &[String]) -> ZoneId {
     let name = normalized(name.unwrap_or_default());
-    let stated = stated_zones.iter().position(|stated| *stated == name);
-    ZoneId(stated.unwrap_or_else(|| hash_of_name(&name) | UNSTATED_ZONE_BIT))
+    let index = listed_zones.iter().position(|listed| *listed == name);
+    ZoneId(index.unwrap_or_else(|| hash_of_name(&name) | UNLISTED_ZONE_BIT))
 }
 
-/// A name as the settings hold it, without the characters that separate names there.
+/// Returns the name as the settings hold it, with `_` in place of the characters that separate names there.
 fn normalized(name: &str) -> String {
     name.replace([' ', ','], "_")
 }
--- a/src/net/codec/feed/tests.rs
+++ b/src/net/codec/feed/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `feed.rs`.
+//! Tests of the events of the feed.
 
 use super::*;
 
@@ -22,9 +22,9 @@
 fn event_is_read_with_all_fields() {
     let host = r#"{"host":"s-1","dial":"127.0.0.1:5060","site":"east","class":"std","block":2,"health":"up","share":4,"born_ms":1500,"unasked":[3.5,-1]}"#;
 
-    let message = read_text(&event_with(host)).expect("good");
+    let message = read_text(&event_with(host)).expect("a valid event");
 
-    let update = message.update.expect("hosts");
+    let update = message.update.expect("an update");
     let endpoints = update.endpoints;
     assert_eq!(
         (message.sequence, update.is_complete, endpoints.len()),
@@ -55,7 +55,7 @@
 fn removed_host_needs_only_its_name() {
     let message = read_text(&event_with(r#"{"host":"s-1","health":"removed"}"#));
 
-    assert!(message.is_ok(), "its name is enough");
+    assert!(message.is_ok(), "a removed host needs only its name");
 }
 
 #[test]
@@ -70,8 +70,8 @@
     }
 }
 
-// An entry that can't be right was an event that can't be read, and a configuration that names one was
-// refused: the placer did not start.
+// Regression: an invalid entry made the whole event invalid. If it stood in the configuration, the placer did not
+// start.
 #[test]
 fn invalid_entry_is_rejected_and_the_others_are_taken() {
     let good =
@@ -84,7 +84,7 @@
         ("7".to_string(), "host"),
     ] {
         let text = format!(r#"{{"n":4,"members":{{"whole":true,"hosts":[{bad},{good}]}}}}"#);
-        let line = read(&mut text.into_bytes(), &names()).expect("an event");
+        let line = read(&mut text.into_bytes(), &names()).expect("a valid event");
         assert_eq!(
             line.update.map(|update| update.endpoints.len()),
             Some(1),
@@ -100,11 +100,11 @@
     }
 }
 
-// Deployments may have zones that the settings do not state, or none.
+// Guards against confusing zones: hosts may be in a zone that the settings do not list, or in none.
 #[test]
-fn zone_that_the_settings_do_not_state_is_a_zone_of_its_own() {
-    let stated = names().zones;
-    let zones = ["west", "east", "north", "south", ""].map(|name| zone(Some(name), &stated));
+fn zone_that_the_settings_do_not_list_is_a_zone_of_its_own() {
+    let listed = names().zones;
+    let zones = ["west", "east", "north", "south", ""].map(|name| zone(Some(name), &listed));
     assert_eq!((zones[0], zones[1]), (ZoneId(0), ZoneId(1)));
     for (i, one) in zones.iter().enumerate() {
         assert!(
@@ -113,7 +113,7 @@
         );
     }
     assert_eq!(
-        (zone(Some("north"), &stated), zone(None, &[])),
+        (zone(Some("north"), &listed), zone(None, &[])),
         (zones[2], zones[4])
     );
 }
--- a/src/net/codec/lines.rs
+++ b/src/net/codec/lines.rs
@@ -1,4 +1,4 @@
-//! The JSON lines that placers and hosts exchange.
+//! The messages that placers and hosts exchange, one JSON object per line.
 
 use super::{Cause, MAX_MESSAGE_BYTES, Malformed, TaskId};
 use simd_json::prelude::*;
@@ -6,29 +6,30 @@
 use task_placer::settings::parse_number;
 use task_placer::{OutcomeDetail, TaskReport};
 
-/// The id in checks of a connection, which are about no task. Hosts take a message with the id 0 for broken.
+/// The task id in connection checks, which concern no task. It is not 0, because hosts treat a message with the id 0 as
+/// malformed.
 const CHECK_ID: TaskId = TaskId(u64::MAX);
-/// Hex digits of a task's id.
+/// The number of hex digits of a task id.
 const TASK_ID_DIGITS: usize = 16;
 
 /// A message of a host about a task.
 #[derive(Debug, Clone, PartialEq)]
 pub enum HostMessage {
-    /// The task runs ("up" on the wire); the description for its client.
+    /// The host has started the task ("up" on the wire). Holds the description to forward to the client.
     Started(String),
-    /// Rejected, ended or broken ("down" on the wire): the cause, and the detail.
+    /// The attempt was rejected, or the task ended or failed ("down" on the wire). Holds the cause and the detail.
     Released(Cause, OutcomeDetail),
-    /// A report about a running task ("tell" on the wire), and its value.
+    /// A report about a running task ("tell" on the wire). Holds what is reported and its value.
     Report(TaskReport, f64),
-    /// A message of another type.
+    /// A message of an unknown type.
     Other,
 }
 
-/// Reads one line.
+/// Decodes one line into a task id and a message.
 ///
 /// # Errors
 ///
-/// Fails if the line is no message of a host.
+/// Fails if the line is not a valid message of a host.
 pub fn read(line: &mut [u8]) -> Result<(TaskId, HostMessage), Malformed> {
     let value = simd_json::to_borrowed_value(line).map_err(|_| Malformed::Json)?;
     if !value.is_object() {
@@ -39,7 +40,7 @@
     let note = fields.and_then(|fields| fields.get_str("note"));
     let message = match value.get_str("t").ok_or(Malformed::Field("t"))? {
         "up" => {
-            // Without its description the response of a host is spoilt.
+            // A started message without a description is malformed: the client's response needs it.
             let description = value.get_str("d").ok_or(Malformed::Field("d"))?;
             HostMessage::Started(description.to_string())
         }
@@ -67,7 +68,7 @@
     u64::from_str_radix(text, 16).ok().map(TaskId)
 }
 
-/// Reads a finite number, which may be written as text.
+/// Returns a finite number, written as a JSON number or as text, or `None` if the value is neither.
 pub fn number(value: &BorrowedValue<'_>) -> Option<f64> {
     match value.as_str() {
         Some(text) => parse_number(text),
@@ -75,7 +76,7 @@
     }
 }
 
-/// The detail that the note of a release stands for.
+/// Returns the detail that the note of a release stands for.
 fn outcome_detail(note: Option<&str>) -> OutcomeDetail {
     match note {
         Some("nc") => OutcomeDetail::NoCores,
@@ -89,7 +90,7 @@
     }
 }
 
-/// What the note of a report says is reported.
+/// Returns what a report is about, according to its note.
 fn task_report(note: Option<&str>) -> TaskReport {
     match note {
         Some("live") => TaskReport::Running,
@@ -107,8 +108,8 @@
     line
 }
 
-/// Encodes an attempt to start a task ("new" on the wire), or returns none if it does not fit into one message.
-/// `left_ms` is how long the placer waits.
+/// Encodes an attempt to start a task ("new" on the wire), or returns `None` if it exceeds [`MAX_MESSAGE_BYTES`].
+/// `left_ms` is how long the placer waits for the host's reply, in milliseconds.
 pub fn start_task(
     task: TaskId,
     class: &str,
@@ -126,12 +127,12 @@
     Some(line(&value)).filter(|line| line.len() <= MAX_MESSAGE_BYTES)
 }
 
-/// Encodes that an attempt is abandoned, or a running task ended ("down" on the wire).
+/// Encodes the release of an abandoned attempt or of an ended task ("down" on the wire).
 pub fn release(task: TaskId, cause: Cause) -> Vec<u8> {
     line(&json!({ "t": "down", "ref": task.to_string(), "f": {}, "c": cause.0 }).into())
 }
 
-/// Encodes a check of the connection ("hb" on the wire), which the host answers at once.
+/// Encodes a connection check ("hb" on the wire), to which the host replies at once.
 pub fn connection_check() -> Vec<u8> {
     line(&json!({ "t": "hb", "ref": CHECK_ID.to_string(), "f": {}, "c": 0 }).into())
 }
--- a/src/net/codec/lines/tests.rs
+++ b/src/net/codec/lines/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `lines.rs`.
+//! Tests of the messages of hosts.
 
 use super::*;
 
@@ -33,11 +33,11 @@
         (r#""t":"wait","f":{}"#, HostMessage::Other),
         (r#""t":"unheard of""#, HostMessage::Other),
     ];
-    for (rest, word) in cases {
+    for (rest, message) in cases {
         let mut line = format!(r#"{{"ref":"9b1f03aa5c7e2d41",{rest}}}"#).into_bytes();
         assert_eq!(
             read(&mut line),
-            Ok((TaskId(0x9b1f_03aa_5c7e_2d41), word)),
+            Ok((TaskId(0x9b1f_03aa_5c7e_2d41), message)),
             "{rest}"
         );
     }
@@ -77,10 +77,10 @@
             Malformed::Field("value"),
         ),
     ];
-    for (line, why) in cases {
+    for (line, reason) in cases {
         assert_eq!(
             read(&mut line.as_bytes().to_vec()),
-            Err(why),
+            Err(reason),
             "{:.40}",
             line
         );
@@ -90,10 +90,11 @@
 #[test]
 fn attempt_is_encoded_with_all_fields_in_one_line() {
     let text = "a\r\n\"b\"\\\u{7}é";
-    let mut line = start_task(TaskId(0x41), "batch", "7f3a", 1500, text).expect("it fits");
+    let mut line =
+        start_task(TaskId(0x41), "batch", "7f3a", 1500, text).expect("a line within the limit");
     assert_eq!(line.iter().filter(|b| **b == b'\n').count(), 1);
     line.pop();
-    let value = simd_json::to_owned_value(&mut line).expect("JSON");
+    let value = simd_json::to_owned_value(&mut line).expect("valid JSON");
     let field = |name| value.get("f").and_then(|f| f.get_str(name));
     assert_eq!(
         (value.get_str("t"), value.get_str("ref")),
--- a/src/net/codec/mod.rs
+++ b/src/net/codec/mod.rs
@@ -1,7 +1,8 @@
-//! The messages of the wire, apart from any connection: pure functions from bytes to messages and back.
+//! Encodes and decodes the wire protocols: pure functions between bytes and messages, independent of any connection.
 //!
-//! This is the one place where words of the wire and terms of the code meet; a comment names the wire's word where they
-//! differ. [`binary`] holds the messages of clients, [`lines`] those of hosts, and [`feed`] those of service discovery.
+//! Only these modules translate between the names of the protocols and those of the code; a comment gives the
+//! protocol's name where the two differ. [`binary`] holds the messages of clients, [`lines`] those of hosts, and
+//! [`feed`] those of service discovery.
 
 pub mod binary;
 pub mod feed;
@@ -11,10 +12,10 @@
 use task_placer::facade::PlacementRequest;
 use task_placer::{HostId, Micros};
 
-/// No message of clients or hosts is longer.
+/// The maximum length of a message from or to a client or a host, including its length field or line feed.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
-/// A task's id on the wire: 16 hex digits.
+/// The id of a task. It is displayed as 16 hex digits, as hosts receive it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskId(pub u64);
 
@@ -24,22 +25,22 @@
     }
 }
 
-/// The cause of a release on the wire. Peers may use others than this program distinguishes.
+/// The cause code of a release message. Peers may send codes for which this program has no constant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Cause(pub u8);
 
 impl Cause {
-    /// Cancelled before the start, or the task's regular end.
+    /// The task was cancelled before it started, or ended regularly.
     pub const NORMAL: Cause = Cause(16);
-    /// Migrated, or ended by its client.
+    /// The task was migrated, or its client ended it.
     pub const CANCELLED: Cause = Cause(31);
-    /// Rejected by a full host.
+    /// A host rejected the task because it is full.
     pub const HOST_FULL: Cause = Cause(34);
-    /// The task or its connection broke.
+    /// The task or its connection failed.
     pub const RESET: Cause = Cause(41);
-    /// Rejected by the placer ("refused" on the wire): a retry is harmless.
+    /// The placer rejected the request ("refused" on the wire). The task has not run, so a retry is safe.
     pub const REJECTED: Cause = Cause(42);
-    /// An error; the task may have run.
+    /// The request failed with an error; the task may have run.
     pub const FAILED: Cause = Cause(47);
     /// The attempt was never sent ("moot" on the wire).
     pub const NOT_SENT: Cause = Cause(102);
@@ -48,40 +49,41 @@
 /// A client's request to place or adopt a task ("set-up" on the wire).
 #[derive(Debug, Clone, PartialEq)]
 pub struct TaskRequest {
-    /// What the decision module decides by.
+    /// The attributes of the request on which the decision module bases the placement.
     pub placement: PlacementRequest,
-    /// How long the client waits for the response, from when it sent the request.
+    /// How long the client waits for the response, in microseconds from when it sent the request.
     pub wait: Micros,
-    /// The host that runs the task already ("at" on the wire).
+    /// The host that already runs the task ("at" on the wire), if the client asks to adopt it.
     pub running_on: Option<HostId>,
-    /// The task's key, as it is forwarded.
+    /// The task's key, forwarded to the host unchanged.
     pub key: String,
-    /// The description, as it is forwarded.
+    /// The task's description, forwarded to the host unchanged.
     pub description: String,
 }
 
-/// Why bytes are no message.
+/// Why bytes can't be decoded into a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum Malformed {
-    /// Longer than any message may be.
+    /// The message exceeds the maximum length.
     #[error("too-long")]
     TooLong,
-    /// A length that does not fit what it counts.
+    /// A length field does not match the bytes that it covers.
     #[error("bad-length")]
     Length,
-    /// Not JSON, or not an object.
+    /// The line is not JSON, or not a JSON object.
     #[error("bad-json")]
     Json,
-    /// A field that is missing or can't be read.
+    /// This field is missing or invalid.
     #[error("bad-field:{0}")]
     Field(&'static str),
 }
 
-/// Removes the next line from what has arrived, and returns it without its line feed; none if more must arrive.
+/// Removes the first line from the received bytes, and returns it without its line feed, or `None` if the line is still
+/// incomplete.
 ///
 /// # Errors
 ///
-/// Fails if the line has `max_bytes` or more.
+/// Fails if the line, without its line feed, has `max_bytes` or more.
 pub fn next_line(inbox: &mut Vec<u8>, max_bytes: usize) -> Result<Option<Vec<u8>>, Malformed> {
     match memchr::memchr(b'\n', inbox) {
         Some(end) if end < max_bytes => {
--- a/src/net/codec/tests.rs
+++ b/src/net/codec/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `codec`.
+//! Tests of splitting received bytes into lines.
 
 use super::*;
 
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -1,4 +1,4 @@
-//! The configuration of the deployment: one JSON file, named by `--config` or `LB_CONFIG`.
+//! Reads the configuration of the deployment: one JSON file, named by `--config` or `LB_CONFIG`.
 
 use super::codec::feed::{self, FeedMessage};
 use super::codec::lines::number;
@@ -13,37 +13,37 @@
 use task_placer::settings::{self, Names, SettingsError};
 
 const BYTES_PER_MEGABYTE: usize = 1_048_576;
-/// Descriptors of a process where the configuration states none, as on the deployment's smallest machines.
+/// The descriptor limit if the configuration has none; the deployment's smallest machines have this many.
 const DEFAULT_DESCRIPTORS: f64 = 256.0;
-/// Megabytes of memory of a process where the configuration states none, as on the deployment's smallest machines.
+/// The memory limit in megabytes if the configuration has none; the deployment's smallest machines have this much.
 const DEFAULT_MEMORY_MB: f64 = 32.0;
 
-/// What the deployment states for one placer.
+/// The configuration of one placer.
 pub struct Config {
-    /// The placer's name, for the log.
+    /// The placer's name. It appears in the log, and processes of the same name belong to one placer.
     pub name: String,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub listen: SocketAddr,
-    /// Where operators and the platform connect, if anywhere.
+    /// The address to which operators and the platform connect, if there is one.
     pub admin: Option<SocketAddr>,
-    /// The service discovery feed.
+    /// The address of the service discovery feed.
     pub feed: SocketAddr,
-    /// Seed of the random numbers.
+    /// The seed of the random numbers.
     pub seed: u64,
-    /// Settings of the decision module.
+    /// The settings of the decision module.
     pub settings: Settings,
-    /// The names that they state.
+    /// The names that the settings list.
     pub names: Names,
-    /// The sequence number of the feed's last event at the start ("known.n" in the file).
+    /// The sequence number of the latest feed event that the configuration includes ("known.n" in the file).
     pub cached_sequence: u64,
-    /// The feed's events until then ("known.events" in the file).
+    /// The events of the feed up to that number, for use at the start ("known.events" in the file).
     pub cached_updates: Vec<FeedMessage>,
-    /// The limits of the placer.
+    /// The resource limits of the placer.
     pub limits: Limits,
 }
 
 impl Config {
-    /// Returns the fields and values in force, as `task-placer check` prints them.
+    /// Returns the effective fields and values, as `task-placer check` prints them.
     pub fn effective_values(&self) -> Vec<(String, String)> {
         let updates = self.cached_updates.iter();
         let entries: usize = updates
@@ -73,23 +73,23 @@
     }
 }
 
-/// What the processes of the placer may hold together.
+/// The resources that all processes of the placer may hold together.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Descriptors ("sockets" in the file).
+    /// The number of descriptors ("sockets" in the file).
     pub descriptors: usize,
-    /// Bytes of memory.
+    /// The memory in bytes.
     pub memory_bytes: usize,
 }
 
 impl Limits {
     fn read(value: Option<&BorrowedValue<'_>>) -> Limits {
-        let stated = |field: &str| {
+        let number_at_least_one = |field: &str| {
             let number = value.and_then(|limits| limits.get(field)).and_then(number);
             number.filter(|number| *number >= 1.0)
         };
-        let descriptors = stated("sockets").unwrap_or(DEFAULT_DESCRIPTORS);
-        let memory_mb = stated("memory_mb").unwrap_or(DEFAULT_MEMORY_MB);
+        let descriptors = number_at_least_one("sockets").unwrap_or(DEFAULT_DESCRIPTORS);
+        let memory_mb = number_at_least_one("memory_mb").unwrap_or(DEFAULT_MEMORY_MB);
         Limits {
             descriptors: descriptors as usize,
             memory_bytes: (memory_mb * BYTES_PER_MEGABYTE as f64) as usize,
@@ -101,68 +101,69 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
     /// Neither `--config` nor `LB_CONFIG` names a file.
-    #[error("configuration: LB_CONFIG: names no file, nor does --config")]
+    #[error("configuration: LB_CONFIG: not set, and no --config given")]
     NoFile,
     /// The file can't be read.
     #[error("configuration: LB_CONFIG: {}: {error}", path.display())]
     Unreadable {
-        /// The file.
+        /// The path of the file.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         error: io::Error,
     },
-    /// The file is no JSON.
+    /// The file is not valid JSON.
     #[error("configuration: LB_CONFIG: {0}")]
     NotJson(simd_json::Error),
-    /// The file is JSON, but no object.
+    /// The file is valid JSON, but not an object.
     #[error("configuration: LB_CONFIG: not an object")]
     NotAnObject,
-    /// A field is missing.
+    /// A required field is missing.
     #[error("configuration: {field}: missing")]
     Missing {
-        /// The field.
+        /// The path of the field in the file.
         field: &'static str,
     },
-    /// A field can't be read.
+    /// The value of a field is invalid.
     #[error("configuration: {field}: {reason}")]
     Invalid {
-        /// The field.
+        /// The path of the field in the file.
         field: &'static str,
-        /// What is wrong with it.
+        /// Why the value is invalid.
         reason: String,
     },
-    /// A setting of the decision module is missing or can't be read.
+    /// A setting of the decision module is missing or invalid.
     #[error("configuration: settings.{}: {}", .0.path(), .0.problem())]
     Setting(SettingsError),
-    /// `LB_ADMIN` is no address.
+    /// `LB_ADMIN` does not hold an address and a port.
     #[error("configuration: LB_ADMIN: {found}: {error}")]
     AdminVariable {
-        /// Its value.
+        /// The value of the variable.
         found: String,
-        /// What is wrong with it.
+        /// Why the value is invalid.
         error: AddrParseError,
     },
-    /// The platform would connect where clients do.
-    #[error("configuration: admin: {listen} is where clients connect (listen)")]
+    /// The admin address is the same as the address for clients.
+    #[error("configuration: admin: {listen} is also the address for clients (listen)")]
     AdminAtListen {
-        /// The address.
+        /// The address that is used twice.
         listen: SocketAddr,
     },
-    /// Too few descriptors to serve anyone.
-    #[error("configuration: limits.sockets: {found}, and {min} are the fewest that serve anyone")]
+    /// The descriptor limit is too low to serve any client.
+    #[error("configuration: limits.sockets: {found} is less than the minimum of {min}")]
     TooFewDescriptors {
-        /// The descriptors stated.
+        /// The configured number of descriptors.
         found: usize,
-        /// The least that serve anyone.
+        /// The minimum number of descriptors.
         min: usize,
     },
 }
 
-/// Reads the file that `--config` or `LB_CONFIG` names.
+/// Reads the configuration file at `path`, which `--config` or `LB_CONFIG` names. `LB_ADMIN` overrides the admin
+/// address.
 ///
 /// # Errors
 ///
-/// Fails if the file can't be read, or a field of it is missing or wrong.
+/// Fails if the file can't be read, or a field is missing or invalid.
 pub async fn load(path: Option<&Path>) -> Result<Config, ConfigError> {
     let path = path.ok_or(ConfigError::NoFile)?;
     let read = retry("configuration", || std::fs::read(path)).await;
@@ -182,8 +183,8 @@
     Ok(config)
 }
 
-/// Returns the admin address of `LB_ADMIN`, if it is set: a second process of this placer has another address, on the
-/// same file.
+/// Returns the admin address in `LB_ADMIN`, if it is set. The variable lets a second process of this placer use the
+/// same configuration file with another admin address.
 fn admin_from_environment() -> Result<Option<SocketAddr>, ConfigError> {
     let value = std::env::var_os("LB_ADMIN").filter(|value| !value.is_empty());
     let Some(value) = value else {
@@ -205,9 +206,9 @@
         Some("") | None => None,
         Some(_) => Some(address(&value, "admin")?),
     };
-    let stated = field(value.get("settings"), "settings")?;
+    let settings_value = field(value.get("settings"), "settings")?;
     let (settings, names) =
-        settings::read(&settings::flatten(stated)).map_err(ConfigError::Setting)?;
+        settings::read(&settings::flatten(settings_value)).map_err(ConfigError::Setting)?;
     let known = field(value.get("known"), "known")?;
     let cached_sequence = field(known.get_u64("n"), "known.n")?;
     let limits = Limits::read(value.get("limits"));
--- a/src/net/ctl.rs
+++ b/src/net/ctl.rs
@@ -1,5 +1,5 @@
-//! Owns the control socket: a Unix socket that only its owner may use. A connection sends any number of commands, one a
-//! line, and gets a reply to each. What a command does is up to dispatch.
+//! The control socket: a Unix socket that only the user who runs the placer may open. A connection carries any number
+//! of commands, one per line, and a reply to each. Dispatch executes the commands.
 
 use super::clients::accept_fault::pause_after_accept_error;
 use super::codec;
@@ -20,25 +20,25 @@
 use task_placer::Micros;
 use tracing::info;
 
-/// Connections at a time.
+/// The maximum number of open connections.
 const MAX_CONNECTIONS: usize = 4;
-/// How long a connection may take for a command.
+/// How long a connection may take to send its next command.
 const COMMAND_TIMEOUT: Micros = 5_000_000;
-/// Bytes that one read takes at most.
+/// The size of the read buffer in bytes.
 const READ_BUFFER_BYTES: usize = 1_024;
-/// The mode bits that a new socket does not get: all but reading and writing by its owner.
+/// The umask under which the socket is created: only its owner may read and write.
 const PRIVATE_UMASK: u32 = 0o177;
 
-/// Why a connection ended, as the log names it.
+/// Why a control connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EndReason {
-    /// The peer closed it.
+    /// The peer closed the connection.
     Closed,
-    /// The socket failed.
+    /// Reading from or writing to the socket failed.
     Failed,
-    /// It sent a line longer than any command.
+    /// The peer sent a line that is longer than any command.
     TooLong,
-    /// It took too long, or its descriptor is needed for another.
+    /// The connection exceeded its timeout, or its descriptor was needed for another one.
     TimedOut,
 }
 
@@ -53,11 +53,11 @@
     }
 }
 
-/// Opens the socket, and serves it for the life of the process.
+/// Opens the socket, and serves its connections until the process exits.
 ///
 /// # Errors
 ///
-/// Fails if another process answers at the path, or nothing can listen there.
+/// Fails if another process is listening on the path, or the path can't be bound.
 pub async fn open(
     path: &Path,
     executor: &Rc<LocalExecutor<'static>>,
@@ -77,19 +77,21 @@
     Ok(limiter)
 }
 
-/// Removes the socket that a dead process left. One that answers is another placer's.
+/// Removes the socket file that an exited process left. Fails if another process is listening on it, which is then
+/// another placer.
 fn remove_stale_socket(path: &Path) -> io::Result<()> {
     if !path.exists() {
         return Ok(());
     }
     if UnixStream::connect(path).is_ok() {
-        let reason = "another process answers there";
+        let reason = "another process is listening there";
         return Err(io::Error::new(io::ErrorKind::AddrInUse, reason));
     }
     std::fs::remove_file(path)
 }
 
-/// Binds the socket so that from its first moment on nobody but its owner may use it.
+/// Binds the socket under a umask that keeps everyone but its owner out. Changing its mode after the bind would leave
+/// it open to others for a moment.
 fn bind_private(path: &Path) -> io::Result<Async<UnixListener>> {
     let before = umask(Mode::from_raw_mode(PRIVATE_UMASK));
     let bound = Async::<UnixListener>::bind(path);
@@ -106,10 +108,10 @@
         match listener.accept().await {
             Ok((stream, _)) => {
                 let dispatch = shared.borrow();
-                let place = limiter.admit(dispatch.clock.now() + COMMAND_TIMEOUT);
+                let permit = limiter.admit(dispatch.clock.now() + COMMAND_TIMEOUT);
                 dispatch
                     .task_spawner
-                    .spawn(serve(stream, place, limiter.clone(), shared.clone()));
+                    .spawn(serve(stream, permit, limiter.clone(), shared.clone()));
             }
             Err(e) => pause_after_accept_error(&shared, &e).await,
         }
@@ -117,27 +119,27 @@
     }
 }
 
-/// Serves one connection until it ends or is evicted.
+/// Serves a connection until it ends or is evicted, and logs why it ended.
 async fn serve(
     stream: Async<UnixStream>,
-    place: ConnectionPermit,
+    permit: ConnectionPermit,
     limiter: Rc<ConnectionLimiter>,
     shared: SharedDispatch,
 ) {
     let evicted = async {
-        place.evicted().await;
+        permit.evicted().await;
         EndReason::TimedOut
     };
-    let served = serve_commands(&stream, &place, &limiter, &shared);
+    let served = serve_commands(&stream, &permit, &limiter, &shared);
     let reason = future::or(served, evicted).await;
-    limiter.release(&place);
+    limiter.release(&permit);
     info!(%reason, "ctl connection ended");
 }
 
-/// Reads commands, runs them, and writes their replies until the connection ends.
+/// Reads commands, executes them, and writes their replies until the connection ends.
 async fn serve_commands(
     mut stream: &Async<UnixStream>,
-    place: &ConnectionPermit,
+    permit: &ConnectionPermit,
     limiter: &ConnectionLimiter,
     shared: &SharedDispatch,
 ) -> EndReason {
@@ -161,6 +163,6 @@
         if stream.write_all(&ctl::encode_reply(result)).await.is_err() {
             return EndReason::Failed;
         }
-        limiter.extend(place, shared.borrow().clock.now() + COMMAND_TIMEOUT);
+        limiter.extend(permit, shared.borrow().clock.now() + COMMAND_TIMEOUT);
     }
 }
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -1,9 +1,9 @@
-//! What the processes of one placer share during a rolling upgrade: the listening socket that the platform holds, and the
-//! knowledge of each other.
+//! Cooperation of the processes of one placer during a rolling upgrade: they share the listening socket that the
+//! platform holds, and each knows how many of them are running.
 //!
-//! Every process inherits the socket as a descriptor, whose number stands in `LB_ACCEPT_FD`. Each process also keeps a
-//! connection over a Unix socket in `$TMPDIR` to the one before it: it ends with either of them, however that ends, so
-//! both know how many they are without polling.
+//! Every process inherits the listening socket as a descriptor, whose number is in `LB_ACCEPT_FD`. The oldest process
+//! also listens on a Unix socket in `$TMPDIR`, the peer socket, and the others keep a connection to it. The connection
+//! closes when either process exits, even if it crashes, so both learn of each other's exit without polling.
 
 use super::clients::accept_fault::pause_after_accept_error;
 use super::dispatch::SharedDispatch;
@@ -25,26 +25,26 @@
 use task_placer::operation::process_group::PeerAge;
 use tracing::warn;
 
-/// Names the inherited descriptor.
+/// The environment variable that holds the number of the inherited descriptor.
 const ACCEPT_FD_VARIABLE: &str = "LB_ACCEPT_FD";
-/// The name of the Unix socket in `$TMPDIR` begins with this.
+/// The prefix of the file name of the peer socket in `$TMPDIR`.
 ///
-/// The prefix is the program's former name and must stay: processes of an old and a new version meet at this path in a
-/// rolling upgrade.
-const MEETING_SOCKET_PREFIX: &str = "anisehead-";
-/// The name of the Unix socket ends with this.
-const MEETING_SOCKET_SUFFIX: &str = ".sock";
-/// Characters of the placer's name that the name of the socket takes over.
+/// It is a former name of the program and must not change: in a rolling upgrade, processes of an old and a new version
+/// find each other at this path.
+const PEER_SOCKET_PREFIX: &str = "anisehead-";
+/// The suffix of the file name of the peer socket.
+const PEER_SOCKET_SUFFIX: &str = ".sock";
+/// The number of characters of the placer's name that the file name of the peer socket contains at most.
 const MAX_SOCKET_NAME_CHARS: usize = 64;
-/// Pause before the socket in `$TMPDIR` is looked for again.
+/// The pause before the process tries again to connect to the peer socket or to bind it.
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Returns the inherited listening socket, if there is one. The descriptor itself stays as it is: what is used is a second
-/// one to the same socket, which the system hands out.
+/// Returns the inherited listening socket, or `None` if `LB_ACCEPT_FD` is not set. The inherited descriptor stays open
+/// and unused: the listener uses a duplicate of it.
 ///
 /// # Errors
 ///
-/// Fails if the variable names no socket that listens at this address; the error names what was found.
+/// Fails if the descriptor is not a socket that listens on the address `listen`. The error says what was found instead.
 pub async fn listener(listen: SocketAddr) -> io::Result<Option<Async<TcpListener>>> {
     let value = env::var_os(ACCEPT_FD_VARIABLE);
     let Some(value) = value.filter(|value| !value.is_empty()) else {
@@ -58,48 +58,48 @@
         .await
         .map_err(|e| error(&e))?;
     if !sockopt::socket_acceptconn(&inherited).unwrap_or(false) {
-        return Err(error(&"is no socket that listens"));
+        return Err(error(&"not a listening socket"));
     }
     let listener = TcpListener::from(inherited);
     let address = listener.local_addr().map_err(|e| error(&e))?;
     if address != listen {
-        return Err(error(&format!("listens at {address}, not at {listen}")));
+        return Err(error(&format!("listens on {address}, not on {listen}")));
     }
     Async::new(listener).map(Some)
 }
 
-/// Returns a second descriptor for what this one refers to.
+/// Returns a new descriptor for the file to which the descriptor of this number refers.
 fn duplicate(number: RawFd) -> io::Result<OwnedFd> {
     let this_process = pidfd_open(getpid(), PidfdFlags::empty())?;
     let duplicate = pidfd_getfd(&this_process, number, PidfdGetfdFlags::empty())?;
     Ok(duplicate)
 }
 
-/// Finds the other processes of this placer, and is found by them, for the life of the process.
+/// Connects this process with the other processes of the placer, and reports to dispatch when one joins or exits. The
+/// spawned asynchronous task runs until the process exits.
 pub fn join_process_group(
     name: &str,
     executor: &Rc<LocalExecutor<'static>>,
     shared: &SharedDispatch,
 ) {
-    let path = meeting_socket(name);
-    executor.spawn(find(path, shared.clone())).detach();
+    let path = peer_socket_path(name);
+    executor.spawn(track_peers(path, shared.clone())).detach();
 }
 
-/// Returns the path where the processes of the placer of this name meet.
-fn meeting_socket(name: &str) -> PathBuf {
+/// Returns the path of the peer socket of the placer of this name.
+fn peer_socket_path(name: &str) -> PathBuf {
     let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-';
     let name: String = name
         .chars()
         .map(|c| if is_plain(c) { c } else { '_' })
         .take(MAX_SOCKET_NAME_CHARS)
         .collect();
-    env::temp_dir().join(format!(
-        "{MEETING_SOCKET_PREFIX}{name}{MEETING_SOCKET_SUFFIX}"
-    ))
+    env::temp_dir().join(format!("{PEER_SOCKET_PREFIX}{name}{PEER_SOCKET_SUFFIX}"))
 }
 
-/// Follows the process that was there first, until it exits; then takes its place.
-async fn find(path: PathBuf, shared: SharedDispatch) {
+/// Stays connected to the oldest process until that exits, then binds the peer socket in its place and accepts the
+/// others.
+async fn track_peers(path: PathBuf, shared: SharedDispatch) {
     let mut logged = None;
     loop {
         let problem = match Async::<UnixStream>::connect(&path).await {
@@ -112,16 +112,18 @@
                 Err(e) => e.kind(),
             },
         };
-        // Another was faster, or the path can't be used; logged once.
+        // Another process has bound the socket first, or the path can't be used. Each kind of error is logged once in a
+        // row.
         if logged.replace(problem) != Some(problem) {
-            warn!(path = %path.display(), reason = %problem, "processes do not meet");
+            warn!(path = %path.display(), reason = %problem, "cannot reach the other processes of this placer");
         }
         Timer::after(RETRY_PAUSE).await;
     }
 }
 
-/// Takes the place of a process that has exited, which shows in that nobody listens. Guards the socket of one that lives
-/// and is only slow to answer.
+/// Binds the peer socket in place of a process that has exited, which shows in a refused connection. Any other error
+/// than a refusal or a missing file is returned, so that the socket of a running process that is slow to accept is not
+/// removed.
 fn bind(path: &Path, connect_error: &io::Error) -> io::Result<Async<UnixListener>> {
     match connect_error.kind() {
         io::ErrorKind::NotFound => {}
@@ -147,7 +149,7 @@
     }
 }
 
-/// Counts another process for as long as the connection to it is open.
+/// Counts a peer process as running until its connection closes.
 async fn follow_peer(mut stream: Async<UnixStream>, age: PeerAge, shared: &SharedDispatch) {
     shared.borrow_mut().peer_joined(age);
     while let Ok(1..) = stream.read(&mut [0; 64]).await {}
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -1,10 +1,10 @@
-//! The log: `tracing` events, one a line on standard error, as text or as JSON.
+//! The log: `tracing` events, one per line on standard error, as text or as JSON.
 //!
-//! The one thread must not wait for whoever reads the log. A line is written only where the system takes it at once:
-//! standard error is polled first, and at most as many bytes are written as a pipe that is ready takes without a wait.
-//! The rest waits in a bounded queue that the wheel's ticks empty. Lines beyond the limit are dropped and counted, and the
-//! count is logged once there is capacity. A full disk is waited for likewise. A standard error whose reader is gone drops
-//! all, and stops nothing.
+//! The placer's only thread must not block on a slow reader of the log. Standard error is polled before each write, and
+//! a write has at most as many bytes as a pipe that is ready takes without blocking. The other bytes wait in a bounded
+//! queue, which is written at each tick of the timer wheel. Lines that exceed the queue are dropped and counted, and
+//! the count is logged once the queue is empty. Lines also stay queued while the disk is full. Once the reader of
+//! standard error has closed it, all lines are dropped, and the placer continues without a log.
 
 use crate::operator::{self, LogFormat, LogLevel};
 use rustix::event::{PollFd, PollFlags, Timespec, poll};
@@ -16,22 +16,23 @@
 use tracing_subscriber::fmt::format::Writer;
 use tracing_subscriber::fmt::time::FormatTime;
 
-/// Bytes that a pipe which is ready for writing takes without a wait (POSIX: `PIPE_BUF`, on Linux 4096).
+/// The number of bytes that a pipe which is ready for writing takes without blocking (`PIPE_BUF` in POSIX; 4096 on
+/// Linux).
 const PIPE_BUF_BYTES: usize = 4_096;
-/// How long the exit of the process waits for the log's reader.
+/// How long the process waits at its exit for standard error to become ready.
 const EXIT_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 static LOG: OnceLock<LogWriter> = OnceLock::new();
 
-/// Lines that wait to be written.
+/// The lines that wait to be written.
 #[derive(Debug)]
 struct LineQueue {
     bytes: Vec<u8>,
     max_bytes: usize,
-    /// Lines dropped since the last line that reported them.
+    /// The number of lines dropped since it was last reported in the log.
     dropped: u64,
     format: LogFormat,
-    /// Standard error takes nothing any more.
+    /// Whether standard error is closed, so that nothing more can be written.
     is_closed: bool,
 }
 
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Adds a whole line, or counts it as dropped.
+    /// Adds a complete line, or counts it as dropped if the queue has no room for it.
     fn push(&mut self, line: &[u8]) {
         if self.is_closed || self.bytes.len() + line.len() > self.max_bytes {
             self.dropped += 1;
@@ -55,7 +56,8 @@
         self.bytes.extend_from_slice(line);
     }
 
-    /// Writes what `out` takes at once, for as long as `is_ready` says that it takes anything.
+    /// Writes queued bytes to `out` while `is_ready` returns true, and then queues a report of dropped lines if the
+    /// queue is empty.
     fn write_ready(&mut self, out: &mut impl Write, mut is_ready: impl FnMut() -> bool) {
         while !self.is_closed && !self.bytes.is_empty() && is_ready() {
             let chunk = self.bytes.get(..PIPE_BUF_BYTES).unwrap_or(&self.bytes);
@@ -66,7 +68,7 @@
                 }
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
                 Err(e) if e.kind() == ErrorKind::BrokenPipe => self.is_closed = true,
-                // What fails now, as on a full disk, may pass: the lines wait like those of a slow reader.
+                // Other errors, such as a full disk, may be temporary, so the lines stay queued.
                 Err(_) => return,
             }
         }
@@ -79,7 +81,7 @@
         }
     }
 
-    /// The line that reports how many lines were dropped.
+    /// Returns the line that reports how many lines were dropped.
     fn dropped_line(&self) -> String {
         let (seconds, micros) = unix_now();
         let dropped = self.dropped;
@@ -94,7 +96,7 @@
     }
 }
 
-/// Writes lines to standard error through the queue.
+/// Writes lines to standard error through the queue, which all clones share.
 #[derive(Clone)]
 struct LogWriter(Arc<Mutex<LineQueue>>);
 
@@ -103,7 +105,7 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Writes what standard error takes, and waits for it to be ready for at most `timeout`.
+    /// Writes queued bytes to standard error, and waits for at most `timeout` before each write until it is ready.
     fn write_ready(&self, timeout: Duration) {
         let stderr = io::stderr();
         let timeout = Timespec {
@@ -112,14 +114,14 @@
         };
         let is_ready = || {
             let mut fds = [PollFd::new(&stderr, PollFlags::OUT)];
-            // A reader that is gone counts as ready: the write fails then.
+            // A pipe whose reader has closed it also polls as ready, and the write then fails.
             poll(&mut fds, Some(&timeout)).is_ok_and(|ready| ready > 0)
         };
         self.queue().write_ready(&mut stderr.lock(), is_ready);
     }
 }
 
-/// One line that is being written.
+/// Writes a single line.
 struct LineWriter(LogWriter);
 
 impl Write for LineWriter {
@@ -142,7 +144,7 @@
     }
 }
 
-/// Returns the seconds of the system's Unix clock, and the microseconds beside them.
+/// Returns the time since the Unix epoch in whole seconds, and the remaining microseconds.
 fn unix_now() -> (u64, u32) {
     let now = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -150,7 +152,7 @@
     (now.as_secs(), now.subsec_micros())
 }
 
-/// Writes timestamps as seconds of the Unix clock, with the microseconds.
+/// Formats timestamps as seconds since the Unix epoch, with six decimals.
 struct UnixTime;
 
 impl FormatTime for UnixTime {
@@ -160,7 +162,7 @@
     }
 }
 
-/// Sets up the log for the life of the process. A second call keeps the first.
+/// Installs the log for the whole process. A second call has no effect.
 pub fn start(settings: &operator::LogSettings) {
     let writer = LOG
         .get_or_init(|| LogWriter(Arc::new(Mutex::new(LineQueue::new(settings)))))
@@ -177,7 +179,7 @@
         .with_ansi(false)
         .with_target(false)
         .with_timer(UnixTime);
-    // A subscriber that is set already stays.
+    // An error means that a subscriber is already set, which then stays.
     let _ = match settings.format {
         LogFormat::Text => tracing::subscriber::set_global_default(builder.finish()),
         LogFormat::Json => {
@@ -191,7 +193,7 @@
     };
 }
 
-/// Writes what waits, as far as standard error takes it at once.
+/// Writes queued lines as far as standard error takes them without blocking.
 pub fn write_queued() {
     if let Some(writer) = LOG.get() {
         if writer.queue().bytes.is_empty() {
@@ -201,7 +203,7 @@
     }
 }
 
-/// Writes what waits before the process exits, and waits a little for the reader.
+/// Writes the queued lines before the process exits, and waits up to [`EXIT_FLUSH_TIMEOUT`] before each write.
 pub fn flush_at_exit() {
     if let Some(writer) = LOG.get() {
         writer.write_ready(EXIT_FLUSH_TIMEOUT);
--- a/src/net/log/tests.rs
+++ b/src/net/log/tests.rs
@@ -1,11 +1,11 @@
-//! Tests of `log.rs`.
+//! Tests of the queue of log lines.
 
 use super::*;
 
-/// Takes so many bytes, then no more.
-struct Narrow(usize, Vec<u8>);
+/// A writer that takes this many bytes and then blocks.
+struct BoundedWriter(usize, Vec<u8>);
 
-impl Write for Narrow {
+impl Write for BoundedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         let n = bytes.len().min(self.0);
         if n == 0 {
@@ -27,7 +27,7 @@
         queue_bytes: 30,
         ..operator::LogSettings::default()
     });
-    let mut out = Narrow(5, Vec::new());
+    let mut out = BoundedWriter(5, Vec::new());
     for n in 0..6 {
         queue.push(format!("line {n} ..\n").as_bytes());
         queue.write_ready(&mut out, || true);
@@ -40,7 +40,7 @@
     out.0 = 1_000;
     queue.write_ready(&mut out, || true);
     queue.write_ready(&mut out, || true);
-    let text = String::from_utf8(out.1).expect("text");
+    let text = String::from_utf8(out.1).expect("UTF-8");
     assert!(
         text.starts_with("line 0 ..\nline 1 ..\nline 2 ..\n"),
         "{text}"
@@ -48,11 +48,11 @@
     assert!(text.ends_with("log lines dropped dropped=3\n"), "{text}");
 }
 
-// Regression: a full disk at one write silenced the log for the life of the process.
+// Regression: after one write had failed on a full disk, nothing was logged until the process exited.
 #[test]
 fn log_goes_on_when_the_disk_was_full_for_a_while() {
-    struct FullOnce(bool, Vec<u8>);
-    impl Write for FullOnce {
+    struct DiskFullOnce(bool, Vec<u8>);
+    impl Write for DiskFullOnce {
         fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
             if std::mem::replace(&mut self.0, false) {
                 return Err(ErrorKind::StorageFull.into());
@@ -64,7 +64,7 @@
         }
     }
     let mut queue = LineQueue::new(&operator::LogSettings::default());
-    let mut out = FullOnce(true, Vec::new());
+    let mut out = DiskFullOnce(true, Vec::new());
     queue.push(b"line 0\n");
     queue.write_ready(&mut out, || true);
     queue.push(b"line 1\n");
@@ -74,8 +74,8 @@
 
 #[test]
 fn writer_that_is_not_ready_is_not_written_to_and_a_closed_one_drops_all() {
-    struct Broken;
-    impl Write for Broken {
+    struct ClosedWriter;
+    impl Write for ClosedWriter {
         fn write(&mut self, _: &[u8]) -> io::Result<usize> {
             Err(ErrorKind::BrokenPipe.into())
         }
@@ -85,9 +85,9 @@
     }
     let mut queue = LineQueue::new(&operator::LogSettings::default());
     queue.push(b"line\n");
-    queue.write_ready(&mut Broken, || false);
+    queue.write_ready(&mut ClosedWriter, || false);
     assert!(!queue.is_closed && !queue.bytes.is_empty());
-    queue.write_ready(&mut Broken, || true);
+    queue.write_ready(&mut ClosedWriter, || true);
     assert!(queue.is_closed && queue.bytes.is_empty());
     queue.push(b"line\n");
     assert!(queue.bytes.is_empty());
--- a/tests/fronts/checks.rs
+++ b/tests/fronts/checks.rs
@@ -1,4 +1,4 @@
-//! Agent and HTTP checks.
+//! Tests of the agent checks and the HTTP checks.
 
 use super::*;
 
@@ -20,8 +20,8 @@
     );
     let mut client = deployment.program.client();
     assert!(client.health_check());
-    let (done, said) = ctl(&deployment.socket, &["drain"]);
-    assert!(done && said.starts_with("drain"), "{said}");
+    let (done, output) = ctl(&deployment.socket, &["drain"]);
+    assert!(done && output.starts_with("drain"), "{output}");
     assert_eq!(
         agent(deployment.agent),
         "up drain # finishing what was taken\n"
@@ -33,10 +33,10 @@
     );
     assert!(
         get(deployment.http, "/livez").starts_with("HTTP/1.1 200"),
-        "alive: a draining placer must not be killed"
+        "a draining placer stays alive, so that it is not killed"
     );
-    assert!(!client.health_check(), "nor do clients' tests pass");
-    // New requests that still come are placed.
+    assert!(!client.health_check(), "health checks of clients fail, too");
+    // Tasks of requests that arrive during the drain are still placed.
     client.request_task(1, &IDEMPOTENT_TASK);
     assert_eq!(deployment.connections[0].expect_offer(), hex(1));
     deployment.connections[0].report_running(&hex(1));
@@ -44,20 +44,23 @@
     assert!(ctl(&deployment.socket, &["ready"]).0);
     assert!(
         agent(deployment.agent).starts_with("up ready "),
-        "the drain is cancelled explicitly"
+        "the `ready` command cancels the drain"
     );
     assert!(client.health_check());
     assert!(ctl(&deployment.socket, &["maint"]).0);
     assert_eq!(agent(deployment.agent), "maint # by order\n");
     assert!(ctl(&deployment.socket, &["ready"]).0);
     let (done, state) = ctl(&deployment.socket, &["state", "--json"]);
-    let value = simd_json::to_owned_value(&mut state.clone().into_bytes()).expect("JSON");
+    let value =
+        simd_json::to_owned_value(&mut state.clone().into_bytes()).expect("the state is not JSON");
     assert!(done && value.get_u64("v") == Some(1), "{state}");
-    let signals = value.get_array("signals").expect("signals");
+    let signals = value
+        .get_array("signals")
+        .expect("the state has no signals");
     assert_eq!(signals.len(), 10);
     let history: Vec<&str> = value
         .get_array("history")
-        .expect("a history")
+        .expect("the state has no history")
         .iter()
         .filter_map(|t| t.get_str("reason"))
         .collect();
@@ -102,7 +105,7 @@
         assert_eq!(
             answer.matches("HTTP/1.1 ").count(),
             1,
-            "the rest is not read as a request: {answer}"
+            "the remaining bytes are not parsed as a request: {answer}"
         );
     }
     let endless = format!(
@@ -110,11 +113,12 @@
         "X: yyyyyyyyyyyyyyyyyyyyyyyyyyyyyy\r\n".repeat(400)
     );
     assert!(exchange(deployment.http, endless.as_bytes()).contains("431"));
-    // A sender whose request never ends is disconnected.
-    let mut slow = TcpStream::connect(deployment.http).expect("a listener");
-    slow.write_all(b"GET /livez HT").expect("the peer reads");
+    // A client that never completes its request is disconnected.
+    let mut slow = TcpStream::connect(deployment.http).expect("cannot connect");
+    slow.write_all(b"GET /livez HT")
+        .expect("cannot write to the placer");
     slow.set_read_timeout(Some(10 * SECOND))
-        .expect("a socket option");
+        .expect("cannot set the read timeout");
     assert_eq!(
         slow.read(&mut [0; 16]).unwrap_or(0),
         0,
@@ -131,11 +135,11 @@
         assert!(answer.starts_with("up ready "), "{line:?}: {answer:?}");
     }
     for bad in [&[0xff, b'\n'][..], &[b'x'; 600]] {
-        let mut stream = TcpStream::connect(deployment.agent).expect("a listener");
+        let mut stream = TcpStream::connect(deployment.agent).expect("cannot connect");
         stream
             .set_read_timeout(Some(5 * SECOND))
-            .expect("a socket option");
-        stream.write_all(bad).expect("the peer reads");
+            .expect("cannot set the read timeout");
+        stream.write_all(bad).expect("cannot write to the placer");
         let mut answer = Vec::new();
         let _ = stream.read_to_end(&mut answer);
         assert!(answer.is_empty(), "{bad:?}");
@@ -154,20 +158,20 @@
             } else {
                 deployment.http
             })
-            .expect("a listener")
+            .expect("cannot connect")
         })
         .collect();
-    // A complete poll is answered all the same, and tasks are still placed.
+    // Complete polls are still answered, and tasks are still placed.
     assert!(agent(deployment.agent).starts_with("up "));
     let held = deployment.program.descriptors();
     assert!(held <= before + 40, "{before} to {held}");
     let mut client = deployment.program.client();
-    let begun = Instant::now();
+    let started = Instant::now();
     client.request_task(1, &IDEMPOTENT_TASK);
     assert_eq!(deployment.connections[0].expect_offer(), hex(1));
     deployment.connections[0].report_running(&hex(1));
     assert_eq!(client.expect_message().kind, 9);
-    assert!(begun.elapsed() < SECOND, "{:?}", begun.elapsed());
+    assert!(started.elapsed() < SECOND, "{:?}", started.elapsed());
     deployment.program.wait_for_log("reason=evicted");
     drop(silent);
 }
--- a/tests/fronts/drains.rs
+++ b/tests/fronts/drains.rs
@@ -1,4 +1,4 @@
-//! Drains.
+//! Tests of drains.
 
 use super::*;
 
@@ -20,7 +20,7 @@
             .then_some(())
     });
     deployment.program.terminate();
-    // The host never answers: the request is given up in time for the exit.
+    // The host never responds, so the request is rejected in time for the exit.
     let answer = client.expect_message();
     assert_eq!((answer.kind, answer.id, answer.cause()), (12, 1, 42));
     assert_eq!(
@@ -55,7 +55,7 @@
     });
     assert!(ctl(&deployment.socket, &["ready"]).0);
     assert!(agent(deployment.agent).starts_with("up ready"));
-    // Well beyond the end of a drain that nobody polls.
+    // Longer than a drain takes if no load balancer polls the placer.
     std::thread::sleep(3 * SECOND);
     assert!(deployment.program.is_running());
     let mut client = deployment.program.client();
@@ -95,11 +95,15 @@
     deployment.connections[0].report_running(&hex(1));
     assert_eq!(standing.expect_message().kind, 9);
     deployment.program.terminate();
-    assert_eq!(idle.next_message(), None, "closed gracefully");
-    // Accepted requests are still answered, and ends notified on the connection that is kept for them.
+    assert_eq!(
+        idle.next_message(),
+        None,
+        "idle connections are closed without a message"
+    );
+    // Accepted requests still get a response, and the end of a task is sent on the connection that is kept open for it.
     deployment.connections[0].report_running(&hex(2));
     assert_eq!(busy.expect_message().kind, 9);
-    // Two later connections are closed before it: it was left open by earlier sweeps.
+    // Two later connections are closed while `busy` stays open, which shows that earlier sweeps have left it open.
     for _ in 0..2 {
         let mut later = deployment.program.client();
         assert!(
@@ -126,14 +130,14 @@
 fn client_that_never_reads_does_not_delay_a_drain() {
     let mut deployment = start("settle = \"100ms\"\nquiet = \"300ms\"\nstanding = \"3s\"");
     let mut non_reading = deployment.program.client();
-    // Responses to health checks fill its connection until it blocks.
+    // The results of health checks fill its connection until the placer's writes block.
     let test = emulator::encode_message(52, 0xfe, &[(171, &[0])]);
     non_reading
         .0
         .set_nonblocking(true)
-        .expect("a socket option");
-    let begun = Instant::now();
-    while begun.elapsed() < 2 * SECOND {
+        .expect("cannot make the socket non-blocking");
+    let started = Instant::now();
+    while started.elapsed() < 2 * SECOND {
         if non_reading.0.write(&test).is_err() {
             std::thread::sleep(Duration::from_millis(1));
         }
--- a/tests/fronts/log.rs
+++ b/tests/fronts/log.rs
@@ -1,18 +1,18 @@
-//! The log.
+//! Tests of the log.
 
 use super::*;
 
-/// Makes connections that each log a line.
+/// Opens connections with malformed messages, each of which makes the placer log a line.
 fn open_connections(program: &Program, lines: usize) {
     for _ in 0..lines {
-        let mut client = Client::connect(program.address).expect("a listener");
+        let mut client = Client::connect(program.address).expect("cannot connect");
         client.send(&[0, 1, 0]);
         let _ = client.next_message();
     }
 }
 
 #[test]
-fn blocked_or_closed_log_stops_nothing() {
+fn placer_keeps_serving_with_a_blocked_or_closed_log() {
     for closed in [false, true] {
         let records: Arc<Mutex<HostRecords>> = Arc::default();
         let behavior = HostBehavior {
@@ -23,7 +23,7 @@
         let host = EmulatedHost::start("h0", "north", behavior, records);
         let feed = EmulatedFeed::start();
         let config = emulator::placer_config("n0", 0, 1, &feed.address(), vec![host.entry("up")]);
-        let (reader, writer) = std::io::pipe().expect("a pipe");
+        let (reader, writer) = std::io::pipe().expect("cannot create a pipe");
         let reader = if closed {
             drop(reader);
             None
@@ -35,24 +35,24 @@
             .log_to(Stdio::from(writer))
             .start();
         drop(program.client());
-        // More than the pipe and the queue can hold.
+        // These are more lines than the pipe and the queue can hold.
         open_connections(&program, 1_500);
         let mut client = program.client();
         client.request_task(1, &IDEMPOTENT_TASK);
         assert_eq!(client.expect_message().kind, 9);
         assert!(client.health_check());
         if let Some(mut reader) = reader {
-            // Once it is read again, the number of dropped lines is logged.
-            let told = std::thread::spawn(move || {
+            // Once the log is read again, the placer logs the number of dropped lines.
+            let reading = std::thread::spawn(move || {
                 let (mut text, mut chunk) = (String::new(), [0; 4096]);
                 while !text.contains("log lines dropped dropped=") {
-                    let n = reader.read(&mut chunk).expect("a pipe");
-                    assert!(n > 0, "ended: {text}");
+                    let n = reader.read(&mut chunk).expect("cannot read the log");
+                    assert!(n > 0, "the log ended early: {text}");
                     text.push_str(&String::from_utf8_lossy(&chunk[..n]));
                 }
                 text
             });
-            let text = told.join().expect("a reader");
+            let text = reading.join().expect("the reading thread panicked");
             assert!(
                 text.contains("connection ended peer=\"client\"")
                     && text.contains("reason=malformed:"),
--- a/tests/fronts/main.rs
+++ b/tests/fronts/main.rs
@@ -1,4 +1,4 @@
-//! The interfaces of one placer for load balancers and operators, on real sockets, with misbehaving peers.
+//! Tests of a placer's interfaces for load balancers and operators, on real sockets and with misbehaving peers.
 
 mod checks;
 mod drains;
@@ -32,7 +32,8 @@
     socket: PathBuf,
 }
 
-/// Starts a placer with one scripted host and every interface, with these settings of the drain.
+/// Starts a placer that has every interface enabled and one scripted host. `drain` holds lines of its `[drain]`
+/// section.
 fn start(drain: &str) -> Deployment {
     let mut feed = Feed::new();
     let hosts = vec![Host::new("h0", "north")];
@@ -64,13 +65,13 @@
     query_agent(address, "t\n", 5 * SECOND).unwrap_or_default()
 }
 
-/// Sends bytes and returns what comes until the end or the timeout.
+/// Sends bytes, and returns all that is received until the peer closes the connection or the timeout passes.
 fn exchange(address: SocketAddr, bytes: &[u8]) -> String {
-    let mut stream = TcpStream::connect(address).expect("a listener");
+    let mut stream = TcpStream::connect(address).expect("cannot connect");
     stream
         .set_read_timeout(Some(5 * SECOND))
-        .expect("a socket option");
-    stream.write_all(bytes).expect("the peer reads");
+        .expect("cannot set the read timeout");
+    stream.write_all(bytes).expect("cannot write to the placer");
     let mut answer = Vec::new();
     let _ = stream.read_to_end(&mut answer);
     String::from_utf8_lossy(&answer).into_owned()
@@ -90,11 +91,14 @@
         .arg("--socket")
         .arg(socket)
         .output()
-        .expect("it runs");
+        .expect("the ctl command does not start");
     let text = if out.status.success() {
         out.stdout
     } else {
         out.stderr
     };
-    (out.status.success(), String::from_utf8(text).expect("text"))
+    (
+        out.status.success(),
+        String::from_utf8(text).expect("the output is not UTF-8"),
+    )
 }
--- a/tests/fronts/start.rs
+++ b/tests/fronts/start.rs
@@ -1,14 +1,14 @@
-//! The start, the check of settings, and the control socket.
+//! Tests of the start, of the check of the settings, and of the control socket.
 
 use super::*;
 
 #[test]
 fn start_fails_naming_the_field_of_an_address_in_use_or_given_twice() {
-    let taken = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = taken.local_addr().expect("an address");
+    let taken = TcpListener::bind("127.0.0.1:0").expect("cannot bind a free port");
+    let address = taken.local_addr().expect("the listener has no address");
     let feed = Feed::new();
     let config = single_placer_config(&feed, vec![]);
-    for (operator, says) in [
+    for (operator, message) in [
         (
             format!("[health]\nagent = [\"{address}\"]\n"),
             "health.agent: can't listen at",
@@ -28,16 +28,18 @@
         (
             format!(
                 "[health]\nagent = [\"{}\"]\n",
-                config.get_str("listen").expect("an address")
+                config
+                    .get_str("listen")
+                    .expect("the configuration has no listen address")
             ),
             "is where clients connect",
         ),
     ] {
         let out = Launch::new(&config).operator_file(&operator).output();
-        let said = String::from_utf8(out.stderr).expect("text");
+        let output = String::from_utf8(out.stderr).expect("the output is not UTF-8");
         assert!(
-            !out.status.success() && said.contains(says),
-            "{operator}: {said}"
+            !out.status.success() && output.contains(message),
+            "{operator}: {output}"
         );
     }
 }
@@ -50,34 +52,35 @@
         .operator_file("[drain]\nenabled = true\nnotice = \"3s\"\n")
         .args(&["check"])
         .output();
-    let said = String::from_utf8(out.stdout).expect("text");
-    assert!(out.status.success(), "{said}");
+    let output = String::from_utf8(out.stdout).expect("the output is not UTF-8");
+    assert!(out.status.success(), "{output}");
     for line in [
         "limits.sockets = 1024  # ",
         "drain.settle = \"500ms\"  # default",
     ] {
-        assert!(said.contains(line), "{line}: {said}");
+        assert!(output.contains(line), "{line}: {output}");
     }
     assert!(
-        said.lines()
+        output
+            .lines()
             .any(|l| l.starts_with("drain.notice = \"3s\"  # ") && l.ends_with("toml:3")),
-        "{said}"
+        "{output}"
     );
     let bad = "[drain]\nnotice = 5\nsettel = \"1s\"\n[log]\nlevel = \"loud\"\n";
     let out = Launch::from_text("{}")
         .operator_file(bad)
         .args(&["check"])
         .output();
-    let said = String::from_utf8(out.stderr).expect("text");
+    let output = String::from_utf8(out.stderr).expect("the output is not UTF-8");
     assert_eq!(out.status.code(), Some(2));
-    assert_eq!(said.lines().count(), 4, "{said}");
+    assert_eq!(output.lines().count(), 4, "{output}");
     for words in [
         "settings: missing",
         "toml:2:10: drain.notice: expected a duration",
         "toml:3:1: drain.settel",
         "toml:5:9",
     ] {
-        assert!(said.contains(words), "{words}: {said}");
+        assert!(output.contains(words), "{words}: {output}");
     }
 }
 
@@ -85,8 +88,8 @@
 fn control_socket_is_private_and_a_stale_one_is_replaced() {
     use std::os::unix::fs::PermissionsExt;
     let socket = temp_path("sock");
-    // What a killed process leaves.
-    drop(std::os::unix::net::UnixListener::bind(&socket).expect("a socket"));
+    // A killed process leaves its socket file.
+    drop(std::os::unix::net::UnixListener::bind(&socket).expect("cannot bind the socket"));
     let feed = Feed::new();
     let operator = format!("[ctl]\nsocket = \"{}\"\n", socket.display());
     let mut program = Launch::new(&single_placer_config(&feed, vec![]))
@@ -94,26 +97,28 @@
         .start();
     drop(program.client());
     let mode = std::fs::metadata(&socket)
-        .expect("a socket")
+        .expect("the control socket does not exist")
         .permissions()
         .mode();
     assert_eq!(mode & 0o777, 0o600);
-    // A second placer does not take it away.
+    // A second placer does not replace the socket of a running one.
     let out = Launch::new(&single_placer_config(&feed, vec![]))
         .operator_file(&operator)
         .output();
-    assert!(String::from_utf8_lossy(&out.stderr).contains("another process answers there"));
+    assert!(String::from_utf8_lossy(&out.stderr).contains("another process is listening there"));
     assert!(ctl(&socket, &["state"]).0);
-    // What is no order is answered with what is wrong, and the connection goes on.
-    let mut stream = UnixStream::connect(&socket).expect("a listener");
+    // An invalid command gets an error as its reply, and the connection stays open.
+    let mut stream = UnixStream::connect(&socket).expect("cannot connect");
     stream
         .write_all(b"{\"v\":9}\nnonsense\n{\"v\":1,\"do\":\"state\"}\n")
-        .expect("the peer reads");
+        .expect("cannot write to the placer");
     stream
         .shutdown(std::net::Shutdown::Write)
-        .expect("a socket");
+        .expect("cannot shut down the writing side");
     let mut answers = String::new();
-    stream.read_to_string(&mut answers).expect("text");
+    stream
+        .read_to_string(&mut answers)
+        .expect("the output is not UTF-8");
     let lines: Vec<&str> = answers.lines().collect();
     assert_eq!(lines.len(), 3, "{answers}");
     assert!(
@@ -121,7 +126,7 @@
             && lines[1].contains("not JSON")
             && lines[2].contains("\"ok\":true")
     );
-    let mut stream = UnixStream::connect(&socket).expect("a listener");
+    let mut stream = UnixStream::connect(&socket).expect("cannot connect");
     let _ = stream.write_all(&vec![b'x'; 10_000]);
     let mut answer = String::new();
     let _ = stream.read_to_string(&mut answer);
@@ -129,7 +134,8 @@
         answer.contains("longer than any order") || answer.is_empty(),
         "{answer}"
     );
-    // Without [drain] SIGTERM ends it as without a file, and the socket goes with it.
+    // Without a [drain] section SIGTERM ends the placer as it does without an operator's file, and the socket is
+    // removed.
     program.terminate();
     assert_eq!(program.wait_exit().code(), Some(0));
     assert!(!socket.exists());
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -502,7 +502,7 @@
     let (config, _) = with_admin_socket(single_placer_config(&feed, Vec::new()));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
     for (number, says) in [
-        ("5", "listens at"),
+        ("5", "listens on"),
         ("4", "LB_ACCEPT_FD: 4: "),
         ("five", "LB_ACCEPT_FD: five: "),
     ] {
@@ -530,10 +530,13 @@
         .env("TMPDIR", "/nowhere/at/all")
         .start();
     wait_for("the placer serves", || admin.is_healthy().then_some(()));
-    program.wait_for_log("processes do not meet");
+    program.wait_for_log("cannot reach the other processes of this placer");
     std::thread::sleep(QUIET_PERIOD);
     assert_eq!(
-        program.log().matches("processes do not meet").count(),
+        program
+            .log()
+            .matches("cannot reach the other processes of this placer")
+            .count(),
         1,
         "{}",
         program.log()
--- a/tests/placer/answers.rs
+++ b/tests/placer/answers.rs
@@ -1,4 +1,4 @@
-//! Rule 1: one final answer.
+//! Rule 1: each request gets exactly one final response.
 
 use super::*;
 
@@ -19,10 +19,10 @@
     );
     let left: u64 = field("left")
         .and_then(|ms| ms.parse().ok())
-        .expect("a time");
+        .expect("the offer has no time left");
     assert!(left > 1_000 && left < 6_000, "{left}");
     connections[0].report_running(&hex(0x51));
-    // A second message of a host is no second answer.
+    // A repeated message of the host must not cause a second response.
     connections[0].report_running(&hex(0x51));
     let answer = client.expect_message();
     assert_eq!(
@@ -31,9 +31,9 @@
     );
     assert!(
         client.health_check(),
-        "nothing else was written before the test's result"
+        "nothing else was sent before the result of the health check"
     );
-    // The client is notified of the end of the task, with its cause.
+    // The end of the task and its cause are forwarded to the client.
     connections[0].report_ended(&hex(0x51), 16, "");
     let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 0x51, 16));
@@ -51,13 +51,13 @@
     assert_eq!(
         (again.as_str(), second),
         (id.as_str(), 1 - first),
-        "a retry carries the same id"
+        "a retry has the same id"
     );
     connections[first].report_running(&id);
     connections[first].report_ended(&id, 16, "");
     connections[second].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
-    assert!(client.health_check(), "one answer only");
+    assert!(client.health_check(), "the client gets only one response");
 }
 
 #[test]
@@ -81,11 +81,14 @@
         "{:?}",
         start.elapsed()
     );
-    let away: u64 = answer
+    let retry_after_ms: u64 = answer
         .text(147)
         .and_then(|ms| ms.parse().ok())
-        .expect("a time to stay away");
-    assert!(away > 0 && away <= 3_000, "{away}");
+        .expect("the response has no Retry-After time");
+    assert!(
+        retry_after_ms > 0 && retry_after_ms <= 3_000,
+        "{retry_after_ms}"
+    );
 }
 
 #[test]
@@ -124,8 +127,8 @@
     );
 }
 
-// Regression: a host's start and end of a task were read at once, and the end went out on another connection, where
-// the client read it before the answer.
+// Regression: a host reported the start and the end of a task in one write, and the end was sent on another connection
+// than the response, so that the client received it first.
 #[test]
 fn end_of_a_task_is_notified_after_its_answer_on_the_same_connection() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
@@ -133,7 +136,7 @@
     for (id, client) in [(1, &mut other), (2, &mut first)] {
         client.request_task(id, &IDEMPOTENT_TASK);
         connections[0].expect_offer();
-        // The other client has had a task placed, and sent a message last.
+        // The task of the other client is placed first, and that client is the last one to send a message.
         if id == 1 {
             connections[0].report_running(&hex(1));
             assert_eq!(client.expect_message().kind, 9);
@@ -145,13 +148,17 @@
         "{{\"t\":\"up\",\"ref\":\"{up}\",\"f\":{{}},\"d\":\"stands\"}}\n{{\"t\":\"down\",\"ref\":\"{down}\",\"f\":{{}},\"c\":16}}\n"
     );
     connections[0].send_bytes(lines.as_bytes());
-    let words =
+    let messages =
         [first.expect_message(), first.expect_message()].map(|message| (message.kind, message.id));
-    assert_eq!(words, [(9, 2), (12, 2)]);
-    assert!(other.health_check(), "nothing of it was sent there");
+    assert_eq!(messages, [(9, 2), (12, 2)]);
+    assert!(
+        other.health_check(),
+        "nothing about task 2 was sent on the other connection"
+    );
 }
 
-// Regression: such a task was offered to every host in turn, and each was taken for faulty.
+// Regression: a task that every host ended at once, because its deadline had passed, was offered to each host in turn,
+// and each was considered faulty.
 #[test]
 fn task_whose_deadline_has_passed_is_not_retried() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(2);
--- a/tests/placer/capacity_limits.rs
+++ b/tests/placer/capacity_limits.rs
@@ -1,4 +1,4 @@
-//! Rules 3 to 5: drains, slow start and the spread over zones.
+//! Rules 3 to 5: draining hosts, slow start and the spread of tasks over zones.
 
 use super::*;
 
@@ -17,14 +17,17 @@
             },
         );
         let (at, offer) = next_offer(&mut connections);
-        assert_eq!(at, 1, "offered after the grace");
+        assert_eq!(
+            at, 1,
+            "the draining host was offered a task after the grace period"
+        );
         connections[at].report_ended(&offer, 16, "");
         assert_eq!(client.expect_message().kind, 12);
     }
 }
 
 #[test]
-fn cold_host_gets_no_more_offers_than_it_always_tolerates() {
+fn cold_host_gets_no_more_offers_than_it_tolerates() {
     let mut feed = Feed::new();
     let host = Host::new("h0", "north");
     let program = Program::start(&single_placer_config(
@@ -51,7 +54,7 @@
             now
         })
         .collect();
-    // Three in a second are tolerated; a fourth must come a second after the first.
+    // The host tolerates three offers per second, so a fourth must come at least a second after the first.
     assert!(
         times
             .windows(4)
@@ -71,7 +74,7 @@
         .for_each(|id| connections[0].report_running(id));
     assert!(
         connections[0].read_within(QUIET_PERIOD).is_none(),
-        "two run, a third is held back"
+        "a third task must wait while two run"
     );
     connections[0].report_ended(&placed[0], 16, "");
     connections[0].expect("ack");
--- a/tests/placer/duplicate_starts.rs
+++ b/tests/placer/duplicate_starts.rs
@@ -1,4 +1,4 @@
-//! Rule 2: no duplicate start.
+//! Rule 2: no task is started twice.
 
 use super::*;
 
@@ -13,7 +13,7 @@
     assert_eq!((answer.kind, answer.cause()), (12, 47));
     assert!(
         connections[0].read_within(QUIET_PERIOD).is_none(),
-        "no second offer"
+        "the task is not offered to another host"
     );
 }
 
--- a/tests/placer/failing_peers.rs
+++ b/tests/placer/failing_peers.rs
@@ -1,8 +1,8 @@
-//! Hosts, clients and feeds that fail.
+//! Tests with hosts, clients and feeds that fail.
 
 use super::*;
 
-// Regression: an unreachable host kept its open connection and lost offer after offer.
+// Regression: the placer kept the open connection to an unreachable host, and every offer sent on it was lost.
 #[test]
 fn connection_silent_during_an_offer_is_replaced() {
     let (program, _feed, hosts, mut connections) = start_with_hosts(1);
@@ -12,7 +12,7 @@
     let mut second = hosts[0].accept();
     client.request_task(2, &IDEMPOTENT_TASK);
     assert_eq!(second.expect_offer(), hex(2));
-    // The first connection is still read.
+    // Messages on the first connection are still read.
     connections[0].report_running(&id);
     assert_eq!(
         (client.expect_message().id, client.0.peer_addr().is_ok()),
@@ -20,8 +20,8 @@
     );
 }
 
-/// Starts two hosts of one cell. One runs a task and is unreachable with another offered to it; that one is retried on a
-/// new connection of the other host, and placed there.
+/// Starts two hosts of one cell. One of them runs a task and becomes unreachable before a second task is offered to it.
+/// The second task is then retried on a new connection to the other host, which runs it.
 fn start_with_unreachable_host() -> (
     Program,
     Feed,
@@ -36,32 +36,41 @@
     client.request_task(1, &IDEMPOTENT_TASK);
     let (at, id) = next_offer(&mut connections);
     connections[at].report_running(&id);
-    let heard = Instant::now();
+    let last_message_at = Instant::now();
     assert_eq!(client.expect_message().kind, 9);
-    let held = hosts[at].make_unreachable();
+    let unreachable = hosts[at].make_unreachable();
     client.request_task(2, &IDEMPOTENT_TASK);
     assert_eq!(connections[at].expect_offer(), hex(2));
     let since = Instant::now();
-    let mut beside = hosts[1 - at].accept();
-    assert_eq!(beside.expect_offer(), hex(2));
+    let mut other = hosts[1 - at].accept();
+    assert_eq!(other.expect_offer(), hex(2));
     assert!(
         since.elapsed() < Duration::from_secs(3),
-        "well before the timeout of its client"
+        "the retry comes well before the client's timeout"
     );
-    beside.report_running(&hex(2));
+    other.report_running(&hex(2));
     assert_eq!(client.expect_message().kind, 9);
-    (program, feed, client, hosts, at, held, heard)
+    (
+        program,
+        feed,
+        client,
+        hosts,
+        at,
+        unreachable,
+        last_message_at,
+    )
 }
 
-// Regression with hosts that are unreachable for a while: offers to them stayed in flight until their clients gave up,
-// and their running tasks were reported as lost.
+// Regression: when a host was unreachable for a while, offers to it stayed in flight until the clients gave up, and its
+// running tasks were reported as lost.
 #[test]
 fn unreachable_host_keeps_its_running_tasks_and_its_offers_are_retried_elsewhere() {
-    let (_program, _feed, mut client, hosts, at, held, _) = start_with_unreachable_host();
-    // Unreachable for longer than the notice of a lost task takes, and shorter than it may take.
-    let told = client.message_within(Duration::from_secs(4));
-    assert!(told.is_err(), "{told:?}");
-    hosts[at].make_reachable(held);
+    let (_program, _feed, mut client, hosts, at, unreachable, _) = start_with_unreachable_host();
+    // The host stays unreachable for longer than the report of a lost task usually takes, but not for as long as it may
+    // take.
+    let message = client.message_within(Duration::from_secs(4));
+    assert!(message.is_err(), "{message:?}");
+    hosts[at].make_reachable(unreachable);
     let mut back = hosts[at].accept();
     back.report_ended(&hex(1), 16, "");
     let end = client.expect_message();
@@ -70,13 +79,14 @@
 
 #[test]
 fn tasks_of_a_host_that_stays_unreachable_are_lost_in_time() {
-    let (_program, _feed, mut client, _hosts, _at, _held, heard) = start_with_unreachable_host();
+    let (_program, _feed, mut client, _hosts, _at, _unreachable, last_message_at) =
+        start_with_unreachable_host();
     let end = client.expect_message();
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
     assert!(
-        heard.elapsed() < Duration::from_millis(8_050),
+        last_message_at.elapsed() < Duration::from_millis(8_050),
         "{:?}",
-        heard.elapsed()
+        last_message_at.elapsed()
     );
 }
 
@@ -101,7 +111,7 @@
     assert_eq!(
         (busy.expect_message().kind, idle.len()),
         (9, 60),
-        "one with an open set-up stays"
+        "a connection with an open request is not evicted"
     );
 }
 
@@ -119,7 +129,7 @@
         client.send(bad);
         assert_eq!(client.next_message(), None, "{bad:?}");
     }
-    // A request of an unknown class and an empty one fail; the connection stays open.
+    // A request with an unknown class and one without parameters fail, and the connection stays open.
     good.request_task(
         1,
         &TaskRequest {
@@ -136,7 +146,7 @@
         (good.expect_message().cause(), good.health_check()),
         (47, true)
     );
-    // A host that sends nonsense loses only its connection.
+    // A malformed message of a host closes only that connection.
     connections[0].send_bytes(b"{\"t\":\"up\"\n");
     assert!(connections[0].read_within(TEST_TIMEOUT).is_none());
     assert!(good.health_check());
@@ -149,13 +159,21 @@
     feed.send_host_state(2, &hosts[0], "removed");
     feed.send_host_state(3, &hosts[0], "up");
     drop(feed.take_subscription());
-    assert_eq!(feed.accept_subscription(), 3, "after a break");
-    assert_eq!(feed.accept_subscription(), 3, "after a silence");
+    assert_eq!(
+        feed.accept_subscription(),
+        3,
+        "resubscribed after the connection closed"
+    );
+    assert_eq!(
+        feed.accept_subscription(),
+        3,
+        "resubscribed after the feed fell silent"
+    );
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
     assert_eq!(
         connections[0].expect_offer(),
         hex(1),
-        "an event that comes twice counts once"
+        "a repeated event is applied only once"
     );
 }
--- a/tests/placer/main.rs
+++ b/tests/placer/main.rs
@@ -1,4 +1,4 @@
-//! The real program on loopback sockets: the rules, and a test for each failure found.
+//! Tests of the real program on loopback sockets: the rules of placement, and the failures found so far.
 
 #![recursion_limit = "256"]
 
--- a/tests/placer/process.rs
+++ b/tests/placer/process.rs
@@ -1,4 +1,4 @@
-//! The start and the shutdown of the process.
+//! Tests of the start and the shutdown of the process.
 
 use super::*;
 
@@ -25,10 +25,10 @@
         ),
     ];
     for (text, field) in cases {
-        let (failed, said) = run_with_invalid_config(text);
+        let (failed, output) = run_with_invalid_config(text);
         assert!(
-            failed && said.lines().count() == 1 && said.contains(field),
-            "{field}: {said}"
+            failed && output.lines().count() == 1 && output.contains(field),
+            "{field}: {output}"
         );
     }
 }
@@ -38,7 +38,7 @@
     let (mut program, _feed, _hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
-    let held = connections[0].expect_offer();
+    let first_offer = connections[0].expect_offer();
     program.terminate();
     while client.health_check() {}
     let mut late = program.client();
@@ -55,11 +55,11 @@
         (late.expect_message().id, program.wait_exit().code()),
         (2, Some(0))
     );
-    // The host never answered the first offer: its client was notified before the exit.
+    // The host never responded to the first offer, so the request was rejected before the exit.
     let answer = client.expect_message();
     assert_eq!((answer.kind, answer.id, answer.cause()), (12, 1, 42));
     assert_eq!(
         connections[0].expect("down").get_str("ref"),
-        Some(held.as_str())
+        Some(first_offer.as_str())
     );
 }
--- a/tests/placer/running_tasks.rs
+++ b/tests/placer/running_tasks.rs
@@ -1,4 +1,4 @@
-//! Running tasks and their ends.
+//! Tests of running tasks and of how their ends are reported.
 
 use super::*;
 
@@ -19,15 +19,15 @@
         client.expect_message();
     }
     drop(client);
-    // The host closes its connection: the tasks run on, and the placer connects again.
+    // When the host closes its connection, its tasks keep running, and the placer reconnects.
     drop(connections.remove(0));
     let mut connection = hosts[0].accept();
     connection.report_ended(&hex(1), 41, "ev");
     connection.report_ended(&hex(1), 41, "ev");
     connection.expect("ack");
     connection.expect("ack");
-    // With no client connected, the notice of the end waits for the next client that sends anything, and comes once.
-    // A client may end a task on any connection; the host's report is then not forwarded.
+    // While no client is connected, the end of the task is kept, and sent once to the next client that sends a message.
+    // A client may end a task on any connection, and the host's report of that end is not forwarded.
     let mut client = program.client();
     client.release(2, 31);
     let end = client.expect_message();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn tasks_of_a_dead_host_process_are_lost_at_once() {
+fn tasks_of_a_crashed_host_process_are_lost_at_once() {
     let (program, _feed, mut hosts, mut connections) = start_with_hosts(1);
     let mut client = program.client();
     client.request_task(1, &IDEMPOTENT_TASK);
@@ -53,9 +53,10 @@
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 41));
 }
 
-// Regression: of hosts that died together, one without an offer in flight was not noticed until the feed listed it.
+// Regression: when several hosts crashed together, the crash of one without an offer in flight was not noticed until
+// the feed reported it.
 #[test]
-fn death_of_a_host_process_reconnects_the_others_of_its_cell() {
+fn crash_of_a_host_process_makes_the_placer_reconnect_to_the_others_of_its_cell() {
     let (program, _feed, mut hosts, mut connections) = start_with_hosts(2);
     let mut client = program.client();
     for (id, host) in [(1, "h0"), (2, "h1")] {
@@ -68,7 +69,7 @@
         );
     }
     assert!(client.health_check());
-    // Nothing listens any more, but only the first connection notices.
+    // No host listens any more, but only the first connection is closed.
     hosts.clear();
     drop(connections.remove(0));
     let mut lost =
@@ -97,7 +98,7 @@
             ..IDEMPOTENT_TASK
         },
     );
-    // The client may reconnect again, which changes nothing.
+    // A repeated request of a reconnecting client has no further effect.
     client.request_task(
         2,
         &TaskRequest {
--- a/tests/rough.rs
+++ b/tests/rough.rs
@@ -1,4 +1,4 @@
-//! The program among misbehaving clients, hosts and feeds, one test for each guard.
+//! Tests of the program with misbehaving clients, hosts and feeds, one for each safeguard against them.
 
 #![recursion_limit = "256"]
 
@@ -7,10 +7,10 @@
 use simd_json::prelude::*;
 use std::time::{Duration, Instant};
 
-/// A bad client gets a response or a close within 3 s.
+/// The time within which a misbehaving client gets a response or is disconnected.
 const RESPONSE_LIMIT: Duration = Duration::from_secs(3);
 
-/// The parameters of a request, to be made invalid.
+/// Returns the parameters of a task request, some of which the caller chooses to make the request invalid.
 fn parameters<'a>(wait: &'a str, tenant: &'a str, figures: &'a str) -> Vec<(u8, &'a [u8])> {
     let key = b"000000000000abcd";
     let texts = [
@@ -28,10 +28,10 @@
     all
 }
 
-// ---- Bad clients ----
+// ---- Misbehaving clients ----
 
-// Regression: hosts close the connection on an offer without an id, whatever else is open on it, and answer others
-// with errors, for which the placer took them for faulty.
+// Regression: invalid requests were offered to hosts. Hosts close the connection on an offer without an id, whatever
+// else is in flight on it, and reject other invalid offers with errors, for which the placer considered them faulty.
 #[test]
 fn invalid_requests_are_rejected_at_once_and_reach_no_host() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
@@ -56,7 +56,7 @@
             "{wait} {tenant} {figures}"
         );
     }
-    // The id of an ended task can not be used again.
+    // The id of an ended task can't be used again.
     client.request_task(9, &IDEMPOTENT_TASK);
     assert_eq!(connections[0].expect_offer(), hex(9));
     connections[0].report_ended(&hex(9), 16, "");
@@ -69,7 +69,7 @@
     assert!(connections[0].read_within(QUIET_PERIOD).is_none());
 }
 
-// Regression: a bad client took over an open id and got the response that was pending for another.
+// Regression: a client that reused the id of an open request received the response that was meant for another client.
 #[test]
 fn open_request_id_can_not_be_taken_over() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
@@ -84,15 +84,19 @@
             ..IDEMPOTENT_TASK
         },
     );
-    assert_eq!(other.next_message(), None, "the second connection ends");
+    assert_eq!(
+        other.next_message(),
+        None,
+        "the second connection is closed"
+    );
     let mut other = program.client();
     other.send(&encode_message(1, 1, &[]));
     assert_eq!(
         other.next_message(),
         None,
-        "nor is a failure notified under its id"
+        "no failure is reported under the id of an open request"
     );
-    // Cancelled from another connection, its response is still pending.
+    // A release from another connection is acknowledged, but does not cancel the request.
     let mut other = program.client();
     other.release(1, 16);
     assert_eq!(other.expect_message().kind, 16);
@@ -101,7 +105,7 @@
         (client.expect_message().kind, client.health_check()),
         (9, true)
     );
-    // Two requests under one id close their connection, and the offer is withdrawn.
+    // Two different requests with one id on a connection close it, and the offer is withdrawn.
     other.request_task(
         2,
         &TaskRequest {
@@ -155,11 +159,15 @@
     assert_eq!(
         (client.expect_message().kind, client.health_check()),
         (16, true),
-        "of a task that is not known"
+        "the release of an unknown task is acknowledged"
     );
     client.send(&encode_message(99, 5, &[]));
-    assert_eq!(client.next_message(), None, "of an unknown type");
-    // The response comes before the close, though there is more input that nobody reads.
+    assert_eq!(
+        client.next_message(),
+        None,
+        "a message of an unknown type closes the connection"
+    );
+    // The response is sent before the connection is closed, although more input is left that the placer does not read.
     let mut client = program.client();
     client.send(&encode_message(1, 4, &parameters("6000", "nobody", "")));
     client.send(&[0xff; 300_000]);
@@ -167,8 +175,8 @@
     assert_eq!(client.next_message(), None);
 }
 
-// Regression with clients that request once and keep their connection: at the limit every accept failed first, and
-// requests waited for seconds.
+// Regression: clients that sent one request and kept their connection used up the descriptors. Each accept then failed
+// at first, and requests waited for seconds.
 #[test]
 fn client_connections_stay_within_the_descriptor_budget_and_busy_ones_are_kept() {
     let mut feed = Feed::new();
@@ -181,8 +189,8 @@
     let mut busy = program.client();
     busy.request_task(1, &IDEMPOTENT_TASK);
     let id = connection.expect_offer();
-    let mut stayed: Vec<Client> = (0..64).map(|_| program.client()).collect();
-    assert!(stayed.last_mut().is_some_and(Client::health_check));
+    let mut idle_clients: Vec<Client> = (0..64).map(|_| program.client()).collect();
+    assert!(idle_clients.last_mut().is_some_and(Client::health_check));
     let descriptors = program.descriptors();
     assert!(descriptors < 64, "{descriptors}");
     connection.report_running(&id);
@@ -197,23 +205,23 @@
     let id = connections[0].expect_offer();
     connections[0].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
-    let mut stranger = program.client();
-    stranger.release(9, 31);
+    let mut other_client = program.client();
+    other_client.release(9, 31);
     assert_eq!(
-        stranger.expect_message().kind,
+        other_client.expect_message().kind,
         16,
-        "last to send a message, without a task"
+        "the other client is the last one to send a message, and has no task"
     );
     connections[0].report_ended(&id, 16, "");
     assert_eq!(client.expect_message().id, 1);
     drop(client);
     assert_eq!(
-        stranger.expect_message().id,
+        other_client.expect_message().id,
         1,
-        "not acknowledged there, so notified again"
+        "the first client has not acknowledged the end, so it is sent again"
     );
-    stranger.send(&encode_message(16, 1, &[]));
-    assert!(stranger.health_check());
+    other_client.send(&encode_message(16, 1, &[]));
+    assert!(other_client.health_check());
 }
 
 #[test]
@@ -248,7 +256,7 @@
 
 // ---- Feeds and new configurations ----
 
-// Regression: SIGHUP ended the process, and everything open was lost.
+// Regression: SIGHUP ended the process, and all open requests were lost.
 #[test]
 fn sighup_moves_the_feed_from_its_last_event_while_requests_continue() {
     let mut feed = Feed::new();
@@ -263,9 +271,9 @@
     let id = connection.expect_offer();
     let mut new_hosts = Vec::new();
     for n in 3..5 {
-        // An invalid file leaves the previous one in force.
+        // After an invalid file is read, the previous configuration stays in effect.
         program.reload("{\"feed\":");
-        // The connection to the new host shows that the event was handled before the signal.
+        // The connection to the new host shows that the placer has applied the event before it gets the signal.
         let new_host = Host::new(&format!("h{n}"), "north");
         feed.send_host_state(n, &new_host, "up");
         new_hosts.push((new_host.accept(), new_host));
@@ -286,16 +294,17 @@
 fn feed_cut_within_an_event_or_gone_silent_is_resubscribed_soon() {
     let (_program, mut feed, hosts, _conns) = start_with_hosts(1);
     let text = endpoint_event(2, UpdateKind::Delta, vec![hosts[0].entry("draining", 0)]).encode();
-    for spoilt in [
+    for malformed in [
         &text[..text.len() / 2],
         "{\"n\":2,\"members\":7}\n",
         "\u{1}\u{2}\n",
     ] {
-        let mut stream = feed.take_subscription().expect("a subscription");
-        std::io::Write::write_all(&mut stream, spoilt.as_bytes()).expect("the peer reads");
+        let mut stream = feed.take_subscription().expect("no feed subscription");
+        std::io::Write::write_all(&mut stream, malformed.as_bytes())
+            .expect("cannot write to the placer");
         let broken = Instant::now();
         drop(stream);
-        assert_eq!(feed.accept_subscription(), 1, "{spoilt}");
+        assert_eq!(feed.accept_subscription(), 1, "{malformed}");
         assert!(
             broken.elapsed() < Duration::from_secs(2),
             "{:?}",
@@ -306,7 +315,7 @@
     assert_eq!(
         feed.accept_subscription(),
         1,
-        "it stays open and sends nothing"
+        "resubscribed after the feed stayed open but fell silent"
     );
     assert!(
         stopped.elapsed() < Duration::from_secs(4),
@@ -315,21 +324,21 @@
     );
 }
 
-// ---- Bad hosts ----
+// ---- Misbehaving hosts ----
 
 #[test]
 fn malformed_reply_closes_its_connection_and_idempotent_tasks_are_retried_elsewhere() {
     let (program, _feed, hosts, mut connections) = start_with_hosts(2);
     let mut client = program.client();
     let up = |rest: &str| format!("{{\"t\":\"up\",\"ref\":\"{}\"{rest}", hex(1));
-    // Noise, no description, a line that never ends, a truncated one.
-    let spoilt = [
+    // The replies are garbage, a message without a description, a line that never ends, and a truncated line.
+    let malformed = [
         "\u{1}\u{2}\n".into(),
         up(",\"f\":{}}\n"),
         up(&"x".repeat(20_000)),
         up(",\"d\":\"sta"),
     ];
-    for (n, bytes) in spoilt.iter().enumerate() {
+    for (n, bytes) in malformed.iter().enumerate() {
         let id = 1 + n as u64;
         client.request_task(
             id,
@@ -341,7 +350,7 @@
         let (at, _) = next_offer(&mut connections);
         connections[at].send_bytes(bytes.as_bytes());
         assert!(connections[at].wait_closed(), "{n}");
-        // The host closes it, too, when it has seen that.
+        // The host then closes its end of the connection.
         connections.remove(at).close();
         connections.insert(at, hosts[at].accept());
         let (again, offer) = next_offer(&mut connections);
@@ -353,10 +362,10 @@
             "{n}"
         );
     }
-    // A non-idempotent task fails.
+    // A non-idempotent task fails instead of being retried.
     client.request_task(9, &NON_IDEMPOTENT_TASK);
     let (at, _) = next_offer(&mut connections);
-    connections[at].send_bytes(spoilt[1].as_bytes());
+    connections[at].send_bytes(malformed[1].as_bytes());
     assert_eq!(
         (client.expect_message().cause(), client.health_check()),
         (47, true)
@@ -380,6 +389,6 @@
     assert_eq!(
         connections[0].expect_offer(),
         hex(2),
-        "the connection is still good"
+        "the connection is still in use"
     );
 }
