--- a/src/descriptors/pool.rs
+++ b/src/descriptors/pool.rs
@@ -46,7 +46,7 @@
 /// What a new connection is needed for. Requests of the highest purpose are served first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ConnectPurpose {
-    /// The host may be needed soon, so that an open connection would save time.
+    /// The host may be needed soon.
     Prewarm,
     /// The host has running tasks, and may have to report that some have ended.
     ReadTaskEnds,
@@ -63,7 +63,7 @@
     Connect,
     /// The request waits for a slot; [`ConnectionPool::evict`] returns the connection to close for it.
     Wait,
-    /// No slot is free for a prewarm, and the request is dropped.
+    /// No spare slot is free for a prewarm, and the request is dropped.
     Skip,
 }
 
--- a/src/net/inherit.rs
+++ b/src/net/inherit.rs
@@ -112,8 +112,8 @@
                 Err(e) => e.kind(),
             },
         };
-        // Another process has bound the socket first, or the path can't be used. Each kind of error is logged once in a
-        // row.
+        // Another process has bound the socket first, or the path can't be used. An error is logged only if its kind
+        // differs from that of the previous attempt.
         if logged.replace(problem) != Some(problem) {
             warn!(path = %path.display(), reason = %problem, "cannot reach the other processes of this placer");
         }
--- a/tests/fronts/drains.rs
+++ b/tests/fronts/drains.rs
@@ -55,7 +55,7 @@
     });
     assert!(ctl(&deployment.socket, &["ready"]).0);
     assert!(agent(deployment.agent).starts_with("up ready"));
-    // Longer than a drain takes if no load balancer polls the placer.
+    // Waits for longer than a drain takes when no load balancer polls the placer.
     std::thread::sleep(3 * SECOND);
     assert!(deployment.program.is_running());
     let mut client = deployment.program.client();
--- a/tests/rough.rs
+++ b/tests/rough.rs
@@ -7,7 +7,7 @@
 use simd_json::prelude::*;
 use std::time::{Duration, Instant};
 
-/// The time within which a misbehaving client gets a response or is disconnected.
+/// A misbehaving client must get a response or be disconnected within 3 s.
 const RESPONSE_LIMIT: Duration = Duration::from_secs(3);
 
 /// Returns the parameters of a task request, some of which the caller chooses to make the request invalid.
