--- a/tests/placer/answers.rs
+++ b/tests/placer/answers.rs
@@ -19,7 +19,7 @@
     );
     let left: u64 = field("left")
         .and_then(|ms| ms.parse().ok())
-        .expect("the offer has no time left");
+        .expect("the offer has no `left` field in milliseconds");
     assert!(left > 1_000 && left < 6_000, "{left}");
     connections[0].report_running(&hex(0x51));
     // A repeated message of the host must not cause a second response.
