--- a/crates/scale-test/src/audit.rs
+++ b/crates/scale-test/src/audit.rs
@@ -1,6 +1,6 @@
-//! Compares what clients were notified of with what workers did, task by task.
+//! Compares, task by task, what placers reported to clients with what workers did.
 //!
-//! Pure: reads the records of a finished run, and counts into [`FleetTotals`].
+//! This module does no I/O: it reads the records of a finished run and adds the counts to [`FleetTotals`].
 
 use crate::clients::{TaskRecord, TaskState, TaskTable};
 use crate::identity::PlacerId;
@@ -9,20 +9,20 @@
 use crate::workers::{WorkerAudit, WorkerTaskRecord};
 use std::time::{Duration, Instant};
 
-/// The longest time from a placer's acknowledgement of an end to the notification of its client. A placer that
-/// is killed in between loses the notification.
+/// The longest time from a placer's acknowledgement of a task end to its report to the client. The report is lost if
+/// the placer is killed in this time.
 const MAX_DELIVERY_TIME: Duration = Duration::from_secs(2);
 
-/// The killing of a placer.
+/// A kill of a placer by the scale test.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Kill {
-    /// The placer.
+    /// The placer that was killed.
     pub placer: PlacerId,
-    /// When it was killed.
+    /// The time of the kill.
     pub at: Instant,
 }
 
-/// Adds the outcomes of all tasks to the totals.
+/// Adds the outcomes of all tasks, and the counts of the workers, to the totals.
 pub fn audit(
     totals: &mut FleetTotals,
     tasks: &TaskTable,
@@ -52,7 +52,7 @@
     totals.starts_after_return = worker_audit.starts_after_return;
 }
 
-/// Counts how the set-up of an arrived task was answered.
+/// Counts how the set-up request of an arrived task was answered.
 fn count_answer(totals: &mut FleetTotals, client_record: &TaskRecord) {
     let count = match client_record.state {
         TaskState::Running(_) | TaskState::Ended(_) => &mut totals.started,
@@ -67,7 +67,8 @@
     *count += 1;
 }
 
-/// Counts a task that workers started more often than it was set up, or never though it was answered.
+/// Counts a task that workers started more often than its set-up and migrations account for, or that was reported as
+/// started although no worker started it.
 fn count_starts(
     totals: &mut FleetTotals,
     client_record: &TaskRecord,
@@ -89,7 +90,7 @@
     }
 }
 
-/// Checks a task that its client believes to be running: a worker must run it.
+/// Checks a task whose end was not reported to its client: a worker must still run it.
 fn count_running(
     totals: &mut FleetTotals,
     client_record: &TaskRecord,
@@ -113,7 +114,7 @@
     }
 }
 
-/// Checks a task that its client believes to have ended: no worker may run it.
+/// Checks a task whose end was reported to its client: no worker may still run it.
 fn count_ended(
     totals: &mut FleetTotals,
     client_record: &TaskRecord,
@@ -125,7 +126,7 @@
     } else {
         totals.reset += 1;
     }
-    // After a restart at another worker, the copy that is left at the first one breaks no rule.
+    // After a restart on another worker, a copy that is still running on the first worker violates no rule.
     let has_no_extra_starts = u32::from(worker_record.starts) <= 1 + u32::from(client_record.moves);
     let never_ended = cause == cause::NORMAL && worker_record.ended == 0;
     if has_no_extra_starts && (worker_record.active_copies > 0 || never_ended) {
--- a/crates/scale-test/src/audit/tests.rs
+++ b/crates/scale-test/src/audit/tests.rs
@@ -1,4 +1,4 @@
-//! The rules that the audit checks, each on one task.
+//! Tests each rule that the audit checks on a single task.
 
 use super::*;
 use crate::clients::Arrivals;
@@ -8,16 +8,16 @@
 
 const PLACER: PlacerId = PlacerId(0);
 const TASK: TaskIndex = TaskIndex(0);
-/// The cause of an end that is not the regular one.
+/// The cause of a task end that is not regular.
 const WORKER_LOST: u8 = 41;
 
-/// A message that the client received.
+/// A message that the client received about the task.
 enum Received {
     Answer,
     Release(u8),
 }
 
-/// Returns the totals of one task of class `standard`, or `once` if it is not idempotent.
+/// Returns the totals for one task of class `Standard` or `Once`, about which the client received the given messages.
 fn totals_of_class(
     class: Class,
     received: &[Received],
@@ -31,9 +31,13 @@
     };
     let mut arrivals = Arrivals::new(&settings);
     let mut tasks = TaskTable::new(&[], &arrivals);
-    let arrival = arrivals.next().expect("an arrival");
-    let task = tasks.add(&arrival, Instant::now(), true).expect("room");
-    let id = tasks.sent(task, PLACER, Instant::now()).expect("a task");
+    let arrival = arrivals.next().expect("arrivals should not end");
+    let task = tasks
+        .add(&arrival, Instant::now(), true)
+        .expect("task table should have room");
+    let id = tasks
+        .sent(task, PLACER, Instant::now())
+        .expect("task should exist");
     for message in received {
         match message {
             Received::Answer => drop(tasks.answered(id, WorkerId(0))),
@@ -111,7 +115,8 @@
     assert_eq!(totals(&[Received::Answer], lost_with_worker).lost, 1);
 }
 
-/// Returns the totals of a task whose end was acknowledged so long before a kill, and never reported.
+/// Returns the totals for a task whose end the placer acknowledged `seconds_after_end` before the kill, and never
+/// reported.
 fn totals_with_kill(placer: PlacerId, seconds_after_end: u64) -> FleetTotals {
     let now = Instant::now();
     let acknowledged = |record: &mut WorkerTaskRecord| {
--- a/crates/scale-test/src/budget.rs
+++ b/crates/scale-test/src/budget.rs
@@ -1,7 +1,7 @@
-//! Estimates what a run needs of the machine, and rejects a run that needs too much.
+//! Estimates the resources that a run needs, and rejects a run that needs more than the machine allows.
 //!
-//! The estimates are high on purpose: a rejected run can be made smaller, but a run that exhausts memory or
-//! descriptors measures nothing and disturbs everything else on the machine.
+//! The estimates are deliberately high: a rejected run can be made smaller, but a run that exhausts memory or
+//! descriptors yields no measurements and disturbs everything else on the machine.
 
 use std::fmt;
 use std::io;
@@ -16,84 +16,83 @@
 #[cfg(test)]
 mod tests;
 
-/// The largest number of processes of a run, this one included.
+/// The largest number of processes of a run, including this one.
 pub const MAX_PROCESSES: u64 = 300;
 
-/// A run may need the machine's memory divided by this. The rest is for the system, its cache, and errors of the
-/// estimate.
+/// The divisor of the machine's memory that gives the memory a run may need. The rest is left for the system, its
+/// cache, and errors of the estimate.
 pub const MEMORY_DIVISOR: u64 = 2;
 
 const BYTES_PER_KB: u64 = 1024;
 const KB_PER_MB: u64 = 1024;
 const KB_PER_GIB: f64 = 1024.0 * 1024.0;
 
-/// Memory of this process without peers.
+/// Memory of this process without simulated workers and clients, in kB.
 const MEMORY_KB_OWN: u64 = 64 * KB_PER_MB;
 
-/// Memory of a placer that knows no worker: its program, buffers and allocator.
+/// Memory of a placer that knows no workers, in kB: its program, buffers and allocator.
 const MEMORY_KB_PLACER: u64 = 32 * KB_PER_MB;
 
-/// Memory of a hollow worker in this process.
+/// Memory of a simulated worker in this process, in kB.
 const MEMORY_KB_WORKER: u64 = 4;
 
-/// Memory of a worker in the list of one placer.
+/// Memory of a worker in the endpoint list of one placer, in kB.
 const MEMORY_KB_LISTED_WORKER: u64 = 4;
 
-/// Memory of a running task, in its placer, its worker and its client together.
+/// Memory of a running task in its placer, its worker and its client together, in kB.
 const MEMORY_KB_RUNNING_TASK: u64 = 8;
 
-/// Memory of a connection: the buffers of the programs at both ends and of the system's two sockets.
+/// Memory of a connection, in kB: the buffers of the programs at both ends and of the kernel's two sockets.
 const MEMORY_KB_CONNECTION: u64 = 64;
 
-/// Descriptors of this process that belong to no connection and no placer: standard streams, the workers'
-/// listening socket, event queues, its result files, and samples of `/proc`.
+/// Descriptors of this process that belong to no connection and no placer: standard streams, the workers' listening
+/// socket, event queues, result files, and the files of `/proc` that are sampled.
 const DESCRIPTORS_OWN: u64 = 64;
 
-/// Descriptors of this process for each placer: its two output pipes, its feed's listening sockets and
-/// connections, a listening socket and its handle in the event loop for each of some zones, and its health
-/// checks.
+/// Descriptors of this process for each placer: the placer's two output pipes, the listening sockets and connections of
+/// its feed, a listening socket and its handle in the event loop for each of some zones, and its health checks.
 const DESCRIPTORS_OWN_PER_PLACER: u64 = 32;
 
-/// The largest number of connections of a placer to one worker.
+/// The largest number of connections from one placer to one worker.
 const CONNECTIONS_PER_WORKER: u64 = 3;
 
-/// A placer reserves its connections divided by this for clients; the rest is for workers.
+/// The divisor of a placer's connection limit that gives the connections reserved for clients. The rest is for workers.
 const CLIENTS_SHARE_DIVISOR: u64 = 3;
 
-/// Descriptors of a placer that are not a worker's or a client's: standard streams, the event queue,
-/// listening sockets, its feed, signals.
+/// Descriptors of a placer that are not connections to workers or clients: standard streams, the event queue, listening
+/// sockets, the feed and signals.
 const DESCRIPTORS_PLACER: u64 = 32;
 
-/// The size of a run.
+/// The numbers that determine the resources that a run needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunSize {
-    /// Hollow workers, all in this process.
+    /// The number of simulated workers, all in this process.
     pub workers: u64,
-    /// Placers, each a process.
+    /// The number of placers, each in a process of its own.
     pub placers: u64,
-    /// Tasks that run at a time, over all placers.
+    /// The number of tasks that run at a time, over all placers.
     pub running_tasks: u64,
-    /// Connections of clients, over all placers.
+    /// The number of client connections, over all placers.
     pub connections: u64,
-    /// The limit on the connections of a placer, by its configuration.
+    /// The limit on the connections of a placer that its configuration sets.
     pub placer_sockets: u64,
 }
 
-/// The estimated need of a run.
+/// The estimated resources that a run needs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Need {
-    /// Memory of all processes, and of the system for their connections.
+    /// Memory of all processes and of the kernel for their connections, in kB.
     pub memory_kb: u64,
-    /// Descriptors of this process.
+    /// Open descriptors of this process.
     pub descriptors_own: u64,
-    /// Descriptors of each placer.
+    /// Open descriptors of each placer.
     pub descriptors_placer: u64,
-    /// Processes, this one included.
+    /// The number of processes, including this one.
     pub processes: u64,
 }
 
 impl RunSize {
-    /// Returns the size of a run of these settings.
+    /// Returns the size of a run with these settings.
     pub fn of(settings: &Settings) -> RunSize {
         let placers = u64::from(settings.placers);
         RunSize {
@@ -107,8 +106,8 @@
 }
 
 impl Need {
-    /// Returns the need of a run of these settings. The descriptors of this process are computed by the settings,
-    /// because they depend on the number of zones.
+    /// Returns the resources that a run with these settings needs. [`Settings::descriptors_needed`] computes the
+    /// descriptors of this process, because they depend on the number of zones.
     pub fn of_settings(settings: &Settings) -> Need {
         Need {
             descriptors_own: settings.descriptors_needed(),
@@ -116,7 +115,8 @@
         }
     }
 
-    /// Returns the need of a run of this size. Each placer is assumed to use all its connections to workers.
+    /// Returns the resources that a run of this size needs. Each placer is assumed to use all its connections to
+    /// workers.
     pub fn of(size: &RunSize) -> Need {
         let worker_connections = size.placers.saturating_mul(worker_connections(size));
         let connections = worker_connections.saturating_add(size.connections);
@@ -129,7 +129,7 @@
     }
 }
 
-/// Returns the connections of one placer to workers.
+/// Returns the largest number of connections from one placer to workers.
 fn worker_connections(size: &RunSize) -> u64 {
     let allowed = size.placer_sockets - size.placer_sockets / CLIENTS_SHARE_DIVISOR;
     size.workers
@@ -149,13 +149,14 @@
     ])
 }
 
-/// Returns the descriptors of this process, which has one end of every connection.
+/// Returns the number of descriptors of this process, which holds one end of every connection.
 fn descriptors_own(size: &RunSize, connections: u64) -> u64 {
     let for_placers = size.placers.saturating_mul(DESCRIPTORS_OWN_PER_PLACER);
     sum(&[DESCRIPTORS_OWN, for_placers, connections])
 }
 
-/// Returns the descriptors of a placer: its connections to workers and to clients, all of which may use one placer.
+/// Returns the number of descriptors of a placer, which include its connections to workers and to clients. All clients
+/// may connect to the same placer.
 fn descriptors_placer(size: &RunSize) -> u64 {
     let connections = worker_connections(size).saturating_add(size.connections);
     DESCRIPTORS_PLACER.saturating_add(connections.min(size.placer_sockets))
@@ -167,10 +168,10 @@
         .fold(0, |total, term| total.saturating_add(*term))
 }
 
-/// The resources of the machine.
+/// The resources of the machine that limit a run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Machine {
-    /// Total memory, used or not.
+    /// Total memory, whether used or free, in kB.
     pub memory_kb: u64,
     /// The soft limit on the descriptors of this process, which its children inherit; `None` if unlimited.
     pub descriptors: Option<u64>,
@@ -181,7 +182,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the system's memory figures cannot be read.
+    /// Returns an error if `/proc/meminfo` cannot be read.
     pub fn read() -> io::Result<Machine> {
         let memory = Meminfo::current().map_err(io_error)?;
         let descriptors = getrlimit(Resource::Nofile).current;
@@ -192,54 +193,54 @@
     }
 }
 
-/// One resource of which a run needs too much.
+/// A resource of which a run needs more than it may use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Excess {
-    /// Memory, against half of the machine's.
+    /// The run needs more than half of the machine's memory.
     #[error(
-        "needs {} of memory, half of the machine is {}: fewer workers, placers or standing tasks",
+        "needs {} of memory, half of the machine is {}: use fewer workers, placers or running tasks",
         Gib(*.needed_kb), Gib(*.allowed_kb)
     )]
     Memory {
-        /// What the run needs.
+        /// The memory that the run needs, in kB.
         needed_kb: u64,
-        /// What it may need.
+        /// The memory that the run may need, in kB.
         allowed_kb: u64,
     },
-    /// Descriptors of this process.
+    /// This process needs more descriptors than its limit allows.
     #[error(
-        "needs {needed} descriptors in this process, its limit (ulimit -n) is {allowed}: fewer workers, \
-         placers or connections, or a higher limit"
+        "needs {needed} descriptors in this process, its limit (ulimit -n) is {allowed}: use fewer workers, \
+         placers or connections, or raise the limit"
     )]
     DescriptorsOwn {
-        /// What the run needs.
+        /// The number of descriptors that this process needs.
         needed: u64,
         /// The soft limit.
         allowed: u64,
     },
-    /// Descriptors of a placer.
+    /// A placer needs more descriptors than its limit allows.
     #[error(
-        "needs {needed} descriptors in each placer, its limit (ulimit -n) is {allowed}: fewer workers or \
-         connections, or a higher limit"
+        "needs {needed} descriptors in each placer, its limit (ulimit -n) is {allowed}: use fewer workers or \
+         connections, or raise the limit"
     )]
     DescriptorsPlacer {
-        /// What a placer needs.
+        /// The number of descriptors that a placer needs.
         needed: u64,
         /// The soft limit.
         allowed: u64,
     },
-    /// Processes.
-    #[error("needs {needed} processes, a run may have {MAX_PROCESSES}: fewer placers")]
+    /// The run needs more than [`MAX_PROCESSES`] processes.
+    #[error("needs {needed} processes, a run may have at most {MAX_PROCESSES}: use fewer placers")]
     Processes {
-        /// What the run needs.
+        /// The number of processes that the run needs.
         needed: u64,
     },
 }
 
-/// Why a run is rejected: every resource of which it needs too much. Displays as a line for each.
+/// Why a run is rejected: every resource of which it needs too much. It is displayed as one line per resource.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub struct BudgetError {
-    /// The excesses in the order of [`Need`]'s fields, at least one.
+    /// At least one excess, in the order of the fields of [`Need`].
     pub excesses: Vec<Excess>,
 }
 
@@ -250,16 +251,16 @@
     }
 }
 
-/// Rejects a run that needs over half of the machine's memory, more descriptors than a process may have, or
-/// more than [`MAX_PROCESSES`] processes.
+/// Rejects a run that needs more than half of the machine's memory, more descriptors than a process may have, or more
+/// than [`MAX_PROCESSES`] processes.
 ///
 /// # Errors
 ///
-/// Returns every [`Excess`] if the run needs too much of anything.
+/// Returns every [`Excess`] if the run needs too much of any resource.
 pub fn check(need: &Need, machine: &Machine) -> Result<(), BudgetError> {
     let checks = [
         memory_excess(need, machine),
-        descriptors_here_excess(need, machine),
+        descriptors_own_excess(need, machine),
         descriptors_placer_excess(need, machine),
         processes_excess(need),
     ];
@@ -280,7 +281,7 @@
     })
 }
 
-fn descriptors_here_excess(need: &Need, machine: &Machine) -> Option<Excess> {
+fn descriptors_own_excess(need: &Need, machine: &Machine) -> Option<Excess> {
     let allowed = machine.descriptors?;
     let needed = need.descriptors_own;
     (needed > allowed).then_some(Excess::DescriptorsOwn { needed, allowed })
--- a/crates/scale-test/src/budget/tests.rs
+++ b/crates/scale-test/src/budget/tests.rs
@@ -1,11 +1,11 @@
-//! What a run needs of the machine, and what is rejected.
+//! Tests the estimated need of runs, and which runs are rejected.
 
 use super::{BudgetError, Excess, MAX_PROCESSES, Machine, Need, RunSize, check};
 use crate::settings::Settings;
 
 const GIB_IN_KB: u64 = 1024 * 1024;
 
-/// A machine of 24 GiB on which processes may hold 20,000 descriptors.
+/// A machine with 24 GiB of memory, on which each process may have 20,000 open descriptors.
 const MACHINE: Machine = Machine {
     memory_kb: 24 * GIB_IN_KB,
     descriptors: Some(20_000),
@@ -18,7 +18,7 @@
     processes: 5,
 };
 
-const NOTHING: RunSize = RunSize {
+const EMPTY_RUN: RunSize = RunSize {
     workers: 0,
     placers: 0,
     running_tasks: 0,
@@ -141,12 +141,14 @@
         processes: 301,
     };
     let expected = "\
-needs 14.1 GiB of memory, half of the machine is 12.0 GiB: fewer workers, placers or standing tasks
-needs 20001 descriptors in this process, its limit (ulimit -n) is 20000: fewer workers, placers or connections, or a higher limit
-needs 20002 descriptors in each placer, its limit (ulimit -n) is 20000: fewer workers or connections, or a higher limit
-needs 301 processes, a run may have 300: fewer placers";
+needs 14.1 GiB of memory, half of the machine is 12.0 GiB: use fewer workers, placers or running tasks
+needs 20001 descriptors in this process, its limit (ulimit -n) is 20000: use fewer workers, placers or connections, or raise the limit
+needs 20002 descriptors in each placer, its limit (ulimit -n) is 20000: use fewer workers or connections, or raise the limit
+needs 301 processes, a run may have at most 300: use fewer placers";
     assert_eq!(
-        check(&need, &MACHINE).expect_err("too much").to_string(),
+        check(&need, &MACHINE)
+            .expect_err("excessive need should be rejected")
+            .to_string(),
         expected
     );
 }
@@ -175,11 +177,11 @@
     assert!(more_placers.descriptors_own >= need.descriptors_own + 3 * base.workers);
     assert_eq!(more_placers.processes, need.processes + 1);
     assert!(more_placers.memory_kb > need.memory_kb);
-    let more_standing = Need::of(&RunSize {
+    let more_running_tasks = Need::of(&RunSize {
         running_tasks: 101,
         ..base
     });
-    assert!(more_standing.memory_kb > need.memory_kb);
+    assert!(more_running_tasks.memory_kb > need.memory_kb);
     let more_connections = Need::of(&RunSize {
         connections: 5,
         ..base
@@ -196,12 +198,12 @@
     let few = Need::of(&RunSize {
         workers: 1024,
         placers: 4,
-        ..NOTHING
+        ..EMPTY_RUN
     });
     let many = Need::of(&RunSize {
         workers: 7300,
         placers: 4,
-        ..NOTHING
+        ..EMPTY_RUN
     });
     assert_eq!(many.descriptors_placer, few.descriptors_placer);
     assert_eq!(many.descriptors_own, few.descriptors_own);
@@ -212,13 +214,13 @@
     let idle = Need::of(&RunSize {
         placers: 2,
         placer_sockets: 900,
-        ..NOTHING
+        ..EMPTY_RUN
     });
     let full = Need::of(&RunSize {
         placers: 2,
         workers: 7300,
         placer_sockets: 900,
-        ..NOTHING
+        ..EMPTY_RUN
     });
     assert_eq!(full.descriptors_placer, idle.descriptors_placer + 600);
     assert_eq!(full.descriptors_own, idle.descriptors_own + 2 * 600);
@@ -226,26 +228,27 @@
 
 #[test]
 fn empty_run_needs_one_process() {
-    assert_eq!(Need::of(&NOTHING).processes, 1);
+    assert_eq!(Need::of(&EMPTY_RUN).processes, 1);
 }
 
 #[test]
 fn largest_numbers_are_rejected_without_overflow() {
-    let most = u64::MAX;
+    let max = u64::MAX;
     let size = RunSize {
-        workers: most,
-        placers: most,
-        running_tasks: most,
-        connections: most,
-        placer_sockets: most,
+        workers: max,
+        placers: max,
+        running_tasks: max,
+        connections: max,
+        placer_sockets: max,
     };
-    let refused = check(&Need::of(&size), &MACHINE).expect_err("too much");
-    assert_eq!(refused.excesses.len(), 4);
+    let rejected =
+        check(&Need::of(&size), &MACHINE).expect_err("excessive need should be rejected");
+    assert_eq!(rejected.excesses.len(), 4);
 }
 
 #[test]
 fn resources_of_this_machine_are_read() {
-    let machine = Machine::read().expect("a machine with /proc");
+    let machine = Machine::read().expect("cannot read the resources of the machine");
     assert!(machine.memory_kb > 0);
     assert_ne!(machine.descriptors, Some(0));
 }
@@ -263,9 +266,10 @@
         needed,
         allowed: 20_000,
     };
-    let refused = check(&Need::of_settings(&settings), &MACHINE).expect_err("too many");
+    let rejected = check(&Need::of_settings(&settings), &MACHINE)
+        .expect_err("too many placers should be rejected");
     assert_eq!(
-        refused,
+        rejected,
         BudgetError {
             excesses: vec![here]
         }
--- a/crates/scale-test/src/fit.rs
+++ b/crates/scale-test/src/fit.rs
@@ -1,6 +1,6 @@
-//! How a measured value grows with a size: a straight line through the points, and a classification of their shape.
+//! Describes how a measured value grows with a size: fits a straight line to the points, and classifies their shape.
 //!
-//! Pure: no I/O and no clock. The rule of the classification is documented at [`Shape`].
+//! This module does no I/O and reads no clock. The rules of the classification are documented at [`Shape`].
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -16,27 +16,28 @@
     STRAIGHT_EXPONENTS, Shape,
 };
 
-/// The smallest number of distinct sizes that is fitted. A curve has three coefficients (scale, exponent,
-/// offset); a fourth size is the first that can contradict it.
+/// The smallest number of distinct sizes that can be fitted. A curve has three coefficients (scale, exponent and
+/// offset), so a fourth size is the first that can contradict it.
 pub const MIN_SIZES: usize = 4;
 
-/// The fraction of a projection by which a measurement may differ from it.
+/// The largest difference between a measurement and its projection that counts as agreement, as a fraction of the
+/// projection.
 pub const PROJECTION_TOLERANCE: f64 = 0.2;
 
 /// A least-squares line through points of (size, measured value).
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// The growth of the value per unit of size.
+    /// The growth of the measured value per unit of size.
     pub slope: f64,
-    /// The value at size 0.
+    /// The value of the line at size 0.
     pub intercept: f64,
     /// The largest distance of a point from the line, in the unit of the value.
     pub largest_residual: f64,
-    /// The same as a fraction of the mean value; `None` if the mean is 0.
+    /// The largest distance of a point from the line, as a fraction of the mean value; `None` if the mean is 0.
     pub largest_residual_part: Option<f64>,
     /// The shape of the points.
     pub shape: Shape,
-    /// The exponents that agree with the points; `None` if the shape was classified without them.
+    /// The exponents that agree with the points; `None` if the shape was classified without exponents.
     pub exponents: Option<Exponents>,
     /// The number of distinct sizes.
     pub sizes: usize,
@@ -48,29 +49,30 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FitError {
     /// The points have fewer than [`MIN_SIZES`] distinct sizes.
-    #[error("{found} distinct sizes, and a fit needs at least {MIN_SIZES}")]
+    #[error("{found} distinct sizes, but a fit needs at least {MIN_SIZES}")]
     TooFewSizes {
-        /// Distinct sizes among the points.
+        /// The number of distinct sizes.
         found: usize,
     },
     /// A size or a value is infinite or not a number.
-    #[error("a size or a figure is infinite or not a number")]
+    #[error("a size or a value is infinite or not a number")]
     NotFinite,
-    /// A size is below 0.
-    #[error("a size is below 0")]
+    /// A size is negative.
+    #[error("a size is negative")]
     NegativeSize,
     /// The values are too large to be squared and summed.
-    #[error("sizes or figures are too large to be fitted")]
+    #[error("sizes or values are too large to be fitted")]
     TooLarge,
 }
 
 impl Fit {
-    /// Fits a line to points of (size, measured value), and classifies their shape. Repeats are points of the same
-    /// size. The order of the points does not matter.
+    /// Fits a line to points of (size, measured value), and classifies their shape. Repeated measurements are points of
+    /// the same size. The order of the points does not matter.
     ///
     /// # Errors
     ///
-    /// Returns an error if there are too few distinct sizes, or a number cannot be fitted.
+    /// Returns an error if there are too few distinct sizes, a number is not finite or too large, or a size is
+    /// negative.
     pub fn line(points: &[(f64, f64)]) -> Result<Fit, FitError> {
         check_numbers(points)?;
         let points = sorted(points);
@@ -88,7 +90,7 @@
             slope: line.slope,
             intercept: line.intercept,
             largest_residual,
-            largest_residual_part: part_of_mean(largest_residual, &points),
+            largest_residual_part: fraction_of_mean(largest_residual, &points),
             shape: classification.shape,
             exponents: classification.exponents,
             sizes,
@@ -96,7 +98,7 @@
         })
     }
 
-    /// Returns the value of the line at a size.
+    /// Returns the value that the line predicts for a size.
     pub fn projection(&self, at: f64) -> f64 {
         self.slope.mul_add(at, self.intercept)
     }
@@ -107,11 +109,11 @@
 pub struct ProjectionComparison {
     /// The measurement divided by the projection; `None` if the projection is 0 or either is not finite.
     pub ratio: Option<f64>,
-    /// Whether they differ by more than [`PROJECTION_TOLERANCE`] of the projection, or cannot be compared.
+    /// Whether the two differ by more than [`PROJECTION_TOLERANCE`] of the projection, or either is not finite.
     pub over_20_percent: bool,
 }
 
-/// Compares a measurement with its projection. Two zeros agree.
+/// Compares a measurement with its projection. A measurement of 0 agrees with a projection of 0.
 pub fn compare(projected: f64, measured: f64) -> ProjectionComparison {
     let comparable = projected.is_finite() && measured.is_finite();
     let ratio = Some(measured / projected).filter(|ratio| comparable && ratio.is_finite());
@@ -125,7 +127,7 @@
 fn check_numbers(points: &[(f64, f64)]) -> Result<(), FitError> {
     if points
         .iter()
-        .any(|(size, figure)| !size.is_finite() || !figure.is_finite())
+        .any(|(size, value)| !size.is_finite() || !value.is_finite())
     {
         return Err(FitError::NotFinite);
     }
@@ -135,7 +137,7 @@
     Ok(())
 }
 
-/// Returns the points sorted by size, then value, so that sums are the same to the last bit for any order of input.
+/// Returns the points sorted by size, then by value. Sums over them are then bitwise equal for any order of the input.
 fn sorted(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let mut points = points.to_vec();
     points.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.total_cmp(&b.1)));
@@ -149,11 +151,11 @@
 fn largest_residual(points: &[(f64, f64)], line: &Line) -> f64 {
     points
         .iter()
-        .map(|(size, figure)| (figure - line.at(*size)).abs())
+        .map(|(size, value)| (value - line.at(*size)).abs())
         .fold(0.0, f64::max)
 }
 
-fn part_of_mean(amount: f64, points: &[(f64, f64)]) -> Option<f64> {
-    let mean = points.iter().map(|(_, figure)| figure).sum::<f64>() / points.len() as f64;
-    Some(amount / mean.abs()).filter(|part| part.is_finite())
+fn fraction_of_mean(amount: f64, points: &[(f64, f64)]) -> Option<f64> {
+    let mean = points.iter().map(|(_, value)| value).sum::<f64>() / points.len() as f64;
+    Some(amount / mean.abs()).filter(|fraction| fraction.is_finite())
 }
--- a/crates/scale-test/src/fit/least_squares.rs
+++ b/crates/scale-test/src/fit/least_squares.rs
@@ -1,6 +1,6 @@
-//! Linear least squares in one variable.
+//! Linear least-squares regression in one variable.
 
-/// The line with the least sum of squared residuals.
+/// The line with the smallest sum of squared residuals.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Line {
     pub(super) slope: f64,
@@ -12,7 +12,7 @@
 }
 
 impl Line {
-    /// Returns the line through points with at least two distinct abscissas. With fewer the line is not finite.
+    /// Fits a line to points. With fewer than two distinct abscissas, the line is not finite.
     pub(super) fn through(points: &[(f64, f64)]) -> Line {
         let count = points.len() as f64;
         let mean_x = points.iter().map(|(x, _)| x).sum::<f64>() / count;
@@ -34,12 +34,12 @@
         line
     }
 
-    /// Returns the ordinate at an abscissa.
+    /// Returns the ordinate of the line at an abscissa.
     pub(super) fn at(&self, x: f64) -> f64 {
         self.slope.mul_add(x, self.intercept)
     }
 
-    /// Returns the standard error of the slope, given the degrees of freedom of the residuals.
+    /// Returns the standard error of the slope for the given degrees of freedom of the residuals.
     pub(super) fn slope_error(&self, degrees_of_freedom: f64) -> f64 {
         (self.residual_squares / degrees_of_freedom / self.abscissa_squares).sqrt()
     }
--- a/crates/scale-test/src/fit/shape.rs
+++ b/crates/scale-test/src/fit/shape.rs
@@ -1,65 +1,67 @@
-//! Classifies the shape of points.
+//! Classifies the shape of points of (size, measured value).
 //!
-//! A log-log fit would take a line with an intercept for a curve of a low exponent, and a process's memory
-//! always has an intercept. So the fitted curve is `figure = offset + scale * size ^ exponent`: least
-//! squares for offset and scale at each exponent of a grid.
+//! The fitted curve is `value = offset + scale * size ^ exponent`. Offset and scale are fitted by least squares for
+//! each exponent of a grid. A log-log fit, which has no offset, would mistake a line with an intercept for a curve with
+//! a low exponent, and the memory of a process always has an intercept.
 
 use serde::{Deserialize, Serialize};
 
 use super::least_squares::Line;
 
-/// The largest spread of the sizes' means that is flat, as a fraction of the mean value. A quarter of
-/// [`PROJECTION_TOLERANCE`](super::PROJECTION_TOLERANCE).
+/// The largest spread of the means of all sizes that counts as flat, as a fraction of the mean value. It is a quarter
+/// of [`PROJECTION_TOLERANCE`](super::PROJECTION_TOLERANCE).
 pub const FLAT_SPREAD: f64 = 0.05;
 
-/// The number of standard errors that a rise must exceed, or else it may be noise. With four sizes and three repeats
-/// (9 degrees of freedom) noise alone passes three with a probability of 1.5 %, for a given exponent.
+/// The number of standard errors that a rise must exceed to be distinguished from noise. With four sizes and three
+/// repeats (9 degrees of freedom), noise alone exceeds three standard errors with a probability of 1.5 %, for a given
+/// exponent.
 pub const NOISE_ERRORS: f64 = 3.0;
 
-/// A rise within noise is flat only if the noise is at most this fraction of the mean value. More noise could hide a
-/// relevant rise.
+/// The largest noise, as a fraction of the mean value, with which a rise within noise counts as flat. More noise could
+/// hide a relevant rise.
 pub const FLAT_NOISE: f64 = 0.25;
 
-/// The exponents that count as straight. Where sizes are evenly spaced from 0, a curve with either bound lies
-/// 20 % off the line fitted to it at twice the largest size, which is the tolerance of projections.
+/// The exponents that count as straight. If sizes are evenly spaced from 0, a curve with either bound as its exponent
+/// lies 20 % off the line fitted to it at twice the largest size. 20 % is the tolerance of projections.
 pub const STRAIGHT_EXPONENTS: std::ops::RangeInclusive<f64> = 0.65..=1.25;
 
-/// The widest conclusive range of exponents. With a wider one, straight growth cannot be distinguished from growth
-/// with the root or the square of the size.
+/// The widest range of agreeing exponents from which a shape is concluded. With a wider range, straight growth cannot
+/// be distinguished from growth with the square root or the square of the size.
 pub const MAX_EXPONENT_RANGE: f64 = 1.0;
 
-/// The largest distance of a size's mean from the best curve, as a fraction of the spread of the means. Steps and
-/// humps are further off.
+/// The largest distance of the mean of a size from the best curve, as a fraction of the spread of the means. Points
+/// that form a step or a hump have a larger distance.
 pub const MAX_CURVE_DISTANCE: f64 = 0.25;
 
-/// The F statistic (1 and 9 degrees of freedom, 99 %, rounded) up to which an exponent agrees with the points as well
-/// as the best one.
+/// The F statistic up to which an exponent counts as agreeing with the points as well as the best exponent does: the
+/// rounded 99 % quantile for 1 and 9 degrees of freedom.
 const MAX_AGREEING_F: f64 = 10.6;
 
-/// The number of coefficients of a curve: offset, scale, exponent.
+/// The number of coefficients of a curve: offset, scale and exponent.
 const COEFFICIENTS: f64 = 3.0;
 
-/// Exponents are tried from `1 / EXPONENT_STEPS` to `MAX_EXPONENT`, in steps of `1 / EXPONENT_STEPS`.
+/// The number of steps of the exponent grid per unit. The grid runs from `1 / EXPONENT_STEPS` to `MAX_EXPONENT`, in
+/// steps of `1 / EXPONENT_STEPS`.
 const EXPONENT_STEPS: u32 = 20;
 const MAX_EXPONENT: u32 = 4;
 
-/// Differences below this fraction of the largest value are rounding errors.
+/// Differences below this fraction of the largest value are treated as rounding errors.
 const ROUNDING_FRACTION: f64 = 1e-9;
 
-/// The shape of points as the size grows. Decided in this order:
+/// The shape of points as the size grows. The first rule that applies decides:
 ///
 /// 1. Flat if the means of the sizes spread over at most [`FLAT_SPREAD`] of the mean value.
-/// 2. If the best curve's rise is at most [`NOISE_ERRORS`] of its standard errors: flat if these are at
-///    most [`FLAT_NOISE`] of the mean value, else unclear.
-/// 3. Unclear if the mean of a size lies off the best curve by over [`MAX_CURVE_DISTANCE`] of the spread.
+/// 2. If the rise of the best curve is at most [`NOISE_ERRORS`] standard errors: flat if that many standard errors are
+///    at most [`FLAT_NOISE`] of the mean value, else unclear.
+/// 3. Unclear if the distance of the mean of a size from the best curve exceeds [`MAX_CURVE_DISTANCE`] of the spread.
 /// 4. Faster if all exponents that agree with the points are above [`STRAIGHT_EXPONENTS`], slower if all are
 ///    below.
-/// 5. Unclear if these exponents span over [`MAX_EXPONENT_RANGE`].
-/// 6. Straight if the best exponent is one of [`STRAIGHT_EXPONENTS`], or 1 agrees with the points.
-/// 7. Else unclear.
+/// 5. Unclear if the range of the agreeing exponents is wider than [`MAX_EXPONENT_RANGE`].
+/// 6. Straight if the best exponent is in [`STRAIGHT_EXPONENTS`], or the exponent 1 agrees with the points.
+/// 7. Otherwise unclear.
 ///
-/// `n log n` is classified by the exponent that it comes closest to: straight over sizes from 100 on, faster over
-/// small ones.
+/// Growth with `n log n` is classified by the exponent that approximates it best: as straight over sizes of at least
+/// 100, and as faster over small sizes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize, strum::Display)]
 #[serde(rename_all = "kebab-case")]
 #[strum(serialize_all = "kebab-case")]
@@ -68,26 +70,26 @@
     Flat,
     /// The value changes in proportion to the size, plus a constant.
     Straight,
-    /// The value changes ever faster as the size grows.
+    /// The value changes faster than in proportion to the size.
     Faster,
-    /// The value changes ever slower as the size grows.
+    /// The value changes slower than in proportion to the size.
     Slower,
-    /// The points have none of these shapes, or noise hides which.
+    /// The points have none of the other shapes, or noise hides the shape.
     Unclear,
 }
 
-/// The exponents of the size that agree with points, between 0.05 and 4.
+/// The exponents of the size that agree with the points, each between 0.05 and 4.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Exponents {
-    /// The lowest that agrees.
+    /// The lowest agreeing exponent.
     pub low: f64,
-    /// The one with the smallest residuals.
+    /// The exponent with the smallest sum of squared residuals.
     pub best: f64,
-    /// The highest that agrees.
+    /// The highest agreeing exponent.
     pub high: f64,
 }
 
-/// The shape, and the exponents that it was classified by.
+/// The shape of points, and the exponents from which it was concluded.
 pub(super) struct Classification {
     pub(super) shape: Shape,
     pub(super) exponents: Option<Exponents>,
@@ -102,7 +104,7 @@
     }
 }
 
-/// A line over sizes raised to an exponent.
+/// A curve with a given exponent: a line over sizes that are divided by the largest size and raised to the exponent.
 #[derive(Debug, Clone, Copy)]
 struct Curve {
     exponent: f64,
@@ -114,7 +116,7 @@
     fn through(points: &[(f64, f64)], exponent: f64, largest_size: f64) -> Curve {
         let raised: Vec<(f64, f64)> = points
             .iter()
-            .map(|(size, figure)| ((size / largest_size).powf(exponent), *figure))
+            .map(|(size, value)| ((size / largest_size).powf(exponent), *value))
             .collect();
         Curve {
             exponent,
@@ -135,7 +137,7 @@
 /// Classifies points that are sorted by size and have at least four distinct sizes.
 pub(super) fn classify(points: &[(f64, f64)]) -> Classification {
     let means = means_by_size(points);
-    let mean = means.iter().map(|(_, figure)| figure).sum::<f64>() / means.len() as f64;
+    let mean = means.iter().map(|(_, value)| value).sum::<f64>() / means.len() as f64;
     let spread = spread(&means);
     if spread <= FLAT_SPREAD * mean.abs() {
         return Classification::without_exponents(Shape::Flat);
@@ -159,15 +161,15 @@
 
 fn means_by_size(points: &[(f64, f64)]) -> Vec<(f64, f64)> {
     let mean_of = |repeats: &[(f64, f64)]| {
-        let sum: f64 = repeats.iter().map(|(_, figure)| figure).sum();
+        let sum: f64 = repeats.iter().map(|(_, value)| value).sum();
         (repeats[0].0, sum / repeats.len() as f64)
     };
     points.chunk_by(|a, b| a.0 == b.0).map(mean_of).collect()
 }
 
 fn spread(means: &[(f64, f64)]) -> f64 {
-    let figures = || means.iter().map(|(_, figure)| *figure);
-    figures().fold(f64::NEG_INFINITY, f64::max) - figures().fold(f64::INFINITY, f64::min)
+    let values = || means.iter().map(|(_, value)| *value);
+    values().fold(f64::NEG_INFINITY, f64::max) - values().fold(f64::INFINITY, f64::min)
 }
 
 /// Returns the curve of each exponent of the grid.
@@ -186,7 +188,7 @@
         .min_by(|a, b| a.line.residual_squares.total_cmp(&b.line.residual_squares))
 }
 
-/// Returns flat or unclear, if the curve's rise over the sizes may be noise.
+/// Returns flat or unclear if the rise of the curve over the sizes may be noise, else `None`.
 fn within_noise(curve: &Curve, points: &[(f64, f64)], mean: f64) -> Option<Shape> {
     let range = curve.raised(points.last()?.0) - curve.raised(points.first()?.0);
     let rise = curve.line.slope.abs() * range;
@@ -206,19 +208,19 @@
     (points.len() as f64 - COEFFICIENTS).max(1.0)
 }
 
-/// Returns the largest distance of a size's mean from the curve.
+/// Returns the largest distance of the mean of a size from the curve.
 fn largest_distance(curve: &Curve, means: &[(f64, f64)]) -> f64 {
     means
         .iter()
-        .map(|(size, figure)| (figure - curve.at(*size)).abs())
+        .map(|(size, value)| (value - curve.at(*size)).abs())
         .fold(0.0, f64::max)
 }
 
-/// Returns the exponents whose residuals are not significantly worse than those of the best.
+/// Returns the range of the exponents whose residuals are not significantly larger than those of the best exponent.
 fn agreeing_exponents(curves: &[Curve], best: &Curve, points: &[(f64, f64)]) -> Exponents {
     let largest_value = points
         .iter()
-        .map(|(_, figure)| figure.abs())
+        .map(|(_, value)| value.abs())
         .fold(0.0, f64::max);
     let rounding = points.len() as f64 * (ROUNDING_FRACTION * largest_value).powi(2);
     let factor = 1.0 + MAX_AGREEING_F / degrees_of_freedom(points);
--- a/crates/scale-test/src/fit/tests.rs
+++ b/crates/scale-test/src/fit/tests.rs
@@ -4,24 +4,25 @@
     FLAT_SPREAD, Fit, FitError, MIN_SIZES, PROJECTION_TOLERANCE, STRAIGHT_EXPONENTS, Shape, compare,
 };
 
-/// Sizes of a sweep over workers.
+/// The sizes of a sweep over workers.
 const WORKERS: [f64; 6] = [100.0, 400.0, 1000.0, 2000.0, 4000.0, 7300.0];
 
-/// Three repeats at each size, with factors that stand for their noise.
-fn points(sizes: &[f64], noise: &[f64], figure: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
+/// Returns points with three repeats at each size. Each element of `noise` is the relative error of one point; points
+/// without an element have no error.
+fn points(sizes: &[f64], noise: &[f64], value: impl Fn(f64) -> f64) -> Vec<(f64, f64)> {
     let repeated = (0..3).flat_map(|_| sizes.iter().copied());
     let factors = noise.iter().copied().chain(std::iter::repeat(0.0));
     repeated
         .zip(factors)
-        .map(|(size, noise)| (size, figure(size) * (1.0 + noise)))
+        .map(|(size, noise)| (size, value(size) * (1.0 + noise)))
         .collect()
 }
 
 fn shape(points: &[(f64, f64)]) -> Shape {
-    Fit::line(points).expect("a fit").shape
+    Fit::line(points).expect("points should be fitted").shape
 }
 
-/// Four to eight distinct sizes between 50 and about 20,000, each 1.4 to 2 times the one before.
+/// Generates four to eight distinct sizes between 50 and about 20,000, each 1.4 to 2 times the previous one.
 fn sizes() -> impl Strategy<Value = Vec<f64>> {
     let steps = proptest::collection::vec(1.4..2.0_f64, MIN_SIZES - 1..8);
     (50.0..200.0_f64, steps).prop_map(|(first, steps)| {
@@ -33,9 +34,9 @@
     })
 }
 
-/// Noise for up to 24 points, each at most this part of its figure.
-fn noise(part: f64) -> impl Strategy<Value = Vec<f64>> {
-    proptest::collection::vec(-part..part, 24)
+/// Generates the relative errors of up to 24 points, each with an absolute value of at most `limit`.
+fn noise(limit: f64) -> impl Strategy<Value = Vec<f64>> {
+    proptest::collection::vec(-limit..limit, 24)
 }
 
 proptest! {
@@ -46,8 +47,8 @@
         intercept in -1000.0..1000.0_f64,
     ) {
         let points = points(&sizes, &[], |size| slope * size + intercept);
-        let fit = Fit::line(&points).expect("a fit");
-        let largest = points.iter().map(|(_, figure)| figure.abs()).fold(0.0, f64::max);
+        let fit = Fit::line(&points).expect("points should be fitted");
+        let largest = points.iter().map(|(_, value)| value.abs()).fold(0.0, f64::max);
         prop_assert!((fit.slope - slope).abs() < 1e-9 * slope.abs());
         prop_assert!((fit.intercept - intercept).abs() < 1e-9 * largest);
         prop_assert!(fit.largest_residual < 1e-9 * largest);
@@ -64,7 +65,7 @@
         constant in 0.0..2.0_f64,
     ) {
         let intercept = constant * slope * sizes[sizes.len() - 1];
-        let fit = Fit::line(&points(&sizes, &[], |size| slope * size + intercept)).expect("a fit");
+        let fit = Fit::line(&points(&sizes, &[], |size| slope * size + intercept)).expect("points should be fitted");
         prop_assert_eq!(fit.shape, Shape::Straight);
         prop_assert_eq!(fit.exponents.map(|exponents| exponents.best), Some(1.0));
     }
@@ -90,11 +91,11 @@
         doublings in -20..20_i32,
     ) {
         let factor = f64::from(doublings).exp2();
-        let other_unit: Vec<(f64, f64)> = points.iter().map(|(size, figure)| (*size, figure * factor)).collect();
-        let other_size: Vec<(f64, f64)> = points.iter().map(|(size, figure)| (size * factor, *figure)).collect();
-        let judged = |points: &[(f64, f64)]| Fit::line(points).map(|fit| (fit.shape, fit.exponents));
-        prop_assert_eq!(judged(&other_unit), judged(&points));
-        prop_assert_eq!(judged(&other_size), judged(&points));
+        let other_unit: Vec<(f64, f64)> = points.iter().map(|(size, value)| (*size, value * factor)).collect();
+        let other_size: Vec<(f64, f64)> = points.iter().map(|(size, value)| (size * factor, *value)).collect();
+        let classified = |points: &[(f64, f64)]| Fit::line(points).map(|fit| (fit.shape, fit.exponents));
+        prop_assert_eq!(classified(&other_unit), classified(&points));
+        prop_assert_eq!(classified(&other_size), classified(&points));
     }
 
     #[test]
@@ -105,8 +106,8 @@
         constant in 0.0..0.2_f64,
     ) {
         let largest: f64 = sizes[sizes.len() - 1];
-        let figure = |size: f64| scale * (size.powi(2) + constant * largest.powi(2));
-        prop_assert_eq!(shape(&points(&sizes, &noise, figure)), Shape::Faster);
+        let value = |size: f64| scale * (size.powi(2) + constant * largest.powi(2));
+        prop_assert_eq!(shape(&points(&sizes, &noise, value)), Shape::Faster);
     }
 
     #[test]
@@ -117,7 +118,7 @@
     #[test]
     fn n_log_n_is_straight_over_large_sizes(sizes in sizes(), scale in 0.001..10.0_f64) {
         let sizes: Vec<f64> = sizes.iter().map(|size| size * 2.0).collect();
-        let fit = Fit::line(&points(&sizes, &[], |size| scale * size * size.ln())).expect("a fit");
+        let fit = Fit::line(&points(&sizes, &[], |size| scale * size * size.ln())).expect("points should be fitted");
         prop_assert_eq!(fit.shape, Shape::Straight);
         prop_assert!(fit.exponents.is_some_and(|exponents| exponents.best > 1.0));
     }
@@ -173,7 +174,7 @@
 #[test]
 fn largest_residual_is_reported() {
     let points = [(1.0, 9.0), (2.0, 11.0), (3.0, 11.0), (4.0, 9.0)];
-    let fit = Fit::line(&points).expect("a fit");
+    let fit = Fit::line(&points).expect("points should be fitted");
     assert_eq!((fit.slope, fit.intercept), (0.0, 10.0));
     assert_eq!(fit.largest_residual, 1.0);
     assert_eq!(fit.largest_residual_part, Some(0.1));
@@ -181,7 +182,7 @@
 
 #[test]
 fn zeros_are_flat_and_have_no_relative_residual() {
-    let fit = Fit::line(&points(&WORKERS, &[], |_| 0.0)).expect("a fit");
+    let fit = Fit::line(&points(&WORKERS, &[], |_| 0.0)).expect("points should be fitted");
     assert_eq!(fit.shape, Shape::Flat);
     assert_eq!(fit.largest_residual_part, None);
     assert_eq!(fit.exponents, None);
@@ -218,7 +219,7 @@
     );
 }
 
-/// The reason of the bounds of [`STRAIGHT_EXPONENTS`].
+/// Confirms the reason given for the bounds of [`STRAIGHT_EXPONENTS`].
 #[test]
 fn a_curve_at_the_bounds_of_straight_is_a_fifth_off_at_twice_the_largest_size() {
     let sizes: Vec<f64> = (0..=100).map(f64::from).collect();
@@ -226,9 +227,13 @@
         (STRAIGHT_EXPONENTS.start(), -0.2),
         (STRAIGHT_EXPONENTS.end(), 0.2),
     ] {
-        let fit = Fit::line(&points(&sizes, &[], |size| size.powf(*exponent))).expect("a fit");
-        let off = 200_f64.powf(*exponent) / fit.projection(200.0) - 1.0;
-        assert!((off - expected).abs() < 0.01, "exponent {exponent}: {off}");
+        let fit = Fit::line(&points(&sizes, &[], |size| size.powf(*exponent)))
+            .expect("points should be fitted");
+        let relative_error = 200_f64.powf(*exponent) / fit.projection(200.0) - 1.0;
+        assert!(
+            (relative_error - expected).abs() < 0.01,
+            "exponent {exponent}: {relative_error}"
+        );
     }
 }
 
@@ -248,9 +253,12 @@
         (f64::INFINITY, 1.0, None, true),
     ];
     for (projected, measured, ratio, over) in table {
-        let apart = compare(projected, measured);
-        assert_eq!(apart.ratio, ratio, "{projected} and {measured}");
-        assert_eq!(apart.over_20_percent, over, "{projected} and {measured}");
+        let comparison = compare(projected, measured);
+        assert_eq!(comparison.ratio, ratio, "{projected} and {measured}");
+        assert_eq!(
+            comparison.over_20_percent, over,
+            "{projected} and {measured}"
+        );
     }
     assert_eq!(PROJECTION_TOLERANCE, 0.2);
 }
--- a/crates/scale-test/src/results.rs
+++ b/crates/scale-test/src/results.rs
@@ -1,6 +1,6 @@
-//! The result of a run: typed, written as JSON, and printed as a table.
+//! The result of a run as typed data that is serialized as JSON and printed as a table.
 //!
-//! The names in the JSON are those of earlier versions, whose results are still read.
+//! The JSON keeps the field names of earlier versions, so that results written by those versions can still be read.
 
 mod table;
 
@@ -14,21 +14,21 @@
 /// The result of a run.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct RunResult {
-    /// The settings that were used.
+    /// The settings of the run.
     pub settings: Settings,
-    /// Whether the measurements can be used.
+    /// Whether the measurements are valid.
     pub usable: bool,
-    /// Why the measurements cannot be used, if so.
+    /// Why the measurements are invalid; `None` if they are valid.
     pub reason: Option<String>,
     /// The duration of the measurement, in seconds.
     pub duration_s: f64,
-    /// The number of processes of the run: its own and the placers'.
+    /// The number of processes of the run: the scale test itself and the placers.
     pub processes: usize,
     /// The fraction of the machine's processor time that was busy during the measurement, by any process.
     pub machine_busy: f64,
-    /// Peak memory of the run.
+    /// The peak memory of the run's processes.
     pub memory: MemoryTotals,
-    /// The outcomes of all tasks.
+    /// The task outcomes and times to start, over all placers.
     pub fleet: FleetTotals,
     /// The results of the real placers.
     pub placers: Vec<PlacerResult>,
@@ -37,72 +37,72 @@
 /// Peak memory of a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemoryTotals {
-    /// Resident memory of the hollow peers' process, in kB.
+    /// Peak resident memory of the process that simulates workers and clients, in kB.
     pub own_peak_kb: u64,
-    /// Proportional memory of all processes together, in kB.
+    /// Peak of the summed proportional set sizes (PSS) of all processes of the run, in kB.
     pub all_peak_kb: u64,
 }
 
-/// The number of tasks by outcome, and times over all placers.
+/// The number of tasks by outcome, and times to start, over all placers.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetTotals {
-    /// Tasks that ran at the start.
+    /// Tasks that were already running when the run started.
     #[serde(rename = "standing")]
     pub running_at_start: u64,
     /// Tasks that arrived, over the whole run.
     pub due: u64,
-    /// Arrived tasks that have started.
+    /// Arrived tasks that were started.
     pub started: u64,
     /// Arrived tasks that were refused.
     pub refused: u64,
-    /// Arrived tasks whose set-up failed.
+    /// Arrived tasks whose set-up request failed.
     pub failed: u64,
     /// Arrived tasks whose placer was killed before it answered.
     #[serde(rename = "cut")]
     pub placer_killed: u64,
     /// Tasks that arrived when no placer was in service.
     pub no_placer: u64,
-    /// Tasks that were never answered, or ended without a notification of the client, and not because of the client,
-    /// the worker or a kill.
+    /// Tasks whose set-up request was never answered, or whose end was not reported to the client although neither the
+    /// client nor a kill of the placer caused that.
     pub lost: u64,
-    /// Tasks that ended without a notification because the placer was killed just before sending it.
+    /// Tasks whose end was not reported to the client because the placer was killed shortly before it sent the report.
     pub lost_with_placer: u64,
     /// Tasks reported as ended while a worker still ran them.
     pub ended_wrongly: u64,
-    /// Tasks answered more than once.
+    /// Tasks whose set-up request was answered more than once.
     pub answered_twice: u64,
-    /// Tasks answered though no worker has started them.
+    /// Tasks reported as started although no worker started them.
     pub never_started: u64,
-    /// Non-idempotent tasks that were started more often than they were set up.
+    /// Non-idempotent tasks that were started more often than set-up and migrations account for.
     pub started_twice: u64,
-    /// Idempotent tasks that were started again at another worker.
+    /// Idempotent tasks that were started more often than set-up and migrations account for, which is allowed.
     #[serde(rename = "started_again")]
     pub restarted: u64,
-    /// Migrations by placers.
+    /// Migrations of tasks by placers.
     pub moved: u64,
-    /// Tasks that ended by themselves, with a notification.
+    /// Tasks that ended regularly and whose end was reported to the client.
     pub ended: u64,
-    /// Tasks lost with their workers, with a notification.
+    /// Tasks that ended for another cause, such as a lost worker, and whose end was reported to the client.
     pub reset: u64,
-    /// Offers that workers refused for lack of capacity.
+    /// Offers that workers refused because they had no free capacity.
     pub worker_refusals: u64,
-    /// Tasks started at workers that were restored after a crash.
+    /// Tasks started on workers that were restored after a crash.
     pub starts_after_return: u64,
     /// Connections on which workers sent invalid bytes.
     pub garbage_sent: u64,
-    /// Those of them that placers closed.
+    /// Connections that placers closed after workers sent invalid bytes on them.
     pub garbage_dropped: u64,
-    /// Messages of placers that cannot be read, and offers that no client has requested.
+    /// Messages from placers that cannot be parsed, and offers of tasks that no client requested.
     pub bad_messages: u64,
-    /// Measured starts per second.
+    /// Task starts per second during the measurement.
     pub starts_per_s: f64,
-    /// Times to start of all measured tasks.
+    /// Times from arrival to start, over all measured tasks.
     pub all_start_times: Percentiles,
-    /// Times to start of the measured tasks, by class.
+    /// Times from arrival to start of the measured tasks, by class.
     pub start_times: Vec<ClassTimes>,
-    /// The load generator's own lateness: from when tasks were due to when their set-ups were sent.
+    /// The lateness of the load generator: the time from when a task was due until its set-up request was sent.
     pub lateness: Percentiles,
-    /// The workers' own lateness: from when answers were due to when they were sent, over the whole run.
+    /// The lateness of the workers, over the whole run: the time from when an answer was due until it was sent.
     pub worker_lateness: Percentiles,
 }
 
@@ -117,19 +117,19 @@
     }
 }
 
-/// Times to start of one class.
+/// The times from arrival to start of one class.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ClassTimes {
     /// The name of the class.
     pub class: String,
-    /// The times.
+    /// The percentiles of the times.
     pub times: Percentiles,
 }
 
-/// Percentiles of times, in milliseconds.
+/// Percentiles of a distribution of times, in milliseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct Percentiles {
-    /// The number of times.
+    /// The number of recorded times.
     pub count: u64,
     /// The mean.
     pub mean_ms: f64,
@@ -150,13 +150,13 @@
 pub struct PlacerResult {
     /// The name of the placer.
     pub name: String,
-    /// The milliseconds from each start to the first passed health check.
+    /// For each start of the placer, the time until it first passed a health check, in milliseconds.
     pub ready_ms: Vec<f64>,
-    /// Totals over the measurement.
+    /// Totals and rates over the measurement.
     pub totals: PlacerTotals,
     /// One row for each second from the start of the load.
     pub seconds: Vec<PlacerSecond>,
-    /// All traffic from its first start to the end of the run.
+    /// All traffic of the placer, from its first start to the end of the run.
     pub all_traffic: Traffic,
 }
 
@@ -165,32 +165,32 @@
 pub struct PlacerTotals {
     /// Processor time as a fraction of one core.
     pub cpu_share: f64,
-    /// Peak of the resident memory at the ends of the rows, in kB.
+    /// The largest resident memory sampled at the end of a row, in kB.
     pub rss_peak_kb: u64,
-    /// Peak of the proportional memory at the ends of the rows, in kB.
+    /// The largest proportional set size (PSS) sampled at the end of a row, in kB.
     pub pss_peak_kb: u64,
-    /// Peak resident memory as recorded by the system, in kB.
+    /// The peak resident memory as recorded by the kernel, in kB.
     pub peak_kb: u64,
-    /// Peak of the open descriptors at the ends of the rows.
+    /// The largest number of open descriptors sampled at the end of a row.
     pub descriptors_peak: usize,
     /// Control traffic per second, by kind.
     pub control: ControlRates,
     /// Service traffic per second, by kind.
     pub service: ServiceRates,
-    /// Content of the feed per second.
+    /// Events and entries of the control feed per second.
     pub feed: FeedRates,
 }
 
-/// Traffic per second.
+/// Bytes, messages and connections per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct FlowRate {
-    /// Bytes to the placer.
+    /// Bytes sent to the placer.
     pub to_bytes_per_s: f64,
-    /// Messages to the placer.
+    /// Messages sent to the placer.
     pub to_messages_per_s: f64,
-    /// Bytes from the placer.
+    /// Bytes received from the placer.
     pub from_bytes_per_s: f64,
-    /// Messages from the placer.
+    /// Messages received from the placer.
     pub from_messages_per_s: f64,
     /// Connections opened.
     pub connections_per_s: f64,
@@ -208,7 +208,7 @@
     pub health_check: FlowRate,
     /// Connections to workers that have carried no task.
     pub idle_worker: FlowRate,
-    /// The configuration.
+    /// Deliveries of the configuration.
     pub configuration: FlowRate,
 }
 
@@ -223,23 +223,23 @@
     pub client: FlowRate,
 }
 
-/// Content of the feed per second.
+/// Events and entries of the control feed per second.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct FeedRates {
     /// Events of all kinds.
     pub events_per_s: f64,
     /// Entries of all kinds.
     pub entries_per_s: f64,
-    /// Events with the complete list.
+    /// Events that carry the complete list of workers.
     #[serde(rename = "whole_events_per_s")]
     pub complete_list_events_per_s: f64,
-    /// Entries of workers that are up.
+    /// Entries that report a worker as up.
     pub entries_up_per_s: f64,
-    /// Entries of workers that were removed.
+    /// Entries that report a worker as removed.
     pub entries_removed_per_s: f64,
 }
 
-/// One second of a placer.
+/// The resource usage and traffic of a placer in one row, which is about one second long.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct PlacerSecond {
     /// The number of the row, from 0 at the start of the load.
@@ -248,14 +248,14 @@
     pub measured: bool,
     /// The length of the row, in seconds.
     pub length_s: f64,
-    /// Whether the placer was running at the end of the row; otherwise the figures of its process are 0.
+    /// Whether the placer was running at the end of the row. If not, the values sampled from its process are 0.
     #[serde(rename = "runs")]
     pub is_running: bool,
     /// Processor time as a fraction of one core.
     pub cpu_share: f64,
     /// Resident memory at the end of the row, in kB.
     pub rss_kb: u64,
-    /// Proportional memory at the end of the row, in kB.
+    /// Proportional set size (PSS) at the end of the row, in kB.
     pub pss_kb: u64,
     /// Peak resident memory so far, in kB.
     pub peak_kb: u64,
@@ -268,7 +268,7 @@
 }
 
 impl FlowRate {
-    /// Returns the rates of a flow over so many seconds.
+    /// Returns the rates of a flow over a period, or zeros if the period is empty.
     pub fn of(flow: crate::traffic::Flow, seconds: f64) -> FlowRate {
         let per_second = |count: u64| {
             if seconds > 0.0 {
@@ -288,7 +288,7 @@
 }
 
 impl ControlRates {
-    /// Returns the rates of control traffic over so many seconds.
+    /// Returns the rates of control traffic over a period, or zeros if the period is empty.
     pub fn of(traffic: &ControlTraffic, seconds: f64) -> ControlRates {
         ControlRates {
             total: FlowRate::of(traffic.total(), seconds),
@@ -301,7 +301,7 @@
 }
 
 impl ServiceRates {
-    /// Returns the rates of service traffic over so many seconds.
+    /// Returns the rates of service traffic over a period, or zeros if the period is empty.
     pub fn of(traffic: &ServiceTraffic, seconds: f64) -> ServiceRates {
         ServiceRates {
             total: FlowRate::of(traffic.total(), seconds),
@@ -312,7 +312,7 @@
 }
 
 impl FeedRates {
-    /// Returns the rates of a feed over so many seconds.
+    /// Returns the rates of a feed over a period, or zeros if the period is empty.
     pub fn of(counts: FeedCounts, seconds: f64) -> FeedRates {
         let per_second = |count: u64| {
             if seconds > 0.0 {
@@ -332,7 +332,7 @@
 }
 
 impl Percentiles {
-    /// Returns the percentiles of these times.
+    /// Returns the percentiles of a histogram, or zeros if it is empty.
     pub fn of(times: &LatencyHistogram) -> Percentiles {
         let times = times.histogram();
         let at = |quantile: f64| times.value_at_quantile(quantile) as f64 / 1e3;
--- a/crates/scale-test/src/results/table.rs
+++ b/crates/scale-test/src/results/table.rs
@@ -1,12 +1,12 @@
-//! The result of a run as a text table.
+//! Formats the result of a run as text tables.
 
 use super::{FleetTotals, PlacerResult, RunResult};
 use std::fmt::{self, Write};
 
-/// Returns the result as a table.
+/// Formats the result of a run as text tables.
 pub fn print(result: &RunResult) -> String {
     let mut out = String::new();
-    // Writing to a string does not fail.
+    // Writing to a `String` cannot fail.
     let _ = write_result(&mut out, result);
     out
 }
--- a/crates/scale-test/src/sweep.rs
+++ b/crates/scale-test/src/sweep.rs
@@ -1,6 +1,7 @@
-//! Sweeps: one setting is varied while the others stay at a base point, and each metric is fitted over its values.
+//! Sweeps: one setting is varied while the others stay at a base point, and each metric is fitted over the values of
+//! that setting.
 //!
-//! Decides the order of the runs and retries unusable ones. How a run is made is up to a [`Runner`].
+//! This module decides the order of the runs and retries unusable ones. A [`Runner`] makes each run.
 
 use std::collections::BTreeMap;
 
@@ -20,34 +21,35 @@
 pub use plan::{AxisPlan, Base, MIN_REPEATS, PlanError, SweepPlan};
 pub use report::{AxisReport, FitResult, MetricReport, Point, SweepReport, UnusableRun};
 
-/// The number of attempts at a run: an unusable one is retried once.
+/// The number of attempts at a run. An unusable run is retried once.
 const MAX_ATTEMPTS: usize = 2;
 
 /// Makes the runs of a sweep.
 pub trait Runner {
-    /// Why a run could not be made at all.
+    /// The error of a run that could not be made.
     type Error;
 
-    /// Makes one run at the base point, with one axis at a value. Repeats are counted from 0; a retried run has the
+    /// Makes one run at the base point with one axis set to `value`. Repeats are counted from 0. A retry has the repeat
     /// number of the run that it replaces.
     ///
     /// # Errors
     ///
-    /// Returns an error if the run cannot be made at all. An unusable run is no error.
+    /// Returns an error if the run cannot be made. A run with unusable measurements is not an error.
     fn run(&mut self, axis: Axis, value: f64, repeat: u32) -> Result<Measured, Self::Error>;
 }
 
 /// The measurements of one run.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Measured {
-    /// The metrics that the run has.
+    /// The measured metrics. A metric without a value is absent.
     pub metrics: BTreeMap<Metric, f64>,
-    /// Why the run is unusable, if it is: its own load was late, the machine was full, and the like.
+    /// Why the run is unusable, for example because the load generator was late or the machine was too busy. `None` if
+    /// the run is usable.
     pub unusable: Option<String>,
 }
 
 impl Measured {
-    /// Returns why the run is unusable, if it is. A metric that is not finite makes it unusable, too.
+    /// Returns why the run is unusable, or `None` if it is usable. A metric that is not finite makes a run unusable.
     fn unusable_reason(&self) -> Option<String> {
         let not_finite = || self.metrics.iter().find(|(_, value)| !value.is_finite());
         self.unusable
@@ -59,7 +61,7 @@
 /// Why a sweep ended without a report.
 #[derive(Debug, Error)]
 pub enum SweepError<E> {
-    /// The plan is invalid. No run was made.
+    /// The plan is invalid, and no run was made.
     #[error(transparent)]
     Plan(#[from] PlanError),
     /// A run could not be made.
@@ -67,13 +69,13 @@
     Run {
         /// The axis that was varied.
         axis: Axis,
-        /// Its value.
+        /// The value of the axis.
         value: f64,
         /// The repeat, from 0.
         repeat: u32,
         /// The error of the runner.
         source: E,
-        /// The report of what was measured before, marked as partial.
+        /// The report of the runs that were completed before the error, marked as partial.
         before: Box<SweepReport>,
     },
 }
@@ -83,13 +85,13 @@
 pub struct Progress {
     /// The axis that is varied.
     pub axis: Axis,
-    /// Its value.
+    /// The value of the axis.
     pub value: f64,
     /// The repeat, from 0.
     pub repeat: u32,
-    /// Completed runs, of all axes. A retried run counts once.
+    /// The number of completed runs over all axes. A retried run counts once.
     pub done: usize,
-    /// Planned runs, of all axes.
+    /// The number of planned runs over all axes.
     pub total: usize,
     /// The event that is reported.
     pub event: RunEvent,
@@ -98,16 +100,16 @@
 /// An event of one run of a sweep.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum RunEvent {
-    /// The run starts.
+    /// The first attempt at the run starts.
     Started,
     /// The run was unusable, and is retried.
     Retried {
         /// Why the run was unusable.
         reason: String,
     },
-    /// The run was measured.
+    /// An attempt was usable, and its measurements are kept.
     Measured,
-    /// Every attempt was unusable, and the run is left out.
+    /// Every attempt was unusable, and the run is left out of the fits.
     LeftOut {
         /// Why the last attempt was unusable.
         reason: String,
@@ -122,16 +124,16 @@
     repeat: u32,
 }
 
-/// A planned run after its attempts.
+/// The outcome of a planned run after all its attempts.
 struct Outcome {
     run: PlannedRun,
-    /// `None` if every attempt was unusable.
+    /// The metrics of the usable attempt; `None` if every attempt was unusable.
     metrics: Option<BTreeMap<Metric, f64>>,
-    /// The reasons of the unusable attempts.
+    /// Why each unusable attempt was unusable.
     reasons: Vec<String>,
 }
 
-/// Sweeps each axis of the plan, and fits the measurements.
+/// Makes all runs of the plan, axis by axis, and fits the measurements.
 ///
 /// # Errors
 ///
@@ -189,8 +191,8 @@
     Ok(report)
 }
 
-/// Returns the runs of an axis, round by round, so that a slow drift of the machine affects all values alike. Every
-/// other round is reversed, so that drift within rounds does not look like a slope.
+/// Returns the runs of an axis in rounds of one run for each value, so that a slow drift of the machine's speed affects
+/// all values alike. Every other round is reversed, so that drift within a round does not appear as a slope.
 fn run_order(axis: &AxisPlan, repeats: u32) -> Vec<PlannedRun> {
     let round = |repeat: u32| {
         let mut values = axis.values.clone();
@@ -207,7 +209,7 @@
     (0..repeats).flat_map(round).collect()
 }
 
-/// Makes a run, and retries it if it is unusable.
+/// Makes up to [`MAX_ATTEMPTS`] attempts at a run, until one is usable.
 fn attempt<R: Runner>(
     run: PlannedRun,
     runner: &mut R,
--- a/crates/scale-test/src/sweep/axis.rs
+++ b/crates/scale-test/src/sweep/axis.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumIter, EnumString};
 
-/// A setting that a sweep varies while the others stay. Each axis has a unit and default values.
+/// A setting that a sweep varies while the other settings stay at the base point.
 #[derive(
     Debug,
     Clone,
@@ -24,7 +24,7 @@
 pub enum Axis {
     /// The number of workers.
     Workers,
-    /// The number of tasks that run at the start.
+    /// The number of tasks that are running when a run starts.
     #[serde(rename = "standing")]
     #[strum(serialize = "standing")]
     RunningTasks,
@@ -35,7 +35,7 @@
 }
 
 impl Axis {
-    /// Returns the unit of the values.
+    /// Returns the unit of the axis, as shown in reports.
     pub fn unit(self) -> &'static str {
         match self {
             Axis::Workers => "workers",
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Returns the values of a sweep that names none. A sweep of all axes with three repeats takes about a quarter of an
-    /// hour. The largest values are those of the plan `target`.
+    /// Returns the values to sweep if none are given. They are chosen so that a sweep of all axes with three repeats
+    /// takes about a quarter of an hour. The largest values are those of the plan `target`.
     pub fn default_values(self) -> &'static [f64] {
         match self {
             Axis::Workers => &[100.0, 1_000.0, 2_500.0, 5_000.0, 7_300.0],
--- a/crates/scale-test/src/sweep/metric.rs
+++ b/crates/scale-test/src/sweep/metric.rs
@@ -1,9 +1,9 @@
-//! The metrics that a run can have.
+//! The metrics of a run that a sweep can fit.
 
 use serde::{Deserialize, Serialize};
 use strum::{Display, EnumIter, EnumString};
 
-/// A metric of a run. Metrics are keys of reports, and have units but no values of their own.
+/// The name of a metric of a run. The values are stored in reports under these names.
 #[derive(
     Debug,
     Clone,
@@ -24,11 +24,11 @@
 pub enum Metric {
     /// CPU time of a placer, as a percentage of one core.
     CpuShare,
-    /// The part of the CPU time that is spent on the control feed, if known.
+    /// CPU time of a placer that is spent on the control feed, as a percentage of one core.
     ControlCpu,
     /// Peak resident memory of a placer.
     PeakRssKb,
-    /// Memory of a placer, with shared pages divided among the processes that share them.
+    /// Proportional set size (PSS) of a placer: each shared page is divided among the processes that share it.
     PssKb,
     /// Bytes that a placer reads from the control feed.
     ControlInBytes,
@@ -40,11 +40,11 @@
     ServiceBytes,
     /// Events on the control feed.
     FeedEvents,
-    /// Entries in these events.
+    /// Entries in the events on the control feed.
     FeedEntries,
     /// Open descriptors of a placer.
     Descriptors,
-    /// Time from the start of a placer until it is ready.
+    /// Time from the start of a placer until it first passes a health check.
     ReadyMs,
     /// Time from the arrival of a task to its start: median.
     StartP50Ms,
@@ -52,12 +52,12 @@
     StartP99Ms,
     /// Time from the arrival of an urgent task to its start: 99th percentile.
     UrgentP99Ms,
-    /// CPU time of the placers for each event of the feed.
+    /// CPU time of all placers divided by the number of events on their control feeds.
     CpuPerEventMicros,
 }
 
 impl Metric {
-    /// Returns the unit of the values.
+    /// Returns the unit of the metric, as shown in reports.
     pub fn unit(self) -> &'static str {
         match self {
             Metric::CpuShare | Metric::ControlCpu => "% of a core",
--- a/crates/scale-test/src/sweep/plan.rs
+++ b/crates/scale-test/src/sweep/plan.rs
@@ -6,31 +6,31 @@
 use super::Axis;
 use crate::fit::MIN_SIZES;
 
-/// The smallest number of repeats. With fewer, the noise is unknown.
+/// The smallest number of repeats of each value. With fewer repeats the noise cannot be estimated.
 pub const MIN_REPEATS: u32 = 3;
 
-/// The base point, at which all axes stay except the one that is varied.
+/// The base point of a sweep: the value of each axis while another axis is varied.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Base {
-    /// A description, or the name of a plan.
+    /// A description of the base point, or the name of its plan.
     pub description: String,
     /// The number of workers.
     pub workers: f64,
-    /// The number of tasks that run at the start.
+    /// The number of tasks that are running when a run starts.
     #[serde(rename = "standing")]
     pub running_tasks: f64,
     /// Task arrivals per second.
     pub rate: f64,
-    /// Extra list events per second.
+    /// Extra list events per second on the control feed.
     pub events: f64,
 }
 
-/// An axis and its values.
+/// An axis and the values at which it is measured.
 #[derive(Debug, Clone, PartialEq)]
 pub struct AxisPlan {
     /// The axis.
     pub axis: Axis,
-    /// The values, in the order of the first round.
+    /// The values, in the order in which the first round runs them.
     pub values: Vec<f64>,
 }
 
@@ -43,7 +43,8 @@
         }
     }
 
-    /// Returns the axis with its default values, all scaled down by one factor if the largest exceeds a limit.
+    /// Returns the axis with its default values. If the largest exceeds `limit`, all are scaled down by the same factor
+    /// so that the largest equals the limit, and rounded down.
     pub fn with_default_values_up_to(axis: Axis, limit: f64) -> AxisPlan {
         let plan = AxisPlan::with_default_values(axis);
         let largest = plan.values.iter().copied().fold(0.0, f64::max);
@@ -64,36 +65,36 @@
 /// A sweep over one or more axes, one after the other.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SweepPlan {
-    /// The base point of the other axes.
+    /// The values of the axes that are not varied.
     pub base: Base,
     /// The axes that are varied.
     pub axes: Vec<AxisPlan>,
-    /// Runs of each value.
+    /// The number of runs at each value.
     pub repeats: u32,
 }
 
 /// Why a plan is invalid.
 #[derive(Debug, Clone, PartialEq, Error)]
 pub enum PlanError {
-    /// No axis is named.
-    #[error("a sweep needs an axis")]
+    /// The plan has no axis.
+    #[error("a sweep needs at least one axis")]
     NoAxis,
-    /// An axis is named twice.
-    #[error("{axis}: named twice")]
+    /// An axis is given twice.
+    #[error("{axis}: axis is given twice")]
     AxisTwice {
         /// The axis.
         axis: Axis,
     },
     /// An axis has too few values for a fit.
-    #[error("{axis}: {found} distinct values, and a fit needs at least {MIN_SIZES}")]
+    #[error("{axis}: {found} distinct values, but a fit needs at least {MIN_SIZES}")]
     TooFewValues {
         /// The axis.
         axis: Axis,
         /// The number of distinct values.
         found: usize,
     },
-    /// A value is given twice, so it would have more repeats than others.
-    #[error("{axis}: the value {value} stands twice")]
+    /// A value is given twice, and would have more repeats than the other values.
+    #[error("{axis}: value {value} is given twice")]
     ValueTwice {
         /// The axis.
         axis: Axis,
@@ -101,15 +102,15 @@
         value: f64,
     },
     /// A value is below 0, infinite or not a number.
-    #[error("{axis}: the value {value} is below 0, infinite or not a number")]
+    #[error("{axis}: value {value} is negative, infinite or not a number")]
     BadValue {
         /// The axis.
         axis: Axis,
         /// The value.
         value: f64,
     },
-    /// Too few repeats to estimate the noise.
-    #[error("{found} repeats, and a sweep needs at least {MIN_REPEATS}")]
+    /// There are too few repeats to estimate the noise.
+    #[error("{found} repeats, but a sweep needs at least {MIN_REPEATS}")]
     TooFewRepeats {
         /// The number of repeats.
         found: u32,
--- a/crates/scale-test/src/sweep/report.rs
+++ b/crates/scale-test/src/sweep/report.rs
@@ -1,4 +1,4 @@
-//! The report of a sweep, as data.
+//! The report of a sweep as typed data.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,13 +10,13 @@
 /// The report of a sweep.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SweepReport {
-    /// The base point of the other axes.
+    /// The base point of the sweep.
     pub base: Base,
     /// The planned number of runs at each value.
     pub repeats: u32,
-    /// Whether a failed run has ended the sweep, so that later axes and values are missing.
+    /// Whether a failed run ended the sweep, in which case later axes and values are missing.
     pub partial: bool,
-    /// The axes, in the order of the sweep.
+    /// The report of each axis, in the order of the sweep.
     pub axes: Vec<AxisReport>,
 }
 
@@ -27,23 +27,23 @@
     pub axis: Axis,
     /// The values of the axis.
     pub values: Vec<f64>,
-    /// The metrics that at least one run had.
+    /// The metrics that were measured in at least one usable run.
     pub metrics: BTreeMap<Metric, MetricReport>,
-    /// The runs with an unusable attempt.
+    /// The runs with at least one unusable attempt.
     pub unusable: Vec<UnusableRun>,
 }
 
-/// One metric along one axis.
+/// The measurements of one metric along one axis, and their fit.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MetricReport {
-    /// Every usable run that had the metric.
+    /// One point for each usable run in which the metric was measured.
     pub points: Vec<Point>,
-    /// The fit of the points.
+    /// The fit of the points, or why they were not fitted.
     #[serde(rename = "verdict")]
     pub result: FitResult,
 }
 
-/// A metric of one run.
+/// The measurement of a metric in one run.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Point {
     /// The value of the axis.
@@ -60,23 +60,23 @@
 pub enum FitResult {
     /// The fitted line, and the shape of the points.
     Fitted(Fit),
-    /// Too few usable runs had the metric.
+    /// The points could not be fitted, for example because too few usable runs had the metric.
     NotFitted {
-        /// What was missing.
+        /// Why the points could not be fitted.
         reason: String,
     },
 }
 
-/// A run with an unusable attempt.
+/// A run with at least one unusable attempt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct UnusableRun {
     /// The value of the axis.
     pub value: f64,
     /// The repeat, from 0.
     pub repeat: u32,
-    /// The reason of each unusable attempt.
+    /// Why each unusable attempt was unusable.
     pub reasons: Vec<String>,
-    /// Whether a later attempt was usable. If not, the run is left out of all fits.
+    /// Whether a later attempt was usable. If none was, the run is left out of all fits.
     pub replaced: bool,
 }
 
@@ -90,7 +90,7 @@
         serde_json::to_string_pretty(self)
     }
 
-    /// Reads a report from the JSON of [`SweepReport::to_json`].
+    /// Parses a report from the JSON that [`SweepReport::to_json`] writes.
     ///
     /// # Errors
     ///
@@ -108,7 +108,7 @@
             .any(|report| matches!(report.result, FitResult::Fitted(_)))
     }
 
-    /// Collects and fits the outcomes of an axis's runs.
+    /// Collects the outcomes of the runs of an axis, and fits each metric.
     pub(super) fn of(plan: &AxisPlan, outcomes: &[Outcome]) -> AxisReport {
         let metrics: BTreeSet<Metric> = outcomes
             .iter()
@@ -147,7 +147,7 @@
         MetricReport { points, result }
     }
 
-    /// Returns the median of the repeats at a value, or `None` if no usable run had the metric.
+    /// Returns the median of the repeats at a value, or `None` if the metric was measured in no usable run.
     pub fn median(&self, value: f64) -> Option<f64> {
         let at_value = self.points.iter().filter(|point| point.value == value);
         let mut repeats: Vec<f64> = at_value.map(|point| point.measured).collect();
--- a/crates/scale-test/src/sweep/table.rs
+++ b/crates/scale-test/src/sweep/table.rs
@@ -1,4 +1,4 @@
-//! The report of a sweep as text tables.
+//! Formats the report of a sweep as text tables.
 
 use std::fmt;
 
@@ -7,13 +7,13 @@
 use super::{AxisReport, FitResult, Metric, MetricReport, SweepReport, UnusableRun};
 use crate::fit::Fit;
 
-/// The cell of a missing value.
+/// The content of a cell without a value.
 const MISSING: &str = "-";
 
-/// The number of digits that a value is displayed with.
+/// The number of significant digits of a displayed value.
 const SIGNIFICANT_DIGITS: i32 = 4;
 
-/// The number of columns before those of the values: the metric and its unit.
+/// The number of columns before the value columns: one for the metric and one for its unit.
 const LABEL_COLUMNS: usize = 2;
 
 impl fmt::Display for SweepReport {
@@ -30,7 +30,7 @@
             self.repeats
         )?;
         if self.partial {
-            writeln!(f, "partial: a run has failed, and ended the sweep")?;
+            writeln!(f, "partial: a run failed and ended the sweep")?;
         }
         for axis in &self.axes {
             writeln!(f, "\n{axis}")?;
@@ -58,7 +58,7 @@
 impl fmt::Display for UnusableRun {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let outcome = if self.replaced {
-            "made again"
+            "retried successfully"
         } else {
             "left out"
         };
@@ -130,7 +130,7 @@
     format!("{:.1} %", fraction * 100.0)
 }
 
-/// Formats a value with [`SIGNIFICANT_DIGITS`], and never fewer than all digits before the point.
+/// Formats a value with [`SIGNIFICANT_DIGITS`], but with all digits before the decimal point if there are more.
 fn number(value: f64) -> String {
     if value == 0.0 {
         return "0".to_string();
--- a/crates/scale-test/src/sweep/tests.rs
+++ b/crates/scale-test/src/sweep/tests.rs
@@ -1,4 +1,4 @@
-//! Fixtures of the sweep tests: a runner that answers from a function, and small plans.
+//! Fixtures of the sweep tests: a runner whose measurements come from a function, and small plans.
 
 mod failures;
 mod order;
@@ -15,7 +15,7 @@
 };
 use crate::fit::{Fit, MIN_SIZES, Shape};
 
-/// A runner that answers from a function, and records the runs that it was asked for.
+/// A runner that takes the measurements of each run from a function, and records the runs that were requested.
 struct FakeRunner<F> {
     runs: Vec<(Axis, f64, u32)>,
     answer: F,
@@ -39,9 +39,9 @@
     }
 }
 
-fn usable(figures: &[(Metric, f64)]) -> Measured {
+fn usable(metrics: &[(Metric, f64)]) -> Measured {
     Measured {
-        metrics: figures.iter().copied().collect(),
+        metrics: metrics.iter().copied().collect(),
         unusable: None,
     }
 }
@@ -81,13 +81,16 @@
 }
 
 fn report_of(plan: &SweepPlan, answer: impl FnMut(Axis, f64, u32) -> Measured) -> SweepReport {
-    sweep(plan, &mut FakeRunner::new(answer), &mut |_| ()).expect("a report")
+    sweep(plan, &mut FakeRunner::new(answer), &mut |_| ()).expect("sweep failed")
 }
 
 fn plan_error(plan: &SweepPlan) -> PlanError {
     let mut runner = FakeRunner::new(cpu_of_size);
-    let error = sweep(plan, &mut runner, &mut |_| ()).expect_err("a plan error");
-    assert!(runner.runs.is_empty(), "runs were made");
+    let error = sweep(plan, &mut runner, &mut |_| ()).expect_err("plan should be rejected");
+    assert!(
+        runner.runs.is_empty(),
+        "runs were made with an invalid plan"
+    );
     match error {
         SweepError::Plan(error) => error,
         SweepError::Run { source, .. } => match source {},
@@ -97,6 +100,6 @@
 fn fit(report: &MetricReport) -> &Fit {
     match &report.result {
         FitResult::Fitted(fit) => fit,
-        FitResult::NotFitted { reason } => panic!("not fitted: {reason}"),
+        FitResult::NotFitted { reason } => panic!("metric was not fitted: {reason}"),
     }
 }
--- a/crates/scale-test/src/sweep/tests/failures.rs
+++ b/crates/scale-test/src/sweep/tests/failures.rs
@@ -1,11 +1,11 @@
-//! Unusable runs, runs that cannot be made, and the progress of a sweep.
+//! Tests unusable runs, runs that cannot be made, and the progress reports of a sweep.
 
 use super::*;
 
 #[test]
 fn unusable_run_is_retried_and_its_replacement_is_fitted() {
     let mut failed = false;
-    let once = |axis, value, repeat| {
+    let unusable_once = |axis, value, repeat| {
         let fails = value == 3.0 && repeat == 1 && !failed;
         failed |= fails;
         if fails {
@@ -14,7 +14,7 @@
             cpu_of_size(axis, value, repeat)
         }
     };
-    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), once);
+    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), unusable_once);
     let axis = &report.axes[0];
     let cpu = &axis.metrics[&Metric::CpuShare];
     assert_eq!(cpu.points.len(), 12);
@@ -28,14 +28,14 @@
 #[test]
 fn run_that_is_unusable_twice_is_left_out_and_reported() {
     let mut attempts = 0;
-    let never = |axis, value, repeat| {
+    let unusable_twice = |axis, value, repeat| {
         if value == 3.0 && repeat == 1 {
             attempts += 1;
             return unusable(&format!("attempt {attempts}"));
         }
         cpu_of_size(axis, value, repeat)
     };
-    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), never);
+    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), unusable_twice);
     let axis = &report.axes[0];
     let cpu = &axis.metrics[&Metric::CpuShare];
     assert_eq!(attempts, 2);
@@ -58,13 +58,13 @@
 
 #[test]
 fn metric_that_is_not_a_number_makes_its_run_unusable() {
-    let odd = |axis, value, repeat| {
+    let nan_once = |axis, value, repeat| {
         if value == 2.0 && repeat == 0 {
             return usable(&[(Metric::CpuShare, 1.0), (Metric::ReadyMs, f64::NAN)]);
         }
         cpu_of_size(axis, value, repeat)
     };
-    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), odd);
+    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), nan_once);
     assert_eq!(
         report.axes[0].unusable[0].reasons,
         ["ready-ms is NaN", "ready-ms is NaN"]
@@ -74,16 +74,16 @@
 
 #[test]
 fn value_without_usable_runs_leaves_too_few_sizes_to_fit() {
-    let never = |axis, value, repeat| {
+    let unusable_at_4 = |axis, value, repeat| {
         if value == 4.0 {
             unusable("a placer died")
         } else {
             cpu_of_size(axis, value, repeat)
         }
     };
-    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), never);
+    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), unusable_at_4);
     let cpu = &report.axes[0].metrics[&Metric::CpuShare];
-    let reason = "3 distinct sizes, and a fit needs at least 4".to_string();
+    let reason = "3 distinct sizes, but a fit needs at least 4".to_string();
     assert_eq!(cpu.result, FitResult::NotFitted { reason });
     assert_eq!(cpu.median(4.0), None);
     assert_eq!(report.axes[0].unusable.len(), 3);
@@ -92,7 +92,7 @@
 #[test]
 fn progress_is_reported_for_each_attempt() {
     let mut failed = false;
-    let once = |axis, value, repeat| {
+    let unusable_once = |axis, value, repeat| {
         let fails = !failed;
         failed = true;
         if fails {
@@ -103,10 +103,12 @@
     };
     let mut reported: Vec<Progress> = Vec::new();
     let plan = plan(&[1.0, 2.0, 3.0, 4.0], 3);
-    sweep(&plan, &mut FakeRunner::new(once), &mut |progress| {
-        reported.push(progress.clone())
-    })
-    .expect("a report");
+    sweep(
+        &plan,
+        &mut FakeRunner::new(unusable_once),
+        &mut |progress| reported.push(progress.clone()),
+    )
+    .expect("sweep failed");
     let reason = "late".to_string();
     let first: Vec<&RunEvent> = reported[..4]
         .iter()
@@ -127,10 +129,10 @@
     assert_eq!(done, [0, 0, 0, 1]);
 }
 
-/// A runner that cannot make its third run.
-struct Breaking(u32);
+/// A runner that fails at its third run.
+struct FailingRunner(u32);
 
-impl Runner for Breaking {
+impl Runner for FailingRunner {
     type Error = String;
 
     fn run(&mut self, axis: Axis, value: f64, repeat: u32) -> Result<Measured, String> {
@@ -147,13 +149,13 @@
 fn run_that_cannot_be_made_ends_the_sweep_and_keeps_what_was_measured() {
     let error = sweep(
         &plan(&[1.0, 2.0, 3.0, 4.0], 3),
-        &mut Breaking(0),
+        &mut FailingRunner(0),
         &mut |_| (),
     )
-    .expect_err("an error");
+    .expect_err("sweep should fail at the third run");
     assert_eq!(error.to_string(), "workers 3, repeat 1: no placer");
     let SweepError::Run { before, .. } = error else {
-        panic!("no run: {error}")
+        panic!("unexpected error: {error}")
     };
     assert!(before.partial);
     let measured = before.axes[0].metrics[&Metric::CpuShare]
@@ -163,7 +165,7 @@
     assert_eq!(measured.collect::<Vec<f64>>(), [1.0, 2.0]);
     assert!(!before.axes[0].is_fitted());
     assert!(
-        before.to_string().contains("\npartial: a run has failed"),
+        before.to_string().contains("\npartial: a run failed"),
         "{before}"
     );
 }
--- a/crates/scale-test/src/sweep/tests/order.rs
+++ b/crates/scale-test/src/sweep/tests/order.rs
@@ -1,11 +1,11 @@
-//! The order of the runs.
+//! Tests the order of the runs.
 
 use super::*;
 
 #[test]
 fn values_are_run_in_rounds_and_every_other_round_is_reversed() {
     let mut runner = FakeRunner::new(cpu_of_size);
-    sweep(&plan(&[1.0, 2.0, 3.0, 4.0], 3), &mut runner, &mut |_| ()).expect("a report");
+    sweep(&plan(&[1.0, 2.0, 3.0, 4.0], 3), &mut runner, &mut |_| ()).expect("sweep failed");
     let order: Vec<(f64, u32)> = runner
         .runs
         .iter()
@@ -46,7 +46,7 @@
         repeats: 3,
     };
     let mut runner = FakeRunner::new(cpu_of_size);
-    let report = sweep(&plan, &mut runner, &mut |_| ()).expect("a report");
+    let report = sweep(&plan, &mut runner, &mut |_| ()).expect("sweep failed");
     assert!(
         runner.runs[..12]
             .iter()
--- a/crates/scale-test/src/sweep/tests/plan.rs
+++ b/crates/scale-test/src/sweep/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Checks of the plan, before any run.
+//! Tests the checks of a plan, which happen before any run.
 
 use super::*;
 
@@ -53,12 +53,12 @@
     let error = plan_error(&plan(&[1.0, 2.0, 3.0], 3));
     assert_eq!(
         error.to_string(),
-        "workers: 3 distinct values, and a fit needs at least 4"
+        "workers: 3 distinct values, but a fit needs at least 4"
     );
 }
 
 #[test]
-fn default_values_can_be_report_of() {
+fn default_values_can_be_swept() {
     for axis in Axis::iter() {
         let values = axis.default_values();
         assert!(values.len() >= MIN_SIZES);
@@ -73,7 +73,7 @@
     }
     for metric in Metric::iter() {
         assert_eq!(metric.to_string().parse(), Ok(metric));
-        let quoted = serde_json::to_string(&metric).expect("JSON");
+        let quoted = serde_json::to_string(&metric).expect("metric should serialize");
         assert_eq!(quoted, format!("\"{metric}\""));
     }
 }
--- a/crates/scale-test/src/sweep/tests/report.rs
+++ b/crates/scale-test/src/sweep/tests/report.rs
@@ -1,17 +1,17 @@
-//! The report: fits, medians, JSON and the table.
+//! Tests the report: fits, medians, JSON and the table.
 
 use super::*;
 
 #[test]
 fn each_metric_is_fitted_by_itself() {
-    let figures = |_, value: f64, _| {
+    let metrics = |_, value: f64, _| {
         usable(&[
             (Metric::CpuShare, 0.5 * value + 3.0),
             (Metric::PeakRssKb, 30_000.0),
             (Metric::StartP99Ms, value * value),
         ])
     };
-    let report = report_of(&plan(&[100.0, 400.0, 1000.0, 2000.0], 3), figures);
+    let report = report_of(&plan(&[100.0, 400.0, 1000.0, 2000.0], 3), metrics);
     let metrics = &report.axes[0].metrics;
     let cpu = fit(&metrics[&Metric::CpuShare]);
     assert!((cpu.slope - 0.5).abs() < 1e-12 && (cpu.intercept - 3.0).abs() < 1e-9);
@@ -22,14 +22,14 @@
 
 #[test]
 fn metric_that_some_runs_lack_is_fitted_over_the_others() {
-    let figures = |axis, value, repeat| {
+    let metrics = |axis, value, repeat| {
         let mut measured = cpu_of_size(axis, value, repeat);
         if repeat > 0 {
             measured.metrics.insert(Metric::ControlCpu, 2.0 * value);
         }
         measured
     };
-    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), figures);
+    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), metrics);
     let metrics = &report.axes[0].metrics;
     assert_eq!(metrics[&Metric::ControlCpu].points.len(), 8);
     assert_eq!(metrics[&Metric::CpuShare].points.len(), 12);
@@ -39,8 +39,8 @@
 #[test]
 fn median_of_the_repeats_is_reported() {
     let noisy = |_, value: f64, repeat: u32| {
-        let figure = value * [1.0, 10.0, 2.0, 3.0][repeat as usize];
-        usable(&[(Metric::ReadyMs, figure)])
+        let ready_ms = value * [1.0, 10.0, 2.0, 3.0][repeat as usize];
+        usable(&[(Metric::ReadyMs, ready_ms)])
     };
     let three = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), noisy);
     assert_eq!(
@@ -56,20 +56,23 @@
 
 #[test]
 fn report_survives_json() {
-    let figures = |_, value: f64, repeat: u32| {
+    let metrics = |_, value: f64, repeat: u32| {
         if value == 3.0 && repeat == 2 {
             return unusable("load was late");
         }
         let noise = f64::from(repeat) * 0.1;
         let every = Metric::iter().zip(1_u8..);
-        let figures: Vec<(Metric, f64)> = every
+        let metrics: Vec<(Metric, f64)> = every
             .map(|(metric, factor)| (metric, (value + noise) / f64::from(factor)))
             .collect();
-        usable(&figures)
+        usable(&metrics)
     };
-    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0, 5.5], 3), figures);
-    let json = report.to_json().expect("JSON");
-    assert_eq!(SweepReport::from_json(&json).expect("a report"), report);
+    let report = report_of(&plan(&[1.0, 2.0, 3.0, 4.0, 5.5], 3), metrics);
+    let json = report.to_json().expect("report should serialize");
+    assert_eq!(
+        SweepReport::from_json(&json).expect("report should parse"),
+        report
+    );
     assert!(json.contains("\"start-p99-ms\""), "{json}");
 }
 
@@ -79,24 +82,27 @@
     let cpu = report.axes[0]
         .metrics
         .get_mut(&Metric::CpuShare)
-        .expect("a figure");
+        .expect("metric is missing");
     cpu.result = FitResult::NotFitted {
         reason: "too few".to_string(),
     };
-    let json = report.to_json().expect("JSON");
-    assert_eq!(SweepReport::from_json(&json).expect("a report"), report);
+    let json = report.to_json().expect("report should serialize");
+    assert_eq!(
+        SweepReport::from_json(&json).expect("report should parse"),
+        report
+    );
 }
 
 #[test]
 fn table_has_a_row_for_each_metric() {
-    let figures =
+    let metrics =
         |_, value: f64, _| usable(&[(Metric::CpuShare, value), (Metric::ReadyMs, 12_345.6)]);
-    let text = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), figures).to_string();
+    let text = report_of(&plan(&[1.0, 2.0, 3.0, 4.0], 3), metrics).to_string();
     let row = |name: &str| {
         let line = text
             .lines()
             .find(|line| line.trim_start().starts_with(name));
-        line.unwrap_or_else(|| panic!("no {name} in:\n{text}"))
+        line.unwrap_or_else(|| panic!("no row {name} in:\n{text}"))
             .split_whitespace()
             .collect::<Vec<_>>()
             .join(" ")
--- a/crates/scale-test/src/sweep_runner.rs
+++ b/crates/scale-test/src/sweep_runner.rs
@@ -1,4 +1,5 @@
-//! Makes the runs of a sweep: real placers and hollow workers, at settings with one value replaced.
+//! Makes the runs of a sweep with real placers and simulated workers. Each run uses the base settings with one value
+//! replaced.
 
 use crate::error::RunError;
 use crate::process_sample::Sampler;
@@ -14,36 +15,36 @@
 
 pub use metrics::metrics;
 
-/// The largest fraction of the workers' capacity that the default values of running tasks fill. The plan `target`
-/// fills just over half. On nearly full workers a run would measure the search for free capacity.
+/// The largest fraction of the workers' capacity that the default numbers of running tasks fill. The plan `target`
+/// fills just over half of it. If workers were nearly full, a run would mainly measure the search for free capacity.
 const MAX_FILL_FRACTION: f64 = 0.6;
 
-/// Why a run of a sweep has no measurements.
+/// Why a run of a sweep yields no measurements.
 #[derive(Debug, thiserror::Error)]
 pub enum SweepRunError {
     /// The run could not be carried out.
     #[error(transparent)]
     Run(#[from] RunError),
-    /// A placer broke a rule, so the measurements mean nothing.
+    /// A placer violated a rule that every placer must keep, so the measurements are meaningless.
     #[error(
         "a rule is broken: {lost} lost, {started_twice} started twice, {answered_twice} answered twice, \
          {ended_wrongly} ended wrongly, {never_started} never started"
     )]
     RuleBroken {
-        /// Lost tasks.
+        /// Tasks whose set-up request was never answered, or whose end was not reported.
         lost: u64,
         /// Non-idempotent tasks that were started twice.
         started_twice: u64,
-        /// Tasks that were answered twice.
+        /// Tasks whose set-up request was answered twice.
         answered_twice: u64,
         /// Tasks reported as ended while a worker still ran them.
         ended_wrongly: u64,
-        /// Answered tasks that no worker has started.
+        /// Tasks reported as started although no worker started them.
         never_started: u64,
     },
 }
 
-/// A point of a sweep that cannot be run, found before the first run.
+/// Why a point of a sweep cannot be run. Points are checked before the first run.
 #[derive(Debug, thiserror::Error)]
 #[error("{axis} {value}: {source}")]
 pub struct PointError {
@@ -55,9 +56,9 @@
     pub source: RunError,
 }
 
-/// A runner with real placers.
+/// A [`Runner`] that makes each run with real placers.
 pub struct ScaleRunner<'a> {
-    /// The base point.
+    /// The settings of the base point.
     pub settings: Settings,
     /// The path of the placer's program.
     pub program: PathBuf,
@@ -77,7 +78,7 @@
     }
 }
 
-/// Returns the measurements of a run for a sweep.
+/// Returns the measurements of a run, or an error if a placer violated a rule.
 fn measured(result: &RunResult) -> Result<Measured, SweepRunError> {
     let fleet = &result.fleet;
     if fleet.rules_broken() > 0 {
@@ -89,7 +90,7 @@
             never_started: fleet.never_started,
         });
     }
-    let no_reason = || "no reason is stated".to_string();
+    let no_reason = || "no reason given".to_string();
     let unusable = (!result.usable).then(|| result.reason.clone().unwrap_or_else(no_reason));
     Ok(Measured {
         metrics: metrics(result),
@@ -97,11 +98,11 @@
     })
 }
 
-/// Returns the settings of the base point with one value replaced.
+/// Returns the settings of the base point with the value of one axis replaced.
 ///
 /// # Errors
 ///
-/// Returns an error if the axis takes whole numbers and the value is none in its range.
+/// Returns an error if the axis takes whole numbers and the value is not a whole number in its range.
 pub fn settings_at(base: &Settings, axis: Axis, value: f64) -> Result<Settings, SettingsError> {
     let mut settings = base.clone();
     match axis {
@@ -113,7 +114,7 @@
     Ok(settings)
 }
 
-/// Returns a value as a whole number.
+/// Converts the value of an axis to a whole number.
 fn whole_number(axis: Axis, value: f64) -> Result<u32, SettingsError> {
     let in_range = value.fract() == 0.0 && (0.0..=f64::from(u32::MAX)).contains(&value);
     // Within the range, the cast is exact.
@@ -122,7 +123,7 @@
         .ok_or_else(|| SettingsError::new(&axis.to_string(), "a whole number in its range", value))
 }
 
-/// Returns the base point of these settings.
+/// Returns the base point of a sweep around these settings.
 pub fn base_of(settings: &Settings, description: &str) -> Base {
     Base {
         description: description.to_string(),
@@ -133,7 +134,8 @@
     }
 }
 
-/// Returns the axis with the default values that fit the base point, whose workers limit the running tasks.
+/// Returns the axis with its default values. The numbers of running tasks are scaled down if they would fill more than
+/// `MAX_FILL_FRACTION` of the workers of the base point.
 pub fn default_axis(base: &Settings, axis: Axis) -> AxisPlan {
     match axis {
         Axis::RunningTasks => {
@@ -144,7 +146,7 @@
     }
 }
 
-/// Rejects a plan with a point that is invalid or needs more than the machine has.
+/// Checks that every point of a plan is valid and needs no more resources than the machine allows.
 ///
 /// # Errors
 ///
--- a/crates/scale-test/src/sweep_runner/metrics.rs
+++ b/crates/scale-test/src/sweep_runner/metrics.rs
@@ -1,4 +1,4 @@
-//! The metrics of a run that a sweep fits.
+//! Extracts from the result of a run the metrics that a sweep fits.
 
 use crate::deployment::Class;
 use crate::results::{PlacerResult, RunResult};
@@ -9,7 +9,8 @@
 const MICROS_PER_SECOND: f64 = 1e6;
 
 /// Returns the metrics of a run: means over its placers, and times to start over all tasks. A metric without a value
-/// is missing. [`Metric::ControlCpu`] always is, as a run cannot separate it from the rest.
+/// is absent. [`Metric::ControlCpu`] is always absent, because a run cannot separate the CPU time spent on the control
+/// feed from the rest.
 pub fn metrics(result: &RunResult) -> BTreeMap<Metric, f64> {
     let mut values = BTreeMap::new();
     for (metric, value_of) in PLACER_METRICS {
@@ -22,10 +23,10 @@
     values
 }
 
-/// Reads a metric from the result of a placer.
+/// A function that reads a metric from the result of a placer.
 type PlacerValue = fn(&PlacerResult) -> Option<f64>;
 
-/// How each metric of a placer is read from its result.
+/// The metrics of a placer, each with the function that reads it.
 const PLACER_METRICS: [(Metric, PlacerValue); 11] = [
     (Metric::CpuShare, |placer| {
         Some(PERCENT * placer.totals.cpu_share)
@@ -62,7 +63,7 @@
     (Metric::ReadyMs, |placer| placer.ready_ms.first().copied()),
 ];
 
-/// Returns the times to start over all tasks.
+/// Returns the percentiles of the times to start, over all tasks and over urgent tasks.
 fn start_times(result: &RunResult) -> Vec<(Metric, f64)> {
     let mut metrics = Vec::new();
     let all = result.fleet.all_start_times;
--- a/crates/scale-test/src/sweep_runner/tests.rs
+++ b/crates/scale-test/src/sweep_runner/tests.rs
@@ -1,4 +1,4 @@
-//! What a sweep makes of settings and of results, without a run.
+//! Tests how a sweep derives settings and reads results, without making a run.
 
 use super::*;
 use crate::results::{
@@ -38,7 +38,7 @@
     }
 }
 
-/// A fleet in which tasks have started.
+/// Returns the totals of a fleet in which tasks have started.
 fn fleet() -> FleetTotals {
     let times = |count, p50_ms, p99_ms| Percentiles {
         count,
@@ -61,7 +61,7 @@
 fn point_replaces_one_setting_and_keeps_the_others() {
     let base = Settings::default();
     for axis in Axis::iter() {
-        let at = settings_at(&base, axis, 120.0).expect("settings");
+        let at = settings_at(&base, axis, 120.0).expect("settings should be valid");
         let expected = match axis {
             Axis::Workers => Settings {
                 workers: 120,
@@ -97,7 +97,9 @@
         );
     }
     assert_eq!(
-        settings_at(&base, Axis::Rate, 20.5).expect("settings").rate,
+        settings_at(&base, Axis::Rate, 20.5)
+            .expect("settings should be valid")
+            .rate,
         20.5
     );
 }
@@ -108,33 +110,33 @@
         placer(0.1, 10.0, vec![30.0, 900.0]),
         placer(0.3, 30.0, vec![50.0]),
     ];
-    let figures = metrics(&result(placers, fleet()));
-    let figure = |metric| *figures.get(&metric).expect("a figure");
+    let values = metrics(&result(placers, fleet()));
+    let value_of = |metric| *values.get(&metric).expect("metric is missing");
     let close =
-        |metric, expected: f64| assert!((figure(metric) - expected).abs() < 1e-9, "{metric}");
+        |metric, expected: f64| assert!((value_of(metric) - expected).abs() < 1e-9, "{metric}");
     close(Metric::CpuShare, 20.0);
     close(Metric::FeedEvents, 20.0);
-    // The first start of each; a placer that is started again is so by a fault.
+    // Only the first start of each placer counts, because later starts follow an injected fault.
     close(Metric::ReadyMs, 40.0);
     close(Metric::StartP50Ms, 2.0);
     close(Metric::StartP99Ms, 9.0);
     close(Metric::UrgentP99Ms, 5.0);
-    // 0.4 s of processor time in each second, for 40 events.
+    // The placers use 0.4 s of CPU time in each second, for 40 events per second.
     close(Metric::CpuPerEventMicros, 10_000.0);
     let missing: Vec<Metric> = Metric::iter()
-        .filter(|metric| !figures.contains_key(metric))
+        .filter(|metric| !values.contains_key(metric))
         .collect();
     assert_eq!(missing, [Metric::ControlCpu]);
 }
 
 #[test]
 fn metric_without_a_value_is_missing_and_not_zero() {
-    let figures = metrics(&result(
+    let values = metrics(&result(
         vec![placer(0.1, 0.0, Vec::new())],
         FleetTotals::default(),
     ));
     let missing: BTreeSet<Metric> = Metric::iter()
-        .filter(|metric| !figures.contains_key(metric))
+        .filter(|metric| !values.contains_key(metric))
         .collect();
     let expected = BTreeSet::from([
         Metric::ControlCpu,
@@ -155,14 +157,16 @@
         ..result(Vec::new(), fleet())
     };
 
-    let unusable = measured(&late).expect("measured").unusable;
+    let unusable = measured(&late)
+        .expect("run should violate no rule")
+        .unusable;
 
     assert_eq!(unusable.as_deref(), Some("late"));
 }
 
 #[test]
 fn usable_run_has_no_reason() {
-    let measured = measured(&result(Vec::new(), fleet())).expect("measured");
+    let measured = measured(&result(Vec::new(), fleet())).expect("run should violate no rule");
 
     assert_eq!(measured.unusable, None);
 }
@@ -176,7 +180,7 @@
     };
 
     let error = measured(&result(Vec::new(), lost))
-        .expect_err("a broken rule")
+        .expect_err("run should violate a rule")
         .to_string();
 
     assert!(
@@ -189,7 +193,7 @@
 fn default_values_are_scaled_to_a_small_base() {
     let base = Settings::default();
     let standing = default_axis(&base, Axis::RunningTasks);
-    // Up to six tenths of what 300 workers of 32 tasks hold.
+    // The values are scaled to at most six tenths of the capacity of 300 workers with 32 tasks each.
     assert_eq!(standing.values, [0.0, 480.0, 1_920.0, 3_840.0, 5_760.0]);
     let large = Settings {
         workers: 7_300,
@@ -217,7 +221,7 @@
         repeats: 3,
     };
     let error = admit_all(&plan, &base)
-        .expect_err("too few workers")
+        .expect_err("100 workers should be too few")
         .to_string();
     let expected = "workers 100: setting standing: expected at most the 3200 that 100 workers of 32 tasks hold";
     assert!(error.starts_with(expected), "{error}");
--- a/crates/scale-test/tests/command_line.rs
+++ b/crates/scale-test/tests/command_line.rs
@@ -1,14 +1,14 @@
-//! The command line: what it rejects, what it prints, its exit codes, and that it leaves nothing behind.
+//! Tests the command line: rejected arguments, output and exit codes, and that no processes or files are left behind.
 
 use scale_test::sweep::SweepReport;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
 use std::time::{Duration, Instant};
 
-/// The longest wait for a condition.
+/// The longest time to wait for a condition.
 const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-fn tool() -> Command {
+fn scale_test_command() -> Command {
     Command::new(env!("CARGO_BIN_EXE_scale-test"))
 }
 
@@ -19,13 +19,16 @@
 }
 
 fn output(args: &[&str]) -> Output {
-    tool().args(args).output().expect("it runs")
+    scale_test_command()
+        .args(args)
+        .output()
+        .expect("cannot run scale-test")
 }
 
 #[test]
 fn invalid_settings_exit_with_2_and_one_line_that_names_them() {
     let small = plan("small.toml");
-    let small = small.to_str().expect("a path");
+    let small = small.to_str().expect("path should be UTF-8");
     for (args, expected) in [
         (
             &["check", "--workers", "0"][..],
@@ -66,7 +69,7 @@
         (&["walk"], "unrecognized subcommand 'walk'"),
     ] {
         let out = output(args);
-        let line = String::from_utf8(out.stderr).expect("text");
+        let line = String::from_utf8(out.stderr).expect("output should be UTF-8");
         assert_eq!(out.status.code(), Some(2), "{args:?}: {line}");
         assert!(line.contains(expected), "{args:?}: {line}");
         assert_eq!(line.lines().count(), 1, "{args:?}: {line}");
@@ -78,21 +81,21 @@
 #[expect(clippy::too_many_lines, reason = "one table of cases")]
 fn invalid_sweep_exits_with_2_and_one_line_before_any_run() {
     let small = plan("small.toml");
-    let small = small.to_str().expect("a path");
+    let small = small.to_str().expect("path should be UTF-8");
     let sweep_of_workers =
         |rest: &[&'static str]| [&["sweep", "--axis", "workers"][..], rest].concat();
     for (args, expected) in [
         (
             sweep_of_workers(&["--values", "20,40,60"]),
-            "workers: 3 distinct values, and a fit needs at least 4",
+            "workers: 3 distinct values, but a fit needs at least 4",
         ),
         (
             sweep_of_workers(&["--values", "20,40,60,80,80"]),
-            "workers: the value 80 stands twice",
+            "workers: value 80 is given twice",
         ),
         (
             sweep_of_workers(&["--values", "-20,40,60,80"]),
-            "workers: the value -20 is below 0",
+            "workers: value -20 is negative",
         ),
         (
             sweep_of_workers(&["--values", "80.5,200,400,600"]),
@@ -104,11 +107,11 @@
         ),
         (
             sweep_of_workers(&["--repeats", "2"]),
-            "2 repeats, and a sweep needs at least 3",
+            "2 repeats, but a sweep needs at least 3",
         ),
         (
             sweep_of_workers(&["--axis", "workers"]),
-            "workers: named twice",
+            "workers: axis is given twice",
         ),
         (
             sweep_of_workers(&["--seconds", "0"]),
@@ -140,7 +143,7 @@
         ),
     ] {
         let out = output(&args);
-        let line = String::from_utf8(out.stderr).expect("text");
+        let line = String::from_utf8(out.stderr).expect("output should be UTF-8");
         assert_eq!(out.status.code(), Some(2), "{args:?}: {line}");
         assert!(line.contains(expected), "{args:?}: {line}");
         assert_eq!(line.lines().count(), 1, "{args:?}: {line}");
@@ -148,7 +151,7 @@
     }
 }
 
-/// Settings of a run that needs more memory and descriptors than any machine has.
+/// Settings of a run that needs more memory and descriptors than any machine allows.
 const HUGE: [&str; 6] = [
     "--set",
     "workers=16384",
@@ -167,7 +170,7 @@
         (&sweep_of_rate, "rate 20: "),
     ] {
         let out = output(&[command, &HUGE].concat());
-        let lines = String::from_utf8(out.stderr).expect("text");
+        let lines = String::from_utf8(out.stderr).expect("output should be UTF-8");
         assert_eq!(out.status.code(), Some(2), "{command:?}: {lines}");
         let needs = format!("scale-test: {prefix}needs ");
         assert!(
@@ -188,7 +191,7 @@
 
 #[test]
 fn failed_run_ends_the_sweep_and_writes_a_partial_report() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("cannot create a temporary directory");
     let json = folder.path().join("sweep.json");
     let values = [
         "sweep",
@@ -199,21 +202,21 @@
         "--set",
         "standing=10",
     ];
-    let mut command = tool();
+    let mut command = scale_test_command();
     command
         .args(values)
         .args(["--seconds", "1", "--program", "/bin/false", "--json"])
         .arg(&json);
-    let out = command.output().expect("it runs");
-    let line = String::from_utf8(out.stderr).expect("text");
+    let out = command.output().expect("cannot run scale-test");
+    let line = String::from_utf8(out.stderr).expect("output should be UTF-8");
     assert_eq!(out.status.code(), Some(1), "{line}");
     assert!(
         line.starts_with("scale-test: workers 20, repeat 1: placer "),
         "{line}"
     );
     assert!(line.contains("ended by itself"), "{line}");
-    let text = std::fs::read_to_string(json).expect("a report");
-    let report = SweepReport::from_json(&text).expect("a report");
+    let text = std::fs::read_to_string(json).expect("cannot read the report");
+    let report = SweepReport::from_json(&text).expect("report should parse");
     assert!(
         report.partial && report.axes.iter().all(|axis| axis.metrics.is_empty()),
         "{text}"
@@ -222,11 +225,11 @@
 
 #[test]
 fn plan_is_found_by_a_relative_path() {
-    let mut command = tool();
+    let mut command = scale_test_command();
     command
         .args(["check", "plans/minute.toml"])
         .current_dir(env!("CARGO_MANIFEST_DIR"));
-    let out = command.output().expect("it runs");
+    let out = command.output().expect("cannot run scale-test");
     assert!(
         out.status.success(),
         "{}",
@@ -237,12 +240,12 @@
 #[test]
 fn packaged_plans_are_valid() {
     for name in ["small.toml", "minute.toml", "sweep.toml", "target.toml"] {
-        let out = tool()
+        let out = scale_test_command()
             .arg("check")
             .arg(plan(name))
             .output()
-            .expect("it runs");
-        let text = String::from_utf8(out.stdout).expect("text");
+            .expect("cannot run scale-test");
+        let text = String::from_utf8(out.stdout).expect("output should be UTF-8");
         assert!(
             out.status.success(),
             "{name}: {}",
@@ -263,7 +266,7 @@
         "--warm-up",
         "0s",
     ]);
-    let line = String::from_utf8(out.stderr).expect("text");
+    let line = String::from_utf8(out.stderr).expect("output should be UTF-8");
     assert_eq!(out.status.code(), Some(1), "{line}");
     assert!(line.contains("placer program /nowhere/placer"), "{line}");
 }
@@ -279,34 +282,34 @@
         "--warm-up",
         "0s",
     ]);
-    let line = String::from_utf8(out.stderr).expect("text");
+    let line = String::from_utf8(out.stderr).expect("output should be UTF-8");
     assert_eq!(out.status.code(), Some(1), "{line}");
     assert!(line.contains("ended by itself"), "{line}");
 }
 
 /// A child process that is killed when its test ends.
-struct Running(Child);
+struct KillOnDrop(Child);
 
-impl Drop for Running {
+impl Drop for KillOnDrop {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// Polls until a value is there, and fails after [`WAIT_LIMIT`].
+/// Polls until a value is returned, and panics after [`WAIT_LIMIT`].
 fn wait_until<T>(what: &str, mut poll: impl FnMut() -> Option<T>) -> T {
     let end = Instant::now() + WAIT_LIMIT;
     loop {
         if let Some(found) = poll() {
             return found;
         }
-        assert!(Instant::now() < end, "in vain: {what}");
+        assert!(Instant::now() < end, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(20));
     }
 }
 
-/// Returns the child processes of a process.
+/// Returns the process ids of the children of a process.
 fn children(id: u32) -> Vec<u32> {
     let tasks = std::fs::read_dir(format!("/proc/{id}/task"))
         .into_iter()
@@ -329,7 +332,7 @@
     let default_program =
         PathBuf::from(env!("CARGO_BIN_EXE_scale-test")).with_file_name("task-placer");
     let program = program.unwrap_or(default_program);
-    let mut command = tool();
+    let mut command = scale_test_command();
     command
         .args(["run", "--duration", "1h", "--program"])
         .arg(program);
@@ -337,20 +340,22 @@
         .stdout(Stdio::null())
         .stderr(Stdio::null())
         .spawn()
-        .expect("it runs");
-    let mut running = Running(child);
+        .expect("cannot run scale-test");
+    let mut running = KillOnDrop(child);
     let placers = wait_until("three placers", || {
         let found = children(running.0.id());
         (found.len() == 3).then_some(found)
     });
     let id = rustix::process::Pid::from_child(&running.0);
-    rustix::process::kill_process(id, rustix::process::Signal::TERM).expect("it runs");
-    let status = wait_until("its end", || running.0.try_wait().expect("a child"));
+    rustix::process::kill_process(id, rustix::process::Signal::TERM).expect("cannot send SIGTERM");
+    let status = wait_until("the end of the run", || {
+        running.0.try_wait().expect("cannot wait for the child")
+    });
     assert_eq!(status.code(), Some(1));
     for placer in placers {
         assert!(
             !Path::new(&format!("/proc/{placer}")).exists(),
-            "placer {placer} is alive"
+            "placer {placer} is still running"
         );
     }
 }
--- a/crates/scale-test/tests/former_files.rs
+++ b/crates/scale-test/tests/former_files.rs
@@ -1,4 +1,4 @@
-//! Results and plans that earlier versions wrote are read, and written again with the same names and values.
+//! Tests that results and plans of earlier versions can be read, and are written again with the same names and values.
 
 use scale_test::sweep::SweepReport;
 use scale_test::{RunResult, Settings};
@@ -11,29 +11,32 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Reads a file as a type, and checks that the type writes the same JSON.
+/// Deserializes a file as a type, and checks that serializing the value gives the same JSON.
 fn assert_round_trip<T: Serialize + DeserializeOwned>(path: &Path) {
     let text =
         std::fs::read_to_string(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
-    let written_before: Value = serde_json::from_str(&text).expect("JSON");
+    let written_before: Value = serde_json::from_str(&text).expect("file should be JSON");
 
     let read: T =
         serde_json::from_str(&text).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
 
-    let written_now = serde_json::to_value(&read).expect("a value");
+    let written_now = serde_json::to_value(&read).expect("value should serialize");
     assert!(
         written_now == written_before,
-        "{}: other names or values",
+        "{}: names or values have changed",
         path.display()
     );
 }
 
 fn results(prefix: &str) -> Vec<PathBuf> {
     let folder = repository().join("docs/results/2026-12-02");
-    let entries = std::fs::read_dir(&folder).expect("the folder of results");
-    let paths = entries.map(|entry| entry.expect("an entry").path());
+    let entries = std::fs::read_dir(&folder).expect("cannot read the directory of results");
+    let paths = entries.map(|entry| entry.expect("cannot read a directory entry").path());
     let is_result = |path: &PathBuf| {
-        let name = path.file_name().expect("a name").to_string_lossy();
+        let name = path
+            .file_name()
+            .expect("path should have a file name")
+            .to_string_lossy();
         name.starts_with(prefix) && name.ends_with(".json")
     };
     paths.filter(is_result).collect()
@@ -59,19 +62,22 @@
         .for_each(|path| assert_round_trip::<SweepReport>(path));
 }
 
-/// These runs were recorded before results had all their fields of today; their settings are whole.
+/// The results of these runs lack fields that were added later, so only their settings, which are complete, are read.
 #[test]
 fn settings_in_the_oldest_results_keep_their_names() {
     let paths = results("control-");
     assert_eq!(paths.len(), 12);
 
     for path in paths {
-        let text = std::fs::read_to_string(&path).expect("a result");
-        let result: Value = serde_json::from_str(&text).expect("JSON");
-        let settings: Settings =
-            serde_json::from_value(result["settings"].clone()).expect("settings");
-        let written_now = serde_json::to_value(&settings).expect("a value");
-        for (name, value) in result["settings"].as_object().expect("an object") {
+        let text = std::fs::read_to_string(&path).expect("cannot read the result");
+        let result: Value = serde_json::from_str(&text).expect("file should be JSON");
+        let settings: Settings = serde_json::from_value(result["settings"].clone())
+            .expect("settings should deserialize");
+        let written_now = serde_json::to_value(&settings).expect("value should serialize");
+        for (name, value) in result["settings"]
+            .as_object()
+            .expect("settings should be an object")
+        {
             assert_eq!(
                 written_now.get(name),
                 Some(value),
@@ -89,7 +95,7 @@
         let settings = Settings::load(&path).unwrap_or_else(|error| panic!("{plan}: {error}"));
         assert!(
             settings.running_tasks > 0 || plan == "small",
-            "{plan}: `standing` is read"
+            "{plan}: `standing` was not read"
         );
     }
 }
--- a/crates/scale-test/tests/small_run.rs
+++ b/crates/scale-test/tests/small_run.rs
@@ -1,4 +1,4 @@
-//! Runs of small plans with real placers. Counts and rules are checked, times are not.
+//! Tests short runs with real placers. Counts and rules are checked, but not times.
 
 use scale_test::results::PlacerResult;
 use scale_test::sample::ProcSampler;
@@ -11,26 +11,26 @@
 use std::time::Duration;
 use strum::IntoEnumIterator;
 
-/// Returns the placer's program: `TASK_PLACER_BIN`, or the one in the target folder of this test.
+/// Returns the path of the placer's program: `TASK_PLACER_BIN`, or the program in the target directory of this test.
 fn program() -> PathBuf {
     if let Some(named) = std::env::var_os("TASK_PLACER_BIN") {
         return PathBuf::from(named);
     }
-    let test = std::env::current_exe().expect("a path of the test");
+    let test = std::env::current_exe().expect("cannot find the path of the test");
     let folder = test
         .parent()
         .and_then(Path::parent)
-        .expect("a target folder");
+        .expect("test should be in a target directory");
     folder.join("task-placer")
 }
 
 fn small_plan() -> Settings {
     let plan = Path::new(env!("CARGO_MANIFEST_DIR")).join("plans/small.toml");
-    Settings::load(&plan).expect("a plan")
+    Settings::load(&plan).expect("plan should be valid")
 }
 
 fn run_of(settings: &Settings) -> RunResult {
-    run(settings, &program(), &mut ProcSampler, &mut NoWatcher).expect("a result")
+    run(settings, &program(), &mut ProcSampler, &mut NoWatcher).expect("run failed")
 }
 
 #[test]
@@ -41,13 +41,13 @@
     println!("{}", scale_test::results::print(&result));
     assert!(result.usable, "{:?}", result.reason);
 
-    // Every task that was due has one end.
+    // Every task that was due has exactly one outcome.
     assert_eq!(fleet.running_at_start, u64::from(settings.running_tasks));
     let answered = fleet.started + fleet.refused + fleet.failed + fleet.placer_killed;
     assert_eq!((answered, fleet.no_placer), (fleet.due, 0));
     assert!(fleet.started > 0 && fleet.due > 500, "{fleet:?}");
 
-    // The rules.
+    // No placer violated a rule.
     assert_eq!(fleet.lost, 0, "{fleet:?}");
     assert_eq!(fleet.started_twice, 0, "{fleet:?}");
     assert_eq!(fleet.answered_twice, 0, "{fleet:?}");
@@ -55,11 +55,11 @@
     assert_eq!(fleet.ended_wrongly, 0, "{fleet:?}");
     assert_eq!(fleet.bad_messages, 0, "{fleet:?}");
 
-    // The zone was lost, and its workers take tasks again.
+    // Tasks were lost in the zone crash, and the restored workers started tasks again.
     assert!(fleet.reset > 0, "{fleet:?}");
     assert!(fleet.starts_after_return > 0, "{fleet:?}");
 
-    // The killed placer is ready again; the others were started once.
+    // The killed placer became ready again; the other placers were started once.
     let starts: Vec<usize> = result
         .placers
         .iter()
@@ -67,7 +67,7 @@
         .collect();
     assert_eq!(starts, [1, 1, 2]);
 
-    // A connection on which garbage came was closed by its placer.
+    // Placers closed every connection on which a worker sent invalid bytes.
     assert!(fleet.garbage_sent > 0, "{fleet:?}");
     assert_eq!(fleet.garbage_dropped, fleet.garbage_sent);
 
@@ -78,7 +78,7 @@
         .for_each(|placer| assert_adds_up(placer, 14));
 }
 
-/// Checks that control and service traffic add up to all bytes of the sockets, and that the rows are part of them.
+/// Checks that control and service traffic add up to all bytes on the sockets, and that the rows do not exceed them.
 fn assert_adds_up(placer: &PlacerResult, seconds: usize) {
     let traffic = &placer.all_traffic;
     let total = traffic.total();
@@ -120,7 +120,7 @@
     assert!(placer.totals.feed.entries_per_s > 0.0);
 }
 
-/// Settings of a run of two seconds.
+/// Returns the settings of a run that measures two seconds.
 fn short() -> Settings {
     Settings {
         workers: 40,
@@ -161,7 +161,7 @@
             feed.complete_list_events > 0 && feed.number_lines > 0,
             "{feed:?}"
         );
-        // Each event of a change holds one entry, each whole list all workers.
+        // An event for a change has one entry, and an event with the complete list has one for each of the 40 workers.
         assert_eq!(
             feed.entries_up,
             feed.change_events + 40 * feed.complete_list_events,
@@ -187,7 +187,7 @@
         sampler,
         watcher,
     };
-    let measured = runner.run(Axis::Events, 50.0, 0).expect("a run");
+    let measured = runner.run(Axis::Events, 50.0, 0).expect("run failed");
     assert_eq!(measured.unusable, None);
     let found: Vec<Metric> = measured.metrics.keys().copied().collect();
     let expected: Vec<Metric> = Metric::iter()
@@ -195,7 +195,7 @@
         .collect();
     assert_eq!(found, expected);
     assert!(
-        measured.metrics.values().all(|figure| figure.is_finite()),
+        measured.metrics.values().all(|value| value.is_finite()),
         "{measured:?}"
     );
 }
@@ -204,8 +204,8 @@
 fn result_survives_json() {
     let settings = short();
     let result = run_of(&settings);
-    let json = serde_json::to_string(&result).expect("JSON");
-    let read: RunResult = serde_json::from_str(&json).expect("a result");
+    let json = serde_json::to_string(&result).expect("result should serialize");
+    let read: RunResult = serde_json::from_str(&json).expect("result should parse");
     assert_eq!(read, result);
     assert_eq!((&read.settings, read.placers.len()), (&settings, 2));
 }
