--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -167,7 +167,7 @@
 fn check(args: &SettingsArgs) -> Result<ExitCode, Failure> {
     let settings = admitted(args)?;
     print!("{}", settings.to_toml());
-    println!("# placers stated: {}", settings.stated_placers());
+    println!("# placers stated: {}", settings.configured_placers());
     println!(
         "# room of a worker: {} tasks",
         settings.max_tasks_per_worker()
--- a/crates/scale-test/src/clients/link.rs
+++ b/crates/scale-test/src/clients/link.rs
@@ -1,6 +1,6 @@
 //! The clients' links to all placers: connection pools, health-check connections and readiness.
 
-use crate::identity::{PlacerId, SetupId};
+use crate::identity::{PlacerId, RequestId};
 use crate::socket::Connection;
 use crate::traffic::{PlacerCounters, TrafficKind};
 use mio::net::TcpStream;
@@ -29,7 +29,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingSetUp {
     /// The set-up.
-    pub id: SetupId,
+    pub id: RequestId,
     /// Whether it was sent again after its first connection closed.
     pub is_resent: bool,
 }
--- a/crates/scale-test/src/clients/tasks.rs
+++ b/crates/scale-test/src/clients/tasks.rs
@@ -4,7 +4,7 @@
 
 use super::arrivals::{Arrival, Arrivals};
 use crate::deployment::Class;
-use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId};
+use crate::identity::{PlacerId, RequestId, TaskIndex, WorkerId};
 use crate::wire::cause;
 use crate::wire::description::TaskShape;
 use crate::workers::RunningTask;
@@ -140,7 +140,7 @@
     }
 
     /// Returns the record of a task, if the id is that of its latest attempt.
-    fn latest(&mut self, id: SetupId) -> Option<&mut TaskRecord> {
+    fn latest(&mut self, id: RequestId) -> Option<&mut TaskRecord> {
         let (task, attempt) = id.parts()?;
         self.tasks
             .get_mut(task.index())
@@ -148,15 +148,15 @@
     }
 
     /// Records that the set-up of a task is sent to a placer. Returns the id of the set-up.
-    pub fn sent(&mut self, task: TaskIndex, placer: PlacerId, sent: Instant) -> Option<SetupId> {
+    pub fn sent(&mut self, task: TaskIndex, placer: PlacerId, sent: Instant) -> Option<RequestId> {
         let record = self.tasks.get_mut(task.index())?;
         record.placer = placer;
         record.state = TaskState::Waiting { sent };
-        Some(SetupId::new(task, record.attempt))
+        Some(RequestId::new(task, record.attempt))
     }
 
     /// Records an answer.
-    pub fn answered(&mut self, id: SetupId, worker: WorkerId) -> AnswerEffect {
+    pub fn answered(&mut self, id: RequestId, worker: WorkerId) -> AnswerEffect {
         let Some(record) = self.latest(id) else {
             return AnswerEffect::Stale;
         };
@@ -177,7 +177,7 @@
     }
 
     /// Records a release.
-    pub fn released(&mut self, id: SetupId, cause: u8) -> ReleaseEffect {
+    pub fn released(&mut self, id: RequestId, cause: u8) -> ReleaseEffect {
         let Some(record) = self.latest(id) else {
             return ReleaseEffect::Known;
         };
@@ -200,7 +200,7 @@
     }
 
     /// Begins the next attempt of a running task that migrates. Returns the task if it was running.
-    pub fn begin_migration(&mut self, id: SetupId) -> Option<TaskIndex> {
+    pub fn begin_migration(&mut self, id: RequestId) -> Option<TaskIndex> {
         let record = self
             .latest(id)
             .filter(|record| matches!(record.state, TaskState::Running(_)))?;
@@ -211,7 +211,7 @@
     }
 
     /// Closes a set-up without an answer. Returns whether it was still waiting for one.
-    pub fn close_unanswered(&mut self, id: SetupId, state: TaskState) -> bool {
+    pub fn close_unanswered(&mut self, id: RequestId, state: TaskState) -> bool {
         let waiting = self
             .latest(id)
             .filter(|record| matches!(record.state, TaskState::Waiting { .. }));
@@ -222,7 +222,7 @@
     }
 
     /// Returns when the set-up was sent, if it still waits for an answer.
-    pub fn waiting_since(&self, id: SetupId) -> Option<Instant> {
+    pub fn waiting_since(&self, id: RequestId) -> Option<Instant> {
         let (task, attempt) = id.parts()?;
         match self
             .get(task)
@@ -238,14 +238,14 @@
     pub fn running_at(
         &self,
         placer: PlacerId,
-    ) -> impl Iterator<Item = (SetupId, &TaskRecord, WorkerId)> {
+    ) -> impl Iterator<Item = (RequestId, &TaskRecord, WorkerId)> {
         self.iter()
             .filter(move |(_, record)| record.placer == placer)
             .filter_map(|(task, record)| {
                 let TaskState::Running(worker) = record.state else {
                     return None;
                 };
-                Some((SetupId::new(task, record.attempt), record, worker))
+                Some((RequestId::new(task, record.attempt), record, worker))
             })
     }
 }
--- a/crates/scale-test/src/clients/tasks/tests.rs
+++ b/crates/scale-test/src/clients/tasks/tests.rs
@@ -8,7 +8,7 @@
 const WORKER: WorkerId = WorkerId(5);
 
 /// Returns a table with one task that waits for its answer, and the id of its set-up.
-fn waiting() -> (TaskTable, SetupId) {
+fn waiting() -> (TaskTable, RequestId) {
     let settings = Settings::default();
     let mut arrivals = Arrivals::new(&settings);
     let mut table = TaskTable::new(&[], &arrivals);
@@ -133,9 +133,9 @@
 
     let table = TaskTable::new(&[running_task], &Arrivals::new(&Settings::default()));
 
-    let found: Vec<(SetupId, WorkerId)> = table
+    let found: Vec<(RequestId, WorkerId)> = table
         .running_at(PLACER)
         .map(|(id, _, worker)| (id, worker))
         .collect();
-    assert_eq!(found, [(SetupId::new(TaskIndex(0), 0), WORKER)]);
+    assert_eq!(found, [(RequestId::new(TaskIndex(0), 0), WORKER)]);
 }
--- a/crates/scale-test/src/clients/thread.rs
+++ b/crates/scale-test/src/clients/thread.rs
@@ -12,7 +12,7 @@
 use super::link::{FIRST_CONNECTION, Links};
 use super::tasks::TaskTable;
 use super::{ArrivalWindow, ClientAudit, ClientCommand, ClientState, Timings};
-use crate::identity::{PlacerId, SetupId};
+use crate::identity::{PlacerId, RequestId};
 use crate::mailbox::Receiver;
 use crate::peer_thread::wait_for_events;
 use crate::settings::Settings;
@@ -51,7 +51,7 @@
     /// The arrival of a task.
     TaskArrives(Arrival),
     /// The end of the wait for an answer to the set-up that was sent at this time.
-    AnswerTimeout(SetupId, Instant),
+    AnswerTimeout(RequestId, Instant),
 }
 
 /// The clients' thread.
--- a/crates/scale-test/src/clients/thread/messages.rs
+++ b/crates/scale-test/src/clients/thread/messages.rs
@@ -3,7 +3,7 @@
 use super::ClientThread;
 use crate::clients::tasks::{AnswerEffect, ReleaseEffect, TaskRecord};
 use crate::deployment::Class;
-use crate::identity::{PlacerId, SetupId, WorkerId};
+use crate::identity::{PlacerId, RequestId, WorkerId};
 use crate::socket::Connection;
 use crate::wire::binary::{self, PlacerMessage};
 use crate::wire::{WireError, description};
@@ -22,7 +22,7 @@
         &mut self,
         slot: usize,
         placer: PlacerId,
-        id: SetupId,
+        id: RequestId,
         message: PlacerMessage,
     ) -> io::Result<Reply> {
         match message {
@@ -42,7 +42,7 @@
         Ok(Reply::Nothing)
     }
 
-    fn handle_answer(&mut self, slot: usize, id: SetupId, worker: WorkerId) {
+    fn handle_answer(&mut self, slot: usize, id: RequestId, worker: WorkerId) {
         match self.tasks.answered(id, worker) {
             AnswerEffect::First => {
                 self.remove_pending(slot, id);
@@ -55,7 +55,7 @@
     }
 
     /// Adds the time to start of a task, if the task counts.
-    fn measure_start(&mut self, id: SetupId) {
+    fn measure_start(&mut self, id: RequestId) {
         let record = id.parts().and_then(|(task, _)| self.tasks.get(task));
         // A migrated task was measured at its first start.
         if let Some(TaskRecord {
@@ -71,7 +71,7 @@
         }
     }
 
-    fn handle_release(&mut self, slot: usize, id: SetupId, cause: u8) -> Reply {
+    fn handle_release(&mut self, slot: usize, id: RequestId, cause: u8) -> Reply {
         match self.tasks.released(id, cause) {
             ReleaseEffect::Final => {
                 self.remove_pending(slot, id);
@@ -83,7 +83,7 @@
     }
 
     /// Removes an answered set-up from the pending ones of its connection.
-    fn remove_pending(&mut self, slot: usize, id: SetupId) {
+    fn remove_pending(&mut self, slot: usize, id: RequestId) {
         self.state.waiting = self.state.waiting.saturating_sub(1);
         if let Some(entry) = self.links.connection(slot) {
             entry.pending.retain(|pending| pending.id != id);
@@ -102,7 +102,7 @@
 /// Takes the complete messages out of a connection's inbox.
 pub(super) fn read_messages(
     connection: &mut Connection,
-) -> Result<Vec<(SetupId, PlacerMessage)>, WireError> {
+) -> Result<Vec<(RequestId, PlacerMessage)>, WireError> {
     let mut messages = Vec::new();
     let mut consumed = 0;
     while let Some((id, message, length)) =
--- a/crates/scale-test/src/clients/thread/requests.rs
+++ b/crates/scale-test/src/clients/thread/requests.rs
@@ -5,8 +5,8 @@
 use crate::clients::arrivals::Arrival;
 use crate::clients::link::PendingSetUp;
 use crate::clients::tasks::{TaskRecord, TaskState};
-use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId};
-use crate::wire::binary::{self, SetUp};
+use crate::identity::{PlacerId, RequestId, TaskIndex, WorkerId};
+use crate::wire::binary::{self, TaskRequest};
 use std::io;
 use std::time::{Duration, Instant};
 
@@ -89,14 +89,14 @@
     }
 
     /// Closes a set-up whose wait is over, if it is still the one that was sent at this time.
-    pub(super) fn handle_answer_timeout(&mut self, id: SetupId, sent: Instant) {
+    pub(super) fn handle_answer_timeout(&mut self, id: RequestId, sent: Instant) {
         if self.tasks.waiting_since(id) == Some(sent) {
             self.close_unanswered(id, TaskState::Unanswered);
         }
     }
 
     /// Closes a set-up that gets no answer.
-    pub(super) fn close_unanswered(&mut self, id: SetupId, state: TaskState) {
+    pub(super) fn close_unanswered(&mut self, id: RequestId, state: TaskState) {
         if self.tasks.close_unanswered(id, state) {
             self.state.waiting = self.state.waiting.saturating_sub(1);
         }
@@ -106,7 +106,7 @@
 /// Writes the set-up of a task; `running_at` is the worker that runs it already.
 pub(super) fn write_set_up(
     out: &mut Vec<u8>,
-    id: SetupId,
+    id: RequestId,
     record: &TaskRecord,
     running_at: Option<WorkerId>,
     tenant_names: &[String],
@@ -115,7 +115,7 @@
         .get(record.tenant as usize)
         .map_or("", String::as_str);
     let key = id.parts().map_or(0, |(task, _)| task.key());
-    let set_up = SetUp {
+    let request = TaskRequest {
         id,
         class: record.class.name(),
         wait_ms: record.class.wait_ms(),
@@ -127,5 +127,5 @@
         running_at,
         description: &record.shape.write(),
     };
-    binary::write_set_up(out, &set_up);
+    binary::write_task_request(out, &request);
 }
--- a/crates/scale-test/src/deployment.rs
+++ b/crates/scale-test/src/deployment.rs
@@ -116,7 +116,7 @@
         .map(|name| json!({ "name": name, "portion": share, "allowance_per_s": allowance }));
     let classes = Class::ALL.map(Class::as_setting);
     json!({
-        "me": placer.0, "n_instances": settings.stated_placers(), "locality": own_zone, "zones": zones,
+        "me": placer.0, "n_instances": settings.configured_placers(), "locality": own_zone, "zones": zones,
         "step": 2.0, "models": [WORKER_KIND], "membership_mode": "subscribe", "over_share_worth": 0.1,
         "services": classes,
         "realms": tenants.collect::<Vec<_>>(),
--- a/crates/scale-test/src/identity.rs
+++ b/crates/scale-test/src/identity.rs
@@ -102,12 +102,12 @@
 
 /// One set-up of a task. Each attempt of the client has an id of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SetupId(pub u64);
+pub struct RequestId(pub u64);
 
-impl SetupId {
+impl RequestId {
     /// Returns the id of an attempt of a task, which is never 0.
-    pub fn new(task: TaskIndex, attempt: u8) -> SetupId {
-        SetupId((u64::from(attempt) << INDEX_BITS) | (u64::from(task.0) + 1))
+    pub fn new(task: TaskIndex, attempt: u8) -> RequestId {
+        RequestId((u64::from(attempt) << INDEX_BITS) | (u64::from(task.0) + 1))
     }
 
     /// Returns the task and the attempt.
@@ -118,15 +118,15 @@
     }
 
     /// Reads an id from 16 hex digits.
-    pub fn parse(text: &str) -> Option<SetupId> {
+    pub fn parse(text: &str) -> Option<RequestId> {
         (text.len() == 16)
             .then(|| u64::from_str_radix(text, 16).ok())
             .flatten()
-            .map(SetupId)
+            .map(RequestId)
     }
 }
 
-impl fmt::Display for SetupId {
+impl fmt::Display for RequestId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}", self.0)
     }
--- a/crates/scale-test/src/identity/tests.rs
+++ b/crates/scale-test/src/identity/tests.rs
@@ -32,9 +32,9 @@
     let task = TaskIndex(467_999);
     assert_eq!(TaskIndex::from_key(task.key()), Some(task));
     assert_eq!(TaskIndex::from_key(7), None);
-    let id = SetupId::new(task, 3);
+    let id = RequestId::new(task, 3);
     assert_eq!(id.parts(), Some((task, 3)));
-    assert_eq!(SetupId::parse(&id.to_string()), Some(id));
-    assert_eq!(SetupId(0).parts(), None);
-    assert_eq!(SetupId::parse("12"), None);
+    assert_eq!(RequestId::parse(&id.to_string()), Some(id));
+    assert_eq!(RequestId(0).parts(), None);
+    assert_eq!(RequestId::parse("12"), None);
 }
--- a/crates/scale-test/src/results/table.rs
+++ b/crates/scale-test/src/results/table.rs
@@ -19,7 +19,7 @@
         settings.workers,
         settings.zones,
         settings.placers,
-        settings.stated_placers(),
+        settings.configured_placers(),
         settings.rate,
         settings.running_tasks,
         result.duration_s,
--- a/crates/scale-test/src/settings.rs
+++ b/crates/scale-test/src/settings.rs
@@ -231,7 +231,7 @@
     }
 
     /// Returns the number of placers in the deployment's settings.
-    pub fn stated_placers(&self) -> u32 {
+    pub fn configured_placers(&self) -> u32 {
         self.instances.max(u32::from(self.placers))
     }
 
--- a/crates/scale-test/src/wire/binary.rs
+++ b/crates/scale-test/src/wire/binary.rs
@@ -4,11 +4,11 @@
 //! big-endian. The comments on the constants name the protocol's words.
 
 use super::{MAX_MESSAGE_BYTES, WireError};
-use crate::identity::{SetupId, WorkerId};
+use crate::identity::{RequestId, WorkerId};
 
 /// The types of messages.
 mod kind {
-    pub const SET_UP: u8 = 1;
+    pub const TASK_REQUEST: u8 = 1;
     pub const ANSWER: u8 = 9;
     pub const RELEASE: u8 = 12;
     /// The acknowledgement of a release.
@@ -59,9 +59,9 @@
 
 /// The set-up of a task, as a client sends it.
 #[derive(Debug, Clone)]
-pub struct SetUp<'a> {
+pub struct TaskRequest<'a> {
     /// The id of the set-up.
-    pub id: SetupId,
+    pub id: RequestId,
     /// The name of the class.
     pub class: &'a str,
     /// How long the client waits for the answer, in milliseconds.
@@ -83,32 +83,32 @@
 }
 
 /// Writes the set-up of a task.
-pub fn write_set_up(out: &mut Vec<u8>, set_up: &SetUp<'_>) {
-    let SetUp {
+pub fn write_task_request(out: &mut Vec<u8>, request: &TaskRequest<'_>) {
+    let TaskRequest {
         cores,
         memory,
         service,
         ..
-    } = set_up;
+    } = request;
     let mut figures = format!("cores:{cores};memory:{memory};service:{service:016x}");
-    if let Some(worker) = set_up.running_at {
+    if let Some(worker) = request.running_at {
         figures.push_str(&format!(";at:{worker}"));
     }
-    let wait = set_up.wait_ms.to_string();
-    let key = format!("{:016x}", set_up.key);
+    let wait = request.wait_ms.to_string();
+    let key = format!("{:016x}", request.key);
     let parameters = [
-        (code::CLASS, set_up.class.as_bytes()),
+        (code::CLASS, request.class.as_bytes()),
         (code::WAIT, wait.as_bytes()),
-        (code::TENANT, set_up.tenant.as_bytes()),
+        (code::TENANT, request.tenant.as_bytes()),
         (code::KEY, key.as_bytes()),
         (code::RESOURCES, figures.as_bytes()),
-        (code::DESCRIPTION, set_up.description.as_bytes()),
+        (code::DESCRIPTION, request.description.as_bytes()),
     ];
-    write_message(out, kind::SET_UP, set_up.id.0, &parameters);
+    write_message(out, kind::TASK_REQUEST, request.id.0, &parameters);
 }
 
 /// Writes the acknowledgement of the end of a task.
-pub fn write_end_acknowledged(out: &mut Vec<u8>, id: SetupId) {
+pub fn write_end_acknowledged(out: &mut Vec<u8>, id: RequestId) {
     write_message(out, kind::END_ACKNOWLEDGED, id.0, &[]);
 }
 
@@ -149,7 +149,7 @@
 /// # Errors
 ///
 /// Returns an error if the bytes are not a message of the protocol.
-pub fn read(bytes: &[u8]) -> Result<Option<(SetupId, PlacerMessage, usize)>, WireError> {
+pub fn read(bytes: &[u8]) -> Result<Option<(RequestId, PlacerMessage, usize)>, WireError> {
     let Some((length, rest)) = bytes.split_first_chunk::<LENGTH_BYTES>() else {
         return Ok(None);
     };
@@ -165,7 +165,7 @@
     };
     let (kind, body) = body.split_first().ok_or(WireError::BadLength)?;
     let (id, parameters) = body.split_first_chunk::<8>().ok_or(WireError::BadLength)?;
-    let id = SetupId(u64::from_be_bytes(*id));
+    let id = RequestId(u64::from_be_bytes(*id));
     let message = match *kind {
         kind::ANSWER => PlacerMessage::Answer(description(parameters)?),
         kind::RELEASE => PlacerMessage::Release(one_byte(parameters)?),
--- a/crates/scale-test/src/wire/lines.rs
+++ b/crates/scale-test/src/wire/lines.rs
@@ -1,7 +1,7 @@
 //! The JSON lines that placers and workers exchange. The names in the JSON are those of the protocol.
 
 use super::{MAX_MESSAGE_BYTES, WireError};
-use crate::identity::SetupId;
+use crate::identity::RequestId;
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::io::Write;
@@ -14,17 +14,17 @@
     /// The withdrawal of an offer, or the cancellation of a running task.
     Release {
         /// The set-up.
-        id: SetupId,
+        id: RequestId,
     },
     /// The acknowledgement of the end of a task.
     EndAcknowledged {
         /// The set-up.
-        id: SetupId,
+        id: RequestId,
     },
     /// A health check of the connection.
     HealthCheck {
         /// The id that the answer repeats.
-        id: SetupId,
+        id: RequestId,
     },
     /// A message that needs no reply.
     Other,
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Offer {
     /// The set-up.
-    pub id: SetupId,
+    pub id: RequestId,
     /// The idempotency key of the task.
     pub key: u64,
     /// The description that the client wrote for the worker.
@@ -85,7 +85,7 @@
 /// Returns an error if the line is not a message of the protocol.
 pub fn read(line: &[u8]) -> Result<PlacerLine, WireError> {
     let raw: RawLine<'_> = serde_json::from_slice(line).map_err(|_| WireError::BadJson)?;
-    let id = SetupId::parse(&raw.id).ok_or(WireError::BadField("ref"))?;
+    let id = RequestId::parse(&raw.id).ok_or(WireError::BadField("ref"))?;
     Ok(match &*raw.t {
         "new" => {
             let key = raw
@@ -120,7 +120,7 @@
 }
 
 /// Writes that a task has started. The description must need no escapes in JSON.
-pub fn up(out: &mut Vec<u8>, id: SetupId, description: &str) {
+pub fn write_task_started(out: &mut Vec<u8>, id: RequestId, description: &str) {
     write_line(
         out,
         format_args!(r#"{{"t":"up","ref":"{id}","f":{{}},"d":"{description}"}}"#),
@@ -128,7 +128,7 @@
 }
 
 /// Writes that a worker lacks a resource for a task.
-pub fn full(out: &mut Vec<u8>, id: SetupId, lacking: NoCapacity) {
+pub fn write_no_capacity(out: &mut Vec<u8>, id: RequestId, lacking: NoCapacity) {
     let note = lacking.note();
     let cause = super::cause::FULL;
     write_line(
@@ -138,7 +138,7 @@
 }
 
 /// Writes the end of a task, or the failure of an offer.
-pub fn down(out: &mut Vec<u8>, id: SetupId, cause: u8) {
+pub fn write_release(out: &mut Vec<u8>, id: RequestId, cause: u8) {
     write_line(
         out,
         format_args!(r#"{{"t":"down","ref":"{id}","f":{{}},"c":{cause}}}"#),
@@ -146,7 +146,7 @@
 }
 
 /// Writes that a health check has passed.
-pub fn health_check_passed(out: &mut Vec<u8>, id: SetupId) {
+pub fn write_health_check_passed(out: &mut Vec<u8>, id: RequestId) {
     write_line(
         out,
         format_args!(r#"{{"t":"hb_ok","ref":"{id}","f":{{}},"c":1}}"#),
--- a/crates/scale-test/src/wire/tests.rs
+++ b/crates/scale-test/src/wire/tests.rs
@@ -1,21 +1,21 @@
 //! Messages as on the wire, and bytes that are not messages.
 
 use super::*;
-use crate::identity::{SetupId, TaskIndex, WorkerId};
+use crate::identity::{RequestId, TaskIndex, WorkerId};
 use binary::PlacerMessage;
 use description::TaskShape;
 use feed::{Entry, EventKind, ListedWorker};
 use lines::{NoCapacity, Offer, PlacerLine};
 use std::time::Duration;
 
-fn id() -> SetupId {
-    SetupId::new(TaskIndex(7), 0)
+fn id() -> RequestId {
+    RequestId::new(TaskIndex(7), 0)
 }
 
 #[test]
-fn set_up_has_the_fields_of_the_protocol() {
+fn task_request_has_the_fields_of_the_protocol() {
     let mut out = Vec::new();
-    let set_up = binary::SetUp {
+    let request = binary::TaskRequest {
         id: id(),
         class: "standard",
         wait_ms: 6_000,
@@ -27,7 +27,7 @@
         running_at: Some(WorkerId(12)),
         description: "cores=1",
     };
-    binary::write_set_up(&mut out, &set_up);
+    binary::write_task_request(&mut out, &request);
     assert_eq!(
         usize::from(u16::from_be_bytes([out[0], out[1]])),
         out.len() - 2
@@ -86,7 +86,7 @@
     let passed = PlacerMessage::HealthChecked { passed: true };
     assert_eq!(
         binary::read(&checked),
-        Ok(Some((SetupId(u64::MAX), passed, 15)))
+        Ok(Some((RequestId(u64::MAX), passed, 15)))
     );
 }
 
@@ -147,10 +147,10 @@
 #[test]
 fn lines_of_workers_are_json() {
     let mut out = Vec::new();
-    lines::up(&mut out, id(), &description::write_answer(WorkerId(9)));
-    lines::full(&mut out, id(), NoCapacity::Memory);
-    lines::down(&mut out, id(), cause::NORMAL);
-    lines::health_check_passed(&mut out, id());
+    lines::write_task_started(&mut out, id(), &description::write_answer(WorkerId(9)));
+    lines::write_no_capacity(&mut out, id(), NoCapacity::Memory);
+    lines::write_release(&mut out, id(), cause::NORMAL);
+    lines::write_health_check_passed(&mut out, id());
     let text = String::from_utf8(out).expect("text");
     let values: Vec<serde_json::Value> = text
         .lines()
--- a/crates/scale-test/src/workers/connections.rs
+++ b/crates/scale-test/src/workers/connections.rs
@@ -1,6 +1,6 @@
 //! The connections of placers to hollow workers, and which of them reaches a worker.
 
-use crate::identity::{PlacerId, SetupId, WorkerId};
+use crate::identity::{PlacerId, RequestId, WorkerId};
 use crate::socket::Connection;
 use slab::Slab;
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
     /// The placer that called.
     pub placer: PlacerId,
     /// Offers received on it that are not answered yet.
-    pub pending_offers: Vec<SetupId>,
+    pub pending_offers: Vec<RequestId>,
     /// Whether invalid bytes were sent on it.
     pub garbage_sent: bool,
     serial: u64,
--- a/crates/scale-test/src/workers/fleet.rs
+++ b/crates/scale-test/src/workers/fleet.rs
@@ -8,7 +8,7 @@
 use super::task_records::WorkerAudit;
 use super::{RunningTask, WorkerSetup};
 use crate::feeds::FreeResources;
-use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId};
+use crate::identity::{PlacerId, RequestId, TaskIndex, WorkerId};
 use crate::wire::cause;
 use crate::wire::description::TaskShape;
 use crate::wire::lines::{NoCapacity, Offer};
@@ -61,7 +61,7 @@
     workers: Vec<Worker>,
     active_tasks: HashMap<ActiveTaskId, ActiveTask>,
     /// Ends that placers have not acknowledged.
-    unacknowledged: HashMap<(WorkerId, PlacerId), Vec<SetupId>>,
+    unacknowledged: HashMap<(WorkerId, PlacerId), Vec<RequestId>>,
     unacknowledged_count: usize,
     active_count: usize,
     /// Workers whose free capacity has changed since it was last taken.
@@ -98,7 +98,10 @@
                 shape: running.shape,
                 phase: TaskPhase::Running,
             };
-            fleet.add_active((running.worker, SetupId::new(running.task, 0)), active_task);
+            fleet.add_active(
+                (running.worker, RequestId::new(running.task, 0)),
+                active_task,
+            );
             fleet
                 .audit
                 .update(running.task, |record| record.starts += 1);
@@ -337,7 +340,7 @@
 
     /// Returns the ends at a worker that a placer has not acknowledged, with their causes. They are sent again
     /// on each new connection.
-    pub fn unacknowledged(&self, worker: WorkerId, placer: PlacerId) -> Vec<(SetupId, u8)> {
+    pub fn unacknowledged(&self, worker: WorkerId, placer: PlacerId) -> Vec<(RequestId, u8)> {
         let ids = self
             .unacknowledged
             .get(&(worker, placer))
--- a/crates/scale-test/src/workers/fleet/tests.rs
+++ b/crates/scale-test/src/workers/fleet/tests.rs
@@ -31,14 +31,14 @@
 fn offer(index: u32, shape: TaskShape) -> Offer {
     let task = TaskIndex(index);
     Offer {
-        id: SetupId::new(task, 0),
+        id: RequestId::new(task, 0),
         key: task.key(),
         description: shape.write(),
     }
 }
 
 fn id(index: u32) -> ActiveTaskId {
-    (WORKER, SetupId::new(TaskIndex(index), 0))
+    (WORKER, RequestId::new(TaskIndex(index), 0))
 }
 
 /// Offers a task and completes its start.
--- a/crates/scale-test/src/workers/replies.rs
+++ b/crates/scale-test/src/workers/replies.rs
@@ -1,11 +1,11 @@
 //! What a hollow worker answers to a placer, and the timers of its tasks.
 
-use crate::identity::{SetupId, WorkerId};
+use crate::identity::{RequestId, WorkerId};
 use crate::wire::lines::NoCapacity;
 use std::time::Duration;
 
 /// An offer or a task at a worker. The same set-up may reach several workers.
-pub type ActiveTaskId = (WorkerId, SetupId);
+pub type ActiveTaskId = (WorkerId, RequestId);
 
 /// The reply to an offer.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/scale-test/src/workers/thread.rs
+++ b/crates/scale-test/src/workers/thread.rs
@@ -200,7 +200,7 @@
         let Some(connection) = connection else { return };
         self.remove_pending_offer(connection.slot, id.1);
         let mut bytes = Vec::new();
-        lines::up(&mut bytes, id.1, &description::write_answer(id.0));
+        lines::write_task_started(&mut bytes, id.1, &description::write_answer(id.0));
         self.send(connection.slot, &bytes, 1);
     }
 
@@ -211,7 +211,7 @@
         };
         if let Some(slot) = self.connections.route(id.0, placer, connection) {
             let mut bytes = Vec::new();
-            lines::down(&mut bytes, id.1, cause::NORMAL);
+            lines::write_release(&mut bytes, id.1, cause::NORMAL);
             self.send(slot, &bytes, 1);
         }
     }
--- a/crates/scale-test/src/workers/thread/accept.rs
+++ b/crates/scale-test/src/workers/thread/accept.rs
@@ -98,7 +98,7 @@
         let ends = self.fleet.unacknowledged(worker, placer);
         let mut bytes = Vec::new();
         ends.iter()
-            .for_each(|(id, cause)| lines::down(&mut bytes, *id, *cause));
+            .for_each(|(id, cause)| lines::write_release(&mut bytes, *id, *cause));
         if !ends.is_empty() {
             self.send(slot, &bytes, ends.len() as u64);
         }
--- a/crates/scale-test/src/workers/thread/messages.rs
+++ b/crates/scale-test/src/workers/thread/messages.rs
@@ -1,7 +1,7 @@
 //! Reads the messages of placers, and writes the replies of workers.
 
 use super::{TimerEvent, WorkerThread};
-use crate::identity::{PlacerId, SetupId, WorkerId};
+use crate::identity::{PlacerId, RequestId, WorkerId};
 use crate::socket::{Connection, Liveness};
 use crate::traffic::TrafficKind;
 use crate::wire::lines::{self, Offer, PlacerLine};
@@ -94,14 +94,14 @@
             PlacerLine::Release { id } => {
                 self.remove_pending_offer(route.slot, id);
                 if let ReleaseReply::Ended(cause) = self.fleet.release((route.worker, id)) {
-                    replies.add(|bytes| lines::down(bytes, id, cause));
+                    replies.add(|bytes| lines::write_release(bytes, id, cause));
                 }
             }
             PlacerLine::EndAcknowledged { id } => self
                 .fleet
                 .acknowledge_end((route.worker, id), Instant::now()),
             PlacerLine::HealthCheck { id } => {
-                replies.add(|bytes| lines::health_check_passed(bytes, id))
+                replies.add(|bytes| lines::write_health_check_passed(bytes, id))
             }
             PlacerLine::Other => {}
         }
@@ -119,16 +119,18 @@
                     entry.connection.assign_kind(TrafficKind::Worker);
                 }
             }
-            OfferReply::Full(reason) => replies.add(|bytes| lines::full(bytes, offer.id, reason)),
+            OfferReply::Full(reason) => {
+                replies.add(|bytes| lines::write_no_capacity(bytes, offer.id, reason))
+            }
             OfferReply::Unreadable => {
-                replies.add(|bytes| lines::down(bytes, offer.id, cause::FAILED))
+                replies.add(|bytes| lines::write_release(bytes, offer.id, cause::FAILED))
             }
             OfferReply::Silent => {}
         }
     }
 
     /// Removes an offer from the pending ones of its connection: it was answered or released.
-    pub(super) fn remove_pending_offer(&mut self, slot: usize, id: SetupId) {
+    pub(super) fn remove_pending_offer(&mut self, slot: usize, id: RequestId) {
         if let Some(entry) = self.connections.get_mut(slot) {
             entry.pending_offers.retain(|pending| *pending != id);
         }
