--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line of the program `scale-test`.
+//! The command-line interface of the program `scale-test`.
 
 mod sweep;
 mod terminal;
@@ -18,22 +18,23 @@
 use std::process::ExitCode;
 use terminal::Terminal;
 
-/// The exit code of a run that failed, or was stopped by a signal.
+/// The exit code if a run failed or was stopped by a signal.
 const EXIT_FAILED: u8 = 1;
-/// The exit code of a run that was rejected before anything started: it is invalid, or needs more than the machine
-/// has.
+/// The exit code if the command was rejected before anything started, because it is invalid or needs more resources
+/// than the machine has.
 const EXIT_REJECTED: u8 = 2;
-/// The exit code of a run in which a rule was broken: a task was lost, started twice or answered twice.
+/// The exit code if a run broke a rule: a task was lost, started twice or answered twice.
 const EXIT_RULE_BROKEN: u8 = 3;
-/// The exit code of a run whose measurements are unusable.
+/// The exit code if the measurements of a run are unusable.
 const EXIT_UNUSABLE: u8 = 4;
-/// The file name of the placer's program, in the folder of this one.
+/// The file name of the placer's program, by default in the same folder as this program.
 const PLACER_PROGRAM: &str = "task-placer";
 
-/// Runs real placers with thousands of hollow workers, and measures the resource usage of each placer by second.
+/// Runs real placers among thousands of simulated workers, and measures the resource usage of each placer every second.
 ///
-/// Exit codes: 0 success, 1 a run failed or was stopped, 2 rejected as invalid or as needing too much, 3 a rule is
-/// broken, 4 the measurements are unusable.
+/// Exit codes: 0 success, 1 a run failed or was stopped, 2 the command is invalid or needs more resources than the
+/// machine has, 3 a rule was broken (a task was lost, started twice or answered twice), 4 the measurements are
+/// unusable.
 #[derive(Debug, Parser)]
 #[command(name = "scale-test", version, max_term_width = 100)]
 struct Cli {
@@ -43,11 +44,11 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Run once and print the result
+    /// Perform one run and print its result
     Run(RunArgs),
-    /// Check settings and print the effective ones
+    /// Check the settings and print the effective values
     Check(SettingsArgs),
-    /// Run many times with one setting varied, and fit each metric over it
+    /// Perform many runs that vary one setting at a time, and fit each metric as a function of it
     Sweep(sweep::SweepArgs),
 }
 
@@ -55,7 +56,7 @@
 struct RunArgs {
     #[command(flatten)]
     settings: SettingsArgs,
-    /// The placer's program [default: the one in the folder of this program]
+    /// The placer's program [default: task-placer in the folder of this program]
     #[arg(long)]
     program: Option<PathBuf>,
     /// Write the result to this file as JSON
@@ -63,7 +64,7 @@
     json: Option<PathBuf>,
 }
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum Failure {
     #[error(transparent)]
@@ -74,12 +75,12 @@
     Point(#[from] PointError),
     #[error(transparent)]
     Sweep(SweepError<SweepRunError>),
-    #[error("write the result to {path}: {source}")]
+    #[error("failed to write the result to {path}: {source}")]
     Write {
         path: PathBuf,
         source: std::io::Error,
     },
-    #[error("take over signals: {0}")]
+    #[error("failed to install signal handlers: {0}")]
     Signals(std::io::Error),
 }
 
@@ -90,7 +91,7 @@
 }
 
 impl Failure {
-    /// Returns the exit code.
+    /// Returns the exit code of the program for this failure.
     fn code(&self) -> u8 {
         match self {
             Failure::Plan(_) => EXIT_REJECTED,
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Prints the failure on stderr. Each resource of which a run needs too much has a line of its own.
+    /// Prints the failure to stderr, with one line for each resource of which a run needs more than is available.
     fn print(&self) {
         let (prefix, excesses) = match self {
             Failure::Run(RunError::Budget(error)) => (String::new(), &error.excesses),
@@ -122,7 +123,7 @@
     }
 }
 
-/// Runs the command of the command line, and returns its exit code.
+/// Runs the command given on the command line, and returns its exit code.
 pub fn main() -> ExitCode {
     let cli = match Cli::try_parse() {
         Ok(cli) => cli,
@@ -139,25 +140,25 @@
     })
 }
 
-/// Prints help and version in full, and any other error of the command line as one line.
+/// Prints help and version texts in full to stdout, and only the first line of any other command-line error to stderr.
 fn print_usage_error(error: &clap::Error) -> ExitCode {
     if matches!(
         error.kind(),
         ErrorKind::DisplayHelp | ErrorKind::DisplayVersion
     ) {
-        // If this cannot be printed, nothing can.
+        // If printing fails here, an error message could not be printed either.
         let _ = error.print();
         return ExitCode::SUCCESS;
     }
     let text = error.to_string();
     eprintln!(
         "scale-test: {}",
-        text.lines().next().unwrap_or("bad command line")
+        text.lines().next().unwrap_or("invalid command line")
     );
     ExitCode::from(EXIT_REJECTED)
 }
 
-/// Returns the settings of the command line, once they are admitted.
+/// Returns the settings of the command line after checking them and the resources that they need.
 fn admitted(args: &SettingsArgs) -> Result<Settings, Failure> {
     let settings = args.settings()?;
     admit(&settings)?;
@@ -167,13 +168,13 @@
 fn check(args: &SettingsArgs) -> Result<ExitCode, Failure> {
     let settings = admitted(args)?;
     print!("{}", settings.to_toml());
-    println!("# placers stated: {}", settings.configured_placers());
+    println!("# configured placers: {}", settings.configured_placers());
     println!(
-        "# room of a worker: {} tasks",
+        "# worker capacity: {} tasks",
         settings.max_tasks_per_worker()
     );
     println!(
-        "# descriptors needed: at most {} of the {} of this process",
+        "# descriptors needed: at most {} of the {} available to this process",
         settings.descriptors_needed(),
         own_descriptors()
     );
@@ -182,7 +183,7 @@
 
 fn run_once(args: &RunArgs) -> Result<ExitCode, Failure> {
     let settings = admitted(&args.settings)?;
-    let program = program_or_beside(args.program.as_ref());
+    let program = placer_program_path(args.program.as_ref());
     let mut watcher = Terminal::new().map_err(Failure::Signals)?;
     let result = run(&settings, &program, &mut ProcSampler, &mut watcher);
     watcher.clear();
@@ -192,7 +193,7 @@
     Ok(ExitCode::from(exit_code(&result)))
 }
 
-/// Writes a result to a file, if a path is given.
+/// Writes a result as JSON to a file, if a path is given.
 fn write_json(path: Option<&Path>, result: &impl Serialize) -> Result<(), Failure> {
     let Some(path) = path else { return Ok(()) };
     let json = serde_json::to_string_pretty(result).map_err(std::io::Error::from);
@@ -203,7 +204,7 @@
     })
 }
 
-/// Returns the exit code of a result.
+/// Returns the exit code for the result of a run.
 fn exit_code(result: &RunResult) -> u8 {
     if result.fleet.rules_broken() > 0 {
         EXIT_RULE_BROKEN
@@ -214,12 +215,12 @@
     }
 }
 
-/// Returns the path of the placer's program: the given one, or the one in the folder of this program.
-fn program_or_beside(named: Option<&PathBuf>) -> PathBuf {
-    let beside = || {
+/// Returns the path of the placer's program: `given`, or by default the file in the folder of this program.
+fn placer_program_path(given: Option<&PathBuf>) -> PathBuf {
+    let default_path = || {
         std::env::current_exe()
             .unwrap_or_default()
             .with_file_name(PLACER_PROGRAM)
     };
-    named.cloned().unwrap_or_else(beside)
+    given.cloned().unwrap_or_else(default_path)
 }
--- a/crates/scale-test/src/cli/sweep.rs
+++ b/crates/scale-test/src/cli/sweep.rs
@@ -1,7 +1,7 @@
-//! The command `sweep`.
+//! The command `sweep`, which performs many runs that vary one setting at a time.
 
 use super::terminal::Terminal;
-use super::{EXIT_UNUSABLE, Failure, program_or_beside, write_json};
+use super::{EXIT_UNUSABLE, Failure, placer_program_path, write_json};
 use crate::sample::ProcSampler;
 use crate::settings::{Settings, SettingsError};
 use crate::sweep::{Axis, AxisPlan, SweepError, SweepPlan, SweepReport, sweep};
@@ -12,22 +12,23 @@
 use std::time::Duration;
 use strum::IntoEnumIterator;
 
-/// The plan of a sweep that names none.
+/// The plan that is used if the command line names none.
 const DEFAULT_PLAN: &str = include_str!("../../plans/sweep.toml");
 /// The name of the default plan in reports.
 const DEFAULT_PLAN_NAME: &str = "sweep.toml";
-/// The warm-up of each run. Short, as tasks start within a fraction of a second and a sweep makes many runs.
+/// The warm-up of each run. It can be short because tasks start within a fraction of a second, and it should be short
+/// because a sweep makes many runs.
 const WARM_UP: Duration = Duration::from_secs(3);
 
-/// The options of a sweep.
+/// The command-line options of a sweep.
 #[derive(Debug, Args)]
 pub struct SweepArgs {
     /// A TOML file with the settings of the base point [default: the packaged plan sweep.toml]
     plan: Option<PathBuf>,
-    /// The axis that is varied: workers, standing, rate, events; may be given several times [default: all]
+    /// The setting to vary: workers, standing, rate, events; may be given several times [default: all]
     #[arg(long = "axis", value_name = "AXIS", value_parser = parse_axis)]
     axes: Vec<Axis>,
-    /// The values of the axis, at least four; needs exactly one --axis
+    /// The values of the varied setting, at least four; requires exactly one --axis
     #[arg(
         long,
         value_name = "A,B,C,D",
@@ -38,21 +39,21 @@
     /// The number of runs at each value
     #[arg(long, default_value_t = 3)]
     repeats: u32,
-    /// Set one setting of the base point, as in the file: `--set workers=2000 --set life=60s`; takes precedence
+    /// Set any setting of the base point, such as `--set workers=2000 --set life=60s`; takes precedence over the file
     #[arg(long = "set", value_name = "NAME=VALUE")]
     set: Vec<String>,
-    /// The placer's program [default: the one in the folder of this program]
+    /// The placer's program [default: task-placer in the folder of this program]
     #[arg(long)]
     program: Option<PathBuf>,
     /// The duration of the measurement in each run, in seconds
     #[arg(long, default_value_t = 8)]
     seconds: u64,
-    /// Write the report to this file as JSON; if a run fails, a partial report of the runs before it
+    /// Write the report to this file as JSON; if a run fails, write a partial report of the runs before it
     #[arg(long, value_name = "FILE")]
     json: Option<PathBuf>,
 }
 
-/// An axis name that does not exist.
+/// The error for the name of an axis that does not exist.
 #[derive(Debug, thiserror::Error)]
 #[error("expected one of {}", .expected.join(", "))]
 struct UnknownAxis {
@@ -60,7 +61,7 @@
     expected: Vec<String>,
 }
 
-/// Reads an axis from its name.
+/// Parses the name of an axis.
 fn parse_axis(name: &str) -> Result<Axis, UnknownAxis> {
     name.parse().map_err(|_| UnknownAxis {
         expected: Axis::iter().map(|axis| axis.to_string()).collect(),
@@ -80,7 +81,7 @@
         Ok(settings)
     }
 
-    /// Returns the plan of the sweep from this base point.
+    /// Returns the plan of a sweep that varies settings around this base point.
     fn sweep_plan(&self, settings: &Settings) -> Result<SweepPlan, SettingsError> {
         let axes = match (self.values.as_slice(), self.axes.as_slice()) {
             ([], []) => Axis::iter()
@@ -95,10 +96,10 @@
                 values: values.to_vec(),
             }],
             (_, named) => {
-                let found = format!("{} of them", named.len());
+                let found = format!("{} axes", named.len());
                 return Err(SettingsError::new(
                     "--values",
-                    "exactly one --axis beside it",
+                    "exactly one --axis",
                     found,
                 ));
             }
@@ -117,13 +118,13 @@
     }
 }
 
-/// Makes a sweep, prints its report, and returns the exit code.
+/// Performs a sweep, prints its report, and returns the exit code.
 pub fn run(args: &SweepArgs) -> Result<ExitCode, Failure> {
     let settings = args.settings()?;
     let plan = args.sweep_plan(&settings)?;
     plan.check()?;
     admit_all(&plan, &settings)?;
-    let swept = sweep_with_terminal(&plan, settings, program_or_beside(args.program.as_ref()))?;
+    let swept = sweep_with_terminal(&plan, settings, placer_program_path(args.program.as_ref()))?;
     let json = args.json.as_deref();
     match swept {
         Ok(report) => {
@@ -133,7 +134,7 @@
         }
         Err(error) => {
             if let SweepError::Run { before, .. } = &error {
-                // The caller prints the error of the run; an error of writing the report is printed here.
+                // The caller prints the error of the run. An error in writing the partial report is printed here.
                 write_json(json, before).unwrap_or_else(|failure| failure.print());
             }
             Err(Failure::Sweep(error))
@@ -164,7 +165,7 @@
     Ok(swept)
 }
 
-/// Returns the exit code of a report, which is unusable if an axis has too few usable runs for any fit.
+/// Returns the exit code for a report. The report is unusable if an axis has too few usable runs for any fit.
 fn exit_code(report: &SweepReport) -> u8 {
     if report.axes.iter().all(|axis| axis.is_fitted()) {
         0
--- a/crates/scale-test/src/cli/terminal.rs
+++ b/crates/scale-test/src/cli/terminal.rs
@@ -1,4 +1,4 @@
-//! Progress on the terminal, and the signals that stop a run.
+//! Progress display on the terminal, and handling of the signals that stop a run.
 
 use crate::run::{Progress, Watcher};
 use crate::sweep;
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 
-/// Moves to the start of the line and clears it.
+/// The control sequence that moves the cursor to the start of the line and clears the line.
 const CLEAR_LINE: &str = "\r\x1b[K";
 
 /// Displays progress on a terminal, and stops the run on SIGINT and SIGTERM. Clones share their state.
@@ -16,7 +16,7 @@
 pub struct Terminal {
     stop: Arc<AtomicBool>,
     is_terminal: bool,
-    /// The present run of a sweep; empty outside of a sweep.
+    /// The prefix of progress lines that names the current run of a sweep; empty outside of a sweep.
     label: Rc<RefCell<String>>,
 }
 
@@ -68,7 +68,7 @@
     fn show(&self, line: &str) {
         if self.is_terminal {
             eprint!("{CLEAR_LINE}{line}");
-            // Progress is optional.
+            // Progress display is optional, so a failed flush is ignored.
             let _ = std::io::stderr().flush();
         }
     }
@@ -87,8 +87,8 @@
         } = progress;
         let label = self.label.borrow();
         self.show(&format!(
-            "{label}{phase} {seconds} s: {started} started, {refused} refused, {waiting} wait, \
-             {active_tasks} held, {connections} connections"
+            "{label}{phase} {seconds} s: {started} started, {refused} refused, {waiting} waiting, \
+             {active_tasks} at workers, {connections} connections"
         ));
     }
 
--- a/crates/scale-test/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -7,71 +7,72 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-/// Why a run has no result.
+/// The reason why a run ended without a result.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// The settings are invalid.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// The run needs more than the machine has for it.
+    /// The run needs more resources than the machine has available.
     #[error(transparent)]
     Budget(#[from] BudgetError),
-    /// The program of a placer could not be started.
+    /// The placer's program could not be started.
     #[error("placer program {program}: {source}")]
     Program {
-        /// The program.
+        /// The path of the program.
         program: PathBuf,
-        /// The error of the system.
+        /// The underlying I/O error.
         source: io::Error,
     },
-    /// A placer exited by itself.
-    #[error("placer {placer} ended by itself ({status}); the end of its log:\n{log}")]
+    /// A placer process exited although the run had not stopped it.
+    #[error("placer {placer} exited unexpectedly ({status}); last lines of its log:\n{log}")]
     PlacerEnded {
-        /// The placer.
+        /// The placer concerned.
         placer: PlacerId,
-        /// The exit status.
+        /// The exit status of the process.
         status: String,
         /// The last lines of its log.
         log: String,
     },
-    /// A placer passed no health check in time.
-    #[error("placer {placer} passed no test within {}; the end of its log:\n{log}", humantime::format_duration(*.limit))]
+    /// A placer did not pass a health check within the time limit after its start.
+    #[error("placer {placer} passed no health check within {}; last lines of its log:\n{log}", humantime::format_duration(*.limit))]
     NotReady {
-        /// The placer.
+        /// The placer concerned.
         placer: PlacerId,
         /// The time limit.
         limit: Duration,
         /// The last lines of its log.
         log: String,
     },
-    /// A thread of hollow peers ended early.
-    #[error("the thread of {peers} has ended: {source}")]
+    /// A thread that simulates peers ended before the run stopped it.
+    #[error("simulation thread for {peers} ended: {source}")]
     Peers {
-        /// The kind of peers.
+        /// The kind of peers that the thread simulates, such as workers.
         peers: &'static str,
-        /// The error of the system.
+        /// The underlying I/O error.
         source: io::Error,
     },
     /// A signal or the watcher stopped the run.
-    #[error("ended by a signal")]
+    #[error("interrupted by a signal")]
     Interrupted,
-    /// An operation of the system failed.
+    /// A system operation failed.
     #[error("{operation}: {source}")]
     System {
-        /// The operation.
+        /// A description of the operation.
         operation: &'static str,
-        /// The error of the system.
+        /// The underlying I/O error.
         source: io::Error,
     },
 }
 
 impl RunError {
-    /// Returns whether the run was rejected before anything started: it is invalid, or needs too much.
+    /// Returns whether the run was rejected before anything started, because its settings are invalid or it needs more
+    /// resources than the machine has.
     pub fn is_rejection(&self) -> bool {
         matches!(self, RunError::Settings(_) | RunError::Budget(_))
     }
 
-    /// Returns a function that wraps the error of an operation.
+    /// Returns a function that converts the I/O error of a system operation, for use with `map_err`.
     pub fn system(operation: &'static str) -> impl FnOnce(io::Error) -> RunError {
         move |source| RunError::System { operation, source }
     }
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -1,6 +1,7 @@
-//! Scale tests: real placers with thousands of hollow workers, and the resource usage of each placer by second.
+//! Scale tests: run real placers among thousands of simulated workers, and measure the resource usage of each placer
+//! every second.
 //!
-//! The placers are processes of the real program. This process plays all their peers on a few threads: workers
+//! The placers are processes of the real program. This process simulates all their peers on a few threads: workers
 //! ([`workers`]), control feeds ([`feeds`]) and clients ([`clients`]). [`run`] starts everything, injects faults,
 //! audits every task and returns a typed result. [`sweep`] varies one setting over many runs.
 
--- a/crates/scale-test/src/main.rs
+++ b/crates/scale-test/src/main.rs
@@ -1,4 +1,4 @@
-//! `scale-test`: scale runs from the command line.
+//! Entry point of the `scale-test` program, which runs scale tests from the command line.
 
 use std::process::ExitCode;
 
--- a/crates/scale-test/src/settings.rs
+++ b/crates/scale-test/src/settings.rs
@@ -1,4 +1,4 @@
-//! The settings of a run: a TOML file, command-line flags that take precedence, and the checks of both.
+//! The settings of a run, read from a TOML file and from command-line flags that take precedence, and their checks.
 
 mod check;
 mod fault;
@@ -12,20 +12,20 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// An invalid setting. Displays as one line with its name, what was expected and what was found.
+/// An invalid setting. Displays as one line with the setting's name, the expected value and the value found.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("setting {name}: expected {expected}, found {found}")]
 pub struct SettingsError {
     /// The name of the setting.
     pub name: String,
-    /// What was expected.
+    /// The values that are accepted.
     pub expected: String,
-    /// What was found.
+    /// The value that was found.
     pub found: String,
 }
 
 impl SettingsError {
-    /// Returns an error whose texts are joined into one line.
+    /// Returns an error in whose texts line breaks are replaced by spaces, so that it displays as one line.
     pub(crate) fn new(name: &str, expected: impl ToString, found: impl ToString) -> SettingsError {
         let one_line = |text: String| text.split_whitespace().collect::<Vec<_>>().join(" ");
         SettingsError {
@@ -36,13 +36,13 @@
     }
 }
 
-/// How the control feed groups changes.
+/// How the control feed groups changes of workers into events.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FeedRule {
-    /// Each change of a worker is sent at once, as an event of its own.
+    /// Each change of a worker is sent immediately, as a separate event.
     EachChange,
-    /// All workers that have changed are sent in one event, each period.
+    /// Once per period, all workers that have changed are sent in one event.
     Gathered,
 }
 
@@ -50,49 +50,49 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Connect {
-    /// On demand: the deployment has a price for a connection.
+    /// Placers connect on demand, because the deployment sets a price for each connection.
     OnDemand,
-    /// To all listed workers, as far as descriptors allow: connections have no price.
+    /// Placers connect to all listed workers as far as descriptors allow, because connections have no price.
     All,
 }
 
-/// The settings of a run. Times are written as `30s`, `200ms`, `2m`.
+/// The settings of a run. In the file, times are written as `30s`, `200ms` or `2m`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields, default)]
 pub struct Settings {
-    /// The seed of all random numbers.
+    /// The seed of the random number generators.
     pub seed: u64,
-    /// Hollow workers.
+    /// The number of simulated workers.
     pub workers: u32,
-    /// Zones. Workers are assigned to them in turn.
+    /// The number of zones. Workers are assigned to zones in turn.
     pub zones: u32,
-    /// Regions. Zones are assigned to them in turn. With one region zones are named `z0` and so on, with several
-    /// `r0-z0`.
+    /// The number of regions. Zones are assigned to regions in turn. Zones are named `z0` and so on if there is one
+    /// region, and `r0-z0` and so on if there are several.
     pub regions: u32,
-    /// Real placer processes.
+    /// The number of placer processes that run.
     pub placers: u16,
-    /// The number of placers in the deployment's settings: at least as many as really run, or 0 for as many.
+    /// The number of placers that the deployment's settings state. At least `placers`, or 0 for the same number.
     pub instances: u32,
-    /// Task arrivals per second, over all placers that really run.
+    /// Task arrivals per second, summed over all placers that run.
     pub rate: f64,
-    /// The fraction of the arrivals that is of class `urgent`.
+    /// The fraction of arriving tasks that have the class `urgent`.
     pub urgent_share: f64,
-    /// The fraction of the arrivals that is of class `once`, which must not start twice.
+    /// The fraction of arriving tasks that have the class `once`. Such a task must not start twice.
     pub once_share: f64,
-    /// The mean lifetime of a task, from its answer. Lifetimes are exponentially distributed.
+    /// The mean lifetime of a task, counted from the worker's answer. Lifetimes are exponentially distributed.
     #[serde(with = "humantime_serde")]
     pub life: Duration,
     /// The time from an offer to the worker's answer.
     #[serde(with = "humantime_serde")]
     pub start_time: Duration,
-    /// Tasks that run at the start, over all placers that really run.
+    /// The number of tasks that run at the start, summed over all placers that run.
     #[serde(rename = "standing")]
     pub running_tasks: u32,
-    /// Tenants.
+    /// The number of tenants.
     pub tenants: u32,
-    /// Services.
+    /// The number of services.
     pub services: u32,
-    /// The time with load before the measurement.
+    /// The time for which load is applied before the measurement.
     #[serde(with = "humantime_serde")]
     pub warm_up: Duration,
     /// The duration of the measurement. The times of faults count from its start.
@@ -100,39 +100,39 @@
     pub duration: Duration,
     /// When placers connect to workers.
     pub connect: Connect,
-    /// The memory limit in a placer's configuration, in MB.
+    /// The memory limit in the configuration of each placer, in MB.
     pub placer_memory_mb: u64,
-    /// The limit on a placer's descriptors.
+    /// The maximum number of file descriptors of each placer.
     pub placer_sockets: u64,
-    /// Connections that clients keep to each placer.
+    /// The number of connections that clients keep open to each placer.
     pub client_connections: u16,
-    /// Cores of a worker.
+    /// The number of cores of each worker.
     pub worker_cores: f64,
-    /// Memory of a worker.
+    /// The memory of each worker.
     pub worker_memory: f64,
-    /// Cores that a task requests.
+    /// The number of cores that each task requests.
     pub task_cores: f64,
-    /// Memory that a task requests.
+    /// The memory that each task requests, in the same unit as `worker_memory`.
     pub task_memory: f64,
-    /// The limit on the 99th percentile of the hollow peers' own lateness, above which a run is unusable.
+    /// The maximum for the 99th percentile of the simulated peers' own lateness. A run above it is unusable.
     #[serde(with = "humantime_serde")]
     pub lateness_limit: Duration,
-    /// The limit on the busy fraction of the machine's processors, above which a run is unusable.
+    /// The maximum for the fraction of the machine's processors that is busy. A run above it is unusable.
     pub busy_limit: f64,
-    /// How the control feed groups changes.
+    /// How the control feed groups changes of workers into events.
     pub feed: FeedRule,
-    /// The period of the rule `gathered`.
+    /// The period at which changes are sent under the rule `gathered`.
     #[serde(with = "humantime_serde")]
     pub feed_period: Duration,
-    /// The period of complete lists on the control feed; 0s for none.
+    /// The period at which the control feed sends complete lists, or 0s to send none.
     #[serde(with = "humantime_serde")]
     pub whole_list_every: Duration,
-    /// Extra list events per second, each of which repeats one worker's entry.
+    /// The number of additional feed events per second. Each repeats the unchanged entry of one worker.
     pub events: f64,
-    /// The folder in which the placers' configurations and logs are kept. Without it they are removed after the run.
+    /// The folder in which the placers' configurations and logs are kept. If unset, they are removed after the run.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub keep_files: Option<PathBuf>,
-    /// The faults that are injected.
+    /// The faults that the run injects.
     #[serde(rename = "fault")]
     pub faults: Vec<Fault>,
 }
@@ -181,14 +181,14 @@
     ///
     /// # Errors
     ///
-    /// Returns an error that names the first setting that cannot be read.
+    /// Returns an error that names the first invalid setting.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         toml::from_str(text).map_err(|error| {
             let line = error
                 .span()
                 .map(|span| text.get(..span.start).unwrap_or_default().lines().count());
             let name = line.map_or_else(|| "file".to_string(), |line| key_at(text, line));
-            SettingsError::new(&name, "a setting that can be read", error.message())
+            SettingsError::new(&name, "a valid setting", error.message())
         })
     }
 
@@ -196,7 +196,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the file cannot be read or a setting in it cannot be read.
+    /// Returns an error if the file cannot be read or contains an invalid setting.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|error| {
             SettingsError::new(
@@ -217,7 +217,7 @@
         (0..self.zones).map(name).collect()
     }
 
-    /// Returns the zone with this name.
+    /// Returns the zone with this name, if it exists.
     pub fn zone(&self, name: &str) -> Option<ZoneId> {
         let index = self.zone_names().iter().position(|zone| zone == name)?;
         u32::try_from(index).ok().map(ZoneId)
@@ -230,26 +230,26 @@
             .collect()
     }
 
-    /// Returns the number of placers in the deployment's settings.
+    /// Returns the number of placers that the deployment's settings state: `instances`, but at least `placers`.
     pub fn configured_placers(&self) -> u32 {
         self.instances.max(u32::from(self.placers))
     }
 
-    /// Returns the number of tasks that one worker can run.
+    /// Returns the number of tasks that one worker can run at a time.
     pub fn max_tasks_per_worker(&self) -> u32 {
         let cores = self.worker_cores / self.task_cores;
         let memory = self.worker_memory / self.task_memory;
-        // The cast saturates at the largest number, which is more than any worker has.
+        // The cast saturates at `u32::MAX`, which is more tasks than any worker can run.
         cores.min(memory).floor() as u32
     }
 
-    /// Returns the settings as TOML.
+    /// Formats the settings as TOML.
     pub fn to_toml(&self) -> String {
         toml::to_string(self).unwrap_or_default()
     }
 }
 
-/// Returns the key on this line of a file, as the name in an error.
+/// Returns the key on this line of the file, for use as the setting's name in an error.
 fn key_at(text: &str, line: usize) -> String {
     let content = text.lines().nth(line.saturating_sub(1)).unwrap_or_default();
     let key = content.split('=').next().unwrap_or_default().trim();
--- a/crates/scale-test/src/settings/check.rs
+++ b/crates/scale-test/src/settings/check.rs
@@ -1,4 +1,4 @@
-//! The checks of settings: each value by itself, then their combinations.
+//! Validation of settings: first each value separately, then combinations of values.
 
 use super::{Fault, FeedRule, Settings, SettingsError};
 use crate::identity::MAX_WORKERS;
@@ -6,26 +6,26 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Descriptors of the run's own process besides its connections.
+/// The number of file descriptors reserved for this process besides its connections and listeners.
 const OWN_DESCRIPTORS: u64 = 100;
-/// Connections to each placer besides those for tasks: its health check, its feed, and one in reserve.
+/// The number of connections to each placer besides those for tasks: its health check, its feed, and one in reserve.
 const EXTRA_CONNECTIONS_PER_PLACER: u64 = 3;
-/// The smallest number of descriptors with which a placer works.
+/// The minimum number of file descriptors with which a placer works.
 const MIN_SOCKETS: u64 = 64;
-/// The longest time of a setting.
+/// The upper limit of most time settings.
 const ONE_DAY: Duration = Duration::from_secs(86_400);
-/// The largest number of placers of a run.
+/// The maximum number of placers in a run.
 const MAX_PLACERS: u16 = 299;
 
-/// The result of a check.
+/// The result of a check; an error names the invalid setting.
 type Checked = Result<(), SettingsError>;
 
 impl Settings {
-    /// Checks all settings. Whether the machine has enough for them is checked by [`crate::budget`].
+    /// Checks all settings. [`crate::budget`] checks whether the machine has enough resources for them.
     ///
     /// # Errors
     ///
-    /// Returns an error that names the first invalid setting, with what was expected and found.
+    /// Returns an error that names the first invalid setting, with the expected value and the value found.
     pub fn check(&self) -> Checked {
         self.check_values()?;
         self.check_times()?;
@@ -124,14 +124,14 @@
         Ok(())
     }
 
-    /// Returns the largest number of descriptors that the hollow peers may need at a time.
+    /// Returns the maximum number of file descriptors that the simulated peers may need at a time.
     pub fn descriptors_needed(&self) -> u64 {
         let placers = u64::from(self.placers);
-        // A placer reserves a third of its descriptors for clients. The rest may be connections to workers.
+        // A placer reserves a third of its descriptors for clients and may use the rest for connections to workers.
         let worker_connections =
             (self.placer_sockets - self.placer_sockets / 3).min(3 * u64::from(self.workers));
         let client_connections = u64::from(self.client_connections) + EXTRA_CONNECTIONS_PER_PLACER;
-        // A listener takes two descriptors: its socket, and the handle of the event loop.
+        // Each listener takes two descriptors: its socket and the duplicate that the event loop holds.
         let listeners = 2 * u64::from(self.zones) + 2;
         OWN_DESCRIPTORS + placers * (worker_connections + client_connections + listeners)
     }
@@ -182,12 +182,12 @@
     }
 }
 
-/// Returns a time as in the settings file.
+/// Formats a time as in the settings file.
 fn formatted(time: Duration) -> String {
     humantime::format_duration(time).to_string()
 }
 
-/// Checks that a number is in a range, which NaN never is.
+/// Checks that a number is in a range. NaN is in no range.
 fn check_range<T: PartialOrd + Display>(name: &str, value: T, range: RangeInclusive<T>) -> Checked {
     if range.contains(&value) {
         return Ok(());
--- a/crates/scale-test/src/settings/fault.rs
+++ b/crates/scale-test/src/settings/fault.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// One fault. Times count from the start of the measurement.
+/// One fault. The time `at` counts from the start of the measurement, other times count from `at`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(
     tag = "kind",
@@ -12,56 +12,56 @@
     deny_unknown_fields
 )]
 pub enum Fault {
-    /// All workers of a zone crash at once, and are restored empty.
+    /// All workers of a zone crash at the same time and later come back without any tasks.
     Zone {
-        /// When the fault begins.
+        /// The time at which the fault begins.
         #[serde(with = "humantime_serde")]
         at: Duration,
         /// The name of the zone.
         zone: String,
-        /// The time until the feed reports the workers as removed.
+        /// The time from the crash until the feed reports the workers as removed.
         #[serde(with = "humantime_serde", default = "default_reported_after")]
         #[serde(rename = "told-after")]
         reported_after: Duration,
-        /// The time until the workers are restored.
+        /// The time from the crash until the workers are restored.
         #[serde(with = "humantime_serde")]
         back_after: Duration,
     },
-    /// A placer is killed, and started again.
+    /// A placer is killed and later started again.
     Placer {
-        /// When the fault begins.
+        /// The time at which the fault begins.
         #[serde(with = "humantime_serde")]
         at: Duration,
-        /// The number of the placer, from 0.
+        /// The index of the placer, counted from 0.
         placer: u16,
-        /// The time until the placer is started again.
+        /// The time from the kill until the placer is started again.
         #[serde(with = "humantime_serde")]
         back_after: Duration,
     },
     /// Workers send invalid bytes on all their connections.
     Garbage {
-        /// When the fault begins.
+        /// The time at which the fault begins.
         #[serde(with = "humantime_serde")]
         at: Duration,
-        /// The number of workers, of those that have connections.
+        /// The number of workers that send garbage, chosen among those that have connections.
         workers: u32,
     },
 }
 
-/// The default time until a removal is reported.
+/// Returns the default time from a zone's crash until the feed reports its workers as removed.
 fn default_reported_after() -> Duration {
     Duration::from_secs(2)
 }
 
 impl Fault {
-    /// Returns when the fault begins.
+    /// Returns the time at which the fault begins.
     pub fn at(&self) -> Duration {
         match self {
             Fault::Zone { at, .. } | Fault::Placer { at, .. } | Fault::Garbage { at, .. } => *at,
         }
     }
 
-    /// Returns when the last effect of the fault is undone.
+    /// Returns the time at which the last effect of the fault is undone.
     pub fn end(&self) -> Duration {
         match self {
             Fault::Zone { at, back_after, .. } | Fault::Placer { at, back_after, .. } => {
--- a/crates/scale-test/src/settings/flags.rs
+++ b/crates/scale-test/src/settings/flags.rs
@@ -1,61 +1,61 @@
-//! Settings on the command line: a file, and flags that take precedence over it.
+//! Settings from the command line: a settings file, and flags that take precedence over it.
 
 use super::{Connect, Fault, FeedRule, Settings, SettingsError};
 use clap::Args;
 use serde::de::DeserializeOwned;
 use std::path::PathBuf;
 
-/// The source of the settings. Each flag has the name and the form of the setting in the file.
+/// The command-line arguments that give the settings. Each flag has the name and the format of the setting in the file.
 #[derive(Debug, Clone, Default, Args)]
 pub struct SettingsArgs {
-    /// A TOML file with settings, such as the packaged plans
+    /// A TOML file with settings, such as one of the packaged plans
     pub plan: Option<PathBuf>,
-    /// Set one setting, as in the file: `--set workers=2000 --set life=60s`; takes precedence over the file
+    /// Set any setting of the file, such as `--set workers=2000 --set life=60s`; takes precedence over the file
     #[arg(long = "set", value_name = "NAME=VALUE")]
     pub set: Vec<String>,
-    /// Hollow workers
+    /// Number of simulated workers
     #[arg(long)]
     pub workers: Option<String>,
-    /// Zones
+    /// Number of zones
     #[arg(long)]
     pub zones: Option<String>,
-    /// Real placer processes
+    /// Number of placer processes that run
     #[arg(long)]
     pub placers: Option<String>,
-    /// The number of placers in the deployment's settings
+    /// Number of placers that the deployment's settings state
     #[arg(long)]
     pub instances: Option<String>,
-    /// Task arrivals per second, over all placers that run
+    /// Task arrivals per second, summed over all placers that run
     #[arg(long)]
     pub rate: Option<String>,
-    /// Tasks that run at the start
+    /// Number of tasks that run at the start
     #[arg(long)]
     pub standing: Option<String>,
     /// Mean lifetime of a task
     #[arg(long)]
     pub life: Option<String>,
-    /// Time with load before the measurement
+    /// Time for which load is applied before the measurement
     #[arg(long)]
     pub warm_up: Option<String>,
     /// Duration of the measurement
     #[arg(long)]
     pub duration: Option<String>,
-    /// Seed of all random numbers
+    /// Seed of the random number generators
     #[arg(long)]
     pub seed: Option<String>,
-    /// How the control feed groups changes: each-change, gathered
+    /// How the control feed groups changes into events: each-change, gathered
     #[arg(long)]
     pub feed: Option<String>,
     /// When placers connect to workers: on-demand, all
     #[arg(long)]
     pub connect: Option<String>,
-    /// A fault, as an inline table: `{ kind = "zone", zone = "z2", at = "5s", back-after = "5s" }`
+    /// A fault to inject, as an inline TOML table: `{ kind = "zone", zone = "z2", at = "5s", back-after = "5s" }`
     #[arg(long = "fault", value_name = "TABLE")]
     pub faults: Vec<String>,
 }
 
 impl SettingsArgs {
-    /// Returns the settings of file and flags together, without checking them.
+    /// Returns the settings of the file with the flags applied, without checking them.
     ///
     /// # Errors
     ///
@@ -69,9 +69,9 @@
         Ok(settings)
     }
 
-    /// Applies the flags to settings.
+    /// Applies the flags to `settings`.
     fn apply(&self, settings: &mut Settings) -> Result<(), SettingsError> {
-        for (name, value) in self.named() {
+        for (name, value) in self.named_flags() {
             set(settings, name, value)?;
         }
         settings.set_pairs(&self.set)?;
@@ -81,7 +81,8 @@
         Ok(())
     }
 
-    fn named(&self) -> impl Iterator<Item = (&'static str, &str)> {
+    /// Returns the flags that were given for a single setting each, with their names.
+    fn named_flags(&self) -> impl Iterator<Item = (&'static str, &str)> {
         let flags = [
             ("workers", &self.workers),
             ("zones", &self.zones),
@@ -103,7 +104,7 @@
 }
 
 impl Settings {
-    /// Sets each setting that is given by a text such as `workers=2000`.
+    /// Applies settings that are given as texts such as `workers=2000`.
     ///
     /// # Errors
     ///
@@ -118,7 +119,7 @@
     }
 }
 
-/// Sets one setting from a text.
+/// Parses `text` and sets the setting with this name.
 fn set(settings: &mut Settings, name: &str, text: &str) -> Result<(), SettingsError> {
     match name {
         "seed" => set_number(&mut settings.seed, name, text),
@@ -165,7 +166,7 @@
     }
 }
 
-/// Sets a number.
+/// Parses a number and stores it in `target`.
 fn set_number<T: std::str::FromStr>(
     target: &mut T,
     name: &str,
@@ -177,14 +178,14 @@
     Ok(())
 }
 
-/// Sets a time.
+/// Parses a time and stores it in `target`.
 fn set_time(target: &mut std::time::Duration, name: &str, text: &str) -> Result<(), SettingsError> {
     let parsed = humantime::parse_duration(text);
     *target = parsed.map_err(|_| SettingsError::new(name, "a time such as 30s", text))?;
     Ok(())
 }
 
-/// Sets one of several keywords.
+/// Parses a keyword and stores it in `target`. `expected` lists the keywords for the error message.
 fn set_keyword<T: DeserializeOwned>(
     target: &mut T,
     name: &str,
@@ -198,7 +199,7 @@
     Ok(())
 }
 
-/// Reads a fault from an inline table.
+/// Parses a fault from an inline TOML table.
 fn parse_fault(table: &str) -> Result<Fault, SettingsError> {
     #[derive(serde::Deserialize)]
     struct Document {
@@ -206,6 +207,6 @@
     }
     let parsed: Result<Document, toml::de::Error> = toml::from_str(&format!("fault = {table}"));
     parsed.map(|document| document.fault).map_err(|error| {
-        SettingsError::new("fault", "a table such as one of [[fault]]", error.message())
+        SettingsError::new("fault", "an inline table with the keys of a [[fault]] table", error.message())
     })
 }
--- a/crates/scale-test/src/settings/tests.rs
+++ b/crates/scale-test/src/settings/tests.rs
@@ -1,8 +1,8 @@
-//! Reading and checking of settings, and the messages for invalid ones.
+//! Parsing and checking of settings, and the error messages for invalid settings.
 
 use super::*;
 
-/// Returns the error of these settings.
+/// Returns the error message for these settings, which must be invalid.
 fn error_of(text: &str) -> String {
     let checked = Settings::parse(text).and_then(|settings| settings.check());
     checked.expect_err(text).to_string()
@@ -10,7 +10,7 @@
 
 #[test]
 fn empty_file_gives_the_valid_default_which_survives_toml() {
-    let settings = Settings::parse("").expect("settings");
+    let settings = Settings::parse("").expect("valid settings");
     assert_eq!(settings, Settings::default());
     assert_eq!(settings.check(), Ok(()));
     assert_eq!(Settings::parse(&settings.to_toml()), Ok(settings));
@@ -21,7 +21,7 @@
     let text = "[[fault]]\nkind = \"zone\"\nat = \"5s\"\nzone = \"z2\"\nback-after = \"6s\"\n\
                 [[fault]]\nkind = \"placer\"\nat = \"7s\"\nplacer = 1\nback-after = \"500ms\"\n\
                 [[fault]]\nkind = \"garbage\"\nat = \"9s\"\nworkers = 3\n";
-    let settings = Settings::parse(text).expect("settings");
+    let settings = Settings::parse(text).expect("valid settings");
     assert_eq!(settings.check(), Ok(()));
     assert_eq!(settings.faults.len(), 3);
     assert_eq!(settings.faults[0].end(), Duration::from_secs(11));
@@ -80,11 +80,11 @@
         ),
         (
             "duration = \"soon\"",
-            "setting duration: expected a setting that can be read, found",
+            "setting duration: expected a valid setting, found",
         ),
         (
             "feed = \"never\"",
-            "setting feed: expected a setting that can be read, found unknown variant `never`",
+            "setting feed: expected a valid setting, found unknown variant `never`",
         ),
         (
             "feed-period = \"0s\"",
@@ -92,11 +92,11 @@
         ),
         (
             "sead = 1",
-            "setting sead: expected a setting that can be read, found unknown field `sead`",
+            "setting sead: expected a valid setting, found unknown field `sead`",
         ),
         (
             "workers = \"many\"",
-            "setting workers: expected a setting that can be read",
+            "setting workers: expected a valid setting",
         ),
         ("workers = 5\nworkers = 6", "setting workers: expected"),
         (
@@ -154,7 +154,7 @@
         faults: vec!["{ kind = \"garbage\", at = \"1s\", workers = 2 }".into()],
         ..SettingsArgs::default()
     };
-    let settings = args.settings().expect("settings");
+    let settings = args.settings().expect("valid settings");
     assert_eq!(
         (settings.workers, settings.life.as_secs(), settings.feed),
         (900, 90, FeedRule::EachChange)
--- a/crates/scale-test/src/wire.rs
+++ b/crates/scale-test/src/wire.rs
@@ -1,37 +1,37 @@
-//! The messages that hollow peers exchange with placers: pure functions between bytes and typed messages.
+//! Codecs for the messages that simulated peers exchange with placers: pure functions between bytes and typed
+//! messages.
 //!
-//! The binary codec in [`binary`] has a counterpart in `src/net/codec` of the placer, with the sides exchanged.
-//! The two are separate on purpose: the test must not share the code that it tests, and the placer's codec is
-//! private to it.
+//! The placer has its own codec in `src/net/codec`, which decodes what [`binary`] encodes and the reverse. The two are
+//! separate on purpose: the test must not share the code that it tests, and the placer's codec is private to it.
 
 pub mod binary;
 pub mod description;
 pub mod feed;
 pub mod lines;
 
-/// The longest message of clients and workers.
+/// The maximum length of a message of clients and workers, with its length field or line feed.
 pub const MAX_MESSAGE_BYTES: usize = 16 * 1024;
 
-/// Why bytes are not a message.
+/// The reason why bytes are not a valid message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum WireError {
     /// The message would be longer than [`MAX_MESSAGE_BYTES`].
-    #[error("longer than any message may be")]
+    #[error("message exceeds the maximum length")]
     TooLong,
-    /// A length does not match its content.
-    #[error("a length does not fit what it counts")]
+    /// A length field does not match the content that it describes.
+    #[error("length field does not match its content")]
     BadLength,
-    /// The line is not the JSON of a message.
-    #[error("not the JSON of a message")]
+    /// The line is not a message in JSON.
+    #[error("not a message in JSON")]
     BadJson,
-    /// A field is missing or cannot be read.
-    #[error("field {0} is missing or can't be read")]
+    /// The named field is missing or invalid.
+    #[error("field {0} is missing or invalid")]
     BadField(&'static str),
 }
 
-/// The causes of releases, as the protocol numbers them.
+/// The protocol's numbers for the cause of a release.
 pub mod cause {
-    /// The regular end of a task, or the withdrawal of a set-up.
+    /// The regular end of a task, or the withdrawal of a request.
     pub const NORMAL: u8 = 16;
     /// The task migrates, or its client cancelled it.
     pub const CANCELLED: u8 = 31;
@@ -39,9 +39,9 @@
     pub const FULL: u8 = 34;
     /// The placer refused the task.
     pub const REFUSED: u8 = 42;
-    /// The set-up failed.
+    /// The request failed.
     pub const FAILED: u8 = 47;
-    /// The set-up was never sent.
+    /// The request was never sent to a worker.
     pub const NOT_SENT: u8 = 102;
 }
 
--- a/crates/scale-test/src/wire/binary.rs
+++ b/crates/scale-test/src/wire/binary.rs
@@ -1,23 +1,24 @@
-//! The binary messages of clients.
+//! Codec of the binary messages that clients and placers exchange.
 //!
-//! A message is `length:2 type:1 task:8 parameters`, a parameter is `code:1 length:2 value`; all numbers are
-//! big-endian. The comments on the constants name the protocol's words.
+//! A message is `length:2 type:1 task:8 parameters`, and a parameter is `code:1 length:2 value`, with sizes in bytes.
+//! All numbers are big-endian. The comments on the constants give the protocol's own words where they differ.
 
 use super::{MAX_MESSAGE_BYTES, WireError};
 use crate::identity::{RequestId, WorkerId};
 
 /// The types of messages.
 mod kind {
+    /// A request to place or adopt a task, the protocol's "set-up".
     pub const TASK_REQUEST: u8 = 1;
     pub const ANSWER: u8 = 9;
     pub const RELEASE: u8 = 12;
-    /// The acknowledgement of a release.
+    /// The acknowledgement that a release was received.
     pub const END_ACKNOWLEDGED: u8 = 16;
-    /// The task moves.
+    /// The notice that a task migrates, the protocol's "move".
     pub const MIGRATE: u8 = 51;
-    /// A test.
+    /// A health check, the protocol's "test".
     pub const HEALTH_CHECK: u8 = 52;
-    /// The result of a test.
+    /// The result of a health check.
     pub const HEALTH_CHECKED: u8 = 53;
 }
 
@@ -32,23 +33,23 @@
     pub const DESCRIPTION: u8 = 174;
 }
 
-/// The id of a health check, which is the id of no task.
+/// The id in the messages of a health check. No request has this id.
 const HEALTH_CHECK_ID: u64 = u64::MAX;
-/// The bytes of a length.
+/// The size of a length field in bytes.
 const LENGTH_BYTES: usize = 2;
-/// The bytes of a message between its length and its parameters: its type and its task.
+/// The size in bytes of the type and the task id, which lie between the length field and the parameters.
 const HEADER_BYTES: usize = 9;
 
-/// A message of a placer to a client.
+/// A message from a placer to a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacerMessage {
-    /// The task has started; the worker's description.
+    /// The task has started. Holds the answer that the worker wrote.
     Answer(String),
-    /// A refusal, a failure or the end of a task, with its cause.
+    /// The task was refused, has failed or has ended, with the cause.
     Release(u8),
-    /// The task migrates: its client sends the set-up again.
+    /// The task migrates, so its client must send the request again.
     Migrate,
-    /// A release by the client is acknowledged.
+    /// The placer acknowledges a release that the client sent.
     EndAcknowledged,
     /// The result of a health check.
     HealthChecked {
@@ -57,32 +58,32 @@
     },
 }
 
-/// The set-up of a task, as a client sends it.
+/// A client's request to place a task, or to adopt a task that already runs.
 #[derive(Debug, Clone)]
 pub struct TaskRequest<'a> {
-    /// The id of the set-up.
+    /// The id of the request.
     pub id: RequestId,
-    /// The name of the class.
+    /// The name of the task's class.
     pub class: &'a str,
     /// How long the client waits for the answer, in milliseconds.
     pub wait_ms: u64,
-    /// The name of the tenant.
+    /// The name of the task's tenant.
     pub tenant: &'a str,
     /// The idempotency key of the task.
     pub key: u64,
-    /// Requested cores.
+    /// The number of cores that the task requests.
     pub cores: f64,
-    /// Requested memory.
+    /// The memory that the task requests, in the unit of the worker's memory.
     pub memory: f64,
-    /// The service of the task.
+    /// The id of the task's service.
     pub service: u64,
-    /// The worker that runs the task already, if any.
+    /// The worker that already runs the task; `None` for a new task.
     pub running_at: Option<WorkerId>,
-    /// The description that the placer forwards to the worker.
+    /// The task description that the placer forwards to the worker.
     pub description: &'a str,
 }
 
-/// Writes the set-up of a task.
+/// Appends a request to place or adopt a task.
 pub fn write_task_request(out: &mut Vec<u8>, request: &TaskRequest<'_>) {
     let TaskRequest {
         cores,
@@ -90,9 +91,9 @@
         service,
         ..
     } = request;
-    let mut figures = format!("cores:{cores};memory:{memory};service:{service:016x}");
+    let mut resources = format!("cores:{cores};memory:{memory};service:{service:016x}");
     if let Some(worker) = request.running_at {
-        figures.push_str(&format!(";at:{worker}"));
+        resources.push_str(&format!(";at:{worker}"));
     }
     let wait = request.wait_ms.to_string();
     let key = format!("{:016x}", request.key);
@@ -101,18 +102,18 @@
         (code::WAIT, wait.as_bytes()),
         (code::TENANT, request.tenant.as_bytes()),
         (code::KEY, key.as_bytes()),
-        (code::RESOURCES, figures.as_bytes()),
+        (code::RESOURCES, resources.as_bytes()),
         (code::DESCRIPTION, request.description.as_bytes()),
     ];
     write_message(out, kind::TASK_REQUEST, request.id.0, &parameters);
 }
 
-/// Writes the acknowledgement of the end of a task.
+/// Appends the acknowledgement of a task's end.
 pub fn write_end_acknowledged(out: &mut Vec<u8>, id: RequestId) {
     write_message(out, kind::END_ACKNOWLEDGED, id.0, &[]);
 }
 
-/// Writes a health check.
+/// Appends a health check.
 pub fn write_health_check(out: &mut Vec<u8>) {
     write_message(
         out,
@@ -138,13 +139,13 @@
     }
 }
 
-/// Returns a length as on the wire. All that is written here is far shorter than the longest.
+/// Encodes a length field. Lengths saturate at `u16::MAX`, which no message written here comes near.
 fn length_bytes(length: usize) -> [u8; LENGTH_BYTES] {
     u16::try_from(length).unwrap_or(u16::MAX).to_be_bytes()
 }
 
-/// Reads the first message of these bytes. Returns its task, the message and its length in bytes, or `None` if the
-/// message is not complete yet.
+/// Decodes the first message in `bytes`. Returns the id of its request, the message and its length in bytes, or `None`
+/// if the message is not complete yet.
 ///
 /// # Errors
 ///
@@ -193,7 +194,7 @@
     }
 }
 
-/// Returns the value of the first parameter with a code, after checking the lengths of all parameters.
+/// Returns the value of the first parameter whose code is `wanted`, after checking the lengths of all parameters.
 fn find_parameter(mut rest: &[u8], wanted: u8) -> Result<Option<&[u8]>, WireError> {
     let mut found = None;
     while let Some((code, after)) = rest.split_first() {
--- a/crates/scale-test/src/wire/description.rs
+++ b/crates/scale-test/src/wire/description.rs
@@ -1,6 +1,6 @@
-//! The description of a task, which a client writes for the worker, and the answer of the worker.
+//! Formats of the task description, which a client writes for the worker, and of the worker's answer.
 //!
-//! Placers forward both without reading them, so the format is private to this program.
+//! Placers forward both without reading them, so the formats are private to this program.
 
 use crate::identity::WorkerId;
 use std::time::Duration;
@@ -12,14 +12,14 @@
     pub cores: f64,
     /// Memory that the task uses.
     pub memory: f64,
-    /// The time from the start to the end of the task.
+    /// The time from the task's start to its end.
     pub lifetime: Duration,
     /// Whether the task must not start twice.
     pub non_idempotent: bool,
 }
 
 impl TaskShape {
-    /// Returns the shape as a description.
+    /// Formats the shape as a task description.
     pub fn write(&self) -> String {
         let TaskShape {
             cores,
@@ -33,7 +33,7 @@
         )
     }
 
-    /// Reads the shape from a description.
+    /// Parses the shape from a task description. Returns `None` if a field is missing or invalid.
     pub fn read(text: &str) -> Option<TaskShape> {
         let number = |value: &str| {
             value
@@ -50,12 +50,13 @@
     }
 }
 
-/// Returns the answer of a worker: its name, which a client announces to a restarted placer.
+/// Formats the answer of a worker. It holds the worker's name, which the client reports to a restarted placer so that
+/// the placer adopts the running task.
 pub fn write_answer(worker: WorkerId) -> String {
     format!("worker={worker}")
 }
 
-/// Reads the worker from an answer.
+/// Parses the worker from its answer. Returns `None` if the answer names no worker.
 pub fn read_answer(text: &str) -> Option<WorkerId> {
     field(text, "worker").and_then(WorkerId::from_name)
 }
--- a/crates/scale-test/src/wire/feed.rs
+++ b/crates/scale-test/src/wire/feed.rs
@@ -1,29 +1,29 @@
-//! The lines of the control feed.
-//!
-//! Writes events as JSON, and reads the subscription of a placer. The names in the JSON are those of the protocol.
+//! Codec of the control feed: writes events as lines of JSON, and reads the subscription line of a placer. The names
+//! in the JSON are those of the protocol.
 
 use crate::identity::WorkerId;
 use std::io::Write;
 
-/// The number of workers in a block, the protocol's unit of machines that fail together.
+/// The number of workers in a block, which is the protocol's group of machines that fail together.
 const WORKERS_PER_BLOCK: u32 = 32;
-/// The kind of all workers, as the deployment's settings name it.
+/// The host kind of all workers. The deployment's settings list the same name.
 pub const WORKER_KIND: &str = "plain";
 
-/// The reported state of a worker.
+/// The state of a worker as the feed reports it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ListedWorker {
-    /// Whether the worker is up; otherwise it was removed.
+    /// Whether the worker is up; a worker that is not up is reported as removed.
     pub is_up: bool,
-    /// The Unix millisecond at which the worker was started late, or 0.
+    /// The Unix time in milliseconds at which a restored worker was started, or 0 for a worker that was up from the
+    /// start of the run.
     pub started_at_unix_ms: u64,
-    /// Cores that no task has asked for.
+    /// Cores that no task has requested.
     pub free_cores: f64,
-    /// Memory that no task has asked for.
+    /// Memory that no task has requested.
     pub free_memory: f64,
 }
 
-/// One entry of an event.
+/// One entry of an event, which reports one worker.
 #[derive(Debug, Clone, Copy)]
 pub struct Entry<'a> {
     /// The worker.
@@ -36,16 +36,16 @@
     pub listed: ListedWorker,
 }
 
-/// What the entries of an event are.
+/// Which workers an event lists.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventKind {
-    /// The workers that have changed.
+    /// Only workers that have changed.
     Delta,
     /// All workers. A worker that is not among them was removed.
     CompleteList,
 }
 
-/// Writes one event, without a line feed.
+/// Appends one event to `out`, without a line feed.
 pub fn write_event<'a>(
     out: &mut Vec<u8>,
     sequence_number: u64,
@@ -53,7 +53,7 @@
     entries: impl Iterator<Item = Entry<'a>>,
 ) {
     let is_complete = kind == EventKind::CompleteList;
-    // Writing to memory does not fail, here and below.
+    // Writing to a `Vec` never fails; the same holds for each `write!` below.
     let _ = write!(
         out,
         r#"{{"n":{sequence_number},"members":{{"seq":{sequence_number},"whole":{is_complete},"hosts":["#
@@ -67,7 +67,7 @@
     out.extend(b"]}}");
 }
 
-/// Writes the line that holds only the sequence number of the last event, without a line feed.
+/// Appends a line that holds only the sequence number of the last event, without its line feed.
 pub fn write_sequence_number(out: &mut Vec<u8>, sequence_number: u64) {
     let _ = write!(out, r#"{{"n":{sequence_number}}}"#);
 }
@@ -102,7 +102,7 @@
     );
 }
 
-/// Reads the sequence number in a placer's `SUB N`.
+/// Returns the sequence number N from a placer's subscription line `SUB N`, or `None` if the line is invalid.
 pub fn read_subscription(line: &[u8]) -> Option<u64> {
     let line = std::str::from_utf8(line).ok()?;
     line.strip_prefix("SUB ")?.trim_end().parse().ok()
--- a/crates/scale-test/src/wire/lines.rs
+++ b/crates/scale-test/src/wire/lines.rs
@@ -1,4 +1,4 @@
-//! The JSON lines that placers and workers exchange. The names in the JSON are those of the protocol.
+//! Codec of the JSON lines that placers and workers exchange. The names in the JSON are those of the protocol.
 
 use super::{MAX_MESSAGE_BYTES, WireError};
 use crate::identity::RequestId;
@@ -6,24 +6,24 @@
 use std::borrow::Cow;
 use std::io::Write;
 
-/// A message of a placer to a worker.
+/// A message from a placer to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacerLine {
     /// The offer of a task.
     Offer(Offer),
     /// The withdrawal of an offer, or the cancellation of a running task.
     Release {
-        /// The set-up.
+        /// The id of the request.
         id: RequestId,
     },
     /// The acknowledgement of the end of a task.
     EndAcknowledged {
-        /// The set-up.
+        /// The id of the request.
         id: RequestId,
     },
     /// A health check of the connection.
     HealthCheck {
-        /// The id that the answer repeats.
+        /// The id of the health check, which the reply repeats.
         id: RequestId,
     },
     /// A message that needs no reply.
@@ -33,7 +33,7 @@
 /// The offer of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Offer {
-    /// The set-up.
+    /// The id of the request.
     pub id: RequestId,
     /// The idempotency key of the task.
     pub key: u64,
@@ -41,17 +41,17 @@
     pub description: String,
 }
 
-/// The resource that a worker lacks.
+/// The resource of which a worker has too little left for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoCapacity {
-    /// Not enough cores.
+    /// The worker has not enough free cores.
     Cores,
-    /// Not enough memory.
+    /// The worker has not enough free memory.
     Memory,
 }
 
 impl NoCapacity {
-    /// The `note` of the protocol.
+    /// Returns the protocol's code for the `note` field.
     fn note(self) -> &'static str {
         match self {
             NoCapacity::Cores => "nc",
@@ -78,7 +78,7 @@
     key: Option<Cow<'a, str>>,
 }
 
-/// Reads one line, without its line feed.
+/// Decodes one line, given without its line feed.
 ///
 /// # Errors
 ///
@@ -106,11 +106,11 @@
     })
 }
 
-/// Returns the index of the first line feed, if the line is complete.
+/// Returns the index of the first line feed, or `None` if the first line is not complete yet.
 ///
 /// # Errors
 ///
-/// Returns [`WireError::TooLong`] if the first line exceeds the longest message.
+/// Returns [`WireError::TooLong`] if the first line is longer than a message may be.
 pub fn line_end(bytes: &[u8]) -> Result<Option<usize>, WireError> {
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) if end < MAX_MESSAGE_BYTES => Ok(Some(end)),
@@ -119,7 +119,7 @@
     }
 }
 
-/// Writes that a task has started. The description must need no escapes in JSON.
+/// Appends the message that a task has started. The description must not contain characters that JSON escapes.
 pub fn write_task_started(out: &mut Vec<u8>, id: RequestId, description: &str) {
     write_line(
         out,
@@ -127,7 +127,7 @@
     );
 }
 
-/// Writes that a worker lacks a resource for a task.
+/// Appends the message that a worker refuses a task because it lacks a resource.
 pub fn write_no_capacity(out: &mut Vec<u8>, id: RequestId, lacking: NoCapacity) {
     let note = lacking.note();
     let cause = super::cause::FULL;
@@ -137,7 +137,7 @@
     );
 }
 
-/// Writes the end of a task, or the failure of an offer.
+/// Appends the message that a task has ended or an offer has failed, with the cause.
 pub fn write_release(out: &mut Vec<u8>, id: RequestId, cause: u8) {
     write_line(
         out,
@@ -145,7 +145,7 @@
     );
 }
 
-/// Writes that a health check has passed.
+/// Appends the message that a health check has passed.
 pub fn write_health_check_passed(out: &mut Vec<u8>, id: RequestId) {
     write_line(
         out,
@@ -154,6 +154,6 @@
 }
 
 fn write_line(out: &mut Vec<u8>, text: std::fmt::Arguments<'_>) {
-    // Writing to memory does not fail.
+    // Writing to a `Vec` never fails.
     let _ = writeln!(out, "{text}");
 }
--- a/crates/scale-test/src/wire/tests.rs
+++ b/crates/scale-test/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! Messages as on the wire, and bytes that are not messages.
+//! Encoding and decoding of messages, and rejection of bytes that are not messages.
 
 use super::*;
 use crate::identity::{RequestId, TaskIndex, WorkerId};
@@ -47,8 +47,8 @@
     let answer = answer();
 
     let (found, message, length) = binary::read(&answer)
-        .expect("a message")
-        .expect("a complete one");
+        .expect("a valid message")
+        .expect("a complete message");
 
     assert_eq!((found, length), (id(), answer.len()));
     assert_eq!(message, PlacerMessage::Answer("stands".to_string()));
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn bytes_that_are_no_binary_message_are_an_error() {
+fn invalid_binary_messages_are_errors() {
     assert_eq!(binary::read(&[0, 3, 9]), Err(WireError::BadLength));
     assert_eq!(binary::read(&[0xff, 0xff, 9]), Err(WireError::TooLong));
     let cut = [&[0, 13, 12][..], &[1; 8], &[171, 0, 9, 34]].concat();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn lines_that_are_no_message_are_an_error() {
+fn invalid_lines_are_errors() {
     for line in [
         &b"\0\xff"[..],
         b"[]",
@@ -151,10 +151,10 @@
     lines::write_no_capacity(&mut out, id(), NoCapacity::Memory);
     lines::write_release(&mut out, id(), cause::NORMAL);
     lines::write_health_check_passed(&mut out, id());
-    let text = String::from_utf8(out).expect("text");
+    let text = String::from_utf8(out).expect("UTF-8 text");
     let values: Vec<serde_json::Value> = text
         .lines()
-        .map(|line| serde_json::from_str(line).expect("JSON"))
+        .map(|line| serde_json::from_str(line).expect("valid JSON"))
         .collect();
     assert_eq!(values[0]["d"], "worker=w00009");
     assert_eq!(
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn task_shape_survives_as_a_description() {
+fn task_shape_survives_a_round_trip_as_description() {
     let shape = TaskShape {
         cores: 1.5,
         memory: 2.0,
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn worker_survives_as_an_answer() {
+fn worker_survives_a_round_trip_as_answer() {
     assert_eq!(
         description::read_answer(&description::write_answer(WorkerId(3))),
         Some(WorkerId(3))
@@ -218,7 +218,7 @@
     };
     let mut out = Vec::new();
     feed::write_event(&mut out, 41, EventKind::Delta, [entry, removed].into_iter());
-    let value: serde_json::Value = serde_json::from_slice(&out).expect("JSON");
+    let value: serde_json::Value = serde_json::from_slice(&out).expect("valid JSON");
     assert_eq!(value["n"], 41);
     let hosts = &value["members"]["hosts"];
     assert_eq!(hosts[0]["dial"], "127.16.1.44:20001");
--- a/crates/scale-test/tests/command_line.rs
+++ b/crates/scale-test/tests/command_line.rs
@@ -128,7 +128,7 @@
         ),
         (
             vec!["sweep", "--values", "1,2,3,4"],
-            "setting --values: expected exactly one --axis beside it",
+            "setting --values: expected exactly one --axis, found 0 axes",
         ),
         (
             vec!["sweep", small, "--axis", "rate", "--seconds", "3"],
@@ -211,7 +211,7 @@
         line.starts_with("scale-test: workers 20, repeat 1: placer "),
         "{line}"
     );
-    assert!(line.contains("ended by itself"), "{line}");
+    assert!(line.contains("exited unexpectedly"), "{line}");
     let text = std::fs::read_to_string(json).expect("a report");
     let report = SweepReport::from_json(&text).expect("a report");
     assert!(
@@ -248,7 +248,7 @@
             "{name}: {}",
             String::from_utf8_lossy(&out.stderr)
         );
-        assert!(text.contains("# room of a worker: "), "{text}");
+        assert!(text.contains("# worker capacity: "), "{text}");
     }
 }
 
@@ -281,7 +281,7 @@
     ]);
     let line = String::from_utf8(out.stderr).expect("text");
     assert_eq!(out.status.code(), Some(1), "{line}");
-    assert!(line.contains("ended by itself"), "{line}");
+    assert!(line.contains("exited unexpectedly"), "{line}");
 }
 
 /// A child process that is killed when its test ends.
