--- a/crates/scale-test/src/cli/sweep.rs
+++ b/crates/scale-test/src/cli/sweep.rs
@@ -97,11 +97,7 @@
             }],
             (_, named) => {
                 let found = format!("{} axes", named.len());
-                return Err(SettingsError::new(
-                    "--values",
-                    "exactly one --axis",
-                    found,
-                ));
+                return Err(SettingsError::new("--values", "exactly one --axis", found));
             }
         };
         let name = self
--- a/crates/scale-test/src/deployment.rs
+++ b/crates/scale-test/src/deployment.rs
@@ -6,25 +6,25 @@
 use serde_json::{Value, json};
 use std::net::SocketAddr;
 
-/// The price of a connection if placers should connect on demand. Any price above 0 has this effect.
+/// The price of a connection in a deployment whose placers connect on demand. Any price above 0 has this effect.
 const CONNECTION_PRICE: f64 = 0.05;
 
 /// A class of tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Class {
-    /// Idempotent.
+    /// Idempotent tasks without a short latency objective.
     Standard,
-    /// Idempotent, with a short latency objective.
+    /// Idempotent tasks with a short latency objective.
     Urgent,
-    /// Not idempotent: must not start twice.
+    /// Tasks that are not idempotent, so they must not start twice.
     Once,
 }
 
 impl Class {
-    /// All classes, in the order of the settings.
+    /// All classes, in the order in which the deployment's settings list them.
     pub const ALL: [Class; 3] = [Class::Standard, Class::Urgent, Class::Once];
 
-    /// Returns the name in the settings.
+    /// Returns the name of the class in the deployment's settings.
     pub fn name(self) -> &'static str {
         match self {
             Class::Standard => "standard",
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Returns the latency objective in milliseconds, the `aim` of the settings.
+    /// Returns the latency objective in milliseconds, which the deployment's settings call `aim`.
     pub fn latency_objective_ms(self) -> u64 {
         match self {
             Class::Standard | Class::Once => 4_000,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Returns how long a client waits for an answer, in milliseconds.
+    /// Returns how long a client waits for the answer to a request, in milliseconds.
     pub fn wait_ms(self) -> u64 {
         match self {
             Class::Standard | Class::Once => 8_000,
@@ -62,7 +62,7 @@
         }
     }
 
-    fn as_setting(self) -> Value {
+    fn to_json(self) -> Value {
         json!({
             "name": self.name(), "aim": self.latency_objective_ms(), "hard_limit": self.wait_ms(),
             "semantics": self.semantics(), "group": "all", "worth": 1.0, "late_share": 0.2,
@@ -71,23 +71,23 @@
     }
 }
 
-/// One placer of the deployment, at one of its starts.
+/// One placer of the deployment at one of its starts. A placer that is restarted gets a new configuration.
 pub struct PlacerInstance<'a> {
     /// The placer.
     pub placer: PlacerId,
-    /// The number of earlier starts.
+    /// The number of times that the placer was started before.
     pub restarts: u32,
     /// The address at which clients connect.
     pub listen: SocketAddr,
     /// The address of the control feed.
     pub feed: SocketAddr,
-    /// The feed's events so far, as JSON.
+    /// The first events of the control feed as JSON, with all workers that are up.
     pub known_events: &'a str,
 }
 
-/// Returns the configuration file of a placer.
+/// Returns the content of a placer's configuration file.
 pub fn configuration(settings: &Settings, instance: &PlacerInstance<'_>) -> String {
-    // Each start has a seed of its own, and each run of the same settings has the same seeds.
+    // Each start of each placer has a different seed, and runs with the same settings have the same seeds.
     let seed =
         settings.seed ^ (u64::from(instance.placer.0) << 32) ^ (u64::from(instance.restarts) << 48);
     let head = json!({
@@ -98,7 +98,7 @@
         },
         "settings": deployment(settings, instance.placer),
     });
-    // The events are JSON already, and long: they are inserted as text.
+    // The events are already JSON, and long, so they are inserted as text instead of being parsed.
     let head = head.to_string();
     let open = head.strip_suffix('}').unwrap_or(&head);
     format!("{open},\"known\":{}}}", instance.known_events)
@@ -109,12 +109,12 @@
     let own_zone = zones.get(placer.index() % zones.len().max(1));
     let tenants = settings.tenant_names();
     let share = 1.0 / tenants.len().max(1) as f64;
-    // Twice the total rate, so that no tenant is limited at the rate of the settings.
+    // Each tenant may submit twice the total rate, so that no tenant is throttled at the configured rate.
     let allowance = 2.0 * settings.rate.max(1.0);
     let tenants = tenants
         .iter()
         .map(|name| json!({ "name": name, "portion": share, "allowance_per_s": allowance }));
-    let classes = Class::ALL.map(Class::as_setting);
+    let classes = Class::ALL.map(Class::to_json);
     json!({
         "me": placer.0, "n_instances": settings.configured_placers(), "locality": own_zone, "zones": zones,
         "step": 2.0, "models": [WORKER_KIND], "membership_mode": "subscribe", "over_share_worth": 0.1,
@@ -124,7 +124,7 @@
             "cancel": true, "connect_timeout": 250.0, "conn_idle": 30000.0, "max_retry_after": 3000.0,
             "probing": false, "retry_after": true, "send_cap": 4
         },
-        "family_info": family(settings),
+        "family_info": family_info(settings),
         "prices": prices(settings),
         "report": { "names": [], "via": "off" },
         "rules": {
@@ -134,7 +134,7 @@
     })
 }
 
-fn family(settings: &Settings) -> Value {
+fn family_info(settings: &Settings) -> Value {
     let start_s = settings.start_time.as_secs_f64();
     json!({
         "accepts_memory": 1.0, "cores_multiple": 1.0, "class_kind": [-1, -1, -1],
--- a/crates/scale-test/src/feeds.rs
+++ b/crates/scale-test/src/feeds.rs
@@ -1,9 +1,9 @@
 //! The control feeds: one for each placer, all on one thread.
 //!
 //! A feed reports the list of workers and their free resources. Its events are numbered from 1 at each start of
-//! its placer. How changes are grouped is set by [`FeedRule`](crate::settings::FeedRule). A feed keeps no history,
-//! only the set of workers that have changed since its placer last saw them: a placer that subscribes again gets
-//! the present state of these under the next sequence numbers.
+//! its placer. [`FeedRule`](crate::settings::FeedRule) determines how changes are grouped into events. A feed keeps no
+//! history of events, only the set of workers that have changed since the last event sent to its placer: a placer that
+//! subscribes again gets the current state of these workers under the next sequence numbers.
 
 mod cursor;
 mod thread;
@@ -21,21 +21,21 @@
 use std::sync::{Arc, mpsc};
 use std::time::Duration;
 
-/// The longest wait for a reply of the feed thread.
-const REPLY_LIMIT: Duration = Duration::from_secs(10);
+/// The time limit for a reply of the feed thread.
+const REPLY_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// The free resources of a worker.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FreeResources {
     /// The worker.
     pub worker: WorkerId,
-    /// Cores that no task has asked for.
+    /// Cores that no task has requested.
     pub free_cores: f64,
-    /// Memory that no task has asked for.
+    /// Memory that no task has requested.
     pub free_memory: f64,
 }
 
-/// A command to the feeds.
+/// A command to the feed thread.
 pub enum FeedCommand {
     /// Sets the ports at which a placer reaches the workers, by zone.
     SetWorkerPorts(PlacerId, Vec<u16>),
@@ -43,9 +43,9 @@
     UpdateResources(Vec<FreeResources>),
     /// Reports the workers of a zone as removed.
     RemoveZone(ZoneId),
-    /// Reports the workers of a zone as up, started at this Unix millisecond.
+    /// Reports the workers of a zone as up, with the Unix time in milliseconds at which they were started.
     RestoreZone(ZoneId, u64),
-    /// Starts the feed of a placer anew, and replies with the first event for its configuration.
+    /// Restarts the feed of a placer, and replies with the first event, which the placer's configuration contains.
     StartPlacer(PlacerId, mpsc::Sender<String>),
     /// Stops the thread.
     Stop,
@@ -59,7 +59,7 @@
 }
 
 impl Feeds {
-    /// Starts a feed for each placer, one for each set of counters.
+    /// Starts one feed for each placer. `counters` holds the counters of each placer, by placer index.
     ///
     /// # Errors
     ///
@@ -82,17 +82,17 @@
         })
     }
 
-    /// Returns the sender of commands.
+    /// Returns a sender for commands to the feed thread.
     pub fn commands(&self) -> Sender<FeedCommand> {
         self.commands.clone()
     }
 
-    /// Returns the address at which a placer subscribes.
+    /// Returns the address at which a placer subscribes to its feed.
     pub fn address(&self, placer: PlacerId) -> Option<SocketAddr> {
         self.addresses.get(placer.index()).copied()
     }
 
-    /// Starts the feed of a placer anew. Returns the events that its configuration contains, as JSON.
+    /// Restarts the feed of a placer. Returns the first events of the feed as JSON, for the placer's configuration.
     ///
     /// # Errors
     ///
@@ -101,16 +101,16 @@
         let (reply, replied) = mpsc::channel();
         self.commands.send(FeedCommand::StartPlacer(placer, reply));
         replied
-            .recv_timeout(REPLY_LIMIT)
-            .map_err(|_| io::Error::other("no reply of the feeds"))
+            .recv_timeout(REPLY_TIMEOUT)
+            .map_err(|_| io::Error::other("the feed thread did not reply in time"))
     }
 
-    /// Returns the error on which the thread has ended, if it has.
+    /// Returns the error with which the feed thread ended, or `None` if it still runs.
     pub fn failure(&mut self) -> Option<io::Error> {
         self.thread.failure()
     }
 
-    /// Stops the feeds.
+    /// Stops the feed thread and waits for its end.
     ///
     /// # Errors
     ///
@@ -124,7 +124,7 @@
 impl Drop for Feeds {
     fn drop(&mut self) {
         self.commands.send(FeedCommand::Stop);
-        // After `stop` the thread has ended already.
+        // After `stop` the thread has already been joined, and this join fails without effect.
         let _ = self.thread.join();
     }
 }
--- a/crates/scale-test/src/feeds/cursor.rs
+++ b/crates/scale-test/src/feeds/cursor.rs
@@ -1,7 +1,7 @@
-//! The position of one placer in its control feed: the last sequence number, and the changes it has not seen.
+//! The position of one placer in its control feed: the last sequence number, and the changes not sent to it yet.
 //!
-//! Writes the lines of the feed, and never sends them. No history is kept: a placer that lost events gets the
-//! present state under the next sequence numbers.
+//! Formats the lines of the feed but does not send them. No history of events is kept: a placer that lost events gets
+//! the current state of all workers under the next sequence numbers.
 
 use super::worker_list::WorkerList;
 use crate::identity::WorkerId;
@@ -9,19 +9,20 @@
 use crate::traffic::FeedCounts;
 use crate::wire::feed::{self, EventKind};
 
-/// The largest number of entries in one event. Keeps its line far below the longest that placers read.
+/// The maximum number of entries in an event of changes. It keeps the event's line far below the maximum length that
+/// placers read.
 const MAX_ENTRIES: usize = 2_000;
 /// The sequence number of the first event after a placer's start.
 const FIRST_SEQUENCE_NUMBER: u64 = 1;
 
-/// Lines to be sent to one placer, with counts of their content.
+/// Lines to send to one placer, with counts of their content.
 #[derive(Default)]
 pub struct FeedBatch {
-    /// Complete lines.
+    /// The bytes of complete lines.
     pub bytes: Vec<u8>,
     /// The number of lines.
     pub messages: u64,
-    /// The content of the lines.
+    /// Counts of the events and entries in the lines.
     pub counts: FeedCounts,
 }
 
@@ -32,9 +33,9 @@
     last_sequence_number: u64,
     /// The ports at which the placer reaches the workers, by zone.
     ports: Vec<u16>,
-    /// The workers that have changed since the placer last saw them.
+    /// The workers that have changed since the last event with their entries, in the order of their first change.
     changed: Vec<WorkerId>,
-    /// The same as flags, by worker.
+    /// Whether each worker is in `changed`, by worker index. May be shorter than the list of workers.
     is_changed: Vec<bool>,
 }
 
@@ -44,8 +45,8 @@
         self.ports = ports;
     }
 
-    /// Starts the feed anew for a placer that starts. Returns its first event, with all workers that are up, as the
-    /// JSON that its configuration contains.
+    /// Restarts the feed for a placer that starts. Returns the JSON for the placer's configuration, which holds the
+    /// feed's first event with all workers that are up.
     pub fn start(&mut self, workers: &WorkerList) -> String {
         self.last_sequence_number = FIRST_SEQUENCE_NUMBER;
         self.clear_changes();
@@ -83,13 +84,13 @@
         }
     }
 
-    /// Returns whether a worker has changed since the placer last saw it.
+    /// Returns whether there are changes that have not been written yet.
     pub fn has_pending_changes(&self) -> bool {
         !self.changed.is_empty()
     }
 
-    /// Handles a subscription from a sequence number on. Events after it were lost in transit, so their numbers
-    /// are used again, and all workers count as changed.
+    /// Handles a subscription that names the last sequence number that the placer has received. If events were written
+    /// after that number, they were lost in transit, so their numbers are used again and all workers count as changed.
     pub fn subscribe(&mut self, from: u64, workers: &WorkerList) {
         if from != self.last_sequence_number {
             self.last_sequence_number = from;
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Writes all pending changes: one event for each, or as few events as possible.
+    /// Appends all pending changes to `batch`: one event for each change, or as few events as possible, as the rule
+    /// says.
     pub fn write_changes(&mut self, rule: FeedRule, workers: &WorkerList, batch: &mut FeedBatch) {
         let entries_per_event = match rule {
             FeedRule::EachChange => 1,
@@ -110,12 +112,12 @@
         self.clear_changes();
     }
 
-    /// Writes the entry of one worker, changed or not.
+    /// Appends an event with the entry of one worker, even if the entry has not changed.
     pub fn write_repeat(&mut self, worker: WorkerId, workers: &WorkerList, batch: &mut FeedBatch) {
         self.write_event(workers, &[worker], EventKind::Delta, batch);
     }
 
-    /// Writes the complete list of workers.
+    /// Appends an event with the complete list of workers, after which no changes are pending.
     pub fn write_complete_list(&mut self, workers: &WorkerList, batch: &mut FeedBatch) {
         self.clear_changes();
         let up: Vec<WorkerId> = workers
@@ -125,7 +127,7 @@
         self.write_event(workers, &up, EventKind::CompleteList, batch);
     }
 
-    /// Writes the sequence number of the last event.
+    /// Appends a line that holds only the sequence number of the last event.
     pub fn write_sequence_number(&self, batch: &mut FeedBatch) {
         feed::write_sequence_number(&mut batch.bytes, self.last_sequence_number);
         batch.bytes.push(b'\n');
--- a/crates/scale-test/src/feeds/cursor/tests.rs
+++ b/crates/scale-test/src/feeds/cursor/tests.rs
@@ -1,4 +1,4 @@
-//! The lines that a placer gets, and their sequence numbers.
+//! The feed lines that are written for a placer, and their sequence numbers.
 
 use super::*;
 use crate::feeds::FreeResources;
@@ -8,7 +8,7 @@
     WorkerList::new(5, vec!["z0".to_string(), "z1".to_string()], 4.0, 8.0)
 }
 
-/// A cursor whose placer has started.
+/// Returns a cursor whose placer has started.
 fn cursor(workers: &WorkerList) -> FeedCursor {
     let mut cursor = FeedCursor::default();
     cursor.set_ports(vec![20_000, 20_001]);
@@ -16,7 +16,7 @@
     cursor
 }
 
-/// An event as a placer reads it.
+/// A feed line as a placer reads it.
 struct ReadEvent {
     sequence_number: u64,
     is_complete: Option<bool>,
@@ -25,9 +25,9 @@
 }
 
 fn read(batch: &FeedBatch) -> Vec<ReadEvent> {
-    let text = std::str::from_utf8(&batch.bytes).expect("text");
+    let text = std::str::from_utf8(&batch.bytes).expect("UTF-8 text");
     let event = |line: &str| {
-        let value: serde_json::Value = serde_json::from_str(line).expect("JSON");
+        let value: serde_json::Value = serde_json::from_str(line).expect("valid JSON");
         let hosts = value["members"]["hosts"]
             .as_array()
             .cloned()
@@ -48,11 +48,12 @@
 #[test]
 fn first_event_lists_the_workers_that_are_up_at_the_port_of_their_zone() {
     let mut workers = workers();
-    workers.set_removed(WorkerId(3));
+    workers.mark_removed(WorkerId(3));
     let mut cursor = FeedCursor::default();
     cursor.set_ports(vec![20_000, 20_001]);
 
-    let known: serde_json::Value = serde_json::from_str(&cursor.start(&workers)).expect("JSON");
+    let known: serde_json::Value =
+        serde_json::from_str(&cursor.start(&workers)).expect("valid JSON");
 
     assert_eq!(known["n"], 1);
     let hosts = known["events"][0]["members"]["hosts"]
@@ -74,7 +75,8 @@
     );
 }
 
-/// Writes two changes under one rule, a sequence number, and two changes under the other rule.
+/// Returns a batch of two changes under the rule `each-change`, a sequence number, and two changes under the rule
+/// `gathered`.
 fn batch_of_both_rules() -> FeedBatch {
     let mut workers = workers();
     let mut cursor = cursor(&workers);
@@ -127,11 +129,14 @@
 
     cursor.subscribe(2, &workers);
 
-    assert!(!cursor.has_pending_changes(), "nothing was lost");
+    assert!(
+        !cursor.has_pending_changes(),
+        "no event was lost, so no change is pending"
+    );
 }
 
 #[test]
-fn subscription_after_a_loss_gets_the_present_state_of_all_workers() {
+fn subscription_after_a_loss_gets_the_current_state_of_all_workers() {
     let workers = workers();
     let mut cursor = cursor(&workers);
     cursor.mark_changed(WorkerId(1));
@@ -151,7 +156,7 @@
     let mut workers = workers();
     let mut cursor = cursor(&workers);
     for worker in workers.in_zone(ZoneId(1)) {
-        workers.set_removed(worker);
+        workers.mark_removed(worker);
         cursor.mark_changed(worker);
     }
 
--- a/crates/scale-test/src/feeds/thread.rs
+++ b/crates/scale-test/src/feeds/thread.rs
@@ -1,6 +1,6 @@
 //! The event loop of the control feeds.
 //!
-//! Owns the sockets and timers of all feeds. What is written is decided by [`FeedCursor`].
+//! Owns the sockets and timers of all feeds. [`FeedCursor`] determines the content that is sent.
 
 use super::cursor::{FeedBatch, FeedCursor};
 use super::worker_list::WorkerList;
@@ -23,36 +23,38 @@
 
 /// The token of the command mailbox.
 pub const MAILBOX: Token = Token(0);
-/// The first token of the listeners, which follow each other by placer.
+/// The token of the first placer's listener. The listeners of further placers have the tokens after it.
 const FIRST_LISTENER: usize = 1;
-/// The first token of the connections, by placer: above all listeners.
+/// The token of the first placer's connection, above the tokens of all listeners. The connections of further placers
+/// have the tokens after it.
 const FIRST_CONNECTION: usize = 1 << 16;
-/// Events taken from the poll at a time.
+/// The maximum number of I/O events handled per poll.
 const EVENTS_PER_POLL: usize = 256;
-/// The longest wait for events.
+/// The maximum time that one poll waits for events.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(100);
 /// The period of lines that hold only a sequence number, as the protocol specifies.
-const NUMBER_PERIOD: Duration = Duration::from_secs(1);
-/// With so many bytes queued for a placer that reads slowly, its changes are gathered until it has read them.
+const SEQUENCE_NUMBER_PERIOD: Duration = Duration::from_secs(1);
+/// The number of queued bytes from which a placer counts as reading slowly. Its changes are then collected, and sent
+/// when its queue has become shorter.
 const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
-/// The longest line that a placer sends.
+/// The maximum number of unread bytes from a placer, which sends only short subscription lines.
 const MAX_SUBSCRIPTION_BYTES: usize = 64;
-/// Separates the random numbers of extra events from all others of a run.
+/// Combined with the run's seed so that the random numbers of extra events are independent of all others in the run.
 const EVENTS_STREAM: u64 = 0x6576_656e_7473;
 
-/// What a timer writes.
+/// What the feed sends when a timer fires.
 enum FeedTimer {
-    /// The gathered changes.
+    /// The changes collected since the last event.
     Changes,
-    /// The sequence number alone.
+    /// A line that holds only the sequence number of the last event.
     SequenceNumber,
-    /// The complete list.
+    /// The complete list of workers.
     CompleteList,
-    /// An extra event.
+    /// An additional event, which repeats the unchanged entry of a random worker.
     ExtraEvent,
 }
 
-/// The feed of one placer.
+/// The state of the feed of one placer.
 struct PlacerFeed {
     listener: TcpListener,
     connection: Option<Connection>,
@@ -62,7 +64,7 @@
 }
 
 impl PlacerFeed {
-    /// Returns whether the placer is subscribed and reads fast enough.
+    /// Returns whether the placer is subscribed and its queue is below the limit for slow readers.
     fn accepts_more(&self) -> bool {
         self.is_subscribed
             && self
@@ -87,7 +89,7 @@
     }
 }
 
-/// The thread of all feeds.
+/// The state of the thread that serves all feeds.
 pub struct FeedThread {
     poll: Poll,
     commands: Receiver<FeedCommand>,
@@ -97,7 +99,7 @@
     rule: FeedRule,
     change_period: Duration,
     complete_list_period: Duration,
-    /// The period of extra events, if there are any.
+    /// The period of additional events, if the settings ask for any.
     extra_event_period: Option<Duration>,
     random: ChaCha8Rng,
     stopped: bool,
@@ -147,7 +149,7 @@
         })
     }
 
-    /// Runs until the stop command.
+    /// Serves the feeds until the stop command arrives.
     pub fn run(&mut self) -> io::Result<()> {
         self.set_timers(Instant::now());
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
@@ -192,7 +194,7 @@
                 FeedCommand::StartPlacer(placer, reply) => {
                     if let Some(feed) = self.feeds.get_mut(placer.index()) {
                         feed.close();
-                        // The caller waits only for a limited time, and may have given up.
+                        // Sending fails if the caller has already timed out, which needs no handling here.
                         let _ = reply.send(feed.cursor.start(&self.workers));
                     }
                 }
@@ -214,14 +216,14 @@
 
     fn remove_zone(&mut self, zone: ZoneId) {
         for worker in self.workers.in_zone(zone) {
-            self.workers.set_removed(worker);
+            self.workers.mark_removed(worker);
             self.mark_changed(worker);
         }
     }
 
     fn restore_zone(&mut self, zone: ZoneId, started_at_unix_ms: u64) {
         for worker in self.workers.in_zone(zone) {
-            self.workers.set_up(worker, started_at_unix_ms);
+            self.workers.mark_up(worker, started_at_unix_ms);
             self.mark_changed(worker);
         }
     }
@@ -233,7 +235,7 @@
             match feed.listener.accept() {
                 Ok((stream, _)) => {
                     let token = Token(FIRST_CONNECTION + index);
-                    // A placer that connects again has given its former connection up.
+                    // A placer has one feed connection, so a new connection replaces its previous one.
                     feed.close();
                     feed.connection = Some(Connection::new(
                         stream,
@@ -255,7 +257,8 @@
         Ok(())
     }
 
-    /// Reads and writes a connection that is ready; answers its subscription.
+    /// Reads from and writes to a connection that is ready, and replies to a subscription with the pending changes and
+    /// the sequence number.
     fn handle_readiness(&mut self, index: usize) {
         let Some(feed) = self.feeds.get_mut(index) else {
             return;
@@ -291,7 +294,7 @@
 
     fn set_timers(&mut self, now: Instant) {
         self.timers
-            .add(now + NUMBER_PERIOD, FeedTimer::SequenceNumber);
+            .add(now + SEQUENCE_NUMBER_PERIOD, FeedTimer::SequenceNumber);
         if self.rule == FeedRule::Gathered {
             self.timers
                 .add(now + self.change_period, FeedTimer::Changes);
@@ -305,7 +308,7 @@
         }
     }
 
-    /// Runs the timers that are due, and sets each to its next time.
+    /// Runs the timers that are due, and schedules each again one period later.
     fn run_due_timers(&mut self) {
         let now = Instant::now();
         while let Some((due, event)) = self.timers.pop_due(now) {
@@ -316,7 +319,7 @@
                 }
                 FeedTimer::SequenceNumber => {
                     self.write_to_all(|cursor, _, batch| cursor.write_sequence_number(batch));
-                    NUMBER_PERIOD
+                    SEQUENCE_NUMBER_PERIOD
                 }
                 FeedTimer::CompleteList => {
                     self.write_to_all(FeedCursor::write_complete_list);
@@ -324,7 +327,7 @@
                 }
                 FeedTimer::ExtraEvent => {
                     self.write_extra_event();
-                    self.extra_event_period.unwrap_or(NUMBER_PERIOD)
+                    self.extra_event_period.unwrap_or(SEQUENCE_NUMBER_PERIOD)
                 }
             };
             self.timers.add(due + period, event);
@@ -352,7 +355,7 @@
         }
     }
 
-    /// Writes the entry of a random worker again.
+    /// Sends the unchanged entry of a random worker to all placers.
     fn write_extra_event(&mut self) {
         let count = self.workers.ids().count();
         let index = self.random.random_range(0..count.max(1));
--- a/crates/scale-test/src/feeds/worker_list.rs
+++ b/crates/scale-test/src/feeds/worker_list.rs
@@ -1,6 +1,6 @@
 //! The list of all workers as the control feeds report it.
 //!
-//! Owns the reported state of each worker; knows nothing of placers. No I/O.
+//! Holds the reported state of each worker. It does not depend on the placers and performs no I/O.
 
 use super::FreeResources;
 use crate::identity::{WorkerId, ZoneId};
@@ -13,7 +13,7 @@
 }
 
 impl WorkerList {
-    /// Returns a list of workers that are up and have all their resources free.
+    /// Returns a list of workers that are all up, with these free resources.
     pub fn new(
         workers: u32,
         zone_names: Vec<String>,
@@ -58,14 +58,14 @@
     }
 
     /// Marks a worker as removed.
-    pub fn set_removed(&mut self, worker: WorkerId) {
+    pub fn mark_removed(&mut self, worker: WorkerId) {
         if let Some(listed) = self.workers.get_mut(worker.index()) {
             (listed.is_up, listed.started_at_unix_ms) = (false, 0);
         }
     }
 
-    /// Marks a worker as up, as a process that started at this time.
-    pub fn set_up(&mut self, worker: WorkerId, started_at_unix_ms: u64) {
+    /// Marks a worker as up, with the Unix time in milliseconds at which its process started.
+    pub fn mark_up(&mut self, worker: WorkerId, started_at_unix_ms: u64) {
         if let Some(listed) = self.workers.get_mut(worker.index()) {
             (listed.is_up, listed.started_at_unix_ms) = (true, started_at_unix_ms);
         }
@@ -78,7 +78,8 @@
             .is_some_and(|listed| listed.is_up)
     }
 
-    /// Returns the entry of a worker for a placer that reaches the zones at these ports.
+    /// Returns the feed entry of a worker for a placer that reaches the zones at these ports, by zone index. Returns
+    /// `None` if the worker or the port of its zone does not exist.
     pub fn entry(&self, worker: WorkerId, ports: &[u16]) -> Option<Entry<'_>> {
         let zone = worker.zone(self.zones()).0 as usize;
         Some(Entry {
--- a/crates/scale-test/src/identity.rs
+++ b/crates/scale-test/src/identity.rs
@@ -1,19 +1,19 @@
-//! The ids of workers, placers, zones and tasks, and their forms on the wire.
+//! The ids of workers, placers, zones, tasks and requests, and their formats on the wire.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::{IpAddr, Ipv4Addr};
 
-/// The address of worker 0, 127.16.0.0; the others follow it within 127.0.0.0/8.
+/// The address of worker 0, which is 127.16.0.0. The other workers have the addresses after it, within 127.0.0.0/8.
 const FIRST_ADDRESS: u32 = 0x7f10_0000;
-/// The largest number of workers of a run.
+/// The maximum number of workers in a run.
 pub const MAX_WORKERS: u32 = 16_384;
-/// The number of bits of a set-up id that contain the task's index; the higher bits contain the attempt.
+/// The number of low bits of a request id that hold the task's index plus 1. The higher bits hold the attempt.
 const INDEX_BITS: u32 = 40;
-/// The key of task 0. Far above all ids, so that keys and ids differ.
+/// The idempotency key of task 0. It is far above all request ids, so that no key equals an id.
 const FIRST_KEY: u64 = 0xa000_0000_0000_0000;
 
-/// A hollow worker, by its index in the list.
+/// A simulated worker, identified by its index in the list of workers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WorkerId(pub u32);
 
@@ -23,7 +23,7 @@
         Ipv4Addr::from_bits(FIRST_ADDRESS + self.0)
     }
 
-    /// Returns the worker with an address, if it is one of so many workers.
+    /// Returns the worker with an address, if it is one of the first `workers` workers.
     pub fn from_address(address: IpAddr, workers: u32) -> Option<WorkerId> {
         let IpAddr::V4(address) = address else {
             return None;
@@ -32,7 +32,7 @@
         (index < workers).then_some(WorkerId(index))
     }
 
-    /// Returns the worker with a name.
+    /// Parses a worker's name, such as `w00012`.
     pub fn from_name(name: &str) -> Option<WorkerId> {
         name.strip_prefix('w')
             .and_then(|digits| digits.parse().ok())
@@ -44,7 +44,7 @@
         self.0 as usize
     }
 
-    /// Returns the zone. Workers are assigned to zones in turn.
+    /// Returns the worker's zone among `zones` zones. Workers are assigned to zones in turn.
     pub fn zone(self, zones: u32) -> ZoneId {
         ZoneId(self.0 % zones.max(1))
     }
@@ -56,11 +56,11 @@
     }
 }
 
-/// A zone, by its index in the settings.
+/// A zone, identified by its index in the settings.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u32);
 
-/// A real placer, by its index among those of the run.
+/// A placer process, identified by its index among the placers of the run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct PlacerId(pub u16);
 
@@ -77,7 +77,7 @@
     }
 }
 
-/// A task, by its index in the run. All its attempts have the same idempotency key.
+/// A task, identified by its index in the run. All its attempts have the same idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TaskIndex(pub u32);
 
@@ -92,7 +92,7 @@
         FIRST_KEY + u64::from(self.0)
     }
 
-    /// Returns the task with a key.
+    /// Returns the task with an idempotency key.
     pub fn from_key(key: u64) -> Option<TaskIndex> {
         key.checked_sub(FIRST_KEY)
             .and_then(|index| u32::try_from(index).ok())
@@ -100,24 +100,24 @@
     }
 }
 
-/// One set-up of a task. Each attempt of the client has an id of its own.
+/// The id of a client's request to place a task. Each attempt for a task has its own id.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
 impl RequestId {
-    /// Returns the id of an attempt of a task, which is never 0.
+    /// Returns the id for an attempt of a task. It is never 0.
     pub fn new(task: TaskIndex, attempt: u8) -> RequestId {
         RequestId((u64::from(attempt) << INDEX_BITS) | (u64::from(task.0) + 1))
     }
 
-    /// Returns the task and the attempt.
+    /// Returns the task and the attempt of the id, or `None` if [`RequestId::new`] never returns this id.
     pub fn parts(self) -> Option<(TaskIndex, u8)> {
         let index_bits = self.0 & ((1 << INDEX_BITS) - 1);
         let index = u32::try_from(index_bits.checked_sub(1)?).ok()?;
         Some((TaskIndex(index), u8::try_from(self.0 >> INDEX_BITS).ok()?))
     }
 
-    /// Reads an id from 16 hex digits.
+    /// Parses an id from 16 hexadecimal digits.
     pub fn parse(text: &str) -> Option<RequestId> {
         (text.len() == 16)
             .then(|| u64::from_str_radix(text, 16).ok())
--- a/crates/scale-test/src/identity/tests.rs
+++ b/crates/scale-test/src/identity/tests.rs
@@ -1,4 +1,4 @@
-//! Numbers and their forms.
+//! Conversion of ids to addresses, names and keys, and back.
 
 use super::*;
 
@@ -14,21 +14,21 @@
         assert_eq!(worker.address().octets()[0], 127);
     }
     assert_eq!(
-        WorkerId::from_address("127.0.0.1".parse().expect("an address"), 10),
+        WorkerId::from_address("127.0.0.1".parse().expect("a valid address"), 10),
         None
     );
     assert_eq!(
-        WorkerId::from_address("127.16.0.10".parse().expect("an address"), 10),
+        WorkerId::from_address("127.16.0.10".parse().expect("a valid address"), 10),
         None
     );
     assert_eq!(
-        WorkerId::from_address("::1".parse().expect("an address"), 10),
+        WorkerId::from_address("::1".parse().expect("a valid address"), 10),
         None
     );
 }
 
 #[test]
-fn keys_and_ids_lead_back_to_their_task() {
+fn task_is_found_by_its_key_and_its_request_id() {
     let task = TaskIndex(467_999);
     assert_eq!(TaskIndex::from_key(task.key()), Some(task));
     assert_eq!(TaskIndex::from_key(7), None);
--- a/crates/scale-test/src/listener.rs
+++ b/crates/scale-test/src/listener.rs
@@ -1,31 +1,32 @@
-//! Listening sockets of hollow peers.
+//! Listening sockets of simulated peers.
 
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{self, ErrorKind};
 use std::net::{IpAddr, Ipv4Addr, Shutdown, SocketAddr};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-/// The first port to try. The range is below the ephemeral ports, so that no outgoing connection uses one.
+/// The first port of the range to try. The range is below the ephemeral ports, so no outgoing connection uses a port
+/// in it.
 const FIRST_PORT: u32 = 20_000;
-/// The number of ports to try.
+/// The number of ports in the range to try.
 const PORT_COUNT: u32 = 12_000;
-/// The number of connections that may wait to be accepted. Thousands arrive at once.
+/// The length of the accept queue. Thousands of connections arrive at the same time.
 const BACKLOG: i32 = 4_096;
-/// The loopback interface.
+/// The name of the loopback interface.
 const LOOPBACK_INTERFACE: &[u8] = b"lo";
 
-/// The number of the next port to try, in this process.
+/// The number of ports that this process has tried so far.
 static NEXT_PORT: AtomicU32 = AtomicU32::new(0);
 
-/// Returns the next port to try. Processes begin at different ports.
+/// Returns the next port to try. Processes start at different ports of the range, to avoid conflicts.
 fn next_port() -> u16 {
     let process = std::process::id().wrapping_mul(97);
     let number = process.wrapping_add(NEXT_PORT.fetch_add(1, Ordering::Relaxed));
     u16::try_from(FIRST_PORT + number % PORT_COUNT).unwrap_or(u16::MAX)
 }
 
-/// Tries ports until one is free, and returns it with what was bound.
-fn on_free_port<T>(mut bind: impl FnMut(u16) -> io::Result<T>) -> io::Result<(T, u16)> {
+/// Calls `bind` with ports until one is free. Returns the result of `bind` and the port.
+fn bind_free_port<T>(mut bind: impl FnMut(u16) -> io::Result<T>) -> io::Result<(T, u16)> {
     for _ in 0..PORT_COUNT {
         let port = next_port();
         match bind(port) {
@@ -44,28 +45,29 @@
     Ok(socket)
 }
 
-/// Binds a socket to a port that no other socket uses. Address reuse is allowed only after that, so that a socket
-/// whose connections were reset can listen again.
+/// Binds a socket to a port that no other socket uses. Address reuse is enabled only after the binding, so that the
+/// binding fails on a port in use, but a socket whose connections were reset can listen again.
 fn bind(socket: &Socket, address: SocketAddr) -> io::Result<()> {
     socket.bind(&address.into())?;
     socket.set_reuse_address(true)
 }
 
-/// A socket that listens at all loopback addresses, on a port of its own. It can refuse connections and keep its
-/// port, as the address of a crashed machine does.
+/// A socket that listens at all loopback addresses, on its own port. It can refuse connections while it keeps the port,
+/// to simulate a crashed machine.
 pub struct LoopbackListener {
     socket: Socket,
     port: u16,
 }
 
 impl LoopbackListener {
-    /// Opens a listener. It is bound to the loopback interface first, so nothing from outside can reach it.
+    /// Opens a listener. The socket is bound to the loopback interface before its address, so other machines can never
+    /// reach it.
     ///
     /// # Errors
     ///
     /// Returns an error if no port is free or the system refuses the socket.
     pub fn open() -> io::Result<LoopbackListener> {
-        let (socket, port) = on_free_port(|port| {
+        let (socket, port) = bind_free_port(|port| {
             let socket = socket()?;
             socket.bind_device(Some(LOOPBACK_INTERFACE))?;
             bind(&socket, SocketAddr::from((Ipv4Addr::UNSPECIFIED, port)))?;
@@ -75,12 +77,12 @@
         Ok(LoopbackListener { socket, port })
     }
 
-    /// Returns the port.
+    /// Returns the port at which the socket listens.
     pub fn port(&self) -> u16 {
         self.port
     }
 
-    /// Returns a handle of the socket for an event loop.
+    /// Returns a duplicate of the socket for an event loop.
     ///
     /// # Errors
     ///
@@ -100,7 +102,7 @@
         self.socket.shutdown(Shutdown::Read)
     }
 
-    /// Accepts connections again.
+    /// Accepts connections again after [`LoopbackListener::refuse`].
     ///
     /// # Errors
     ///
@@ -115,13 +117,13 @@
     matches!(address, IpAddr::V4(address) if address.is_loopback())
 }
 
-/// Opens a listener at one loopback address.
+/// Opens a listener at 127.0.0.1, and returns it with its address.
 ///
 /// # Errors
 ///
 /// Returns an error if no port is free or the system refuses the socket.
 pub fn listen_local() -> io::Result<(mio::net::TcpListener, SocketAddr)> {
-    let (socket, port) = on_free_port(|port| {
+    let (socket, port) = bind_free_port(|port| {
         let socket = socket()?;
         bind(&socket, SocketAddr::from((Ipv4Addr::LOCALHOST, port)))?;
         socket.listen(BACKLOG)?;
@@ -131,14 +133,14 @@
     Ok((mio::net::TcpListener::from_std(socket.into()), address))
 }
 
-/// Returns a loopback address at which a program can listen.
+/// Returns an address with a free port on 127.0.0.1, at which a program can listen.
 ///
 /// # Errors
 ///
 /// Returns an error if no port is free or the system refuses the socket.
 pub fn free_address() -> io::Result<SocketAddr> {
     let (_, port) =
-        on_free_port(|port| bind(&socket()?, SocketAddr::from((Ipv4Addr::LOCALHOST, port))))?;
+        bind_free_port(|port| bind(&socket()?, SocketAddr::from((Ipv4Addr::LOCALHOST, port))))?;
     Ok(SocketAddr::from((Ipv4Addr::LOCALHOST, port)))
 }
 
--- a/crates/scale-test/src/mailbox.rs
+++ b/crates/scale-test/src/mailbox.rs
@@ -1,4 +1,4 @@
-//! A queue of commands to a thread that waits in an event loop, which is woken when a command arrives.
+//! A queue of commands to a thread that runs an event loop. Sending a command wakes the thread.
 
 use mio::{Registry, Token, Waker};
 use std::io;
@@ -19,14 +19,14 @@
 }
 
 impl<T> Sender<T> {
-    /// Queues a command, and wakes the thread.
+    /// Queues a command, and wakes the receiving thread.
     pub fn send(&self, command: T) {
         let mut queue = self.0.queue.lock().unwrap_or_else(PoisonError::into_inner);
         let was_empty = queue.is_empty();
         queue.push(command);
         drop(queue);
         if was_empty {
-            // Fails only if the thread has ended, which its owner learns from the thread itself.
+            // Waking fails only if the thread has ended. Its owner learns that by joining it.
             let _ = self.0.waker.wake();
         }
     }
@@ -42,7 +42,7 @@
     }
 }
 
-/// Returns a mailbox that wakes the poll of this registry with an event of this token.
+/// Creates a mailbox. A command that arrives wakes the poll of `registry` with an event that has this token.
 ///
 /// # Errors
 ///
--- a/crates/scale-test/src/peer_thread.rs
+++ b/crates/scale-test/src/peer_thread.rs
@@ -1,15 +1,15 @@
-//! A thread that plays hollow peers until it is commanded to stop, or fails.
+//! A thread that simulates peers until it receives a stop command or fails.
 
 use mio::{Events, Poll};
 use std::io::{self, ErrorKind};
 use std::thread::{Builder, JoinHandle};
 use std::time::Duration;
 
-/// A thread that returns a value when it stops.
+/// The handle of a thread that returns a value when it stops. Holds `None` once the thread has been joined.
 pub struct PeerThread<T>(Option<JoinHandle<io::Result<T>>>);
 
 impl<T: Send + 'static> PeerThread<T> {
-    /// Starts a thread.
+    /// Starts a thread with this name.
     pub fn spawn(
         name: &str,
         run: impl FnOnce() -> io::Result<T> + Send + 'static,
@@ -18,13 +18,14 @@
         Ok(PeerThread(Some(handle)))
     }
 
-    /// Returns the error on which the thread has ended, if it has.
+    /// Returns the error with which the thread ended, or `None` if it still runs or was joined. A thread that ended
+    /// without an error counts as failed too, because nobody stopped it.
     pub fn failure(&mut self) -> Option<io::Error> {
         let is_finished = self.0.as_ref().is_some_and(JoinHandle::is_finished);
         is_finished.then(|| {
             self.join()
                 .err()
-                .unwrap_or_else(|| io::Error::other("it ended too early"))
+                .unwrap_or_else(|| io::Error::other("thread ended before it was stopped"))
         })
     }
 
@@ -33,14 +34,14 @@
         let handle = self
             .0
             .take()
-            .ok_or_else(|| io::Error::other("it has ended before"))?;
+            .ok_or_else(|| io::Error::other("thread has already been joined"))?;
         handle
             .join()
-            .unwrap_or_else(|_| Err(io::Error::other("it panicked")))
+            .unwrap_or_else(|_| Err(io::Error::other("thread panicked")))
     }
 }
 
-/// Waits for events, at most so long. A signal ends the wait early, with no events.
+/// Waits for events for at most `wait`. If a signal interrupts the wait, it returns early without events.
 pub fn wait_for_events(poll: &mut Poll, events: &mut Events, wait: Duration) -> io::Result<()> {
     match poll.poll(events, Some(wait)) {
         Err(error) if error.kind() != ErrorKind::Interrupted => Err(error),
--- a/crates/scale-test/src/settings/flags.rs
+++ b/crates/scale-test/src/settings/flags.rs
@@ -207,6 +207,10 @@
     }
     let parsed: Result<Document, toml::de::Error> = toml::from_str(&format!("fault = {table}"));
     parsed.map(|document| document.fault).map_err(|error| {
-        SettingsError::new("fault", "an inline table with the keys of a [[fault]] table", error.message())
+        SettingsError::new(
+            "fault",
+            "an inline table with the keys of a [[fault]] table",
+            error.message(),
+        )
     })
 }
--- a/crates/scale-test/src/socket.rs
+++ b/crates/scale-test/src/socket.rs
@@ -1,4 +1,4 @@
-//! One non-blocking TCP connection to a placer, with its buffers and its traffic counts.
+//! A non-blocking TCP connection to a placer, with its buffers and traffic counts.
 
 use crate::traffic::{Direction, PlacerCounters, TrafficKind, Volume};
 use mio::net::TcpStream;
@@ -8,12 +8,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// The largest number of bytes read at a time.
+/// The maximum number of bytes per read.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
-/// An empty buffer above this capacity is freed, because thousands of connections are idle at a time.
+/// The capacity above which an empty buffer is freed. Thousands of connections are idle at a time, and their buffers
+/// would otherwise keep memory.
 const MAX_IDLE_CAPACITY_BYTES: usize = 1_024;
-/// The largest number of bytes that may wait for a placer that reads slowly. The announcement of running tasks
-/// needs most.
+/// The maximum number of bytes queued for a placer that reads slowly. The queue is longest when the running tasks are
+/// reported to a restarted placer.
 const MAX_QUEUED_BYTES: usize = 64 * 1024 * 1024;
 
 /// Whether a connection is open.
@@ -21,11 +22,11 @@
 pub enum Liveness {
     /// The connection is open.
     Open,
-    /// The placer or the system has closed it, or too many bytes are queued.
+    /// The placer or the system has closed the connection, or too many bytes are queued.
     Ended,
 }
 
-/// The traffic of a connection whose kind is not known yet.
+/// The traffic of a connection whose kind is not known yet, which is not yet in the counters.
 #[derive(Default)]
 struct Uncounted {
     to_placer: Volume,
@@ -37,7 +38,7 @@
     stream: TcpStream,
     inbox: Vec<u8>,
     outbox: Vec<u8>,
-    /// The number of bytes of the outbox that have been written.
+    /// The number of bytes at the start of the outbox that have been written to the stream.
     written: usize,
     counters: Arc<PlacerCounters>,
     kind: Option<TrafficKind>,
@@ -46,7 +47,8 @@
 }
 
 impl Connection {
-    /// Takes over a stream. Without a kind the connection counts as one to an idle worker until a kind is assigned.
+    /// Creates a connection from a stream. Without a kind, its traffic is counted only once a kind is assigned; a
+    /// connection that is dropped without a kind counts as one to an idle worker.
     ///
     /// # Errors
     ///
@@ -70,32 +72,32 @@
             ended: false,
         };
         if let Some(kind) = kind {
-            connection.start_using_as(kind);
+            connection.apply_kind(kind);
         }
         Ok(connection)
     }
 
-    /// Counts the connection, and prepares it for its kind.
-    fn start_using_as(&self, kind: TrafficKind) {
+    /// Counts the connection, and sets its socket options for its kind.
+    fn apply_kind(&self, kind: TrafficKind) {
         self.counters.add_connection(kind);
-        // Without this option small messages wait for the peer's acknowledgements. A failure does no harm.
+        // Without this option, small messages wait for the peer's TCP acknowledgements. A failure only delays messages.
         if kind != TrafficKind::IdleWorker {
             let _ = self.stream.set_nodelay(true);
         }
     }
 
-    /// Returns the kind, if it is known.
+    /// Returns the kind of the connection, if it is known.
     pub fn kind(&self) -> Option<TrafficKind> {
         self.kind
     }
 
-    /// Assigns a kind, if the connection has none.
+    /// Assigns a kind and counts the traffic so far under it. Does nothing if the connection already has a kind.
     pub fn assign_kind(&mut self, kind: TrafficKind) {
         if self.kind.is_some() {
             return;
         }
         self.kind = Some(kind);
-        self.start_using_as(kind);
+        self.apply_kind(kind);
         let Uncounted {
             to_placer,
             from_placer,
@@ -118,12 +120,12 @@
         self.count(direction, Volume { bytes, messages: 0 });
     }
 
-    /// Counts messages that were read.
+    /// Counts complete messages that were read from the placer.
     pub fn count_read(&mut self, messages: u64) {
         self.count(Direction::FromPlacer, Volume { bytes: 0, messages });
     }
 
-    /// Reads all available bytes.
+    /// Reads all available bytes into the inbox.
     pub fn fill(&mut self) -> Liveness {
         let mut chunk = [0; READ_CHUNK_BYTES];
         while !self.ended {
@@ -142,12 +144,12 @@
         self.liveness()
     }
 
-    /// Returns the bytes that were read and not consumed.
+    /// Returns the bytes that were read and not consumed yet.
     pub fn inbox(&self) -> &[u8] {
         &self.inbox
     }
 
-    /// Removes so many bytes from the inbox.
+    /// Removes this number of bytes from the start of the inbox.
     pub fn consume(&mut self, bytes: usize) {
         self.inbox.drain(..bytes.min(self.inbox.len()));
         if self.inbox.is_empty() && self.inbox.capacity() > MAX_IDLE_CAPACITY_BYTES {
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Queues complete messages, and writes what the system accepts.
+    /// Queues the bytes of complete messages, and writes as much as the system accepts.
     pub fn send(&mut self, bytes: &[u8], messages: u64) -> Liveness {
         if self.ended || bytes.is_empty() {
             return self.liveness();
@@ -168,7 +170,7 @@
         self.flush()
     }
 
-    /// Writes what the system accepts of the queued bytes.
+    /// Writes as many of the queued bytes as the system accepts.
     pub fn flush(&mut self) -> Liveness {
         while !self.ended && self.written < self.outbox.len() {
             match self
@@ -197,9 +199,9 @@
         self.outbox.len().saturating_sub(self.written)
     }
 
-    /// Makes dropping the connection reset it, as a crashed machine does.
+    /// Makes a later drop reset the connection instead of closing it regularly, like the crash of a machine.
     pub fn reset(&self) {
-        // If this fails the connection is closed in the usual way.
+        // If this fails, dropping the connection closes it regularly.
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
 
@@ -218,8 +220,8 @@
     }
 }
 
-/// Returns whether an operation must wait for the next event. A connection that is not established yet cannot be
-/// written to.
+/// Returns whether an operation must wait for the next readiness event. A write fails with `NotConnected` while the
+/// connection is not established yet.
 fn would_block(error: &io::Error) -> bool {
     matches!(
         error.kind(),
--- a/crates/scale-test/src/timers.rs
+++ b/crates/scale-test/src/timers.rs
@@ -1,4 +1,4 @@
-//! A queue of timers, ordered by their times. Pure: time is an argument.
+//! A queue of timers, ordered by due time. It reads no clock: the caller passes the current time.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -6,7 +6,7 @@
 
 struct Timer<T> {
     due: Instant,
-    /// Orders timers of the same instant: the one that was added first fires first.
+    /// The order of addition. Among timers that are due at the same instant, the one that was added first fires first.
     sequence: u64,
     event: T,
 }
@@ -26,13 +26,13 @@
 }
 
 impl<T> Ord for Timer<T> {
-    /// Reversed, because the heap returns its greatest element first.
+    /// Compares in reverse order, because the heap returns its greatest element first.
     fn cmp(&self, other: &Self) -> Ordering {
         (other.due, other.sequence).cmp(&(self.due, self.sequence))
     }
 }
 
-/// Timers in the order of their times. Timers cannot be cancelled: the caller checks whether a timer that fires is
+/// A queue of timers, ordered by due time. Timers cannot be cancelled: the caller checks whether a timer that fires is
 /// still relevant.
 pub struct TimerQueue<T> {
     heap: BinaryHeap<Timer<T>>,
@@ -49,7 +49,7 @@
 }
 
 impl<T> TimerQueue<T> {
-    /// Adds a timer.
+    /// Adds a timer that fires at `due` with this event.
     pub fn add(&mut self, due: Instant, event: T) {
         self.heap.push(Timer {
             due,
@@ -59,7 +59,7 @@
         self.next_sequence += 1;
     }
 
-    /// Removes the next timer if it is due. Returns when it was due, and its event.
+    /// Removes the next timer if it is due, and returns its due time and its event.
     pub fn pop_due(&mut self, now: Instant) -> Option<(Instant, T)> {
         if self.heap.peek()?.due > now {
             return None;
@@ -67,7 +67,7 @@
         self.heap.pop().map(|timer| (timer.due, timer.event))
     }
 
-    /// Returns the time until the next timer, limited to a maximum.
+    /// Returns the time until the next timer is due, but at most `max_wait`.
     pub fn wait(&self, now: Instant, max_wait: Duration) -> Duration {
         self.heap.peek().map_or(max_wait, |timer| {
             timer.due.saturating_duration_since(now).min(max_wait)
--- a/crates/scale-test/src/timers/tests.rs
+++ b/crates/scale-test/src/timers/tests.rs
@@ -1,9 +1,9 @@
-//! The order in which timers go off.
+//! The order in which timers fire.
 
 use super::*;
 
 #[test]
-fn timers_fire_in_the_order_of_their_times_and_never_early() {
+fn timers_fire_in_the_order_of_their_due_times_and_never_early() {
     let start = Instant::now();
     let at = |millis| start + Duration::from_millis(millis);
     let mut timers = TimerQueue::default();
--- a/crates/scale-test/src/timing.rs
+++ b/crates/scale-test/src/timing.rs
@@ -4,12 +4,12 @@
 use std::io;
 use std::time::Duration;
 
-/// The longest time of the histogram, in microseconds: above all waits.
+/// The maximum time that the histogram records, in microseconds. It is longer than any wait in a run.
 const MAX_MICROS: u64 = 600_000_000;
-/// The precision of the histogram.
+/// The precision of the histogram, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 3;
 
-/// A histogram of times, in microseconds.
+/// A histogram of latencies in microseconds.
 #[derive(Debug, Clone)]
 pub struct LatencyHistogram(Histogram<u64>);
 
@@ -25,7 +25,7 @@
             .map_err(io::Error::other)
     }
 
-    /// Adds a time. A longer one counts as the longest time of the histogram.
+    /// Adds a time. A time above the histogram's maximum is recorded as the maximum.
     pub fn add(&mut self, time: Duration) {
         self.0
             .saturating_record(u64::try_from(time.as_micros()).unwrap_or(u64::MAX));
@@ -33,11 +33,11 @@
 
     /// Adds all times of another histogram.
     pub fn merge(&mut self, other: &LatencyHistogram) {
-        // Does not fail: both have the same bounds.
+        // Merging cannot fail, because both histograms have the same bounds.
         let _ = self.0.add(&other.0);
     }
 
-    /// Returns the counts.
+    /// Returns the underlying histogram, with times in microseconds.
     pub fn histogram(&self) -> &Histogram<u64> {
         &self.0
     }
--- a/crates/scale-test/src/traffic.rs
+++ b/crates/scale-test/src/traffic.rs
@@ -1,8 +1,8 @@
-//! The traffic to and from each placer, counted at the hollow peers.
+//! Counters for the traffic to and from each placer, counted at the simulated peers.
 //!
-//! Bytes are TCP payload. Each connection belongs to one [`TrafficKind`]; a connection to a worker counts as control
-//! traffic until it carries its first task. All bytes of the sockets are counted a second time, independently of the
-//! kinds, so that tests can compare the sums.
+//! Bytes are TCP payload. Each connection belongs to one [`TrafficKind`]; a connection to a worker that never carries
+//! a task counts as control traffic. All bytes of the sockets are counted a second time, independently of the kinds, so
+//! that tests can compare the sums.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{AddAssign, Sub};
@@ -31,52 +31,52 @@
 /// The direction of bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Direction {
-    /// From a hollow peer to the placer.
+    /// From a simulated peer to the placer.
     ToPlacer,
-    /// From the placer to a hollow peer.
+    /// From the placer to a simulated peer.
     FromPlacer,
 }
 
-/// Bytes and messages in one direction.
+/// The amount of traffic in one direction.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Volume {
-    /// Bytes of payload.
+    /// The number of bytes of TCP payload.
     pub bytes: u64,
-    /// Complete messages.
+    /// The number of complete messages.
     pub messages: u64,
 }
 
-/// The volume in both directions, and the connections that were opened.
+/// The volume in both directions, and the number of connections that were opened.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Flow {
-    /// From hollow peers to the placer.
+    /// The volume from simulated peers to the placer.
     pub to_placer: Volume,
-    /// From the placer to hollow peers.
+    /// The volume from the placer to simulated peers.
     pub from_placer: Volume,
-    /// Connections opened.
+    /// The number of connections that were opened.
     pub connections: u64,
 }
 
-/// Traffic that controls a placer.
+/// Traffic that carries no tasks, by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlTraffic {
-    /// The control feed.
+    /// Traffic of the control feed.
     pub feed: Flow,
-    /// Health checks and their results.
+    /// Traffic of health checks and their results.
     #[serde(rename = "test")]
     pub health_check: Flow,
-    /// Connections to workers that have carried no task.
+    /// Traffic on connections to workers that have carried no task.
     pub idle_worker: Flow,
-    /// The configuration.
+    /// The configuration that a placer reads at its start.
     pub configuration: Flow,
 }
 
-/// Traffic that carries tasks.
+/// Traffic that carries tasks, by kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceTraffic {
-    /// Connections to workers that have carried tasks.
+    /// Traffic on connections to workers that have carried tasks.
     pub worker: Flow,
-    /// Connections of clients.
+    /// Traffic on connections of clients.
     pub client: Flow,
 }
 
@@ -87,25 +87,25 @@
     pub control: ControlTraffic,
     /// Traffic that carries tasks.
     pub service: ServiceTraffic,
-    /// Bytes of all sockets to the placer, counted independently of the kinds.
+    /// The bytes to the placer on all sockets, counted independently of the kinds.
     pub raw_to_placer: u64,
-    /// Bytes of all sockets from the placer, counted independently of the kinds.
+    /// The bytes from the placer on all sockets, counted independently of the kinds.
     pub raw_from_placer: u64,
 }
 
-/// The content of a control feed.
+/// Counts of what a control feed has sent to a placer.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FeedCounts {
-    /// Events with changes.
+    /// The number of events that list changes.
     pub change_events: u64,
-    /// Events with the complete list.
+    /// The number of events with the complete list of workers.
     #[serde(rename = "whole_events")]
     pub complete_list_events: u64,
-    /// Lines with only a sequence number.
+    /// The number of lines that hold only a sequence number.
     pub number_lines: u64,
-    /// Entries of workers that are up.
+    /// The number of entries, in all events, of workers that are up.
     pub entries_up: u64,
-    /// Entries of workers that were removed.
+    /// The number of entries, in all events, of workers that were removed.
     pub entries_removed: u64,
 }
 
@@ -291,10 +291,17 @@
 
 impl PlacerCounters {
     fn kind(&self, kind: TrafficKind) -> &FlowCounter {
-        let [feed, test, idle_worker, configuration, worker, client] = &self.kinds;
+        let [
+            feed,
+            health_check,
+            idle_worker,
+            configuration,
+            worker,
+            client,
+        ] = &self.kinds;
         match kind {
             TrafficKind::Feed => feed,
-            TrafficKind::HealthCheck => test,
+            TrafficKind::HealthCheck => health_check,
             TrafficKind::IdleWorker => idle_worker,
             TrafficKind::Configuration => configuration,
             TrafficKind::Worker => worker,
@@ -302,7 +309,7 @@
         }
     }
 
-    /// Counts bytes and messages of a kind.
+    /// Adds bytes and messages to the counts of a kind.
     pub fn add(&self, kind: TrafficKind, direction: Direction, volume: Volume) {
         let flow = self.kind(kind);
         match direction {
@@ -316,7 +323,7 @@
         self.kind(kind).connections.fetch_add(1, Relaxed);
     }
 
-    /// Counts bytes of a socket, independently of its kind.
+    /// Adds bytes to the count of all sockets, which is independent of the kinds.
     pub fn add_raw(&self, direction: Direction, bytes: u64) {
         match direction {
             Direction::ToPlacer => self.raw_to_placer.fetch_add(bytes, Relaxed),
@@ -324,7 +331,7 @@
         };
     }
 
-    /// Counts content of the feed.
+    /// Adds to the counts of what the feed has sent.
     pub fn add_feed(&self, counts: FeedCounts) {
         self.change_events.fetch_add(counts.change_events, Relaxed);
         self.complete_list_events
@@ -335,7 +342,7 @@
             .fetch_add(counts.entries_removed, Relaxed);
     }
 
-    /// Returns the traffic so far.
+    /// Returns the traffic counted so far.
     pub fn traffic(&self) -> Traffic {
         let read = |kind| self.kind(kind).read();
         Traffic {
@@ -354,7 +361,7 @@
         }
     }
 
-    /// Returns the content of the feed so far.
+    /// Returns the counts of what the feed has sent so far.
     pub fn feed(&self) -> FeedCounts {
         FeedCounts {
             change_events: self.change_events.load(Relaxed),
--- a/crates/scale-test/src/traffic/tests.rs
+++ b/crates/scale-test/src/traffic/tests.rs
@@ -1,4 +1,4 @@
-//! Sums and differences of what was counted.
+//! Sums and differences of traffic counts.
 
 use super::*;
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn difference_is_what_was_counted_in_between() {
+fn difference_is_the_traffic_counted_in_between() {
     let counters = PlacerCounters::default();
     counters.add(
         TrafficKind::Feed,
