--- a/benches/standing.rs
+++ b/benches/standing.rs
@@ -1,5 +1,5 @@
-//! The cost of running tasks: memory, and processor time of a client's short connection and of a task that is
-//! placed, with 10, 1,000 and 10,000 tasks running, in one run.
+//! Measures the cost of running tasks: the memory of the placer, and the processor time for a client's short connection
+//! and for placing a task, while 10, 1,000 and 10,000 tasks are running, all in one run of the program.
 //!
 //! `cargo bench --bench standing`
 
@@ -8,7 +8,9 @@
 use emulator::{Launch, TaskRequest, placer_config};
 use std::time::Duration;
 
+/// The number of short connections over which the processor time is averaged.
 const CONNECTIONS: u32 = 3_000;
+/// The number of placed tasks over which the processor time is averaged.
 const TASKS: u32 = 3_000;
 
 fn main() {
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,4 +1,4 @@
-//! The command line: its words, and which function runs for them.
+//! Defines the command line and runs its commands.
 
 mod call;
 mod check;
@@ -7,7 +7,7 @@
 
 use crate::ctl;
 use crate::operator::{self, Loaded, LogFormat, LogLevel};
-use crate::terminal::complain;
+use crate::terminal::print_error;
 use clap::builder::PossibleValuesParser;
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use std::net::SocketAddr;
@@ -15,9 +15,10 @@
 use std::process::ExitCode;
 use task_placer::operation::admin::AdminCommand;
 
-/// A task placer: places each task of its clients on one host at a time, and sends exactly one final response.
+/// A task placer: places each task of its clients on one host at a time, and sends exactly one final response per
+/// request.
 ///
-/// Without a command it serves on the configuration that LB_CONFIG names.
+/// Without a command it serves with the configuration that --config or LB_CONFIG names.
 #[derive(Debug, Parser)]
 #[command(name = "task-placer", version, max_term_width = 100)]
 struct Cli {
@@ -31,32 +32,32 @@
 
 #[derive(Debug, Args)]
 struct Files {
-    /// The deployment's configuration, JSON
+    /// The deployment's configuration file, in JSON
     #[arg(long, value_name = "FILE", env = "LB_CONFIG", global = true)]
     config: Option<PathBuf>,
-    /// The operator's file, TOML; without one nothing that it could switch on is on
+    /// The operator's file, in TOML; without one every feature that it can enable is disabled
     #[arg(long, value_name = "FILE", env = "TASK_PLACER_OPERATOR", global = true)]
     operator: Option<PathBuf>,
 }
 
-/// The former name of `TASK_PLACER_OPERATOR`, still read for installations that set it.
+/// The former name of `TASK_PLACER_OPERATOR`. It is still read, because existing installations set it.
 const FORMER_OPERATOR_VARIABLE: &str = "ANISEHEAD_OPERATOR";
 
 impl Files {
-    /// Takes the operator's file from the variable's former name if nothing else names it, with a warning.
+    /// Takes the path of the operator's file from the former variable, with a warning, if it is not given otherwise.
     fn apply_former_variable(&mut self) {
         if self.operator.is_some() {
             return;
         }
         if let Some(path) = std::env::var_os(FORMER_OPERATOR_VARIABLE) {
-            complain(&format!(
-                "task-placer: warning: {FORMER_OPERATOR_VARIABLE} is the former name of TASK_PLACER_OPERATOR"
+            print_error(&format!(
+                "task-placer: warning: {FORMER_OPERATOR_VARIABLE} is deprecated, set TASK_PLACER_OPERATOR instead"
             ));
             self.operator = Some(path.into());
         }
     }
 
-    /// Reads the operator's file, or returns the defaults where there is none.
+    /// Reads the operator's file, or returns the defaults if no file is given.
     fn load_operator(&self) -> Loaded {
         self.operator
             .as_deref()
@@ -69,30 +70,30 @@
     /// The format of log lines; overrides the operator's file
     #[arg(long, value_enum, global = true)]
     log_format: Option<LogFormat>,
-    /// What is logged; overrides the operator's file
+    /// The lowest severity of events that are logged; overrides the operator's file
     #[arg(long, value_enum, global = true)]
     log_level: Option<LogLevel>,
 }
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve until SIGTERM (the same as no command)
+    /// Serve until SIGTERM (the default command)
     Serve,
-    /// Read both files and print each value in force with its origin, or every error found
+    /// Read both files and print each effective value with its origin, or every error found
     Check,
     /// Send a command to a running placer, or ask for its state
     #[command(subcommand)]
     Ctl(CtlCommand),
     /// Send an admin command to a process of a placer, and print its reply
     Call {
-        /// Its address, `admin` in its configuration
+        /// The address of the process, `admin` in its configuration
         #[arg(long, value_name = "ADDRESS", env = "LB_ADMIN")]
         at: SocketAddr,
-        /// The command
-        #[arg(value_parser = PossibleValuesParser::new(AdminCommand::ALL.map(|(word, _)| word)))]
+        /// The admin command
+        #[arg(value_parser = PossibleValuesParser::new(AdminCommand::ALL.map(|(name, _)| name)))]
         call: String,
     },
-    /// Print completions for a shell
+    /// Print a completion script for a shell
     Completions {
         /// The shell
         shell: clap_complete::Shell,
@@ -101,32 +102,33 @@
 
 #[derive(Debug, Subcommand)]
 enum CtlCommand {
-    /// Notify load balancers to send nothing new, and finish what is in hand; the process goes on
+    /// Tell load balancers to send no new requests, and finish pending requests and running tasks; the process keeps
+    /// running
     Drain(ctl::Target),
-    /// End a drain or maintenance: load balancers restore its share slowly
+    /// End a drain or maintenance; load balancers restore the placer's share of requests gradually
     Ready(ctl::Target),
-    /// Go out of service: load balancers send nothing and stop checking
+    /// Go out of service for maintenance; load balancers send no requests and stop checking
     Maint(ctl::Target),
-    /// Print what is shed, retried and checked, and each host's concurrency limit
+    /// Print the shed level, the counters of overload control, and each host's concurrency limit
     Overload {
         #[command(flatten)]
         target: ctl::Target,
-        /// As JSON, as the socket gave it
+        /// Print the reply as the JSON received from the socket
         #[arg(long)]
         json: bool,
     },
-    /// Print state, weight, and how each signal contributes to it
+    /// Print the state, the weight, and how each signal limits the weight
     State {
         #[command(flatten)]
         target: ctl::Target,
-        /// As JSON, as the socket gave it
+        /// Print the reply as the JSON received from the socket
         #[arg(long)]
         json: bool,
     },
 }
 
 impl CtlCommand {
-    /// Sends the command to the placer, and returns the exit code.
+    /// Sends the command to the placer, prints the reply, and returns the exit code.
     fn run(&self, operator_file: Option<&Path>) -> ExitCode {
         let (command, target, json) = match self {
             CtlCommand::Drain(target) => (ctl::Command::Drain, target, false),
--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,16 +1,17 @@
-//! `task-placer check`: reads both files, and prints each value in force with its origin, or every error found.
+//! Implements `task-placer check`, which reads both files and prints each effective value with its origin, or every
+//! error found.
 
 use super::{Cli, conflicts};
 use crate::net::config::{self, Config};
 use crate::operator::Loaded;
-use crate::terminal::complain;
+use crate::terminal::print_error;
 use std::io::Write;
 use std::process::ExitCode;
 
-/// Exit code for files with errors, as of `clap` for words that can't be read.
+/// The exit code for files with errors, the same that `clap` uses for an invalid command line.
 const BAD_INPUT: u8 = 2;
 
-/// Runs the command, and returns the exit code: 0 where both files are right, 2 where they are not.
+/// Runs the command, and returns the exit code: 0 if both files are valid, 2 if they are not.
 pub(super) fn run(cli: &Cli) -> ExitCode {
     let config = async_io::block_on(config::load(cli.files.config.as_deref()));
     let loaded = cli.files.load_operator();
@@ -20,7 +21,7 @@
     };
     let problems = problems(&config, &loaded, &operator_name);
     if !problems.is_empty() {
-        problems.iter().for_each(|problem| complain(problem));
+        problems.iter().for_each(|problem| print_error(problem));
         return ExitCode::from(BAD_INPUT);
     }
     let mut lines = Vec::new();
@@ -36,7 +37,7 @@
     ExitCode::SUCCESS
 }
 
-/// Returns every error in the files, and between them.
+/// Returns every error within each file, and every conflict between the two files.
 fn problems(
     config: &Result<Config, config::ConfigError>,
     loaded: &Loaded,
@@ -78,7 +79,7 @@
         .collect()
 }
 
-/// The values that flags of the command line override.
+/// Returns the lines for the values that flags of the command line override.
 fn flag_lines(cli: &Cli) -> Vec<String> {
     let format = cli.log.log_format;
     let level = cli.log.log_level;
--- a/src/cli/conflicts.rs
+++ b/src/cli/conflicts.rs
@@ -1,49 +1,49 @@
-//! What is wrong between the configuration and the operator's file, each of which is right by itself.
+//! Finds conflicts between the configuration and the operator's file, each of which is valid on its own.
 
 use crate::net::config::Config;
 use crate::operator::Operator;
 use std::net::SocketAddr;
 
-/// Health connections may use one part in this many of the descriptors: clients hold at most a third, and hosts and the
-/// placer itself need theirs.
+/// The descriptors divided by this number limit the connections of load balancers: clients hold at most a third of the
+/// descriptors, and the connections to hosts and the placer itself need the rest.
 const HEALTH_DESCRIPTOR_DIVISOR: usize = 4;
-/// The log's queue may use one part in this many of the memory.
+/// The memory divided by this number limits the log queue.
 const LOG_MEMORY_DIVISOR: usize = 16;
 
-/// A field of the operator's file that does not go with the configuration.
+/// A field of the operator's file that conflicts with the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(super) enum Conflict {
-    /// Load balancers would connect where clients do.
-    #[error("{field}: {listen} is where clients connect (listen)")]
+    /// Load balancers would connect to the address at which clients connect.
+    #[error("{field}: {listen} is the address for clients (listen)")]
     HealthAtListen {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
         /// The address.
         listen: SocketAddr,
     },
-    /// Health connections would take descriptors that others need.
+    /// Connections of load balancers would take descriptors that clients, hosts and the placer itself need.
     #[error(
         "health.connections: {found} of limits.sockets {descriptors} is more than a quarter, {max}"
     )]
     TooManyHealthConnections {
-        /// The connections stated.
+        /// The stated maximum number of connections.
         found: usize,
-        /// The descriptors of the placer.
+        /// The number of descriptors of the placer.
         descriptors: usize,
-        /// The most connections that there may be.
+        /// The maximum that is allowed.
         max: usize,
     },
-    /// The log's queue would take memory that others need.
+    /// The log queue would take memory that the rest of the placer needs.
     #[error("log.queue-bytes: {found} is more than a sixteenth of limits.memory_mb, {max}")]
     LogQueueTooLarge {
-        /// The bytes stated.
+        /// The stated size, in bytes.
         found: usize,
-        /// The most bytes that there may be.
+        /// The maximum that is allowed, in bytes.
         max: usize,
     },
 }
 
-/// Returns what is wrong between the two files.
+/// Returns all conflicts between the two files.
 pub(super) fn find(config: &Config, operator: &Operator) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
     let health = &operator.health;
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,26 +1,26 @@
-//! `task-placer serve`: reads both files, and serves until the process may exit.
+//! Implements `task-placer serve`, which reads both files and serves until the process may exit.
 
 use super::{Cli, conflicts};
 use crate::net::config::{self, Config};
 use crate::net::{self, log};
 use crate::operator::{Loaded, Operator};
-use crate::terminal::complain;
+use crate::terminal::print_error;
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Runs the command, and returns the exit code.
+/// Runs the command, and returns the exit code: success after a shutdown, failure if the program can't serve.
 pub(super) fn run(cli: &Cli) -> ExitCode {
     let signals = match net::signals() {
         Ok(signals) => signals,
         Err(problem) => {
-            complain(&format!("task-placer: signals: {problem}"));
+            print_error(&format!("task-placer: can't handle signals: {problem}"));
             return ExitCode::FAILURE;
         }
     };
     let config = match async_io::block_on(config::load(cli.files.config.as_deref())) {
         Ok(config) => config,
         Err(problem) => {
-            complain(&format!("task-placer: {problem}"));
+            print_error(&format!("task-placer: {problem}"));
             return ExitCode::FAILURE;
         }
     };
@@ -29,7 +29,7 @@
         let problems = operator_problems(path, &loaded, &config);
         if !problems.is_empty() {
             for problem in problems {
-                complain(&format!("task-placer: {problem}"));
+                print_error(&format!("task-placer: {problem}"));
             }
             return ExitCode::FAILURE;
         }
@@ -53,7 +53,7 @@
     }
 }
 
-/// Returns what is wrong with the operator's file, by itself and beside the configuration.
+/// Returns every error of the operator's file, and its conflicts with the configuration.
 fn operator_problems(path: &Path, loaded: &Loaded, config: &Config) -> Vec<String> {
     let name = path.to_string_lossy();
     let own = loaded.problems.iter().map(|problem| problem.render(&name));
--- a/src/cli/tests.rs
+++ b/src/cli/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `cli.rs`.
+//! Tests of the command line.
 
 use super::*;
 
--- a/src/ctl.rs
+++ b/src/ctl.rs
@@ -1,12 +1,12 @@
-//! The commands of operators on the control socket: their form on the wire, and the side that sends them.
+//! The control protocol for operators: parses commands, encodes replies, and implements the client `task-placer ctl`.
 //!
-//! One JSON object a line each way. `{"v":1,"do":"drain"}` is answered by `{"v":1,"ok":true,...}` or
-//! `{"v":1,"ok":false,"error":"..."}`.
+//! Each command and each reply is one line with one JSON object. The reply to `{"v":1,"do":"drain"}` is
+//! `{"v":1,"ok":true,...}` or `{"v":1,"ok":false,"error":"..."}`.
 
 mod report;
 
 use crate::operator;
-use crate::terminal::complain;
+use crate::terminal::print_error;
 use clap::Args;
 use simd_json::prelude::*;
 use simd_json::{OwnedValue, json};
@@ -16,31 +16,32 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-/// The version of the form on the wire.
+/// The version of the protocol.
 pub const PROTOCOL_VERSION: u64 = 1;
-/// No line with a command is longer.
+/// The maximum length of a line with a command, in bytes.
 pub const MAX_COMMAND_BYTES: usize = 4 * 1024;
-/// No line with a reply is longer.
+/// The maximum length of a line with a reply, in bytes.
 const MAX_REPLY_BYTES: u64 = 256 * 1024;
-/// How long a placer may take to reply.
+/// The maximum time for a placer to reply.
 const REPLY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// A command of an operator.
+/// A command sent by an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
-    /// Drain: finish, and take nothing new.
+    /// Drain: finish pending requests and running tasks, and announce to load balancers that no new ones are wanted.
     Drain,
     /// Return to service.
     Ready,
     /// Go out of service for maintenance.
     Maint,
-    /// Report the state.
+    /// Report the state, the weight and the signals.
     State,
-    /// Report what overload control sheds, retries and checks.
+    /// Report the state of overload control.
     Overload,
 }
 
 impl Command {
+    /// All commands with their names on the wire.
     const ALL: [(&'static str, Command); 5] = [
         ("drain", Command::Drain),
         ("ready", Command::Ready),
@@ -60,13 +61,13 @@
     }
 }
 
-/// Why a command is not run. Its text is the `error` of the reply.
+/// Why a command is not run. The error text is the `error` field of the reply.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum CommandError {
-    /// The line is no JSON; the parser's text.
+    /// The line is not valid JSON. Contains the error of the parser.
     #[error("not JSON: {0}")]
     NotJson(String),
-    /// The version is none that this program speaks.
+    /// The stated version of the protocol is not supported.
     #[error("version {found}: this placer speaks version {PROTOCOL_VERSION}")]
     UnsupportedVersion {
         /// The version stated.
@@ -78,28 +79,28 @@
     /// The line states no command.
     #[error("expected \"do\" with an order")]
     MissingCommand,
-    /// There is no such command.
+    /// No command has the stated name.
     #[error("no such order: {0}; known are drain, ready, maint, state, overload")]
     UnknownCommand(String),
-    /// The line is longer than any command.
+    /// The line exceeds [`MAX_COMMAND_BYTES`].
     #[error("longer than any order")]
     TooLong,
-    /// The operator's file has no overload control.
+    /// The operator's file does not enable overload control.
     #[error("nothing of [overload] is on here")]
     OverloadControlDisabled,
-    /// The operator's file has no health engine.
+    /// The operator's file enables nothing that uses the health monitor.
     #[error("nothing is watched here")]
     HealthDisabled,
-    /// The command can't be run in this state.
+    /// The command can't be run in the current state. Contains the reason.
     #[error("{0}")]
     NotNow(String),
 }
 
-/// Reads a command from a line.
+/// Parses a line as a command.
 ///
 /// # Errors
 ///
-/// Fails if the line is no command of this version.
+/// Returns [`CommandError`] if the line is not a command of this version of the protocol.
 pub fn parse(line: &mut [u8]) -> Result<Command, CommandError> {
     let value = simd_json::to_borrowed_value(line)
         .map_err(|error| CommandError::NotJson(error.to_string()))?;
@@ -112,7 +113,7 @@
     Command::from_name(name).ok_or_else(|| CommandError::UnknownCommand(name.to_string()))
 }
 
-/// Encodes the reply to a command: the fields that it returned, or why it was not run.
+/// Encodes the reply to a command: the fields that the command returned, or the reason why it was not run.
 pub fn encode_reply(result: Result<OwnedValue, CommandError>) -> Vec<u8> {
     let value = match result {
         Ok(mut value) => {
@@ -127,15 +128,16 @@
     line
 }
 
-/// Which placer a command is for.
+/// The placer to which a command is sent.
 #[derive(Debug, Args)]
 pub struct Target {
-    /// Its socket; else the one that the operator's file names
+    /// The control socket of the placer; by default the one that the operator's file names
     #[arg(long, value_name = "PATH")]
     socket: Option<PathBuf>,
 }
 
 impl Target {
+    /// Returns the path of the control socket.
     fn socket(&self, operator_file: Option<&Path>) -> Result<PathBuf, SendError> {
         let socket = match (&self.socket, operator_file) {
             (Some(socket), _) => Some(socket.clone()),
@@ -149,30 +151,30 @@
 /// How a reply is printed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplyFormat {
-    /// For people.
+    /// Formatted text for operators.
     Text,
-    /// As the socket gave it.
+    /// The JSON received from the socket.
     Json,
 }
 
-/// Why a command was not sent, or got no reply that it was run.
+/// Why a command could not be sent, or was not run by the placer.
 #[derive(Debug, thiserror::Error)]
 enum SendError {
-    #[error("no socket: name one by --socket, or an operator's file that has [ctl] socket")]
+    #[error("no control socket: use --socket, or an operator's file with [ctl] socket")]
     NoSocket,
     #[error("{}: {error}", path.display())]
     Io {
         path: PathBuf,
         error: std::io::Error,
     },
-    #[error("{}: answered what is no JSON", path.display())]
+    #[error("{}: the reply is not valid JSON", path.display())]
     NotJson { path: PathBuf },
     #[error("{0}")]
     NotRun(String),
 }
 
-/// Sends a command, prints the reply, and returns the exit code: 0 where it was run, 1 where it was not or no placer was
-/// reached.
+/// Sends a command, prints the reply, and returns the exit code: 0 if the placer ran the command, 1 if it did not or
+/// could not be reached.
 pub fn send(
     command: Command,
     target: &Target,
@@ -186,13 +188,13 @@
             ExitCode::SUCCESS
         }
         Err(error) => {
-            complain(&format!("task-placer: {error}"));
+            print_error(&format!("task-placer: {error}"));
             ExitCode::FAILURE
         }
     }
 }
 
-/// Sends a command, and returns the text to print for its reply.
+/// Sends a command and returns the text to print for its reply.
 fn run_remotely(command: Command, path: PathBuf, format: ReplyFormat) -> Result<String, SendError> {
     let line = match exchange(&path, command) {
         Ok(line) => line,
@@ -213,7 +215,7 @@
     })
 }
 
-/// Writes a command to the socket, and returns the line of the reply.
+/// Writes a command to the socket and returns the line of the reply.
 fn exchange(socket: &Path, command: Command) -> std::io::Result<String> {
     let mut stream = UnixStream::connect(socket)?;
     stream.set_read_timeout(Some(REPLY_TIMEOUT))?;
@@ -225,7 +227,10 @@
     BufReader::new(stream.take(MAX_REPLY_BYTES)).read_line(&mut line)?;
     if line.is_empty() {
         let error = std::io::ErrorKind::UnexpectedEof;
-        return Err(std::io::Error::new(error, "closed without an answer"));
+        return Err(std::io::Error::new(
+            error,
+            "connection closed without a reply",
+        ));
     }
     Ok(line)
 }
--- a/src/ctl/tests.rs
+++ b/src/ctl/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `ctl.rs`.
+//! Tests of the control protocol and of the formatted replies.
 
 use super::*;
 
@@ -60,10 +60,10 @@
     let text = report::overload(&value);
 
     let lines = [
-        "step 2: lets 81% through; 1.5 further attempts left; 3 clients stay away",
+        "shed level 2: admits 81% of requests; 1.5 retries left; 3 clients waiting for their Retry-After",
         "again 2  shed 7",
-        "  a  window 0.50  out 1  delay 0.25 s",
-        "  b  in doubt, own turn in 1.50 s",
+        "  a  window 0.50  in flight 1  mean delay 0.25 s",
+        "  b  suspect, next health check slot in 1.50 s",
     ];
     assert_eq!(text, lines.join("\n"));
 }
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The task placer: the decision module on sockets, with its command line.
+//! The task placer program: the command line, and the network side around the decision module.
 
 mod cli;
 mod ctl;
--- a/src/operation/admin.rs
+++ b/src/operation/admin.rs
@@ -1,17 +1,17 @@
-//! The admin protocol: one command per line, and its reply.
+//! The admin protocol: each line is one command, and each command gets one reply.
 //!
 //! A reply is one line that begins with `ok` or `fail`. The reply to `vars` is one line of JSON followed by a
-//! line `eof`. This module parses and encodes; it executes nothing.
+//! line `eof`. This module parses commands and encodes replies; it does not execute commands.
 
 /// The maximum length of a command line, in bytes.
 pub const MAX_COMMAND_BYTES: usize = 256;
 
-/// A command of an operator or of the platform.
+/// A command sent by an operator or by the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AdminCommand {
-    /// `check`: whether this process serves.
+    /// `check`: report whether this process accepts requests.
     Check,
-    /// `vars`: the request counters and gauges.
+    /// `vars`: report the request counters and gauges.
     Vars,
     /// `drain-on`: start draining the placer.
     DrainOn,
@@ -19,13 +19,13 @@
     DrainOff,
 }
 
-/// Why a command failed. The text follows `fail` in the reply.
+/// Why a command failed. The error text follows `fail` in the reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum AdminError {
     /// The line is not UTF-8.
     #[error("not text")]
     NotText,
-    /// No command has this name.
+    /// The line is not the name of a command.
     #[error("unknown call: known are check, vars, drain-on, drain-off")]
     UnknownCommand,
     /// The line exceeds [`MAX_COMMAND_BYTES`].
@@ -40,7 +40,7 @@
 }
 
 impl AdminCommand {
-    /// Every command with its name on the wire.
+    /// All commands with their names on the wire.
     pub const ALL: [(&'static str, AdminCommand); 4] = [
         ("check", AdminCommand::Check),
         ("vars", AdminCommand::Vars),
@@ -52,7 +52,8 @@
     ///
     /// # Errors
     ///
-    /// Returns [`AdminError::NotText`] or [`AdminError::UnknownCommand`].
+    /// Returns [`AdminError::NotText`] if the line is not UTF-8, and [`AdminError::UnknownCommand`] if it names no
+    /// command.
     pub fn parse(line: &[u8]) -> Result<AdminCommand, AdminError> {
         let text = std::str::from_utf8(line).map_err(|_| AdminError::NotText)?;
         let name = text.trim();
--- a/src/operation/counters.rs
+++ b/src/operation/counters.rs
@@ -1,39 +1,39 @@
-//! Request counters of one process since its start, by task class.
+//! Counts the requests of one process since its start, by task class.
 
-/// How a request ended, as its client was notified.
+/// The final response that a client received for its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
     /// A host has started the task.
     Started,
-    /// Rejected with a promise of no effect, so a retry is harmless.
+    /// The request was rejected. The response guarantees that the task was not started, so a retry is safe.
     Rejected,
-    /// Failed with nothing promised.
+    /// The request failed, and the response does not say whether the task was started.
     Failed,
 }
 
-/// The counters of one class.
+/// The request counters of one task class.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ClassCounters {
-    /// Requests whose task a host has started.
+    /// The number of requests whose task a host has started.
     pub started: u64,
-    /// Requests rejected.
+    /// The number of rejected requests.
     pub rejected: u64,
-    /// Requests failed.
+    /// The number of failed requests.
     pub failed: u64,
-    /// Attempts written completely to a host's connection.
+    /// The number of attempts that were written completely to a host's connection.
     pub attempts: u64,
 }
 
-/// The counters of all classes, in the order of the settings.
+/// The request counters of all task classes, in the order in which the settings define the classes.
 ///
-/// Methods take the index of the class; requests of a class that the settings do not define are not counted.
+/// The methods take the index of a class. Requests of a class that the settings do not define are not counted.
 #[derive(Debug, Clone, Default)]
 pub struct RequestCounters {
     by_class: Vec<ClassCounters>,
 }
 
 impl RequestCounters {
-    /// Creates zeroed counters for `class_count` classes.
+    /// Creates counters of zero for `class_count` classes.
     pub fn new(class_count: usize) -> RequestCounters {
         RequestCounters {
             by_class: vec![ClassCounters::default(); class_count],
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Returns the counters by class.
+    /// Returns the counters of each class, indexed by class.
     pub fn by_class(&self) -> &[ClassCounters] {
         &self.by_class
     }
--- a/src/operation/lifecycle.rs
+++ b/src/operation/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Whether this process accepts requests, and when it closes the connections of its clients.
+//! Decides whether this process accepts requests, and when it closes the connections of its clients.
 //!
 //! ```text
 //!             drain-on               load balancer has seen the failed check,
@@ -14,29 +14,32 @@
 //!                     └───────────────┘
 //! ```
 //!
-//! - *not ready*: every health check fails. Connections are kept, because clients whose connection closes
-//!   reconnect through a load balancer that may not have noticed yet.
-//! - *draining*: each connection is closed once it is idle: no request is open on it, nothing is waiting to be
-//!   read, and no task that was placed over it is running, so the end of each task can still be reported.
-//! - *shutting down*: as draining, but new connections are left to the other process of this placer. Health
-//!   checks of clients pass, since the placer serves; operators learn that this process does not.
+//! - *not ready*: every health check fails. Connections are kept open, because a client whose connection is closed
+//!   reconnects through a load balancer, which may not have seen a failed check yet.
+//! - *draining*: each connection is closed once it is idle. A connection is idle if no request is open on it, nothing
+//!   is waiting to be read from it, and no task that was placed over it is running. The end of each task can
+//!   therefore still be reported.
+//! - *shutting down*: idle connections are closed as in *draining*, and new connections are left to the other process
+//!   of this placer. Health checks of clients still pass, because the placer as a whole accepts requests; the `check`
+//!   command of the admin protocol fails, because this process does not.
 //!
-//! Requests that have arrived are answered in every phase, and running tasks are never stopped from here. Pure:
-//! time is an argument, and there is no I/O.
+//! Requests that have arrived are answered in every phase, and the lifecycle never stops running tasks. The module is
+//! deterministic: time is an argument, and there is no I/O.
 
 use crate::Micros;
 
 const MILLISECOND: Micros = 1_000;
-/// How long after the first failed check requests may still arrive: the platform checks every 100 ms and
-/// sends new connections for another 200 ms.
+/// How long after the first failed check new requests may still arrive: the platform checks every 100 ms and keeps
+/// opening new connections for another 200 ms.
 const CHECK_PROPAGATION: Micros = 250 * MILLISECOND;
-/// Without any check, how long after `drain-on` it counts as noticed.
-const UNCHECKED_NOTICE: Micros = 600 * MILLISECOND;
-/// The platform kills a process 700 ms after the longest wait of a client, which it caps at this. Pending
-/// responses are sent `SHUTDOWN_ANSWER_MARGIN` after that wait, and the process exits `SHUTDOWN_EXIT_MARGIN`
-/// after it.
+/// How long after `drain-on` a drain counts as seen by the load balancer if no health check arrives.
+const UNCHECKED_DRAIN_DELAY: Micros = 600 * MILLISECOND;
+/// The limit that the platform applies to the longest client wait. The platform kills a process 700 ms after that
+/// wait has passed, so both margins below are shorter than 700 ms.
 const MAX_CLIENT_WAIT: Micros = 5_000 * MILLISECOND;
+/// How long after the longest client wait the last pending responses are sent.
 const SHUTDOWN_ANSWER_MARGIN: Micros = 350 * MILLISECOND;
+/// How long after the longest client wait the process exits.
 const SHUTDOWN_EXIT_MARGIN: Micros = 550 * MILLISECOND;
 
 /// An event that may change the phase.
@@ -48,12 +51,12 @@
     DrainCancelled,
     /// SIGTERM arrived, and another process accepts connections for this placer.
     ShutdownRequested {
-        /// The longest that any client waits for a response.
+        /// The longest time that any client waits for a response.
         longest_client_wait: Micros,
     },
     /// A health check was answered.
     Checked,
-    /// Time has passed.
+    /// Time has passed without another event.
     Tick,
 }
 
@@ -64,9 +67,9 @@
     StartClosingIdle,
     /// Keep idle connections open again.
     StopClosingIdle,
-    /// Accept no more connections, close idle ones, and send every pending response in time.
+    /// Accept no more connections, close idle ones, and send every pending response within a time limit.
     ShutDown {
-        /// How long pending responses may take.
+        /// The time within which every pending response must be sent.
         answer_within: Micros,
     },
 }
@@ -80,7 +83,7 @@
     NotReady,
     /// Closes idle connections.
     Draining,
-    /// Exits once all responses are sent.
+    /// Closes idle connections and exits once all responses are sent.
     ShuttingDown,
 }
 
@@ -128,22 +131,23 @@
         self.phase == Phase::Serving
     }
 
-    /// Returns whether this process is shutting down while another accepts in its place.
+    /// Returns whether this process is shutting down while another process accepts connections for the placer.
     pub fn is_shutting_down(&self) -> bool {
         self.phase == Phase::ShuttingDown
     }
 
-    /// Returns whether idle connections are closed.
+    /// Returns whether idle connections are closed in the current phase.
     pub fn closes_idle_connections(&self) -> bool {
         matches!(self.phase, Phase::Draining | Phase::ShuttingDown)
     }
 
-    /// Returns whether a process that is shutting down must exit now, whatever is left.
+    /// Returns whether a process that is shutting down must exit now, even if responses are pending or tasks run.
     pub fn exit_is_overdue(&self, now: Micros) -> bool {
         now >= self.exit_deadline
     }
 
-    /// Applies an event and returns what must be done. Repeated requests have no further effect.
+    /// Applies an event and returns the effect that the program must carry out, if any. Repeated requests have no
+    /// further effect.
     pub fn handle(&mut self, now: Micros, event: Event) -> Option<Effect> {
         match (event, self.phase) {
             (Event::DrainRequested, Phase::Serving) => {
@@ -163,7 +167,7 @@
                 self.first_failed_check.get_or_insert(now);
                 None
             }
-            (Event::Tick, Phase::NotReady) if self.drain_was_noticed(now) => {
+            (Event::Tick, Phase::NotReady) if self.drain_was_seen(now) => {
                 self.enter(now, Phase::Draining);
                 Some(Effect::StartClosingIdle)
             }
@@ -191,12 +195,13 @@
         self.phase_since = now;
     }
 
-    /// Whether the load balancer has seen a failed check, or would have if it checked at all.
-    fn drain_was_noticed(&self, now: Micros) -> bool {
+    /// Returns whether the load balancer has had time to react to a failed check, or whether `UNCHECKED_DRAIN_DELAY`
+    /// has passed since `drain-on`, in case it sends no checks.
+    fn drain_was_seen(&self, now: Micros) -> bool {
         let check_was_seen = self
             .first_failed_check
             .is_some_and(|at| now - at >= CHECK_PROPAGATION);
-        check_was_seen || now - self.phase_since >= UNCHECKED_NOTICE
+        check_was_seen || now - self.phase_since >= UNCHECKED_DRAIN_DELAY
     }
 }
 
--- a/src/operation/lifecycle/tests.rs
+++ b/src/operation/lifecycle/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// How often [`play`] ticks.
+/// The interval between the ticks of [`run_events`].
 const TICK_MS: usize = 50;
 
 fn shutdown(longest_client_wait: Micros) -> Event {
@@ -11,22 +11,22 @@
     }
 }
 
-/// Plays events at their times (ms) with a tick every 50 ms, and returns the effects with their times.
-fn play(events: &[(Micros, Event)], end_ms: Micros) -> Vec<(Micros, Effect)> {
+/// Applies events at their times (ms) with a tick every 50 ms, and returns the effects with their times (ms).
+fn run_events(events: &[(Micros, Event)], end_ms: Micros) -> Vec<(Micros, Effect)> {
     let mut lifecycle = Lifecycle::default();
     let mut effects = Vec::new();
     for at in (0..=end_ms).step_by(TICK_MS) {
-        let due = events
+        let due_events = events
             .iter()
             .filter(|(when, _)| *when == at)
             .map(|(_, event)| *event);
-        for event in due.chain([Event::Tick]) {
+        for event in due_events.chain([Event::Tick]) {
             let was_serving = lifecycle.is_serving();
             let effect = lifecycle.handle(at * MILLISECOND, event);
             effects.extend(effect.map(|effect| (at, effect)));
             assert!(
                 event != Event::Checked || lifecycle.is_serving() == was_serving,
-                "a check changes nothing"
+                "a health check does not change whether the process is serving"
             );
         }
     }
@@ -41,20 +41,24 @@
         (250, Event::Checked),
     ];
 
-    let effects = play(&events, 2_000);
+    let effects = run_events(&events, 2_000);
 
     assert_eq!(
         effects,
         [(400, Effect::StartClosingIdle)],
-        "the first failed check counts"
+        "draining starts 250 ms after the first failed check"
     );
 }
 
 #[test]
 fn draining_starts_without_any_check_after_the_notice_time() {
-    let effects = play(&[(100, Event::DrainRequested)], 2_000);
+    let effects = run_events(&[(100, Event::DrainRequested)], 2_000);
 
-    assert_eq!(effects, [(700, Effect::StartClosingIdle)], "nobody checks");
+    assert_eq!(
+        effects,
+        [(700, Effect::StartClosingIdle)],
+        "draining starts although no check arrives"
+    );
 }
 
 #[test]
@@ -65,7 +69,7 @@
         (1_000, Event::DrainCancelled),
     ];
 
-    let effects = play(&events, 2_000);
+    let effects = run_events(&events, 2_000);
 
     assert_eq!(
         effects,
@@ -101,7 +105,7 @@
 }
 
 #[test]
-fn nothing_takes_back_a_shutdown() {
+fn shutdown_cannot_be_cancelled() {
     for longest_wait in [2_000, 5_000, 60_000] {
         let mut lifecycle = Lifecycle::default();
         lifecycle.handle(MILLISECOND, shutdown(longest_wait * MILLISECOND));
@@ -145,7 +149,7 @@
         (500, Event::DrainRequested),
     ];
 
-    let effects = play(&events, 2_000);
+    let effects = run_events(&events, 2_000);
 
     assert_eq!(effects, [(300, Effect::StartClosingIdle)]);
 }
@@ -153,10 +157,10 @@
 #[test]
 fn drain_cancelled_early_or_without_a_request_has_no_effect() {
     let cancelled_early = [(0, Event::DrainRequested), (50, Event::DrainCancelled)];
-    assert_eq!(play(&cancelled_early, 2_000), []);
+    assert_eq!(run_events(&cancelled_early, 2_000), []);
 
     let never_requested = [(0, Event::DrainCancelled), (50, Event::Checked)];
-    assert_eq!(play(&never_requested, 2_000), []);
+    assert_eq!(run_events(&never_requested, 2_000), []);
 }
 
 #[test]
@@ -169,7 +173,7 @@
         (1_500, Event::Checked),
     ];
 
-    let effects = play(&events, 3_000);
+    let effects = run_events(&events, 3_000);
 
     assert_eq!(effects, [(1_600, Effect::StartClosingIdle)]);
 }
--- a/src/operation/mod.rs
+++ b/src/operation/mod.rs
@@ -1,7 +1,7 @@
 //! The operating state of one placer process: admin commands, lifecycle, peer processes and request counters.
 //!
-//! Everything here is pure: time is an argument, and there is no I/O. The sockets that carry admin commands and
-//! the connections that a drain closes belong to the program (`net`).
+//! These modules are deterministic: time is an argument, and there is no I/O. The program's `net` module owns the
+//! admin sockets and the client connections that a drain closes.
 
 pub mod admin;
 pub mod counters;
--- a/src/operation/process_group.rs
+++ b/src/operation/process_group.rs
@@ -1,25 +1,25 @@
 //! Splits the slow-start budget among the processes of one placer.
 //!
-//! During a rolling upgrade an old and a new process serve under one name. Limits apply to the placer as a
-//! whole, so each process may use only its part. The part grows back once the attempts of a process that has
-//! exited no longer count against the limit.
+//! During a rolling upgrade an old and a new process serve under one placer name. Limits apply to the placer as a
+//! whole, so each process may use only its share. The share of the remaining process grows back once the attempts of
+//! a process that has exited no longer count against the limit.
 //!
-//! The process that was running first has index 0, one that finds it running has index 1. Pure: time is an
-//! argument, and there is no I/O.
+//! The process that was running first has index 0, and a process that finds it running at its own start has index 1.
+//! The module is deterministic: time is an argument, and there is no I/O.
 
 use crate::Micros;
 
-/// The part of a placer-wide limit that one process may use: `1 / process_count`.
+/// The share of a placer-wide limit that one process may use: `1 / process_count`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BudgetShare {
-    /// Processes whose attempts count against the limit.
+    /// The number of processes whose attempts count against the limit, including this one.
     pub process_count: u32,
-    /// The index of this process among them.
+    /// The index of this process, from 0 to `process_count - 1`.
     pub process_index: u32,
 }
 
 impl BudgetShare {
-    /// The whole limit, for a process without peers.
+    /// The whole limit, which a process without peers may use.
     pub const WHOLE: BudgetShare = BudgetShare {
         process_count: 1,
         process_index: 0,
@@ -29,24 +29,25 @@
 /// Whether a peer process was running before this one started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerAge {
-    /// It was running before.
+    /// The peer was running before this process started.
     Older,
-    /// It started later.
+    /// The peer started after this process.
     Younger,
 }
 
-/// The peer processes of this one, and the share that results.
+/// Counts the peer processes of this process and derives its budget share from their number.
 #[derive(Debug, Clone)]
 pub struct ProcessGroup {
     /// How long an attempt counts against the slow-start budget.
     accounting_window: Micros,
     live_peers: u32,
     share: BudgetShare,
+    /// When the attempts of the last peer that exited stop counting against the limit.
     share_may_grow_at: Micros,
 }
 
 impl ProcessGroup {
-    /// Creates a group without peers, whose share is whole.
+    /// Creates a group without peers, in which this process may use the whole limit.
     pub fn new(accounting_window: Micros) -> ProcessGroup {
         ProcessGroup {
             accounting_window: accounting_window.max(0),
@@ -61,7 +62,7 @@
         self.live_peers
     }
 
-    /// Registers a peer process and returns the reduced share, which applies at once.
+    /// Registers a peer process and returns the resulting share, which applies immediately.
     pub fn peer_joined(&mut self, age: PeerAge) -> BudgetShare {
         self.live_peers = self.live_peers.saturating_add(1);
         let process_count = self.share.process_count.max(self.live_processes());
@@ -76,7 +77,7 @@
         self.share
     }
 
-    /// Records that a peer exited. Its past attempts keep counting for the accounting window.
+    /// Records that a peer exited. Its past attempts still count against the limit for the accounting window.
     pub fn peer_exited(&mut self, now: Micros) {
         self.live_peers = self.live_peers.saturating_sub(1);
         self.share_may_grow_at = now.saturating_add(self.accounting_window);
@@ -99,7 +100,7 @@
         Some(self.share)
     }
 
-    /// Peers and this process.
+    /// Returns the number of running processes: the peers and this process.
     fn live_processes(&self) -> u32 {
         self.live_peers.saturating_add(1)
     }
--- a/src/operation/process_group/tests.rs
+++ b/src/operation/process_group/tests.rs
@@ -13,7 +13,7 @@
     process_index: 1,
 };
 
-/// A process that found an older one running at its start.
+/// Returns the group of a process that found an older process running when it started.
 fn younger_process() -> ProcessGroup {
     let mut group = ProcessGroup::new(ACCOUNTING_WINDOW);
     assert_eq!(group.peer_joined(PeerAge::Older), SECOND_OF_TWO);
--- a/src/operator/health.rs
+++ b/src/operator/health.rs
@@ -1,7 +1,7 @@
-//! `[health]`: the listeners for load balancers, and the health monitor.
+//! Reads `[health]`: the listeners for load balancers, and the health monitor.
 
 use super::reader::{Reader, Section};
-use super::{micros, span};
+use super::{to_duration, to_micros};
 use std::net::SocketAddr;
 use std::time::Duration;
 use task_placer::health::{MEASURED_SIGNALS, Settings, SeverityRamp, Signal, WeightPolicy};
@@ -9,28 +9,28 @@
 const SECOND: Duration = Duration::from_secs(1);
 const MINUTE: Duration = Duration::from_secs(60);
 
-/// `[health]`.
+/// The settings of `[health]`.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HealthSettings {
-    /// Where agent checks are answered.
+    /// The addresses at which agent checks are answered.
     pub agent_addresses: Vec<SocketAddr>,
-    /// Where HTTP checks are answered.
+    /// The addresses at which HTTP checks are answered.
     pub http_addresses: Vec<SocketAddr>,
-    /// The most connections of load balancers, on all of these together.
+    /// The maximum number of load balancers' connections, over all of these addresses together.
     pub max_connections: usize,
-    /// How long an agent check's connection may take to send a line first.
+    /// How long to wait for the line that an agent check may send first, before the check is answered without it.
     pub agent_line_timeout: Duration,
-    /// How long a request may take to arrive.
+    /// The maximum time for an HTTP request to arrive completely.
     pub request_timeout: Duration,
-    /// How long a connection may wait for its next request.
+    /// How long a connection may stay open without a further request.
     pub idle_timeout: Duration,
-    /// The status that announces a drain to HTTP checks.
+    /// The HTTP status with which checks are answered during a drain.
     pub drain_status: u16,
     /// Whether `maxconn` is reported to agent checks.
     pub reports_maxconn: bool,
-    /// Envoy is sent `degraded` below this weight.
+    /// The weight below which Envoy's checks are answered with `degraded`.
     pub degraded_below: u8,
-    /// The health monitor.
+    /// The settings of the health monitor.
     pub monitor: Settings,
 }
 
@@ -52,7 +52,7 @@
 }
 
 impl HealthSettings {
-    /// Returns whether there is any listener.
+    /// Returns whether any listener for load balancers is configured.
     pub fn listens(&self) -> bool {
         !self.agent_addresses.is_empty() || !self.http_addresses.is_empty()
     }
@@ -70,7 +70,7 @@
     (0.0..=1.0).contains(value)
 }
 
-/// Reads the table.
+/// Reads `[health]` and its tables.
 pub(super) fn read(reader: &mut Reader<'_>, root: &mut Section<'_>) -> HealthSettings {
     let mut section = reader.section(root, "health");
     let default = HealthSettings::default();
@@ -114,7 +114,7 @@
     }
 }
 
-/// The timeouts of load balancers' connections.
+/// The timeouts of connections from load balancers.
 struct Timeouts {
     agent_line: Duration,
     request: Duration,
@@ -151,7 +151,7 @@
     }
 }
 
-/// Reads the addresses of both kinds of checks, which must differ.
+/// Reads the addresses for agent checks and for HTTP checks. An address may be stated only once, over both lists.
 fn read_addresses(
     reader: &mut Reader<'_>,
     section: &mut Section<'_>,
@@ -162,7 +162,7 @@
     all.sort();
     let is_duplicate = |pair: &&[SocketAddr]| matches!(pair, [a, b] if a == b && a.port() != 0);
     if let Some([duplicate, _]) = all.windows(2).find(is_duplicate) {
-        reader.wrong(section, "http", format!("{duplicate} is named twice"));
+        reader.report(section, "http", format!("duplicate address {duplicate}"));
     }
     (agent, http)
 }
@@ -170,18 +170,18 @@
 fn read_monitor(reader: &mut Reader<'_>, health: &mut Section<'_>) -> Settings {
     let default = Settings::default();
     let mut section = reader.section(health, "weight");
-    let slow_start = reader.value(&mut section, "slow-start", span(default.slow_start));
+    let slow_start = reader.value(&mut section, "slow-start", to_duration(default.slow_start));
     let weight = read_weight_policy(reader, &mut section, default.weight);
     reader.close(&section);
     Settings {
-        slow_start: micros(slow_start),
+        slow_start: to_micros(slow_start),
         ramps: read_ramps(reader, health, default.ramps),
         weight,
         ..default
     }
 }
 
-/// Reads the keys of `[health.weight]` that say how the weight moves.
+/// Reads the keys of `[health.weight]` that control how the weight falls and rises.
 fn read_weight_policy(
     reader: &mut Reader<'_>,
     section: &mut Section<'_>,
@@ -197,50 +197,54 @@
     let rise_time = reader.checked(
         section,
         "rise",
-        span(default.rise_time),
+        to_duration(default.rise_time),
         is_positive,
         "more than 0s",
     );
-    let fall_interval = reader.value(section, "fall-pause", span(default.fall_interval));
+    let fall_interval = reader.value(section, "fall-pause", to_duration(default.fall_interval));
     let hold = reader.checked(
         section,
         "hold",
-        span(default.hold),
+        to_duration(default.hold),
         is_positive,
         "more than 0s",
     );
-    let max_hold = reader.value(section, "most-hold", span(default.max_hold));
+    let max_hold = reader.value(section, "most-hold", to_duration(default.max_hold));
     if max_hold < hold {
-        let what = "it is shorter than hold, from which it is doubled up";
-        reader.wrong(section, "most-hold", what.into());
+        let message = "shorter than hold, the initial value, which is doubled up to this limit";
+        reader.report(section, "most-hold", message.into());
     }
-    let ceiling_memory = reader.value(section, "memory", span(default.ceiling_memory));
-    let max_ceiling_memory = reader.value(section, "most-memory", span(default.max_ceiling_memory));
+    let ceiling_memory = reader.value(section, "memory", to_duration(default.ceiling_memory));
+    let max_ceiling_memory = reader.value(
+        section,
+        "most-memory",
+        to_duration(default.max_ceiling_memory),
+    );
     if max_ceiling_memory < ceiling_memory {
-        let what = "it is shorter than memory, from which it is doubled up";
-        reader.wrong(section, "most-memory", what.into());
+        let message = "shorter than memory, the initial value, which is doubled up to this limit";
+        reader.report(section, "most-memory", message.into());
     }
     let max_changes = reader.checked(
         section,
         "most-changes",
         default.max_changes_per_minute as u64,
         |changes| (4..=120).contains(changes),
-        "4 to 120 a minute",
+        "4 to 120 changes per minute",
     );
     WeightPolicy {
         min_weight,
-        fall_interval: micros(fall_interval),
-        hold: micros(hold),
-        max_hold: micros(max_hold),
-        rise_time: micros(rise_time),
-        ceiling_memory: micros(ceiling_memory),
-        max_ceiling_memory: micros(max_ceiling_memory),
+        fall_interval: to_micros(fall_interval),
+        hold: to_micros(hold),
+        max_hold: to_micros(max_hold),
+        rise_time: to_micros(rise_time),
+        ceiling_memory: to_micros(ceiling_memory),
+        max_ceiling_memory: to_micros(max_ceiling_memory),
         max_changes_per_minute: usize::try_from(max_changes)
             .unwrap_or(default.max_changes_per_minute),
     }
 }
 
-/// Reads `[health.signals]`: one table for each signal that is measured.
+/// Reads `[health.signals]`, which has one table for each measured signal.
 fn read_ramps(
     reader: &mut Reader<'_>,
     health: &mut Section<'_>,
@@ -275,10 +279,10 @@
         "0 to 1",
     );
     if ramp.healthy_up_to >= ramp.worst_from {
-        let what = format!(
-            "{} is no more than ok, {}",
+        let message = format!(
+            "{} must be more than ok, {}",
             ramp.worst_from, ramp.healthy_up_to
         );
-        reader.wrong(section, "bad", what);
+        reader.report(section, "bad", message);
     }
 }
--- a/src/operator/log.rs
+++ b/src/operator/log.rs
@@ -1,30 +1,31 @@
-//! `[log]`: format and level of the log.
+//! Reads `[log]`: the format and the level of the log.
 
 use super::reader::{Reader, Section};
 
+/// The range of `queue-bytes`.
 const QUEUE_BYTES: std::ops::RangeInclusive<u64> = 4_096..=16 << 20;
 
 /// The format of log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, clap::ValueEnum)]
 pub enum LogFormat {
-    /// Words and fields.
+    /// A message followed by its fields.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// The level from which on events are logged.
+/// The lowest severity of events that are logged.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, clap::ValueEnum)]
 pub enum LogLevel {
-    /// What failed here.
+    /// Failures of this process.
     Error,
-    /// And what may need attention.
+    /// Also events that may need attention.
     Warn,
-    /// And each connection that ended, and each change of state.
+    /// Also each connection that ended, and each change of state.
     #[default]
     Info,
-    /// And each poll and each request of a load balancer.
+    /// Also each poll and each request of a load balancer.
     Debug,
 }
 
@@ -37,14 +38,14 @@
     ];
 }
 
-/// `[log]`.
+/// The settings of `[log]`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogSettings {
-    /// The format of lines.
+    /// The format of log lines.
     pub format: LogFormat,
-    /// The level.
+    /// The lowest severity of events that are logged.
     pub level: LogLevel,
-    /// The most bytes that wait for whoever reads the log.
+    /// The maximum number of bytes of log lines that wait to be written.
     pub queue_bytes: usize,
 }
 
@@ -58,7 +59,7 @@
     }
 }
 
-/// Reads the table.
+/// Reads `[log]`.
 pub(super) fn read(reader: &mut Reader<'_>, root: &mut Section<'_>) -> LogSettings {
     let mut section = reader.section(root, "log");
     let default = LogSettings::default();
@@ -85,8 +86,8 @@
         "text" => LogFormat::Text,
         "json" => LogFormat::Json,
         other => {
-            let what = format!("expected text or json, found \"{other}\"");
-            reader.wrong(section, "format", what);
+            let message = format!("expected text or json, found \"{other}\"");
+            reader.report(section, "format", message);
             LogFormat::default()
         }
     }
@@ -97,7 +98,7 @@
     if let Some((_, level)) = found {
         return *level;
     }
-    let what = format!("expected error, warn, info or debug, found \"{level}\"");
-    reader.wrong(section, "level", what);
+    let message = format!("expected error, warn, info or debug, found \"{level}\"");
+    reader.report(section, "level", message);
     LogLevel::default()
 }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,8 +1,8 @@
-//! The operator's file: TOML, named by `--operator` or `TASK_PLACER_OPERATOR`.
+//! Reads the operator's file: a TOML file whose path is given by `--operator` or `TASK_PLACER_OPERATOR`.
 //!
-//! Without a file every feature in it is disabled. The keys are the operators' interface and older than the names
-//! in the code; this module maps one to the other, checks the values, and reports every problem with its line,
-//! column and field.
+//! Without a file every feature that it can enable is disabled. The keys are a stable interface for operators and
+//! differ from the names in the code, which are newer. This module maps the keys to these names, checks the values,
+//! and reports every problem with its line, column and field.
 
 mod drain;
 mod health;
@@ -22,43 +22,44 @@
 use task_placer::overload::Features;
 use toml::de::DeTable;
 
-/// The longest path of a Unix socket, in bytes: a longer one does not fit its address.
+/// The maximum length of the path of a Unix socket, in bytes; a longer path does not fit into a socket address.
 const MAX_SOCKET_PATH_BYTES: usize = 107;
 
 /// The settings of the operator's file.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Operator {
-    /// `[log]`.
+    /// `[log]`: the format and the level of the log.
     pub log: LogSettings,
-    /// `[health]`.
+    /// `[health]`: the listeners for load balancers, and the health monitor.
     pub health: HealthSettings,
-    /// `[drain]`; `None`: SIGTERM ends the process as without a file.
+    /// `[drain]`: the limits of a graceful shutdown. If it is `None`, SIGTERM ends the process without a drain.
     pub drain: Option<DrainLimits>,
-    /// `[ctl]`: the socket for commands.
+    /// `[ctl]`: the path of the control socket, which takes the commands of `task-placer ctl`.
     pub control_socket: Option<PathBuf>,
     /// `[overload]`: the features of overload control.
     pub overload: Features,
 }
 
 impl Operator {
-    /// Returns whether anyone can learn what the health monitor reports.
+    /// Returns whether any part of the program uses the reports of the health monitor: a listener for load balancers,
+    /// the drain or the control socket.
     pub fn uses_health_monitor(&self) -> bool {
         self.health.listens() || self.drain.is_some() || self.control_socket.is_some()
     }
 }
 
-/// The result of reading a file.
+/// The result of reading an operator's file.
 #[derive(Debug, Default)]
 pub struct Loaded {
-    /// The settings.
+    /// The settings, with the default of each value that could not be read.
     pub operator: Operator,
-    /// Each value with its origin.
+    /// Each value in effect with its origin.
     pub effective_values: Vec<EffectiveValue>,
-    /// Everything that is wrong.
+    /// All problems of the file.
     pub problems: Vec<Problem>,
 }
 
-/// Reads a file. A file that does not exist is a problem too: whoever names one means it.
+/// Reads an operator's file. A file that does not exist is a problem, because its path was given explicitly.
 pub fn load(path: &Path) -> Loaded {
     match std::fs::read_to_string(path) {
         Ok(text) => parse(&text),
@@ -66,14 +67,14 @@
             problems: vec![Problem {
                 position: None,
                 field: String::new(),
-                message: format!("can't be read: {error}"),
+                message: format!("can't read the file: {error}"),
             }],
             ..Loaded::default()
         },
     }
 }
 
-/// Reads the text of a file.
+/// Parses the text of an operator's file.
 pub fn parse(text: &str) -> Loaded {
     let (document, errors) = DeTable::parse_recoverable(text);
     let mut reader = Reader::new(text, &errors);
@@ -97,25 +98,26 @@
     }
 }
 
-/// Reads `[ctl]`.
+/// Reads `[ctl]` and returns the path of the control socket.
 fn control_socket(reader: &mut Reader<'_>, root: &mut Section<'_>) -> Option<PathBuf> {
     let mut section = reader.section(root, "ctl");
     let socket = reader.optional::<PathBuf>(&mut section, "socket");
     let is_too_long = |path: &PathBuf| path.as_os_str().len() > MAX_SOCKET_PATH_BYTES;
     if socket.as_ref().is_some_and(is_too_long) {
-        let what = format!("expected a path of at most {MAX_SOCKET_PATH_BYTES} bytes");
-        reader.wrong(&section, "socket", what);
+        let message = format!("expected a path of at most {MAX_SOCKET_PATH_BYTES} bytes");
+        reader.report(&section, "socket", message);
     }
     reader.close(&section);
     socket
 }
 
-/// A duration in microseconds; the reader limits it to a year.
-fn micros(duration: Duration) -> Micros {
+/// Converts a duration to microseconds. The reader limits durations to a year, so the conversion does not overflow.
+fn to_micros(duration: Duration) -> Micros {
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX / 4)
 }
 
-fn span(micros: Micros) -> Duration {
+/// Converts microseconds to a duration.
+fn to_duration(micros: Micros) -> Duration {
     Duration::from_micros(u64::try_from(micros).unwrap_or(0))
 }
 
--- a/src/operator/overload.rs
+++ b/src/operator/overload.rs
@@ -1,7 +1,7 @@
-//! `[overload]`: the features of overload control and their settings. All are disabled by default.
+//! Reads `[overload]`: the features of overload control and their settings. All features are disabled by default.
 
 use super::reader::{Reader, Section};
-use super::{micros, span};
+use super::{to_duration, to_micros};
 use std::time::Duration;
 use task_placer::overload::{
     Features, admission, concurrency_limit, health_check_schedule, retry_budget,
@@ -13,7 +13,7 @@
 const MIN_SLOT_LENGTH: Duration = Duration::from_millis(10);
 const MAX_SLOT_LENGTH: Duration = Duration::from_secs(10);
 
-/// Reads the table.
+/// Reads `[overload]` and its tables.
 pub(super) fn read(reader: &mut Reader<'_>, root: &mut Section<'_>) -> Features {
     let mut section = reader.section(root, "overload");
     let features = Features {
@@ -42,7 +42,7 @@
     )
 }
 
-/// `[overload.line]`.
+/// Reads `[overload.line]`: the concurrency limits of hosts.
 fn concurrency_limit(
     reader: &mut Reader<'_>,
     parent: &mut Section<'_>,
@@ -81,17 +81,17 @@
         ),
     };
     if settings.max_target < settings.target {
-        let what = format!(
+        let message = format!(
             "{} is less than target, {}",
             settings.max_target, settings.target
         );
-        reader.wrong(&section, "most-target", what);
+        reader.report(&section, "most-target", message);
     }
     reader.close(&section);
     is_enabled.then_some(settings)
 }
 
-/// `[overload.shed]`.
+/// Reads `[overload.shed]`: load shedding.
 fn admission(reader: &mut Reader<'_>, parent: &mut Section<'_>) -> Option<admission::Settings> {
     let mut section = reader.section(parent, "shed");
     let default = admission::Settings::default();
@@ -99,7 +99,7 @@
     let epoch = reader.checked(
         &mut section,
         "epoch",
-        span(default.epoch),
+        to_duration(default.epoch),
         |epoch| !epoch.is_zero(),
         "more than 0s",
     );
@@ -107,20 +107,20 @@
         late: ratio(reader, &mut section, "high", default.late),
         low_delay: ratio(reader, &mut section, "low", default.low_delay),
         give_up_after: ratio(reader, &mut section, "hopeless", default.give_up_after),
-        epoch: micros(epoch),
+        epoch: to_micros(epoch),
     };
     if settings.low_delay >= settings.late {
-        let what = format!(
+        let message = format!(
             "{} is no less than high, {}",
             settings.low_delay, settings.late
         );
-        reader.wrong(&section, "low", what);
+        reader.report(&section, "low", message);
     }
     reader.close(&section);
     is_enabled.then_some(settings)
 }
 
-/// `[overload.attempts]`.
+/// Reads `[overload.attempts]`: the retry budget.
 fn retry_budget(
     reader: &mut Reader<'_>,
     parent: &mut Section<'_>,
@@ -146,17 +146,17 @@
         ),
     };
     if settings.ratio_while_shedding > settings.ratio {
-        let what = format!(
+        let message = format!(
             "{} is more than ratio, {}",
             settings.ratio_while_shedding, settings.ratio
         );
-        reader.wrong(&section, "pressed", what);
+        reader.report(&section, "pressed", message);
     }
     reader.close(&section);
     is_enabled.then_some(settings)
 }
 
-/// `[overload.returns]`.
+/// Reads `[overload.returns]`: whether rejected clients get a Retry-After that is spread over time.
 fn retry_after(reader: &mut Reader<'_>, parent: &mut Section<'_>) -> bool {
     let mut section = reader.section(parent, "returns");
     let is_enabled = reader.value(&mut section, "enabled", false);
@@ -164,7 +164,7 @@
     is_enabled
 }
 
-/// `[overload.turns]`.
+/// Reads `[overload.turns]`: the time slots in which placers may check suspect hosts.
 fn health_check_schedule(
     reader: &mut Reader<'_>,
     parent: &mut Section<'_>,
@@ -182,7 +182,7 @@
     let slot_length = reader.checked(
         &mut section,
         "step",
-        span(default.slot_length),
+        to_duration(default.slot_length),
         |length| (MIN_SLOT_LENGTH..=MAX_SLOT_LENGTH).contains(length),
         "10ms to 10s",
     );
@@ -190,6 +190,6 @@
     is_enabled.then_some(health_check_schedule::Settings {
         concurrent_placers: usize::try_from(concurrent_placers)
             .unwrap_or(default.concurrent_placers),
-        slot_length: micros(slot_length),
+        slot_length: to_micros(slot_length),
     })
 }
--- a/src/operator/reader.rs
+++ b/src/operator/reader.rs
@@ -1,7 +1,7 @@
-//! Reads TOML table by table, and collects every problem with its position.
+//! Reads a TOML document table by table, and collects every problem with its position.
 //!
-//! A value that can't be read leaves its default in effect, and the problem is kept: whoever starts a program
-//! with the result must look at the problems of [`Reader::finish`] first.
+//! If a value can't be read, its default is returned and the problem is recorded. A caller must therefore check the
+//! problems that [`Reader::finish`] returns before it uses the values.
 
 mod value;
 
@@ -12,31 +12,31 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// An unknown key is taken for a misspelled one up to this edit distance.
+/// The maximum edit distance at which an unknown key is taken for a misspelled known key.
 const MAX_TYPO_DISTANCE: usize = 2;
 
-/// A position in the file; both count from 1.
+/// A position in the file. Lines and columns are counted from 1.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
-    /// The line.
+    /// The line number.
     pub line: usize,
-    /// The column, in characters.
+    /// The column number, in characters.
     pub column: usize,
 }
 
-/// Something wrong with the file.
+/// A problem of the file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Problem {
-    /// Its position; `None` for what has none, such as a missing file.
+    /// The position of the problem; `None` if it has none, as for a missing file.
     pub position: Option<Position>,
-    /// The field, such as `drain.notice`; empty if the file is no TOML.
+    /// The full name of the field, such as `drain.notice`; empty if the file is not valid TOML.
     pub field: String,
-    /// What is wrong, and what was expected.
+    /// The value that was found and what was expected.
     pub message: String,
 }
 
 impl Problem {
-    /// Returns the problem as one line that begins with the name of the file.
+    /// Formats the problem as one line that begins with the name of the file.
     pub fn render(&self, file: &str) -> String {
         let position = self
             .position
@@ -51,18 +51,18 @@
     }
 }
 
-/// A value that is in effect.
+/// A value that is in effect, from the file or by default.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EffectiveValue {
-    /// Its field.
+    /// The full name of the field.
     pub field: String,
     /// The value as it would be written in the file.
     pub value: String,
-    /// The line that sets it; `None` for a default.
+    /// The number of the line that sets the value; `None` for a default.
     pub line: Option<usize>,
 }
 
-/// A table of the file, or its absence.
+/// A table of the file, which may be absent.
 pub struct Section<'t> {
     path: String,
     table: Option<(&'t DeTable<'t>, Range<usize>)>,
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The full name of a key.
+    /// Returns the full name of a key in this table.
     fn field(&self, key: &str) -> String {
         if self.path.is_empty() {
             key.to_string()
@@ -87,6 +87,7 @@
         }
     }
 
+    /// Returns the value of a key, if the file has it.
     fn find(&self, key: &str) -> Option<&'t Spanned<DeValue<'t>>> {
         let (table, _) = self.table.as_ref()?;
         table
@@ -95,7 +96,7 @@
             .map(|(_, value)| value)
     }
 
-    /// The known key that an unknown one was probably meant to be.
+    /// Returns the known key that an unknown key is probably a misspelling of.
     fn similar_key(&self, unknown: &str) -> Option<&String> {
         let distance = |known: &&String| strsim::damerau_levenshtein(known, unknown);
         self.known_keys
@@ -105,7 +106,7 @@
     }
 }
 
-/// Reads a document.
+/// Reads the values of a document and records problems and effective values.
 pub struct Reader<'t> {
     text: &'t str,
     problems: Vec<Problem>,
@@ -113,7 +114,7 @@
 }
 
 impl<'t> Reader<'t> {
-    /// Creates a reader that begins with the parser's own problems.
+    /// Creates a reader for a document. Errors of the TOML parser become the first problems.
     pub fn new(text: &'t str, errors: &[toml::de::Error]) -> Reader<'t> {
         let mut reader = Reader {
             text,
@@ -127,13 +128,13 @@
         reader
     }
 
-    /// Returns the document as a section.
+    /// Returns the top-level table of the document.
     pub fn root<'d>(&self, document: &'d Spanned<DeTable<'d>>) -> Section<'d> {
         let table = Some((document.get_ref(), document.span()));
         Section::new(String::new(), table)
     }
 
-    /// Returns a table within another; its absence is no problem.
+    /// Returns a table within another table. A table that is absent is not a problem.
     pub fn section<'d>(&mut self, parent: &mut Section<'d>, key: &str) -> Section<'d> {
         parent.known_keys.insert(key.to_string());
         let path = parent.field(key);
@@ -152,7 +153,7 @@
         Section::new(path, table)
     }
 
-    /// Returns the value of a key, or its default.
+    /// Returns the value of a key, or the default if the key is absent or invalid.
     pub fn value<T: Value>(&mut self, section: &mut Section<'_>, key: &str, default: T) -> T {
         if let Some(value) = self.optional(section, key) {
             return value;
@@ -165,7 +166,7 @@
         default
     }
 
-    /// Returns a value that must pass a check, or its default.
+    /// Returns the value of a key, or the default, and records a problem if the value is not valid.
     pub fn checked<T: Value>(
         &mut self,
         section: &mut Section<'_>,
@@ -177,12 +178,12 @@
         let value = self.value(section, key, default);
         if !is_valid(&value) {
             let found = value.show();
-            self.wrong(section, key, format!("expected {expected}, found {found}"));
+            self.report(section, key, format!("expected {expected}, found {found}"));
         }
         value
     }
 
-    /// Returns the value of a key, if the file has it.
+    /// Returns the value of a key, or `None` if the key is absent or invalid.
     pub fn optional<T: Value>(&mut self, section: &mut Section<'_>, key: &str) -> Option<T> {
         section.known_keys.insert(key.to_string());
         let field = section.field(key);
@@ -204,14 +205,14 @@
         }
     }
 
-    /// Adds a problem with the value of a key, at its position or at that of its table.
-    pub fn wrong(&mut self, section: &Section<'_>, key: &str, message: String) {
-        let of_value = section.find(key).map(|value| value.span().start);
-        let of_table = section.table.as_ref().map(|(_, span)| span.start);
-        self.add_problem(of_value.or(of_table), section.field(key), message);
+    /// Records a problem with the value of a key, at the position of the value, or of the table if the key is absent.
+    pub fn report(&mut self, section: &Section<'_>, key: &str, message: String) {
+        let value_start = section.find(key).map(|value| value.span().start);
+        let table_start = section.table.as_ref().map(|(_, span)| span.start);
+        self.add_problem(value_start.or(table_start), section.field(key), message);
     }
 
-    /// Ends the reading of a table: every key that was not asked for is unknown.
+    /// Finishes a table: records a problem for every key that was not read.
     pub fn close(&mut self, section: &Section<'_>) {
         let Some((table, _)) = &section.table else {
             return;
@@ -223,15 +224,15 @@
             }
             let hint = section
                 .similar_key(key)
-                .map(|known| format!(", perhaps {known} is meant"))
+                .map(|known| format!(", did you mean {known}?"))
                 .unwrap_or_default();
             let known: Vec<&str> = section.known_keys.iter().map(String::as_str).collect();
-            let message = format!("unknown{hint}; known here are {}", known.join(", "));
+            let message = format!("unknown key{hint} (known keys: {})", known.join(", "));
             self.add_problem(Some(name.span().start), section.field(key), message);
         }
     }
 
-    /// Returns the effective values, and all problems in the order of the file.
+    /// Returns the effective values in the order in which they were read, and all problems in the order of the file.
     pub fn finish(mut self) -> (Vec<EffectiveValue>, Vec<Problem>) {
         self.problems.sort_by_key(|problem| problem.position);
         (self.effective_values, self.problems)
@@ -246,7 +247,7 @@
         });
     }
 
-    /// The position of a byte offset.
+    /// Returns the position of a byte offset.
     fn position(&self, offset: usize) -> Position {
         let before = self
             .text
--- a/src/operator/reader/tests.rs
+++ b/src/operator/reader/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use std::time::Duration;
 
-/// The value of the only key of a document.
+/// Reads the value of the only key of a document.
 fn read_only_value<T: Value>(text: &str) -> Option<T> {
     let (document, _) = DeTable::parse_recoverable(text);
     let (_, value) = document.get_ref().iter().next()?;
@@ -45,9 +45,9 @@
     assert_eq!(lines.len(), 3, "{lines:#?}");
     assert!(
         lines[0]
-            .starts_with("f.toml:6:1: t.wiat: unknown, perhaps wait is meant; known here are c, ")
+            .starts_with("f.toml:6:1: t.wiat: unknown key, did you mean wait? (known keys: c, ")
     );
-    assert!(lines[1].starts_with("f.toml:7:5: t.d: item 1: expected a whole number, found string"));
+    assert!(lines[1].starts_with("f.toml:7:5: t.d: item 1: expected an integer, found string"));
     assert!(
         lines[2].starts_with("f.toml:8:5: t.e: expected a duration such as"),
         "{}",
--- a/src/operator/reader/value.rs
+++ b/src/operator/reader/value.rs
@@ -1,11 +1,11 @@
-//! The types of values: how each is read from TOML, and how it is shown.
+//! The types of values: how each is read from TOML, and how it is formatted.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 use toml::de::DeValue;
 
-/// The longest duration: sums of durations with the clock stay far from their limits.
+/// The maximum duration: sums of durations and times of the clock stay far below the range of `Micros`.
 const MAX_DURATION: Duration = Duration::from_secs(366 * 86_400);
 
 /// Why a value can't be read.
@@ -14,61 +14,61 @@
     /// The value has another type.
     #[error("expected {expected}, found {found}")]
     WrongType {
-        /// What was expected.
+        /// A description of the expected value.
         expected: &'static str,
         /// The type that was found.
         found: &'static str,
     },
-    /// A number that is infinite or not a number.
+    /// The number is infinite or NaN.
     #[error("expected a finite number, found {0}")]
     NotFinite(String),
-    /// A number that is negative or too large.
-    #[error("expected a whole number from 0 on, found {0}")]
+    /// The number is negative or too large.
+    #[error("expected a non-negative integer of at most 64 bits, found {0}")]
     NotUnsigned(String),
-    /// A text that is no duration.
+    /// The string is not a duration.
     #[error("expected {expected}, found \"{found}\": {source}")]
     NotDuration {
-        /// What was expected.
+        /// A description of the expected value.
         expected: &'static str,
-        /// The text that was found.
+        /// The string that was found.
         found: String,
-        /// What is wrong with it.
+        /// The error of the duration parser.
         source: humantime::DurationError,
     },
-    /// A duration beyond the limit.
+    /// The duration exceeds a year.
     #[error("expected at most a year, found \"{0}\"")]
     TooLong(String),
-    /// A text that does not have the expected form.
+    /// The string does not have the expected form.
     #[error("expected {expected}, found \"{found}\"")]
     WrongForm {
-        /// What was expected.
+        /// A description of the expected value.
         expected: &'static str,
-        /// The text that was found.
+        /// The string that was found.
         found: String,
     },
-    /// An item of a list can't be read.
+    /// An item of a list is invalid.
     #[error("item {index}: {source}")]
     Item {
-        /// Its index, from 0.
+        /// The index of the item, from 0.
         index: usize,
-        /// What is wrong with it.
+        /// The error of the item.
         source: Box<InvalidValue>,
     },
 }
 
-/// A type that a value of the file can have.
+/// A type of values in the file.
 pub trait Value: Sized {
-    /// What is expected, in words.
+    /// A description of the expected value, for error messages.
     const EXPECTED: &'static str;
 
-    /// Reads a value.
+    /// Converts a TOML value to this type.
     ///
     /// # Errors
     ///
-    /// Returns [`InvalidValue`] with what was expected and found.
+    /// Returns [`InvalidValue`], which says what was expected and what was found.
     fn read(value: &DeValue<'_>) -> Result<Self, InvalidValue>;
 
-    /// Returns the value as it would be written in the file.
+    /// Formats the value as it would be written in the file.
     fn show(&self) -> String;
 }
 
@@ -121,7 +121,7 @@
 }
 
 impl Value for u64 {
-    const EXPECTED: &'static str = "a whole number";
+    const EXPECTED: &'static str = "an integer";
 
     fn read(value: &DeValue<'_>) -> Result<u64, InvalidValue> {
         let DeValue::Integer(integer) = value else {
@@ -160,7 +160,7 @@
 }
 
 impl Value for String {
-    const EXPECTED: &'static str = "a text";
+    const EXPECTED: &'static str = "a string";
 
     fn read(value: &DeValue<'_>) -> Result<String, InvalidValue> {
         read_text::<String>(value).map(str::to_string)
--- a/src/operator/tests.rs
+++ b/src/operator/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn example_file_states_every_value_with_its_default_or_a_listener_to_try() {
+fn example_file_states_every_value_with_its_default_or_an_example_listener() {
     let example = parse(include_str!("../../deploy/operator.toml"));
 
     assert_eq!(example.problems, []);
@@ -27,7 +27,7 @@
     assert_eq!(
         not_stated,
         Vec::<&EffectiveValue>::new(),
-        "not in the example"
+        "values that the example does not state"
     );
 }
 
--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -1,4 +1,5 @@
-//! Rule 4 over the whole fleet: what all placers together send to a cold host, in any window in which it could crash.
+//! Tests the slow-start limit (rule 4) over a whole fleet: the number of attempts that all placers together send to a
+//! cold host, within any window of time in which too many attempts would crash it.
 
 mod common;
 
@@ -12,25 +13,31 @@
 use std::time::{Duration, Instant};
 use task_placer::*;
 
-/// Returns the maximum number of offers to a host that tolerates so many; the operators allow for chance.
+/// Returns the maximum number of offers that are allowed for a host that tolerates `tolerated` of them. The margin of
+/// two standard deviations plus 2 is the operators' allowance for chance.
 fn max_offers(tolerated: f64) -> usize {
     (tolerated + 2.0 * tolerated.sqrt() + 2.0) as usize
 }
 
-/// Returns the maximum number of offers within the window of a crash.
-fn max_within(mut times: Vec<Micros>, fall: Micros) -> usize {
+/// Returns the maximum number of offers within any window of length `collapse_window`, in which they could crash a
+/// host.
+fn max_in_window(mut times: Vec<Micros>, collapse_window: Micros) -> usize {
     times.sort_unstable();
-    let within =
-        |(i, t): (usize, &Micros)| times[i..].iter().take_while(|u| **u - t < fall).count();
+    let within = |(i, t): (usize, &Micros)| {
+        times[i..]
+            .iter()
+            .take_while(|other| **other - t < collapse_window)
+            .count()
+    };
     times.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
-/// One placer of the fleet: a decision module that may be restarted, with a skewed clock.
+/// One placer of the fleet: a decision module with a skewed clock, which can be restarted.
 struct Instance {
     placer: TestPlacer,
     settings: Settings,
     skew: Micros,
-    asked: usize,
+    requests: usize,
 }
 
 impl Instance {
@@ -49,14 +56,15 @@
             placer,
             settings: settings.clone(),
             skew,
-            asked: 0,
+            requests: 0,
         }
     }
 
-    /// Requests a task that waits for one step only, and rejects it there. Returns how many offers it sent.
+    /// Requests a task whose time budget is half a step, rejects it at every host to which it is offered, and advances
+    /// by one step. Returns the number of offers.
     fn step(&mut self, step: Micros) -> usize {
-        self.asked += 1;
-        let n = self.asked;
+        self.requests += 1;
+        let n = self.requests;
         let mut sent = sent_hosts(&self.placer.request(Task {
             time_budget: step / 2,
             ..task(n, n as u64)
@@ -77,10 +85,11 @@
     }
 }
 
-/// A fleet round one machine that has just started; each placer asks all along. `restarts` are times and the part
-/// of the placers that start again then; `delays` (from 0 to 1) are how long offers wait for a connection, as a
-/// part of the longest, `wait`. Answers when offers came.
-fn play(
+/// Simulates a fleet of placers with one host that has just started. Each placer requests tasks throughout. `restarts`
+/// holds times, each with the fraction of the placers that restart at that time. `delays` holds the times for which
+/// offers wait for a connection, as fractions (0 to 1) of the longest wait, `wait`. Returns the times at which offers
+/// arrive.
+fn simulate_offers(
     placers: usize,
     tolerated: f64,
     length: Micros,
@@ -89,7 +98,7 @@
     delays: &[f64],
 ) -> Vec<Micros> {
     const STEP: Micros = 25 * MS;
-    let born = 100 * SECOND;
+    let started_at = 100 * SECOND;
     let settings = Settings {
         placer_count: placers,
         slow_start_attempts: tolerated,
@@ -104,17 +113,17 @@
     };
     let skew = |me: usize| (me as Micros % 5 - 2) * 10 * MS;
     let mut fleet: Vec<Instance> = (0..placers)
-        .map(|me| Instance::start(&settings(me), skew(me), born, born + skew(me)))
+        .map(|me| Instance::start(&settings(me), skew(me), started_at, started_at + skew(me)))
         .collect();
     let (mut times, mut delay) = (Vec::new(), delays.iter().cycle());
-    for now in (born..born + length).step_by(STEP as usize) {
-        for (_, part) in restarts
+    for now in (started_at..started_at + length).step_by(STEP as usize) {
+        for (_, fraction) in restarts
             .iter()
-            .filter(|(at, _)| (now..now + STEP).contains(&(born + at)))
+            .filter(|(at, _)| (now..now + STEP).contains(&(started_at + at)))
         {
-            let count = (placers as f64 * part).ceil() as usize;
+            let count = (placers as f64 * fraction).ceil() as usize;
             for instance in fleet.iter_mut().take(count) {
-                *instance = Instance::start(&instance.settings, instance.skew, now, born);
+                *instance = Instance::start(&instance.settings, instance.skew, now, started_at);
             }
         }
         for instance in &mut fleet {
@@ -126,27 +135,28 @@
     times
 }
 
-// A restarted process does not know what it sent before, and many restart at once.
+// Guards against exceeding the slow-start budget when many placers restart at once: a restarted process does not know
+// which attempts it sent before.
 #[test]
 fn fleet_keeps_the_slow_start_budget_through_restarts_and_uses_it() {
     for placers in [3, 20, 30] {
         for tolerated in [22.0, 100.0] {
-            let quiet = play(placers, tolerated, 8 * SECOND, &[], 0, &[0.0]);
+            let quiet = simulate_offers(placers, tolerated, 8 * SECOND, &[], 0, &[0.0]);
             assert!(
-                max_within(quiet.clone(), SECOND) <= max_offers(tolerated),
+                max_in_window(quiet.clone(), SECOND) <= max_offers(tolerated),
                 "{placers} {tolerated}"
             );
-            // At least a quarter of the tolerated offers come through: a zone that returns does not starve.
+            // At least a quarter of the tolerated offers arrive, so that the hosts of a zone that returns are used.
             assert!(
                 quiet.len() as f64 > 8.0 * tolerated / 4.0,
                 "{placers} {tolerated}: {}",
                 quiet.len()
             );
-            for part in [0.1, 0.7, 1.0] {
+            for fraction in [0.1, 0.7, 1.0] {
                 let restarts: Vec<(Micros, f64)> = [1_100, 1_400, 1_700, 3_000]
-                    .map(|ms| (ms * MS, part))
+                    .map(|ms| (ms * MS, fraction))
                     .to_vec();
-                let times = play(
+                let times = simulate_offers(
                     placers,
                     tolerated,
                     6 * SECOND,
@@ -154,10 +164,10 @@
                     SECOND / 4,
                     &[1.0, 0.0, 0.5],
                 );
-                let count = max_within(times.clone(), SECOND);
+                let count = max_in_window(times.clone(), SECOND);
                 assert!(
                     count <= max_offers(tolerated),
-                    "{placers} {tolerated} {part}: {count}"
+                    "{placers} {tolerated} {fraction}: {count}"
                 );
                 assert!(!times.is_empty());
             }
@@ -165,14 +175,18 @@
     }
 }
 
-// Connecting to a host that does not answer takes as long as the settings allow, and what waited leaves together.
+// Guards against a burst of attempts: connecting to a host that does not answer takes as long as the settings allow,
+// and all attempts that waited for the connection are sent together.
 #[test]
 fn attempts_that_waited_for_a_connection_keep_the_slow_start_budget() {
-    // The first part of the budget waits as long as allowed, and the next comes at once.
+    // The first 78 offers wait as long as allowed, and the next 400 arrive immediately.
     let delays = [[1.0; 78].as_slice(), &[0.0; 400]].concat();
     for wait in [SECOND / 4, SECOND, 2 * SECOND] {
         for placers in [1, 3] {
-            let count = max_within(play(placers, 100.0, 8 * SECOND, &[], wait, &delays), SECOND);
+            let count = max_in_window(
+                simulate_offers(placers, 100.0, 8 * SECOND, &[], wait, &delays),
+                SECOND,
+            );
             assert!(count <= max_offers(100.0), "{placers} {wait}: {count}");
         }
     }
@@ -181,7 +195,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(24))]
 
-    /// For any fleet, tolerance, restarts and delays of offers.
+    /// Checks the limit for random fleet sizes, tolerances, restarts and delays of offers.
     #[test]
     fn sum_over_all_placers_stays_within_tolerance(
         placers in 1usize..40,
@@ -190,13 +204,13 @@
         wait in 0i64..2_000,
         delays in prop::collection::vec(0.0f64..1.0, 1..8),
     ) {
-        let restarts: Vec<(Micros, f64)> = restarts.into_iter().map(|(ms, part)| (ms * MS, part)).collect();
-        let count = max_within(play(placers, tolerated, 5 * SECOND, &restarts, wait * MS, &delays), SECOND);
+        let restarts: Vec<(Micros, f64)> = restarts.into_iter().map(|(ms, fraction)| (ms * MS, fraction)).collect();
+        let count = max_in_window(simulate_offers(placers, tolerated, 5 * SECOND, &restarts, wait * MS, &delays), SECOND);
         prop_assert!(count <= max_offers(tolerated), "{count}");
     }
 }
 
-// Clocks of hosts differ: a host may seem to start in the future.
+// Clocks of hosts and placers differ, so the start time of a host may lie in the future by the placer's clock.
 #[test]
 fn host_that_starts_in_the_future_by_our_clock_is_warming_up_like_others() {
     let settings = Settings {
@@ -205,7 +219,7 @@
         collapse_window: SECOND,
         ..Settings::example()
     };
-    let born = 100 * SECOND;
+    let started_at = 100 * SECOND;
     let sent = |me| {
         let mut instance = Instance::start(
             &Settings {
@@ -213,15 +227,15 @@
                 ..settings.clone()
             },
             0,
-            born,
-            born + 18 * SECOND,
+            started_at,
+            started_at + 18 * SECOND,
         );
         (0..40).map(|_| instance.step(25 * MS)).sum::<usize>()
     };
     assert!((0..30).map(sent).sum::<usize>() <= max_offers(15.0));
 }
 
-/// Collects the offers that reach a host and their times; each is answered at once.
+/// Collects the times of the offers that reach a host within `span`, and reports each offered task as running.
 fn collect(
     host: &Host,
     connections: &mut Vec<HostConnection>,
@@ -243,15 +257,16 @@
     }
 }
 
-// Real processes: all are killed once they have sent their part, and restarted at once.
+// Guards against exceeding the slow-start budget when real processes are killed after they have sent their shares, and
+// all are restarted at once.
 #[test]
 fn restarted_processes_keep_the_slow_start_budget() {
     let tolerated = 30.0;
     let mut feeds: Vec<Feed> = (0..3).map(|_| Feed::new()).collect();
     let host = Host::new("h0", "north");
     let (start, mut times, mut connections) = (Instant::now(), Vec::new(), Vec::new());
-    let mut born = 0;
-    for life in 0..2 {
+    let mut started_at = 0;
+    for generation in 0..2 {
         let mut programs = Vec::new();
         for (me, feed) in feeds.iter_mut().enumerate() {
             let mut config = placer_config(
@@ -259,22 +274,23 @@
                 me as u64,
                 3,
                 &feed.address(),
-                vec![host.entry("up", born)],
+                vec![host.entry("up", started_at)],
             );
             config["settings"]["family_info"]["young_limit"] = json!(tolerated);
-            // A cold host starts so many; none waits for its fellows of a service.
+            // Slow start is limited to `tolerated` attempts. The limit on tasks of one service is too high to delay
+            // any.
             config["settings"]["family_info"]["class_most"] = json!([50, 50]);
             let program = Program::start(&config);
             feed.accept_subscription();
             programs.push(program);
         }
-        if life == 0 {
-            born = unix_ms();
+        if generation == 0 {
+            started_at = unix_ms();
             for feed in &mut feeds {
                 feed.send(&emulator::endpoint_event(
                     2,
                     emulator::UpdateKind::Delta,
-                    vec![host.entry("up", born)],
+                    vec![host.entry("up", started_at)],
                 ));
             }
         }
@@ -283,7 +299,7 @@
             assert!(client.health_check());
             for n in 1..=20 {
                 client.request_task(
-                    life * 100 + n,
+                    generation * 100 + n,
                     &TaskRequest {
                         service: n,
                         ..IDEMPOTENT_TASK
@@ -296,10 +312,10 @@
             &mut connections,
             &mut times,
             start,
-            Duration::from_millis(if life == 0 { 150 } else { 2_000 }),
+            Duration::from_millis(if generation == 0 { 150 } else { 2_000 }),
         );
     }
     assert!(times.len() > 24, "{times:?}");
-    let count = max_within(times, SECOND);
+    let count = max_in_window(times, SECOND);
     assert!(count <= max_offers(tolerated), "{count}");
 }
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -1,4 +1,5 @@
-//! Helpers of the module tests: events in short form and a small client's view of the answers.
+//! Helpers for tests of the decision module: constructors for events, a placer with simulated time, and queries on
+//! actions.
 #![allow(dead_code)]
 
 use std::sync::Arc;
@@ -15,7 +16,7 @@
     RequestId(Arc::from(format!("r{n}")))
 }
 
-/// A warm, empty machine; machine `n` sits in zone and cell `n % 2`.
+/// Returns the endpoint of an idle host that is past its slow start. Host `n` is in zone and cell `n % 2`.
 pub fn endpoint(n: usize, state: EndpointState) -> Endpoint {
     Endpoint {
         host: host_id(n),
@@ -55,7 +56,7 @@
     }
 }
 
-/// A placer under test, with its pending timers.
+/// A decision module under test, with simulated time and its pending timers.
 pub struct TestPlacer {
     pub placer: Placer,
     pub now: Micros,
@@ -71,19 +72,19 @@
         }
     }
 
-    pub fn with(settings: Settings, machines: usize) -> TestPlacer {
+    pub fn with(settings: Settings, hosts: usize) -> TestPlacer {
         let mut placer = TestPlacer::new(settings);
-        placer.handle(complete_list(machines));
+        placer.handle(complete_list(hosts));
         placer
     }
 
-    /// Hands over one event; answers all actions but timers.
+    /// Passes an event to the placer and returns its actions, except those that set timers.
     pub fn handle(&mut self, event: Event) -> Vec<Action> {
         let mut out = Vec::new();
         self.placer.handle(self.now, &event, &mut out);
         for action in &out {
             if let Action::SetTimer { token, after } = action {
-                assert!(*after >= 0, "a timer in the past");
+                assert!(*after >= 0, "timer delay must not be negative");
                 self.timers.push((self.now + after, *token));
             }
         }
@@ -91,7 +92,7 @@
         out
     }
 
-    /// Lets time pass, firing timers in order; answers what was done and when.
+    /// Advances the time by `span` and fires the timers that are due in order. Returns the actions with their times.
     pub fn advance(&mut self, span: Micros) -> Vec<(Micros, Action)> {
         let end = self.now + span;
         let mut done = Vec::new();
@@ -161,7 +162,7 @@
     }
 }
 
-/// The hosts of the sends among these actions.
+/// Returns the hosts to which these actions send attempts.
 pub fn sent_hosts(actions: &[Action]) -> Vec<HostId> {
     actions
         .iter()
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The program in fleets that are large against its limit of descriptors.
+//! Tests the program with many hosts and clients relative to its limit of descriptors.
 
 use emulator::host_emulator::{EmulatedFeed, EmulatedHost, HostBehavior, HostRecords};
 use emulator::*;
@@ -17,7 +17,7 @@
 }
 
 impl Fleet {
-    /// Starts it with so many hosts and descriptors; the kernel enforces the limit as well.
+    /// Starts emulated hosts and a placer that may use `sockets` descriptors, a limit that the kernel enforces as well.
     fn start(hosts: usize, sockets: u32, behavior: &HostBehavior) -> Fleet {
         let records: Arc<Mutex<HostRecords>> = Arc::default();
         let host = |n: usize| {
@@ -43,8 +43,8 @@
     }
 }
 
-// Regression: the descriptors reserved for hundreds of hosts left clients four connections, and the others were closed
-// with their requests unread.
+// Guards against reserving descriptors for hundreds of hosts at the clients' expense: only four client connections were
+// left, and all others were closed with their requests unread.
 #[test]
 fn clients_get_a_third_of_the_descriptors_for_any_fleet_size() {
     let behavior = HostBehavior {
@@ -69,7 +69,8 @@
     assert!(fleet.program.descriptors() < 160);
 }
 
-// A client that connects while all others are busy has sent its request already: closed unread, the request is lost.
+// Guards against losing requests: a client that connects while all other connections are busy has already sent its
+// request, which is lost if its connection is closed unread.
 #[test]
 fn connection_beyond_the_budget_waits_for_an_answered_one() {
     let behavior = HostBehavior {
@@ -96,8 +97,8 @@
     fleet.program.wait_for_log("connection waits");
 }
 
-// Placers that return after an outage get the connections of all clients at once. While the program is stopped they
-// wait in the accept queue, whose length the program sets.
+// After an outage, all clients reconnect to a placer at once. Guards against an accept queue that is too short for
+// them: while the program is stopped, their connections wait in this queue, whose length the program sets.
 #[test]
 fn hundreds_of_simultaneous_connections_are_accepted_and_answered() {
     let behavior = HostBehavior {
@@ -108,9 +109,9 @@
     let fleet = Fleet::start(40, 1_024, &behavior);
     drop(fleet.program.client());
     fleet.program.signal("-STOP");
-    let comes = |n: u64| {
+    let connect = |n: u64| {
         let stream = TcpStream::connect_timeout(&fleet.program.address, Duration::from_millis(500));
-        let mut client = Client(stream.expect("it waits in the queue"));
+        let mut client = Client(stream.expect("connection waits in the accept queue"));
         client
             .0
             .set_read_timeout(Some(TEST_TIMEOUT))
@@ -124,15 +125,16 @@
         );
         client
     };
-    let mut clients: Vec<Client> = (0..400).map(comes).collect();
+    let mut clients: Vec<Client> = (0..400).map(connect).collect();
     fleet.program.signal("-CONT");
     for client in &mut clients {
         assert_eq!(client.expect_message().kind, 9);
     }
 }
 
-// Connections in the accept queue at shutdown count as accepted. The hosts answer everything pending at once, just
-// after the process could exit, and the connections beyond the budget are still there.
+// Connections in the accept queue at shutdown count as accepted. Guards against an exit that abandons them: the hosts
+// answer all pending requests at the same time, just after the process could exit, while connections beyond the budget
+// are still in the queue.
 #[test]
 fn shutdown_leaves_no_connection_in_the_accept_queue() {
     let behavior = HostBehavior {
@@ -142,7 +144,7 @@
     };
     let mut fleet = Fleet::start(3, 36, &behavior);
     let mut waiting: Vec<Client> = (0..12).map(|_| fleet.program.client()).collect();
-    // The first eight fill the budget, and their requests come together.
+    // The first eight connections use up the budget, and their requests arrive together.
     for (n, client) in waiting.iter_mut().enumerate() {
         client.request_task(
             n as u64 + 1,
@@ -159,7 +161,8 @@
     assert!(fleet.program.wait_exit().success());
 }
 
-// A process that exits with unread input resets the connection, and a response on its way may be lost.
+// A process that exits with unread input resets the connection. Guards against losing a response that is still on its
+// way.
 #[test]
 fn shutdown_closes_connections_without_reset() {
     let behavior = HostBehavior {
@@ -195,8 +198,9 @@
     assert!(fleet.program.wait_exit().success());
 }
 
-// Hundreds of placers that connect to all hosts at their start, and again whenever a connection is lost, make more
-// connections than there are tasks. Where the settings price connections, a host is connected for its first offer.
+// Hundreds of placers that connect to all hosts when they start, and again whenever a connection is lost, open more
+// connections than there are tasks. If the settings set a price for connections, the placer connects to a host only for
+// the first offer to it.
 #[test]
 fn priced_connections_are_opened_only_for_offers() {
     let mut feed = Feed::new();
@@ -231,8 +235,9 @@
     );
 }
 
-// The operators' fleets may have hundreds of either; nothing here is bounded below 1,024, nor in the time
-// that a start takes. An entry that can't be right, and a zone that the settings do not state, stop nothing.
+// Fleets may have hundreds of placers and hosts. Guards against limits on either number below 1,024, and against a
+// limit on the time that a start takes. An invalid entry, and a host in a zone that the settings do not state, must not
+// prevent the start.
 #[test]
 fn settings_with_a_thousand_placers_and_hosts_are_accepted() {
     let feed = Feed::new();
--- a/tests/former_names.rs
+++ b/tests/former_names.rs
@@ -1,4 +1,5 @@
-//! What earlier versions named is still accepted: the operator's file and the variable that names it.
+//! Tests that an operator's file of an earlier version, and the former name of the variable that sets its path, are
+//! still accepted.
 
 use emulator::{Feed, Launch, single_placer_config};
 use std::process::Output;
@@ -7,7 +8,7 @@
     env!("CARGO_MANIFEST_DIR"),
     "/tests/former_files/operator.toml"
 );
-/// Values that the file sets; a table of a signal sets four.
+/// The number of values that the file sets; the table of each signal sets four of them.
 const VALUES_IN_FILE: usize = 85;
 const FORMER_VARIABLE: &str = "ANISEHEAD_OPERATOR";
 
@@ -15,12 +16,12 @@
     Launch::new(&single_placer_config(&Feed::new(), vec![]))
 }
 
-fn printed(output: &Output) -> String {
-    String::from_utf8(output.stdout.clone()).expect("text")
+fn stdout_text(output: &Output) -> String {
+    String::from_utf8(output.stdout.clone()).expect("UTF-8")
 }
 
 fn warnings(output: &Output) -> Vec<String> {
-    let errors = String::from_utf8(output.stderr.clone()).expect("text");
+    let errors = String::from_utf8(output.stderr.clone()).expect("UTF-8");
     errors.lines().map(str::to_string).collect()
 }
 
@@ -32,11 +33,11 @@
 
     assert!(output.status.success(), "{:?}", warnings(&output));
     assert!(warnings(&output).is_empty(), "{:?}", warnings(&output));
-    let from_file = printed(&output)
+    let from_file = stdout_text(&output)
         .lines()
         .filter(|line| line.contains("operator.toml"))
         .count();
-    assert_eq!(from_file, VALUES_IN_FILE, "{}", printed(&output));
+    assert_eq!(from_file, VALUES_IN_FILE, "{}", stdout_text(&output));
 }
 
 #[test]
@@ -54,9 +55,9 @@
         "{warnings:?}"
     );
     assert!(
-        printed(&output).contains("operator.toml"),
+        stdout_text(&output).contains("operator.toml"),
         "{}",
-        printed(&output)
+        stdout_text(&output)
     );
 }
 
@@ -71,8 +72,8 @@
     assert!(output.status.success(), "{:?}", warnings(&output));
     assert!(warnings(&output).is_empty(), "{:?}", warnings(&output));
     assert!(
-        !printed(&output).contains("operator.toml"),
+        !stdout_text(&output).contains("operator.toml"),
         "{}",
-        printed(&output)
+        stdout_text(&output)
     );
 }
--- a/tests/fronts/start.rs
+++ b/tests/fronts/start.rs
@@ -23,14 +23,14 @@
         ),
         (
             "[health]\nagents = 1\n".to_string(),
-            "toml:2:1: health.agents: unknown, perhaps agent is meant",
+            "toml:2:1: health.agents: unknown key, did you mean agent?",
         ),
         (
             format!(
                 "[health]\nagent = [\"{}\"]\n",
                 config.get_str("listen").expect("an address")
             ),
-            "is where clients connect",
+            "is the address for clients (listen)",
         ),
     ] {
         let out = Launch::new(&config).operator_file(&operator).output();
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -1,4 +1,4 @@
-//! The real program as operators and the platform run it day by day: admin commands, metrics, drains, upgrades.
+//! Tests of the operation of the real program: admin commands, metrics, drains and upgrades.
 
 use emulator::admin_socket::AdminSocket;
 use emulator::*;
@@ -8,7 +8,7 @@
 use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
-/// A program with an admin socket, its hosts and their connections.
+/// Starts a program with an admin socket, and returns it with the socket, the feed, the hosts and their connections.
 fn start_with_admin_socket(
     hosts: usize,
 ) -> (Program, AdminSocket, Feed, Vec<Host>, Vec<HostConnection>) {
@@ -54,18 +54,18 @@
         );
     }
     assert!(admin.request(&"x".repeat(4_096)).starts_with("fail "));
-    // Three times as many connections as there are slots.
-    let mut halves: Vec<_> = (0..24).map(|_| admin.connect()).collect();
-    halves
+    // Opens 24 connections with partial commands, three times as many as there are connection slots.
+    let mut partial_commands: Vec<_> = (0..24).map(|_| admin.connect()).collect();
+    partial_commands
         .iter_mut()
         .for_each(|half| half.write_all(b"che").expect("the peer reads"));
     for _ in 0..10 {
-        let asked = Instant::now();
+        let sent_at = Instant::now();
         assert!(admin.is_healthy());
         assert!(
-            asked.elapsed() < Duration::from_secs(1),
+            sent_at.elapsed() < Duration::from_secs(1),
             "{:?}",
-            asked.elapsed()
+            sent_at.elapsed()
         );
     }
 }
@@ -85,10 +85,10 @@
         program.log()
     );
     let out = Launch::new(&config).env("LB_ADMIN", "nowhere").output();
-    let said = String::from_utf8_lossy(&out.stderr).into_owned();
+    let output = String::from_utf8_lossy(&out.stderr).into_owned();
     assert!(
-        !out.status.success() && said.contains("LB_ADMIN: nowhere"),
-        "{said}"
+        !out.status.success() && output.contains("LB_ADMIN: nowhere"),
+        "{output}"
     );
 }
 
@@ -100,7 +100,7 @@
     wait_for("the placer serves", || admin.is_healthy().then_some(()));
     let at = admin.0.to_string();
     let nowhere = free_address().to_string();
-    for (at, call, code, says) in [
+    for (at, call, code, expected) in [
         (&at, "check", 0, "ok\n"),
         (&at, "drain-on", 0, "ok\n"),
         (&at, "check", 1, "fail takes no requests\n"),
@@ -111,9 +111,9 @@
         let out = Launch::from_text("{}")
             .args(&["call", "--at", at, call])
             .output();
-        let said = String::from_utf8_lossy(&out.stdout).into_owned();
+        let output = String::from_utf8_lossy(&out.stdout).into_owned();
         assert_eq!(out.status.code(), Some(code), "{call}: {out:?}");
-        assert!(said.ends_with(says), "{call}: {said}");
+        assert!(output.ends_with(expected), "{call}: {output}");
     }
 }
 
@@ -123,18 +123,21 @@
     let mut config = single_placer_config(&feed, Vec::new());
     let listen = config.get_str("listen").expect("an address").to_string();
     config.insert("admin", listen).expect("an object");
-    let (refused, said) = run_with_invalid_config(&config.encode());
-    assert!(refused && said.contains("configuration: admin: "), "{said}");
+    let (refused, output) = run_with_invalid_config(&config.encode());
+    assert!(
+        refused && output.contains("configuration: admin: "),
+        "{output}"
+    );
 }
 
-// ---- Figures ----
+// ---- Metrics ----
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
 fn metrics_count_client_responses_and_open_work() {
     let (program, admin, mut feed, hosts, mut connections) = start_with_admin_socket(2);
     let mut client = program.client();
-    // Served by the second host; rejected by both; failed without a host.
+    // Request 1 starts on the second host, request 2 is rejected by both hosts, and request 3 fails without a host.
     client.request_task(1, &IDEMPOTENT_TASK);
     let (first, id) = next_offer(&mut connections);
     connections[first].report_ended(&id, 34, "nc");
@@ -174,11 +177,11 @@
         },
     );
     assert_eq!(client.expect_message().cause(), 47);
-    let figures = admin.metrics();
+    let metrics = admin.metrics();
     let whole = |name: &str| {
-        figures
+        metrics
             .get_u64(name)
-            .unwrap_or_else(|| panic!("{name}: {figures}"))
+            .unwrap_or_else(|| panic!("{name}: {metrics}"))
     };
     assert_eq!(
         (
@@ -198,13 +201,13 @@
     assert_eq!(whole("attempts"), attempts + 3);
     connections[at].report_running(&id);
     assert_eq!(client.expect_message().kind, 9);
-    // A draining host is known, and excluded.
+    // A draining host is counted as known and as excluded.
     feed.send_host_state(2, &hosts[0], "draining");
     wait_for("one host excluded", || {
         (admin.metrics().get_u64("hosts_excluded") == Some(1)).then_some(())
     });
     feed.send_host_state(3, &hosts[0], "removed");
-    wait_for("one host forgotten", || {
+    wait_for("one host removed", || {
         (admin.metrics().get_u64("hosts_known") == Some(1)).then_some(())
     });
     assert_eq!(admin.metrics().get_u64("hosts_excluded"), Some(0));
@@ -232,7 +235,11 @@
     assert!(second_client.health_check());
     second_client.request_task(2, &IDEMPOTENT_TASK);
     let id = connections[0].expect_offer();
-    assert_eq!(second_client.expect_message().kind, 12, "resent");
+    assert_eq!(
+        second_client.expect_message().kind,
+        12,
+        "the end of task 1 is resent"
+    );
     let counts = |names: &[&str]| -> Vec<u64> {
         let counts = names.iter().map(|name| count("task_ends", name));
         counts.collect()
@@ -244,7 +251,7 @@
     wait_for("the end is acknowledged", || {
         (counts(&["acknowledged", "unacknowledged"]) == [1, 0]).then_some(())
     });
-    // A task runs while the connection ends.
+    // The connection to the host ends while a task is running.
     connections[0].report_running(&id);
     assert_eq!(second_client.expect_message().kind, 9);
     connections.clear();
@@ -269,26 +276,29 @@
     );
     assert!(idle.health_check() && busy.health_check() && half.health_check());
     running.request_task(1, &IDEMPOTENT_TASK);
-    let standing = connections[0].expect_offer();
-    connections[0].report_running(&standing);
+    let running_task = connections[0].expect_offer();
+    connections[0].report_running(&running_task);
     assert_eq!(running.expect_message().kind, 9);
     busy.request_task(2, &NON_IDEMPOTENT_TASK);
     let open = connections[0].expect_offer();
     let whole = encode_message(52, 9, &[(171, &[0])]);
     half.send(&whole[..5]);
-    // Its first message is partial for longer than a connection counts as new.
+    // The first message of this connection stays partial for longer than a connection counts as new.
     let mut fresh = program.client();
     fresh.send(&whole[..5]);
     assert!(admin.request("drain-on").starts_with("ok"));
-    assert!(!admin.is_healthy(), "from the beginning");
-    // A new connection still gets its response: the load balancer may not have been notified yet.
+    assert!(
+        !admin.is_healthy(),
+        "health checks fail as soon as the drain begins"
+    );
+    // A new connection still gets its response, because the load balancer may not have seen the drain yet.
     let mut late = program.client();
     assert!(!late.health_check());
     late.request_task(3, &IDEMPOTENT_TASK);
-    let crossed = connections[0].expect_offer();
-    connections[0].report_ended(&crossed, 16, "");
+    let late_task = connections[0].expect_offer();
+    connections[0].report_ended(&late_task, 16, "");
     assert_eq!(late.expect_message().cause(), 16);
-    // Idle connections are closed, the others are not.
+    // Only idle connections are closed.
     assert_eq!((idle.next_message(), late.next_message()), (None, None));
     program.wait_for_log("phase=\"draining\"");
     connections[0].report_running(&open);
@@ -307,14 +317,17 @@
         (half.expect_message().kind, half.next_message()),
         (53, None)
     );
-    connections[0].report_ended(&standing, 16, "");
+    connections[0].report_ended(&running_task, 16, "");
     assert_eq!(
         (running.expect_message().id, running.next_message()),
         (1, None)
     );
     assert!(admin.request("drain-off").starts_with("ok") && admin.is_healthy());
     let mut back = program.client();
-    assert!(back.health_check() && back.health_check(), "it stays open");
+    assert!(
+        back.health_check() && back.health_check(),
+        "the connection stays open"
+    );
 }
 
 #[test]
@@ -329,10 +342,10 @@
     program.wait_for_log("peer=\"client\"");
     connections[0].report_ended(&id, 16, "");
     connections[0].expect("ack");
-    let mut front = program.client();
+    let mut load_balancer = program.client();
     assert!(
-        front.health_check() && front.health_check(),
-        "only results come on this connection"
+        load_balancer.health_check() && load_balancer.health_check(),
+        "the connection carries only health check results"
     );
     let mut next = program.client();
     next.request_task(2, &IDEMPOTENT_TASK);
@@ -342,7 +355,7 @@
 
 // ---- Upgrades ----
 
-/// Processes of one placer, with the listening socket and the folder that they share.
+/// The processes of one placer, with the listening socket and the temporary directory that they share.
 struct Processes {
     config: OwnedValue,
     listener: TcpListener,
@@ -350,7 +363,7 @@
 }
 
 impl Processes {
-    /// Returns the processes of a placer with this configuration; none is started yet.
+    /// Prepares a placer with this configuration, without starting a process.
     fn of(mut config: OwnedValue) -> Processes {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("an address").to_string();
@@ -362,7 +375,7 @@
         }
     }
 
-    /// Starts one more process that serves, and returns it with its admin socket.
+    /// Starts a further process, waits until it serves, and returns it with its admin socket.
     fn start(&self) -> (Program, AdminSocket) {
         let admin = AdminSocket(free_address());
         let launch = Launch::new(&self.config).inherit_listener(&self.listener);
@@ -386,29 +399,37 @@
     let mut connection = hosts[0].accept();
     let (mut running, mut busy, mut idle) = (old.client(), old.client(), old.client());
     running.request_task(1, &IDEMPOTENT_TASK);
-    let standing = connection.expect_offer();
-    connection.report_running(&standing);
+    let running_task = connection.expect_offer();
+    connection.report_running(&running_task);
     assert_eq!(running.expect_message().kind, 9);
     busy.request_task(2, &NON_IDEMPOTENT_TASK);
     let open = connection.expect_offer();
     assert!(idle.health_check());
 
     let (mut new, second) = processes.start();
-    // Two processes count as one placer.
+    // The two processes find each other and count as one placer.
     old.wait_for_log("others=1");
     new.wait_for_log("others=1");
     old.terminate();
     old.wait_for_log("phase=\"shutting-down\"");
-    assert_eq!(idle.next_message(), None, "its connection carries no task");
-    assert!(running.health_check(), "the placer serves");
+    assert_eq!(
+        idle.next_message(),
+        None,
+        "a connection without a task is closed"
+    );
+    assert!(running.health_check(), "the placer as a whole serves");
     assert!(
         !admin.is_healthy() && second.is_healthy(),
-        "this process does not"
+        "only the new process serves"
     );
-    for order in ["drain-on", "drain-off"] {
-        assert_eq!(admin.request(order), "fail the process ends\n", "{order}");
+    for command in ["drain-on", "drain-off"] {
+        assert_eq!(
+            admin.request(command),
+            "fail the process ends\n",
+            "{command}"
+        );
     }
-    // New connections go to the new process.
+    // The new process accepts new connections.
     let mut next_conn = hosts[0].accept();
     let mut late = new.client();
     late.request_task(
@@ -421,8 +442,8 @@
     let id = next_conn.expect_offer();
     next_conn.report_running(&id);
     assert_eq!((late.expect_message().kind, late.health_check()), (9, true));
-    // The old process notifies its open work on its connections.
-    connection.report_ended(&standing, 16, "");
+    // The old process sends responses and task ends for its open requests and tasks on its connections.
+    connection.report_ended(&running_task, 16, "");
     let end = running.expect_message();
     assert_eq!((end.kind, end.id), (12, 1));
     running.acknowledge_end(1);
@@ -433,12 +454,12 @@
     assert!(old.wait_exit().success());
     assert!(
         ending.elapsed() < Duration::from_secs(1),
-        "it ends once nothing is owed: {:?}",
+        "the process did not exit promptly after its last response: {:?}",
         ending.elapsed()
     );
     assert_eq!(busy.next_message(), None);
     new.wait_for_log("others=0");
-    // A client reconnects to its running task through the new process.
+    // A client adopts its running task through the new process.
     late.request_task(
         2,
         &TaskRequest {
@@ -450,7 +471,7 @@
     next_conn.report_ended(&open, 16, "");
     let end = late.expect_message();
     assert_eq!((end.kind, end.id), (12, 2));
-    // The next upgrade finds the new process.
+    // In the next upgrade, the new process and its successor find each other.
     let (last, _) = processes.start();
     last.wait_for_log("others=1");
     assert!(new.is_running());
@@ -459,21 +480,23 @@
 #[test]
 fn two_processes_share_the_slow_start_budget_of_one_placer() {
     let (mut feed, host) = (Feed::new(), Host::new("h0", "north"));
-    // It tolerates 3 offers a second: one placer sends two of these, and each of two processes one.
+    // The host tolerates 3 offers per second. One placer sends two of these, so each of its two processes sends one.
     let processes = Processes::of(single_placer_config(&feed, vec![host.entry("draining", 0)]));
     let ((first, _), (other, _)) = (processes.start(), processes.start());
     first.wait_for_log("others=1");
     other.wait_for_log("others=1");
-    // It starts once both run: a process does not know what another sent before it started.
+    // The host starts after both processes, since a process does not know what the other sent before it started.
     let starts = format!(
         "{}\n",
         endpoint_event(2, UpdateKind::Delta, vec![host.entry("up", unix_ms())]).encode()
     );
     let _subscriptions = [0; 2].map(|_| {
         assert_eq!(feed.accept_subscription(), 1);
-        let mut told = feed.take_subscription().expect("a subscription");
-        told.write_all(starts.as_bytes()).expect("the peer reads");
-        told
+        let mut subscription = feed.take_subscription().expect("a subscription");
+        subscription
+            .write_all(starts.as_bytes())
+            .expect("the peer reads");
+        subscription
     });
     let mut connections = [host.accept(), host.accept()];
     let mut client = first.client();
@@ -501,7 +524,7 @@
     let feed = Feed::new();
     let (config, _) = with_admin_socket(single_placer_config(&feed, Vec::new()));
     let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
-    for (number, says) in [
+    for (number, expected) in [
         ("5", "listens at"),
         ("4", "LB_ACCEPT_FD: 4: "),
         ("five", "LB_ACCEPT_FD: five: "),
@@ -510,10 +533,10 @@
             .inherit_listener(&listener)
             .env("LB_ACCEPT_FD", number)
             .output();
-        let said = String::from_utf8_lossy(&out.stderr).into_owned();
+        let output = String::from_utf8_lossy(&out.stderr).into_owned();
         assert!(
-            !out.status.success() && said.contains(says),
-            "{number}: {said}"
+            !out.status.success() && output.contains(expected),
+            "{number}: {output}"
         );
     }
 }
