--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -19,16 +19,12 @@
     (tolerated + 2.0 * tolerated.sqrt() + 2.0) as usize
 }
 
-/// Returns the maximum number of offers within any window of length `collapse_window`, in which they could crash a
-/// host.
-fn max_in_window(mut times: Vec<Micros>, collapse_window: Micros) -> usize {
+/// Returns the maximum number of offers within any period of length `window`, the time within which too many offers crash
+/// a host.
+fn max_in_window(mut times: Vec<Micros>, window: Micros) -> usize {
     times.sort_unstable();
-    let within = |(i, t): (usize, &Micros)| {
-        times[i..]
-            .iter()
-            .take_while(|other| **other - t < collapse_window)
-            .count()
-    };
+    let within =
+        |(i, t): (usize, &Micros)| times[i..].iter().take_while(|u| **u - t < window).count();
     times.iter().enumerate().map(within).max().unwrap_or(0)
 }
 
