--- a/tests/cold.rs
+++ b/tests/cold.rs
@@ -19,8 +19,8 @@
     (tolerated + 2.0 * tolerated.sqrt() + 2.0) as usize
 }
 
-/// Returns the maximum number of offers within any period of length `window`, the time within which too many offers crash
-/// a host.
+/// Returns the maximum number of offers within any period of length `window`, the time within which too many offers
+/// crash a host.
 fn max_in_window(mut times: Vec<Micros>, window: Micros) -> usize {
     times.sort_unstable();
     let within =
@@ -201,7 +201,10 @@
         delays in prop::collection::vec(0.0f64..1.0, 1..8),
     ) {
         let restarts: Vec<(Micros, f64)> = restarts.into_iter().map(|(ms, fraction)| (ms * MS, fraction)).collect();
-        let count = max_in_window(simulate_offers(placers, tolerated, 5 * SECOND, &restarts, wait * MS, &delays), SECOND);
+        let count = max_in_window(
+            simulate_offers(placers, tolerated, 5 * SECOND, &restarts, wait * MS, &delays),
+            SECOND,
+        );
         prop_assert!(count <= max_offers(tolerated), "{count}");
     }
 }
