--- a/crates/scale-test/src/error.rs
+++ b/crates/scale-test/src/error.rs
@@ -27,7 +27,7 @@
     /// A placer process exited although the run had not stopped it.
     #[error("placer {placer} exited unexpectedly ({status}); last lines of its log:\n{log}")]
     PlacerEnded {
-        /// The placer concerned.
+        /// The index of the placer.
         placer: PlacerId,
         /// The exit status of the process.
         status: String,
@@ -37,7 +37,7 @@
     /// A placer did not pass a health check within the time limit after its start.
     #[error("placer {placer} passed no health check within {}; last lines of its log:\n{log}", humantime::format_duration(*.limit))]
     NotReady {
-        /// The placer concerned.
+        /// The index of the placer.
         placer: PlacerId,
         /// The time limit.
         limit: Duration,
--- a/crates/scale-test/src/socket.rs
+++ b/crates/scale-test/src/socket.rs
@@ -13,8 +13,8 @@
 /// The capacity above which an empty buffer is freed. Thousands of connections are idle at a time, and their buffers
 /// would otherwise keep memory.
 const MAX_IDLE_CAPACITY_BYTES: usize = 1_024;
-/// The maximum number of bytes queued for a placer that reads slowly. The queue is longest when the running tasks are
-/// reported to a restarted placer.
+/// The maximum number of bytes queued for a placer that reads slowly. The queue is longest when a client reports its
+/// running tasks to a placer that has started.
 const MAX_QUEUED_BYTES: usize = 64 * 1024 * 1024;
 
 /// Whether a connection is open.
--- a/crates/scale-test/src/traffic.rs
+++ b/crates/scale-test/src/traffic.rs
@@ -11,17 +11,17 @@
 /// The purpose of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TrafficKind {
-    /// Control: the control feed.
+    /// Control traffic: the control feed.
     Feed,
-    /// Control: health checks and their results.
+    /// Control traffic: health checks and their results.
     HealthCheck,
-    /// Control: a connection to a worker that has carried no task.
+    /// Control traffic: a connection to a worker that has carried no task.
     IdleWorker,
-    /// Control: the configuration that a placer reads at its start.
+    /// Control traffic: the configuration that a placer reads at its start.
     Configuration,
-    /// Service: a connection to a worker that has carried a task.
+    /// Service traffic: a connection to a worker that has carried a task.
     Worker,
-    /// Service: a client's connection.
+    /// Service traffic: a connection of a client.
     Client,
 }
 
--- a/crates/scale-test/src/wire/feed.rs
+++ b/crates/scale-test/src/wire/feed.rs
@@ -32,7 +32,7 @@
     pub port: u16,
     /// The name of the worker's zone.
     pub zone: &'a str,
-    /// The state of the worker.
+    /// The reported state of the worker.
     pub listed: ListedWorker,
 }
 
