--- a/crates/load-test/src/commands/compare.rs
+++ b/crates/load-test/src/commands/compare.rs
@@ -8,7 +8,7 @@
 use load_test::plan::Plan;
 use load_test::results::{SecondSummary, summarize};
 use load_test::run::run;
-use load_test::search::{Figure, Samples, collect_samples, compare, compared_figures};
+use load_test::search::{Metric, Samples, collect_samples, compare, compared_metrics};
 
 const SECOND: Micros = 1_000_000;
 
@@ -67,8 +67,8 @@
         text.push_str(&format!("{:>20}", policy.as_str()));
     }
     text.push('\n');
-    for (row, figure) in columns.first().into_iter().flatten().enumerate() {
-        text.push_str(&format!("{:<44}", figure.name));
+    for (row, metric) in columns.first().into_iter().flatten().enumerate() {
+        text.push_str(&format!("{:<44}", metric.name));
         for samples in &columns {
             let cell = samples.get(row).map_or_else(String::new, samples_text);
             text.push_str(&format!("{cell:>20}"));
@@ -83,7 +83,7 @@
     plan: &Plan,
     seeds: u64,
     common: &CommonArgs,
-) -> Result<Vec<Vec<Figure>>, CommandError> {
+) -> Result<Vec<Vec<Metric>>, CommandError> {
     let mut runs = Vec::new();
     for n in 0..seeds.max(1) {
         let plan = Plan {
@@ -98,41 +98,41 @@
             plan.seed,
             summary.exit_code(&outcome)
         ));
-        let mut figures = compared_figures(&summary);
-        figures.extend(cost_figures(&outcome, &summary.seconds));
-        runs.push(figures);
+        let mut metrics = compared_metrics(&summary);
+        metrics.extend(cost_metrics(&outcome, &summary.seconds));
+        runs.push(metrics);
     }
     Ok(runs)
 }
 
 /// What retries cost, and how soon the deployment recovers after the peak.
-fn cost_figures(outcome: &Outcome, seconds: &[SecondSummary]) -> Vec<Figure> {
+fn cost_metrics(outcome: &Outcome, seconds: &[SecondSummary]) -> Vec<Metric> {
     let counts = outcome.counts;
     let first_attempts = counts.first_attempts.max(1) as f64;
     let impact = &outcome.impact;
     vec![
-        Figure::new(
+        Metric::new(
             "attempts beyond the first, a task",
             counts.retries as f64 / first_attempts,
         ),
-        Figure::new(
+        Metric::new(
             "attempts that brought nothing, a task",
             counts.failed_attempts as f64 / first_attempts,
         ),
-        Figure::new(
+        Metric::new(
             "seconds until all is well after the peak",
             recovery_seconds(outcome, seconds) as f64,
         ),
-        Figure::new("offers, a task", impact.offers_per_task()),
-        Figure::new(
+        Metric::new("offers, a task", impact.offers_per_task()),
+        Metric::new(
             "refused offers",
             impact.total(|second| second.rejected_offers) as f64,
         ),
-        Figure::new(
+        Metric::new(
             "offers in vain",
             impact.total(|second| second.abandoned_offers) as f64,
         ),
-        Figure::new(
+        Metric::new(
             "most returns in a second",
             f64::from(impact.max_per_second(|second| second.retries)),
         ),
--- a/crates/load-test/src/outcome.rs
+++ b/crates/load-test/src/outcome.rs
@@ -23,9 +23,9 @@
     /// Index of the phase of the load profile in which it was due.
     pub phase: usize,
     /// The time from when it was due until it first ran.
-    pub started: Option<Micros>,
+    pub start_latency: Option<Micros>,
     /// The time from when it was due until its client was first answered.
-    pub answered: Option<Micros>,
+    pub answer_latency: Option<Micros>,
     /// Attempts of its client.
     pub attempts: u32,
     /// Attempts that were rejected.
--- a/crates/load-test/src/overload_impact.rs
+++ b/crates/load-test/src/overload_impact.rs
@@ -72,7 +72,7 @@
     }
 
     /// Returns the maximum of a figure over its mean, in the seconds in which it is not zero.
-    pub fn unevenness(&self, figure: fn(&ImpactSecond) -> u32) -> f64 {
+    pub fn peak_to_mean_ratio(&self, figure: fn(&ImpactSecond) -> u32) -> f64 {
         let values: Vec<u32> = self
             .seconds
             .iter()
--- a/crates/load-test/src/overload_impact/tests.rs
+++ b/crates/load-test/src/overload_impact/tests.rs
@@ -83,5 +83,5 @@
     );
     assert_eq!(impact.offers_by_slot, [[1, 0, 0, 0], [1, 2, 0, 0]]);
     assert!((impact.offers_per_task() - 2.0).abs() < 1e-9);
-    assert!((impact.unevenness(|second| second.offers) - 1.0).abs() < 1e-9);
+    assert!((impact.peak_to_mean_ratio(|second| second.offers) - 1.0).abs() < 1e-9);
 }
--- a/crates/load-test/src/report_table/tests.rs
+++ b/crates/load-test/src/report_table/tests.rs
@@ -178,6 +178,10 @@
             .expect("a column")
             .null_count();
     }
-    let never = outcome.tasks.iter().filter(|t| t.started.is_none()).count();
+    let never = outcome
+        .tasks
+        .iter()
+        .filter(|t| t.start_latency.is_none())
+        .count();
     assert_eq!((rows, empty), (outcome.tasks.len(), never));
 }
--- a/crates/load-test/src/results/interval_log.rs
+++ b/crates/load-test/src/results/interval_log.rs
@@ -27,7 +27,7 @@
                 .tasks
                 .iter()
                 .filter(|task| task.arrival.class == index && task.arrival.due / SECOND == second);
-            for latency in tasks.filter_map(|task| task.started) {
+            for latency in tasks.filter_map(|task| task.start_latency) {
                 record_latency(&mut histogram, latency);
             }
             if histogram.is_empty() {
--- a/crates/load-test/src/results/mod.rs
+++ b/crates/load-test/src/results/mod.rs
@@ -62,7 +62,7 @@
 pub fn task_result(outcome: &Outcome, task: &TaskRecord) -> TaskResult {
     let class = outcome.plan.classes.get(task.arrival.class);
     let objective = class.map_or(0, |class| class.objective.as_micros() as Micros);
-    match task.started {
+    match task.start_latency {
         Some(latency) if latency <= objective => TaskResult::WithinObjective,
         Some(_) => TaskResult::Late,
         None => TaskResult::NeverStarted,
@@ -97,7 +97,7 @@
 
     fn add(&mut self, task: &TaskRecord, result: TaskResult) {
         self.due += 1;
-        if let Some(latency) = task.started {
+        if let Some(latency) = task.start_latency {
             self.started += 1;
             record_latency(&mut self.latency, latency);
         }
@@ -105,7 +105,7 @@
     }
 
     /// Returns the fraction that started within the objective.
-    pub fn share(&self) -> f64 {
+    pub fn fraction_within_objective(&self) -> f64 {
         if self.due == 0 {
             1.0
         } else {
@@ -178,7 +178,7 @@
     let judged_name = format!("class {}", objectives.class);
     let judged = groups.iter().find(|group| group.name == judged_name);
     Summary {
-        objective_met: judged.map(|group| group.share() >= objectives.share),
+        objective_met: judged.map(|group| group.fraction_within_objective() >= objectives.share),
         groups,
         seconds: summarize_seconds(outcome),
         fates,
@@ -231,7 +231,7 @@
         second.due += 1;
         second.retries += task.attempts.saturating_sub(1);
         second.within_objective += u32::from(result == TaskResult::WithinObjective);
-        if let Some(started) = task.started {
+        if let Some(started) = task.start_latency {
             second.started += 1;
             record_latency(latency, started);
         }
--- a/crates/load-test/src/results/tests.rs
+++ b/crates/load-test/src/results/tests.rs
@@ -23,8 +23,8 @@
         .map(|(n, arrival)| TaskRecord {
             key: n as u64,
             phase: 0,
-            started: after(n),
-            answered: after(n),
+            start_latency: after(n),
+            answer_latency: after(n),
             attempts: 1 + n as u32 % 2,
             rejections: n as u32 % 2,
             placer: Some(n % 3),
--- a/crates/load-test/src/results/text.rs
+++ b/crates/load-test/src/results/text.rs
@@ -41,7 +41,7 @@
             group.name,
             group.due,
             group.started,
-            100.0 * group.share(),
+            100.0 * group.fraction_within_objective(),
             cell(0.5),
             cell(0.99),
             cell(0.999)
--- a/crates/load-test/src/run/generator.rs
+++ b/crates/load-test/src/run/generator.rs
@@ -102,8 +102,8 @@
                 key,
                 arrival: arrival.clone(),
                 phase,
-                started: None,
-                answered: None,
+                start_latency: None,
+                answer_latency: None,
                 attempts: 0,
                 rejections: 0,
                 placer: None,
@@ -315,10 +315,10 @@
             return;
         };
         let elapsed = now - self.start.get() - task.arrival.due;
-        task.answered = task.answered.or(Some(elapsed));
+        task.answer_latency = task.answer_latency.or(Some(elapsed));
         task.placer = Some(placer);
         match notice {
-            ClientNotice::Placed(_) => task.started = task.started.or(Some(elapsed)),
+            ClientNotice::Placed(_) => task.start_latency = task.start_latency.or(Some(elapsed)),
             ClientNotice::Released(cause) if is_rejection(cause) => task.rejections += 1,
             ClientNotice::Released(_) | ClientNotice::Migrated => {}
         }
@@ -362,7 +362,7 @@
             let placed = state
                 .tasks
                 .values()
-                .filter(|task| task.started.is_some())
+                .filter(|task| task.start_latency.is_some())
                 .count();
             let (due, open) = (state.tasks.len(), state.clients.open_count());
             let elapsed = (self.log.now() - start).max(0) / SECOND;
--- a/crates/load-test/src/search.rs
+++ b/crates/load-test/src/search.rs
@@ -9,29 +9,29 @@
 /// The search for a knee below the plan's rate ends here.
 const MIN_FACTOR: f64 = 1.0 / 1_024.0;
 
-/// A figure of a run.
+/// A metric of a run.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Figure {
+pub struct Metric {
     /// Its name in comparisons.
     pub name: String,
     /// Its value.
     pub value: f64,
 }
 
-impl Figure {
-    /// Returns a figure.
-    pub fn new(name: impl Into<String>, value: f64) -> Figure {
-        Figure {
+impl Metric {
+    /// Returns a metric.
+    pub fn new(name: impl Into<String>, value: f64) -> Metric {
+        Metric {
             name: name.into(),
             value,
         }
     }
 }
 
-/// The values of a figure over several seeds.
+/// The values of a metric over several seeds.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Samples {
-    /// The name of the figure.
+    /// The name of the metric.
     pub name: String,
     /// One for each seed.
     pub values: Vec<f64>,
@@ -76,7 +76,7 @@
     }
 }
 
-/// Compares two figures by Welch's t statistic. A difference of more than three standard errors counts (about one
+/// Compares two metrics by Welch's t statistic. A difference of more than three standard errors counts (about one
 /// in a hundred by chance, with three runs a side).
 pub fn compare(a: &Samples, b: &Samples) -> Comparison {
     if a.values.len() < 2 || b.values.len() < 2 {
@@ -98,45 +98,45 @@
     }
 }
 
-/// Returns the figures of a run that are compared.
-pub fn compared_figures(summary: &Summary) -> Vec<Figure> {
-    let mut figures = Vec::new();
+/// Returns the metrics of a run that are compared.
+pub fn compared_metrics(summary: &Summary) -> Vec<Metric> {
+    let mut metrics = Vec::new();
     for group in summary
         .groups
         .iter()
         .filter(|group| group.name == "all" || group.name.starts_with("class "))
     {
-        figures.push(Figure::new(
+        metrics.push(Metric::new(
             format!("{}: in aim, %", group.name),
-            100.0 * group.share(),
+            100.0 * group.fraction_within_objective(),
         ));
         if summary.generator_in_time {
             for (name, fraction) in [("p50", 0.5), ("p99", 0.99)] {
                 let value = group
                     .percentile(fraction)
                     .map_or(MAX_LATENCY_MS, |latency| latency.as_secs_f64() * 1e3);
-                figures.push(Figure::new(format!("{}: {name}, ms", group.name), value));
+                metrics.push(Metric::new(format!("{}: {name}, ms", group.name), value));
             }
         }
     }
     let violations: usize = summary.violations.values().sum();
-    figures.push(Figure::new("broken rules", violations as f64));
-    figures
+    metrics.push(Metric::new("broken rules", violations as f64));
+    metrics
 }
 
-/// Collects the figures of several runs by name.
-pub fn collect_samples(runs: &[Vec<Figure>]) -> Vec<Samples> {
+/// Collects the metrics of several runs by name.
+pub fn collect_samples(runs: &[Vec<Metric>]) -> Vec<Samples> {
     let values = |name: &str| {
         runs.iter()
-            .filter_map(|run| run.iter().find(|figure| figure.name == name))
-            .map(|figure| figure.value)
+            .filter_map(|run| run.iter().find(|metric| metric.name == name))
+            .map(|metric| metric.value)
             .collect()
     };
-    let figures = runs.first().into_iter().flatten();
-    figures
-        .map(|figure| Samples {
-            name: figure.name.clone(),
-            values: values(&figure.name),
+    let metrics = runs.first().into_iter().flatten();
+    metrics
+        .map(|metric| Samples {
+            name: metric.name.clone(),
+            values: values(&metric.name),
         })
         .collect()
 }
--- a/crates/load-test/tests/rehearsal.rs
+++ b/crates/load-test/tests/rehearsal.rs
@@ -93,12 +93,16 @@
     assert_no_findings(&outcome);
     let summary = summarize(&outcome);
     assert!(
-        outcome.tasks.len() > 120 && outcome.tasks.iter().all(|t| t.started.is_some()),
+        outcome.tasks.len() > 120 && outcome.tasks.iter().all(|t| t.start_latency.is_some()),
         "{}",
         summary_text(&summary, &outcome)
     );
     // Counted again from the raw times, by sorting: equal within the resolution of the histogram, one in a thousand.
-    let mut raw: Vec<Micros> = outcome.tasks.iter().filter_map(|t| t.started).collect();
+    let mut raw: Vec<Micros> = outcome
+        .tasks
+        .iter()
+        .filter_map(|t| t.start_latency)
+        .collect();
     raw.sort_unstable();
     let all = summary.group("all").expect("a group");
     for part in [0.5, 0.9, 0.99, 1.0] {
@@ -152,7 +156,9 @@
             .filter(move |t| (from * MILLI..to * MILLI).contains(&t.arrival.due))
     };
     // All tasks that were due in the pause are there. The fault injector acts late by up to its poll interval.
-    let stalled: Vec<Micros> = within(1_600, 2_450).filter_map(|t| t.started).collect();
+    let stalled: Vec<Micros> = within(1_600, 2_450)
+        .filter_map(|t| t.start_latency)
+        .collect();
     assert_eq!(
         (within(1_500, 2_500).count(), stalled.len()),
         (40, within(1_600, 2_450).count())
@@ -160,7 +166,7 @@
     for task in within(1_600, 2_450) {
         // It could not start before the placer was resumed.
         let least = 2_500 * MILLI - task.arrival.due - 20 * MILLI;
-        let started = task.started.expect("a start");
+        let started = task.start_latency.expect("a start");
         assert!(
             started >= least && started < least + 1_200 * MILLI,
             "due {}: {started}",
@@ -171,12 +177,16 @@
     let mut closed = Vec::new();
     let mut at = 0;
     while let Some(task) = outcome.tasks.iter().find(|t| t.arrival.due >= at) {
-        let started = task.started.expect("a start");
+        let started = task.start_latency.expect("a start");
         closed.push(started);
         at = task.arrival.due + started.max(25 * MILLI);
     }
     let over = |all: &[Micros]| all.iter().filter(|after| **after > 500 * MILLI).count();
-    let open: Vec<Micros> = outcome.tasks.iter().filter_map(|t| t.started).collect();
+    let open: Vec<Micros> = outcome
+        .tasks
+        .iter()
+        .filter_map(|t| t.start_latency)
+        .collect();
     eprintln!(
         "over 500 ms: {} of {} open, {} of {} closed",
         over(&open),
@@ -386,7 +396,10 @@
     );
     // A drain breaks nothing, so no client had to retry.
     assert!(
-        outcome.tasks.iter().all(|task| task.started.is_some()),
+        outcome
+            .tasks
+            .iter()
+            .all(|task| task.start_latency.is_some()),
         "{}",
         summary_text(&summarize(&outcome), &outcome)
     );
@@ -417,7 +430,7 @@
     let started = outcome
         .tasks
         .iter()
-        .filter(|task| task.started.is_some())
+        .filter(|task| task.start_latency.is_some())
         .count();
     assert!(
         started * 100 >= outcome.tasks.len() * 98,
@@ -495,7 +508,7 @@
     let after = |outcome: &Outcome| {
         summarize(outcome)
             .group("phase after")
-            .map_or(0.0, |g| g.share())
+            .map_or(0.0, |g| g.fraction_within_objective())
     };
     let told = |outcome: &Outcome| {
         format!(
@@ -563,7 +576,7 @@
 /// Returns the fraction of these tasks that started within a second of their due time.
 fn fraction_in_time<'a>(tasks: impl Iterator<Item = &'a TaskRecord>) -> f64 {
     let (count, in_time) = tasks.fold((0, 0), |(count, in_time), task| {
-        let is_in_time = task.started.is_some_and(|late| late <= 1_000 * MILLI);
+        let is_in_time = task.start_latency.is_some_and(|late| late <= 1_000 * MILLI);
         (count + 1, in_time + usize::from(is_in_time))
     });
     assert!(count > 50, "{count} tasks");
