--- a/crates/load-test/src/commands/compare.rs
+++ b/crates/load-test/src/commands/compare.rs
@@ -1,4 +1,4 @@
-//! `compare` and `policies`: runs over several seeds, side by side.
+//! `compare` and `policies`: run plans over several seeds and print their metrics side by side.
 
 use super::{CommandError, Progress, print_error_line, print_line, run_options};
 use crate::cli::CommonArgs;
@@ -105,7 +105,7 @@
     Ok(runs)
 }
 
-/// What retries cost, and how soon the deployment recovers after the peak.
+/// Returns metrics of the cost of retries, and of the time that the deployment takes to recover after the peak.
 fn cost_metrics(outcome: &Outcome, seconds: &[SecondSummary]) -> Vec<Metric> {
     let counts = outcome.counts;
     let first_attempts = counts.first_attempts.max(1) as f64;
@@ -139,8 +139,8 @@
     ]
 }
 
-/// Seconds from the end of the phase with the highest rate until nine in ten tasks start within their objective for
-/// the rest of the run.
+/// Returns the seconds from the end of the phase with the highest rate until at least nine in ten tasks start within
+/// their objective in every second of the rest of the run.
 fn recovery_seconds(outcome: &Outcome, seconds: &[SecondSummary]) -> usize {
     let middle_rate = |phase: &Phase| outcome.profile.rate(phase.start + phase.length / 2);
     let peak = outcome
--- a/crates/load-test/src/commands/knee.rs
+++ b/crates/load-test/src/commands/knee.rs
@@ -1,4 +1,4 @@
-//! `knee`: finds the highest rate at which the plan's objective is met.
+//! `knee`: finds the highest rate at which the objective of a plan is met.
 
 use super::{CommandError, Progress, print_error_line, print_line, run_options};
 use crate::cli::CommonArgs;
@@ -21,7 +21,7 @@
         let passes = run_trial(plan, &profile, factor, runs, common)?;
         search.record_trial(factor, passes, runs);
         print_line(&format!(
-            "{factor:>7.2} times, up to {:>8.1}/s: held in {passes} of {runs}",
+            "{factor:>7.2} times, up to {:>8.1}/s: objective met in {passes} of {runs} runs",
             max_rate * factor
         ));
     }
@@ -34,14 +34,15 @@
             100.0 * search.agreement()
         )),
         None => print_line(&format!(
-            "the aim holds up to {:.1}/s, the most that was asked",
+            "the objective is met up to {:.1}/s, the maximum rate of the search",
             max_rate * low
         )),
     }
     Ok(0)
 }
 
-/// Runs a plan at a multiple of its rate, and returns how many runs met the objective.
+/// Runs a plan several times at a multiple of its rate. Returns the number of runs that met the objective without a
+/// violation of a rule.
 fn run_trial(
     plan: &Plan,
     profile: &LoadProfile,
--- a/crates/load-test/src/commands/mod.rs
+++ b/crates/load-test/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! The commands of the program. Each returns its exit code.
+//! The subcommands of the program. Each returns the exit code.
 
 mod compare;
 mod knee;
@@ -21,13 +21,13 @@
     /// A plan is invalid.
     #[error(transparent)]
     Plan(#[from] PlanError),
-    /// A run could not be made.
+    /// A run could not be carried out.
     #[error(transparent)]
     Run(#[from] RunError),
     /// A table can't be read or written.
     #[error(transparent)]
     Table(#[from] TableError),
-    /// The map of a trace's columns is invalid.
+    /// The mapping of the columns of a trace is invalid.
     #[error(transparent)]
     Columns(#[from] InvalidColumns),
     /// The report could not be made.
@@ -41,15 +41,15 @@
     Write {
         /// The file.
         file: PathBuf,
-        /// The error of the system.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// A factor on a trace is not allowed.
-    #[error("--time: expected more than 0; --rate: 0 or more")]
+    /// A factor on the times or the rate of a trace is out of range.
+    #[error("--time must be greater than 0, and --rate 0 or more")]
     InvalidFactor,
-    /// The generator was late in a run of the knee.
+    /// The generator was late in a run of the search for the knee, so the result of the run is not meaningful.
     #[error(
-        "at {factor:.2} times the plan's rate the generator itself was late: this machine can't tell"
+        "the generator was late at {factor:.2} times the rate of the plan: this machine cannot determine the result"
     )]
     GeneratorLate {
         /// The factor on the plan's rate.
@@ -120,12 +120,12 @@
     Ok(0)
 }
 
-/// Prints a line; a closed output is ignored.
+/// Prints a line to standard output. Errors, such as a closed pipe, are ignored.
 fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-/// Prints a line to standard error; a closed output is ignored.
+/// Prints a line to standard error. Errors, such as a closed pipe, are ignored.
 fn print_error_line(text: &str) {
     let _ = writeln!(std::io::stderr(), "{text}");
 }
@@ -134,18 +134,18 @@
     std::fs::write(file, bytes).map_err(write_error(file))
 }
 
-/// Adds the file to an error of the system.
+/// Returns a function that adds the file to an error of the operating system.
 fn write_error(file: &Path) -> impl FnOnce(std::io::Error) -> CommandError {
     let file = file.to_path_buf();
     move |source| CommandError::Write { file, source }
 }
 
-/// Whether a run shows its progress.
+/// Whether a run shows its progress on standard error.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Progress {
-    /// On a terminal.
+    /// Progress is shown if standard error is a terminal.
     Show,
-    /// Not at all.
+    /// Progress is not shown.
     Hide,
 }
 
--- a/crates/load-test/src/commands/pace.rs
+++ b/crates/load-test/src/commands/pace.rs
@@ -1,11 +1,13 @@
-//! `pace`: finds the highest rate at which one core requests tasks in time. Clients write to a listener of the
-//! program itself, which reads and discards everything.
+//! `pace`: finds the highest rate at which one core requests tasks in time. The clients write to a listener in the same
+//! program, which reads and discards everything.
 
 use super::{CommandError, print_line};
 use load_test::run::measure_generator_lateness;
 use std::time::Duration;
 
+/// Rates that are tried, in tasks per second.
 const RATES: [u32; 8] = [500, 1_000, 2_000, 4_000, 8_000, 16_000, 32_000, 64_000];
+/// A rate is in time if the 99th percentile of the lateness is below this, in milliseconds.
 const MAX_P99_MS: f64 = 1.0;
 
 pub(super) fn measure(seconds: u64) -> Result<u8, CommandError> {
@@ -26,9 +28,9 @@
     }
     match best {
         Some(rate) => print_line(&format!(
-            "one core makes {rate} a second with p99 under 1 ms"
+            "one core requests {rate} tasks per second with p99 lateness under 1 ms"
         )),
-        None => print_line("not even the lowest rate is in time"),
+        None => print_line("p99 lateness exceeds the limit even at the lowest rate"),
     }
     Ok(0)
 }
--- a/crates/load-test/src/commands/run.rs
+++ b/crates/load-test/src/commands/run.rs
@@ -1,4 +1,4 @@
-//! `run`: runs a plan once, and writes its report and files.
+//! `run`: runs a plan once, and writes the report and the result files.
 
 use super::{CommandError, Progress, print_line, run_options, trace, write_error, write_file};
 use crate::cli::RunArgs;
@@ -15,9 +15,9 @@
 use std::io::{BufWriter, Write};
 use std::path::Path;
 
-/// Lines of the summary that are printed with `--quiet`.
+/// Number of lines at the end of the summary that are printed with `--quiet`.
 const VERDICT_LINES: usize = 3;
-/// Findings of each rule that are printed.
+/// Maximum number of findings of each rule that are printed.
 const PRINTED_FINDINGS: usize = 3;
 
 pub(super) fn run(args: &RunArgs) -> Result<u8, CommandError> {
@@ -52,7 +52,7 @@
     Ok(summary.exit_code(&outcome))
 }
 
-/// The load profile of a trace for the report: one phase, as long as the trace.
+/// Returns the load profile of a trace, for the report: one phase that is as long as the trace, at its mean rate.
 fn trace_profile(trace: &Trace) -> LoadProfile {
     let length = trace.arrivals.last().map_or(1, |arrival| arrival.due + 1);
     let rate = trace.arrivals.len() as f64 * 1e6 / length as f64;
@@ -72,7 +72,7 @@
     lines.get(from..).unwrap_or_default().join("\n")
 }
 
-/// Writes the files of a run.
+/// Writes the report and the result files of a run to a folder.
 fn write_results(outcome: &Outcome, summary: &Summary, folder: &Path) -> Result<(), CommandError> {
     let page = html(outcome, summary)?;
     write_file(&folder.join("report.html"), page.as_bytes())?;
--- a/crates/load-test/src/commands/trace.rs
+++ b/crates/load-test/src/commands/trace.rs
@@ -1,4 +1,4 @@
-//! `trace`: converts a trace to another format, cut or scaled.
+//! `trace`: converts a trace to another format, and cuts or scales it.
 
 use super::{CommandError, print_error_line, print_line};
 use crate::cli::{ReadingArgs, TraceArgs, UnitArg};
@@ -8,7 +8,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-/// Reads a trace as the command line says.
+/// Reads a trace with the column mapping, the unit and the handling of invalid rows from the command line.
 pub(super) fn read(args: &ReadingArgs, file: &Path, plan: &Plan) -> Result<Trace, CommandError> {
     let unit = match args.unit {
         UnitArg::Us => TimeUnit::Micros,
@@ -23,7 +23,7 @@
     let columns = Columns::parse(&args.columns)?;
     let trace = read_trace(file, plan, &columns, unit, bad_rows)?;
     if trace.skipped > 0 {
-        print_error_line(&format!("{} rows were left out", trace.skipped));
+        print_error_line(&format!("skipped {} invalid rows", trace.skipped));
     }
     Ok(trace)
 }
--- a/crates/load-test/src/fault_injector.rs
+++ b/crates/load-test/src/fault_injector.rs
@@ -1,5 +1,5 @@
-//! Injects the faults of a plan. The schedule is pure; it is carried out on a thread of its own, so that starting a
-//! process does not make the generator late.
+//! Injects the faults of a plan. The schedule is computed from the plan in advance and carried out on a separate thread,
+//! so that starting a process does not delay the generator.
 
 use crate::fault_proxies::{FaultEdge, FaultNetwork};
 use crate::load_profile::Micros;
@@ -12,36 +12,37 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// How often the placers are polled.
+/// Maximum interval between two polls of the placers.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// How long placers may take to shut down at the end of a run.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(10);
-/// How often, and how many times, the move of a feed is waited for.
+/// Interval at which the injector checks whether a feed has moved.
 const FEED_MOVE_POLL_INTERVAL: Duration = Duration::from_millis(1);
+/// Maximum number of checks whether a feed has moved.
 const FEED_MOVE_POLLS: usize = 100;
 
-/// What is done at a time.
+/// An action of the fault injector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Action {
     /// Sends a command to the cluster.
     Cluster(ClusterCommand),
     /// Kills a placer.
     Kill(usize),
-    /// Stops a placer by a signal.
+    /// Pauses a placer by a signal.
     Pause(usize),
-    /// Continues it.
+    /// Resumes a paused placer.
     Resume(usize),
     /// Requests the shutdown of a placer.
     Terminate(usize),
-    /// Launches a placer, as soon as its slot is free.
+    /// Launches a placer as soon as the previous process in its slot has exited.
     Launch(usize),
-    /// Moves the feed of a placer, and notifies the placer.
+    /// Moves the feed of a placer to another address, and has the placer reload its configuration.
     MoveFeed(usize),
-    /// Begins or ends a fault of links, by its number in the plan.
+    /// Begins or ends a fault of links, which is given by its index among the faults of the plan.
     Links(usize, FaultEdge),
 }
 
-/// The actions with which a fault begins and ends.
+/// The actions that begin and end a fault.
 struct FaultActions {
     begin: Action,
     end: Option<Action>,
@@ -81,7 +82,8 @@
     }
 }
 
-/// Returns the actions of a plan, in the order of their times.
+/// Returns the actions for all faults of a plan, in the order of their times. Times are in microseconds from the start
+/// of the plan.
 pub fn schedule(plan: &Plan) -> Vec<(Micros, Action)> {
     let mut actions = Vec::new();
     for (number, fault) in plan.faults.iter().enumerate() {
@@ -107,7 +109,7 @@
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX)
 }
 
-/// The actions of a fault at one of its targets.
+/// Returns the actions of a fault on one of its targets.
 fn fault_actions(fault: &Fault, target: usize, number: usize, plan: &Plan) -> Vec<FaultActions> {
     let actions = match fault.kind {
         FaultKind::PlacerKill => FaultActions::new(Action::Kill(target), Action::Launch(target)),
@@ -153,23 +155,24 @@
     vec![actions]
 }
 
-/// Everything that faults are injected into.
+/// The parts of a deployment into which faults are injected.
 pub struct FaultInjector {
-    /// The placers.
+    /// Supervisor of the placer processes.
     pub supervisor: Supervisor,
-    /// Hosts and feeds.
+    /// Emulated hosts and feeds.
     pub cluster: Arc<Cluster>,
-    /// The proxies, if the plan has faults of links.
+    /// Proxies on the links that the plan affects; `None` if it has no faults of links.
     pub network: Option<FaultNetwork>,
-    /// The clock of the run.
+    /// Event log, whose clock is the clock of the run.
     pub log: EventLog,
 }
 
 impl FaultInjector {
-    /// Carries a schedule out on a thread until `stop`, then shuts the placers down and returns their supervisor.
+    /// Carries out a schedule on a new thread until `stop` is set. The thread then shuts the placers down and returns
+    /// their supervisor.
     ///
-    /// That thread must outlive the placers that it has launched: the kernel kills a guarded process with the
-    /// thread that started it.
+    /// The placers are shut down on this thread because it must outlive those that it has launched: the kernel kills a
+    /// guarded process when the thread that started it ends.
     pub fn start(
         mut self,
         schedule: Vec<(Micros, Action)>,
@@ -185,7 +188,7 @@
 
     fn run(&mut self, schedule: Vec<(Micros, Action)>, begin: Micros, stop: &AtomicBool) {
         let mut schedule = schedule.into_iter().peekable();
-        // Placers to launch once their slot is free.
+        // Placers to launch once their previous process has exited.
         let mut to_launch: Vec<usize> = Vec::new();
         while !stop.load(Ordering::Relaxed) {
             self.supervisor.poll();
@@ -193,12 +196,12 @@
                 if self.supervisor.is_running(*placer) {
                     return true;
                 }
-                // A placer that can't be launched shows in the findings and the report.
+                // The error is ignored: a placer that can't be launched is visible in the findings and the report.
                 let _ = self.supervisor.launch(*placer, &self.cluster);
                 false
             });
             while let Some((_, action)) = schedule.next_if(|(at, _)| begin + at <= self.log.now()) {
-                self.act(action, &mut to_launch);
+                self.execute(action, &mut to_launch);
             }
             let pause = schedule.peek().map_or(POLL_INTERVAL, |(at, _)| {
                 Duration::from_micros(u64::try_from(begin + at - self.log.now()).unwrap_or(0))
@@ -208,7 +211,7 @@
         }
     }
 
-    fn act(&mut self, action: Action, to_launch: &mut Vec<usize>) {
+    fn execute(&mut self, action: Action, to_launch: &mut Vec<usize>) {
         match action {
             Action::Cluster(command) => self.cluster.command(command),
             Action::Kill(placer) => self.supervisor.kill(placer),
--- a/crates/load-test/src/fault_injector/tests.rs
+++ b/crates/load-test/src/fault_injector/tests.rs
@@ -1,4 +1,4 @@
-//! Faults strike at their times.
+//! Tests of the schedule of faults.
 
 use super::*;
 
@@ -9,7 +9,7 @@
                 [[fault]]\nat = \"1s\"\nlength = \"3s\"\nkind = \"placer-stop\"\nwhich = 1\n\
                 [[fault]]\nat = \"2s\"\nkind = \"placer-kill\"\n\
                 [[fault]]\nat = \"2s\"\nlength = \"9s\"\nkind = \"feed-moved\"\n";
-    let plan = Plan::parse(text).expect("a plan");
+    let plan = Plan::parse(text).expect("valid plan");
     let actions: Vec<(Micros, Action)> = schedule(&plan)
         .into_iter()
         .map(|(at, action)| (at / 1_000, action))
--- a/crates/load-test/src/fault_proxies.rs
+++ b/crates/load-test/src/fault_proxies.rs
@@ -1,6 +1,6 @@
-//! The fault proxies of a load test: which links of a plan get one, and what is wrong with each of them when.
+//! Opens the fault proxies of a load test and applies the link faults of the plan to them.
 //!
-//! Only links that a fault of the plan affects get a proxy; all others are direct.
+//! Only links that a fault of the plan affects get a proxy. All other connections are direct.
 
 use crate::plan::{Link, Plan, affected_links};
 use emulator::cluster::Cluster;
@@ -14,13 +14,13 @@
 /// Whether a fault begins or ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FaultEdge {
-    /// It begins.
+    /// The fault begins.
     Begin,
-    /// It ends.
+    /// The fault ends.
     End,
 }
 
-/// A fault of links, with its parties resolved.
+/// A fault of links, with the parties on both sides and the links between them resolved.
 struct PlannedFault {
     fault: LinkFault,
     side: BTreeSet<Party>,
@@ -28,23 +28,24 @@
     links: BTreeSet<Link>,
 }
 
-/// The proxies of a load test.
+/// The fault proxies of a load test, with the link faults that the plan applies to them.
 pub struct FaultNetwork {
     proxies: FaultProxies,
     /// All links that have a proxy.
     proxied: BTreeSet<Link>,
-    /// By the number of the fault in the plan.
+    /// Link faults by their index among the faults of the plan.
     faults: BTreeMap<usize, PlannedFault>,
     log: EventLog,
 }
 
 impl FaultNetwork {
-    /// Opens proxies to the hosts and feeds of a cluster for the links that a plan affects, and has placers that
-    /// start from now on connect through them; none if the plan affects no links.
+    /// Opens proxies to the hosts and feeds of a cluster for the links that a plan affects. Placers that start afterwards
+    /// connect through the proxies. Returns `None` if the plan affects no links.
     ///
     /// # Errors
     ///
-    /// A side of a fault is invalid, or the system has no free port.
+    /// A side of a fault is invalid, a host or feed does not exist, or a proxy can't be started, for example because the
+    /// system has no free port.
     pub fn open(plan: &Plan, cluster: &Cluster, log: EventLog) -> io::Result<Option<FaultNetwork>> {
         let faults = planned_faults(plan)?;
         if faults.is_empty() {
@@ -63,14 +64,14 @@
                 Peer::Host(slot) => {
                     let target = cluster
                         .host_address(placer, slot)
-                        .ok_or_else(|| io::Error::other("no such host"))?;
+                        .ok_or_else(|| io::Error::other("the cluster has no such host"))?;
                     let address = proxies.add_proxy(from, Party::Host(slot), target)?;
                     hosts.insert((placer, slot), address);
                 }
                 Peer::Feed => {
                     let target = cluster
                         .feed_address(placer)
-                        .ok_or_else(|| io::Error::other("no such feed"))?;
+                        .ok_or_else(|| io::Error::other("the cluster has no such feed"))?;
                     let address = proxies.add_proxy(from, Party::Feed(placer), target)?;
                     feeds.insert(placer, address);
                 }
@@ -85,11 +86,12 @@
         }))
     }
 
-    /// Returns where clients connect to a placer: a new proxy, if the plan affects that link.
+    /// Returns the address at which clients connect to a placer: that of a new proxy if the plan affects the link, or else
+    /// that of the placer. Returns `None` if the placer has no address for clients.
     ///
     /// # Errors
     ///
-    /// The system has no free port.
+    /// A proxy can't be added, for example because the system has no free port.
     pub fn client_address(
         &self,
         placer: usize,
@@ -107,7 +109,7 @@
             .map(Some)
     }
 
-    /// Begins or ends a fault of the plan, by its number.
+    /// Begins or ends a link fault, which is given by its index among the faults of the plan.
     pub fn apply(&self, number: usize, edge: FaultEdge) {
         let Some(planned) = self.faults.get(&number) else {
             return;
@@ -117,7 +119,8 @@
                 .proxies
                 .set_fault(&planned.side, &planned.other_side, fault);
         };
-        // The links count as impaired from before the fault until after it.
+        // The log records links as not intact from just before a fault begins until just after it ends, so that every
+        // effect of the fault lies in the recorded time.
         match edge {
             FaultEdge::Begin => {
                 self.record(&planned.links, false);
@@ -141,7 +144,7 @@
     }
 }
 
-/// The faults of links in a plan, by their numbers.
+/// Returns the link faults of a plan by their index among all its faults.
 fn planned_faults(plan: &Plan) -> io::Result<BTreeMap<usize, PlannedFault>> {
     let mut planned = BTreeMap::new();
     for (number, fault) in plan.faults.iter().enumerate() {
--- a/crates/load-test/src/load_balancer.rs
+++ b/crates/load-test/src/load_balancer.rs
@@ -1,26 +1,26 @@
-//! The load balancer in front of the placers: which placer the next connection goes to. Pure; results of health
-//! checks and reports of agents go in.
+//! Emulates the load balancer in front of the placers, which picks the placer of each new connection. It does no I/O: the
+//! caller passes in the results of health checks and the reports of agent checks.
 //!
-//! It prefers the placers of a client's zone, adds a placer once it passes its first health check, removes one at
-//! once when a check says that it is draining, and a dead one only after several failed checks.
+//! The load balancer prefers placers in the zone of the client. It adds a placer once a health check passes, removes a
+//! placer at once if a check finds it draining, and removes a placer that does not respond after several failed checks.
 
 use emulator::load_balancer::{AgentReport, LoadBalancer};
 
-/// Consecutive failed checks that remove a placer.
+/// Number of consecutive failed health checks after which a placer is removed.
 const FALL: u32 = 3;
 
 /// The result of a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HealthCheckResult {
-    /// It passed.
+    /// The health check passed.
     Passed,
-    /// The placer wants no new connections.
+    /// The placer is draining and accepts no new connections.
     Draining,
-    /// There was no answer, or no connection.
+    /// The connection failed, or there was no answer.
     Failed,
 }
 
-/// What the load balancer knows of a placer.
+/// The health of a placer as the load balancer knows it from health checks.
 #[derive(Debug, Clone, Copy, Default)]
 struct PlacerHealth {
     up: bool,
@@ -32,12 +32,12 @@
 pub struct ZonalLoadBalancer {
     zones: usize,
     placers: Vec<PlacerHealth>,
-    /// One for each zone, and one for all.
+    /// One for the placers of each zone, and at the end one for all placers.
     balancers: Vec<LoadBalancer>,
 }
 
 impl ZonalLoadBalancer {
-    /// Returns a load balancer over placers that are spread over the zones in turn; none has passed a check yet.
+    /// Returns a load balancer for placers that are assigned to the zones in turn. No placer has passed a health check yet.
     pub fn new(placers: usize, zones: usize) -> ZonalLoadBalancer {
         let zones = zones.max(1);
         let mut balancer = ZonalLoadBalancer {
@@ -49,7 +49,7 @@
         balancer
     }
 
-    /// Applies the result of a health check; returns whether it added the placer.
+    /// Applies the result of a health check. Returns whether the placer was added because of it.
     pub fn apply_health_check(&mut self, placer: usize, result: HealthCheckResult) -> bool {
         let Some(health) = self.placers.get_mut(placer) else {
             return false;
@@ -75,36 +75,37 @@
         added
     }
 
-    /// Applies the report of a placer's agent.
+    /// Applies the report of the agent check of a placer.
     pub fn apply_report(&mut self, placer: usize, report: AgentReport) {
         for balancer in &mut self.balancers {
             balancer.apply_report(placer, report);
         }
     }
 
-    /// Whether any placer is up.
+    /// Returns whether any placer is up.
     pub fn any_up(&self) -> bool {
         self.placers.iter().any(|placer| placer.up)
     }
 
-    /// Whether all placers are up.
+    /// Returns whether all placers are up.
     pub fn all_up(&self) -> bool {
         self.placers.iter().all(|placer| placer.up)
     }
 
-    /// Returns the placer for a client of a zone: one of its zone, else any that is up, else none.
+    /// Returns the placer for the next connection of a client in a zone: a placer of that zone, or else any placer that is
+    /// up, or else `None`.
     pub fn pick(&mut self, zone: usize) -> Option<usize> {
         let zone = zone % self.zones;
         let local = self.balancers.get_mut(zone).and_then(LoadBalancer::pick);
         local.or_else(|| self.balancers.last_mut().and_then(LoadBalancer::pick))
     }
 
-    /// Sets in each balancer whether a placer gets connections.
+    /// Updates in the balancer of each zone, and in that of all placers, whether a placer gets connections.
     fn update_servers(&mut self, placer: usize) {
         let up = self.placers.get(placer).is_some_and(|health| health.up);
-        let (zones, home) = (self.zones, placer % self.zones);
+        let (zones, placer_zone) = (self.zones, placer % self.zones);
         for (zone, balancer) in self.balancers.iter_mut().enumerate() {
-            let serves = up && (zone == zones || zone == home);
+            let serves = up && (zone == zones || zone == placer_zone);
             if let Some(server) = balancer.servers.get_mut(placer) {
                 server.up = serves;
             }
--- a/crates/load-test/src/load_balancer/tests.rs
+++ b/crates/load-test/src/load_balancer/tests.rs
@@ -1,4 +1,4 @@
-//! Connections are spread over the placers.
+//! Tests of how connections are distributed over the placers.
 
 use super::*;
 use emulator::load_balancer::AdminState;
@@ -10,26 +10,30 @@
     assert!(balancer.apply_health_check(0, HealthCheckResult::Passed));
     assert!(
         !balancer.apply_health_check(0, HealthCheckResult::Passed),
-        "it was up"
+        "the placer was already up"
     );
     assert_eq!(
         (balancer.pick(0), balancer.pick(1), balancer.pick(2)),
         (Some(0), Some(0), Some(0)),
-        "no other is up"
+        "no other placer is up"
     );
     balancer.apply_health_check(1, HealthCheckResult::Passed);
     assert_eq!(
         (balancer.pick(0), balancer.pick(1)),
         (Some(0), Some(1)),
-        "each its own zone"
+        "each zone has its own placer"
     );
     for (failures, picked) in [(1, Some(1)), (2, Some(1)), (3, Some(0))] {
         balancer.apply_health_check(1, HealthCheckResult::Failed);
-        assert_eq!(balancer.pick(1), picked, "after {failures}");
+        assert_eq!(balancer.pick(1), picked, "after {failures} failed checks");
     }
     assert!(balancer.apply_health_check(1, HealthCheckResult::Passed));
     balancer.apply_health_check(1, HealthCheckResult::Draining);
-    assert_eq!(balancer.pick(1), Some(0), "at once");
+    assert_eq!(
+        balancer.pick(1),
+        Some(0),
+        "a draining placer is removed at once"
+    );
 }
 
 #[test]
--- a/crates/load-test/src/overload_impact.rs
+++ b/crates/load-test/src/overload_impact.rs
@@ -1,8 +1,8 @@
-//! The load that a fleet of placers puts on its hosts, counted over all placers together from the events of a run.
+//! Measures the load that a fleet of placers puts on its hosts, counted over all placers from the events of a run.
 //!
-//! What is reasonable in one placer may overload hosts in the sum: offers that hosts reject or drop, retries of
-//! clients, connections, and offers to faulty hosts. These must not grow with the number of placers at the same
-//! load.
+//! Behaviour that is reasonable for one placer may overload the hosts when all placers do the same. Counted are offers
+//! that hosts reject or drop, retries of clients, connections, and offers to faulty hosts. At the same load, these must
+//! not grow with the number of placers.
 
 use crate::load_profile::Micros;
 use crate::plan::{FaultKind, Plan};
@@ -12,71 +12,72 @@
 
 const SECOND: Micros = 1_000_000;
 
-/// One second of a run, over all placers.
+/// Counts of one second of a run, over all placers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ImpactSecond {
     /// Offers that reached hosts.
     pub offers: u32,
     /// Offers that hosts rejected.
     pub rejected_offers: u32,
-    /// Offers that were withdrawn or lost before they ran.
+    /// Offers that were withdrawn or lost before their tasks ran.
     pub abandoned_offers: u32,
-    /// Requests of tasks that had been requested before.
+    /// Requests for tasks that had been requested before.
     pub retries: u32,
-    /// Connections to hosts.
+    /// Connections opened to hosts.
     pub connections: u32,
-    /// Tasks that started and whose offers came within this second.
+    /// Tasks that started and whose offers reached their hosts within this second.
     pub starts: u32,
-    /// The time that these waited at hosts, in milliseconds, summed up.
+    /// Total time that the tasks counted in `starts` waited at hosts, from offer to start, in milliseconds.
     pub host_wait_ms: u32,
-    /// The time that these waited at placers before, likewise.
+    /// Total time that the tasks counted in `starts` waited at placers, from request to offer, in milliseconds.
     pub placer_wait_ms: u32,
-    /// Offers of tasks that had been requested before.
+    /// Offers for requests that were retries.
     pub retry_offers: u32,
 }
 
-/// The impact of a run.
+/// The load that all placers together put on the hosts during a run.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct OverloadImpact {
-    /// Tasks that were requested at all.
+    /// Number of tasks that were requested.
     pub tasks: u64,
-    /// Second by second, from the start of the plan.
+    /// One entry for each second, from the start of the plan.
     pub seconds: Vec<ImpactSecond>,
-    /// Offers by slot of a host and second.
+    /// Number of offers by host slot and second.
     pub offers_by_slot: Vec<Vec<u32>>,
-    /// Connections by slot of a host and second.
+    /// Number of connections opened by host slot and second.
     pub connections_by_slot: Vec<Vec<u32>>,
-    /// Maximum number of offers within a second to one host while it was faulty by the plan.
+    /// Maximum number of offers within a second to one host while the plan made it faulty.
     pub max_offers_to_faulty_host: u32,
-    /// Offers to faulty hosts in total.
+    /// Total number of offers to hosts while the plan made them faulty.
     pub offers_to_faulty_hosts: u64,
 }
 
 impl OverloadImpact {
-    /// Returns the number of offers per task.
+    /// Returns the mean number of offers per task.
     pub fn offers_per_task(&self) -> f64 {
         self.total(|second| second.offers) as f64 / self.tasks.max(1) as f64
     }
 
-    /// Returns a figure summed up over the run.
-    pub fn total(&self, figure: fn(&ImpactSecond) -> u32) -> u64 {
+    /// Returns the sum of a metric over all seconds of the run.
+    pub fn total(&self, metric: fn(&ImpactSecond) -> u32) -> u64 {
         self.seconds
             .iter()
-            .map(|second| u64::from(figure(second)))
+            .map(|second| u64::from(metric(second)))
             .sum()
     }
 
-    /// Returns the maximum of a figure within a second.
-    pub fn max_per_second(&self, figure: fn(&ImpactSecond) -> u32) -> u32 {
-        self.seconds.iter().map(figure).max().unwrap_or(0)
+    /// Returns the highest value of a metric in any second.
+    pub fn max_per_second(&self, metric: fn(&ImpactSecond) -> u32) -> u32 {
+        self.seconds.iter().map(metric).max().unwrap_or(0)
     }
 
-    /// Returns the maximum of a figure over its mean, in the seconds in which it is not zero.
-    pub fn peak_to_mean_ratio(&self, figure: fn(&ImpactSecond) -> u32) -> f64 {
+    /// Returns the ratio of the highest value of a metric to its mean, over the seconds in which it is not zero. Returns
+    /// 0 if it is always zero.
+    pub fn peak_to_mean_ratio(&self, metric: fn(&ImpactSecond) -> u32) -> f64 {
         let values: Vec<u32> = self
             .seconds
             .iter()
-            .map(figure)
+            .map(metric)
             .filter(|value| *value > 0)
             .collect();
         let mean = values.iter().sum::<u32>() as f64 / values.len().max(1) as f64;
@@ -87,7 +88,7 @@
         }
     }
 
-    /// Measures the impact of a run between two times; `slot` returns the slot of a host's process.
+    /// Measures the impact from the events of a run between two times; `slot` returns the slot that a host occupies.
     pub fn measure(
         plan: &Plan,
         events: &[TimedEvent],
@@ -103,24 +104,24 @@
     }
 }
 
-/// A request of a client.
+/// A request of a client to a placer.
 #[derive(Clone, Copy)]
 struct Request {
     at: Micros,
     is_retry: bool,
 }
 
-/// The measurement of a run.
+/// Accumulates the impact of a run from its events.
 struct Measurement<'a> {
     plan: &'a Plan,
     start: Micros,
     impact: OverloadImpact,
-    /// The keys of all tasks so far.
+    /// Keys of all tasks that have been requested so far.
     tasks: HashSet<u64>,
     requests: HashMap<u64, Request>,
-    /// Offers without a result yet, by request and host: when they came.
+    /// Times at which offers without a result yet reached their hosts, by request and host.
     open_offers: HashMap<(u64, usize), Micros>,
-    /// Offers to faulty hosts, by slot and second.
+    /// Number of offers to faulty hosts, by slot and second.
     faulty_offers: BTreeMap<(usize, usize), u32>,
 }
 
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Adds the start of a task to the second in which it was offered.
+    /// Adds the start of a task to the second in which it was offered to its host.
     fn add_start(&mut self, at: Micros, id: u64, host: usize) {
         let Some(offered_at) = self.open_offers.remove(&(id, host)) else {
             return;
@@ -236,7 +237,8 @@
     }
 }
 
-/// Whether the host in a slot is faulty by the plan, in such a way that an offer to it is lost.
+/// Returns whether the plan makes the host in a slot faulty at this time in a way that loses offers. `at` counts from
+/// the start of the plan.
 fn is_faulty(plan: &Plan, slot: usize, at: Micros) -> bool {
     let micros = |duration: Duration| Micros::try_from(duration.as_micros());
     plan.faults.iter().any(|fault| {
--- a/crates/load-test/src/overload_impact/tests.rs
+++ b/crates/load-test/src/overload_impact/tests.rs
@@ -1,17 +1,17 @@
-//! The impact is counted over all placers together.
+//! Tests of the overload impact, which is counted over all placers together.
 
 use super::*;
 
 #[test]
 #[expect(
     clippy::too_many_lines,
-    reason = "one table of events and what they add up to"
+    reason = "one table of events and the counts expected from them"
 )]
 fn offers_rejections_and_retries_are_counted_over_all_placers() {
     let plan = Plan::parse(
         "[hosts]\ncount = 2\n[[fault]]\nat = \"1s\"\nlength = \"1s\"\nkind = \"host-silent\"\nwhich = 1\n",
     )
-    .expect("a plan");
+    .expect("valid plan");
     let requested = |id, key| Event::TaskRequested {
         id,
         key,
@@ -37,7 +37,7 @@
         (30, reported(1, 0, HostReport::Ended(34))),
         (40, offered(1, 1)),
         (50, reported(1, 1, HostReport::Running(0))),
-        // The end of a task that ran is no rejection.
+        // The end of a task that has run does not count as a rejection.
         (900, reported(1, 1, HostReport::Ended(16))),
         (1_100, requested(2, 2)),
         (1_200, offered(2, 1)),
--- a/crates/load-test/src/report/mod.rs
+++ b/crates/load-test/src/report/mod.rs
@@ -1,4 +1,5 @@
-//! The report of a run: one HTML page with the plots as SVG inside, so that it can be sent as it is.
+//! Writes the report of a run: one self-contained HTML page with its plots as inline SVG, so that it can be sent as a
+//! single file.
 
 mod plot;
 mod profile;
@@ -15,11 +16,11 @@
 use std::fmt::Write;
 
 const SECOND: f64 = 1e6;
-/// The colour of tasks that started within their objective.
+/// Line colour of tasks that started within their objective.
 const LIGHT_GREEN: RGBColor = RGBColor(120, 180, 60);
-/// Findings of each rule on the page.
+/// Maximum number of findings of each rule on the page.
 const MAX_FINDINGS_PER_RULE: usize = 5;
-/// A fault without a duration is shaded so long, in seconds.
+/// Minimum width of the shaded span of a fault, in seconds, so that a fault without a duration is visible.
 const MIN_SHADED_SECONDS: f64 = 0.2;
 
 /// Why a report could not be written.
@@ -35,11 +36,11 @@
 
 type Points = Vec<(f64, f64)>;
 
-/// Returns the page of a run.
+/// Returns the HTML page of a run.
 ///
 /// # Errors
 ///
-/// A plot or the plan could not be written.
+/// A plot could not be drawn, or the plan could not be written.
 pub fn html(outcome: &Outcome, summary: &Summary) -> Result<String, ReportError> {
     let mut page = format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}</title><style>body{{font:15px sans-serif;max-width:920px;\
@@ -71,7 +72,7 @@
         .replace('>', "&gt;")
 }
 
-/// The spans of the faults, in seconds.
+/// Returns the start and end of each fault, in seconds from the start of the plan.
 fn fault_spans(outcome: &Outcome) -> Points {
     let span = |start: f64, end: f64| (start, end.max(start + MIN_SHADED_SECONDS));
     let faults = outcome.plan.faults.iter();
@@ -104,7 +105,7 @@
     html
 }
 
-/// All plots of a run; those of latencies only where the generator was in time.
+/// Returns the plots of a run. The latency plots are left out if the generator was late.
 fn plots<'a>(outcome: &Outcome, summary: &Summary, faults: &'a [(f64, f64)]) -> Vec<Plot<'a>> {
     let mut plots = vec![load_plot(summary, faults)];
     if summary.generator_in_time {
@@ -120,23 +121,23 @@
     plots
 }
 
-/// A figure of each second.
-fn by_second<T>(seconds: &[T], figure: impl Fn(&T) -> f64) -> Points {
+/// Returns one point for each second: its number and the value of a metric in it.
+fn by_second<T>(seconds: &[T], metric: impl Fn(&T) -> f64) -> Points {
     seconds
         .iter()
         .enumerate()
-        .map(|(n, second)| (n as f64, figure(second)))
+        .map(|(n, second)| (n as f64, metric(second)))
         .collect()
 }
 
 fn load_plot<'a>(summary: &Summary, faults: &'a [(f64, f64)]) -> Plot<'a> {
-    let count = |figure: fn(&SecondSummary) -> u32| {
-        by_second(&summary.seconds, |second| f64::from(figure(second)))
+    let count = |metric: fn(&SecondSummary) -> u32| {
+        by_second(&summary.seconds, |second| f64::from(metric(second)))
     };
     Plot {
-        title: "offered and started, by when it was due",
+        title: "tasks due and started, by due time",
         x_label: "seconds",
-        y_label: "tasks a second",
+        y_label: "tasks per second",
         scale: Scale::Linear,
         lines: vec![
             Line::new("due", BLUE, count(|second| second.due)),
@@ -174,7 +175,7 @@
     }
 }
 
-/// The percentiles of each class, over the number of nines.
+/// Returns a plot of the latency percentiles of each class. The horizontal axis is the number of nines in the percentile.
 fn spectrum_plot(outcome: &Outcome, summary: &Summary) -> Plot<'static> {
     let colours = [BLUE, RED, GREEN, MAGENTA].into_iter().cycle();
     let classes = outcome.plan.classes.iter().zip(colours);
@@ -201,13 +202,13 @@
 
 fn host_load_plot<'a>(outcome: &Outcome, faults: &'a [(f64, f64)]) -> Plot<'a> {
     let seconds = |at: Micros| (at - outcome.start) as f64 / SECOND;
-    let percent = |figure: fn(&[f64]) -> f64| -> Points {
+    let percent = |metric: fn(&[f64]) -> f64| -> Points {
         let samples = outcome.load_samples.iter();
         samples
             .filter(|sample| sample.at >= outcome.start)
             .map(|sample| {
                 let load: Vec<f64> = sample.load.iter().flatten().copied().collect();
-                (seconds(sample.at), 100.0 * figure(&load))
+                (seconds(sample.at), 100.0 * metric(&load))
             })
             .collect()
     };
@@ -215,7 +216,7 @@
     let mean = percent(|load| load.iter().sum::<f64>() / load.len().max(1) as f64);
     let lowest = percent(|load| load.iter().copied().fold(1.0, f64::min));
     Plot {
-        title: "cores of the hosts that are asked for",
+        title: "requested share of host cores",
         x_label: "seconds",
         y_label: "%",
         scale: Scale::Linear,
@@ -229,13 +230,13 @@
 }
 
 fn impact_plot<'a>(outcome: &Outcome, faults: &'a [(f64, f64)]) -> Plot<'a> {
-    let count = |figure: fn(&ImpactSecond) -> u32| {
-        by_second(&outcome.impact.seconds, |second| f64::from(figure(second)))
+    let count = |metric: fn(&ImpactSecond) -> u32| {
+        by_second(&outcome.impact.seconds, |second| f64::from(metric(second)))
     };
     Plot {
-        title: "what all placers together did to the hosts",
+        title: "load that all placers together put on the hosts",
         x_label: "seconds",
-        y_label: "a second",
+        y_label: "per second",
         scale: Scale::Linear,
         lines: vec![
             Line::new("offers", BLUE, count(|second| second.offers)),
--- a/crates/load-test/src/report/plot.rs
+++ b/crates/load-test/src/report/plot.rs
@@ -1,12 +1,12 @@
-//! Line plots as SVG.
+//! Draws line plots as SVG.
 
 use plotters::coord::ranged1d::{Ranged, ValueFormatter};
 use plotters::coord::types::RangedCoordf64;
 use plotters::prelude::*;
 
-/// Width and height of a plot in pixels.
+/// Width and height of a plot, in pixels.
 const SIZE: (u32, u32) = (900, 280);
-/// The lower end of a logarithmic axis is not below this.
+/// Lowest value at which a logarithmic axis may begin.
 const MIN_LOG_VALUE: f64 = 1e-3;
 
 /// A plot could not be drawn.
@@ -22,16 +22,16 @@
 
 /// A line of a plot.
 pub struct Line {
-    /// Its name in the legend.
+    /// Name of the line in the legend.
     pub name: String,
-    /// Its colour.
+    /// Colour of the line.
     pub colour: RGBColor,
-    /// Its points.
+    /// Points of the line as (x, y); points with a value that is not finite are not drawn.
     pub points: Vec<(f64, f64)>,
 }
 
 impl Line {
-    /// Returns a line.
+    /// Returns a line with a name, a colour and points.
     pub fn new(name: impl Into<String>, colour: RGBColor, points: Vec<(f64, f64)>) -> Line {
         Line {
             name: name.into(),
@@ -51,15 +51,15 @@
 /// The scale of the vertical axis.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Scale {
-    /// Linear, from 0.
+    /// Linear, beginning at 0.
     Linear,
-    /// Logarithmic.
+    /// Logarithmic, beginning at the smallest positive value.
     Logarithmic,
 }
 
-/// A plot.
+/// A line plot, with spans of the horizontal axis that may be shaded.
 pub struct Plot<'a> {
-    /// Its title.
+    /// Title above the plot.
     pub title: &'a str,
     /// Label of the horizontal axis.
     pub x_label: &'a str,
@@ -67,13 +67,13 @@
     pub y_label: &'a str,
     /// Scale of the vertical axis.
     pub scale: Scale,
-    /// Its lines.
+    /// Lines of the plot.
     pub lines: Vec<Line>,
-    /// Spans of the horizontal axis that are shaded.
+    /// Shaded spans of the horizontal axis, each with its start and end.
     pub shaded: &'a [(f64, f64)],
 }
 
-/// The ends of the axes.
+/// Lowest and highest values of the axes.
 #[derive(Clone, Copy)]
 struct Bounds {
     left: f64,
@@ -100,12 +100,17 @@
                 .margin(8)
                 .x_label_area_size(34)
                 .y_label_area_size(56);
-            let across = bounds.left..bounds.right;
-            let up = bounds.bottom..bounds.top;
+            let x_range = bounds.left..bounds.right;
+            let y_range = bounds.bottom..bounds.top;
             match self.scale {
-                Scale::Linear => self.draw(builder.build_cartesian_2d(across, up)?, bounds)?,
+                Scale::Linear => {
+                    self.draw(builder.build_cartesian_2d(x_range, y_range)?, bounds)?
+                }
                 Scale::Logarithmic => {
-                    self.draw(builder.build_cartesian_2d(across, up.log_scale())?, bounds)?;
+                    self.draw(
+                        builder.build_cartesian_2d(x_range, y_range.log_scale())?,
+                        bounds,
+                    )?;
                 }
             }
             root.present()?;
--- a/crates/load-test/src/report/profile.rs
+++ b/crates/load-test/src/report/profile.rs
@@ -1,4 +1,4 @@
-//! Load profiles as a plot and as text.
+//! Draws load profiles as a plot and as text.
 
 use super::plot::{Line, Plot, PlotError, Scale};
 use crate::load_profile::{LoadProfile, Micros};
@@ -6,13 +6,15 @@
 use std::fmt::Write;
 
 const SECOND: f64 = 1e6;
-/// Points of the plot.
+/// Number of intervals between the points of the plot.
 const POINTS: Micros = 600;
-/// Rows and columns of the bars.
+/// Height of the bar chart, in characters.
 const ROWS: usize = 8;
+/// Width of the bar chart, in characters.
 const COLUMNS: Micros = 72;
-/// Samples of the rate within a column, so that a short burst shows.
+/// Number of samples of the rate within a column. A column shows the highest of them, so that a short burst is visible.
 const SAMPLES_PER_COLUMN: Micros = 8;
+/// Width of the label to the left of the bars, in characters.
 const LABEL_WIDTH: usize = 10;
 
 /// Draws a load profile as SVG.
@@ -29,7 +31,7 @@
     Plot {
         title: "arrivals",
         x_label: "seconds",
-        y_label: "a second",
+        y_label: "per second",
         scale: Scale::Linear,
         lines: vec![Line::new("rate", BLUE, points.collect())],
         shaded: &[],
@@ -37,7 +39,7 @@
     .svg()
 }
 
-/// Draws a load profile for a terminal: bars over time, and a list of its phases.
+/// Draws a load profile for a terminal: a bar chart of the rate over time, and a list of the phases.
 pub fn profile_text(profile: &LoadProfile) -> String {
     let max_rate = profile.max_rate().max(1e-9);
     let mut text = String::new();
@@ -76,7 +78,7 @@
     text
 }
 
-/// The highest rate within a column.
+/// Returns the highest sampled rate within a column.
 fn column_rate(profile: &LoadProfile, column: Micros) -> f64 {
     let length = profile.length().max(1);
     let samples = COLUMNS * SAMPLES_PER_COLUMN;
--- a/crates/load-test/src/report_table/error.rs
+++ b/crates/load-test/src/report_table/error.rs
@@ -1,9 +1,9 @@
-//! Why a table can't be read or written.
+//! The error of reading or writing a table.
 
 use std::fmt;
 use std::path::{Path, PathBuf};
 
-/// What is wrong with a table.
+/// The cause of a table error.
 #[derive(Debug, thiserror::Error)]
 pub enum TableProblem {
     /// The name of the file has no known extension.
@@ -12,38 +12,38 @@
     /// The file can't be read or written.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// It is not CSV.
+    /// The file is not valid CSV, or can't be written as CSV.
     #[error(transparent)]
     Csv(#[from] csv::Error),
-    /// Parquet can't be read or written.
+    /// Parquet data can't be read or written.
     #[error(transparent)]
     Parquet(#[from] parquet::errors::ParquetError),
-    /// The columns of a table do not fit.
+    /// The columns of a table do not form a valid record batch.
     #[error(transparent)]
     Arrow(#[from] arrow_schema::ArrowError),
     /// The file is empty.
-    #[error("it is empty")]
+    #[error("the file is empty")]
     Empty,
-    /// A text does not end in a line feed.
-    #[error("it is cut: the last line has no end")]
+    /// A CSV or JSON lines file does not end in a line feed.
+    #[error("the file is truncated: the last line does not end in a line feed")]
     Truncated,
-    /// A Parquet file without its table of contents, which is at the end.
-    #[error("it is cut, or no Parquet: {0}")]
+    /// The file is not Parquet, or is truncated: a Parquet file has its metadata at the end.
+    #[error("the file is truncated or not Parquet: {0}")]
     NotParquet(parquet::errors::ParquetError),
-    /// No row could be read.
-    #[error("no row could be read, {skipped} were left out")]
+    /// The file has no valid row.
+    #[error("no valid rows, {skipped} skipped")]
     NoRows {
-        /// Rows left out.
+        /// Number of invalid rows that were skipped.
         skipped: usize,
     },
     /// A line is not JSON.
     #[error("expected a JSON object: {0}")]
     NotJson(simd_json::Error),
-    /// A line is JSON, but no object.
+    /// A line is JSON, but not an object.
     #[error("expected a JSON object")]
     NotAnObject,
-    /// A cell is not a number.
-    #[error("expected a number from 0 on, found {found:?}")]
+    /// A cell is not a finite number of 0 or more.
+    #[error("expected a number of 0 or more, found {found:?}")]
     NotANumber {
         /// The text of the cell.
         found: String,
@@ -56,26 +56,26 @@
         /// The text of the cell.
         found: String,
     },
-    /// A row has no time.
+    /// A row does not say when the task was due.
     #[error("expected a time, found nothing")]
     NoTime,
 }
 
-/// Why a table can't be read or written, and where.
+/// The error of reading or writing a table, with the place in the table.
 #[derive(Debug)]
 pub struct TableError {
     /// The file.
     pub file: PathBuf,
-    /// The row, counted from 1 without a header; none where it is the file itself.
+    /// Number of the row, counted from 1 without the header; `None` if the error concerns the file as a whole.
     pub row: Option<usize>,
-    /// The column; none where it is the row itself.
+    /// Name of the column; `None` if the error concerns the row or file as a whole.
     pub column: Option<String>,
-    /// What is wrong.
+    /// Cause of the error.
     pub problem: Box<TableProblem>,
 }
 
 impl TableError {
-    /// Returns an error of a file as a whole.
+    /// Returns an error that concerns a file as a whole.
     pub(super) fn in_file(file: &Path, problem: impl Into<TableProblem>) -> TableError {
         TableError {
             file: file.to_path_buf(),
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Returns an error of a row.
+    /// Returns an error that concerns a row.
     pub(super) fn in_row(file: &Path, row: usize, problem: impl Into<TableProblem>) -> TableError {
         TableError {
             row: Some(row),
@@ -113,7 +113,7 @@
     }
 }
 
-/// Adds the file to an error.
+/// Converts an error to a [`TableError`] that names the file.
 pub(super) trait InFile<T> {
     fn in_file(self, file: &Path) -> Result<T, TableError>;
 }
--- a/crates/load-test/src/report_table/mod.rs
+++ b/crates/load-test/src/report_table/mod.rs
@@ -1,8 +1,8 @@
-//! Tables on disk, as Parquet, CSV and JSON lines: every task of a run, and traces.
+//! Reads and writes tables as Parquet, CSV and JSON lines: the tasks of a run, and traces.
 //!
-//! A trace is a list of recorded arrivals. A map says which column holds what. A row that can't be read is reported
-//! with file, row, column and what was expected, or counted and left out on request. A truncated file is an error:
-//! half a trace is another load.
+//! A trace is a list of recorded arrivals. The caller may map the fields of an arrival to columns of the table. An invalid
+//! row is reported with the file, row, column and expected value, or on request skipped and counted. A truncated file
+//! is an error, since a part of a trace is a different load.
 
 mod error;
 mod rows;
@@ -18,7 +18,7 @@
 pub use trace::{BadRows, Columns, InvalidColumns, TRACE_FIELDS, TimeUnit, Trace, read_trace};
 pub use write::write_trace;
 
-/// Formats of tables, by the extension of a file's name.
+/// The format of a table, which the extension of the file name determines.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Format {
     Csv,
--- a/crates/load-test/src/report_table/rows.rs
+++ b/crates/load-test/src/report_table/rows.rs
@@ -1,4 +1,4 @@
-//! Reads the rows of a table as texts by column.
+//! Reads the rows of a table, with every cell as text.
 
 use super::Format;
 use super::error::{InFile, TableError, TableProblem};
@@ -12,10 +12,11 @@
 use std::io::{BufRead, BufReader, Read, Seek, SeekFrom};
 use std::path::Path;
 
-/// A row, as texts by column.
+/// A row: the text of each cell by the name of its column.
 pub(super) type Row = BTreeMap<String, String>;
 
-/// Takes each row with its number, or the error in its place. Returns an error to stop.
+/// Handles each row of a table, or the error that replaces it, together with the row number. Returning an error stops
+/// the reading.
 pub(super) trait RowHandler:
     FnMut(usize, Result<Row, TableError>) -> Result<(), TableError>
 {
@@ -23,7 +24,7 @@
 
 impl<F: FnMut(usize, Result<Row, TableError>) -> Result<(), TableError>> RowHandler for F {}
 
-/// Reads all rows of a file.
+/// Reads a file and passes each of its rows to `handle`.
 pub(super) fn read_rows(file: &Path, handle: &mut impl RowHandler) -> Result<(), TableError> {
     match Format::of(file)? {
         Format::Csv => read_csv(file, handle),
@@ -81,7 +82,7 @@
     Ok(cells.collect())
 }
 
-/// A text that does not end in a line feed was truncated.
+/// Checks that a text file ends in a line feed; otherwise it was truncated.
 fn check_complete(file: &Path) -> Result<(), TableError> {
     let mut open = File::open(file).in_file(file)?;
     let mut last = [0];
@@ -119,7 +120,7 @@
         .collect()
 }
 
-/// A cell as text; none where it is empty or of a type that traces do not use.
+/// Returns a cell as text; `None` if it is empty or of a type that traces do not use.
 fn cell_text(column: &ArrayRef, row: usize) -> Option<String> {
     use arrow_array::types::{
         Float32Type, Float64Type, Int32Type, Int64Type, UInt32Type, UInt64Type,
--- a/crates/load-test/src/report_table/tasks.rs
+++ b/crates/load-test/src/report_table/tasks.rs
@@ -1,4 +1,4 @@
-//! Writes the tasks of a run.
+//! Writes the tasks of a run as a Parquet table.
 
 use super::error::TableError;
 use super::write::{Column, counts, floats, integers, texts, write_parquet};
@@ -9,8 +9,8 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Writes every task of a run as Parquet. Times are microseconds from when the task was due, and empty where there
-/// was none.
+/// Writes every task of a run as Parquet. Times are in microseconds. The columns `started` and `answered` count from when
+/// the task was due, and are empty if the task did not start or was not answered.
 ///
 /// # Errors
 ///
--- a/crates/load-test/src/report_table/tests.rs
+++ b/crates/load-test/src/report_table/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of tables.
+//! Tests of reading and writing traces and task tables.
 
 use super::*;
 use crate::arrivals::Arrival;
@@ -11,7 +11,7 @@
 use std::fs::File;
 
 fn plan() -> Plan {
-    Plan::parse("[arrivals]\nshape = \"20/s for 5s\"\n").expect("a plan")
+    Plan::parse("[arrivals]\nshape = \"20/s for 5s\"\n").expect("valid plan")
 }
 
 fn read(file: &Path, bad_rows: BadRows) -> Result<Trace, TableError> {
@@ -21,26 +21,26 @@
 
 #[test]
 fn trace_round_trips_through_each_format_with_its_order_and_gaps() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let (plan, all) = (plan(), arrivals(&plan(), &plan().load_profile()));
-    for ending in ["csv", "jsonl", "parquet"] {
-        let file = folder.path().join(format!("t.{ending}"));
-        write_trace(&file, &plan, &all).expect("written");
-        let trace = read(&file, BadRows::Fail).expect("read");
+    for extension in ["csv", "jsonl", "parquet"] {
+        let file = folder.path().join(format!("t.{extension}"));
+        write_trace(&file, &plan, &all).expect("file written");
+        let trace = read(&file, BadRows::Fail).expect("trace read");
         assert_eq!(
             (trace.arrivals.len(), trace.skipped),
             (all.len(), 0),
-            "{ending}"
+            "{extension}"
         );
         let first = all[0].due;
-        for (was, is) in all.iter().zip(&trace.arrivals) {
+        for (written, read_back) in all.iter().zip(&trace.arrivals) {
             assert_eq!(
                 Arrival {
-                    due: was.due - first,
-                    ..was.clone()
+                    due: written.due - first,
+                    ..written.clone()
                 },
-                *is,
-                "{ending}"
+                *read_back,
+                "{extension}"
             );
         }
     }
@@ -48,13 +48,13 @@
 
 #[test]
 fn invalid_row_is_reported_or_counted() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let cases = [
         (
             "due,class\n1,pagina\nsoon,pagina\n2,pagina\n",
             2,
             "due",
-            "expected a number from 0 on, found \"soon\"",
+            "expected a number of 0 or more, found \"soon\"",
         ),
         (
             "due,class\n1,pagina\n2,cars\n",
@@ -75,9 +75,9 @@
             "found record with 3 fields",
         ),
     ];
-    for (n, (text, row, column, says)) in cases.into_iter().enumerate() {
+    for (n, (text, row, column, message)) in cases.into_iter().enumerate() {
         let file = folder.path().join(format!("{n}.csv"));
-        std::fs::write(&file, text).expect("written");
+        std::fs::write(&file, text).expect("file written");
         let error = read(&file, BadRows::Fail).expect_err(text);
         assert_eq!(error.row, Some(row), "{error}");
         assert_eq!(
@@ -85,19 +85,21 @@
             column,
             "{error}"
         );
-        assert!(error.to_string().contains(says), "{error}");
-        let trace = read(&file, BadRows::Skip).expect("the others");
+        assert!(error.to_string().contains(message), "{error}");
+        let trace = read(&file, BadRows::Skip).expect("valid rows");
         assert_eq!(trace.skipped, 1, "{text}");
     }
     let lines = folder.path().join("a.jsonl");
-    std::fs::write(&lines, "{\"due\": 1}\n[1]\n{\"due\": \"3\"}\n").expect("written");
+    std::fs::write(&lines, "{\"due\": 1}\n[1]\n{\"due\": \"3\"}\n").expect("file written");
     assert_eq!(
-        read(&lines, BadRows::Fail).expect_err("a list").row,
+        read(&lines, BadRows::Fail)
+            .expect_err("a JSON list is not a row")
+            .row,
         Some(2)
     );
     assert_eq!(
         read(&lines, BadRows::Skip)
-            .expect("the others")
+            .expect("valid rows")
             .arrivals
             .len(),
         2
@@ -106,17 +108,17 @@
 
 #[test]
 fn truncated_file_is_rejected() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let (plan, all) = (plan(), arrivals(&plan(), &plan().load_profile()));
-    for ending in ["csv", "jsonl", "parquet"] {
-        let file = folder.path().join(format!("t.{ending}"));
-        write_trace(&file, &plan, &all).expect("written");
-        let bytes = std::fs::read(&file).expect("a file");
-        std::fs::write(&file, &bytes[..bytes.len() - 3]).expect("written");
-        let error = read(&file, BadRows::Skip).expect_err(ending).to_string();
-        assert!(error.contains("cut"), "{ending}: {error}");
-        std::fs::write(&file, b"").expect("written");
-        assert!(read(&file, BadRows::Skip).is_err(), "{ending}");
+    for extension in ["csv", "jsonl", "parquet"] {
+        let file = folder.path().join(format!("t.{extension}"));
+        write_trace(&file, &plan, &all).expect("file written");
+        let bytes = std::fs::read(&file).expect("file opened");
+        std::fs::write(&file, &bytes[..bytes.len() - 3]).expect("file written");
+        let error = read(&file, BadRows::Skip).expect_err(extension).to_string();
+        assert!(error.contains("truncated"), "{extension}: {error}");
+        std::fs::write(&file, b"").expect("file written");
+        assert!(read(&file, BadRows::Skip).is_err(), "{extension}");
     }
     assert!(
         read(&folder.path().join("x.txt"), BadRows::Fail)
@@ -128,54 +130,54 @@
 
 #[test]
 fn columns_are_mapped_and_traces_are_cut_and_scaled() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = folder.path().join("t.csv");
     std::fs::write(
         &file,
         "ts,kind\n10,pagina\n10.5,totalizador\n12,pagina\n14,pagina\n",
     )
-    .expect("written");
-    let columns = Columns::parse("due=ts, class=kind").expect("columns");
+    .expect("file written");
+    let columns = Columns::parse("due=ts, class=kind").expect("valid column map");
     let trace =
-        read_trace(&file, &plan(), &columns, TimeUnit::Seconds, BadRows::Fail).expect("read");
-    let dues = |trace: &Trace| {
+        read_trace(&file, &plan(), &columns, TimeUnit::Seconds, BadRows::Fail).expect("trace read");
+    let due_millis = |trace: &Trace| {
         trace
             .arrivals
             .iter()
             .map(|a| a.due / 1_000)
             .collect::<Vec<_>>()
     };
-    assert_eq!(dues(&trace), [0, 500, 2_000, 4_000]);
+    assert_eq!(due_millis(&trace), [0, 500, 2_000, 4_000]);
     assert_eq!(trace.arrivals[1].class, 1);
-    assert_eq!(dues(&trace.cut(500_000, 4_000_000)), [0, 1_500]);
-    assert_eq!(dues(&trace.scale_time(0.5)), [0, 250, 1_000, 2_000]);
+    assert_eq!(due_millis(&trace.cut(500_000, 4_000_000)), [0, 1_500]);
+    assert_eq!(due_millis(&trace.scale_time(0.5)), [0, 250, 1_000, 2_000]);
     assert_eq!(
-        dues(&trace.scale_rate(2.0)),
+        due_millis(&trace.scale_rate(2.0)),
         [0, 0, 500, 500, 2_000, 2_000, 4_000, 4_000]
     );
-    assert_eq!(dues(&trace.scale_rate(0.5)), [500, 4_000]);
+    assert_eq!(due_millis(&trace.scale_rate(0.5)), [500, 4_000]);
     assert!(Columns::parse("when=ts").is_err() && Columns::parse("due").is_err());
 }
 
 #[test]
 fn task_table_has_every_task_of_a_run() {
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("temporary folder");
     let file = folder.path().join("tasks.parquet");
     let outcome = simulated_outcome("20/s for 5s", 3, |n| {
         (n % 7 != 0).then_some(n as Micros * 10)
     });
-    write_tasks(&file, &outcome).expect("written");
-    let open = File::open(&file).expect("a file");
+    write_tasks(&file, &outcome).expect("file written");
+    let open = File::open(&file).expect("file opened");
     let reader = ParquetRecordBatchReaderBuilder::try_new(open)
         .and_then(|b| b.build())
-        .expect("Parquet");
+        .expect("Parquet file");
     let (mut rows, mut empty) = (0, 0);
     for batch in reader {
-        let batch = batch.expect("a batch");
+        let batch = batch.expect("record batch");
         rows += batch.num_rows();
         empty += batch
             .column_by_name("started")
-            .expect("a column")
+            .expect("column \"started\"")
             .null_count();
     }
     let never = outcome
--- a/crates/load-test/src/report_table/trace.rs
+++ b/crates/load-test/src/report_table/trace.rs
@@ -1,4 +1,4 @@
-//! Traces: recorded arrivals, read from a table and scaled.
+//! Reads traces of recorded arrivals from a table, and cuts and scales them.
 
 use super::error::{TableError, TableProblem};
 use super::rows::{Row, read_rows};
@@ -8,34 +8,34 @@
 use std::collections::BTreeMap;
 use std::path::Path;
 
-/// The fields of a trace's rows. The first is needed; the others have defaults.
+/// The fields of a row of a trace. The first is required; the others have defaults.
 pub const TRACE_FIELDS: [&str; 8] = [
     "due", "class", "tenant", "service", "room", "cores", "memory", "life",
 ];
-/// Maximum time in a trace, in microseconds.
+/// Maximum due time and run time in a trace, in microseconds; longer ones are reduced to it.
 const MAX_TIME: f64 = 1e15;
-/// How long tasks run in microseconds where neither the trace nor the plan says it.
+/// Run time of a task in microseconds if neither the trace nor the plan specifies one.
 const DEFAULT_RUN_TIME: f64 = 1e6;
-/// Maximum factor by which the arrivals of a trace are repeated.
+/// Maximum factor on the number of arrivals of a trace.
 const MAX_RATE_FACTOR: f64 = 1_000.0;
 
-/// Which column of a table holds which field.
+/// Maps each field of a trace to the column of the table that holds it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Columns(BTreeMap<String, String>);
 
-/// Why a map of columns is invalid.
+/// Errors in the text that maps fields to columns.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum InvalidColumns {
-    /// A part is not `field=column`.
+    /// A part of the text does not have the form `field=column`.
     #[error("expected field=column, found {found}")]
     NotAPair {
-        /// The part.
+        /// The invalid part.
         found: String,
     },
-    /// There is no such field.
-    #[error("no field {found}; there are {}", TRACE_FIELDS.join(", "))]
+    /// A part names a field that traces do not have.
+    #[error("unknown field {found}; expected one of {}", TRACE_FIELDS.join(", "))]
     UnknownField {
-        /// The field.
+        /// The unknown field.
         found: String,
     },
 }
@@ -48,11 +48,12 @@
 }
 
 impl Columns {
-    /// Parses `due=ts,class=kind`; fields that are not named keep their names.
+    /// Parses a text such as `due=ts,class=kind`. A field that the text does not map is read from the column of its own
+    /// name.
     ///
     /// # Errors
     ///
-    /// A part is not a pair, or names no field.
+    /// A part does not have the form `field=column`, or its field does not exist.
     pub fn parse(text: &str) -> Result<Columns, InvalidColumns> {
         let mut columns = Columns::default();
         for pair in text.split(',').filter(|pair| !pair.trim().is_empty()) {
@@ -70,13 +71,13 @@
         Ok(columns)
     }
 
-    /// The column of a field.
+    /// Returns the column that holds a field.
     fn column(&self, field: &str) -> &str {
         self.0.get(field).map_or("", String::as_str)
     }
 }
 
-/// The unit of times in a trace.
+/// The unit of the times in a trace.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TimeUnit {
     /// Microseconds.
@@ -97,29 +98,29 @@
     }
 }
 
-/// What happens to rows that can't be read.
+/// What to do with invalid rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BadRows {
-    /// They are an error.
+    /// Reading fails at the first invalid row.
     Fail,
-    /// They are counted and left out.
+    /// Invalid rows are skipped and counted.
     Skip,
 }
 
-/// A trace.
+/// A list of recorded arrivals.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Trace {
-    /// Its arrivals in order, the first due at 0.
+    /// Arrivals in the order of their due times; the first of a trace that was read is due at 0.
     pub arrivals: Vec<Arrival>,
-    /// Rows that were left out.
+    /// Number of invalid rows that were skipped.
     pub skipped: usize,
 }
 
-/// Reads a trace. Names of classes, tenants and zones are those of the plan.
+/// Reads a trace from a file. The names of classes, tenants and zones in it must be those of the plan.
 ///
 /// # Errors
 ///
-/// The file can't be read, is truncated or has no valid row; or a row is invalid and is not to be skipped.
+/// The file can't be read, is truncated or has no valid row; or a row is invalid and `bad_rows` is [`BadRows::Fail`].
 pub fn read_trace(
     file: &Path,
     plan: &Plan,
@@ -148,7 +149,8 @@
         }
         Ok(())
     })?;
-    // Order and gaps are kept; arrivals at the same time stay in the order of the file.
+    // The sort is stable: arrivals with the same due time stay in the order of the file. The gaps between due times are
+    // kept; only their start moves to 0.
     arrivals.sort_by_key(|arrival| arrival.due);
     let first = arrivals.first().map_or(0, |arrival| arrival.due);
     for arrival in &mut arrivals {
@@ -160,13 +162,13 @@
     Ok(Trace { arrivals, skipped })
 }
 
-/// A problem of a field.
+/// An invalid value of a field.
 struct FieldError {
     field: &'static str,
     problem: TableProblem,
 }
 
-/// Reads arrivals from rows.
+/// Converts rows to arrivals.
 struct RowReader<'a> {
     plan: &'a Plan,
     columns: &'a Columns,
@@ -196,7 +198,7 @@
         })
     }
 
-    /// The index of the name in a field; the first where the row has none.
+    /// Returns the index in `names` of the name that a field holds; 0 if the field is empty.
     fn index(&self, row: &Row, field: &'static str, names: &[&str]) -> Result<usize, FieldError> {
         let Some(text) = self.text(row, field) else {
             return Ok(0);
@@ -245,7 +247,7 @@
 }
 
 impl Trace {
-    /// Returns the arrivals between two times, moved to begin at 0.
+    /// Returns the arrivals due from `from` until before `to`, with `from` subtracted from their due times.
     pub fn cut(&self, from: Micros, to: Micros) -> Trace {
         let within = self
             .arrivals
@@ -263,7 +265,7 @@
         }
     }
 
-    /// Returns the trace with all times multiplied.
+    /// Returns the trace with all due times multiplied by a factor.
     pub fn scale_time(&self, factor: f64) -> Trace {
         let arrivals = self.arrivals.iter().map(|arrival| Arrival {
             due: (arrival.due as f64 * factor) as Micros,
@@ -275,8 +277,8 @@
         }
     }
 
-    /// Returns a trace with `rate` times as many arrivals at the same times: each is repeated so often, with the
-    /// fraction spread evenly over the trace.
+    /// Returns a trace with `rate` times as many arrivals at the same due times. Each arrival is repeated `rate` times;
+    /// the repetitions for the fractional part of `rate` are spread evenly over the trace.
     pub fn scale_rate(&self, rate: f64) -> Trace {
         let mut arrivals = Vec::new();
         let rate = rate.clamp(0.0, MAX_RATE_FACTOR);
--- a/crates/load-test/src/report_table/write.rs
+++ b/crates/load-test/src/report_table/write.rs
@@ -1,4 +1,4 @@
-//! Writes traces.
+//! Writes traces as CSV, JSON lines or Parquet.
 
 use super::Format;
 use super::error::{InFile, TableError};
@@ -16,7 +16,7 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// The names of what an arrival refers to in its plan.
+/// The names in the plan of the class, tenant and zone of an arrival.
 struct Names<'a> {
     class: Option<&'a str>,
     tenant: Option<&'a str>,
@@ -35,11 +35,11 @@
     }
 }
 
-/// Writes arrivals as a trace, with times in microseconds.
+/// Writes arrivals as a trace, with times in microseconds. The extension of the file name determines the format.
 ///
 /// # Errors
 ///
-/// The file can't be written, or its name has no known extension.
+/// The file can't be written, or the extension of its name is unknown.
 pub fn write_trace(file: &Path, plan: &Plan, arrivals: &[Arrival]) -> Result<(), TableError> {
     match Format::of(file)? {
         Format::Csv => write_csv(file, plan, arrivals),
@@ -138,7 +138,7 @@
     }
 }
 
-/// Writes columns of the same length; every cell may be empty.
+/// Writes columns of the same length as a Parquet file, in which every column may have empty cells.
 pub(super) fn write_parquet(file: &Path, columns: Vec<Column>) -> Result<(), TableError> {
     let fields: Vec<Field> = columns
         .iter()
--- a/crates/load-test/src/results/interval_log.rs
+++ b/crates/load-test/src/results/interval_log.rs
@@ -1,4 +1,4 @@
-//! Latencies as an interval log of HDR histograms (version 2, deflated), which the usual tools read.
+//! Writes latencies as an interval log of HDR histograms (version 2, deflated), the format that HdrHistogram tools read.
 
 use super::{SECOND, latency_histogram, record_latency};
 use crate::outcome::Outcome;
@@ -9,11 +9,14 @@
 
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Writes latencies by the second in which tasks were due, tagged by class.
+/// Writes one latency histogram for each class and each second in which tasks of the class were due, tagged with the
+/// class.
+///
+/// The latency of a task is the time from when it was due until it started.
 ///
 /// # Errors
 ///
-/// `output` fails.
+/// Writing to `output` fails.
 pub fn write_interval_log(outcome: &Outcome, output: &mut impl Write) -> std::io::Result<()> {
     let mut serializer = V2DeflateSerializer::new();
     let mut log = IntervalLogWriterBuilder::new()
--- a/crates/load-test/src/results/mod.rs
+++ b/crates/load-test/src/results/mod.rs
@@ -16,9 +16,9 @@
 pub use text::{findings_text, impact_table, impact_text, summary_text};
 
 const SECOND: Micros = 1_000_000;
-/// Latencies up to an hour are distinguished.
+/// Longest latency that is recorded exactly, one hour in microseconds; longer ones count as this value.
 const MAX_LATENCY_MICROS: u64 = 3_600_000_000;
-/// Significant digits of latencies.
+/// Significant decimal digits that histograms keep of a latency.
 const LATENCY_DIGITS: u8 = 3;
 
 /// Returns an empty histogram of latencies in microseconds.
@@ -31,24 +31,24 @@
         .unwrap_or_else(|_| Histogram::new(LATENCY_DIGITS).expect("3 digits"))
 }
 
-/// Records a latency; negative ones count as the smallest.
+/// Records a latency in microseconds. Values below 1 µs, also negative ones, count as 1 µs.
 fn record_latency(histogram: &mut Histogram<u64>, latency: Micros) {
     histogram.saturating_record(u64::try_from(latency).unwrap_or(0).max(1));
 }
 
-/// The result of a task.
+/// The result of a task, measured against the latency objective of its class.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum TaskResult {
-    /// It started within the latency objective of its class.
+    /// The task started within the latency objective of its class.
     WithinObjective,
-    /// It started later.
+    /// The task started after the latency objective had passed.
     Late,
-    /// It never started.
+    /// The task did not start during the run.
     NeverStarted,
 }
 
 impl TaskResult {
-    /// Returns its name in results, a fixed format.
+    /// Returns the name of the result in result files. These names are part of the file format and do not change.
     pub fn as_str(self) -> &'static str {
         match self {
             TaskResult::WithinObjective => "in-aim",
@@ -58,7 +58,7 @@
     }
 }
 
-/// Returns the result of a task.
+/// Returns the result of a task, which depends on its start latency and the objective of its class.
 pub fn task_result(outcome: &Outcome, task: &TaskRecord) -> TaskResult {
     let class = outcome.plan.classes.get(task.arrival.class);
     let objective = class.map_or(0, |class| class.objective.as_micros() as Micros);
@@ -69,18 +69,18 @@
     }
 }
 
-/// A group of tasks.
+/// Counts and latencies of a group of tasks.
 #[derive(Debug, Clone)]
 pub struct Group {
-    /// What they have in common, such as `class pagina`.
+    /// What the tasks have in common, such as `class pagina`.
     pub name: String,
-    /// Number of tasks.
+    /// Number of tasks that were due.
     pub due: u64,
-    /// How many started.
+    /// Number of tasks that started.
     pub started: u64,
-    /// How many started within their objective.
+    /// Number of tasks that started within the latency objective of their class.
     pub within_objective: u64,
-    /// Times from when they were due until they started.
+    /// Times from when tasks were due until they started, in microseconds.
     pub latency: Histogram<u64>,
 }
 
@@ -104,7 +104,7 @@
         self.within_objective += u64::from(result == TaskResult::WithinObjective);
     }
 
-    /// Returns the fraction that started within the objective.
+    /// Returns the fraction of the due tasks that started within their objective; 1 where no task was due.
     pub fn fraction_within_objective(&self) -> f64 {
         if self.due == 0 {
             1.0
@@ -113,8 +113,8 @@
         }
     }
 
-    /// Returns the latency that a fraction of all tasks stayed within; none where too few ever started. A task that
-    /// never started counts as later than any.
+    /// Returns the latency within which this fraction of all due tasks started. A task that never started counts as
+    /// later than any other, so the result is `None` where fewer tasks than this fraction started.
     pub fn percentile(&self, fraction: f64) -> Option<Duration> {
         let rank = (fraction * self.due as f64).ceil().max(1.0);
         if self.due == 0 || rank > self.started as f64 {
@@ -130,38 +130,38 @@
 /// The tasks that were due within one second of a run.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct SecondSummary {
-    /// Number of tasks.
+    /// Number of tasks that were due.
     pub due: u32,
-    /// How many started at all.
+    /// Number of these tasks that started at any time.
     pub started: u32,
-    /// How many started within their objective.
+    /// Number of these tasks that started within the latency objective of their class.
     pub within_objective: u32,
-    /// Attempts beyond the first.
+    /// Attempts of clients for these tasks beyond the first of each.
     pub retries: u32,
-    /// Median latency of those that started, in milliseconds.
+    /// Median start latency of the tasks that started, in milliseconds.
     pub p50_ms: f64,
-    /// 99th percentile, in milliseconds.
+    /// 99th percentile of the start latency of the tasks that started, in milliseconds.
     pub p99_ms: f64,
 }
 
 /// The summary of a run.
 #[derive(Debug, Clone)]
 pub struct Summary {
-    /// All tasks, then by class, tenant, phase and result.
+    /// One group of all tasks, then one for each class, tenant, phase and result.
     pub groups: Vec<Group>,
-    /// By the second in which tasks were due.
+    /// One entry for each second of the load profile, with the tasks that were due in it.
     pub seconds: Vec<SecondSummary>,
-    /// How tasks ended for their clients.
+    /// Number of tasks by how they ended for their clients; `open` counts those that had not ended.
     pub fates: BTreeMap<&'static str, u64>,
-    /// Violations by rule.
+    /// Number of violations of each rule that was violated.
     pub violations: BTreeMap<&'static str, usize>,
-    /// Whether the plan's objective is met; none where no task was judged.
+    /// Whether the objective of the plan is met; `None` where no task of its class was due.
     pub objective_met: Option<bool>,
-    /// Whether the generator was in time, so that percentiles mean something.
+    /// Whether the lateness of the generator stayed within its limit. Otherwise latency percentiles are not meaningful.
     pub generator_in_time: bool,
 }
 
-/// Summarizes a run.
+/// Returns the summary of a run.
 pub fn summarize(outcome: &Outcome) -> Summary {
     let mut fates: BTreeMap<&'static str, u64> = BTreeMap::new();
     for task in &outcome.tasks {
@@ -187,7 +187,7 @@
     }
 }
 
-/// The groups that a task belongs to, each after its rank in the order of groups.
+/// Returns the names of the groups that a task belongs to, each with its rank in the order of groups.
 fn group_names(outcome: &Outcome, task: &TaskRecord, result: TaskResult) -> [(u8, String); 5] {
     let plan = &outcome.plan;
     let class = plan.classes.get(task.arrival.class);
@@ -231,9 +231,9 @@
         second.due += 1;
         second.retries += task.attempts.saturating_sub(1);
         second.within_objective += u32::from(result == TaskResult::WithinObjective);
-        if let Some(started) = task.start_latency {
+        if let Some(start_latency) = task.start_latency {
             second.started += 1;
-            record_latency(latency, started);
+            record_latency(latency, start_latency);
         }
     }
     let quantile_ms =
@@ -249,13 +249,13 @@
 }
 
 impl Summary {
-    /// Returns a group by name.
+    /// Returns the group with this name, such as `all` or `class pagina`.
     pub fn group(&self, name: &str) -> Option<&Group> {
         self.groups.iter().find(|group| group.name == name)
     }
 
-    /// Returns the exit code: 0 good, 1 an objective is missed or the run was interrupted, 3 a rule is violated, 4
-    /// the generator was late.
+    /// Returns the exit code: 0 on success, 1 if an objective is missed or the run was interrupted, 3 if a rule is
+    /// violated, 4 if the generator was late.
     pub fn exit_code(&self, outcome: &Outcome) -> u8 {
         if !self.violations.is_empty() {
             3
--- a/crates/load-test/src/results/tests.rs
+++ b/crates/load-test/src/results/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of results, and an outcome for the tests of other modules.
+//! Tests of summaries and interval logs, and a simulated outcome that the tests of other modules use too.
 
 use super::*;
 use crate::arrivals::arrivals;
@@ -6,16 +6,17 @@
 use crate::overload_impact::OverloadImpact;
 use crate::plan::Plan;
 
-/// Returns the outcome of a run that was never made: each task started after so long.
+/// Returns the outcome of a simulated run with the arrivals of a load profile. `start_latency` returns the latency of
+/// the n-th task, or `None` if the task never starts.
 pub(crate) fn simulated_outcome(
     profile: &str,
     seed: u64,
-    after: impl Fn(usize) -> Option<Micros>,
+    start_latency: impl Fn(usize) -> Option<Micros>,
 ) -> Outcome {
     let plan = Plan::parse(&format!(
         "seed = {seed}\n[arrivals]\nshape = \"{profile}\"\n"
     ))
-    .expect("a plan");
+    .expect("valid plan");
     let profile = plan.load_profile();
     let tasks = arrivals(&plan, &profile)
         .into_iter()
@@ -23,12 +24,12 @@
         .map(|(n, arrival)| TaskRecord {
             key: n as u64,
             phase: 0,
-            start_latency: after(n),
-            answer_latency: after(n),
+            start_latency: start_latency(n),
+            answer_latency: start_latency(n),
             attempts: 1 + n as u32 % 2,
             rejections: n as u32 % 2,
             placer: Some(n % 3),
-            fate: after(n).map(|_| Fate::Completed),
+            fate: start_latency(n).map(|_| Fate::Completed),
             arrival,
         });
     Outcome {
@@ -56,20 +57,20 @@
         (n % 100 != 0).then_some((n as Micros % 100) * 1_000)
     });
     let summary = summarize(&outcome);
-    let all = summary.group("all").expect("a group");
+    let all = summary.group("all").expect("group of all tasks");
     assert!(all.due > 800 && all.started < all.due);
     assert_eq!(
         all.percentile(0.995),
         None,
-        "one in a hundred never started"
+        "one task in a hundred never started"
     );
-    let median = all.percentile(0.5).expect("a latency").as_secs_f64();
+    let median = all.percentile(0.5).expect("median latency").as_secs_f64();
     assert!((median - 0.050).abs() < 0.003, "{median}");
     assert!(summary_text(&summary, &outcome).contains("never"));
     assert_eq!(
         summary.objective_met,
         Some(false),
-        "99 % of the tasks is not reached"
+        "fewer than 99 % of the tasks started within the objective"
     );
 }
 
@@ -77,7 +78,10 @@
 fn late_generator_reports_no_percentiles_and_a_distinct_exit_code() {
     let mut outcome = simulated_outcome("10/s for 10s", 1, |_| Some(1_000));
     assert_eq!(summarize(&outcome).exit_code(&outcome), 0);
-    outcome.lateness.record_n(500_000, 10).expect("in range");
+    outcome
+        .lateness
+        .record_n(500_000, 10)
+        .expect("lateness in range");
     let summary = summarize(&outcome);
     assert_eq!(
         (summary.generator_in_time, summary.exit_code(&outcome)),
@@ -85,7 +89,7 @@
     );
     let text = summary_text(&summary, &outcome);
     assert!(
-        !text.contains("1.0 ms") && text.contains("not told"),
+        !text.contains("1.0 ms") && text.contains("not reported"),
         "{text}"
     );
 }
@@ -96,7 +100,7 @@
     use hdrhistogram::serialization::interval_log::{IntervalLogIterator, LogEntry};
     let outcome = simulated_outcome("50/s for 3s", 4, |n| Some(1_000 + n as Micros));
     let mut bytes = Vec::new();
-    write_interval_log(&outcome, &mut bytes).expect("written");
+    write_interval_log(&outcome, &mut bytes).expect("writing the interval log");
     let (mut count, mut deserializer) = (0, Deserializer::new());
     for entry in IntervalLogIterator::new(&bytes) {
         if let Ok(LogEntry::Interval(interval)) = entry {
@@ -104,10 +108,10 @@
             let encoded = interval.encoded_histogram();
             let raw = base64::engine::general_purpose::STANDARD
                 .decode(encoded)
-                .expect("base64");
+                .expect("valid base64");
             let histogram: Histogram<u64> = deserializer
                 .deserialize(&mut raw.as_slice())
-                .expect("a histogram");
+                .expect("valid histogram");
             count += histogram.len();
         }
     }
--- a/crates/load-test/src/results/text.rs
+++ b/crates/load-test/src/results/text.rs
@@ -1,17 +1,17 @@
-//! Results as text, for terminals and the files of a run.
+//! Formats results as text, for the terminal and for the files of a run.
 
 use super::{SecondSummary, Summary};
 use crate::outcome::Outcome;
 use crate::overload_impact::{ImpactSecond, OverloadImpact};
 use emulator::rule_check::Rule;
 
-/// Returns the summary of a run. Percentiles are left out where the generator was late itself.
+/// Returns the summary of a run as text. If the generator itself was late, percentiles are left out.
 pub fn summary_text(summary: &Summary, outcome: &Outcome) -> String {
     let mut text = format!("{}, seed {}\n\n", outcome.plan.name, outcome.plan.seed);
     text.push_str(&groups_text(summary));
     let counts = outcome.counts;
     text.push_str(&format!(
-        "\nclients: {} first tries, {} repeats, {} attempts brought nothing, {} presented\n",
+        "\nclients: {} first attempts, {} retries, {} failed attempts, {} reconnections\n",
         counts.first_attempts, counts.retries, counts.failed_attempts, counts.reconnections
     ));
     text.push_str(&impact_text(&outcome.impact));
@@ -53,12 +53,12 @@
 fn generator_text(summary: &Summary, outcome: &Outcome) -> String {
     let p99_ms = outcome.lateness.value_at_quantile(0.99) as f64 / 1e3;
     let mut text = format!(
-        "the generator itself: p99 {p99_ms:.2} ms late, at most {:.2} ms\n",
+        "generator lateness: p99 {p99_ms:.2} ms, at most {:.2} ms\n",
         outcome.lateness.max() as f64 / 1e3
     );
     if !summary.generator_in_time {
         text.push_str(
-            "it was later than the plan allows: percentiles would be its own, and are not told\n",
+            "generator lateness exceeds the limit of the plan: latency percentiles are not reported\n",
         );
     }
     text
@@ -68,7 +68,7 @@
     let mut text = String::new();
     if summary.violations.is_empty() {
         text.push_str(&format!(
-            "audit: no rule is broken, by {} notes\n",
+            "audit: no rule is violated in {} events\n",
             outcome.event_count
         ));
     } else {
@@ -89,12 +89,12 @@
         ));
     }
     if outcome.interrupted {
-        text.push_str("ended by a signal: what was done until then\n");
+        text.push_str("interrupted by a signal: the results cover the run until then\n");
     }
     text
 }
 
-/// Returns the findings, at most so many of each rule.
+/// Returns the findings as text, at most `max_per_rule` of each rule, and the number of the others.
 pub fn findings_text(outcome: &Outcome, max_per_rule: usize) -> String {
     let mut text = String::new();
     for rule in Rule::ALL {
@@ -117,11 +117,11 @@
     text
 }
 
-/// Returns the totals of an impact.
+/// Returns the totals of an overload impact as text.
 pub fn impact_text(impact: &OverloadImpact) -> String {
     format!(
-        "harm: {:.2} offers a task, {} refused, {} in vain; {} returns, at most {} a second; {} calls; \
-         {} offers to hosts in trouble, at most {} a second at one\n",
+        "harm: {:.2} offers per task, {} rejected, {} abandoned; {} retries, at most {} per second; {} connections; \
+         {} offers to faulty hosts, at most {} per second to one host\n",
         impact.offers_per_task(),
         impact.total(|second| second.rejected_offers),
         impact.total(|second| second.abandoned_offers),
@@ -133,8 +133,8 @@
     )
 }
 
-/// Returns an impact second by second, with the offers to each slot of a host. The tasks that were due in a second
-/// stand beside what was done in it.
+/// Returns a table with one row for each second of a run: the tasks that were due in that second, the load that the
+/// placers put on the hosts in it, and the offers to each host slot.
 pub fn impact_table(impact: &OverloadImpact, due: &[SecondSummary]) -> String {
     let mut text = format!(
         "{:>6}{:>8}{:>8}{:>8}{:>8}{:>8}{:>8}{:>8}{:>8}{:>8}{:>8}{:>8}{:>8}   offers by host\n",
--- a/crates/load-test/src/search.rs
+++ b/crates/load-test/src/search.rs
@@ -1,25 +1,26 @@
-//! Comparison of runs over several seeds, and the search for the knee: the highest rate at which an objective is met.
+//! Compares runs over several seeds, and searches for the knee: the highest rate at which the objective of a plan is met.
 
 use crate::results::Summary;
 
-/// A difference of more standard errors than this is significant.
+/// A difference of two means is significant if it exceeds this many standard errors.
 const SIGNIFICANT_ERRORS: f64 = 3.0;
-/// What a percentile counts as that is never reached: the longest latency that is recorded.
+/// Value of a latency percentile that too few tasks reached because the others never started, in milliseconds. It is
+/// the longest latency that histograms record.
 const MAX_LATENCY_MS: f64 = 3.6e6;
-/// The search for a knee below the plan's rate ends here.
+/// Lowest factor on the rate of the plan at which the search for a knee continues.
 const MIN_FACTOR: f64 = 1.0 / 1_024.0;
 
-/// A metric of a run.
+/// The value of a metric in one run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Metric {
-    /// Its name in comparisons.
+    /// Name of the metric in comparisons.
     pub name: String,
-    /// Its value.
+    /// Value in the run.
     pub value: f64,
 }
 
 impl Metric {
-    /// Returns a metric.
+    /// Returns a metric with a name and a value.
     pub fn new(name: impl Into<String>, value: f64) -> Metric {
         Metric {
             name: name.into(),
@@ -33,17 +34,17 @@
 pub struct Samples {
     /// The name of the metric.
     pub name: String,
-    /// One for each seed.
+    /// One value for each seed.
     pub values: Vec<f64>,
 }
 
 impl Samples {
-    /// Returns the mean.
+    /// Returns the mean of the values.
     pub fn mean(&self) -> f64 {
         self.values.iter().sum::<f64>() / self.values.len().max(1) as f64
     }
 
-    /// Returns the estimated standard deviation of a single run; 0 for one run.
+    /// Returns the sample standard deviation; 0 if there are fewer than two values.
     pub fn deviation(&self) -> f64 {
         let n = self.values.len();
         if n < 2 {
@@ -54,19 +55,19 @@
     }
 }
 
-/// The result of a comparison.
+/// The result of comparing a metric between two sets of runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Comparison {
-    /// The difference is larger than chance makes.
+    /// The means differ by more than chance explains.
     Differs,
-    /// The runs of one side differ as much from each other.
+    /// The difference is within the variation between runs of the same set.
     Noise,
-    /// One run of a side is not enough to tell.
+    /// A set has fewer than two runs, so the variation between its runs is unknown.
     TooFew,
 }
 
 impl Comparison {
-    /// Returns the result in words.
+    /// Returns the result as it is printed.
     pub fn as_str(self) -> &'static str {
         match self {
             Comparison::Differs => "differs",
@@ -76,8 +77,8 @@
     }
 }
 
-/// Compares two metrics by Welch's t statistic. A difference of more than three standard errors counts (about one
-/// in a hundred by chance, with three runs a side).
+/// Compares a metric between two sets of runs by Welch's t statistic. A difference of more than three standard errors
+/// is significant. With three runs in each set, chance alone produces one in about a hundred comparisons.
 pub fn compare(a: &Samples, b: &Samples) -> Comparison {
     if a.values.len() < 2 || b.values.len() < 2 {
         return Comparison::TooFew;
@@ -98,7 +99,7 @@
     }
 }
 
-/// Returns the metrics of a run that are compared.
+/// Returns the metrics of a run that are compared with other runs.
 pub fn compared_metrics(summary: &Summary) -> Vec<Metric> {
     let mut metrics = Vec::new();
     for group in summary
@@ -124,7 +125,7 @@
     metrics
 }
 
-/// Collects the metrics of several runs by name.
+/// Collects the values of each metric of the first run from all runs.
 pub fn collect_samples(runs: &[Vec<Metric>]) -> Vec<Samples> {
     let values = |name: &str| {
         runs.iter()
@@ -141,23 +142,24 @@
         .collect()
 }
 
-/// The runs of one factor.
+/// The result of the runs at one factor on the rate.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Trial {
-    /// The rate, as a multiple of the plan's.
+    /// Rate of the runs, as a multiple of the rate of the plan.
     pub factor: f64,
-    /// Runs that met the objective.
+    /// Number of runs that met the objective.
     pub passes: u32,
-    /// Runs in total.
+    /// Number of runs in total.
     pub runs: u32,
 }
 
-/// A search for the knee. Pure: the caller makes the runs that [`KneeSearch::next_factor`] asks for.
+/// A search for the knee. It performs no runs itself: the caller runs the plan at the factor that
+/// [`KneeSearch::next_factor`] returns, and records the result.
 #[derive(Debug, Clone)]
 pub struct KneeSearch {
-    /// The highest factor that met the objective.
+    /// Highest factor that met the objective; 0 until one did.
     low: f64,
-    /// The lowest factor that did not.
+    /// Lowest factor that did not meet the objective.
     high: Option<f64>,
     trials: Vec<Trial>,
     runs_per_trial: u32,
@@ -166,7 +168,7 @@
 }
 
 impl KneeSearch {
-    /// Returns a search that begins at the plan's own rate. A factor meets the objective where most of its runs do.
+    /// Returns a search that begins at the rate of the plan. A factor meets the objective if more than half of its runs do.
     pub fn new(runs_per_trial: u32, precision: f64, max_factor: f64) -> KneeSearch {
         KneeSearch {
             low: 0.0,
@@ -178,25 +180,26 @@
         }
     }
 
-    /// Returns the next factor to run; none where the knee is known with the precision.
+    /// Returns the next factor to run. Returns `None` once the knee is known to the precision, or lies above the maximum
+    /// factor or below the lowest one that is searched.
     pub fn next_factor(&self) -> Option<f64> {
         match self.high {
             None if self.low <= 0.0 => Some(1.0f64.min(self.max_factor)),
             None if self.low >= self.max_factor => None,
             None => Some((self.low * 2.0).min(self.max_factor)),
             Some(high) if high - self.low <= self.precision * high => None,
-            // Below the plan's rate nothing is known yet: halve until something holds.
+            // No factor has met the objective yet: the factor is halved until one does.
             Some(high) if self.low <= 0.0 => (high > MIN_FACTOR).then_some(high / 2.0),
             Some(high) => Some((self.low + high) / 2.0),
         }
     }
 
-    /// Returns the number of runs of a factor.
+    /// Returns the number of runs to make at each factor.
     pub fn runs_per_trial(&self) -> u32 {
         self.runs_per_trial
     }
 
-    /// Records the runs of a factor.
+    /// Records the result of the runs at a factor.
     pub fn record_trial(&mut self, factor: f64, passes: u32, runs: u32) {
         self.trials.push(Trial {
             factor,
@@ -210,7 +213,7 @@
         }
     }
 
-    /// Returns the factors between which the knee lies; no upper one where the objective is met up to the maximum.
+    /// Returns the factors between which the knee lies. The upper one is `None` if the objective was met at every factor.
     pub fn bounds(&self) -> (f64, Option<f64>) {
         (self.low, self.high)
     }
@@ -220,7 +223,7 @@
         &self.trials
     }
 
-    /// Returns the confidence: the fraction of runs that agree with the verdict on their factor.
+    /// Returns the fraction of runs whose result agrees with the verdict on their factor, as a measure of confidence.
     pub fn agreement(&self) -> f64 {
         let (agree, all) = self.trials.iter().fold((0, 0), |(agree, all), t| {
             (agree + t.passes.max(t.runs - t.passes), all + t.runs)
