--- a/crates/load-test/src/fault_injector.rs
+++ b/crates/load-test/src/fault_injector.rs
@@ -201,7 +201,7 @@
                 false
             });
             while let Some((_, action)) = schedule.next_if(|(at, _)| begin + at <= self.log.now()) {
-                self.execute(action, &mut to_launch);
+                self.perform(action, &mut to_launch);
             }
             let pause = schedule.peek().map_or(POLL_INTERVAL, |(at, _)| {
                 Duration::from_micros(u64::try_from(begin + at - self.log.now()).unwrap_or(0))
@@ -211,7 +211,7 @@
         }
     }
 
-    fn execute(&mut self, action: Action, to_launch: &mut Vec<usize>) {
+    fn perform(&mut self, action: Action, to_launch: &mut Vec<usize>) {
         match action {
             Action::Cluster(command) => self.cluster.command(command),
             Action::Kill(placer) => self.supervisor.kill(placer),
--- a/crates/load-test/src/outcome.rs
+++ b/crates/load-test/src/outcome.rs
@@ -65,7 +65,7 @@
     pub peak_memory_kb: Vec<u64>,
     /// Peak number of open descriptors of each placer.
     pub peak_descriptors: Vec<usize>,
-    /// The actions of the fault injector, each with its time from the start of the plan in microseconds.
+    /// The schedule of the fault injector: each action with its time from the start of the plan in microseconds.
     pub actions: Vec<(Micros, Action)>,
     /// Whether a signal ended the run early.
     pub interrupted: bool,
--- a/crates/load-test/src/overload_impact.rs
+++ b/crates/load-test/src/overload_impact.rs
@@ -1,8 +1,8 @@
 //! Measures the load that a fleet of placers puts on its hosts, counted over all placers from the events of a run.
 //!
-//! Behaviour that is reasonable for one placer may overload the hosts when all placers do the same. Counted are offers
-//! that hosts reject or drop, retries of clients, connections, and offers to faulty hosts. At the same load, these must
-//! not grow with the number of placers.
+//! Behaviour that is reasonable for one placer may overload the hosts when all placers do the same. This
+//! module counts offers that hosts reject or drop, retries of clients, connections, and offers to faulty hosts. At the
+//! same load, these counts must not grow with the number of placers.
 
 use crate::load_profile::Micros;
 use crate::plan::{FaultKind, Plan};
--- a/crates/load-test/src/results/mod.rs
+++ b/crates/load-test/src/results/mod.rs
@@ -136,7 +136,7 @@
     pub started: u32,
     /// Number of these tasks that started within the latency objective of their class.
     pub within_objective: u32,
-    /// Attempts of clients for these tasks beyond the first of each.
+    /// Number of attempts that clients made for these tasks, not counting the first attempt for each task.
     pub retries: u32,
     /// Median start latency of the tasks that started, in milliseconds.
     pub p50_ms: f64,
--- a/crates/load-test/src/search/tests.rs
+++ b/crates/load-test/src/search/tests.rs
@@ -36,12 +36,12 @@
         let passes = (0..3)
             .filter(|_| {
                 run_count += 1;
-                let deviation = if run_count.is_multiple_of(2) {
+                let offset = if run_count.is_multiple_of(2) {
                     noise
                 } else {
                     -noise
                 };
-                factor <= knee * (1.0 + deviation)
+                factor <= knee * (1.0 + offset)
             })
             .count() as u32;
         search.record_trial(factor, passes, 3);
--- a/crates/load-test/tests/rehearsal.rs
+++ b/crates/load-test/tests/rehearsal.rs
@@ -158,8 +158,8 @@
             .iter()
             .filter(move |t| (from * MILLI..to * MILLI).contains(&t.arrival.due))
     };
-    // Every task that was due during the pause has started. The checked span begins and ends within the pause, since the
-    // fault injector may act late by up to its poll interval.
+    // Every task that was due during the pause is recorded, and those due in a span inside the pause have started. The
+    // span is shorter than the pause because the fault injector may act late by up to its poll interval.
     let stalled: Vec<Micros> = within(1_600, 2_450)
         .filter_map(|t| t.start_latency)
         .collect();
