--- a/src/cli/check.rs
+++ b/src/cli/check.rs
@@ -1,5 +1,5 @@
-//! Implements `task-placer check`, which reads both files and prints each effective value with its origin, or every
-//! error found.
+//! Implements `task-placer check`, which reads the configuration and the operator's file, and prints each effective
+//! value with its origin, or every error found.
 
 use super::{Cli, conflicts};
 use crate::net::config::{self, Config};
@@ -11,7 +11,8 @@
 /// The exit code for files with errors, the same that `clap` uses for an invalid command line.
 const BAD_INPUT: u8 = 2;
 
-/// Runs the command, and returns the exit code: 0 if both files are valid, 2 if they are not.
+/// Runs the command, and returns the exit code: 0 if the configuration and the operator's file are valid, 2 if they are
+/// not.
 pub(super) fn run(cli: &Cli) -> ExitCode {
     let config = async_io::block_on(config::load(cli.files.config.as_deref()));
     let loaded = cli.files.load_operator();
@@ -37,7 +38,7 @@
     ExitCode::SUCCESS
 }
 
-/// Returns every error within each file, and every conflict between the two files.
+/// Returns every error within the configuration and within the operator's file, and every conflict between the two.
 fn problems(
     config: &Result<Config, config::ConfigError>,
     loaded: &Loaded,
--- a/src/cli/conflicts.rs
+++ b/src/cli/conflicts.rs
@@ -16,9 +16,9 @@
     /// Load balancers would connect to the address at which clients connect.
     #[error("{field}: {listen} is the address for clients (listen)")]
     HealthAtListen {
-        /// The name of the field.
+        /// The field of the operator's file that holds the address.
         field: &'static str,
-        /// The address.
+        /// The address that is both the clients' and the load balancers'.
         listen: SocketAddr,
     },
     /// Connections of load balancers would take descriptors that clients, hosts and the placer itself need.
@@ -26,7 +26,7 @@
         "health.connections: {found} of limits.sockets {descriptors} is more than a quarter, {max}"
     )]
     TooManyHealthConnections {
-        /// The stated maximum number of connections.
+        /// The maximum number of connections that the operator's file states.
         found: usize,
         /// The number of descriptors of the placer.
         descriptors: usize,
@@ -36,14 +36,14 @@
     /// The log queue would take memory that the rest of the placer needs.
     #[error("log.queue-bytes: {found} is more than a sixteenth of limits.memory_mb, {max}")]
     LogQueueTooLarge {
-        /// The stated size, in bytes.
+        /// The size of the log queue that the operator's file states, in bytes.
         found: usize,
         /// The maximum that is allowed, in bytes.
         max: usize,
     },
 }
 
-/// Returns all conflicts between the two files.
+/// Returns all conflicts between the configuration and the operator's file.
 pub(super) fn find(config: &Config, operator: &Operator) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
     let health = &operator.health;
--- a/src/cli/serve.rs
+++ b/src/cli/serve.rs
@@ -1,4 +1,5 @@
-//! Implements `task-placer serve`, which reads both files and serves until the process may exit.
+//! Implements `task-placer serve`, which reads the configuration and the operator's file, and serves until the process
+//! may exit.
 
 use super::{Cli, conflicts};
 use crate::net::config::{self, Config};
--- a/src/net/clients/accept_delay/tests.rs
+++ b/src/net/clients/accept_delay/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of `accept_delay.rs`.
+//! Tests of `AcceptDelay`: the pauses after failed accepts, and since when an accepted connection may have been
+//! waiting.
 
 use super::*;
 
--- a/src/net/clients/idle.rs
+++ b/src/net/clients/idle.rs
@@ -6,8 +6,8 @@
 
 /// Time without a message after which a connection without a pending response is closed.
 const IDLE_TIMEOUT: Micros = 60_000_000;
-/// Limit of the time to a whole message, counted from the opening of the connection or from the arrival of part of a
-/// message.
+/// Time within which a whole message must arrive, counted from the opening of the connection or from the arrival of
+/// part of a message.
 const HANDSHAKE_TIMEOUT: Micros = 2_200_000;
 
 impl Clients {
--- a/src/net/clients/status.rs
+++ b/src/net/clients/status.rs
@@ -10,8 +10,8 @@
 /// its own attempts forever.
 const MAX_READ_AHEAD_BYTES: u64 = 256 * 1024;
 /// Limit in bytes of the input that is read from a client before an attempt for it is sent, after a stall of this
-/// process. It is larger than the largest socket buffer of an operating system, since all input waiting in the buffer
-/// is old.
+/// process. It is larger than the largest socket buffer of an operating system, because after a stall all input in the
+/// buffer has waited for long and may hold a cancellation.
 const MAX_READ_AHEAD_AFTER_STALL_BYTES: u64 = 16 * 1024 * 1024;
 /// Waiting time from which unread input counts as old: it may hold a cancellation, which has to take effect within 100
 /// ms, as the protocol requires.
--- a/src/net/clients/table.rs
+++ b/src/net/clients/table.rs
@@ -130,7 +130,7 @@
         pending_responses.unwrap_or_default()
     }
 
-    // ---- Input ----
+    // ---- Reading and processing of input ----
 
     /// Records that a whole message arrived.
     pub fn message_received(&mut self, now: Micros, id: ClientId) {
@@ -271,7 +271,7 @@
         clients.for_each(|client| client.conn.shutdown_unread());
     }
 
-    // ---- Limits ----
+    // ---- Limits on descriptors and connections ----
 
     /// Sets the limit of descriptors of the whole process.
     pub fn set_descriptor_limit(&mut self, max_descriptors: usize) {
--- a/src/net/clock/tests.rs
+++ b/src/net/clock/tests.rs
@@ -1,4 +1,5 @@
-//! Tests of `clock.rs`.
+//! Tests of `Clock`: its time while the system's Unix clock is stepped or the process stalls, and the conversion of
+//! Unix times.
 
 use super::*;
 use std::time::Duration;
--- a/src/net/codec/binary.rs
+++ b/src/net/codec/binary.rs
@@ -19,18 +19,18 @@
 
 /// Values of the type field. Comments give the protocol's name where it differs.
 mod kind {
-    /// "set-up"
+    /// Called "set-up" in the protocol.
     pub const TASK_REQUEST: u8 = 1;
-    /// "answer"
+    /// Called "answer" in the protocol.
     pub const TASK_STARTED: u8 = 9;
     pub const RELEASE: u8 = 12;
-    /// "heard"
+    /// Called "heard" in the protocol.
     pub const RELEASE_ACK: u8 = 16;
-    /// "move"
+    /// Called "move" in the protocol.
     pub const MIGRATE: u8 = 51;
-    /// "test"
+    /// Called "test" in the protocol.
     pub const HEALTH_CHECK: u8 = 52;
-    /// "tested"
+    /// Called "tested" in the protocol.
     pub const HEALTH_CHECK_RESULT: u8 = 53;
 }
 
@@ -41,9 +41,9 @@
     pub const TENANT: u8 = 135;
     pub const RETRY: u8 = 138;
     pub const KEY: u8 = 141;
-    /// "figures"
+    /// Called "figures" in the protocol.
     pub const ATTRIBUTES: u8 = 144;
-    /// "stay away"
+    /// Called "stay away" in the protocol.
     pub const RETRY_AFTER: u8 = 147;
     pub const CAUSE: u8 = 171;
     pub const DESCRIPTION: u8 = 174;
--- a/src/net/codec/lines.rs
+++ b/src/net/codec/lines.rs
@@ -76,7 +76,7 @@
     }
 }
 
-/// Returns the detail that the note of a release stands for.
+/// Returns the detail that the note in a host's release message denotes.
 fn outcome_detail(note: Option<&str>) -> OutcomeDetail {
     match note {
         Some("nc") => OutcomeDetail::NoCores,
--- a/src/net/conn/reading.rs
+++ b/src/net/conn/reading.rs
@@ -30,7 +30,7 @@
 pub enum Unread {
     /// No input is waiting.
     Nothing,
-    /// This many bytes, or more if the number equals the limit of one read.
+    /// At least this many bytes are waiting; the number is exact if it is below the limit of one read.
     Bytes(usize),
     /// The peer has ended the connection, and no input is left before its end.
     EndOfStream,
--- a/src/net/dispatch/admin_commands.rs
+++ b/src/net/dispatch/admin_commands.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    // ---- Other processes of the placer ----
+    // ---- Starts and exits of the placer's other processes ----
 
     /// Records that another process of this placer has started. Together they count as one placer and share its limits.
     pub fn peer_joined(&mut self, age: PeerAge) {
@@ -90,7 +90,7 @@
         self.apply_limits(self.limits);
     }
 
-    // ---- Commands ----
+    // ---- Commands of operators and the platform ----
 
     /// Runs a command of the platform or an operator, and returns the encoded reply.
     pub fn run_admin_command(&mut self, line: &[u8]) -> Vec<u8> {
--- a/src/net/dispatch/endpoint_updates.rs
+++ b/src/net/dispatch/endpoint_updates.rs
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Returns the time such that every task that started at a host before it is lost, or `None` if none can be.
+    /// Returns the time before which a task at this host must have started to count as lost: `Micros::MAX` if the host
+    /// was removed, or `None` if no task is known to be lost.
     fn tasks_lost_before(&self, host: &HostId) -> Option<Micros> {
         let link = self.hosts.get(host)?;
         if link.state == EndpointState::Removed {
@@ -63,8 +64,8 @@
         (link.started_at > 0).then_some(link.started_at)
     }
 
-    /// Applies an update to the hosts and their connections. Withdraws the unsent attempts that were decided for an
-    /// earlier process or state of a host.
+    /// Applies an update to the hosts and their connections. Withdraws the unsent attempts that were assigned to a host
+    /// before its process was replaced, or before it began to drain or was removed.
     pub(super) fn apply_endpoint_update(
         &mut self,
         now: Micros,
--- a/src/net/dispatch/host_connections.rs
+++ b/src/net/dispatch/host_connections.rs
@@ -146,7 +146,8 @@
                 self.request_connection(now, host);
             }
         } else if reason != CloseReason::Replaced {
-            // Requested even after an orderly close: data sent before the close may have been lost on the network path.
+            // A second connection, on which the host repeats the ends of tasks, is requested even after an orderly
+            // close: data sent before the close may have been lost on the network path.
             self.request_repeated_ends(now, host);
         }
         for ticket in interrupted {
@@ -168,7 +169,7 @@
 struct ConnectFailure {
     /// Whether this is the first failure since the host was last reached.
     is_first: bool,
-    /// When the first failure since then happened.
+    /// When the first connect to the host failed since the host was last reached.
     unreachable_since: Micros,
 }
 
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -171,8 +171,8 @@
         self.report_event(now, event);
     }
 
-    /// Handles a host's report that the task's own time is over. Every host would release the task with the same cause,
-    /// so no other attempt is made, the host is not treated as broken, and the client is sent the cause.
+    /// Handles a host's report that the task's own deadline has passed. Every host would release the task with the same
+    /// cause, so no other attempt is made, the host is not treated as broken, and the client is sent the cause.
     fn attempt_completed(&mut self, now: Micros, ticket: Ticket, detail: OutcomeDetail) {
         let Some(request) = self.requests.get(&ticket) else {
             return;
--- a/src/net/dispatch/request.rs
+++ b/src/net/dispatch/request.rs
@@ -9,7 +9,8 @@
 /// The state of a request.
 #[derive(Debug, Clone, PartialEq)]
 pub(super) enum RequestState {
-    /// The decision module has the request; a response is pending.
+    /// No attempt is assigned to a host: the decision module holds the request until it decides on an attempt or a
+    /// response. A response is pending.
     Queued,
     /// An attempt is assigned to a host, sent or not; a response is pending.
     InFlight {
@@ -17,7 +18,7 @@
         attempt: u32,
         /// The host that the attempt is assigned to.
         host: HostId,
-        /// When the attempt was decided.
+        /// When the decision module decided to make the attempt, which may be before the attempt is sent.
         since: Micros,
         /// When the attempt times out.
         deadline: Micros,
@@ -30,7 +31,7 @@
         attempt: u32,
         /// The host that runs the task.
         host: HostId,
-        /// When this placer learned of the start.
+        /// When this placer was notified that the task had started, or adopted the task.
         since: Micros,
     },
     /// This placer has released the task, and its host has not confirmed that yet. No response is pending.
@@ -39,9 +40,9 @@
         attempt: u32,
         /// The host that runs the task.
         host: HostId,
-        /// When this placer learned of the start.
+        /// When this placer was notified that the task had started, or adopted the task.
         since: Micros,
-        /// The cause sent to the host: the client's, or `CANCELLED` for a migration.
+        /// The cause in the release sent to the host: the one that the client stated, or `CANCELLED` for a migration.
         cause: Cause,
     },
 }
@@ -91,7 +92,7 @@
     pub(super) message: Option<Box<TaskRequest>>,
     /// The number of attempts made so far.
     pub(super) attempts: u32,
-    /// The current state.
+    /// The request's state, which only `Dispatch::set_request_state` changes.
     pub(super) state: RequestState,
     /// The index of the request's class, if the settings define the class.
     pub(super) class: Option<usize>,
@@ -116,7 +117,7 @@
 /// A task that has ended. It is remembered for a while, because its client may still ask to adopt it, and another
 /// request may reuse its id.
 pub(super) struct EndedTask {
-    /// The host that released the task and the cause on the wire, if a host's release of an unknown task was recorded.
+    /// How a host released the task, if the release arrived while the task was not in the table of requests.
     pub(super) released_by: Option<HostRelease>,
     /// When the task ended.
     pub(super) ended_at: Micros,
--- a/src/net/dispatch/requests.rs
+++ b/src/net/dispatch/requests.rs
@@ -14,7 +14,7 @@
 //!      │   attempt_completed                                    │ end_running_task:    │ end_running_task:
 //!      │                                                        │ released by its host │ released by its host,
 //!      │ respond_unplaced: rejected, failed, or                 │ or lost              │ lost, or
-//!      │ the task's own time is over                            │ end_task_at_unknown_ │ TimerEvent::
+//!      │ the task's deadline passed                             │ end_task_at_unknown_ │ TimerEvent::
 //!      │ cancel_request: cancelled by its client                │ host                 │ ReleaseTimeout
 //!      ▼                                                        ▼                      ▼
 //!   ═══════════════ remove_request: removed from the table; the id is kept in `ended_tasks` ═══════════
--- a/src/net/dispatch/responses.rs
+++ b/src/net/dispatch/responses.rs
@@ -3,8 +3,7 @@
 //! never reports the end of a running task (`running_tasks` does).
 //!
 //! - `respond_unplaced`: the request is rejected or fails, or a host reports the end of the task before any start
-//!   (because
-//!   the task's own time is over, or the report of the start was lost).
+//!   (because the task's own deadline has passed, or because the report of the start was lost).
 //! - `respond_placed`: a host has started the task; the host's description is forwarded to the client unchanged.
 //! - `respond_invalid`: the request is invalid and was never added to the table.
 //!
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -40,7 +40,7 @@
 /// Whether an established connection is to be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectOutcome {
-    /// The connection is used.
+    /// The connection is kept and becomes the current connection to its host.
     InUse,
     /// The connection is no longer wanted, and is closed.
     NotWanted,
@@ -136,9 +136,10 @@
     /// Attempts of which no byte has been sent: they wait for the connection, for its write queue to be empty, or for
     /// unread input of their clients.
     pub pending_attempts: Vec<PendingAttempt>,
-    /// The number of connects that have failed in a row.
+    /// The number of successive failed connects. It is reset to 0 when a connect succeeds, when the host's address
+    /// changes, and when no connection to the host is needed any more.
     pub connect_failures: u32,
-    /// When the first of these connects failed, if any failed.
+    /// When the first of the connects counted in `connect_failures` failed, if any failed.
     pub unreachable_since: Option<Micros>,
     /// When the tasks at the host count as lost, unless the host is reached before.
     pub tasks_lost_at: Option<Micros>,
--- a/src/net/log.rs
+++ b/src/net/log.rs
@@ -29,7 +29,7 @@
 struct LineQueue {
     bytes: Vec<u8>,
     max_bytes: usize,
-    /// The number of lines dropped since it was last reported in the log.
+    /// The number of lines dropped since this number was last reported in the log.
     dropped: u64,
     format: LogFormat,
     /// Whether standard error is closed, so that nothing more can be written.
@@ -121,7 +121,7 @@
     }
 }
 
-/// Writes a single line.
+/// Adds a line to the queue, and writes queued bytes as far as standard error takes them without blocking.
 struct LineWriter(LogWriter);
 
 impl Write for LineWriter {
--- a/src/net/system_error/tests.rs
+++ b/src/net/system_error/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `system_error.rs`.
+//! Tests of the classification of system call errors, and of the retry of calls that fail temporarily.
 
 use super::*;
 
--- a/src/net/timer_wheel/tests.rs
+++ b/src/net/timer_wheel/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of `timer_wheel.rs`.
+//! Tests of `TimerWheel`: items are returned in order and never early.
 
 use super::*;
 
--- a/src/operator/reader/tests.rs
+++ b/src/operator/reader/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the reader.
+//! Tests of the reader of TOML documents: valid values, their origins, and the reported problems.
 
 use super::*;
 use std::time::Duration;
--- a/tests/balancers.rs
+++ b/tests/balancers.rs
@@ -35,7 +35,7 @@
 }
 
 impl Deployment {
-    /// Starts three placers over six hosts in two zones, polled every 500 ms.
+    /// Starts six hosts in two zones, three placers, and a load balancer that polls the placers every 500 ms.
     fn start(behavior: &HostBehavior) -> Deployment {
         let records: Arc<Mutex<HostRecords>> = Arc::default();
         let host = |n: usize| {
@@ -236,7 +236,8 @@
     std::thread::sleep(Duration::from_secs(3));
     let signalled = Instant::now();
     deployment.placers[0].terminate();
-    // The load balancer notices within a poll interval and the time of a poll.
+    // The load balancer notices the drain at its next poll, so after at most a poll interval and the duration of a
+    // poll.
     wait_for("the load balancer notices", || {
         (deployment.load_balancer.weight(0) == 0).then_some(())
     });
--- a/tests/decision_rules/drains.rs
+++ b/tests/decision_rules/drains.rs
@@ -1,4 +1,4 @@
-//! Draining and removed hosts, and the loss of the subscription to the endpoint list.
+//! Tests of draining and removed hosts, and of the loss of the subscription to the endpoint list.
 
 use super::*;
 
@@ -58,7 +58,7 @@
                 .any(|(_, action)| *action == Action::Subscribe)
         );
     }
-    // The request is also repeated if no answer comes at all.
+    // The subscription request is also repeated if it gets no response at all.
     assert!(without_times(placer.advance(5 * SECOND)).contains(&Action::Subscribe));
 }
 
--- a/tests/decision_rules/final_response.rs
+++ b/tests/decision_rules/final_response.rs
@@ -1,4 +1,4 @@
-//! Each request gets exactly one final response, in time.
+//! Tests that each request gets exactly one final response, in time.
 
 use super::*;
 
--- a/tests/decision_rules/retries.rs
+++ b/tests/decision_rules/retries.rs
@@ -1,4 +1,4 @@
-//! Whether a retry, a rejection or a failure may follow each outcome of an attempt.
+//! Tests whether a retry, a rejection or a failure may follow each outcome of an attempt.
 
 use super::*;
 
--- a/tests/decision_rules/slow_start.rs
+++ b/tests/decision_rules/slow_start.rs
@@ -1,4 +1,4 @@
-//! Limits on the attempts at hosts that are warming up.
+//! Tests of the limits on the attempts at hosts that are warming up.
 
 use super::*;
 
--- a/tests/decision_rules/spread.rs
+++ b/tests/decision_rules/spread.rs
@@ -1,4 +1,4 @@
-//! Spread of a service's tasks over failure domains.
+//! Tests of the spread of a service's tasks over failure domains.
 
 use super::*;
 
@@ -15,7 +15,8 @@
         }
     }
     assert_eq!(per_zone, [2, 2]);
-    // An attempt counts until its outcome, even after its task has started. Then its zone may get another one.
+    // An attempt counts towards the limit of its zone until it ends, even after its task has started. Another attempt
+    // may be sent to the zone only then.
     let (n, host) = sent_attempts[0].clone();
     placer.start(n, 0, &host);
     assert!(sent_hosts(&without_times(placer.advance(SECOND))).is_empty());
--- a/tests/endings/accept_queue.rs
+++ b/tests/endings/accept_queue.rs
@@ -16,7 +16,7 @@
 #[test]
 fn time_in_the_accept_queue_counts_while_accepting_fails() {
     let (program, _feed, _hosts, mut connections) = start_with_hosts(1);
-    // The first descriptors are in use, so no other can be opened.
+    // All descriptor numbers below 3 are in use, so the program can open no more descriptors.
     program.set_descriptor_limit(3);
     let mut client =
         Client::connect(program.address).expect("failed to connect through the accept queue");
--- a/tests/endings/disconnected_clients.rs
+++ b/tests/endings/disconnected_clients.rs
@@ -36,7 +36,8 @@
     assert!(client.health_check(), "the client's connection was closed");
 }
 
-// Hundreds of requests are cancelled at once, so that their cancellations are several reads behind.
+// Hundreds of requests are cancelled at once, so that the program reads the requests several reads before their
+// cancellations.
 #[test]
 fn requests_cancelled_some_reads_later_are_not_offered() {
     let (program, _feed, hosts, mut connections) = start_with_hosts(1);
@@ -194,7 +195,7 @@
     feed.send_host_state(2, &hosts[1], "up");
     let start = Instant::now();
     let mut connection = hosts[1].accept();
-    // The offers that were queued before this one are sent there first.
+    // The large requests, which were sent before this one, are offered to the second host first.
     while connection.expect_offer() != hex(0x990) {}
     assert!(
         start.elapsed() < Duration::from_secs(1),
--- a/tests/endings/task_ends.rs
+++ b/tests/endings/task_ends.rs
@@ -50,8 +50,8 @@
 // task, its answer is lost or late, and the host drains and releases the task; the placer reads only the release. Any
 // release with cause 41 before the answer was taken for a broken attempt, so the request was sent to another host and
 // its second run was reported as placed, while nobody was told of the first. The log showed `attempt ended
-// outcome=Reset detail=Drained` and `task started` at another host 0.1 s later. The note of such a release names what
-// only happens to a running task.
+// outcome=Reset detail=Drained` and `task started` at another host 0.1 s later. The note of such a release names an
+// event that happens only to running tasks.
 #[test]
 fn task_that_its_host_sent_away_before_its_answer_arrived_is_over_for_its_client() {
     for note in ["dr", "ev", "pre"] {
--- a/tests/fronts/drains.rs
+++ b/tests/fronts/drains.rs
@@ -1,4 +1,4 @@
-//! Tests of drains.
+//! Tests of a placer's drain: what it closes, what it waits for, and how it ends or is cancelled.
 
 use super::*;
 
--- a/tests/fronts/log.rs
+++ b/tests/fronts/log.rs
@@ -1,4 +1,4 @@
-//! Tests of the log.
+//! Tests of the placer's log on standard error: its JSON format, and a reader that blocks or closes it.
 
 use super::*;
 
--- a/tests/health_loop/main.rs
+++ b/tests/health_loop/main.rs
@@ -54,17 +54,19 @@
 /// The measured behavior of a placer whose capacity falls to less than a third.
 #[derive(Debug)]
 struct SlowPlacer {
-    /// Its fraction of the tasks before.
+    /// The fraction of all tasks that went to the placer before its capacity fell.
     share_before: f64,
-    /// The seconds until its share was halved, or `None` if it was not within a minute.
+    /// The seconds from the fall of the capacity until the placer's fraction of the tasks was halved, or `None` if that
+    /// took more than a minute.
     halved_after: Option<i64>,
-    /// Its fraction of the tasks in the last minute.
+    /// The fraction of all tasks that went to the placer in the last minute of the simulation.
     share_after: f64,
-    /// The difference of its highest and its lowest weight in the last 90 s.
+    /// The difference between the placer's highest and lowest weight in the last 90 s of the simulation.
     weight_range: u8,
-    /// The seconds until its share stayed near that of the last minute.
+    /// The seconds from the fall of the capacity until the placer's fraction of the tasks stayed near that of the last
+    /// minute.
     settling_time: i64,
-    /// The tasks that wait at it in the end.
+    /// The number of tasks that wait at the placer at the end of the simulation.
     waiting_tasks: f64,
 }
 
--- a/tests/operating.rs
+++ b/tests/operating.rs
@@ -35,7 +35,7 @@
     (config, AdminSocket(address))
 }
 
-// ---- Admin socket ----
+// ---- Tests of the admin socket ----
 
 #[test]
 fn admin_commands_are_answered_beside_partial_ones() {
@@ -130,7 +130,7 @@
     );
 }
 
-// ---- Metrics ----
+// ---- Tests of the metrics ----
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario, step by step")]
@@ -263,7 +263,7 @@
     program.wait_for_log("reason=running-tasks replaced=0");
 }
 
-// ---- Drains ----
+// ---- Tests of drains ----
 
 #[test]
 fn drain_closes_idle_connections_without_rejecting_work_and_can_be_cancelled() {
@@ -353,7 +353,7 @@
     assert_eq!((end.kind, end.id, end.cause()), (12, 1, 16));
 }
 
-// ---- Upgrades ----
+// ---- Tests of upgrades ----
 
 /// The processes of one placer, with the listening socket and the temporary directory that they share.
 struct Processes {
--- a/tests/overload/main.rs
+++ b/tests/overload/main.rs
@@ -14,7 +14,7 @@
 const PLACER_COUNTS: [usize; 3] = [3, 12, 30];
 
 /// Asserts that `condition` holds for a scenario with all features, for each number of placers, and that it does not
-/// hold with only the features `without`.
+/// hold if only the features in `without` are enabled.
 fn assert_holds_only_with_overload_control(
     make_scenario: MakeScenario,
     without: &Features,
--- a/tests/overload/simulation/placers.rs
+++ b/tests/overload/simulation/placers.rs
@@ -12,7 +12,7 @@
 
 #[derive(Default)]
 pub struct SimulatedPlacer {
-    /// `None` if the placer is killed.
+    /// The placer's facade, or `None` while the placer is killed.
     pub facade: Option<Facade>,
     pub is_stalled: bool,
     /// Events that arrived while the placer was stalled.
@@ -35,7 +35,7 @@
     task: usize,
     attempts: u32,
     pub in_flight: Option<InFlight>,
-    /// The host where the task runs.
+    /// The index of the host where the task runs, or `None` if it does not run.
     running_at: Option<usize>,
 }
 
--- a/tests/overload_random.rs
+++ b/tests/overload_random.rs
@@ -22,7 +22,8 @@
     ]
 }
 
-/// The priority, the fraction within the quota, the kind of client attempt and the task hash of a request.
+/// A request: its priority, the fraction of requests that are within the quota, the index of its kind of client
+/// attempt, and the hash of its task.
 type Request = (u8, f64, u8, u64);
 
 fn candidate((priority, within_quota, client_attempt, task_hash): &Request) -> Candidate {
--- a/tests/placer/answers.rs
+++ b/tests/placer/answers.rs
@@ -1,4 +1,4 @@
-//! Rule 1: each request gets exactly one final response.
+//! Tests of rule 1: each request gets exactly one final response.
 
 use super::*;
 
--- a/tests/placer/capacity_limits.rs
+++ b/tests/placer/capacity_limits.rs
@@ -1,4 +1,4 @@
-//! Rules 3 to 5: draining hosts, slow start and the spread of tasks over zones.
+//! Tests of rules 3 to 5: draining hosts, slow start and the spread of tasks over zones.
 
 use super::*;
 
--- a/tests/placer/duplicate_starts.rs
+++ b/tests/placer/duplicate_starts.rs
@@ -1,4 +1,4 @@
-//! Rule 2: no task is started twice.
+//! Tests of rule 2: no task is started twice.
 
 use super::*;
 
--- a/tests/placer/failing_peers.rs
+++ b/tests/placer/failing_peers.rs
@@ -66,8 +66,8 @@
 #[test]
 fn unreachable_host_keeps_its_running_tasks_and_its_offers_are_retried_elsewhere() {
     let (_program, _feed, mut client, hosts, at, unreachable, _) = start_with_unreachable_host();
-    // The host stays unreachable for longer than the report of a lost task usually takes, but not for as long as it may
-    // take.
+    // The host stays unreachable for longer than it usually takes until a lost task is reported, but for less than the
+    // longest time that this may take.
     let message = client.message_within(Duration::from_secs(4));
     assert!(message.is_err(), "{message:?}");
     hosts[at].make_reachable(unreachable);
--- a/tests/rough.rs
+++ b/tests/rough.rs
@@ -28,7 +28,7 @@
     all
 }
 
-// ---- Misbehaving clients ----
+// ---- Tests of misbehaving clients ----
 
 // Regression: invalid requests were offered to hosts. Hosts close the connection on an offer without an id, whatever
 // else is in flight on it, and reject other invalid offers with errors, for which the placer considered them faulty.
@@ -254,7 +254,7 @@
     );
 }
 
-// ---- Feeds and new configurations ----
+// ---- Tests of feeds and new configurations ----
 
 // Regression: SIGHUP ended the process, and all open requests were lost.
 #[test]
@@ -324,7 +324,7 @@
     );
 }
 
-// ---- Misbehaving hosts ----
+// ---- Tests of misbehaving hosts ----
 
 #[test]
 fn malformed_reply_closes_its_connection_and_idempotent_tasks_are_retried_elsewhere() {
--- a/tests/soak/registry.rs
+++ b/tests/soak/registry.rs
@@ -170,7 +170,7 @@
         });
     }
 
-    // ---- Checks ----
+    // ---- Checks of the rules ----
 
     /// Waits until all placed tasks have ended and their clients know of it, or until `limit` has passed.
     pub fn wait_until_ends_arrived(&self, limit: Duration) {
