--- a/src/cli/conflicts.rs
+++ b/src/cli/conflicts.rs
@@ -7,7 +7,7 @@
 /// The descriptors divided by this number limit the connections of load balancers: clients hold at most a third of the
 /// descriptors, and the connections to hosts and the placer itself need the rest.
 const HEALTH_DESCRIPTOR_DIVISOR: usize = 4;
-/// The memory divided by this number limits the log queue.
+/// The log queue may hold at most the memory limit divided by this number.
 const LOG_MEMORY_DIVISOR: usize = 16;
 
 /// A field of the operator's file that conflicts with the configuration.
@@ -30,7 +30,7 @@
         found: usize,
         /// The number of descriptors of the placer.
         descriptors: usize,
-        /// The maximum that is allowed.
+        /// The maximum number of load balancers' connections that is allowed.
         max: usize,
     },
     /// The log queue would take memory that the rest of the placer needs.
@@ -38,7 +38,7 @@
     LogQueueTooLarge {
         /// The size of the log queue that the operator's file states, in bytes.
         found: usize,
-        /// The maximum that is allowed, in bytes.
+        /// The maximum size of the log queue that is allowed, in bytes.
         max: usize,
     },
 }
--- a/src/net/clients/accept_delay.rs
+++ b/src/net/clients/accept_delay.rs
@@ -49,7 +49,8 @@
     /// Records that a connection was accepted, and returns since when it may have been waiting.
     ///
     /// If accepting failed before, the connection may have waited for as long as the failures lasted; if it was the
-    /// first in the queue, it may have waited for a descriptor. Returns `None` in all other cases, where the wait is unknown.
+    /// first in the queue, it may have waited for a descriptor. Returns `None` in all other cases, where the wait is
+    /// unknown.
     pub(super) fn accepted(&mut self, now: Micros) -> Option<Micros> {
         self.failures = 0;
         let first_waits_since = self.first_waits_since.take();
--- a/src/net/clients/pending_task_ends.rs
+++ b/src/net/clients/pending_task_ends.rs
@@ -78,7 +78,7 @@
     pub resent: u64,
     /// Task ends that a client has acknowledged.
     pub acknowledged: u64,
-    /// Task ends that no client has acknowledged yet, including the waiting ones.
+    /// Task ends that no client has acknowledged yet, including those that wait for another client.
     pub unacknowledged: usize,
     /// Task ends that wait for another client, since they were sent on every usable connection.
     pub waiting: usize,
--- a/src/net/config.rs
+++ b/src/net/config.rs
@@ -106,7 +106,7 @@
     /// The file can't be read.
     #[error("configuration: LB_CONFIG: {}: {error}", path.display())]
     Unreadable {
-        /// The path of the file.
+        /// The path of the configuration file.
         path: PathBuf,
         /// The error of the operating system.
         error: io::Error,
@@ -137,7 +137,7 @@
     /// `LB_ADMIN` does not hold an address and a port.
     #[error("configuration: LB_ADMIN: {found}: {error}")]
     AdminVariable {
-        /// The value of the variable.
+        /// The value of `LB_ADMIN`.
         found: String,
         /// Why the value is invalid.
         error: AddrParseError,
--- a/src/net/dispatch/host_messages.rs
+++ b/src/net/dispatch/host_messages.rs
@@ -211,8 +211,8 @@
         self.report_optional_event(now, event);
     }
 
-    /// Handles a release by the host of the attempt in flight, which does not start the task: the attempt ends, and the
-    /// decision module decides what to do next.
+    /// Handles a release in which the host of the attempt in flight reports a rejection or a failure: the attempt ends,
+    /// and the decision module decides what to do next.
     fn attempt_released(
         &mut self,
         now: Micros,
--- a/src/net/hosts.rs
+++ b/src/net/hosts.rs
@@ -125,7 +125,7 @@
     pub last_message_at: Micros,
     /// When the last connect began.
     pub last_connect_at: Micros,
-    /// When the last current connection ended or was evicted.
+    /// When a current connection last ended or was evicted.
     pub last_closed_at: Micros,
     /// Whether a second connection is to be made beside the established one, unless a message arrives from the host
     /// before.
@@ -136,8 +136,8 @@
     /// Attempts of which no byte has been sent: they wait for the connection, for its write queue to be empty, or for
     /// unread input of their clients.
     pub pending_attempts: Vec<PendingAttempt>,
-    /// The number of successive failed connects. It is reset to 0 when a connect succeeds, when the host's address
-    /// changes, and when no connection to the host is needed any more.
+    /// The number of successive failed connects. It is reset to 0 when a connect succeeds, when a connect is
+    /// aborted because the host's address has changed, and when no connection to the host is needed any more.
     pub connect_failures: u32,
     /// When the first of the connects counted in `connect_failures` failed, if any failed.
     pub unreachable_since: Option<Micros>,
--- a/tests/endings/disconnected_clients.rs
+++ b/tests/endings/disconnected_clients.rs
@@ -145,7 +145,7 @@
     let mut feed = Feed::new();
     let hosts = [Host::with_small_receive_buffer("h0", "north")];
     let mut config = single_placer_config(&feed, vec![hosts[0].entry("up", 0)]);
-    // No other connection to the host is attempted during the test.
+    // With such a long connect timeout, no other connection to the host is attempted during the test.
     config["settings"]["caps"]["connect_timeout"] = json!(20_000.0);
     let program = Program::start(&config);
     feed.accept_subscription();
--- a/tests/fronts/drains.rs
+++ b/tests/fronts/drains.rs
@@ -130,7 +130,7 @@
 fn client_that_never_reads_does_not_delay_a_drain() {
     let mut deployment = start("settle = \"100ms\"\nquiet = \"300ms\"\nstanding = \"3s\"");
     let mut non_reading = deployment.program.client();
-    // The results of health checks fill its connection until the placer's writes block.
+    // The results of health checks fill the client's connection until the placer's writes block.
     let test = emulator::encode_message(52, 0xfe, &[(171, &[0])]);
     non_reading
         .0
--- a/tests/overload_random.rs
+++ b/tests/overload_random.rs
@@ -150,7 +150,7 @@
         };
         let ranks = ranks_at(&controllers[0]);
         prop_assert_eq!(&ranks, &ranks_at(&controllers[1]));
-        // Ranking a request adds it to the mix, and so changes the ranks slightly.
+        // Ranking a request adds it to the requests from which ranks are computed, and so changes the ranks slightly.
         let tolerance = 2.0 / mix.len() as f64;
         for (first, first_rank) in mix.iter().zip(&ranks) {
             for (second, second_rank) in mix.iter().zip(&ranks) {
