--- a/src/cli/conflicts.rs
+++ b/src/cli/conflicts.rs
@@ -7,7 +7,7 @@
 /// The descriptors divided by this number limit the connections of load balancers: clients hold at most a third of the
 /// descriptors, and the connections to hosts and the placer itself need the rest.
 const HEALTH_DESCRIPTOR_DIVISOR: usize = 4;
-/// The memory divided by this number limits the log queue.
+/// The log queue may hold at most the memory limit divided by this number.
 const LOG_MEMORY_DIVISOR: usize = 16;
 
 /// A field of the operator's file that conflicts with the configuration.
@@ -16,9 +16,9 @@
     /// Load balancers would connect to the address at which clients connect.
     #[error("{field}: {listen} is the address for clients (listen)")]
     HealthAtListen {
-        /// The name of the field.
+        /// The field of the operator's file that holds the address.
         field: &'static str,
-        /// The address.
+        /// The address that is both the clients' and the load balancers'.
         listen: SocketAddr,
     },
     /// Connections of load balancers would take descriptors that clients, hosts and the placer itself need.
@@ -26,24 +26,24 @@
         "health.connections: {found} of limits.sockets {descriptors} is more than a quarter, {max}"
     )]
     TooManyHealthConnections {
-        /// The stated maximum number of connections.
+        /// The maximum number of connections that the operator's file states.
         found: usize,
         /// The number of descriptors of the placer.
         descriptors: usize,
-        /// The maximum that is allowed.
+        /// The maximum number of load balancers' connections that is allowed.
         max: usize,
     },
     /// The log queue would take memory that the rest of the placer needs.
     #[error("log.queue-bytes: {found} is more than a sixteenth of limits.memory_mb, {max}")]
     LogQueueTooLarge {
-        /// The stated size, in bytes.
+        /// The size of the log queue that the operator's file states, in bytes.
         found: usize,
-        /// The maximum that is allowed, in bytes.
+        /// The maximum size of the log queue that is allowed, in bytes.
         max: usize,
     },
 }
 
-/// Returns all conflicts between the two files.
+/// Returns all conflicts between the configuration and the operator's file.
 pub(super) fn find(config: &Config, operator: &Operator) -> Vec<Conflict> {
     let mut conflicts = Vec::new();
     let health = &operator.health;
--- a/tests/endings/disconnected_clients.rs
+++ b/tests/endings/disconnected_clients.rs
@@ -36,7 +36,8 @@
     assert!(client.health_check(), "the client's connection was closed");
 }
 
-// Hundreds of requests are cancelled at once, so that their cancellations are several reads behind.
+// Hundreds of requests are cancelled at once, so that the program reads the requests several reads before their
+// cancellations.
 #[test]
 fn requests_cancelled_some_reads_later_are_not_offered() {
     let (program, _feed, hosts, mut connections) = start_with_hosts(1);
@@ -144,7 +145,7 @@
     let mut feed = Feed::new();
     let hosts = [Host::with_small_receive_buffer("h0", "north")];
     let mut config = single_placer_config(&feed, vec![hosts[0].entry("up", 0)]);
-    // No other connection to the host is attempted during the test.
+    // With such a long connect timeout, no other connection to the host is attempted during the test.
     config["settings"]["caps"]["connect_timeout"] = json!(20_000.0);
     let program = Program::start(&config);
     feed.accept_subscription();
@@ -194,7 +195,7 @@
     feed.send_host_state(2, &hosts[1], "up");
     let start = Instant::now();
     let mut connection = hosts[1].accept();
-    // The offers that were queued before this one are sent there first.
+    // The large requests, which were sent before this one, are offered to the second host first.
     while connection.expect_offer() != hex(0x990) {}
     assert!(
         start.elapsed() < Duration::from_secs(1),
--- a/tests/overload_random.rs
+++ b/tests/overload_random.rs
@@ -22,7 +22,8 @@
     ]
 }
 
-/// The priority, the fraction within the quota, the kind of client attempt and the task hash of a request.
+/// A request: its priority, the fraction of requests that are within the quota, the index of its kind of client
+/// attempt, and the hash of its task.
 type Request = (u8, f64, u8, u64);
 
 fn candidate((priority, within_quota, client_attempt, task_hash): &Request) -> Candidate {
@@ -149,7 +150,7 @@
         };
         let ranks = ranks_at(&controllers[0]);
         prop_assert_eq!(&ranks, &ranks_at(&controllers[1]));
-        // Ranking a request adds it to the mix, and so changes the ranks slightly.
+        // Ranking a request adds it to the requests from which ranks are computed, and so changes the ranks slightly.
         let tolerance = 2.0 / mix.len() as f64;
         for (first, first_rank) in mix.iter().zip(&ranks) {
             for (second, second_rank) in mix.iter().zip(&ranks) {
