--- a/crates/scale-test/src/audit/tests.rs
+++ b/crates/scale-test/src/audit/tests.rs
@@ -33,11 +33,13 @@
     let mut tasks = TaskTable::new(&[], &arrivals);
     let arrival = arrivals.next().expect("an arrival");
     let task = tasks.add(&arrival, Instant::now(), true).expect("room");
-    let id = tasks.sent(task, PLACER, Instant::now()).expect("a task");
+    let id = tasks
+        .record_sent(task, PLACER, Instant::now())
+        .expect("a task");
     for message in received {
         match message {
-            Received::Answer => drop(tasks.answered(id, WorkerId(0))),
-            Received::Release(cause) => drop(tasks.released(id, *cause)),
+            Received::Answer => drop(tasks.record_answer(id, WorkerId(0))),
+            Received::Release(cause) => drop(tasks.record_release(id, *cause)),
         }
     }
     let mut worker_audit = WorkerAudit::default();
--- a/crates/scale-test/src/cli.rs
+++ b/crates/scale-test/src/cli.rs
@@ -5,7 +5,7 @@
 
 use crate::error::RunError;
 use crate::results::{self, RunResult};
-use crate::run::{admit, own_descriptors, run};
+use crate::run::{admit, descriptor_limit, run};
 use crate::sample::ProcSampler;
 use crate::settings::{Settings, SettingsArgs, SettingsError};
 use crate::sweep::{PlanError, SweepError};
@@ -175,7 +175,7 @@
     println!(
         "# descriptors needed: at most {} of the {} of this process",
         settings.descriptors_needed(),
-        own_descriptors()
+        descriptor_limit()
     );
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/scale-test/src/clients/arrivals.rs
+++ b/crates/scale-test/src/clients/arrivals.rs
@@ -144,7 +144,7 @@
 
 impl Arrivals {
     /// Returns the tenant and the service of a task that runs at the start.
-    pub fn of_running_tasks(&self, task: TaskIndex) -> (u32, u32) {
+    pub fn tenant_and_service_of(&self, task: TaskIndex) -> (u32, u32) {
         (task.0 % self.tenants, task.0 % self.services)
     }
 }
--- a/crates/scale-test/src/clients/tasks.rs
+++ b/crates/scale-test/src/clients/tasks.rs
@@ -92,7 +92,7 @@
     /// Returns a table with the tasks that run at the start.
     pub fn new(running_tasks: &[RunningTask], arrivals: &Arrivals) -> TaskTable {
         let record = |task: &RunningTask| {
-            let (tenant, service) = arrivals.of_running_tasks(task.task);
+            let (tenant, service) = arrivals.tenant_and_service_of(task.task);
             TaskRecord {
                 due: None,
                 class: Class::Standard,
@@ -148,7 +148,12 @@
     }
 
     /// Records that the set-up of a task is sent to a placer. Returns the id of the set-up.
-    pub fn sent(&mut self, task: TaskIndex, placer: PlacerId, sent: Instant) -> Option<SetupId> {
+    pub fn record_sent(
+        &mut self,
+        task: TaskIndex,
+        placer: PlacerId,
+        sent: Instant,
+    ) -> Option<SetupId> {
         let record = self.tasks.get_mut(task.index())?;
         record.placer = placer;
         record.state = TaskState::Waiting { sent };
@@ -156,7 +161,7 @@
     }
 
     /// Records an answer.
-    pub fn answered(&mut self, id: SetupId, worker: WorkerId) -> AnswerEffect {
+    pub fn record_answer(&mut self, id: SetupId, worker: WorkerId) -> AnswerEffect {
         let Some(record) = self.latest(id) else {
             return AnswerEffect::Stale;
         };
@@ -177,7 +182,7 @@
     }
 
     /// Records a release.
-    pub fn released(&mut self, id: SetupId, cause: u8) -> ReleaseEffect {
+    pub fn record_release(&mut self, id: SetupId, cause: u8) -> ReleaseEffect {
         let Some(record) = self.latest(id) else {
             return ReleaseEffect::Known;
         };
--- a/crates/scale-test/src/clients/tasks/tests.rs
+++ b/crates/scale-test/src/clients/tasks/tests.rs
@@ -14,7 +14,9 @@
     let mut table = TaskTable::new(&[], &arrivals);
     let arrival = arrivals.next().expect("an arrival");
     let task = table.add(&arrival, Instant::now(), true).expect("room");
-    let id = table.sent(task, PLACER, Instant::now()).expect("a task");
+    let id = table
+        .record_sent(task, PLACER, Instant::now())
+        .expect("a task");
     (table, id)
 }
 
@@ -27,7 +29,7 @@
     let (mut table, id) = waiting();
     assert!(table.waiting_since(id).is_some());
 
-    assert_eq!(table.answered(id, WORKER), AnswerEffect::First);
+    assert_eq!(table.record_answer(id, WORKER), AnswerEffect::First);
 
     assert_eq!(table.running_at(PLACER).count(), 1);
     assert_eq!(table.running_at(PlacerId(0)).count(), 0);
@@ -36,22 +38,25 @@
 #[test]
 fn second_answer_is_recognized_while_the_task_runs_and_after_its_end() {
     let (mut table, id) = waiting();
-    table.answered(id, WORKER);
+    table.record_answer(id, WORKER);
 
-    assert_eq!(table.answered(id, WORKER), AnswerEffect::Second);
+    assert_eq!(table.record_answer(id, WORKER), AnswerEffect::Second);
 
-    table.released(id, cause::NORMAL);
-    assert_eq!(table.answered(id, WORKER), AnswerEffect::Second);
+    table.record_release(id, cause::NORMAL);
+    assert_eq!(table.record_answer(id, WORKER), AnswerEffect::Second);
 }
 
 #[test]
 fn release_ends_a_running_task_and_a_repeated_one_is_known() {
     let (mut table, id) = waiting();
-    table.answered(id, WORKER);
+    table.record_answer(id, WORKER);
 
-    assert_eq!(table.released(id, cause::NORMAL), ReleaseEffect::Ended);
+    assert_eq!(
+        table.record_release(id, cause::NORMAL),
+        ReleaseEffect::Ended
+    );
 
-    let repeated = table.released(id, cause::NORMAL);
+    let repeated = table.record_release(id, cause::NORMAL);
     assert_eq!(repeated, ReleaseEffect::Known, "released again");
     assert_eq!(state(&table), TaskState::Ended(cause::NORMAL));
 }
@@ -65,10 +70,10 @@
         (cause::FAILED, TaskState::Failed),
     ] {
         let (mut table, id) = waiting();
-        assert_eq!(table.released(id, cause), ReleaseEffect::Final);
+        assert_eq!(table.record_release(id, cause), ReleaseEffect::Final);
         assert_eq!(state(&table), expected);
         assert_eq!(
-            table.answered(id, WORKER),
+            table.record_answer(id, WORKER),
             AnswerEffect::Second,
             "a refusal is an answer"
         );
@@ -85,15 +90,20 @@
 #[test]
 fn migrated_task_gets_a_new_id_and_the_old_one_is_stale() {
     let (mut table, old) = waiting();
-    table.answered(old, WORKER);
+    table.record_answer(old, WORKER);
 
     let task = table.begin_migration(old).expect("it runs");
-    let id = table.sent(task, PLACER, Instant::now()).expect("a task");
+    let id = table
+        .record_sent(task, PLACER, Instant::now())
+        .expect("a task");
 
     assert_ne!(id, old);
-    assert_eq!(table.answered(old, WORKER), AnswerEffect::Stale);
-    assert_eq!(table.released(old, cause::CANCELLED), ReleaseEffect::Known);
-    assert_eq!(table.answered(id, WORKER), AnswerEffect::First);
+    assert_eq!(table.record_answer(old, WORKER), AnswerEffect::Stale);
+    assert_eq!(
+        table.record_release(old, cause::CANCELLED),
+        ReleaseEffect::Known
+    );
+    assert_eq!(table.record_answer(id, WORKER), AnswerEffect::First);
     assert_eq!(table.get(task).expect("a task").moves, 1);
 }
 
@@ -112,7 +122,7 @@
     let (mut table, id) = waiting();
     table.close_unanswered(id, TaskState::PlacerKilled);
 
-    assert_eq!(table.answered(id, WORKER), AnswerEffect::Stale);
+    assert_eq!(table.record_answer(id, WORKER), AnswerEffect::Stale);
     assert_eq!(table.waiting_since(id), None);
 }
 
--- a/crates/scale-test/src/clients/thread/messages.rs
+++ b/crates/scale-test/src/clients/thread/messages.rs
@@ -43,7 +43,7 @@
     }
 
     fn handle_answer(&mut self, slot: usize, id: SetupId, worker: WorkerId) {
-        match self.tasks.answered(id, worker) {
+        match self.tasks.record_answer(id, worker) {
             AnswerEffect::First => {
                 self.remove_pending(slot, id);
                 self.state.started += 1;
@@ -72,7 +72,7 @@
     }
 
     fn handle_release(&mut self, slot: usize, id: SetupId, cause: u8) -> Reply {
-        match self.tasks.released(id, cause) {
+        match self.tasks.record_release(id, cause) {
             ReleaseEffect::Final => {
                 self.remove_pending(slot, id);
                 self.state.refused += 1;
--- a/crates/scale-test/src/clients/thread/requests.rs
+++ b/crates/scale-test/src/clients/thread/requests.rs
@@ -48,7 +48,7 @@
     /// Sends the first set-up of a task's attempt, and starts the wait for its answer.
     pub(super) fn set_up(&mut self, task: TaskIndex, placer: PlacerId) -> io::Result<()> {
         let now = Instant::now();
-        let Some(id) = self.tasks.sent(task, placer, now) else {
+        let Some(id) = self.tasks.record_sent(task, placer, now) else {
             return Ok(());
         };
         let Some(record) = self.tasks.get(task) else {
--- a/crates/scale-test/src/lib.rs
+++ b/crates/scale-test/src/lib.rs
@@ -34,5 +34,5 @@
 pub use error::RunError;
 pub use process_sample::{ProcessSample, Sampler};
 pub use results::RunResult;
-pub use run::{NoWatcher, Progress, Watcher, admit, own_descriptors, run};
+pub use run::{NoWatcher, Progress, Watcher, admit, descriptor_limit, run};
 pub use settings::{Settings, SettingsError};
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -82,7 +82,7 @@
 impl Watcher for NoWatcher {}
 
 /// Returns the number of descriptors that this process may hold.
-pub fn own_descriptors() -> u64 {
+pub fn descriptor_limit() -> u64 {
     getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX)
 }
 
--- a/crates/scale-test/src/workers/fleet.rs
+++ b/crates/scale-test/src/workers/fleet.rs
@@ -43,7 +43,7 @@
 struct Worker {
     free_cores: f64,
     free_memory: f64,
-    is_removed: bool,
+    is_down: bool,
     /// Whether the worker has been restored after a zone crash.
     is_restored: bool,
 }
@@ -77,7 +77,7 @@
         let worker = Worker {
             free_cores: setup.cores,
             free_memory: setup.memory,
-            is_removed: false,
+            is_down: false,
             is_restored: false,
         };
         let mut fleet = Fleet {
@@ -122,10 +122,10 @@
     }
 
     /// Returns whether a worker does not exist or is down.
-    pub fn is_removed(&self, worker: WorkerId) -> bool {
+    pub fn is_down(&self, worker: WorkerId) -> bool {
         self.workers
             .get(worker.index())
-            .is_none_or(|worker| worker.is_removed)
+            .is_none_or(|worker| worker.is_down)
     }
 
     /// Returns the free capacity of the workers where it has changed since the last call.
@@ -190,7 +190,7 @@
             .workers
             .get(id.index())
             .copied()
-            .filter(|worker| !worker.is_removed)
+            .filter(|worker| !worker.is_down)
         else {
             return OfferReply::Silent;
         };
--- a/crates/scale-test/src/workers/fleet/tests.rs
+++ b/crates/scale-test/src/workers/fleet/tests.rs
@@ -181,7 +181,7 @@
 fn crashed_zone_is_silent_and_reports_no_free_capacity() {
     let mut fleet = crashed_fleet();
 
-    assert!(fleet.is_removed(WORKER) && !fleet.is_removed(WorkerId(0)));
+    assert!(fleet.is_down(WORKER) && !fleet.is_down(WorkerId(0)));
     assert_eq!(fleet.take_changed_resources(), [], "nobody sees it");
     let reply = fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0)));
     assert_eq!(reply, OfferReply::Silent);
--- a/crates/scale-test/src/workers/fleet/zone_faults.rs
+++ b/crates/scale-test/src/workers/fleet/zone_faults.rs
@@ -25,7 +25,7 @@
             self.unacknowledged_count -= if keep { 0 } else { ids.len() };
             keep
         });
-        self.for_each_in_zone(zone, |worker| worker.is_removed = true);
+        self.for_each_in_zone(zone, |worker| worker.is_down = true);
         // A crashed machine does not report that its capacity became free.
         self.changed.retain(|worker| worker.zone(zones) != zone);
     }
@@ -35,7 +35,7 @@
         let restored = Worker {
             free_cores: self.setup.cores,
             free_memory: self.setup.memory,
-            is_removed: false,
+            is_down: false,
             is_restored: true,
         };
         self.for_each_in_zone(zone, |worker| *worker = restored);
--- a/crates/scale-test/src/workers/thread/accept.rs
+++ b/crates/scale-test/src/workers/thread/accept.rs
@@ -81,7 +81,7 @@
         else {
             return Ok(());
         };
-        if !is_loopback(address.ip()) || self.fleet.is_removed(worker) {
+        if !is_loopback(address.ip()) || self.fleet.is_down(worker) {
             return Ok(());
         }
         let slot = self.connections.next_slot();
