--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -1,11 +1,11 @@
-//! One run from its start to its result.
+//! Executes one run of the scale test, from starting the placers to the result.
 //!
 //! ```text
 //! start placers ─ health checks pass ─ announce running tasks ─ warm up ─ measure, with faults ─ drain ─ audit
 //! ```
 //!
-//! Every phase has a time limit, so a run always ends by itself. All processes and threads that it has started end
-//! with it, also after an error.
+//! Every phase has a time limit, so a run always terminates. All processes and threads that the run has started are
+//! stopped when it ends, also after an error.
 
 mod environment;
 mod machine;
@@ -29,80 +29,81 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-/// The longest time from a placer's start to its first passed health check.
+/// The maximum time from a placer's start to its first passed health check.
 const READY_LIMIT: Duration = Duration::from_secs(30);
-/// The longest time for the announcement of the running tasks.
+/// The maximum time that the clients may take to announce the running tasks to the placers.
 const ANNOUNCE_LIMIT: Duration = Duration::from_secs(30);
-/// The time that placers get to connect to the workers of the running tasks, before load begins.
+/// How long placers may connect to the workers of their running tasks before the load begins.
 const SETTLE_TIME: Duration = Duration::from_secs(1);
-/// The interval of the run's checks.
+/// The interval at which the run checks its processes, its threads and the condition that it waits for.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
-/// The shortest drain. A placer may take 2 s to find that an announced task runs nowhere.
+/// The minimum duration of the drain phase. A placer may take 2 s to find that an announced task runs on no worker.
 const MIN_DRAIN_TIME: Duration = Duration::from_millis(2_500);
-/// The longest drain: above the longest wait of a client, and above the 8 s in which the protocol demands that the
-/// end of a task is reported.
+/// The maximum duration of the drain phase. It exceeds both the longest time that a client waits for an answer and
+/// the 8 s within which the protocol requires the end of a task to be reported.
 const DRAIN_LIMIT: Duration = Duration::from_secs(14);
-/// The length of a row of the result.
+/// The time span that one row of the result covers, and the interval of progress reports.
 const SECOND: Duration = Duration::from_secs(1);
 
-/// The progress of a run.
+/// A snapshot of a run's progress.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
-    /// The present phase.
+    /// The name of the current phase.
     pub phase: &'static str,
-    /// The seconds since the start of the phase.
+    /// Whole seconds since the phase started; during the load phases, since the load started.
     pub seconds: u64,
-    /// Tasks that have started so far.
+    /// Number of tasks that have started so far.
     pub started: u64,
-    /// Tasks that were refused so far.
+    /// Number of tasks that were refused, or failed before their start, so far.
     pub refused: u64,
-    /// Set-ups that wait for their answer.
+    /// Number of set-ups that wait for an answer.
     pub waiting: u64,
-    /// Tasks at workers.
+    /// Number of tasks that start or run at workers.
     pub active_tasks: usize,
-    /// Connections of placers to workers.
+    /// Number of open connections from placers to workers.
     pub connections: usize,
 }
 
-/// Observes a run, and can stop it.
+/// Observes the progress of a run, and can request that it stops early.
 pub trait Watcher {
-    /// Reports progress, about once a second.
+    /// Receives the progress of the run, about once a second.
     fn progress(&mut self, _progress: &Progress) {}
 
-    /// Returns whether the run should stop now.
+    /// Returns whether the run should stop at its next check.
     fn should_stop(&self) -> bool {
         false
     }
 }
 
-/// A watcher that does nothing.
+/// A watcher that ignores progress and never stops the run.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NoWatcher;
 
 impl Watcher for NoWatcher {}
 
-/// Returns the number of descriptors that this process may hold.
+/// Returns the soft limit on this process's open descriptors, or `u64::MAX` if there is none.
 pub fn descriptor_limit() -> u64 {
     getrlimit(Resource::Nofile).current.unwrap_or(u64::MAX)
 }
 
-/// Rejects settings that are invalid, or need more than the machine has for a run.
+/// Checks that the settings are valid and that the machine has the resources for the run.
 ///
 /// # Errors
 ///
-/// Returns an error if a setting is invalid, the run needs too much, or the machine cannot be read.
+/// Returns an error if a setting is invalid, the run needs more resources than the machine has, or the machine's
+/// resources cannot be read.
 pub fn admit(settings: &Settings) -> Result<(), RunError> {
     settings.check()?;
-    let machine = Machine::read().map_err(RunError::system("read what the machine has"))?;
+    let machine = Machine::read().map_err(RunError::system("read the machine's resources"))?;
     budget::check(&Need::of_settings(settings), &machine)?;
     Ok(())
 }
 
-/// Runs these settings, with this program as the placer.
+/// Executes a run with these settings. Each placer is a process of `program`, which `sampler` measures.
 ///
 /// # Errors
 ///
-/// Returns an error if the run is not admitted, a placer or a peer thread fails, or the watcher stops the
+/// Returns an error if [`admit`] rejects the settings, a placer or a peer thread fails, or the watcher stops the
 /// run.
 pub fn run(
     settings: &Settings,
@@ -134,7 +135,7 @@
 }
 
 impl Run<'_> {
-    /// Checks whether the run must end early.
+    /// Returns an error if the watcher stops the run, or a placer or a peer thread has ended early.
     fn check(&mut self) -> Result<(), RunError> {
         if self.watcher.should_stop() {
             return Err(RunError::Interrupted);
@@ -142,7 +143,7 @@
         self.environment.check()
     }
 
-    /// Reports progress to the watcher.
+    /// Reports progress to the watcher, with the seconds counted from `since`.
     fn report(&mut self, phase: &'static str, since: Instant) {
         let (clients, workers) = self.environment.states();
         self.watcher.progress(&Progress {
@@ -156,7 +157,7 @@
         });
     }
 
-    /// Waits until a condition holds, at most so long. Returns whether it holds.
+    /// Waits until a condition holds or the time limit has passed. Returns whether the condition holds.
     fn wait(
         &mut self,
         phase: &'static str,
@@ -167,7 +168,7 @@
         let mut last_report = start;
         while !is_done(&self.environment) {
             self.check()?;
-            self.environment.note_ready();
+            self.environment.record_ready_times();
             if start.elapsed() >= limit {
                 return Ok(false);
             }
@@ -180,26 +181,27 @@
         Ok(true)
     }
 
-    /// Waits until all placers pass health checks and know the running tasks.
+    /// Waits until all placers have passed a health check and have been sent the running tasks, then for
+    /// [`SETTLE_TIME`].
     fn wait_until_ready(&mut self) -> Result<(), RunError> {
-        self.wait("placers start", READY_LIMIT, |environment| {
+        self.wait("starting placers", READY_LIMIT, |environment| {
             environment.all_ready()
         })?;
-        self.environment.note_ready();
+        self.environment.record_ready_times();
         if let Some(late) = self.environment.not_ready() {
             return Err(late.into_error(READY_LIMIT));
         }
-        self.wait("standing tasks told", ANNOUNCE_LIMIT, |environment| {
+        self.wait("announcing running tasks", ANNOUNCE_LIMIT, |environment| {
             environment.states().0.queued == 0
         })?;
         let settled_at = Instant::now() + SETTLE_TIME;
-        self.wait("placers settle", 2 * SETTLE_TIME, |_| {
+        self.wait("settling", 2 * SETTLE_TIME, |_| {
             Instant::now() >= settled_at
         })?;
         Ok(())
     }
 
-    /// Starts the load.
+    /// Starts the arrivals of tasks and the lifetimes of the running tasks. Returns the times of the load.
     fn start_load(&mut self, settings: &Settings) -> ArrivalWindow {
         let start = Instant::now();
         let measured_from = start + settings.warm_up;
@@ -217,7 +219,7 @@
         window
     }
 
-    /// Runs until the end of the measured time: injects faults when they are due, and measures a row each second.
+    /// Runs until the end of the measured time, injecting faults when they are due and recording one row per second.
     fn run_load(
         &mut self,
         settings: &Settings,
@@ -230,7 +232,7 @@
         let mut next_row = row_end(window.start, &window);
         loop {
             self.check()?;
-            self.environment.note_ready();
+            self.environment.record_ready_times();
             if let Some(late) = self.environment.overdue(READY_LIMIT) {
                 return Err(late.into_error(READY_LIMIT));
             }
@@ -256,7 +258,8 @@
         }
     }
 
-    /// Waits until no answer and no acknowledgement is pending.
+    /// Waits until no answer and no acknowledgement is pending and all running placers are ready, for at least
+    /// [`MIN_DRAIN_TIME`] and at most [`DRAIN_LIMIT`].
     fn drain(&mut self) -> Result<(), RunError> {
         self.environment
             .workers()
@@ -273,7 +276,8 @@
     }
 }
 
-/// Returns the end of the row that starts at this time. No row contains the start of the measured time.
+/// Returns the end of the row that starts at this time. A row ends early at the start of the measured time, so that
+/// none is partly measured.
 fn row_end(start: Instant, window: &ArrivalWindow) -> Instant {
     let end = start + SECOND;
     if start < window.measured_from {
@@ -283,7 +287,7 @@
     }
 }
 
-/// Stops everything, and assembles the result.
+/// Stops the environment, and assembles the result of the run.
 fn finish(
     settings: &Settings,
     environment: TestEnvironment,
@@ -295,7 +299,8 @@
     let memory = meter.memory();
     let processes = 1 + usize::from(settings.placers);
     let machine_busy = meter.machine_busy();
-    let reason = late_reason(settings, &fleet).or_else(|| full_reason(settings, machine_busy));
+    let reason =
+        lateness_reason(settings, &fleet).or_else(|| overload_reason(settings, machine_busy));
     Ok(RunResult {
         settings: settings.clone(),
         usable: reason.is_none(),
@@ -309,6 +314,7 @@
     })
 }
 
+/// Audits the records of clients and workers, and returns the totals over all tasks.
 fn fleet_totals(
     settings: &Settings,
     clients: &ClientAudit,
@@ -335,15 +341,15 @@
     Ok(totals)
 }
 
-/// Merges the times of all classes.
+/// Merges the start times of all classes into one histogram.
 fn all_times(classes: &[LatencyHistogram]) -> Result<LatencyHistogram, RunError> {
-    let mut merged = LatencyHistogram::new().map_err(RunError::system("make a histogram"))?;
+    let mut merged = LatencyHistogram::new().map_err(RunError::system("create a histogram"))?;
     classes.iter().for_each(|times| merged.merge(times));
     Ok(merged)
 }
 
-/// Returns why the hollow peers' own lateness makes a run unusable, if it does.
-fn late_reason(settings: &Settings, fleet: &FleetTotals) -> Option<String> {
+/// Returns the reason why a run is unusable, if the simulated clients or workers exceeded the lateness limit.
+fn lateness_reason(settings: &Settings, fleet: &FleetTotals) -> Option<String> {
     let limit_ms = settings.lateness_limit.as_secs_f64() * 1e3;
     let limit = humantime::format_duration(settings.lateness_limit);
     let peers = [
@@ -352,17 +358,17 @@
     ];
     let late = peers.into_iter().find(|(_, p99_ms)| *p99_ms > limit_ms);
     late.map(|(who, p99_ms)| {
-        format!("the hollow {who} themselves were late: p99 {p99_ms:.1} ms, over {limit}")
+        format!("the simulated {who} were late: p99 {p99_ms:.1} ms, over the limit of {limit}")
     })
 }
 
-/// Returns why a full machine makes a run unusable, if it was full.
-fn full_reason(settings: &Settings, busy: f64) -> Option<String> {
+/// Returns the reason why a run is unusable, if the machine's processors were busier than the limit.
+fn overload_reason(settings: &Settings, busy: f64) -> Option<String> {
     let limit = settings.busy_limit;
     let percent = |part: f64| 100.0 * part;
     (busy > limit).then(|| {
         format!(
-            "the machine was full: {:.0} % of its processors busy, over {:.0} %",
+            "the machine was overloaded: {:.0} % of processor time busy, over the limit of {:.0} %",
             percent(busy),
             percent(limit)
         )
--- a/crates/scale-test/src/run/environment.rs
+++ b/crates/scale-test/src/run/environment.rs
@@ -1,6 +1,7 @@
-//! The environment of a run: the hollow peers and the real placers.
+//! The environment of a run: the simulated peers (clients, workers and feeds) and the real placers.
 //!
-//! Owns all threads and processes of the run, starts and stops them, and applies faults. Measures nothing.
+//! [`TestEnvironment`] owns all threads and processes of the run, starts and stops them, and applies faults. It takes
+//! no measurements of resource usage; [`super::meter`] does.
 
 use super::schedule::Action;
 use crate::audit::Kill;
@@ -20,14 +21,14 @@
 use std::time::{Duration, Instant, SystemTime};
 use tempfile::TempDir;
 
-/// A placer that has not passed a health check.
+/// A placer that has not passed a health check since its latest start, with the last lines of its log.
 pub struct NotReady {
     placer: PlacerId,
     log: String,
 }
 
 impl NotReady {
-    /// Returns the error that ends the run.
+    /// Returns the error that ends the run; `limit` is the time within which the placer had to become ready.
     pub fn into_error(self, limit: Duration) -> RunError {
         RunError::NotReady {
             placer: self.placer,
@@ -37,21 +38,21 @@
     }
 }
 
-/// What remains after the environment has stopped.
+/// The records that are available after the environment has stopped.
 pub struct FinalReports {
-    /// What the clients recorded.
+    /// The records of the clients.
     pub clients: ClientAudit,
-    /// What the workers recorded.
+    /// The records of the workers.
     pub workers: WorkerReport,
-    /// By placer: the milliseconds from each start to the first passed health check.
+    /// For each placer, the time from each of its starts to the first passed health check, in milliseconds.
     pub ready_ms: Vec<Vec<f64>>,
 }
 
-/// The folder of the placers' files.
+/// The folder of the placers' configurations and logs.
 enum Folder {
-    /// A folder that is removed with this value.
+    /// A temporary folder, removed when this value is dropped.
     Temporary(TempDir),
-    /// A folder that is kept.
+    /// The folder of the `keep-files` setting, which stays after the run.
     Kept(PathBuf),
 }
 
@@ -60,14 +61,14 @@
         match &settings.keep_files {
             Some(path) => {
                 std::fs::create_dir_all(path)
-                    .map_err(RunError::system("make the folder of keep-files"))?;
+                    .map_err(RunError::system("create the folder of keep-files"))?;
                 Ok(Folder::Kept(path.clone()))
             }
             None => {
                 let folder = tempfile::Builder::new().prefix("scale-test-").tempdir();
                 folder
                     .map(Folder::Temporary)
-                    .map_err(RunError::system("make a folder"))
+                    .map_err(RunError::system("create a temporary folder"))
             }
         }
     }
@@ -80,16 +81,17 @@
     }
 }
 
-/// One placer of the run, in its present process.
+/// One placer of the run, with its current process.
 struct PlacerSlot {
     process: PlacerProcess,
     restarts: u32,
     /// Whether no health check has passed since the latest start.
     is_starting: bool,
+    /// For each start that led to a passed health check, the time from one to the other, in milliseconds.
     ready_ms: Vec<f64>,
 }
 
-/// The hollow peers and the placers. Fields are dropped in their order, so placers end first.
+/// The simulated peers and the placers. Fields are dropped in declaration order, so the placers are killed first.
 pub struct TestEnvironment {
     placers: Vec<PlacerSlot>,
     clients: Clients,
@@ -101,7 +103,7 @@
 }
 
 impl TestEnvironment {
-    /// Starts the hollow peers, then the placers.
+    /// Starts the simulated peers, then the placers with their configurations.
     pub fn start(settings: &Settings, program: &Path) -> Result<TestEnvironment, RunError> {
         let folder = Folder::open(settings)?;
         let counters: Vec<Arc<PlacerCounters>> =
@@ -161,7 +163,7 @@
         Ok(())
     }
 
-    /// Returns the configuration of a placer that starts now, and counts it as traffic.
+    /// Returns the configuration of a placer that starts now, and counts it as traffic to the placer.
     fn configuration(
         &self,
         placer: PlacerId,
@@ -170,7 +172,7 @@
     ) -> Result<String, RunError> {
         let no_feed = || RunError::Peers {
             peers: "feeds",
-            source: io::Error::other("no such feed"),
+            source: io::Error::other("the placer has no feed"),
         };
         let feed = self.feeds.address(placer).ok_or_else(no_feed)?;
         let known_events = self.feeds.start_placer(placer);
@@ -199,32 +201,32 @@
         Ok(text)
     }
 
-    /// Returns the traffic counters of all placers.
+    /// Returns the traffic counters of all placers, in the order of their indexes.
     pub fn counters(&self) -> Vec<Arc<PlacerCounters>> {
         self.counters.clone()
     }
 
-    /// Returns the clients.
+    /// Returns the simulated clients.
     pub fn clients(&self) -> &Clients {
         &self.clients
     }
 
-    /// Returns the workers.
+    /// Returns the simulated workers.
     pub fn workers(&self) -> &Workers {
         &self.workers
     }
 
-    /// Returns the process ids of all placers, `None` for one that is killed.
+    /// Returns the process ids of all placers, with `None` for each placer that has been killed.
     pub fn process_ids(&self) -> impl Iterator<Item = Option<u32>> + '_ {
         self.placers.iter().map(|slot| slot.process.id())
     }
 
-    /// Returns the states of clients and workers.
+    /// Returns the current states of the clients and of the workers.
     pub fn states(&self) -> (ClientState, WorkerState) {
         (self.clients.state(), self.workers.state())
     }
 
-    /// Returns an error if a placer or a peer thread has ended by itself.
+    /// Returns an error if a placer has exited or a peer thread has ended without being told to.
     pub fn check(&mut self) -> Result<(), RunError> {
         let failures = [
             ("workers", self.workers.failure()),
@@ -243,8 +245,8 @@
 
     // ---- Ready ----
 
-    /// Records the start times of the placers that have become ready.
-    pub fn note_ready(&mut self) {
+    /// Records how long each placer took to become ready, for the placers that have become ready since the last call.
+    pub fn record_ready_times(&mut self) {
         let ready = self.clients.state().ready;
         for (slot, ready) in self.placers.iter_mut().zip(ready) {
             if let Some(ready) = ready.filter(|_| slot.is_starting) {
@@ -255,7 +257,7 @@
         }
     }
 
-    /// Returns whether all running placers have passed a health check.
+    /// Returns whether all running placers have passed a health check since their latest start.
     pub fn all_ready(&self) -> bool {
         let ready = self.clients.state().ready;
         self.placers
@@ -264,12 +266,12 @@
             .all(|(slot, ready)| slot.process.id().is_none() || ready.is_some())
     }
 
-    /// Returns a placer that is starting and not ready, if there is one.
+    /// Returns a placer that has started and is not ready, if there is one.
     pub fn not_ready(&self) -> Option<NotReady> {
         self.overdue(Duration::ZERO)
     }
 
-    /// Returns a placer that is not ready so long after its start, if there is one.
+    /// Returns a placer that started longer than `limit` ago and is not ready, if there is one.
     pub fn overdue(&self, limit: Duration) -> Option<NotReady> {
         let late = self.placers.iter().find(|slot| {
             slot.is_starting
@@ -284,7 +286,7 @@
 
     // ---- Faults ----
 
-    /// Applies one action of the fault schedule.
+    /// Applies one action of the fault schedule. Adds a killed placer and the time of its kill to `kills`.
     pub fn apply(&mut self, action: Action, kills: &mut Vec<Kill>) -> Result<(), RunError> {
         match action {
             Action::CrashZone(zone) => self.workers.send(WorkerCommand::CrashZone(zone)),
@@ -314,6 +316,7 @@
         Ok(())
     }
 
+    /// Starts a killed placer again at its former address, with a new configuration.
     fn restart(&mut self, placer: PlacerId) -> Result<(), RunError> {
         let Some(slot) = self.placers.get_mut(placer.index()) else {
             return Ok(());
@@ -334,7 +337,7 @@
 
     // ---- End ----
 
-    /// Stops everything, and returns what was recorded.
+    /// Stops the peers and the placers, and returns what they recorded.
     pub fn stop(self) -> Result<FinalReports, RunError> {
         let TestEnvironment {
             placers,
@@ -344,7 +347,7 @@
             ..
         } = self;
         let peers = |peers| move |source| RunError::Peers { peers, source };
-        // Peers stop first: they need not react to the end of the placers.
+        // The peers stop first, so that they do not handle the closing of the placers' connections.
         let clients = clients.stop().map_err(peers("clients"))?;
         let workers = workers.stop().map_err(peers("workers"))?;
         feeds.stop().map_err(peers("feeds"))?;
@@ -360,7 +363,7 @@
     }
 }
 
-/// Returns the system's time in Unix milliseconds.
+/// Returns the system time in milliseconds since the Unix epoch.
 fn unix_millis() -> u64 {
     let since = SystemTime::now()
         .duration_since(SystemTime::UNIX_EPOCH)
--- a/crates/scale-test/src/run/machine.rs
+++ b/crates/scale-test/src/run/machine.rs
@@ -1,4 +1,5 @@
-//! The processor usage of the whole machine. On a full machine, the figures of a placer mean little.
+//! The processor usage of the whole machine. If the processors are saturated, the measurements of a placer are
+//! unreliable, because it competes for processor time.
 
 use std::fs;
 
@@ -6,10 +7,10 @@
 const IDLE_FIELD: usize = 3;
 /// The index of the time spent idle while waiting for I/O.
 const IO_WAIT_FIELD: usize = 4;
-/// The number of fields that are summed. Later ones (guest time) are contained in the first.
+/// The number of fields that are summed. The later fields (guest time) are already included in the first ones.
 const SUMMED_FIELDS: usize = 8;
 
-/// Processor time of all processors since boot, in ticks.
+/// The cumulative time of all processors since boot, in ticks.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct MachineTime {
     idle: u64,
@@ -17,7 +18,7 @@
 }
 
 impl MachineTime {
-    /// Returns the present values, or zeros if the system does not provide them.
+    /// Reads the current values, or returns zeros if the system does not provide them.
     pub fn now() -> MachineTime {
         fs::read_to_string("/proc/stat")
             .ok()
@@ -25,6 +26,7 @@
             .unwrap_or_default()
     }
 
+    /// Parses the first line of `/proc/stat`.
     fn read(text: &str) -> Option<MachineTime> {
         let line = text.lines().next()?.strip_prefix("cpu ")?;
         let fields: Vec<u64> = line
@@ -39,7 +41,7 @@
         })
     }
 
-    /// Returns the fraction of processor time that was busy since an earlier reading.
+    /// Returns the fraction of processor time that was busy since an earlier reading, or 0 if no time has passed.
     pub fn busy_since(self, before: MachineTime) -> f64 {
         let total = self.total.saturating_sub(before.total);
         let idle = self.idle.saturating_sub(before.idle);
--- a/crates/scale-test/src/run/machine/tests.rs
+++ b/crates/scale-test/src/run/machine/tests.rs
@@ -1,4 +1,4 @@
-//! Processor times as read from `/proc/stat`.
+//! Tests of parsing `/proc/stat` and of the busy fraction.
 
 use super::*;
 
--- a/crates/scale-test/src/run/meter.rs
+++ b/crates/scale-test/src/run/meter.rs
@@ -1,6 +1,6 @@
-//! Measures each placer once a second: resources of its process, and traffic to and from it.
+//! Measures each placer once a second: the resource usage of its process, and the traffic to and from it.
 //!
-//! Owns the rows of the result. Reads processes and counters, and changes nothing in the environment.
+//! [`Meter`] owns the rows of the result. It reads processes and counters, and changes nothing in the environment.
 
 use super::CHECK_INTERVAL;
 use super::environment::TestEnvironment;
@@ -14,15 +14,15 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// One placer with its latest readings and its rows.
+/// The rows of one placer, and the latest readings, from which the next row is computed.
 struct PlacerMeter {
-    /// The process that was sampled last; another one after a restart.
+    /// The id of the process that was sampled last, if it was running. A restart changes it.
     process: Option<u32>,
     sample: ProcessSample,
     traffic: Traffic,
     feed: FeedCounts,
     rows: Vec<PlacerSecond>,
-    /// Processor time within the measured rows.
+    /// Processor time used during the measured rows.
     cpu: Duration,
 }
 
@@ -34,7 +34,7 @@
     last_sample_at: Instant,
     second: u32,
     memory: MemoryTotals,
-    /// The machine's processor time over the measured rows, once they have begun.
+    /// The machine's processor time over the measured rows; `None` before the first of them.
     machine: Option<MachineSpan>,
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl Meter {
-    /// Returns a meter of the placers with these counters.
+    /// Returns a meter for the placers with these counters. Rows that start before `measured_from` are not measured.
     pub fn new(counters: Vec<Arc<PlacerCounters>>, measured_from: Instant) -> Meter {
         let meter = |_: &Arc<PlacerCounters>| PlacerMeter {
             process: None,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Starts the first row.
+    /// Starts the first row by reading every process and counter.
     pub fn start_rows(&mut self, environment: &TestEnvironment, sampler: &mut dyn Sampler) {
         self.last_sample_at = Instant::now();
         self.start_measured();
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Completes a row, and starts the next.
+    /// Completes the current row of each placer, and starts the next one.
     pub fn complete_row(&mut self, environment: &TestEnvironment, sampler: &mut dyn Sampler) {
         let start = std::mem::replace(&mut self.last_sample_at, Instant::now());
         let length = self.last_sample_at.saturating_duration_since(start);
@@ -118,7 +118,7 @@
         self.start_measured();
     }
 
-    /// Starts the measured rows, if it is time and they have not begun.
+    /// Starts measuring the machine if the row that now starts is the first measured one.
     fn start_measured(&mut self) {
         if self.machine.is_none() && is_measured(self.last_sample_at, self.measured_from) {
             let now = MachineTime::now();
@@ -135,12 +135,13 @@
             .map_or(0.0, |span| span.end.busy_since(span.start))
     }
 
-    /// Returns the peak memory of the run.
+    /// Returns the peak memory of this process and of the whole run.
     pub fn memory(&self) -> MemoryTotals {
         self.memory
     }
 
-    /// Returns the results of all placers, with their times from start to ready.
+    /// Returns the results of all placers. `ready_ms` holds, for each placer, its times from start to ready, in
+    /// milliseconds.
     pub fn finish(self, ready_ms: Vec<Vec<f64>>) -> Vec<PlacerResult> {
         let mut results = Vec::new();
         for (index, ((placer, counters), ready_ms)) in
@@ -158,15 +159,15 @@
     }
 }
 
-/// Returns whether a row that starts at this time is measured. A row may overlap the start of the measured time by
-/// the interval of the run's checks.
+/// Returns whether a row that starts at this time is measured. A measured row may start earlier than the measured time
+/// by up to [`CHECK_INTERVAL`].
 fn is_measured(start: Instant, measured_from: Instant) -> bool {
     start + CHECK_INTERVAL >= measured_from
 }
 
-/// Samples a process. Returns no process and zeros if it does not run.
+/// Samples a process. Returns `None` and zeros if it is not running.
 fn sampled(process: Option<u32>, sampler: &mut dyn Sampler) -> (Option<u32>, ProcessSample) {
-    // A process that is just ending cannot be sampled.
+    // Sampling fails while a process exits.
     let sample = process.and_then(|id| sampler.sample(id).ok());
     (
         process.filter(|_| sample.is_some()),
@@ -175,7 +176,8 @@
 }
 
 impl PlacerMeter {
-    /// Returns the row since the last readings, and takes the present ones over.
+    /// Returns the row from the previous readings to the current ones, and stores the current ones for the next row.
+    /// The caller sets `second` and `measured`.
     fn next_row(
         &mut self,
         counters: &PlacerCounters,
@@ -184,7 +186,8 @@
         length: Duration,
     ) -> PlacerSecond {
         let (process, sample) = sampled(process, sampler);
-        // All time of a new process belongs to this row. What an ended process used since its last row is unknown.
+        // A restarted placer's process was started within this row, so all of its processor time counts. The time that
+        // the previous process used after its last sample is unknown and does not count.
         let before = if process == self.process {
             self.sample.cpu
         } else {
@@ -211,6 +214,7 @@
     }
 }
 
+/// Returns the totals of a placer over its measured rows.
 fn totals(placer: &PlacerMeter) -> PlacerTotals {
     let rows: Vec<&PlacerSecond> = placer.rows.iter().filter(|row| row.measured).collect();
     let seconds: f64 = rows.iter().map(|row| row.length_s).sum();
--- a/crates/scale-test/src/run/schedule.rs
+++ b/crates/scale-test/src/run/schedule.rs
@@ -1,4 +1,6 @@
-//! The schedule of a run's faults: single actions in the order of their times. Pure: time is an argument.
+//! The schedule of a run's faults, as single actions in the order of their times.
+//!
+//! Does no I/O and reads no clock: the current time is an argument.
 
 use crate::identity::{PlacerId, ZoneId};
 use crate::settings::{Fault, Settings};
@@ -9,40 +11,40 @@
 pub enum Action {
     /// Crashes the workers of a zone.
     CrashZone(ZoneId),
-    /// Makes the feeds report these workers as removed.
+    /// Makes the feeds report the workers of a crashed zone as removed.
     ReportZoneRemoved(ZoneId),
-    /// Restores the workers, empty, and makes the feeds report them as up.
+    /// Restores the workers of a crashed zone, with no tasks, and makes the feeds report them as up.
     RestoreZone(ZoneId),
     /// Kills a placer.
     KillPlacer(PlacerId),
     /// Starts a killed placer again.
     RestartPlacer(PlacerId),
-    /// Makes so many workers send invalid bytes.
+    /// Makes this number of workers send invalid bytes.
     SendGarbage(u32),
 }
 
-/// The actions that are left.
+/// The actions that have not been taken yet.
 pub struct Schedule {
-    /// In reverse order of their times.
+    /// The remaining actions, latest first, each with its time since `start`.
     left: Vec<(Duration, Action)>,
     start: Instant,
 }
 
 impl Schedule {
-    /// Returns the schedule of these settings' faults, whose times count from this start.
+    /// Returns the schedule of the faults in these settings. The times of faults are relative to `start`.
     pub fn new(settings: &Settings, start: Instant) -> Schedule {
         let mut left: Vec<(Duration, Action)> = settings
             .faults
             .iter()
             .flat_map(|fault| actions(settings, fault))
             .collect();
-        // The sort is stable: actions of the same time keep the order of the settings.
+        // The sort is stable, so actions due at the same time keep the order of the settings.
         left.sort_by_key(|(at, _)| *at);
         left.reverse();
         Schedule { left, start }
     }
 
-    /// Removes and returns the next action that is due.
+    /// Removes and returns the next action that is due at `now`, if any.
     pub fn next_due(&mut self, now: Instant) -> Option<Action> {
         let (at, _) = self.left.last()?;
         if self.start + *at > now {
@@ -52,6 +54,7 @@
     }
 }
 
+/// Returns the actions of one fault, each with its time since the start of the schedule.
 fn actions(settings: &Settings, fault: &Fault) -> Vec<(Duration, Action)> {
     match fault {
         Fault::Zone {
--- a/crates/scale-test/src/run/schedule/tests.rs
+++ b/crates/scale-test/src/run/schedule/tests.rs
@@ -1,4 +1,4 @@
-//! The order in which faults happen.
+//! Tests of the order in which the actions of faults become due.
 
 use super::*;
 
--- a/crates/scale-test/src/workers.rs
+++ b/crates/scale-test/src/workers.rs
@@ -1,9 +1,9 @@
-//! Thousands of hollow workers on a few threads.
+//! Simulates thousands of workers on a few threads.
 //!
-//! A placer reaches a worker at an address of the worker and a port of the placer and the worker's zone. One
-//! listening socket therefore serves all workers of a zone, and the port identifies the calling placer. The
+//! Each worker has its own loopback address, and each pair of a placer and a zone has its own port. One listening
+//! socket therefore serves all workers of a zone for one placer, and the port identifies the connecting placer. The
 //! state of the workers is in [`fleet::Fleet`], which does no I/O; `thread::WorkerThread` moves messages between
-//! it and the connections. Zones share nothing, so each thread owns all workers of some zones.
+//! the fleet and the connections. Zones share no state, so each thread owns all workers of some zones.
 
 mod connections;
 pub mod fleet;
@@ -27,20 +27,20 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
 
-/// A task that runs when the test starts.
+/// A task that already runs at a worker when the test starts.
 #[derive(Debug, Clone, Copy)]
 pub struct RunningTask {
-    /// The task.
+    /// The index of the task.
     pub task: TaskIndex,
     /// The worker that runs it.
     pub worker: WorkerId,
     /// The placer that owns it.
     pub placer: PlacerId,
-    /// Its resources and its remaining lifetime.
+    /// The resources and the remaining lifetime of the task.
     pub shape: TaskShape,
 }
 
-/// A command to the workers.
+/// A command to the worker threads.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WorkerCommand {
     /// Starts the lifetimes of the tasks that run at the start.
@@ -49,45 +49,45 @@
     CrashZone(ZoneId),
     /// Restores all workers of a zone, with no tasks.
     RestoreZone(ZoneId),
-    /// Makes so many workers send invalid bytes on all their connections.
+    /// Makes this number of workers send invalid bytes on all their connections.
     SendGarbage(u32),
-    /// Stops tasks from ending, so that pending ends can be delivered.
+    /// Stops tasks from ending by themselves, so that ends that are still pending can be delivered.
     StopEndingTasks,
     /// Stops the thread.
     Stop,
 }
 
-/// The present load of the workers.
+/// The current load of the workers.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerState {
-    /// Tasks that start or run.
+    /// Number of tasks that start or run.
     pub active_tasks: usize,
-    /// Ends that placers have not acknowledged.
+    /// Number of task ends that placers have not acknowledged.
     pub unacknowledged: usize,
-    /// Open connections of placers.
+    /// Number of open connections from placers.
     pub connections: usize,
 }
 
-/// What the workers recorded, and how late they were.
+/// The records of the workers, and how late their answers were.
 pub struct WorkerReport {
-    /// What they recorded.
+    /// The records of all tasks and faults.
     pub audit: WorkerAudit,
-    /// The time from when an answer was due to when it was sent.
+    /// The delays between the time when an answer was due and the time when it was sent.
     pub lateness: LatencyHistogram,
 }
 
-/// The setup that all workers share.
+/// The configuration that all workers share.
 #[derive(Debug, Clone)]
 pub struct WorkerSetup {
-    /// The number of workers.
+    /// Number of workers.
     pub workers: u32,
-    /// The number of zones.
+    /// Number of zones, over which the workers are distributed evenly.
     pub zones: u32,
-    /// The cores of each worker.
+    /// Capacity of each worker, in cores.
     pub cores: f64,
-    /// The memory of each worker.
+    /// Memory capacity of each worker, in the unit of the `worker-memory` setting.
     pub memory: f64,
-    /// The time from an offer to its answer.
+    /// Time from an offer to its answer.
     pub start_time: Duration,
 }
 
@@ -104,7 +104,7 @@
     }
 }
 
-/// The largest number of threads. More would take processor time from the placers on this machine.
+/// The maximum number of worker threads. More threads would take processor time from the placers on the same machine.
 const MAX_THREADS: usize = 4;
 
 /// One thread, which owns the workers of some zones.
@@ -114,14 +114,15 @@
     thread: PeerThread<WorkerReport>,
 }
 
-/// All hollow workers.
+/// All simulated workers.
 pub struct Workers {
     groups: Vec<Group>,
+    /// The listening ports, by placer and zone.
     ports: Vec<Vec<u16>>,
 }
 
 impl Workers {
-    /// Starts the workers, with the tasks that run at the start.
+    /// Starts the worker threads. The workers already run the given tasks.
     ///
     /// # Errors
     ///
@@ -158,12 +159,13 @@
         Ok(Workers { groups, ports })
     }
 
-    /// Returns the ports at which a placer reaches the workers, by zone.
+    /// Returns the ports at which a placer reaches the workers, indexed by zone.
     pub fn ports(&self, placer: PlacerId) -> &[u16] {
         self.ports.get(placer.index()).map_or(&[], Vec::as_slice)
     }
 
-    /// Sends a command: for a zone to the thread that owns it, for garbage to the first, else to all.
+    /// Sends a command to the threads concerned: a command for a zone to the thread that owns the zone,
+    /// [`WorkerCommand::SendGarbage`] to the first thread, and any other command to all threads.
     pub fn send(&self, command: WorkerCommand) {
         let only_group = match command {
             WorkerCommand::CrashZone(zone) | WorkerCommand::RestoreZone(zone) => {
@@ -181,7 +183,7 @@
             .for_each(|(_, group)| group.commands.send(command));
     }
 
-    /// Returns the present load of all workers.
+    /// Returns the current load of all workers.
     pub fn state(&self) -> WorkerState {
         let mut total = WorkerState::default();
         for group in &self.groups {
@@ -193,14 +195,14 @@
         total
     }
 
-    /// Returns the error on which a worker thread has ended, if one has.
+    /// Returns the error with which a worker thread has ended, if one has.
     pub fn failure(&mut self) -> Option<io::Error> {
         self.groups
             .iter_mut()
             .find_map(|group| group.thread.failure())
     }
 
-    /// Stops the workers and returns what they recorded.
+    /// Stops the worker threads and returns their merged records.
     ///
     /// # Errors
     ///
@@ -223,14 +225,14 @@
 impl Drop for Workers {
     fn drop(&mut self) {
         self.send(WorkerCommand::Stop);
-        // After `stop` the threads have ended already.
+        // After `stop`, the threads have already ended and joining them has no effect.
         self.groups
             .iter_mut()
             .for_each(|group| drop(group.thread.join()));
     }
 }
 
-/// What one thread needs beside its workers.
+/// The counters, feeds and listeners that a worker thread uses.
 struct GroupResources {
     counters: Vec<Arc<PlacerCounters>>,
     feeds: Sender<FeedCommand>,
@@ -238,6 +240,7 @@
 }
 
 impl Group {
+    /// Starts the thread of a group, and reports the free capacity of its workers to the feeds.
     fn start(
         number: usize,
         setup: &WorkerSetup,
@@ -253,7 +256,7 @@
         let (commands, received) = mailbox::mailbox(poll.registry(), thread::MAILBOX)?;
         let state = Arc::default();
         let mut fleet = fleet::Fleet::new(setup.clone(), running_tasks);
-        // Sent before any placer starts, whose configuration lists the free capacity.
+        // Sent before any placer starts, because the configuration of a placer lists the free capacity.
         feeds.send(FeedCommand::UpdateResources(fleet.take_changed_resources()));
         let shared = thread::Shared {
             counters,
@@ -271,28 +274,28 @@
     }
 }
 
-/// Returns the number of the thread that owns a zone.
+/// Returns the index of the group that owns a zone.
 fn group_of(zone: ZoneId, groups: usize) -> usize {
     zone.0 as usize % groups.max(1)
 }
 
 /// A socket for the connections of one placer to the workers of one zone.
 pub struct ZoneListener {
-    /// The placer that connects.
+    /// The placer that connects to the socket.
     pub placer: PlacerId,
-    /// The zone of the workers.
+    /// The zone of the workers that the socket serves.
     pub zone: ZoneId,
-    /// The socket.
+    /// The listening socket.
     pub socket: LoopbackListener,
 }
 
-/// Opens the listeners of each placer, by zone.
+/// Opens one listener for each placer and zone. The result is indexed by placer, then by zone.
 fn open_listeners(placers: usize, zones: u32) -> io::Result<Vec<Vec<LoopbackListener>>> {
     let for_zones = || (0..zones).map(|_| LoopbackListener::open()).collect();
     (0..placers).map(|_| for_zones()).collect()
 }
 
-/// Sorts the listeners by the thread that owns their zone.
+/// Distributes the listeners to the groups that own their zones.
 fn listeners_by_group(
     listeners: Vec<Vec<LoopbackListener>>,
     group_count: usize,
--- a/crates/scale-test/src/workers/connections.rs
+++ b/crates/scale-test/src/workers/connections.rs
@@ -1,34 +1,34 @@
-//! The connections of placers to hollow workers, and which of them reaches a worker.
+//! The connections from placers to simulated workers, and the choice of the one on which a worker sends.
 
 use crate::identity::{PlacerId, SetupId, WorkerId};
 use crate::socket::Connection;
 use slab::Slab;
 use std::collections::HashMap;
 
-/// Identifies a connection, also after its slot is used again.
+/// Identifies a connection. The serial number tells it from later connections in the same slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionId {
-    /// The slot in the table.
+    /// The slot in the table of connections.
     pub slot: usize,
     serial: u64,
 }
 
-/// One connection of a placer to a worker.
+/// One connection from a placer to a worker.
 pub struct WorkerConnection {
-    /// The socket.
+    /// The socket with its buffers.
     pub connection: Connection,
-    /// The worker that was called.
+    /// The worker that accepted the connection.
     pub worker: WorkerId,
-    /// The placer that called.
+    /// The placer that opened the connection.
     pub placer: PlacerId,
-    /// Offers received on it that are not answered yet.
+    /// Offers received on the connection that are not answered yet.
     pub pending_offers: Vec<SetupId>,
-    /// Whether invalid bytes were sent on it.
+    /// Whether invalid bytes were sent on the connection.
     pub garbage_sent: bool,
     serial: u64,
 }
 
-/// All connections, by slot and by worker and placer.
+/// All connections, indexed by slot and by the pair of worker and placer.
 #[derive(Default)]
 pub struct Connections {
     table: Slab<WorkerConnection>,
@@ -37,12 +37,12 @@
 }
 
 impl Connections {
-    /// Returns the slot that the next connection gets.
+    /// Returns the slot that the next added connection will have.
     pub fn next_slot(&self) -> usize {
         self.table.vacant_key()
     }
 
-    /// Adds a connection.
+    /// Adds a connection and returns its id.
     pub fn add(
         &mut self,
         connection: Connection,
@@ -63,7 +63,7 @@
         ConnectionId { slot, serial }
     }
 
-    /// Removes and returns a connection.
+    /// Removes and returns the connection in a slot.
     pub fn remove(&mut self, slot: usize) -> Option<WorkerConnection> {
         let removed = self.table.try_remove(slot)?;
         let pair = (removed.worker, removed.placer);
@@ -81,7 +81,7 @@
         self.table.get_mut(slot)
     }
 
-    /// Returns the identity of the connection in a slot.
+    /// Returns the id of the connection in a slot.
     pub fn id(&self, slot: usize) -> Option<ConnectionId> {
         self.table.get(slot).map(|connection| ConnectionId {
             slot,
@@ -89,8 +89,8 @@
         })
     }
 
-    /// Returns the slot through which a worker reaches a placer: the preferred connection while it is open,
-    /// else the latest one.
+    /// Returns the slot of the connection on which a worker sends to a placer: the preferred connection if it is still
+    /// open, otherwise the latest one between the two.
     pub fn route(
         &self,
         worker: WorkerId,
@@ -116,7 +116,7 @@
             .collect()
     }
 
-    /// Returns the number of connections.
+    /// Returns the number of open connections.
     pub fn len(&self) -> usize {
         self.table.len()
     }
--- a/crates/scale-test/src/workers/fleet.rs
+++ b/crates/scale-test/src/workers/fleet.rs
@@ -1,6 +1,7 @@
-//! The state of all hollow workers: their free capacity and their tasks.
+//! The state of the simulated workers: their free capacity and their tasks.
 //!
-//! Pure: time is an argument, and there is no I/O. This is the only place that decides what a worker replies.
+//! [`Fleet`] does no I/O and reads no clock: the current time is an argument. Only this module decides what a worker
+//! replies.
 
 mod zone_faults;
 
@@ -15,22 +16,24 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::{Duration, Instant};
 
-/// Capacity that a task may lack because of floating-point rounding.
+/// Tolerance for floating-point rounding when a task is compared with the free capacity of a worker.
 const CAPACITY_ROUNDING: f64 = 1e-9;
-/// The largest number of tasks in a run. Bounds the memory that a placer can make the audit use.
+/// Maximum number of tasks in a run. Offers with a higher task index are invalid, which bounds the memory that a
+/// placer can make the audit use.
 const MAX_TASKS: u32 = 20_000_000;
 
 /// The phase of a task at its worker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum TaskPhase {
-    /// The task starts; its placer waits for the answer.
+    /// The task is starting, and its placer waits for the answer.
     Starting,
-    /// The task runs.
+    /// The task has started and runs.
     Running,
     /// The task has ended with this cause, and its placer has not acknowledged the end.
     Ended(u8),
 }
 
+/// A task at a worker, until its placer acknowledges its end.
 #[derive(Debug, Clone, Copy)]
 struct ActiveTask {
     task: TaskIndex,
@@ -39,40 +42,43 @@
     phase: TaskPhase,
 }
 
+/// The state of one worker.
 #[derive(Debug, Clone, Copy)]
 struct Worker {
     free_cores: f64,
     free_memory: f64,
+    /// Whether the zone of the worker has crashed and is not restored.
     is_down: bool,
     /// Whether the worker has been restored after a zone crash.
     is_restored: bool,
 }
 
-/// Whether a task takes capacity of a worker or gives it back.
+/// Whether a task reserves capacity of a worker or releases it.
 #[derive(Debug, Clone, Copy)]
 enum CapacityChange {
     Reserve,
     Release,
 }
 
-/// All workers and their tasks.
+/// The workers of all zones, and the tasks at them.
 pub struct Fleet {
     setup: WorkerSetup,
     workers: Vec<Worker>,
     active_tasks: HashMap<ActiveTaskId, ActiveTask>,
-    /// Ends that placers have not acknowledged.
+    /// The tasks whose ends the placer has not acknowledged, by worker and placer.
     unacknowledged: HashMap<(WorkerId, PlacerId), Vec<SetupId>>,
     unacknowledged_count: usize,
     active_count: usize,
-    /// Workers whose free capacity has changed since it was last taken.
+    /// Workers whose free capacity has changed since the last call of [`Fleet::take_changed_resources`].
     changed: BTreeSet<WorkerId>,
+    /// Whether tasks end when their lifetime is over.
     tasks_may_end: bool,
-    /// What has been recorded so far.
+    /// The records so far.
     pub audit: WorkerAudit,
 }
 
 impl Fleet {
-    /// Returns workers that run these tasks.
+    /// Returns a fleet whose workers already run these tasks.
     pub fn new(setup: WorkerSetup, running_tasks: &[RunningTask]) -> Fleet {
         let worker = Worker {
             free_cores: setup.cores,
@@ -106,7 +112,7 @@
         fleet
     }
 
-    /// Returns the setup that all workers share.
+    /// Returns the configuration that all workers share.
     pub fn setup(&self) -> &WorkerSetup {
         &self.setup
     }
@@ -116,19 +122,19 @@
         self.active_count
     }
 
-    /// Returns the number of ends that placers have not acknowledged.
+    /// Returns the number of task ends that placers have not acknowledged.
     pub fn unacknowledged_count(&self) -> usize {
         self.unacknowledged_count
     }
 
-    /// Returns whether a worker does not exist or is down.
+    /// Returns whether a worker is down because its zone has crashed, or does not exist.
     pub fn is_down(&self, worker: WorkerId) -> bool {
         self.workers
             .get(worker.index())
             .is_none_or(|worker| worker.is_down)
     }
 
-    /// Returns the free capacity of the workers where it has changed since the last call.
+    /// Returns the free capacity of each worker whose free capacity has changed since the last call.
     pub fn take_changed_resources(&mut self) -> Vec<FreeResources> {
         let changed = std::mem::take(&mut self.changed).into_iter();
         let resources = changed.filter_map(|id| {
@@ -153,6 +159,7 @@
 
     // ---- Capacity ----
 
+    /// Adds a task and reserves its capacity.
     fn add_active(&mut self, id: ActiveTaskId, active_task: ActiveTask) {
         self.active_tasks.insert(id, active_task);
         self.audit
@@ -161,7 +168,7 @@
         self.change_capacity(id.0, active_task.shape, CapacityChange::Reserve);
     }
 
-    /// Gives the capacity of a task back.
+    /// Releases the capacity of a task that ended, was withdrawn or was lost.
     fn release_capacity(&mut self, worker: WorkerId, active_task: &ActiveTask) {
         self.audit.update(active_task.task, |record| {
             record.active_copies = record.active_copies.saturating_sub(1)
@@ -184,7 +191,7 @@
 
     // ---- Start ----
 
-    /// Handles a placer's offer of a task.
+    /// Handles a placer's offer of a task, and returns the reply.
     pub fn offer(&mut self, id: WorkerId, placer: PlacerId, offer: &Offer) -> OfferReply {
         let Some(worker) = self
             .workers
@@ -221,7 +228,7 @@
         }
     }
 
-    /// Completes the start of a task. Returns its lifetime from now on, if it was starting.
+    /// Completes the start of a task. Returns its lifetime from now on, or `None` if the task was not starting.
     pub fn complete_start(&mut self, id: ActiveTaskId) -> Option<Duration> {
         let active_task = self
             .active_tasks
@@ -245,7 +252,8 @@
 
     // ---- End ----
 
-    /// Ends a task at the end of its lifetime. Returns its placer, if it runs and tasks may end.
+    /// Ends a task whose lifetime is over. Returns its placer, or `None` if the task is not running or tasks no longer
+    /// end.
     pub fn end_task(&mut self, id: ActiveTaskId) -> Option<PlacerId> {
         if !self.tasks_may_end {
             return None;
@@ -262,7 +270,7 @@
         Some(active_task.placer)
     }
 
-    /// Marks a running task as ended until its placer acknowledges it.
+    /// Releases the capacity of a running task, and keeps its end until the placer acknowledges it.
     fn finish(&mut self, id: ActiveTaskId, active_task: &ActiveTask, cause: u8) {
         self.release_capacity(id.0, active_task);
         let ended = ActiveTask {
@@ -277,7 +285,8 @@
         self.unacknowledged_count += 1;
     }
 
-    /// Handles a placer's release: withdraws an offer, or cancels a running task.
+    /// Handles a placer's release: withdraws an offer that is not answered yet, or cancels a running task. Returns the
+    /// reply, which is the same if the release is repeated.
     pub fn release(&mut self, id: ActiveTaskId) -> ReleaseReply {
         let Some(active_task) = self.active_tasks.get(&id).copied() else {
             return ReleaseReply::Nothing;
@@ -298,7 +307,7 @@
         }
     }
 
-    /// Drops an offer that is not answered yet: it was withdrawn, or its connection has closed.
+    /// Removes an offer that is not answered yet, because the placer withdrew it or its connection has closed.
     pub fn withdraw_offer(&mut self, id: ActiveTaskId) {
         if let Some(active_task) = self
             .active_tasks
@@ -335,8 +344,8 @@
         }
     }
 
-    /// Returns the ends at a worker that a placer has not acknowledged, with their causes. They are sent again
-    /// on each new connection.
+    /// Returns the ended tasks of a worker whose ends a placer has not acknowledged, with the causes. The ends are sent
+    /// again on each new connection.
     pub fn unacknowledged(&self, worker: WorkerId, placer: PlacerId) -> Vec<(SetupId, u8)> {
         let ids = self
             .unacknowledged
@@ -357,7 +366,7 @@
 }
 
 impl Worker {
-    /// Returns the resource that a task lacks at this worker, if any.
+    /// Returns a resource of which this worker has too little free for a task, if any.
     fn missing_capacity(&self, shape: TaskShape) -> Option<NoCapacity> {
         if self.free_cores + CAPACITY_ROUNDING < shape.cores {
             return Some(NoCapacity::Cores);
--- a/crates/scale-test/src/workers/fleet/tests.rs
+++ b/crates/scale-test/src/workers/fleet/tests.rs
@@ -1,4 +1,4 @@
-//! Capacity, replies and records of the workers.
+//! Tests of the capacity, the replies and the records of simulated workers.
 
 use super::*;
 
@@ -41,7 +41,7 @@
     (WORKER, SetupId::new(TaskIndex(index), 0))
 }
 
-/// Offers a task and completes its start.
+/// Offers a task to [`WORKER`] and completes its start.
 fn start_running_task(fleet: &mut Fleet, index: u32) {
     let reply = fleet.offer(WORKER, PLACER, &offer(index, shape(1.0, 2.0)));
     assert_eq!(
@@ -56,7 +56,7 @@
     );
 }
 
-/// The free capacity of [`WORKER`].
+/// Returns a report of free capacity at [`WORKER`].
 fn free(free_cores: f64, free_memory: f64) -> FreeResources {
     FreeResources {
         worker: WORKER,
@@ -88,7 +88,7 @@
 
     assert_eq!(fleet.end_task(id(0)), Some(PLACER));
 
-    assert_eq!(fleet.end_task(id(0)), None, "it ends once");
+    assert_eq!(fleet.end_task(id(0)), None, "a task ends only once");
     assert_eq!(fleet.take_changed_resources(), [free(2.0, 8.0)]);
 }
 
@@ -111,7 +111,7 @@
     assert!(record.end_acknowledged_at.is_some());
 }
 
-/// A worker with one running task and one offer that is not answered, and no cores left.
+/// Returns a fleet in which [`WORKER`] has no free capacity: one task runs and another offer is not answered yet.
 fn full_fleet() -> Fleet {
     let mut fleet = fleet();
     start_running_task(&mut fleet, 0);
@@ -138,7 +138,7 @@
 
     assert_eq!(fleet.release(id(1)), ReleaseReply::Nothing);
 
-    assert_eq!(fleet.complete_start(id(1)), None, "it was withdrawn");
+    assert_eq!(fleet.complete_start(id(1)), None, "the offer was withdrawn");
     let reply = fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0)));
     assert_eq!(reply, starts());
 }
@@ -156,7 +156,8 @@
     assert_eq!(fleet.audit.task(TaskIndex(0)).cancelled, 1);
 }
 
-/// A fleet whose zone of [`WORKER`] has crashed with one running and one ended task.
+/// Returns a fleet in which the zone of [`WORKER`] has crashed while one task ran and another had ended without an
+/// acknowledgement.
 fn crashed_fleet() -> Fleet {
     let mut fleet = fleet();
     start_running_task(&mut fleet, 0);
@@ -182,7 +183,11 @@
     let mut fleet = crashed_fleet();
 
     assert!(fleet.is_down(WORKER) && !fleet.is_down(WorkerId(0)));
-    assert_eq!(fleet.take_changed_resources(), [], "nobody sees it");
+    assert_eq!(
+        fleet.take_changed_resources(),
+        [],
+        "a crashed worker reports nothing"
+    );
     let reply = fleet.offer(WORKER, PLACER, &offer(2, shape(1.0, 1.0)));
     assert_eq!(reply, OfferReply::Silent);
 }
--- a/crates/scale-test/src/workers/fleet/zone_faults.rs
+++ b/crates/scale-test/src/workers/fleet/zone_faults.rs
@@ -4,7 +4,7 @@
 use crate::identity::{WorkerId, ZoneId};
 
 impl Fleet {
-    /// Crashes all workers of a zone. Their tasks and their unacknowledged ends are lost.
+    /// Crashes all workers of a zone. Their tasks and the ends that are not acknowledged are lost.
     pub fn crash_zone(&mut self, zone: ZoneId) {
         let zones = self.setup.zones;
         let is_lost = |id: &ActiveTaskId| id.0.zone(zones) == zone;
@@ -26,7 +26,7 @@
             keep
         });
         self.for_each_in_zone(zone, |worker| worker.is_down = true);
-        // A crashed machine does not report that its capacity became free.
+        // A crashed worker cannot report that its capacity became free.
         self.changed.retain(|worker| worker.zone(zones) != zone);
     }
 
@@ -46,6 +46,7 @@
         self.changed.extend(in_zone);
     }
 
+    /// Applies a change to each worker of a zone. Workers are assigned to zones in turn, by index.
     fn for_each_in_zone(&mut self, zone: ZoneId, change: impl Fn(&mut Worker)) {
         let step = self.setup.zones.max(1) as usize;
         self.workers
--- a/crates/scale-test/src/workers/replies.rs
+++ b/crates/scale-test/src/workers/replies.rs
@@ -1,34 +1,35 @@
-//! What a hollow worker answers to a placer, and the timers of its tasks.
+//! The replies of a simulated worker to a placer, and the timers of its tasks.
 
 use crate::identity::{SetupId, WorkerId};
 use crate::wire::lines::NoCapacity;
 use std::time::Duration;
 
-/// An offer or a task at a worker. The same set-up may reach several workers.
+/// Identifies an offer or a task at a worker. The worker is part of the id because one set-up may reach several
+/// workers.
 pub type ActiveTaskId = (WorkerId, SetupId);
 
 /// The reply to an offer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum OfferReply {
-    /// The task starts, and the answer follows.
+    /// The task starts. The answer is sent once it has started.
     Starts {
         /// The time from the offer to the answer.
         after: Duration,
     },
-    /// The worker has no capacity left.
+    /// The worker lacks capacity for the task.
     Full(NoCapacity),
-    /// The offer cannot be read.
+    /// The offer cannot be parsed.
     Unreadable,
-    /// No reply: the worker already has the task, or is not running.
+    /// No reply is sent, because the worker already has the task or is not running.
     Silent,
 }
 
 /// The reply to a release.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseReply {
-    /// No reply: the offer is dropped, or was never known.
+    /// No reply is sent: the offer is withdrawn, or the worker does not know it.
     Nothing,
-    /// The task was running and has ended with this cause.
+    /// The task has ended with this cause, now or before the release.
     Ended(u8),
 }
 
--- a/crates/scale-test/src/workers/task_records.rs
+++ b/crates/scale-test/src/workers/task_records.rs
@@ -1,52 +1,52 @@
-//! What the hollow workers record of each task, for the audit at the end of a run.
+//! The records that the simulated workers keep of each task, for the audit at the end of a run.
 
 use crate::identity::TaskIndex;
 use std::time::Instant;
 
-/// What happened to one task at all workers. Counters saturate.
+/// Counts of the events of one task, over all workers. The counters saturate.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WorkerTaskRecord {
-    /// Starts.
+    /// Number of completed starts.
     pub starts: u8,
-    /// Offers that a worker refused because it was full.
+    /// Number of offers that a worker refused for lack of capacity.
     pub refusals: u8,
-    /// Ends at the end of the task's lifetime.
+    /// Number of times that a copy of the task ended because its lifetime was over.
     pub ended: u8,
-    /// Cancellations by a placer.
+    /// Number of cancellations by a placer.
     pub cancelled: u8,
-    /// Copies lost with a crashed worker.
+    /// Number of copies lost in a crash of their worker.
     pub lost_with_worker: u8,
-    /// Copies that start or run now.
+    /// Number of copies that currently start or run.
     pub active_copies: u8,
     /// When a placer last acknowledged the end of the task.
     pub end_acknowledged_at: Option<Instant>,
 }
 
-/// Everything that the workers recorded.
+/// The records of the workers: one record for each task, and totals over all tasks and connections.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WorkerAudit {
     tasks: Vec<WorkerTaskRecord>,
-    /// Offers that no client has requested, or that cannot be read.
+    /// Offers that cannot be parsed, or of a task that the worker already has.
     pub bad_offers: u64,
-    /// Ends that placers had not acknowledged when the workers stopped.
+    /// Task ends that placers had not acknowledged when the workers stopped.
     pub unacknowledged: u64,
     /// Connections on which invalid bytes were sent.
     pub garbage_sent: u64,
-    /// Those of them that the placer has closed.
+    /// Connections on which invalid bytes were sent and which have closed since.
     pub garbage_dropped: u64,
-    /// Messages of placers that cannot be read.
+    /// Messages from placers that cannot be parsed.
     pub bad_messages: u64,
     /// Starts at workers that were restored after a crash.
     pub starts_after_return: u64,
 }
 
 impl WorkerAudit {
-    /// Returns the record of a task.
+    /// Returns the record of a task, which is empty if nothing was recorded.
     pub fn task(&self, task: TaskIndex) -> WorkerTaskRecord {
         self.tasks.get(task.index()).copied().unwrap_or_default()
     }
 
-    /// Changes the record of a task.
+    /// Applies a change to the record of a task, creating the record if there is none.
     pub fn update(&mut self, task: TaskIndex, change: impl FnOnce(&mut WorkerTaskRecord)) {
         if self.tasks.len() <= task.index() {
             self.tasks
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Adds what other workers recorded.
+    /// Adds the records of other workers to these.
     pub fn merge(&mut self, others: &WorkerAudit) {
         for (task, other) in (0..).map(TaskIndex).zip(&others.tasks) {
             if *other != WorkerTaskRecord::default() {
--- a/crates/scale-test/src/workers/thread.rs
+++ b/crates/scale-test/src/workers/thread.rs
@@ -1,7 +1,7 @@
-//! The event loop of a group of hollow workers.
+//! The event loop of a group of simulated workers.
 //!
-//! Accepts connections, reads messages, sends answers when they are due, and reports changed capacity to the
-//! control feeds. What a worker replies is decided by [`Fleet`].
+//! The loop accepts connections, reads messages, sends answers when they are due, and reports changed capacity to the
+//! control feeds. [`Fleet`] decides what a worker replies.
 
 mod accept;
 mod faults;
@@ -29,37 +29,38 @@
 pub const MAILBOX: Token = Token(0);
 /// The first token of the listeners.
 const FIRST_LISTENER: usize = 1;
-/// The first token of the connections: above all listeners.
+/// The first token of the connections, above the tokens of all listeners.
 const FIRST_CONNECTION: usize = 1 << 24;
-/// Events taken from the poll at a time.
+/// Maximum number of events taken from the poll at a time.
 const EVENTS_PER_POLL: usize = 128;
-/// The longest wait for events.
+/// Maximum time to wait for events.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(100);
 
-/// What the thread shares with others.
+/// State and channels that the worker thread shares with other threads.
 pub struct Shared {
     /// The traffic counters of each placer.
     pub counters: Vec<Arc<PlacerCounters>>,
-    /// Where changes of free capacity are reported.
+    /// The feeds to which changes of free capacity are reported.
     pub feeds: Sender<FeedCommand>,
     /// The commands to this thread.
     pub commands: Receiver<WorkerCommand>,
-    /// The state that this thread publishes.
+    /// The current load of this thread's workers, which the thread publishes after each turn of the event loop.
     pub state: Arc<Mutex<WorkerState>>,
 }
 
-/// What a timer triggers.
+/// The event that a timer triggers.
 enum TimerEvent {
-    /// A timer of a task, and the connection that its offer came on.
+    /// A timer of a task, with the connection on which the task was offered, if any.
     Task(TaskTimer, ActiveTaskId, Option<ConnectionId>),
     /// Another attempt to accept from the listener with this index.
     RetryAccept(usize),
 }
 
+/// A listening socket, and its registration with the event loop.
 struct Listener {
-    /// Keeps the port, also while it refuses connections.
+    /// The socket, which keeps its port while it refuses connections.
     zone: ZoneListener,
-    /// What the event loop accepts from, while the listener takes connections.
+    /// The handle from which the event loop accepts; `None` while the zone is down.
     handle: Option<TcpListener>,
 }
 
@@ -71,13 +72,13 @@
     connections: Connections,
     timers: TimerQueue<TimerEvent>,
     shared: Shared,
-    /// From when an answer was due to when it was sent.
+    /// The delays between the time when an answer was due and the time when it was sent.
     lateness: LatencyHistogram,
     stopped: bool,
 }
 
 impl WorkerThread {
-    /// Creates the thread's state and starts to listen.
+    /// Creates the state of the thread and starts to listen on all sockets.
     pub fn new(
         poll: Poll,
         fleet: Fleet,
@@ -104,7 +105,7 @@
         Ok(thread)
     }
 
-    /// Runs until the stop command, and returns what was recorded.
+    /// Runs the event loop until the stop command, and returns the records of the workers.
     pub fn run(mut self) -> io::Result<WorkerReport> {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !self.stopped {
@@ -130,7 +131,7 @@
         })
     }
 
-    /// Reports changed capacity to the feeds, and the counts to the run.
+    /// Reports changed capacity to the feeds, and publishes the current load.
     fn publish_state(&mut self) {
         let changed = self.fleet.take_changed_resources();
         if !changed.is_empty() {
@@ -164,6 +165,7 @@
         Ok(())
     }
 
+    /// Schedules the ends of the tasks that run at the start of the test.
     fn start_lifetimes(&mut self) {
         let now = Instant::now();
         for (id, lifetime) in self.fleet.remaining_lifetimes() {
@@ -196,7 +198,7 @@
         self.lateness.add(due.elapsed());
         let end = TimerEvent::Task(TaskTimer::End, id, connection);
         self.timers.add(due + lifetime, end);
-        // The connection is open: closing it withdraws its offers.
+        // The connection is still open: closing it would have withdrawn the offer.
         let Some(connection) = connection else { return };
         self.remove_pending_offer(connection.slot, id.1);
         let mut bytes = Vec::new();
@@ -204,7 +206,7 @@
         self.send(connection.slot, &bytes, 1);
     }
 
-    /// Ends a task and notifies its placer.
+    /// Ends a task whose lifetime is over, and notifies its placer if a connection is open.
     fn end(&mut self, id: ActiveTaskId, connection: Option<ConnectionId>) {
         let Some(placer) = self.fleet.end_task(id) else {
             return;
--- a/crates/scale-test/src/workers/thread/accept.rs
+++ b/crates/scale-test/src/workers/thread/accept.rs
@@ -10,13 +10,13 @@
 use std::io::{self, ErrorKind};
 use std::time::{Duration, Instant};
 
-/// Connections accepted from one listener before others have their turn.
+/// Maximum number of connections accepted from one listener before other events are handled.
 const MAX_ACCEPTS_PER_TURN: usize = 32;
-/// The delay before accepting is tried again when the process has no descriptor left.
+/// Delay before accepting is retried after an error, such as that the process has no descriptor left.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 impl WorkerThread {
-    /// Makes a listener take connections.
+    /// Makes a listener accept connections and registers it with the event loop.
     pub(super) fn start_listening(&mut self, index: usize) -> io::Result<()> {
         let Some(listener) = self.listeners.get_mut(index) else {
             return Ok(());
@@ -31,7 +31,7 @@
         Ok(())
     }
 
-    /// Accepts the connections that wait at a listener.
+    /// Accepts the connections that are pending at a listener. If more may be pending, a timer continues.
     pub(super) fn accept(&mut self, index: usize) -> io::Result<()> {
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             let Some(listener) = self.listeners.get(index) else {
@@ -51,20 +51,20 @@
                         ErrorKind::Interrupted | ErrorKind::ConnectionAborted
                     ) => {}
                 Err(_) => {
-                    // No descriptor is left. Waiting connections cause no further event, so a timer retries.
+                    // No descriptor is left. Pending connections trigger no further event, so a timer retries.
                     let retry_at = Instant::now() + ACCEPT_RETRY_DELAY;
                     self.timers.add(retry_at, TimerEvent::RetryAccept(index));
                     return Ok(());
                 }
             }
         }
-        // More connections may wait and cause no further event; others have their turn first.
+        // More connections may be pending and trigger no further event, so a timer continues after other events.
         self.timers
             .add(Instant::now(), TimerEvent::RetryAccept(index));
         Ok(())
     }
 
-    /// Adds a connection to a worker of this zone; any other connection is dropped.
+    /// Adds a connection to a running worker of this zone. Any other connection is dropped.
     fn add_connection(
         &mut self,
         stream: TcpStream,
@@ -93,7 +93,7 @@
         Ok(())
     }
 
-    /// Sends the ends that the placer has not acknowledged: the first messages of each new connection.
+    /// Sends the task ends that the placer has not acknowledged, as the first messages of a new connection.
     fn resend_unacknowledged_ends(&mut self, slot: usize, worker: WorkerId, placer: PlacerId) {
         let ends = self.fleet.unacknowledged(worker, placer);
         let mut bytes = Vec::new();
--- a/crates/scale-test/src/workers/thread/faults.rs
+++ b/crates/scale-test/src/workers/thread/faults.rs
@@ -5,11 +5,11 @@
 use std::collections::BTreeSet;
 use std::io;
 
-/// Bytes that are no message of the protocol.
+/// Bytes that do not form a valid message of the protocol.
 const GARBAGE: &[u8] = b"\x00\xffnot a message{{{\n";
 
 impl WorkerThread {
-    /// Crashes a zone: its listeners refuse, and its connections are reset.
+    /// Crashes a zone: its listeners refuse connections, and its open connections are reset.
     pub(super) fn crash_zone(&mut self, zone: ZoneId) -> io::Result<()> {
         let zones = self.fleet.setup().zones;
         for listener in self
@@ -34,7 +34,7 @@
         Ok(())
     }
 
-    /// Restores a zone and listens for its workers again.
+    /// Restores the workers of a zone and accepts connections to them again.
     pub(super) fn restore_zone(&mut self, zone: ZoneId) -> io::Result<()> {
         self.fleet.restore_zone(zone);
         for index in 0..self.listeners.len() {
@@ -49,7 +49,8 @@
         Ok(())
     }
 
-    /// Sends invalid bytes on all connections of so many workers that have any.
+    /// Sends invalid bytes on all connections of up to this number of workers, leaving out connections on which
+    /// invalid bytes were sent before.
     pub(super) fn send_garbage(&mut self, workers: u32) {
         let slots = self.connections.slots_where(|entry| !entry.garbage_sent);
         let mut chosen: BTreeSet<WorkerId> = slots
--- a/crates/scale-test/src/workers/thread/messages.rs
+++ b/crates/scale-test/src/workers/thread/messages.rs
@@ -1,4 +1,4 @@
-//! Reads the messages of placers, and writes the replies of workers.
+//! Reads messages from placers, and writes the replies of workers.
 
 use super::{TimerEvent, WorkerThread};
 use crate::identity::{PlacerId, SetupId, WorkerId};
@@ -9,7 +9,7 @@
 use crate::workers::replies::{OfferReply, ReleaseReply, TaskTimer};
 use std::time::Instant;
 
-/// The replies to the messages of one read.
+/// The encoded replies to the messages that were read from a connection at once.
 #[derive(Default)]
 struct Replies {
     bytes: Vec<u8>,
@@ -23,7 +23,7 @@
     }
 }
 
-/// The two ends of a connection.
+/// The worker and the placer at the ends of a connection, and the slot of the connection.
 #[derive(Debug, Clone, Copy)]
 struct Route {
     slot: usize,
@@ -32,7 +32,7 @@
 }
 
 impl WorkerThread {
-    /// Sends messages that carry tasks on a connection.
+    /// Sends task messages on a connection, and closes it if it has ended.
     pub(super) fn send(&mut self, slot: usize, bytes: &[u8], messages: u64) {
         let Some(entry) = self.connections.get_mut(slot) else {
             return;
@@ -43,6 +43,7 @@
         }
     }
 
+    /// Removes a connection and withdraws the offers that are pending on it.
     fn close(&mut self, slot: usize) {
         let Some(closed) = self.connections.remove(slot) else {
             return;
@@ -50,14 +51,13 @@
         if closed.garbage_sent {
             self.fleet.audit.garbage_dropped += 1;
         }
-        // Closing a connection withdraws the offers that came on it.
         closed
             .pending_offers
             .iter()
             .for_each(|id| self.fleet.withdraw_offer((closed.worker, *id)));
     }
 
-    /// Reads and writes a connection that is ready.
+    /// Reads from and writes to a connection that is ready, and handles the messages that it received.
     pub(super) fn handle_readiness(&mut self, slot: usize) {
         let Some(entry) = self.connections.get_mut(slot) else {
             return;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Removes an offer from the pending ones of its connection: it was answered or released.
+    /// Removes an offer that was answered or released from the pending offers of its connection.
     pub(super) fn remove_pending_offer(&mut self, slot: usize, id: SetupId) {
         if let Some(entry) = self.connections.get_mut(slot) {
             entry.pending_offers.retain(|pending| *pending != id);
@@ -135,7 +135,7 @@
     }
 }
 
-/// Takes the complete lines out of a connection's inbox.
+/// Removes the complete lines from a connection's inbox and parses them.
 fn read_lines(connection: &mut Connection) -> Result<Vec<PlacerLine>, WireError> {
     let mut messages = Vec::new();
     let mut consumed = 0;
