--- a/crates/scale-test/src/clients.rs
+++ b/crates/scale-test/src/clients.rs
@@ -1,8 +1,8 @@
-//! The hollow clients: open-loop arrivals, connections to all placers, and the outcome of each task.
+//! Simulates clients: open-loop arrivals of tasks, connections to all placers, and a record of each task's outcome.
 //!
-//! A task arrives at a time that does not depend on any answer, and its time to start is measured from then.
-//! Clients never retry after a refusal: each arrival is answered once. A client whose task migrates sends its
-//! set-up again, as the protocol specifies.
+//! The arrival time of a task does not depend on any answer, and its time to start is measured from its arrival.
+//! Clients never retry after a refusal, so each arrival is answered at most once. A client whose task migrates sends
+//! the set-up again, as the protocol specifies.
 
 mod arrivals;
 mod link;
@@ -27,7 +27,7 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Instant;
 
-/// The time in which tasks arrive, and the part of it that is measured.
+/// The time span in which tasks arrive, and the start of its measured part.
 #[derive(Debug, Clone, Copy)]
 pub struct ArrivalWindow {
     /// The first task may arrive from this time on.
@@ -38,12 +38,13 @@
     pub end: Instant,
 }
 
-/// A command to the clients.
+/// A command to the client thread.
 #[derive(Debug, Clone, Copy)]
 pub enum ClientCommand {
-    /// A placer was started at this address. Its health is checked until a check passes; then it is in service.
+    /// Reports that a placer was started at this address. The clients send it health checks, and send it tasks once a
+    /// check has passed.
     PlacerStarted(PlacerId, SocketAddr),
-    /// A placer was killed, and its pending answers are lost.
+    /// Reports that a placer was killed, so that its pending answers are lost.
     PlacerKilled(PlacerId),
     /// Starts the arrival of tasks.
     StartArrivals(ArrivalWindow),
@@ -51,30 +52,30 @@
     Stop,
 }
 
-/// The present state of the clients.
+/// The current state of the clients.
 #[derive(Debug, Clone, Default)]
 pub struct ClientState {
-    /// When the first health check of each placer passed, since its latest start.
+    /// For each placer, when a health check first passed since its latest start; `None` if none has passed.
     pub ready: Vec<Option<Instant>>,
-    /// Bytes that wait to be written.
+    /// Number of bytes that wait to be written to placers.
     pub queued: usize,
-    /// Set-ups that wait for an answer.
+    /// Number of set-ups that wait for an answer.
     pub waiting: u64,
-    /// Tasks that have started.
+    /// Number of tasks that have started.
     pub started: u64,
-    /// Tasks that were refused or have failed before their start.
+    /// Number of tasks that were refused, or failed before their start.
     pub refused: u64,
 }
 
-/// The times to start, and the load generator's own lateness, of the measured tasks.
+/// The start times of the measured tasks, and the lateness of the clients in sending their set-ups.
 pub struct Timings {
     /// The times from arrival to answer, by class in the order of [`Class::ALL`].
     pub to_start: [LatencyHistogram; Class::ALL.len()],
-    /// The time from when a task was due to when its set-up was sent.
+    /// The delays between the time when a task was due and the time when its set-up was sent.
     pub lateness: LatencyHistogram,
 }
 
-/// What the clients recorded.
+/// The records of the clients, for the audit at the end of a run.
 pub struct ClientAudit {
     /// The outcome of each task.
     pub tasks: TaskTable,
@@ -82,20 +83,21 @@
     pub timings: Timings,
     /// Answers for a task that had been answered before.
     pub second_answers: u64,
-    /// Messages of placers that cannot be read.
+    /// Messages from placers that cannot be parsed.
     pub bad_messages: u64,
 }
 
-/// All hollow clients.
+/// All simulated clients, which share one thread.
 pub struct Clients {
     commands: Sender<ClientCommand>,
     state: Arc<Mutex<ClientState>>,
+    /// For each placer, whether its kill has been announced and not cleared.
     kill_announced: Arc<[AtomicBool]>,
     thread: PeerThread<ClientAudit>,
 }
 
 impl Clients {
-    /// Starts the clients, with the tasks that run at the start.
+    /// Starts the client thread. The clients already own the given running tasks.
     ///
     /// # Errors
     ///
@@ -136,13 +138,13 @@
         self.commands.send(command);
     }
 
-    /// Announces that a placer is about to be killed. Connections that close from now on close because of it,
-    /// also if they close before the clients handle [`ClientCommand::PlacerKilled`].
+    /// Announces that a placer is about to be killed. The clients attribute every connection to it that closes from now
+    /// on to the kill, even one that closes before they handle [`ClientCommand::PlacerKilled`].
     pub fn announce_kill(&self, placer: PlacerId) {
         self.set_kill_announced(placer, true);
     }
 
-    /// Takes the announcement back, when the placer has been restarted.
+    /// Withdraws the announcement of a kill, once the placer has been restarted.
     pub fn clear_kill(&self, placer: PlacerId) {
         self.set_kill_announced(placer, false);
     }
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Returns the present state of the clients.
+    /// Returns the current state of the clients.
     pub fn state(&self) -> ClientState {
         self.state
             .lock()
@@ -161,12 +163,12 @@
             .clone()
     }
 
-    /// Returns the error on which the thread has ended, if it has.
+    /// Returns the error with which the client thread has ended, if it has.
     pub fn failure(&mut self) -> Option<io::Error> {
         self.thread.failure()
     }
 
-    /// Stops the clients and returns what they recorded.
+    /// Stops the client thread and returns its records.
     ///
     /// # Errors
     ///
@@ -180,7 +182,7 @@
 impl Drop for Clients {
     fn drop(&mut self) {
         self.commands.send(ClientCommand::Stop);
-        // After `stop` the thread has ended already.
+        // After `stop`, the thread has already ended and joining it has no effect.
         let _ = self.thread.join();
     }
 }
--- a/crates/scale-test/src/clients/arrivals.rs
+++ b/crates/scale-test/src/clients/arrivals.rs
@@ -1,4 +1,4 @@
-//! The arrivals of tasks: a Poisson process, determined by the settings and their seed.
+//! The arrivals of tasks: a Poisson process that is fully determined by the settings, including their seed.
 
 use crate::deployment::Class;
 use crate::identity::{PlacerId, TaskIndex, WorkerId};
@@ -10,29 +10,29 @@
 use rand_distr::{Distribution, Exp1};
 use std::time::Duration;
 
-/// Separates the random numbers of the tasks that run at the start from those of the arrivals.
+/// XORed with the seed, so that the tasks that run at the start draw other random numbers than the arrivals.
 const RUNNING_TASKS_STREAM: u64 = 0x7374_616e_6469_6e67;
-/// The shortest lifetime, so that an answer and an end are at different times.
+/// The minimum lifetime of a task, which keeps its answer and its end at different times.
 const MIN_LIFETIME: Duration = Duration::from_millis(1);
 
-/// A task that arrives.
+/// The arrival of one task.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Arrival {
-    /// The time of arrival, from the start of all arrivals.
+    /// The time of arrival, relative to the start of the arrival window.
     pub due: Duration,
-    /// The class.
+    /// The class of the task.
     pub class: Class,
-    /// The index of the tenant.
+    /// The index of the task's tenant.
     pub tenant: u32,
-    /// The index of the service.
+    /// The index of the task's service.
     pub service: u32,
-    /// The resources and the lifetime.
+    /// The resources and the lifetime of the task.
     pub shape: TaskShape,
-    /// A random number that chooses its placer among those in service.
+    /// A random number that selects the placer among those in service.
     pub placer_choice: u32,
 }
 
-/// An endless iterator over the arrivals of a run.
+/// An iterator over the arrivals of a run. It is endless, unless the rate is zero.
 #[derive(Debug, Clone)]
 pub struct Arrivals {
     random: ChaCha8Rng,
@@ -76,6 +76,7 @@
         }
     }
 
+    /// Draws the class of a task.
     fn class(&mut self) -> Class {
         let drawn: f64 = self.random.random();
         if drawn < self.urgent_share {
@@ -87,6 +88,7 @@
         }
     }
 
+    /// Draws the tenant and the service of a task.
     fn tenant_and_service(&mut self) -> (u32, u32) {
         (
             self.random.random_range(0..self.tenants),
@@ -120,8 +122,9 @@
     }
 }
 
-/// Returns the tasks that run at the start: assigned to the workers in turn, and to the placers in turn, shifted
-/// by one each round. Lifetimes are drawn anew, as the rest of an exponential lifetime is exponential, too.
+/// Returns the tasks that run at the start. They are assigned to workers in turn and to placers in turn, and the
+/// assignment to placers shifts by one after each round over the workers. Their remaining lifetimes are drawn like
+/// those of new tasks, because the remainder of an exponentially distributed lifetime has the same distribution.
 pub fn running_tasks(settings: &Settings) -> Vec<RunningTask> {
     let seed = settings.seed ^ RUNNING_TASKS_STREAM;
     let mut arrivals = Arrivals {
--- a/crates/scale-test/src/clients/arrivals/tests.rs
+++ b/crates/scale-test/src/clients/arrivals/tests.rs
@@ -1,4 +1,4 @@
-//! Arrivals follow the settings and their seed.
+//! Tests that arrivals and running tasks follow the settings and their seed.
 
 use super::*;
 use std::collections::BTreeMap;
@@ -29,7 +29,7 @@
     let all: Vec<Arrival> = Arrivals::new(&settings()).take(20_000).collect();
     assert!(all.windows(2).all(|pair| pair[0].due <= pair[1].due));
     let share = |class| all.iter().filter(|a| a.class == class).count() as f64 / all.len() as f64;
-    // Four standard deviations of a share of 20,000.
+    // Each tolerance is four standard deviations of the share among 20,000 arrivals.
     assert!((share(Class::Urgent) - 0.3).abs() < 0.013);
     assert!((share(Class::Once) - 0.1).abs() < 0.009);
     assert!(
@@ -47,7 +47,7 @@
     );
     assert!((gap * 200.0 - 1.0).abs() < 0.03, "{gap}");
     assert!((lifetime / 20.0 - 1.0).abs() < 0.03, "{lifetime}");
-    // A Poisson process: the gaps' deviation is their mean.
+    // In a Poisson process, the standard deviation of the gaps equals their mean.
     let variance = gaps.iter().map(|value| (value - gap).powi(2)).sum::<f64>() / gaps.len() as f64;
     assert!((variance.sqrt() / gap - 1.0).abs() < 0.05);
     assert_eq!(all.iter().map(|a| a.tenant).max(), Some(66));
--- a/crates/scale-test/src/clients/link.rs
+++ b/crates/scale-test/src/clients/link.rs
@@ -1,4 +1,4 @@
-//! The clients' links to all placers: connection pools, health-check connections and readiness.
+//! The links from the clients to all placers: connection pools, health-check connections and readiness.
 
 use crate::identity::{PlacerId, SetupId};
 use crate::socket::Connection;
@@ -16,9 +16,9 @@
 /// The purpose of a connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Purpose {
-    /// Health checks, as by a load balancer.
+    /// The connection carries health checks, like those of a load balancer.
     HealthCheck,
-    /// Tasks.
+    /// The connection carries the messages of tasks.
     Tasks {
         /// The index in the connection pool of its placer.
         pool_index: usize,
@@ -28,43 +28,43 @@
 /// A set-up that waits for its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PendingSetUp {
-    /// The set-up.
+    /// The id of the set-up.
     pub id: SetupId,
-    /// Whether it was sent again after its first connection closed.
+    /// Whether the set-up was sent again after its first connection closed.
     pub is_resent: bool,
 }
 
 /// One connection to a placer.
 pub struct ClientConnection {
-    /// The socket.
+    /// The socket with its buffers.
     pub connection: Connection,
-    /// The placer.
+    /// The placer to which the connection leads.
     pub placer: PlacerId,
-    /// What the connection is for.
+    /// Whether the connection carries health checks or tasks.
     pub purpose: Purpose,
-    /// Set-ups sent on it that wait for their answer.
+    /// Set-ups that were sent on the connection and wait for an answer.
     pub pending: Vec<PendingSetUp>,
 }
 
-/// The link to one placer.
+/// The connections to one placer, and whether it is ready.
 pub struct Link {
     /// The address of the placer, while it runs.
     pub address: Option<SocketAddr>,
-    /// The number of starts, which identifies events that belong to an earlier start.
+    /// The number of times that the placer was started. Events with a lower number belong to an earlier start.
     pub start_number: u64,
     /// Whether a health check has passed since the latest start.
     pub is_ready: bool,
-    /// The slot of the health-check connection.
+    /// The slot of the health-check connection, while it is open.
     health_check: Option<usize>,
-    /// The slots of the connections for tasks.
+    /// The slots of the connections for tasks, each while it is open.
     pool: Vec<Option<usize>>,
-    /// The index in the pool that is used next.
+    /// The index of the pooled connection to use next, before it wraps around.
     next_pool_index: usize,
     counters: Arc<PlacerCounters>,
 }
 
 impl Link {
-    /// Returns whether tasks are sent to the placer.
+    /// Returns whether tasks are sent to the placer: it is ready, and its health-check connection is open.
     pub fn is_in_service(&self) -> bool {
         self.is_ready && self.health_check.is_some()
     }
@@ -77,7 +77,7 @@
 }
 
 impl Links {
-    /// Returns links to placers that do not run yet, each with a pool of so many connections.
+    /// Returns links to placers that are not running yet, each with a pool of `pool_size` connections.
     pub fn new(counters: Vec<Arc<PlacerCounters>>, pool_size: usize) -> Links {
         let link = |counters| Link {
             address: None,
@@ -104,7 +104,8 @@
         self.links.get_mut(placer.index())
     }
 
-    /// Returns one of the placers in service, chosen by a number modulo their count.
+    /// Returns the placer whose position among the placers in service is `choice` modulo their count, or `None` if no
+    /// placer is in service.
     pub fn choose_in_service(&self, choice: u32) -> Option<PlacerId> {
         let count = self
             .links
@@ -126,12 +127,13 @@
         self.table.get_mut(slot)
     }
 
-    /// Returns all connections.
+    /// Returns the connections to all placers.
     pub fn connections(&self) -> impl Iterator<Item = &ClientConnection> {
         self.table.iter().map(|(_, connection)| connection)
     }
 
-    /// Returns the slot of the health-check connection, opening it if there is none.
+    /// Returns the slot of the health-check connection to a placer, opening the connection if needed. Returns `None` if
+    /// the placer is not running.
     pub fn health_check_connection(
         &mut self,
         placer: PlacerId,
@@ -150,7 +152,8 @@
         Ok(opened)
     }
 
-    /// Returns the slot of the pool's next connection in turn, opening it if there is none.
+    /// Returns the slot of the next connection in a placer's pool, round robin, opening the connection if needed.
+    /// Returns `None` if the placer is not running.
     pub fn next_task_connection(
         &mut self,
         placer: PlacerId,
@@ -174,6 +177,7 @@
         Ok(opened)
     }
 
+    /// Opens a connection to a placer and returns its slot, or `None` if the placer is not running.
     fn open(
         &mut self,
         placer: PlacerId,
@@ -202,7 +206,7 @@
         })))
     }
 
-    /// Removes a connection from the table and from its link.
+    /// Removes and returns the connection in a slot, and removes it from its link.
     pub fn close(&mut self, slot: usize) -> Option<ClientConnection> {
         let closed = self.table.try_remove(slot)?;
         if let Some(link) = self.links.get_mut(closed.placer.index()) {
--- a/crates/scale-test/src/clients/tasks.rs
+++ b/crates/scale-test/src/clients/tasks.rs
@@ -1,6 +1,6 @@
-//! The outcome of each task, as its client sees it.
+//! The state and the outcome of each task, as observed by its client.
 //!
-//! Pure: time is an argument, and there is no I/O.
+//! [`TaskTable`] does no I/O and reads no clock: the current time is an argument.
 
 use super::arrivals::{Arrival, Arrivals};
 use crate::deployment::Class;
@@ -10,76 +10,76 @@
 use crate::workers::RunningTask;
 use std::time::Instant;
 
-/// The state of a task.
+/// The state of a task from the view of its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskState {
-    /// The set-up waits for an answer.
+    /// The set-up was sent and waits for an answer.
     Waiting {
-        /// When it was sent.
+        /// When the set-up was sent.
         sent: Instant,
     },
     /// The task runs at a worker.
     Running(WorkerId),
     /// The task ran and has ended with this cause.
     Ended(u8),
-    /// Refused with no effect; a retry would be safe.
+    /// The task was refused without any effect, so a retry would be safe.
     Refused,
-    /// Failed, possibly with an effect.
+    /// The task failed before its answer and may have had an effect, which a retry could repeat.
     Failed,
-    /// No answer came in time.
+    /// No answer arrived within the time limit.
     Unanswered,
-    /// The connection closed before an answer, though the placer was alive.
+    /// The connection closed before an answer arrived, although the placer was not killed.
     ConnectionLost,
     /// The placer was killed before it answered.
     PlacerKilled,
-    /// No placer was in service when the task arrived.
+    /// No set-up was sent for the latest attempt, because no placer was in service or no connection could be opened.
     NoPlacer,
 }
 
 /// The record of one task.
 #[derive(Debug, Clone, Copy)]
 pub struct TaskRecord {
-    /// When it arrived; `None` if it ran at the start of the test.
+    /// When the task was due to arrive, or `None` if it ran at the start of the test.
     pub due: Option<Instant>,
-    /// The class.
+    /// The class of the task.
     pub class: Class,
-    /// The index of the tenant.
+    /// The index of the task's tenant.
     pub tenant: u32,
-    /// The index of the service.
+    /// The index of the task's service.
     pub service: u32,
-    /// The resources and the lifetime.
+    /// The resources and the lifetime of the task.
     pub shape: TaskShape,
-    /// The placer that its latest set-up was sent to.
+    /// The placer to which the latest set-up was sent.
     pub placer: PlacerId,
-    /// The number of the latest attempt, from 0.
+    /// The number of the latest attempt, counted from 0. Each migration begins a new attempt.
     pub attempt: u8,
-    /// The number of migrations.
+    /// How often the task has migrated.
     pub moves: u8,
-    /// Whether its time to start is measured.
+    /// Whether the time to start of the task is measured.
     pub measured: bool,
-    /// The state.
+    /// The current state of the task.
     pub state: TaskState,
 }
 
-/// The effect of an answer.
+/// The effect of an answer on its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerEffect {
     /// The task has started.
     First,
-    /// The task had been answered before.
+    /// The task had already been answered or refused.
     Second,
     /// The answer belongs to a closed attempt, or to no task.
     Stale,
 }
 
-/// The effect of a release.
+/// The effect of a release on its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseEffect {
-    /// The set-up was refused, or has failed.
+    /// The set-up was waiting for an answer, and is now refused or failed.
     Final,
     /// A running task has ended. The end must be acknowledged.
     Ended,
-    /// The end was known, or belongs to no task. It is acknowledged again.
+    /// The end was already known, or belongs to no task. It is acknowledged again.
     Known,
 }
 
@@ -89,7 +89,7 @@
 }
 
 impl TaskTable {
-    /// Returns a table with the tasks that run at the start.
+    /// Returns a table that contains the tasks that run at the start.
     pub fn new(running_tasks: &[RunningTask], arrivals: &Arrivals) -> TaskTable {
         let record = |task: &RunningTask| {
             let (tenant, service) = arrivals.tenant_and_service_of(task.task);
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Adds a task that arrives. Returns `None` if there are more tasks than indexes.
+    /// Adds a task that arrives, and returns its index. Returns `None` if no index is left.
     pub fn add(&mut self, arrival: &Arrival, due: Instant, measured: bool) -> Option<TaskIndex> {
         let index = u32::try_from(self.tasks.len()).ok()?;
         self.tasks.push(TaskRecord {
@@ -139,7 +139,7 @@
         self.tasks.get(task.index())
     }
 
-    /// Returns the record of a task, if the id is that of its latest attempt.
+    /// Returns the record of the task of a set-up, if the set-up belongs to the task's latest attempt.
     fn latest(&mut self, id: SetupId) -> Option<&mut TaskRecord> {
         let (task, attempt) = id.parts()?;
         self.tasks
@@ -147,7 +147,7 @@
             .filter(|record| record.attempt == attempt)
     }
 
-    /// Records that the set-up of a task is sent to a placer. Returns the id of the set-up.
+    /// Records that the set-up of a task is sent to a placer at this time. Returns the id of the set-up.
     pub fn record_sent(
         &mut self,
         task: TaskIndex,
@@ -160,7 +160,7 @@
         Some(SetupId::new(task, record.attempt))
     }
 
-    /// Records an answer.
+    /// Records the answer to a set-up, which says at which worker the task runs.
     pub fn record_answer(&mut self, id: SetupId, worker: WorkerId) -> AnswerEffect {
         let Some(record) = self.latest(id) else {
             return AnswerEffect::Stale;
@@ -181,7 +181,7 @@
         }
     }
 
-    /// Records a release.
+    /// Records a release of a task by its placer, with the cause.
     pub fn record_release(&mut self, id: SetupId, cause: u8) -> ReleaseEffect {
         let Some(record) = self.latest(id) else {
             return ReleaseEffect::Known;
@@ -204,7 +204,8 @@
         }
     }
 
-    /// Begins the next attempt of a running task that migrates. Returns the task if it was running.
+    /// Begins the next attempt of a task that migrates. Returns the task, or `None` if it was not running or has no
+    /// attempt numbers left.
     pub fn begin_migration(&mut self, id: SetupId) -> Option<TaskIndex> {
         let record = self
             .latest(id)
@@ -215,7 +216,8 @@
         id.parts().map(|(task, _)| task)
     }
 
-    /// Closes a set-up without an answer. Returns whether it was still waiting for one.
+    /// Closes a set-up without an answer by setting the state of its task. Returns whether it was still waiting for an
+    /// answer.
     pub fn close_unanswered(&mut self, id: SetupId, state: TaskState) -> bool {
         let waiting = self
             .latest(id)
@@ -226,7 +228,7 @@
         })
     }
 
-    /// Returns when the set-up was sent, if it still waits for an answer.
+    /// Returns when a set-up was sent, if it still waits for an answer.
     pub fn waiting_since(&self, id: SetupId) -> Option<Instant> {
         let (task, attempt) = id.parts()?;
         match self
@@ -239,7 +241,7 @@
         }
     }
 
-    /// Returns the running tasks of a placer, with their set-up ids and their workers.
+    /// Returns the running tasks whose latest set-up was sent to a placer, with their set-up ids and workers.
     pub fn running_at(
         &self,
         placer: PlacerId,
--- a/crates/scale-test/src/clients/tasks/tests.rs
+++ b/crates/scale-test/src/clients/tasks/tests.rs
@@ -1,4 +1,4 @@
-//! The effects of placers' messages on a task.
+//! Tests of how messages from placers change the state of a task.
 
 use super::*;
 use crate::settings::Settings;
@@ -57,7 +57,11 @@
     );
 
     let repeated = table.record_release(id, cause::NORMAL);
-    assert_eq!(repeated, ReleaseEffect::Known, "released again");
+    assert_eq!(
+        repeated,
+        ReleaseEffect::Known,
+        "a repeated release is recognized"
+    );
     assert_eq!(state(&table), TaskState::Ended(cause::NORMAL));
 }
 
--- a/crates/scale-test/src/clients/thread.rs
+++ b/crates/scale-test/src/clients/thread.rs
@@ -1,7 +1,7 @@
-//! The event loop of the hollow clients.
+//! The event loop of the simulated clients.
 //!
-//! Sends set-ups when they are due, reads the messages of placers, and checks the health of placers. The
-//! outcome of each task is kept by [`TaskTable`].
+//! The loop sends set-ups when they are due, reads messages from placers, and checks the health of placers.
+//! [`TaskTable`] keeps the outcome of each task.
 
 mod connections;
 mod health_checks;
@@ -27,39 +27,41 @@
 
 /// The token of the command mailbox.
 pub const MAILBOX: Token = Token(0);
-/// Events taken from the poll at a time.
+/// Maximum number of events taken from the poll at a time.
 const EVENTS_PER_POLL: usize = 1_024;
-/// The longest wait for events.
+/// Maximum time to wait for events.
 const MAX_POLL_WAIT: Duration = Duration::from_millis(100);
 
-/// What the thread shares with others.
+/// State and channels that the client thread shares with other threads.
 pub struct Shared {
     /// The traffic counters of each placer.
     pub counters: Vec<Arc<PlacerCounters>>,
     /// The commands to this thread.
     pub commands: Receiver<ClientCommand>,
-    /// The state that this thread publishes.
+    /// The state of the clients, which this thread publishes after each turn of the event loop.
     pub state: Arc<Mutex<ClientState>>,
-    /// For each placer, whether it is about to be killed or is killed.
+    /// For each placer, whether it is about to be killed, or is killed and not restarted yet.
     pub kill_announced: Arc<[AtomicBool]>,
 }
 
-/// What a timer triggers.
+/// The event that a timer triggers.
 enum TimerEvent {
-    /// A health check of a placer, if this is still its current start.
+    /// A health check of a placer. It is skipped if the placer has been restarted since, so that its number of starts
+    /// differs.
     CheckHealth(PlacerId, u64),
     /// The arrival of a task.
     TaskArrives(Arrival),
-    /// The end of the wait for an answer to the set-up that was sent at this time.
+    /// The timeout of the answer to a set-up that was sent at this time.
     AnswerTimeout(SetupId, Instant),
 }
 
-/// The clients' thread.
+/// The state of the client thread.
 pub struct ClientThread {
     poll: Poll,
     links: Links,
     tasks: TaskTable,
     arrivals: Arrivals,
+    /// The arrival window, once the arrivals have started.
     window: Option<ArrivalWindow>,
     timers: TimerQueue<TimerEvent>,
     tenant_names: Vec<String>,
@@ -72,7 +74,7 @@
 }
 
 impl ClientThread {
-    /// Creates the thread's state, with the tasks that run at the start.
+    /// Creates the state of the thread. `tasks` holds the tasks that run at the start.
     pub fn new(
         poll: Poll,
         settings: &Settings,
@@ -110,13 +112,13 @@
         })
     }
 
-    /// Runs until the stop command, and returns what was recorded.
+    /// Runs the event loop until the stop command, and returns the records of the clients.
     pub fn run(mut self) -> io::Result<ClientAudit> {
         let mut events = Events::with_capacity(EVENTS_PER_POLL);
         while !self.stopped {
             let wait = self.timers.wait(Instant::now(), MAX_POLL_WAIT);
             wait_for_events(&mut self.poll, &mut events, wait)?;
-            // Due timers go first: the latency of a task counts from when it was due.
+            // Due timers run before events, because the latency of a task counts from when it was due.
             self.run_due_timers()?;
             for event in &events {
                 if event.token() != MAILBOX {
@@ -172,7 +174,7 @@
         Ok(())
     }
 
-    /// Takes a killed placer out of service. Its pending answers are lost with it.
+    /// Takes a killed placer out of service and closes its connections. Its pending answers are lost.
     fn remove_placer(&mut self, placer: PlacerId) -> io::Result<()> {
         if let Some(link) = self.links.get_mut(placer) {
             link.address = None;
@@ -190,7 +192,7 @@
     // ---- Timers ----
 
     fn run_due_timers(&mut self) -> io::Result<()> {
-        // Reads the clock for each timer, so that one that becomes due meanwhile runs now.
+        // The clock is read for each timer, so that a timer that becomes due in the meantime also runs now.
         while let Some((due, event)) = self.timers.pop_due(Instant::now()) {
             match event {
                 TimerEvent::CheckHealth(placer, start_number) => {
--- a/crates/scale-test/src/clients/thread/connections.rs
+++ b/crates/scale-test/src/clients/thread/connections.rs
@@ -11,12 +11,12 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// A set-up whose connection closes within this time of its sending is sent again, once, as the protocol
-/// specifies.
+/// If the connection of a set-up closes within this time after the set-up was sent, the client sends the set-up once
+/// more, as the protocol specifies.
 const RESEND_WINDOW: Duration = Duration::from_millis(50);
 
 impl ClientThread {
-    /// Sends messages on a connection, if there is one.
+    /// Sends messages on the connection in a slot, if there is one, and closes the connection if it has ended.
     pub(super) fn send(
         &mut self,
         slot: Option<usize>,
@@ -33,7 +33,7 @@
         Ok(())
     }
 
-    /// Reads and writes a connection that is ready.
+    /// Reads from and writes to a connection that is ready, and handles the messages that it received.
     pub(super) fn handle_readiness(&mut self, slot: usize) -> io::Result<()> {
         let Some(entry) = self.links.connection(slot) else {
             return Ok(());
@@ -59,7 +59,7 @@
         self.send(Some(slot), &replies, reply_count)
     }
 
-    /// Closes a connection. Its pending set-ups are sent again or closed without an answer.
+    /// Closes a connection. Each set-up pending on it is sent again, or closed without an answer.
     pub(super) fn close(&mut self, slot: usize) -> io::Result<()> {
         let Some(closed) = self.links.close(slot) else {
             return Ok(());
@@ -85,7 +85,7 @@
         Ok(())
     }
 
-    /// Returns whether a placer is killed, or about to be.
+    /// Returns whether a placer has been killed or is about to be killed.
     fn is_killed(&self, placer: PlacerId) -> bool {
         let has_address = self
             .links
--- a/crates/scale-test/src/clients/thread/health_checks.rs
+++ b/crates/scale-test/src/clients/thread/health_checks.rs
@@ -1,4 +1,4 @@
-//! Checks the health of placers, as a load balancer does, and announces running tasks to a placer that is ready.
+//! Checks the health of placers, as a load balancer does, and announces running tasks to a placer once it is ready.
 
 use super::requests::write_set_up;
 use super::{ClientThread, TimerEvent};
@@ -7,13 +7,14 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// The period of health checks until a placer that starts is ready.
+/// The interval between health checks of a placer that has started and is not ready yet.
 const STARTUP_CHECK_PERIOD: Duration = Duration::from_millis(10);
-/// The period of health checks of a placer in service.
+/// The interval between health checks of a placer that is ready.
 const HEALTH_CHECK_PERIOD: Duration = Duration::from_secs(1);
 
 impl ClientThread {
-    /// Sends a health check to a placer and schedules the next, unless the placer was restarted meanwhile.
+    /// Sends a health check to a placer and schedules the next one, unless the placer was killed or restarted since the
+    /// check was scheduled.
     pub(super) fn check_health(&mut self, placer: PlacerId, start_number: u64) -> io::Result<()> {
         let Some(link) = self.links.get(placer) else {
             return Ok(());
@@ -33,7 +34,7 @@
             .links
             .health_check_connection(placer, self.poll.registry())?;
         let is_new = slot.is_some_and(|slot| !slots_before.contains(&slot));
-        // Until the placer is ready, each connection carries one check: the first answer counts.
+        // Until the placer is ready, each connection carries only one check, because the first passed check is enough.
         if is_new || self.links.get(placer).is_some_and(|link| link.is_ready) {
             let mut bytes = Vec::new();
             binary::write_health_check(&mut bytes);
@@ -42,7 +43,7 @@
         Ok(())
     }
 
-    /// Handles a passed check. The first one after a start makes the placer ready.
+    /// Handles a passed health check. The first one after a start makes the placer ready.
     pub(super) fn handle_passed_check(&mut self, placer: PlacerId) -> io::Result<()> {
         let Some(link) = self.links.get_mut(placer) else {
             return Ok(());
@@ -56,7 +57,7 @@
         self.announce_running_tasks(placer)
     }
 
-    /// Announces the running tasks of a placer to it, as their clients do after a restart.
+    /// Sends a placer the set-ups of its running tasks, as their clients do after a restart of the placer.
     fn announce_running_tasks(&mut self, placer: PlacerId) -> io::Result<()> {
         let mut bytes = Vec::new();
         let mut messages = 0;
--- a/crates/scale-test/src/clients/thread/messages.rs
+++ b/crates/scale-test/src/clients/thread/messages.rs
@@ -1,4 +1,4 @@
-//! Handles the messages of placers.
+//! Handles the messages from placers.
 
 use super::ClientThread;
 use crate::clients::tasks::{AnswerEffect, ReleaseEffect, TaskRecord};
@@ -9,7 +9,7 @@
 use crate::wire::{WireError, description};
 use std::io;
 
-/// The reply to a message.
+/// The reply to a message from a placer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Reply {
     Nothing,
@@ -54,10 +54,10 @@
         }
     }
 
-    /// Adds the time to start of a task, if the task counts.
+    /// Records the time to start of a task, if the task is measured and this is its first start.
     fn measure_start(&mut self, id: SetupId) {
         let record = id.parts().and_then(|(task, _)| self.tasks.get(task));
-        // A migrated task was measured at its first start.
+        // A task that has migrated was already measured at its first start.
         if let Some(TaskRecord {
             due: Some(due),
             class,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Removes an answered set-up from the pending ones of its connection.
+    /// Removes an answered or refused set-up from the pending set-ups of its connection.
     fn remove_pending(&mut self, slot: usize, id: SetupId) {
         self.state.waiting = self.state.waiting.saturating_sub(1);
         if let Some(entry) = self.links.connection(slot) {
@@ -91,7 +91,7 @@
     }
 }
 
-/// The index of a class in [`Class::ALL`].
+/// Returns the index of a class in [`Class::ALL`].
 fn class_index(class: Class) -> usize {
     Class::ALL
         .iter()
@@ -99,7 +99,7 @@
         .unwrap_or(0)
 }
 
-/// Takes the complete messages out of a connection's inbox.
+/// Removes the complete messages from a connection's inbox and parses them.
 pub(super) fn read_messages(
     connection: &mut Connection,
 ) -> Result<Vec<(SetupId, PlacerMessage)>, WireError> {
--- a/crates/scale-test/src/clients/thread/requests.rs
+++ b/crates/scale-test/src/clients/thread/requests.rs
@@ -1,4 +1,4 @@
-//! Sends the set-ups of tasks, and closes those that get no answer.
+//! Sends the set-ups of tasks, and closes set-ups that get no answer.
 
 use super::{ClientThread, TimerEvent};
 use crate::clients::ArrivalWindow;
@@ -10,11 +10,11 @@
 use std::io;
 use std::time::{Duration, Instant};
 
-/// How late an answer may be before it counts as missing.
+/// How long after the wait time of its class an answer may arrive before it counts as missing.
 const ANSWER_GRACE: Duration = Duration::from_secs(1);
 
 impl ClientThread {
-    /// Sets the timer of the next arrival, unless it would be after the window.
+    /// Sets the timer of the next arrival, unless it is due at or after the end of the window.
     pub(super) fn schedule_next_arrival(&mut self, window: ArrivalWindow) {
         let Some(arrival) = self.arrivals.next() else {
             return;
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds a task that is due, and sends its set-up.
+    /// Adds a task that is due, sends its set-up to a placer in service, and schedules the next arrival.
     pub(super) fn handle_arrival(&mut self, due: Instant, arrival: &Arrival) -> io::Result<()> {
         let Some(window) = self.window else {
             return Ok(());
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    /// Sends the first set-up of a task's attempt, and starts the wait for its answer.
+    /// Sends the set-up of a new attempt of a task to a placer, and sets the timeout of the answer.
     pub(super) fn set_up(&mut self, task: TaskIndex, placer: PlacerId) -> io::Result<()> {
         let now = Instant::now();
         let Some(id) = self.tasks.record_sent(task, placer, now) else {
@@ -65,7 +65,7 @@
         self.send_set_up(pending, placer)
     }
 
-    /// Sends a pending set-up on the next connection to a placer.
+    /// Sends a set-up on the next pooled connection to a placer. Closes the set-up if there is no connection.
     pub(super) fn send_set_up(
         &mut self,
         pending: PendingSetUp,
@@ -88,14 +88,14 @@
         self.send(slot, &bytes, 1)
     }
 
-    /// Closes a set-up whose wait is over, if it is still the one that was sent at this time.
+    /// Closes a set-up whose answer has timed out, if it still waits and was sent at this time.
     pub(super) fn handle_answer_timeout(&mut self, id: SetupId, sent: Instant) {
         if self.tasks.waiting_since(id) == Some(sent) {
             self.close_unanswered(id, TaskState::Unanswered);
         }
     }
 
-    /// Closes a set-up that gets no answer.
+    /// Closes a set-up without an answer, if it still waits for one.
     pub(super) fn close_unanswered(&mut self, id: SetupId, state: TaskState) {
         if self.tasks.close_unanswered(id, state) {
             self.state.waiting = self.state.waiting.saturating_sub(1);
@@ -103,7 +103,7 @@
     }
 }
 
-/// Writes the set-up of a task; `running_at` is the worker that runs it already.
+/// Writes the set-up of a task. `running_at` is the worker that already runs the task, if any.
 pub(super) fn write_set_up(
     out: &mut Vec<u8>,
     id: SetupId,
--- a/crates/scale-test/src/placer_process.rs
+++ b/crates/scale-test/src/placer_process.rs
@@ -1,4 +1,4 @@
-//! The process of a real placer: its start, kill and restart. Owns the child process and its files.
+//! Starts, kills and restarts the process of a real placer, and writes its configuration and log files.
 
 use crate::error::RunError;
 use crate::identity::PlacerId;
@@ -10,23 +10,23 @@
 use std::process::{Child, Command, Stdio};
 use std::time::Instant;
 
-/// The environment variable with the path of the placer's configuration.
+/// The environment variable that holds the path of the placer's configuration.
 const CONFIG_VARIABLE: &str = "LB_CONFIG";
-/// The number of log lines that an error shows.
+/// The number of log lines that an error message shows.
 const LOG_TAIL_LINES: usize = 12;
 
 /// How to start a placer.
 #[derive(Debug, Clone)]
 pub struct LaunchOptions {
-    /// The placer.
+    /// The placer, whose name the files bear.
     pub placer: PlacerId,
-    /// The path of the program.
+    /// The path of the placer program.
     pub program: PathBuf,
-    /// The folder of its configuration and log.
+    /// The folder of the placer's configuration and log.
     pub folder: PathBuf,
-    /// The address at which it listens.
+    /// The address at which the placer listens.
     pub address: SocketAddr,
-    /// The limit on its descriptors.
+    /// The limit on the placer's open descriptors.
     pub max_descriptors: u64,
 }
 
@@ -54,7 +54,7 @@
         Ok(process)
     }
 
-    /// Kills the process and starts it again with another configuration.
+    /// Kills the process if it is running, and starts it again with a new configuration.
     ///
     /// # Errors
     ///
@@ -83,14 +83,15 @@
             maximum: Some(self.launch.max_descriptors),
         };
         let limited = prlimit(Some(Pid::from_child(&child)), Resource::Nofile, limit);
-        // Stored before the limit is checked, so that the child is killed in any case.
+        // The child is stored before the result of setting the limit is checked, so that it is killed in any case.
         self.child = Some(child);
         limited
             .map_err(io::Error::from)
-            .map_err(RunError::system("limit a placer's descriptors"))?;
+            .map_err(RunError::system("set a placer's descriptor limit"))?;
         Ok(())
     }
 
+    /// Starts the program with its standard error in the log and without inherited settings of a placer.
     fn spawn(&self, config: &Path, log: File) -> io::Result<Child> {
         let mut command = Command::new(&self.launch.program);
         command
@@ -105,7 +106,7 @@
         command.spawn()
     }
 
-    /// Returns the placer.
+    /// Returns the id of the placer.
     pub fn placer(&self) -> PlacerId {
         self.launch.placer
     }
@@ -120,10 +121,10 @@
         self.child.as_ref().map(Child::id)
     }
 
-    /// Kills the process.
+    /// Kills the process, if it is running, and waits for its end.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // Fails if the process has exited by itself.
+            // The kill fails if the process has already exited.
             let _ = child.kill();
             let _ = child.wait();
         }
@@ -141,7 +142,7 @@
         };
         match child
             .try_wait()
-            .map_err(RunError::system("look after a placer"))?
+            .map_err(RunError::system("read the state of a placer's process"))?
         {
             None => Ok(()),
             Some(status) => Err(RunError::PlacerEnded {
--- a/crates/scale-test/src/process_sample.rs
+++ b/crates/scale-test/src/process_sample.rs
@@ -5,15 +5,16 @@
 /// The resource usage of one process.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ProcessSample {
-    /// Processor time since the start of the process, in user and system mode.
+    /// Processor time in user and system mode since the start of the process.
     pub cpu: Duration,
     /// Resident memory, in kB.
     pub rss_kb: u64,
-    /// Resident memory with each shared page divided among the processes that map it, in kB.
+    /// Proportional set size in kB: resident memory with the size of each shared page divided by the number of processes
+    /// that map it.
     pub pss_kb: u64,
     /// Peak resident memory since the start of the process, in kB.
     pub peak_kb: u64,
-    /// Open descriptors.
+    /// Number of open descriptors.
     pub descriptors: usize,
 }
 
--- a/crates/scale-test/src/sample.rs
+++ b/crates/scale-test/src/sample.rs
@@ -1,4 +1,4 @@
-//! The resource usage of a process, read from the Linux kernel.
+//! Reads the resource usage of a process from the Linux kernel.
 
 use std::io;
 use std::time::Duration;
@@ -16,21 +16,23 @@
 /// Bytes in the unit of [`ProcessSample`]'s memory figures.
 const BYTES_PER_KB: u64 = 1024;
 
-/// The field of `smaps_rollup` with the pages that are in memory.
+/// The field of `smaps_rollup` that holds the size of the resident pages.
 const RSS_FIELD: &str = "Rss";
 
-/// The field of `smaps_rollup` with the same pages, each divided by the number of processes that share it.
+/// The field of `smaps_rollup` that holds the size of the resident pages, with each page divided by the number of
+/// processes that share it.
 const PSS_FIELD: &str = "Pss";
 
 /// Samples any process of the same user by its process id.
 ///
-/// CPU time comes from the process's CPU-time clock (`clock_getcpuclockid(3)`): nanoseconds, up to the
-/// moment of the call, and with the threads that have ended. `/proc/PID/stat` counts in ticks of 10 ms, and a
-/// sum over `/proc/PID/task/*/schedstat` loses what ended threads used.
+/// CPU time comes from the process's CPU-time clock (`clock_getcpuclockid(3)`), which counts in nanoseconds up to the
+/// moment of the call and includes threads that have ended. `/proc/PID/stat` counts in ticks of 10 ms, and a
+/// sum over `/proc/PID/task/*/schedstat` omits the time of threads that have ended.
 ///
-/// RSS and PSS come from `/proc/PID/smaps_rollup`. The kernel walks all pages that are mapped by the process,
-/// under the lock that its own mapping calls wait for, so the cost grows with its memory and is partly borne
-/// by the sampled process. Sample at the ends of a measurement, or some times a minute, and not in a tight loop.
+/// RSS and PSS come from `/proc/PID/smaps_rollup`. For each read, the kernel walks all pages that the process maps and
+/// holds the lock that the process's own mapping calls need. The cost therefore grows with the memory of the process
+/// and is partly borne by the sampled process. Sample at the start and the end of a measurement, or a few times a
+/// minute, and not in a tight loop.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ProcSampler;
 
@@ -54,13 +56,13 @@
     }
 }
 
-/// Returns the CPU time of all threads that the process has or had.
+/// Returns the CPU time of all threads of the process, including those that have ended.
 fn cpu_time(pid: i32) -> io::Result<Duration> {
     let clock = clock_getcpuclockid(Pid::from_raw(pid))?;
     Ok(Duration::from(clock.now()?))
 }
 
-/// Returns the totals over all memory maps.
+/// Returns the totals over all memory mappings of the process, by field.
 fn memory_map_totals(process: &Process) -> io::Result<MMapExtension> {
     let rollup = process.smaps_rollup().map_err(io_error)?;
     let total = rollup.memory_map_rollup.into_iter().next();
@@ -69,13 +71,14 @@
         .ok_or_else(|| missing("smaps_rollup"))
 }
 
+/// Returns a field of the totals, in kB.
 fn kilobytes(totals: &MMapExtension, field: &str) -> io::Result<u64> {
     let bytes = totals.map.get(field).ok_or_else(|| missing(field))?;
     Ok(bytes / BYTES_PER_KB)
 }
 
-/// Returns the peak RSS. The kernel merges its counters only now and then, so the peak can lag behind a sample of
-/// the RSS by some pages.
+/// Returns the peak RSS in kB. The kernel merges its counters only from time to time, so the peak can lag behind a
+/// sample of the RSS by some pages.
 fn peak_kb(process: &Process) -> io::Result<u64> {
     let status = process.status().map_err(io_error)?;
     Ok(status.vmhwm.unwrap_or(0))
@@ -84,11 +87,11 @@
 fn missing(field: &str) -> io::Error {
     io::Error::new(
         io::ErrorKind::NotFound,
-        format!("the kernel states no {field} for the process"),
+        format!("the kernel reports no {field} for the process"),
     )
 }
 
-/// Converts an error of the `procfs` crate to an I/O error.
+/// Converts an error of the `procfs` crate to an I/O error, keeping its kind where one corresponds.
 pub(crate) fn io_error(error: ProcError) -> io::Error {
     match error {
         ProcError::NotFound(_) => io::Error::new(io::ErrorKind::NotFound, error),
--- a/crates/scale-test/src/sample/tests.rs
+++ b/crates/scale-test/src/sample/tests.rs
@@ -8,23 +8,24 @@
 use super::ProcSampler;
 use crate::process_sample::Sampler;
 
-/// A shell that waits for its input to end, and is reaped however the test ends.
+/// A shell process that runs until its standard input is closed. Dropping the value closes the input and reaps the
+/// process, also if the test fails.
 struct Shell(Child);
 
 impl Shell {
-    /// Runs the script, and returns once it has printed a line.
+    /// Starts a shell that runs the script, and returns once the script has completed.
     fn start(script: &str) -> Shell {
         let mut child = Command::new("sh")
             .args(["-c", &format!("{script}; echo ready; read wait")])
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
             .spawn()
-            .expect("a shell starts");
+            .expect("start a shell");
         let mut line = String::new();
-        let output = child.stdout.as_mut().expect("its output is piped");
+        let output = child.stdout.as_mut().expect("standard output is piped");
         BufReader::new(output)
             .read_line(&mut line)
-            .expect("its output can be read");
+            .expect("read the output of the shell");
         Shell(child)
     }
 
@@ -90,7 +91,7 @@
         own_thread_cpu() - start
     })
     .join()
-    .expect("the thread ends");
+    .expect("join the thread");
     let after = ProcSampler.sample(pid).expect("a sample").cpu;
     assert!(after - before >= used, "{:?} of {used:?}", after - before);
 }
@@ -103,7 +104,7 @@
 #[test]
 fn open_files_are_counted() {
     let open: Vec<File> = (0..40)
-        .map(|_| File::open("/dev/null").expect("opens"))
+        .map(|_| File::open("/dev/null").expect("open /dev/null"))
         .collect();
     let sample = ProcSampler.sample(std::process::id()).expect("a sample");
     assert!(sample.descriptors >= open.len());
@@ -111,9 +112,9 @@
 
 #[test]
 fn ended_process_is_an_error() {
-    let mut child = Command::new("true").spawn().expect("it starts");
+    let mut child = Command::new("true").spawn().expect("start the process");
     let pid = child.id();
-    child.wait().expect("it ends");
+    child.wait().expect("wait for the process");
     let error = ProcSampler.sample(pid).expect_err("nothing to sample");
     assert_eq!(error.kind(), ErrorKind::NotFound);
 }
--- a/crates/scale-test/src/workers.rs
+++ b/crates/scale-test/src/workers.rs
@@ -85,7 +85,7 @@
     pub zones: u32,
     /// Capacity of each worker, in cores.
     pub cores: f64,
-    /// Memory capacity of each worker, in the unit of the `worker-memory` setting.
+    /// Memory capacity of each worker, in the same unit as the memory of tasks.
     pub memory: f64,
     /// Time from an offer to its answer.
     pub start_time: Duration,
--- a/crates/scale-test/src/workers/task_records.rs
+++ b/crates/scale-test/src/workers/task_records.rs
@@ -26,7 +26,8 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct WorkerAudit {
     tasks: Vec<WorkerTaskRecord>,
-    /// Offers that cannot be parsed, or of a task that the worker already has.
+    /// Offers that cannot be parsed, that no client has requested (their key belongs to no task), or of a task that
+    /// the worker already has.
     pub bad_offers: u64,
     /// Task ends that placers had not acknowledged when the workers stopped.
     pub unacknowledged: u64,
