--- a/crates/scale-test/src/workers/fleet.rs
+++ b/crates/scale-test/src/workers/fleet.rs
@@ -286,7 +286,7 @@
     }
 
     /// Handles a placer's release: withdraws an offer that is not answered yet, or cancels a running task. Returns the
-    /// reply, which is the same if the release is repeated.
+    /// reply, which stays the same for repeated releases until the placer acknowledges the end.
     pub fn release(&mut self, id: ActiveTaskId) -> ReleaseReply {
         let Some(active_task) = self.active_tasks.get(&id).copied() else {
             return ReleaseReply::Nothing;
