--- a/crates/load-test/src/report_table/tasks.rs
+++ b/crates/load-test/src/report_table/tasks.rs
@@ -1,4 +1,4 @@
-//! Writes the tasks of a run.
+//! Writes the tasks of a run as a Parquet table.
 
 use super::error::TableError;
 use super::write::{Column, counts, floats, integers, texts, write_parquet};
@@ -9,8 +9,8 @@
 use std::path::Path;
 use std::sync::Arc;
 
-/// Writes every task of a run as Parquet. Times are microseconds from when the task was due, and empty where there
-/// was none.
+/// Writes every task of a run as Parquet. Times are in microseconds. The columns `started` and `answered` count from when
+/// the task was due, and are empty if the task did not start or was not answered.
 ///
 /// # Errors
 ///
@@ -43,8 +43,8 @@
             floats("cores", tasks().map(|task| task.arrival.cores)),
             floats("memory", tasks().map(|task| task.arrival.memory)),
             integers("life", tasks().map(|task| Some(task.arrival.run_time))),
-            integers("started", tasks().map(|task| task.started)),
-            integers("answered", tasks().map(|task| task.answered)),
+            integers("started", tasks().map(|task| task.start_latency)),
+            integers("answered", tasks().map(|task| task.answer_latency)),
             counts("attempts", tasks().map(|task| task.attempts)),
             counts("refused", tasks().map(|task| task.rejections)),
             integers("placer", tasks().map(|task| placer(task.placer))),
--- a/crates/scale-test/src/clients/tasks.rs
+++ b/crates/scale-test/src/clients/tasks.rs
@@ -4,7 +4,7 @@
 
 use super::arrivals::{Arrival, Arrivals};
 use crate::deployment::Class;
-use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId};
+use crate::identity::{PlacerId, RequestId, TaskIndex, WorkerId};
 use crate::wire::cause;
 use crate::wire::description::TaskShape;
 use crate::workers::RunningTask;
@@ -140,7 +140,7 @@
     }
 
     /// Returns the record of the task of a set-up, if the set-up belongs to the task's latest attempt.
-    fn latest(&mut self, id: SetupId) -> Option<&mut TaskRecord> {
+    fn latest(&mut self, id: RequestId) -> Option<&mut TaskRecord> {
         let (task, attempt) = id.parts()?;
         self.tasks
             .get_mut(task.index())
@@ -153,15 +153,15 @@
         task: TaskIndex,
         placer: PlacerId,
         sent: Instant,
-    ) -> Option<SetupId> {
+    ) -> Option<RequestId> {
         let record = self.tasks.get_mut(task.index())?;
         record.placer = placer;
         record.state = TaskState::Waiting { sent };
-        Some(SetupId::new(task, record.attempt))
+        Some(RequestId::new(task, record.attempt))
     }
 
     /// Records the answer to a set-up, which says at which worker the task runs.
-    pub fn record_answer(&mut self, id: SetupId, worker: WorkerId) -> AnswerEffect {
+    pub fn record_answer(&mut self, id: RequestId, worker: WorkerId) -> AnswerEffect {
         let Some(record) = self.latest(id) else {
             return AnswerEffect::Stale;
         };
@@ -182,7 +182,7 @@
     }
 
     /// Records a release of a task by its placer, with the cause.
-    pub fn record_release(&mut self, id: SetupId, cause: u8) -> ReleaseEffect {
+    pub fn record_release(&mut self, id: RequestId, cause: u8) -> ReleaseEffect {
         let Some(record) = self.latest(id) else {
             return ReleaseEffect::Known;
         };
@@ -206,7 +206,7 @@
 
     /// Begins the next attempt of a task that migrates. Returns the task, or `None` if it was not running or has no
     /// attempt numbers left.
-    pub fn begin_migration(&mut self, id: SetupId) -> Option<TaskIndex> {
+    pub fn begin_migration(&mut self, id: RequestId) -> Option<TaskIndex> {
         let record = self
             .latest(id)
             .filter(|record| matches!(record.state, TaskState::Running(_)))?;
@@ -218,7 +218,7 @@
 
     /// Closes a set-up without an answer by setting the state of its task. Returns whether it was still waiting for an
     /// answer.
-    pub fn close_unanswered(&mut self, id: SetupId, state: TaskState) -> bool {
+    pub fn close_unanswered(&mut self, id: RequestId, state: TaskState) -> bool {
         let waiting = self
             .latest(id)
             .filter(|record| matches!(record.state, TaskState::Waiting { .. }));
@@ -229,7 +229,7 @@
     }
 
     /// Returns when a set-up was sent, if it still waits for an answer.
-    pub fn waiting_since(&self, id: SetupId) -> Option<Instant> {
+    pub fn waiting_since(&self, id: RequestId) -> Option<Instant> {
         let (task, attempt) = id.parts()?;
         match self
             .get(task)
@@ -245,14 +245,14 @@
     pub fn running_at(
         &self,
         placer: PlacerId,
-    ) -> impl Iterator<Item = (SetupId, &TaskRecord, WorkerId)> {
+    ) -> impl Iterator<Item = (RequestId, &TaskRecord, WorkerId)> {
         self.iter()
             .filter(move |(_, record)| record.placer == placer)
             .filter_map(|(task, record)| {
                 let TaskState::Running(worker) = record.state else {
                     return None;
                 };
-                Some((SetupId::new(task, record.attempt), record, worker))
+                Some((RequestId::new(task, record.attempt), record, worker))
             })
     }
 }
--- a/crates/scale-test/src/wire/lines.rs
+++ b/crates/scale-test/src/wire/lines.rs
@@ -1,30 +1,30 @@
-//! The JSON lines that placers and workers exchange. The names in the JSON are those of the protocol.
+//! Codec of the JSON lines that placers and workers exchange. The names in the JSON are those of the protocol.
 
 use super::{MAX_MESSAGE_BYTES, WireError};
-use crate::identity::SetupId;
+use crate::identity::RequestId;
 use serde::Deserialize;
 use std::borrow::Cow;
 use std::io::Write;
 
-/// A message of a placer to a worker.
+/// A message from a placer to a worker.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacerLine {
     /// The offer of a task.
     Offer(Offer),
     /// The withdrawal of an offer, or the cancellation of a running task.
     Release {
-        /// The set-up.
-        id: SetupId,
+        /// The id of the request.
+        id: RequestId,
     },
     /// The acknowledgement of the end of a task.
     EndAcknowledged {
-        /// The set-up.
-        id: SetupId,
+        /// The id of the request.
+        id: RequestId,
     },
     /// A health check of the connection.
     HealthCheck {
-        /// The id that the answer repeats.
-        id: SetupId,
+        /// The id of the health check, which the reply repeats.
+        id: RequestId,
     },
     /// A message that needs no reply.
     Other,
@@ -33,25 +33,25 @@
 /// The offer of a task.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Offer {
-    /// The set-up.
-    pub id: SetupId,
+    /// The id of the request.
+    pub id: RequestId,
     /// The idempotency key of the task.
     pub key: u64,
     /// The description that the client wrote for the worker.
     pub description: String,
 }
 
-/// The resource that a worker lacks.
+/// The resource of which a worker has too little left for a task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoCapacity {
-    /// Not enough cores.
+    /// The worker has not enough free cores.
     Cores,
-    /// Not enough memory.
+    /// The worker has not enough free memory.
     Memory,
 }
 
 impl NoCapacity {
-    /// The `note` of the protocol.
+    /// Returns the protocol's code for the `note` field.
     fn note(self) -> &'static str {
         match self {
             NoCapacity::Cores => "nc",
@@ -78,14 +78,14 @@
     key: Option<Cow<'a, str>>,
 }
 
-/// Reads one line, without its line feed.
+/// Decodes one line, given without its line feed.
 ///
 /// # Errors
 ///
 /// Returns an error if the line is not a message of the protocol.
 pub fn read(line: &[u8]) -> Result<PlacerLine, WireError> {
     let raw: RawLine<'_> = serde_json::from_slice(line).map_err(|_| WireError::BadJson)?;
-    let id = SetupId::parse(&raw.id).ok_or(WireError::BadField("ref"))?;
+    let id = RequestId::parse(&raw.id).ok_or(WireError::BadField("ref"))?;
     Ok(match &*raw.t {
         "new" => {
             let key = raw
@@ -106,11 +106,11 @@
     })
 }
 
-/// Returns the index of the first line feed, if the line is complete.
+/// Returns the index of the first line feed, or `None` if the first line is not complete yet.
 ///
 /// # Errors
 ///
-/// Returns [`WireError::TooLong`] if the first line exceeds the longest message.
+/// Returns [`WireError::TooLong`] if the first line is longer than a message may be.
 pub fn line_end(bytes: &[u8]) -> Result<Option<usize>, WireError> {
     match bytes.iter().position(|byte| *byte == b'\n') {
         Some(end) if end < MAX_MESSAGE_BYTES => Ok(Some(end)),
@@ -119,16 +119,16 @@
     }
 }
 
-/// Writes that a task has started. The description must need no escapes in JSON.
-pub fn up(out: &mut Vec<u8>, id: SetupId, description: &str) {
+/// Appends the message that a task has started. The description must not contain characters that JSON escapes.
+pub fn write_task_started(out: &mut Vec<u8>, id: RequestId, description: &str) {
     write_line(
         out,
         format_args!(r#"{{"t":"up","ref":"{id}","f":{{}},"d":"{description}"}}"#),
     );
 }
 
-/// Writes that a worker lacks a resource for a task.
-pub fn full(out: &mut Vec<u8>, id: SetupId, lacking: NoCapacity) {
+/// Appends the message that a worker refuses a task because it lacks a resource.
+pub fn write_no_capacity(out: &mut Vec<u8>, id: RequestId, lacking: NoCapacity) {
     let note = lacking.note();
     let cause = super::cause::FULL;
     write_line(
@@ -137,16 +137,16 @@
     );
 }
 
-/// Writes the end of a task, or the failure of an offer.
-pub fn down(out: &mut Vec<u8>, id: SetupId, cause: u8) {
+/// Appends the message that a task has ended or an offer has failed, with the cause.
+pub fn write_release(out: &mut Vec<u8>, id: RequestId, cause: u8) {
     write_line(
         out,
         format_args!(r#"{{"t":"down","ref":"{id}","f":{{}},"c":{cause}}}"#),
     );
 }
 
-/// Writes that a health check has passed.
-pub fn health_check_passed(out: &mut Vec<u8>, id: SetupId) {
+/// Appends the message that a health check has passed.
+pub fn write_health_check_passed(out: &mut Vec<u8>, id: RequestId) {
     write_line(
         out,
         format_args!(r#"{{"t":"hb_ok","ref":"{id}","f":{{}},"c":1}}"#),
@@ -154,6 +154,6 @@
 }
 
 fn write_line(out: &mut Vec<u8>, text: std::fmt::Arguments<'_>) {
-    // Writing to memory does not fail.
+    // Writing to a `Vec` never fails.
     let _ = writeln!(out, "{text}");
 }
--- a/crates/scale-test/src/wire/tests.rs
+++ b/crates/scale-test/src/wire/tests.rs
@@ -1,21 +1,21 @@
-//! Messages as on the wire, and bytes that are not messages.
+//! Encoding and decoding of messages, and rejection of bytes that are not messages.
 
 use super::*;
-use crate::identity::{SetupId, TaskIndex, WorkerId};
+use crate::identity::{RequestId, TaskIndex, WorkerId};
 use binary::PlacerMessage;
 use description::TaskShape;
 use feed::{Entry, EventKind, ListedWorker};
 use lines::{NoCapacity, Offer, PlacerLine};
 use std::time::Duration;
 
-fn id() -> SetupId {
-    SetupId::new(TaskIndex(7), 0)
+fn id() -> RequestId {
+    RequestId::new(TaskIndex(7), 0)
 }
 
 #[test]
-fn set_up_has_the_fields_of_the_protocol() {
+fn task_request_has_the_fields_of_the_protocol() {
     let mut out = Vec::new();
-    let set_up = binary::SetUp {
+    let request = binary::TaskRequest {
         id: id(),
         class: "standard",
         wait_ms: 6_000,
@@ -27,7 +27,7 @@
         running_at: Some(WorkerId(12)),
         description: "cores=1",
     };
-    binary::write_set_up(&mut out, &set_up);
+    binary::write_task_request(&mut out, &request);
     assert_eq!(
         usize::from(u16::from_be_bytes([out[0], out[1]])),
         out.len() - 2
@@ -47,8 +47,8 @@
     let answer = answer();
 
     let (found, message, length) = binary::read(&answer)
-        .expect("a message")
-        .expect("a complete one");
+        .expect("a valid message")
+        .expect("a complete message");
 
     assert_eq!((found, length), (id(), answer.len()));
     assert_eq!(message, PlacerMessage::Answer("stands".to_string()));
@@ -86,12 +86,12 @@
     let passed = PlacerMessage::HealthChecked { passed: true };
     assert_eq!(
         binary::read(&checked),
-        Ok(Some((SetupId(u64::MAX), passed, 15)))
+        Ok(Some((RequestId(u64::MAX), passed, 15)))
     );
 }
 
 #[test]
-fn bytes_that_are_no_binary_message_are_an_error() {
+fn invalid_binary_messages_are_errors() {
     assert_eq!(binary::read(&[0, 3, 9]), Err(WireError::BadLength));
     assert_eq!(binary::read(&[0xff, 0xff, 9]), Err(WireError::TooLong));
     let cut = [&[0, 13, 12][..], &[1; 8], &[171, 0, 9, 34]].concat();
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn lines_that_are_no_message_are_an_error() {
+fn invalid_lines_are_errors() {
     for line in [
         &b"\0\xff"[..],
         b"[]",
@@ -147,14 +147,14 @@
 #[test]
 fn lines_of_workers_are_json() {
     let mut out = Vec::new();
-    lines::up(&mut out, id(), &description::write_answer(WorkerId(9)));
-    lines::full(&mut out, id(), NoCapacity::Memory);
-    lines::down(&mut out, id(), cause::NORMAL);
-    lines::health_check_passed(&mut out, id());
-    let text = String::from_utf8(out).expect("text");
+    lines::write_task_started(&mut out, id(), &description::write_answer(WorkerId(9)));
+    lines::write_no_capacity(&mut out, id(), NoCapacity::Memory);
+    lines::write_release(&mut out, id(), cause::NORMAL);
+    lines::write_health_check_passed(&mut out, id());
+    let text = String::from_utf8(out).expect("UTF-8 text");
     let values: Vec<serde_json::Value> = text
         .lines()
-        .map(|line| serde_json::from_str(line).expect("JSON"))
+        .map(|line| serde_json::from_str(line).expect("valid JSON"))
         .collect();
     assert_eq!(values[0]["d"], "worker=w00009");
     assert_eq!(
@@ -166,7 +166,7 @@
 }
 
 #[test]
-fn task_shape_survives_as_a_description() {
+fn task_shape_survives_a_round_trip_as_description() {
     let shape = TaskShape {
         cores: 1.5,
         memory: 2.0,
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn worker_survives_as_an_answer() {
+fn worker_survives_a_round_trip_as_answer() {
     assert_eq!(
         description::read_answer(&description::write_answer(WorkerId(3))),
         Some(WorkerId(3))
@@ -218,7 +218,7 @@
     };
     let mut out = Vec::new();
     feed::write_event(&mut out, 41, EventKind::Delta, [entry, removed].into_iter());
-    let value: serde_json::Value = serde_json::from_slice(&out).expect("JSON");
+    let value: serde_json::Value = serde_json::from_slice(&out).expect("valid JSON");
     assert_eq!(value["n"], 41);
     let hosts = &value["members"]["hosts"];
     assert_eq!(hosts[0]["dial"], "127.16.1.44:20001");
--- a/crates/scale-test/src/workers/connections.rs
+++ b/crates/scale-test/src/workers/connections.rs
@@ -1,6 +1,6 @@
 //! The connections from placers to simulated workers, and the choice of the one on which a worker sends.
 
-use crate::identity::{PlacerId, SetupId, WorkerId};
+use crate::identity::{PlacerId, RequestId, WorkerId};
 use crate::socket::Connection;
 use slab::Slab;
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
     /// The placer that opened the connection.
     pub placer: PlacerId,
     /// Offers received on the connection that are not answered yet.
-    pub pending_offers: Vec<SetupId>,
+    pub pending_offers: Vec<RequestId>,
     /// Whether invalid bytes were sent on the connection.
     pub garbage_sent: bool,
     serial: u64,
--- a/crates/scale-test/src/workers/fleet.rs
+++ b/crates/scale-test/src/workers/fleet.rs
@@ -9,7 +9,7 @@
 use super::task_records::WorkerAudit;
 use super::{RunningTask, WorkerSetup};
 use crate::feeds::FreeResources;
-use crate::identity::{PlacerId, SetupId, TaskIndex, WorkerId};
+use crate::identity::{PlacerId, RequestId, TaskIndex, WorkerId};
 use crate::wire::cause;
 use crate::wire::description::TaskShape;
 use crate::wire::lines::{NoCapacity, Offer};
@@ -66,7 +66,7 @@
     workers: Vec<Worker>,
     active_tasks: HashMap<ActiveTaskId, ActiveTask>,
     /// The tasks whose ends the placer has not acknowledged, by worker and placer.
-    unacknowledged: HashMap<(WorkerId, PlacerId), Vec<SetupId>>,
+    unacknowledged: HashMap<(WorkerId, PlacerId), Vec<RequestId>>,
     unacknowledged_count: usize,
     active_count: usize,
     /// Workers whose free capacity has changed since the last call of [`Fleet::take_changed_resources`].
@@ -104,7 +104,10 @@
                 shape: running.shape,
                 phase: TaskPhase::Running,
             };
-            fleet.add_active((running.worker, SetupId::new(running.task, 0)), active_task);
+            fleet.add_active(
+                (running.worker, RequestId::new(running.task, 0)),
+                active_task,
+            );
             fleet
                 .audit
                 .update(running.task, |record| record.starts += 1);
@@ -346,7 +349,7 @@
 
     /// Returns the ended tasks of a worker whose ends a placer has not acknowledged, with the causes. The ends are sent
     /// again on each new connection.
-    pub fn unacknowledged(&self, worker: WorkerId, placer: PlacerId) -> Vec<(SetupId, u8)> {
+    pub fn unacknowledged(&self, worker: WorkerId, placer: PlacerId) -> Vec<(RequestId, u8)> {
         let ids = self
             .unacknowledged
             .get(&(worker, placer))
--- a/crates/scale-test/src/workers/replies.rs
+++ b/crates/scale-test/src/workers/replies.rs
@@ -1,12 +1,12 @@
 //! The replies of a simulated worker to a placer, and the timers of its tasks.
 
-use crate::identity::{SetupId, WorkerId};
+use crate::identity::{RequestId, WorkerId};
 use crate::wire::lines::NoCapacity;
 use std::time::Duration;
 
 /// Identifies an offer or a task at a worker. The worker is part of the id because one set-up may reach several
 /// workers.
-pub type ActiveTaskId = (WorkerId, SetupId);
+pub type ActiveTaskId = (WorkerId, RequestId);
 
 /// The reply to an offer.
 #[derive(Debug, Clone, Copy, PartialEq)]
