--- a/crates/scale-test/src/audit.rs
+++ b/crates/scale-test/src/audit.rs
@@ -52,7 +52,7 @@
     totals.starts_after_return = worker_audit.starts_after_return;
 }
 
-/// Counts how the set-up request of an arrived task was answered.
+/// Counts how the request for an arrived task was answered.
 fn count_answer(totals: &mut FleetTotals, client_record: &TaskRecord) {
     let count = match client_record.state {
         TaskState::Running(_) | TaskState::Ended(_) => &mut totals.started,
@@ -67,7 +67,7 @@
     *count += 1;
 }
 
-/// Counts a task that workers started more often than its set-up and migrations account for, or that was reported as
+/// Counts a task that workers started more often than its request and migrations account for, or that was reported as
 /// started although no worker started it.
 fn count_starts(
     totals: &mut FleetTotals,
--- a/crates/scale-test/src/clients.rs
+++ b/crates/scale-test/src/clients.rs
@@ -2,7 +2,7 @@
 //!
 //! The arrival time of a task does not depend on any answer, and its time to start is measured from its arrival.
 //! Clients never retry after a refusal, so each arrival is answered at most once. A client whose task migrates sends
-//! the set-up again, as the protocol specifies.
+//! the request again, as the protocol specifies.
 
 mod arrivals;
 mod link;
@@ -59,7 +59,7 @@
     pub ready: Vec<Option<Instant>>,
     /// Number of bytes that wait to be written to placers.
     pub queued: usize,
-    /// Number of set-ups that wait for an answer.
+    /// Number of requests that wait for an answer.
     pub waiting: u64,
     /// Number of tasks that have started.
     pub started: u64,
@@ -67,11 +67,11 @@
     pub refused: u64,
 }
 
-/// The start times of the measured tasks, and the lateness of the clients in sending their set-ups.
+/// The start times of the measured tasks, and the lateness of the clients in sending their requests.
 pub struct Timings {
     /// The times from arrival to answer, by class in the order of [`Class::ALL`].
     pub to_start: [LatencyHistogram; Class::ALL.len()],
-    /// The delays between the time when a task was due and the time when its set-up was sent.
+    /// The delays between the time when a task was due and the time when its request was sent.
     pub lateness: LatencyHistogram,
 }
 
--- a/crates/scale-test/src/clients/link.rs
+++ b/crates/scale-test/src/clients/link.rs
@@ -25,12 +25,12 @@
     },
 }
 
-/// A set-up that waits for its answer.
+/// A request that waits for its answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PendingSetUp {
-    /// The id of the set-up.
+pub struct PendingRequest {
+    /// The id of the request.
     pub id: RequestId,
-    /// Whether the set-up was sent again after its first connection closed.
+    /// Whether the request was sent again after its first connection closed.
     pub is_resent: bool,
 }
 
@@ -42,8 +42,8 @@
     pub placer: PlacerId,
     /// Whether the connection carries health checks or tasks.
     pub purpose: Purpose,
-    /// Set-ups that were sent on the connection and wait for an answer.
-    pub pending: Vec<PendingSetUp>,
+    /// Requests that were sent on the connection and wait for an answer.
+    pub pending: Vec<PendingRequest>,
 }
 
 /// The connections to one placer, and whether it is ready.
--- a/crates/scale-test/src/clients/tasks.rs
+++ b/crates/scale-test/src/clients/tasks.rs
@@ -13,9 +13,9 @@
 /// The state of a task from the view of its client.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskState {
-    /// The set-up was sent and waits for an answer.
+    /// The request was sent and waits for an answer.
     Waiting {
-        /// When the set-up was sent.
+        /// When the request was sent.
         sent: Instant,
     },
     /// The task runs at a worker.
@@ -32,7 +32,7 @@
     ConnectionLost,
     /// The placer was killed before it answered.
     PlacerKilled,
-    /// No set-up was sent for the latest attempt, because no placer was in service or no connection could be opened.
+    /// No request was sent for the latest attempt, because no placer was in service or no connection could be opened.
     NoPlacer,
 }
 
@@ -49,7 +49,7 @@
     pub service: u32,
     /// The resources and the lifetime of the task.
     pub shape: TaskShape,
-    /// The placer to which the latest set-up was sent.
+    /// The placer to which the latest request was sent.
     pub placer: PlacerId,
     /// The number of the latest attempt, counted from 0. Each migration begins a new attempt.
     pub attempt: u8,
@@ -75,7 +75,7 @@
 /// The effect of a release on its task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseEffect {
-    /// The set-up was waiting for an answer, and is now refused or failed.
+    /// The request was waiting for an answer, and is now refused or failed.
     Final,
     /// A running task has ended. The end must be acknowledged.
     Ended,
@@ -139,7 +139,7 @@
         self.tasks.get(task.index())
     }
 
-    /// Returns the record of the task of a set-up, if the set-up belongs to the task's latest attempt.
+    /// Returns the record of the task of a request, if the request belongs to the task's latest attempt.
     fn latest(&mut self, id: RequestId) -> Option<&mut TaskRecord> {
         let (task, attempt) = id.parts()?;
         self.tasks
@@ -147,7 +147,7 @@
             .filter(|record| record.attempt == attempt)
     }
 
-    /// Records that the set-up of a task is sent to a placer at this time. Returns the id of the set-up.
+    /// Records that the request for a task is sent to a placer at this time. Returns the id of the request.
     pub fn record_sent(
         &mut self,
         task: TaskIndex,
@@ -160,7 +160,7 @@
         Some(RequestId::new(task, record.attempt))
     }
 
-    /// Records the answer to a set-up, which says at which worker the task runs.
+    /// Records the answer to a request, which says at which worker the task runs.
     pub fn record_answer(&mut self, id: RequestId, worker: WorkerId) -> AnswerEffect {
         let Some(record) = self.latest(id) else {
             return AnswerEffect::Stale;
@@ -216,7 +216,7 @@
         id.parts().map(|(task, _)| task)
     }
 
-    /// Closes a set-up without an answer by setting the state of its task. Returns whether it was still waiting for an
+    /// Closes a request without an answer by setting the state of its task. Returns whether it was still waiting for an
     /// answer.
     pub fn close_unanswered(&mut self, id: RequestId, state: TaskState) -> bool {
         let waiting = self
@@ -228,7 +228,7 @@
         })
     }
 
-    /// Returns when a set-up was sent, if it still waits for an answer.
+    /// Returns when a request was sent, if it still waits for an answer.
     pub fn waiting_since(&self, id: RequestId) -> Option<Instant> {
         let (task, attempt) = id.parts()?;
         match self
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Returns the running tasks whose latest set-up was sent to a placer, with their set-up ids and workers.
+    /// Returns the running tasks whose latest request was sent to a placer, with their request ids and workers.
     pub fn running_at(
         &self,
         placer: PlacerId,
--- a/crates/scale-test/src/clients/tasks/tests.rs
+++ b/crates/scale-test/src/clients/tasks/tests.rs
@@ -7,7 +7,7 @@
 const PLACER: PlacerId = PlacerId(1);
 const WORKER: WorkerId = WorkerId(5);
 
-/// Returns a table with one task that waits for its answer, and the id of its set-up.
+/// Returns a table with one task that waits for its answer, and the id of its request.
 fn waiting() -> (TaskTable, RequestId) {
     let settings = Settings::default();
     let mut arrivals = Arrivals::new(&settings);
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn unanswered_set_up_is_closed_only_once() {
+fn unanswered_request_is_closed_only_once() {
     let (mut table, id) = waiting();
 
     assert!(table.close_unanswered(id, TaskState::PlacerKilled));
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn answer_to_a_closed_set_up_is_stale() {
+fn answer_to_a_closed_request_is_stale() {
     let (mut table, id) = waiting();
     table.close_unanswered(id, TaskState::PlacerKilled);
 
--- a/crates/scale-test/src/clients/thread.rs
+++ b/crates/scale-test/src/clients/thread.rs
@@ -1,6 +1,6 @@
 //! The event loop of the simulated clients.
 //!
-//! The loop sends set-ups when they are due, reads messages from placers, and checks the health of placers.
+//! The loop sends requests when they are due, reads messages from placers, and checks the health of placers.
 //! [`TaskTable`] keeps the outcome of each task.
 
 mod connections;
@@ -51,7 +51,7 @@
     CheckHealth(PlacerId, u64),
     /// The arrival of a task.
     TaskArrives(Arrival),
-    /// The timeout of the answer to a set-up that was sent at this time.
+    /// The timeout of the answer to a request that was sent at this time.
     AnswerTimeout(RequestId, Instant),
 }
 
--- a/crates/scale-test/src/clients/thread/connections.rs
+++ b/crates/scale-test/src/clients/thread/connections.rs
@@ -2,7 +2,7 @@
 
 use super::ClientThread;
 use super::messages::{Reply, read_messages};
-use crate::clients::link::PendingSetUp;
+use crate::clients::link::PendingRequest;
 use crate::clients::tasks::TaskState;
 use crate::identity::PlacerId;
 use crate::socket::Liveness;
@@ -11,7 +11,7 @@
 use std::sync::atomic::Ordering;
 use std::time::Duration;
 
-/// If the connection of a set-up closes within this time after the set-up was sent, the client sends the set-up once
+/// If the connection of a request closes within this time after the request was sent, the client sends the request once
 /// more, as the protocol specifies.
 const RESEND_WINDOW: Duration = Duration::from_millis(50);
 
@@ -59,7 +59,7 @@
         self.send(Some(slot), &replies, reply_count)
     }
 
-    /// Closes a connection. Each set-up pending on it is sent again, or closed without an answer.
+    /// Closes a connection. Each request pending on it is sent again, or closed without an answer.
     pub(super) fn close(&mut self, slot: usize) -> io::Result<()> {
         let Some(closed) = self.links.close(slot) else {
             return Ok(());
@@ -73,11 +73,11 @@
             if is_killed {
                 self.close_unanswered(pending.id, TaskState::PlacerKilled);
             } else if !pending.is_resent && sent.elapsed() <= RESEND_WINDOW {
-                let resent = PendingSetUp {
+                let resent = PendingRequest {
                     is_resent: true,
                     ..pending
                 };
-                self.send_set_up(resent, placer)?;
+                self.send_request(resent, placer)?;
             } else {
                 self.close_unanswered(pending.id, TaskState::ConnectionLost);
             }
--- a/crates/scale-test/src/clients/thread/health_checks.rs
+++ b/crates/scale-test/src/clients/thread/health_checks.rs
@@ -1,6 +1,6 @@
 //! Checks the health of placers, as a load balancer does, and announces running tasks to a placer once it is ready.
 
-use super::requests::write_set_up;
+use super::requests::write_request;
 use super::{ClientThread, TimerEvent};
 use crate::identity::PlacerId;
 use crate::wire::binary;
@@ -57,12 +57,12 @@
         self.announce_running_tasks(placer)
     }
 
-    /// Sends a placer the set-ups of its running tasks, as their clients do after a restart of the placer.
+    /// Sends a placer the requests for its running tasks, as their clients do after a restart of the placer.
     fn announce_running_tasks(&mut self, placer: PlacerId) -> io::Result<()> {
         let mut bytes = Vec::new();
         let mut messages = 0;
         for (id, record, worker) in self.tasks.running_at(placer) {
-            write_set_up(&mut bytes, id, record, Some(worker), &self.tenant_names);
+            write_request(&mut bytes, id, record, Some(worker), &self.tenant_names);
             messages += 1;
         }
         if messages == 0 {
--- a/crates/scale-test/src/clients/thread/messages.rs
+++ b/crates/scale-test/src/clients/thread/messages.rs
@@ -33,7 +33,7 @@
             PlacerMessage::Release(cause) => return Ok(self.handle_release(slot, id, cause)),
             PlacerMessage::Migrate => {
                 if let Some(task) = self.tasks.begin_migration(id) {
-                    self.set_up(task, placer)?;
+                    self.send_new_request(task, placer)?;
                 }
             }
             PlacerMessage::HealthChecked { passed: true } => self.handle_passed_check(placer)?,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Removes an answered or refused set-up from the pending set-ups of its connection.
+    /// Removes an answered or refused request from the pending requests of its connection.
     fn remove_pending(&mut self, slot: usize, id: RequestId) {
         self.state.waiting = self.state.waiting.saturating_sub(1);
         if let Some(entry) = self.links.connection(slot) {
--- a/crates/scale-test/src/clients/thread/requests.rs
+++ b/crates/scale-test/src/clients/thread/requests.rs
@@ -1,9 +1,9 @@
-//! Sends the set-ups of tasks, and closes set-ups that get no answer.
+//! Sends the requests for tasks, and closes requests that get no answer.
 
 use super::{ClientThread, TimerEvent};
 use crate::clients::ArrivalWindow;
 use crate::clients::arrivals::Arrival;
-use crate::clients::link::PendingSetUp;
+use crate::clients::link::PendingRequest;
 use crate::clients::tasks::{TaskRecord, TaskState};
 use crate::identity::{PlacerId, RequestId, TaskIndex, WorkerId};
 use crate::wire::binary::{self, TaskRequest};
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds a task that is due, sends its set-up to a placer in service, and schedules the next arrival.
+    /// Adds a task that is due, sends its request to a placer in service, and schedules the next arrival.
     pub(super) fn handle_arrival(&mut self, due: Instant, arrival: &Arrival) -> io::Result<()> {
         let Some(window) = self.window else {
             return Ok(());
@@ -36,7 +36,7 @@
             return Ok(());
         };
         if let Some(placer) = self.links.choose_in_service(arrival.placer_choice) {
-            self.set_up(task, placer)?;
+            self.send_new_request(task, placer)?;
         }
         if measured {
             let lateness = Instant::now().saturating_duration_since(due);
@@ -45,8 +45,8 @@
         Ok(())
     }
 
-    /// Sends the set-up of a new attempt of a task to a placer, and sets the timeout of the answer.
-    pub(super) fn set_up(&mut self, task: TaskIndex, placer: PlacerId) -> io::Result<()> {
+    /// Sends the request for a new attempt of a task to a placer, and sets the timeout of the answer.
+    pub(super) fn send_new_request(&mut self, task: TaskIndex, placer: PlacerId) -> io::Result<()> {
         let now = Instant::now();
         let Some(id) = self.tasks.record_sent(task, placer, now) else {
             return Ok(());
@@ -58,17 +58,17 @@
         let timeout = TimerEvent::AnswerTimeout(id, now);
         self.timers.add(now + wait + ANSWER_GRACE, timeout);
         self.state.waiting += 1;
-        let pending = PendingSetUp {
+        let pending = PendingRequest {
             id,
             is_resent: false,
         };
-        self.send_set_up(pending, placer)
+        self.send_request(pending, placer)
     }
 
-    /// Sends a set-up on the next pooled connection to a placer. Closes the set-up if there is no connection.
-    pub(super) fn send_set_up(
+    /// Sends a request on the next pooled connection to a placer. Closes the request if there is no connection.
+    pub(super) fn send_request(
         &mut self,
-        pending: PendingSetUp,
+        pending: PendingRequest,
         placer: PlacerId,
     ) -> io::Result<()> {
         let id = pending.id;
@@ -76,7 +76,7 @@
             return Ok(());
         };
         let mut bytes = Vec::new();
-        write_set_up(&mut bytes, id, record, None, &self.tenant_names);
+        write_request(&mut bytes, id, record, None, &self.tenant_names);
         let slot = self
             .links
             .next_task_connection(placer, self.poll.registry())?;
@@ -88,14 +88,14 @@
         self.send(slot, &bytes, 1)
     }
 
-    /// Closes a set-up whose answer has timed out, if it still waits and was sent at this time.
+    /// Closes a request whose answer has timed out, if it still waits and was sent at this time.
     pub(super) fn handle_answer_timeout(&mut self, id: RequestId, sent: Instant) {
         if self.tasks.waiting_since(id) == Some(sent) {
             self.close_unanswered(id, TaskState::Unanswered);
         }
     }
 
-    /// Closes a set-up without an answer, if it still waits for one.
+    /// Closes a request without an answer, if it still waits for one.
     pub(super) fn close_unanswered(&mut self, id: RequestId, state: TaskState) {
         if self.tasks.close_unanswered(id, state) {
             self.state.waiting = self.state.waiting.saturating_sub(1);
@@ -103,8 +103,8 @@
     }
 }
 
-/// Writes the set-up of a task. `running_at` is the worker that already runs the task, if any.
-pub(super) fn write_set_up(
+/// Writes the request for a task. `running_at` is the worker that already runs the task, if any.
+pub(super) fn write_request(
     out: &mut Vec<u8>,
     id: RequestId,
     record: &TaskRecord,
--- a/crates/scale-test/src/results.rs
+++ b/crates/scale-test/src/results.rs
@@ -55,27 +55,27 @@
     pub started: u64,
     /// Arrived tasks that were refused.
     pub refused: u64,
-    /// Arrived tasks whose set-up request failed.
+    /// Arrived tasks whose request failed.
     pub failed: u64,
     /// Arrived tasks whose placer was killed before it answered.
     #[serde(rename = "cut")]
     pub placer_killed: u64,
     /// Tasks that arrived when no placer was in service.
     pub no_placer: u64,
-    /// Tasks whose set-up request was never answered, or whose end was not reported to the client although neither the
+    /// Tasks whose request was never answered, or whose end was not reported to the client although neither the
     /// client nor a kill of the placer caused that.
     pub lost: u64,
     /// Tasks whose end was not reported to the client because the placer was killed shortly before it sent the report.
     pub lost_with_placer: u64,
     /// Tasks reported as ended while a worker still ran them.
     pub ended_wrongly: u64,
-    /// Tasks whose set-up request was answered more than once.
+    /// Tasks whose request was answered more than once.
     pub answered_twice: u64,
     /// Tasks reported as started although no worker started them.
     pub never_started: u64,
-    /// Non-idempotent tasks that were started more often than set-up and migrations account for.
+    /// Non-idempotent tasks that were started more often than their request and migrations account for.
     pub started_twice: u64,
-    /// Idempotent tasks that were started more often than set-up and migrations account for, which is allowed.
+    /// Idempotent tasks that were started more often than their request and migrations account for, which is allowed.
     #[serde(rename = "started_again")]
     pub restarted: u64,
     /// Migrations of tasks by placers.
@@ -100,7 +100,7 @@
     pub all_start_times: Percentiles,
     /// Times from arrival to start of the measured tasks, by class.
     pub start_times: Vec<ClassTimes>,
-    /// The lateness of the load generator: the time from when a task was due until its set-up request was sent.
+    /// The lateness of the load generator: the time from when a task was due until its request was sent.
     pub lateness: Percentiles,
     /// The lateness of the workers, over the whole run: the time from when an answer was due until it was sent.
     pub worker_lateness: Percentiles,
--- a/crates/scale-test/src/run.rs
+++ b/crates/scale-test/src/run.rs
@@ -56,7 +56,7 @@
     pub started: u64,
     /// Number of tasks that were refused, or failed before their start, so far.
     pub refused: u64,
-    /// Number of set-ups that wait for an answer.
+    /// Number of requests that wait for an answer.
     pub waiting: u64,
     /// Number of tasks that start or run at workers.
     pub active_tasks: usize,
--- a/crates/scale-test/src/sweep_runner.rs
+++ b/crates/scale-test/src/sweep_runner.rs
@@ -31,11 +31,11 @@
          {ended_wrongly} ended wrongly, {never_started} never started"
     )]
     RuleBroken {
-        /// Tasks whose set-up request was never answered, or whose end was not reported.
+        /// Tasks whose request was never answered, or whose end was not reported.
         lost: u64,
         /// Non-idempotent tasks that were started twice.
         started_twice: u64,
-        /// Tasks whose set-up request was answered twice.
+        /// Tasks whose request was answered twice.
         answered_twice: u64,
         /// Tasks reported as ended while a worker still ran them.
         ended_wrongly: u64,
--- a/crates/scale-test/src/workers/replies.rs
+++ b/crates/scale-test/src/workers/replies.rs
@@ -4,7 +4,7 @@
 use crate::wire::lines::NoCapacity;
 use std::time::Duration;
 
-/// Identifies an offer or a task at a worker. The worker is part of the id because one set-up may reach several
+/// Identifies an offer or a task at a worker. The worker is part of the id because one request may reach several
 /// workers.
 pub type ActiveTaskId = (WorkerId, RequestId);
 
