--- a/crates/scale-test/src/audit/tests.rs
+++ b/crates/scale-test/src/audit/tests.rs
@@ -36,12 +36,12 @@
         .add(&arrival, Instant::now(), true)
         .expect("task table should have room");
     let id = tasks
-        .sent(task, PLACER, Instant::now())
+        .record_sent(task, PLACER, Instant::now())
         .expect("task should exist");
     for message in received {
         match message {
-            Received::Answer => drop(tasks.answered(id, WorkerId(0))),
-            Received::Release(cause) => drop(tasks.released(id, *cause)),
+            Received::Answer => drop(tasks.record_answer(id, WorkerId(0))),
+            Received::Release(cause) => drop(tasks.record_release(id, *cause)),
         }
     }
     let mut worker_audit = WorkerAudit::default();
--- a/crates/scale-test/src/workers/fleet/zone_faults.rs
+++ b/crates/scale-test/src/workers/fleet/zone_faults.rs
@@ -4,7 +4,7 @@
 use crate::identity::{WorkerId, ZoneId};
 
 impl Fleet {
-    /// Crashes all workers of a zone. Their tasks and their unacknowledged ends are lost.
+    /// Crashes all workers of a zone. Their tasks and the ends that are not acknowledged are lost.
     pub fn crash_zone(&mut self, zone: ZoneId) {
         let zones = self.setup.zones;
         let is_lost = |id: &ActiveTaskId| id.0.zone(zones) == zone;
@@ -25,8 +25,8 @@
             self.unacknowledged_count -= if keep { 0 } else { ids.len() };
             keep
         });
-        self.for_each_in_zone(zone, |worker| worker.is_removed = true);
-        // A crashed machine does not report that its capacity became free.
+        self.for_each_in_zone(zone, |worker| worker.is_down = true);
+        // A crashed worker cannot report that its capacity became free.
         self.changed.retain(|worker| worker.zone(zones) != zone);
     }
 
@@ -35,7 +35,7 @@
         let restored = Worker {
             free_cores: self.setup.cores,
             free_memory: self.setup.memory,
-            is_removed: false,
+            is_down: false,
             is_restored: true,
         };
         self.for_each_in_zone(zone, |worker| *worker = restored);
@@ -46,6 +46,7 @@
         self.changed.extend(in_zone);
     }
 
+    /// Applies a change to each worker of a zone. Workers are assigned to zones in turn, by index.
     fn for_each_in_zone(&mut self, zone: ZoneId, change: impl Fn(&mut Worker)) {
         let step = self.setup.zones.max(1) as usize;
         self.workers
