--- a/src/placement/admission.rs
+++ b/src/placement/admission.rs
@@ -5,8 +5,8 @@
 use crate::types::{Action, Limit, Micros, RequestId, Task};
 
 impl Placer {
-    /// Returns whether a request is admitted. All placers shed the same tasks. A shed task is not counted as an
-    /// arrival.
+    /// Returns whether a request is admitted. All placers shed the same tasks, because they compare the same rank of a
+    /// task with the imposed limit. A shed task is not counted as an arrival.
     pub(super) fn admits(&self, task: &Task) -> bool {
         task.shed_rank < self.limits.admission.admit_below
     }
@@ -82,8 +82,9 @@
 
     /// Returns the Retry-After of a rejection in microseconds, or 0 if rejections may not carry one.
     ///
-    /// It is the one that the task brings with it, or else one shortest latency objective. By then the attempts that
-    /// are in flight now have had time to start; a retry before that would find nothing changed.
+    /// The value is the Retry-After that the task carries, or else one shortest latency objective, limited to what
+    /// clients honour. By then the attempts that are in flight now have had time to start; a client that retries sooner
+    /// would be rejected again.
     pub(super) fn retry_after(&self, task: &Task) -> Micros {
         if !self.settings.allows_retry_after {
             return 0;
--- a/src/placement/arrival_rate.rs
+++ b/src/placement/arrival_rate.rs
@@ -7,7 +7,8 @@
 const MIN_ARRIVALS: usize = 6;
 
 impl Placer {
-    /// Returns the tasks that arrive at all placers within one shortest latency objective, in mean tasks.
+    /// Returns the estimated size of all tasks that arrive at all placers within one shortest latency objective, as a
+    /// multiple of the size of a mean task.
     ///
     /// Assumes that as many tasks arrive at every other placer as at this one.
     pub(super) fn arrivals_at_all_placers(&mut self) -> f64 {
--- a/src/placement/attempts.rs
+++ b/src/placement/attempts.rs
@@ -128,7 +128,8 @@
         });
     }
 
-    /// Returns the time before which a load change that this placer caused is included in every report still to come.
+    /// Returns the time before which changes of a host's load caused by this placer are old enough to be included in
+    /// every load report that arrives from now on.
     fn oldest_relevant_change(&self) -> Micros {
         self.now - REMEMBERED_LIST_LAGS * self.list_lag()
     }
@@ -281,8 +282,8 @@
         }
     }
 
-    /// Raises the known load of a host to its limit in the resource that it lacks. Called when the host rejects a task
-    /// for want of that resource, which shows that the known load was too low.
+    /// Raises the known load of a host to its limit in the resource (cores or memory) that it lacks. Called when the
+    /// host rejects a task for want of that resource, which shows that the known load was too low.
     fn mark_full(&mut self, index: HostIndex, detail: OutcomeDetail) {
         let accepted = self.accepted_resources(&self.hosts.hosts[index]);
         let host = self.hosts.mark_changed(index);
--- a/src/placement/concurrency_window.rs
+++ b/src/placement/concurrency_window.rs
@@ -57,7 +57,7 @@
         self.finish_attempt_in_flight(host, change);
     }
 
-    /// Records that an attempt is no longer in flight, and changes the host's window by this much within its bounds.
+    /// Records that an attempt is no longer in flight, and adds `change` to the host's window, clamped to its bounds.
     fn finish_attempt_in_flight(&mut self, index: HostIndex, change: f64) {
         let host = &mut self.hosts.hosts[index];
         host.in_flight = host.in_flight.saturating_sub(1);
--- a/src/placement/eligibility.rs
+++ b/src/placement/eligibility.rs
@@ -13,15 +13,16 @@
 /// A host is crowded if its fullness with the task exceeds the working set's mean fullness times this factor. If a
 /// preferred member is crowded, the next member in the service's ranking is eligible too.
 const CROWDED_FACTOR: f64 = 1.35;
-/// A task is heavy if its size, the average over cores and memory, exceeds this many mean tasks. SCD counts load in
-/// mean tasks and so does not account for the size of such a task.
+/// A task is heavy if its size exceeds this multiple of the size of a mean task, averaged over cores and memory.
+/// Stochastic coordination (SCD) counts every task as one mean task and so does not account for the size of a heavy
+/// one.
 const HEAVY_TASK_SIZE: f64 = 4.0;
 /// A retry with an idempotency key is sent only within the time that hosts remember the key, divided by this.
 const KEY_WINDOW_DIVISOR: i64 = 2;
-/// Lower bound of the mean task's cores and memory, which avoids a division by zero.
+/// Lower bound of the mean cores and memory of a task, which avoids a division by zero.
 const MIN_MEAN: f64 = 1e-9;
 
-/// The hosts that may get a task if all hosts ejected for one of `avoided_scopes` are left out.
+/// The hosts that may get a task, without those that are ejected for one of `avoided_scopes`.
 struct Candidates<'a> {
     placer: &'a Placer,
     record: &'a TaskRecord,
@@ -61,7 +62,7 @@
             .fullness_with(self.host(index), self.record.requested())
     }
 
-    /// Returns the candidates on which this placer has tasks of the same service already.
+    /// Returns the candidate hosts on which this placer already has tasks of the same service.
     fn with_service(&self) -> Vec<HostIndex> {
         let hosts = self.placer.tasks.hosts_of_service(self.record.task.service);
         hosts
@@ -70,7 +71,7 @@
             .collect()
     }
 
-    /// Returns the candidates among the members that the service prefers, best first.
+    /// Returns the candidate hosts among the working-set members that the service prefers, best first.
     fn with_affinity(&self) -> Vec<HostIndex> {
         let hosts = self
             .placer
@@ -81,8 +82,8 @@
         hosts.filter(|index| self.is_candidate(*index)).collect()
     }
 
-    /// Returns the preferred members up to the first one that is not crowded, together with the members on which the
-    /// service runs.
+    /// Returns the working-set members that the service prefers, up to the first one that is not crowded, together with
+    /// the members on which the service runs.
     fn affinity_tier(
         &self,
         preferred: &[HostIndex],
@@ -99,7 +100,7 @@
         tier.into_iter().collect()
     }
 
-    /// Returns the first tier of candidates that is not empty; no hosts if all are empty.
+    /// Returns the candidate hosts of the first tier that has any, or no hosts if all tiers are empty.
     fn first_nonempty_tier(&self) -> Vec<HostIndex> {
         if !self.placer.is_heavy(self.record.requested()) {
             let with_service = self.with_service();
--- a/src/placement/endpoints.rs
+++ b/src/placement/endpoints.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Returns the assumed age of the information in the endpoint list, in microseconds.
+    /// Returns the assumed lag of the endpoint list: how old its information is when it arrives, in microseconds.
     pub(super) fn list_lag(&self) -> Micros {
         let span = if self.settings.max_time_unsubscribed > 0 {
             self.settings.max_time_unsubscribed
--- a/src/placement/health_checks.rs
+++ b/src/placement/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks, which return ejected hosts to service and refresh old load reports.
+//! Health checks, which are sent to return ejected hosts to service and to refresh old load reports.
 
 use super::placer::Placer;
 use crate::state::hosts::{Host, HostIndex};
@@ -10,14 +10,15 @@
 const STALE_OBJECTIVES: i64 = 2;
 
 impl Placer {
-    /// Adds the credit of one new task for health checks. The credit is limited to one health check per known host.
+    /// Adds the number of health checks that one new task pays for to the credit for refreshing load reports. The
+    /// credit is limited to one health check per known host.
     pub(super) fn add_health_check_credit(&mut self) {
         let max_credit = self.hosts.hosts.len() as f64;
         self.health_check_credit = (self.health_check_credit + CHECKS_PER_TASK).min(max_credit);
     }
 
-    /// Sends health checks to ejected hosts, and then uses the credit to refresh the oldest load reports of the working
-    /// set.
+    /// Sends health checks to ejected hosts, and then, as far as the credit earned by new tasks allows, to the members
+    /// of the working set with the oldest load reports.
     pub(super) fn send_health_checks(&mut self, actions: &mut Vec<Action>) {
         if !self.settings.allows_health_checks {
             return;
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Returns the members without a recent load report or health check, oldest first, with the time of the later of
-    /// the two.
+    /// Returns the members of the working set without a recent load report or health check, each with the time of its
+    /// latest one, oldest first.
     fn stale_members(&self) -> Vec<(Micros, HostIndex)> {
         let last_known = |host: &Host| match host.load_known_as_of {
             Some(as_of) => as_of.max(host.last_health_check),
--- a/src/placement/load_estimate.rs
+++ b/src/placement/load_estimate.rs
@@ -5,7 +5,8 @@
 use crate::state::hosts::Host;
 use crate::types::{KindId, ResourceKind, Resources};
 
-/// Weight of the assumed usage ratio against reported usage, in mean tasks.
+/// Weight of the assumed usage ratio against the usage that hosts report, as the number of reported tasks of mean size
+/// that would count as much.
 const ASSUMPTION_WEIGHT: f64 = 10.0;
 /// Lower bound of the learned ratio of used to requested resources.
 const MIN_USAGE_RATIO: f64 = 0.05;
@@ -18,7 +19,7 @@
 /// evict tasks.
 const FULL_MEMORY: f64 = 0.75;
 /// A host counts as full when tasks request this fraction of the resources that it accepts. The fraction is below 1
-/// because the known load of a host is out of date.
+/// because the load that this placer knows is out of date.
 const FULL_REQUESTED: f64 = 0.95;
 /// Lower bound of sizes, so that no setting leads to a division by zero.
 const MIN_SIZE: f64 = 1e-9;
@@ -55,7 +56,8 @@
         }
     }
 
-    /// Returns the size of a host: its cores divided by those of the mean task. This is mu in the notation of SCD.
+    /// Returns the size of a host: its cores divided by the mean cores that a task requests. This is mu in the notation
+    /// of stochastic coordination (SCD).
     pub(super) fn size_in_tasks(&self, host: &Host) -> f64 {
         self.host_size(host.kind).cores / self.settings.mean_cores.max(MIN_SIZE)
     }
@@ -83,14 +85,14 @@
             .fold(1.0, f64::min)
     }
 
-    /// Returns the fullness that a host would have if tasks requested this much more on it. From a fullness of 1 on,
+    /// Returns the fullness that a host would have if its tasks requested `more` in addition. From a fullness of 1 on,
     /// the host's tasks are impaired.
     pub(super) fn fullness_with(&self, host: &Host, more: Resources) -> f64 {
         self.fullness_at(host, host.requested() + more, self.usage_ratio())
     }
 
-    /// Returns the fullness of a host for the given requested resources and ratio of used to requested resources. It is
-    /// the fullness with regard to the host's tightest limit.
+    /// Returns the fullness of a host for the given requested resources and ratio of used to requested resources.
+    /// Fullness is the largest ratio of load to limit over used and requested cores and memory.
     pub(super) fn fullness_at(
         &self,
         host: &Host,
@@ -109,12 +111,13 @@
         .fold(0.0, f64::max)
     }
 
-    /// Returns whether a host still accepts tasks if they request this much more in total.
+    /// Returns whether a host accepts tasks that together request `requested` in addition to its present tasks.
     pub(super) fn fits(&self, host: &Host, requested: Resources) -> bool {
         (host.requested() + requested).fits_in(self.accepted_resources(host))
     }
 
-    /// Returns the load of a host in mean tasks: its fullness, converted to cores. This is q in the notation of SCD.
+    /// Returns the load of a host, as a number of tasks of mean size: its fullness converted to cores. This is q in the
+    /// notation of stochastic coordination (SCD).
     pub(super) fn load_in_tasks(&self, host: &Host) -> f64 {
         let fullness = self.fullness_with(host, Resources::default());
         fullness * self.size_in_tasks(host) * self.full_service_utilization()
--- a/src/placement/outlier_ejection.rs
+++ b/src/placement/outlier_ejection.rs
@@ -19,8 +19,8 @@
 /// objective, whichever is longer.
 const HOST_EJECTION_MULTIPLE: i64 = 2;
 /// Length of the first ejection of a host for one class or tenant, as a multiple of the connect timeout or the shortest
-/// latency objective, whichever is longer. It exceeds that for a whole host because no health check shows when the host
-/// serves the class or tenant again.
+/// latency objective, whichever is longer. It is longer than the ejection of a whole host, because no health check
+/// shows when the host serves the class or tenant again.
 const CLASS_EJECTION_MULTIPLE: i64 = 16;
 /// The ejection time is doubled at most this many times.
 const MAX_EJECTION_DOUBLINGS: u32 = 6;
--- a/src/placement/placer.rs
+++ b/src/placement/placer.rs
@@ -20,12 +20,12 @@
 
 /// Makes the decisions of one placer, without any I/O. The same settings, seed and events give the same actions.
 ///
-/// Every time span is a multiple of a setting, so the constants in the modules of the decisions are dimensionless.
+/// Every time span is a multiple of a setting, so the constants in this module and its siblings are dimensionless.
 pub struct Placer {
     pub(super) settings: Settings,
     rng: ChaCha8Rng,
     pub(super) now: Micros,
-    /// Time of the first event. Attempts that an earlier process of this placer sent before it are unknown.
+    /// Time of the first event. Attempts that an earlier process of this placer sent before this time are unknown.
     pub(super) started_at: Option<Micros>,
     /// The shortest latency objective of all classes, in microseconds and at least one tick. Most time spans are
     /// multiples of it.
@@ -37,12 +37,12 @@
     pub(super) limits: ImposedLimits,
     pub(super) arrivals: ArrivalHistory,
     pub(super) working_set: WorkingSet,
-    /// Health checks that may be sent now to refresh load reports.
+    /// Number of health checks that may be sent now to refresh load reports; each new task adds to it.
     pub(super) health_check_credit: f64,
     pub(super) subscription: Subscription,
     /// When the placer shuts down, if a shutdown was requested. Later deadlines of new requests are moved to this time.
     pub(super) shutdown_at: Option<Micros>,
-    /// Whether the first tick has been scheduled.
+    /// Whether the first of the periodic ticks has been scheduled; each tick then schedules the next one.
     is_ticking: bool,
 }
 
--- a/src/placement/requests.rs
+++ b/src/placement/requests.rs
@@ -1,4 +1,4 @@
-//! Requests: their arrival, and the one final response that each of them gets in time.
+//! Handles the arrival of requests, and sends each of them one final response by its deadline.
 
 use super::placer::Placer;
 use crate::state::tasks::TaskRecord;
@@ -35,7 +35,8 @@
         self.try_attempt(&task.id, actions);
     }
 
-    /// Starts a graceful shutdown: every request that is not placed within this time gets its final response then.
+    /// Starts a graceful shutdown: every request that is not placed `within` microseconds from now gets its final
+    /// response at that time.
     pub(super) fn shutdown_requested(&mut self, within: Micros, actions: &mut Vec<Action>) {
         self.shutdown_at = Some(self.now + within);
         let records = self.tasks.records.iter();
--- a/src/placement/retry.rs
+++ b/src/placement/retry.rs
@@ -1,4 +1,4 @@
-//! Retry rules: whether a retry, a rejection or further waiting may follow the attempts made so far.
+//! Retry rules: whether a request may be retried, may be rejected or has to wait after the attempts made so far.
 
 use super::placer::Placer;
 use crate::state::tasks::TaskRecord;
@@ -41,14 +41,14 @@
         }
     }
 
-    /// Decides at random whether to hold back a task that was rejected for want of capacity, that is returning, or that
-    /// is waiting already.
+    /// Decides at random whether to hold back a task that was rejected for want of capacity, that was placed or
+    /// requested before and is requested again, or that is waiting already.
     ///
-    /// Such a task is sent with the probability that there is capacity for everything that all placers want to place
-    /// within the lag of the endpoint list, spread over the ticks of that time. Without this, in any overload or loss
-    /// of hosts, many placers would see the same free capacity and fill it twice over, and tasks would be rejected,
-    /// preempted or evicted again and again. The drawback is that, if the traffic of this placer is not typical of all
-    /// placers, such a task may wait although there is free capacity.
+    /// Such a task is sent with a probability of the free capacity of all hosts, divided by all tasks that all placers
+    /// want to place within the lag of the endpoint list and by the number of ticks in that time. Without this, in any
+    /// overload or loss of hosts, many placers would see the same free capacity and fill it twice over, and tasks would
+    /// be rejected, preempted or evicted again and again. The drawback is that, if the traffic of this placer is not
+    /// typical of all placers, such a task may wait although there is free capacity.
     pub(super) fn should_hold_back(&mut self) -> bool {
         let lag = self.list_lag().max(self.shortest_objective) as f64;
         let waiting = self.tasks.waiting.len() as f64 * self.settings.placer_count as f64;
--- a/src/placement/scd.rs
+++ b/src/placement/scd.rs
@@ -4,7 +4,7 @@
 //! probabilities that balance the loads if all dispatchers do so. In the notation of the published method a host has a
 //! load `q` and a size `mu`, and `a` tasks arrive at all dispatchers together.
 
-/// The load and the size of a host, both in mean tasks.
+/// The load and the size of a host, both counted in tasks of mean size.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct HostLoad {
     /// The tasks that are on the host (`q`).
@@ -16,17 +16,17 @@
 /// Sums over a prefix of the hosts in the order of their marginal loads.
 #[derive(Debug, Default)]
 struct Prefix {
-    /// Load of the hosts at the ideal workload, minus their current load.
+    /// Total load that the hosts of the prefix would have at the ideal workload, minus their current load.
     headroom: f64,
-    /// Size of the hosts together.
+    /// Sum of the sizes of the hosts of the prefix.
     size: f64,
-    /// Part of the objective that does not depend on the multiplier.
+    /// The part of the optimization's objective that does not depend on the Lagrange multiplier.
     constant: f64,
 }
 
-/// The prefix with the lowest objective so far.
+/// The prefix of the ordered hosts with the lowest objective among those examined so far.
 struct Best {
-    /// Objective of the optimization for this prefix.
+    /// Value that the optimization minimizes, for this prefix.
     objective: f64,
     /// Number of hosts in the prefix.
     count: usize,
@@ -90,12 +90,14 @@
     probabilities
 }
 
-/// Returns a host's probability within a prefix, before the division by `2 (a - 1)`.
+/// Returns the probability of drawing a host of a prefix, before the division by `2 (a - 1)`, where `a` is the number
+/// of tasks that arrive at all dispatchers together.
 fn prefix_numerator(host: HostLoad, level: f64, multiplier: f64) -> f64 {
     2.0 * (host.size * level - host.load) - 1.0 - host.size * multiplier
 }
 
-/// Returns the prefix of the order with the lowest objective among those in which no probability is negative.
+/// Returns the prefix of the hosts in `order` with the lowest objective, among the prefixes in which no probability is
+/// negative.
 fn best_prefix(hosts: &[HostLoad], order: &[usize], level: f64, arrivals: f64) -> Best {
     let mut sums = Prefix::default();
     let mut best: Option<Best> = None;
@@ -128,8 +130,8 @@
     })
 }
 
-/// Returns the ideal workload: the common load per size of the least loaded hosts after `arrivals` tasks are spread
-/// over them evenly.
+/// Returns the ideal workload: the load divided by size that the least loaded hosts have in common once `arrivals`
+/// tasks are spread over them so that it is equal.
 fn ideal_workload(hosts: &[HostLoad], arrivals: f64) -> f64 {
     let mut loads: Vec<(f64, HostLoad)> = hosts
         .iter()
--- a/src/placement/slow_start.rs
+++ b/src/placement/slow_start.rs
@@ -8,8 +8,8 @@
 const BUDGET_FRACTION: f64 = 0.8;
 /// Factor by which the time over which attempts are counted is extended, because clocks and delivery times differ.
 const WINDOW_STRETCH: f64 = 1.25;
-/// Length of a placer's turn, as a multiple of the time over which attempts are counted. Longer turns waste less of the
-/// budget but come less often.
+/// Length of the turn in which a placer may send an attempt to a warming host, as a multiple of the time over which
+/// attempts are counted. Longer turns waste less of the budget but come less often.
 const TURN_WINDOWS: f64 = 2.0;
 
 impl Placer {
@@ -53,8 +53,8 @@
         (collapse_window as f64 * WINDOW_STRETCH).max(with_connect as f64)
     }
 
-    /// Returns whether the placer may have sent attempts to the host before it was restarted itself. It does not know
-    /// of them, but they still count towards the budget.
+    /// Returns whether this placer may have sent attempts to the host before the placer itself was restarted. It does
+    /// not know of such attempts, but they still count towards the host's slow-start budget.
     fn may_have_sent_before_start(&self, host: &Host, window: f64) -> bool {
         let placer_started_at: Micros = self.started_at.unwrap_or(self.now);
         host.started_at < placer_started_at && ((self.now - placer_started_at) as f64) < window
--- a/src/placement/working_set_selection.rs
+++ b/src/placement/working_set_selection.rs
@@ -15,14 +15,15 @@
 
 /// The working set is just large enough to hold the load of all tasks at this mean fullness.
 const WORKING_SET_FILL: f64 = 0.6;
-/// Steps per unit of fullness by which hosts are ordered. The steps are coarse, so that placers whose load reports are
-/// late still arrive at the same order.
+/// Number of steps per unit of fullness into which fullness is rounded when hosts are ordered. The steps are coarse, so
+/// that placers whose load reports are late still arrive at the same order.
 const RANK_STEPS: f64 = 4.0;
 /// Fullness beyond which hosts rank equally in the order.
 const MAX_RANKED_FULLNESS: f64 = 0.5;
-/// Number of members that are ranked for a service. If none of them is a candidate, all members are considered.
+/// Number of working-set members that are ranked for a service. If none of them can get a task, all members are
+/// considered.
 const MAX_AFFINITY_HOSTS: usize = 8;
-/// Number of bits of a hash that a rank uses, which is as many as an `f64` represents exactly.
+/// Number of bits of a hash from which a rank is computed: as many as an `f64` represents exactly.
 const RANK_BITS: u32 = 53;
 
 impl Placer {
@@ -72,8 +73,9 @@
         }
     }
 
-    /// Adopts the usage ratio that was learned since the last tick. The ratio changes with each usage report but is
-    /// adopted only at ticks, because the contributions of all hosts depend on it.
+    /// Uses the latest learned ratio of used to requested resources for the working set from now on. The ratio changes
+    /// with each usage report but is taken over only at ticks, because the contributions of all hosts to the working
+    /// set depend on it.
     pub(super) fn adopt_usage_ratio(&mut self) {
         let usage_ratio = self.usage_ratio();
         if usage_ratio != self.working_set.usage_ratio {
@@ -84,10 +86,12 @@
         }
     }
 
-    /// Ranks the members for a service by rendezvous hashing, unless this was done since the members last changed.
+    /// Ranks the members of the working set for a service by rendezvous hashing, unless this was done since the members
+    /// last changed.
     ///
-    /// All placers compute the same ranking. A host is preferred by services in proportion to the mean tasks it can
-    /// hold, and a host that is added or removed changes the ranking only of the services that prefer it.
+    /// All placers compute the same ranking. The number of services that prefer a host is in proportion to the number
+    /// of mean tasks that it can hold, and a host that is added or removed changes the ranking only of the services
+    /// that prefer it.
     pub(super) fn rank_affinity_hosts(&mut self, service: ServiceId) {
         if self.working_set.affinity.contains_key(&service) {
             return;
--- a/src/placement/working_set_selection/tests.rs
+++ b/src/placement/working_set_selection/tests.rs
@@ -16,12 +16,12 @@
 
 const SECOND: Micros = 1_000_000;
 const HOSTS: usize = 24;
-/// Relative change of the total load within which rounding may decide whether another member is needed.
+/// Relative change of the total load that is so small that rounding may decide whether another member is needed.
 const TIE_TOLERANCE: f64 = 1e-6;
 /// Relative difference between sums that may be due to rounding.
 const ROUNDING_TOLERANCE: f64 = 1e-5;
 
-/// The result of the reference.
+/// The working set and sums that the reference selects.
 struct Selection {
     members: Vec<HostIndex>,
     hosts_up: Vec<HostIndex>,
@@ -351,8 +351,8 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(300))]
 
-    /// Guards against changes of a host that the incremental selection misses: it must lead to the same actions as a
-    /// selection that examines all hosts.
+    /// Guards against changes of a host that the incremental selection misses: a placer that selects incrementally must
+    /// return the same actions as one that examines all hosts at each selection.
     #[test]
     fn incremental_selection_gives_the_same_actions(
         allows_health_checks: bool,
@@ -371,7 +371,8 @@
         }
     }
 
-    /// After any events, the selection must equal that of the reference with the same usage ratio.
+    /// After any events, the placer's working set must equal the one that the reference selects with the same usage
+    /// ratio.
     ///
     /// The working set keeps sums in units of 2^-24 mean tasks, while the reference uses floating-point numbers. If the
     /// size of the members matches the load to within one part in a million, rounding may add or omit a member. The
--- a/src/state/arrivals.rs
+++ b/src/state/arrivals.rs
@@ -36,8 +36,8 @@
         self.last_stall = Stall { ended_at, duration };
     }
 
-    /// Returns the arrivals at this placer within `window`, in multiples of the mean task. Drops arrivals that are
-    /// too old to count.
+    /// Returns the arrivals at this placer within `window`, in multiples of the mean task. Removes arrivals that are
+    /// too old to be counted from now on.
     ///
     /// Arrivals are counted over a span of at least `window`, extended until it holds `min_arrivals`, and the count
     /// is scaled to `window`: where there are hundreds of placers, each sees so few arrivals that most windows hold
@@ -52,7 +52,8 @@
             self.arrivals.pop_front();
         }
         let oldest_age = self.arrivals.front().map_or(0, |arrival| now - arrival.at);
-        // An oldest arrival before the span only marks the start of the extended span and is not counted itself.
+        // If the oldest arrival lies before the span, the span is extended back to it, and the arrival itself is not
+        // counted.
         let skipped = usize::from(oldest_age > span);
         let total: f64 = self
             .arrivals
--- a/src/state/hash.rs
+++ b/src/state/hash.rs
@@ -16,8 +16,8 @@
     })
 }
 
-/// Combines two hashes into one whose bits are all well mixed, with the multipliers of the finalizer of SplitMix64
-/// and other shifts.
+/// Combines two hashes into one whose bits are all well mixed. Uses the multipliers of the finalizer of SplitMix64,
+/// with shifts that differ from it.
 pub(crate) fn combine_hashes(first: u64, second: u64) -> u64 {
     let mut hash = (first ^ second.rotate_left(32)).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     hash = (hash ^ (hash >> 29)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/src/state/health_book.rs
+++ b/src/state/health_book.rs
@@ -28,7 +28,7 @@
 }
 
 impl ScopeHealth {
-    /// Returns whether the host is ejected for this scope.
+    /// Returns whether the host is ejected for this scope at time `now`.
     pub fn is_ejected(&self, now: Micros) -> bool {
         self.awaits_health_check || now < self.ejected_until
     }
--- a/src/state/hosts.rs
+++ b/src/state/hosts.rs
@@ -28,8 +28,8 @@
     pub started_at: Micros,
     /// Time as of which the newest report describes the load; `None` before the first report.
     pub load_known_as_of: Option<Micros>,
-    /// Resources that tasks on the host request: the newest report plus this placer's own changes since then.
-    /// Negative if the report did not contain what an own change subtracts.
+    /// Resources that tasks on the host request: the newest report plus this placer's own changes since then. Negative
+    /// if a change of this placer subtracts resources that the report did not contain.
     requested: Resources,
     own_changes: VecDeque<OwnChange>,
     /// Times at which this placer sent attempts to the host, oldest first.
@@ -73,8 +73,8 @@
         self.requested.map(|amount| amount.max(0.0))
     }
 
-    /// Records a report of the requested resources, unless a newer one is known. Own changes after `as_of` are not
-    /// contained in the report and are added to it.
+    /// Records a report of the resources that tasks on the host request, unless a newer one is known. Changes that this
+    /// placer caused after `as_of` are not contained in the report and are added to it.
     pub fn record_report(&mut self, requested: Resources, as_of: Micros) {
         if self.load_known_as_of.is_some_and(|known| known > as_of) {
             return;
@@ -87,8 +87,8 @@
         }
     }
 
-    /// Records that this placer's tasks on the host request this much more, or less if `amount` is negative. Drops
-    /// own changes that happened before `forget_before`.
+    /// Records that this placer's tasks on the host request `amount` more, or less if it is negative. Forgets changes
+    /// caused by this placer that happened before `forget_before`.
     pub fn record_own_change(&mut self, now: Micros, amount: Resources, forget_before: Micros) {
         while self
             .own_changes
@@ -101,8 +101,8 @@
         self.requested += amount;
     }
 
-    /// Returns whether this placer may send the host another attempt: by the imposed limit if there is one, otherwise
-    /// by `window`.
+    /// Returns whether this placer may send the host another attempt. The limit on attempts in flight is the one
+    /// imposed from outside if there is one, otherwise `window`.
     pub fn has_attempt_capacity(&self, window: f64) -> bool {
         match self.max_in_flight {
             Some(max_in_flight) => self.in_flight < max_in_flight,
@@ -163,7 +163,8 @@
         self.indices.get(host).copied()
     }
 
-    /// Returns a host for a change of its load, and marks it so that the working set is updated with the new load.
+    /// Returns a host whose load is about to be changed, and marks it so that the working set is updated with the new
+    /// load.
     pub fn mark_changed(&mut self, index: HostIndex) -> &mut Host {
         self.changed.insert(index);
         &mut self.hosts[index]
--- a/src/state/subscription.rs
+++ b/src/state/subscription.rs
@@ -9,7 +9,7 @@
     pub active: bool,
     /// Time at which the subscription was last requested or lost; `None` before the first request or failure.
     pub last_request: Option<Micros>,
-    /// Number of consecutive failures.
+    /// Number of consecutive failures to poll the endpoint list or to stay subscribed to it.
     pub failures: u32,
 }
 
--- a/src/state/tasks.rs
+++ b/src/state/tasks.rs
@@ -76,7 +76,7 @@
     pub records: BTreeMap<RequestId, TaskRecord>,
     /// Requests that wait for an attempt, earliest deadline first.
     pub waiting: BTreeSet<(Micros, RequestId)>,
-    /// Number of this placer's tasks of a service that run or are in flight at a host.
+    /// Number of this placer's tasks by service and host, including tasks whose attempt is in flight at the host.
     reservations: BTreeMap<(ServiceId, HostIndex), usize>,
     /// Sum of the requested resources of all tasks with a usage report.
     pub measured_request: Resources,
--- a/src/state/timers.rs
+++ b/src/state/timers.rs
@@ -6,13 +6,13 @@
 /// The work that is due when a timer fires.
 #[derive(Debug, Clone)]
 pub(crate) enum TimerPurpose {
-    /// Periodic work.
+    /// The periodic work of the placer is due, such as trying waiting requests again.
     Tick,
     /// The final response to a request is due.
     Deadline(RequestId),
 }
 
-/// A requested timer.
+/// A timer that the decision module has requested.
 #[derive(Debug, Clone)]
 pub(crate) struct Timer {
     /// Time at which the timer is due.
--- a/src/state/working_set.rs
+++ b/src/state/working_set.rs
@@ -36,11 +36,11 @@
     pub is_up: bool,
     /// Rank of the host; hosts are ordered by rank, then by id. `None` if the host cannot be a member.
     pub rank: Option<i64>,
-    /// Size of the host.
+    /// Size of the host: how many mean tasks it can hold by its cores.
     pub size: f64,
-    /// Load on the host.
+    /// Load on the host: its fullness times its size.
     pub load: f64,
-    /// Number of further tasks that the host has capacity for.
+    /// Number of further tasks of mean size that the host has capacity for.
     pub free_capacity: f64,
 }
 
@@ -143,7 +143,7 @@
         std::mem::take(&mut self.members_changed)
     }
 
-    /// Returns the members, in order.
+    /// Returns the members of the working set, in the order of their ranks.
     pub fn members(&self) -> impl Iterator<Item = HostIndex> + '_ {
         self.last_member
             .iter()
@@ -227,7 +227,7 @@
             .is_some_and(|last| position <= last)
     }
 
-    /// Adds a host to the sums over the members, or subtracts it from them.
+    /// Adds a host's size and load to the sums over the members, or subtracts them if the host has left the members.
     fn count_member(&mut self, index: HostIndex, membership: Membership) {
         let CountedContribution { size, load, .. } = self.counted[index];
         match membership {
--- a/src/types/attempt.rs
+++ b/src/types/attempt.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// The reason for the outcome of an attempt.
+/// The reason for the outcome of an attempt, as far as the host states one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutcomeDetail {
     /// The reason is unknown.
@@ -54,8 +54,8 @@
 }
 
 impl OutcomeDetail {
-    /// Returns whether this reason applies only to tasks that have run. A host returns a task that does not run yet as
-    /// rejected.
+    /// Returns whether this reason is given only for tasks that have run. For a task that does not run yet, the host
+    /// reports a rejection instead.
     pub fn implies_task_ran(self) -> bool {
         matches!(
             self,
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -48,12 +48,12 @@
 /// The kind of an update of the endpoint list, which says what it contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Only the endpoints that have changed.
+    /// The update contains only the endpoints that have changed.
     Delta,
-    /// All endpoints. A host that is missing from the update has been removed.
+    /// The update contains all endpoints. A host that is missing from it has been removed.
     Complete,
-    /// All endpoints as this placer last knew them. They may be stale.
+    /// The update contains all endpoints as this placer last knew them. They may be stale.
     Cached,
-    /// No endpoints, because a poll failed or the subscription ended.
+    /// The update contains no endpoints, because a poll failed or the subscription ended.
     Failed,
 }
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -5,11 +5,11 @@
 /// The hosts on which an idempotency key is recognised, so that a retry with the same key is dropped.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
-    /// Every host.
+    /// Every host recognises the key.
     All,
-    /// The hosts of one zone.
+    /// The hosts in the zone of the first attempt recognise the key.
     Zone,
-    /// The hosts of one cell.
+    /// The hosts in the cell of the first attempt recognise the key.
     Cell,
 }
 
@@ -44,9 +44,9 @@
 /// When a host acknowledges an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Acknowledgement {
-    /// As soon as it has accepted the task.
+    /// The host acknowledges an attempt as soon as it has accepted the task.
     Accepted,
-    /// When it has started the task.
+    /// The host acknowledges an attempt when it has started the task.
     Running,
 }
 
@@ -96,7 +96,7 @@
     pub priority: u8,
     /// Utilization of a host's cores up to which its tasks get full service.
     pub full_service_utilization: f64,
-    /// Utilization beyond `full_service_utilization` over which the service falls to nothing.
+    /// Width of the range of utilization above `full_service_utilization` over which the service falls to nothing.
     pub service_falloff: f64,
 }
 
@@ -126,17 +126,17 @@
 pub struct Settings {
     /// Index of this placer among all placers.
     pub placer_index: usize,
-    /// Number of placers.
+    /// Number of placers in the deployment.
     pub placer_count: usize,
     /// Zone of this placer, if stated.
     pub zone: Option<ZoneId>,
     /// Shortest time between two batches of events.
     pub tick: Micros,
-    /// Kinds of hosts.
+    /// The kinds of hosts in the deployment, with the size of each.
     pub host_kinds: Vec<HostKind>,
-    /// Task classes.
+    /// The settings of each task class.
     pub classes: Vec<TaskClass>,
-    /// Tenants; may be empty.
+    /// The settings of each tenant; empty if the deployment has no tenants.
     pub tenants: Vec<Tenant>,
     /// Weight of a task beyond its tenant's quota, as a fraction of the weight of a task within it.
     pub over_quota_weight: f64,
@@ -171,9 +171,9 @@
     pub memory_overcommit: f64,
     /// Whether hosts preempt tasks of lower priorities to free capacity for others.
     pub preempts: bool,
-    /// Mean cores requested by a task.
+    /// Number of cores that a task requests on average.
     pub mean_cores: f64,
-    /// Mean memory requested by a task.
+    /// Memory that a task requests on average.
     pub mean_memory: f64,
     /// Time that a client waits after an attempt that may have run its task.
     pub client_settle_time: Micros,
@@ -191,17 +191,17 @@
     pub collapse_window: Micros,
     /// Number of attempts from all placers together that a warming host can always handle within `collapse_window`.
     pub slow_start_attempts: f64,
-    /// Price of running a task in another zone.
+    /// Price of running a task in a zone other than its placer's.
     pub price_cross_zone: f64,
-    /// Price of health checks at a rate of one per task.
+    /// Price of sending, on average, one health check per task.
     pub price_health_check: f64,
     /// Price of using more hosts than the tasks need.
     pub price_hosts_used: f64,
-    /// Price of rejected attempts at a rate of one per task.
+    /// Price of having, on average, one rejected attempt per task.
     pub price_rejected_attempt: f64,
-    /// Price of migrations at a rate of one per task.
+    /// Price of having, on average, one migration per task.
     pub price_migration: f64,
-    /// Price of new connections to hosts at a rate of one per task.
+    /// Price of opening, on average, one new connection to a host per task.
     pub price_handshake: f64,
 }
 
