--- a/src/bin/simulator-adapter/actions/tests.rs
+++ b/src/bin/simulator-adapter/actions/tests.rs
@@ -1,4 +1,4 @@
-//! Checks the line of each kind of action.
+//! Checks the protocol line that each kind of action is formatted as.
 
 use super::*;
 use std::sync::Arc;
--- a/src/bin/simulator-adapter/events.rs
+++ b/src/bin/simulator-adapter/events.rs
@@ -10,7 +10,7 @@
     TenantId, TimerToken, UpdateKind, ZoneId,
 };
 
-/// Endpoint lists by the number that their CATALOG line states, each as its unparsed entry lines.
+/// The endpoint lists received so far, as unparsed lines, by the number that the CATALOG line before each list states.
 pub type Catalogs = BTreeMap<u64, Vec<String>>;
 
 /// Positions of a task's fields in a message.
@@ -45,7 +45,7 @@
 /// Number of values of a TASK message in a deployment without tenants, which omits the tenant.
 const TASK_VALUES_WITHOUT_TENANT: usize = 10;
 
-/// Positions of the fields in a STANDING message; its host follows them.
+/// Positions of the fields of the task in a STANDING message. The host that runs the task follows them.
 const ADOPTED_TASK: TaskFields = TaskFields {
     id: 0,
     class: 1,
--- a/src/bin/simulator-adapter/fields.rs
+++ b/src/bin/simulator-adapter/fields.rs
@@ -5,7 +5,7 @@
 use task_placer::settings::{millis_to_micros, parse_number};
 use task_placer::{HostId, Micros, Outcome, OutcomeDetail, RequestId};
 
-/// Placeholder for a value that is absent.
+/// The text that the protocol uses in place of an absent value.
 pub const ABSENT: &str = "-";
 
 /// A line of the protocol, split at tabs.
@@ -139,7 +139,7 @@
         values.ok_or_else(|| self.error(field, Problem::NotNumbers(text)))
     }
 
-    /// Parses how an attempt or health check ended.
+    /// Parses the number that states how an attempt or health check ended.
     pub fn outcome(&self, index: usize) -> Result<Outcome, InputError> {
         match self.unsigned(index, "how")? {
             100 => Ok(Outcome::Completed),
@@ -154,7 +154,8 @@
         }
     }
 
-    /// Parses why an attempt ended that way. Absent and unknown numbers give [`OutcomeDetail::Unknown`].
+    /// Parses the number that states the reason for an attempt's outcome. Absent and unknown numbers give
+    /// [`OutcomeDetail::Unknown`].
     pub fn outcome_detail(&self, index: usize) -> Result<OutcomeDetail, InputError> {
         if self.text(index, "detail")? == ABSENT {
             return Ok(OutcomeDetail::Unknown);
--- a/src/bin/simulator-adapter/session.rs
+++ b/src/bin/simulator-adapter/session.rs
@@ -9,7 +9,7 @@
 use task_placer::settings::{self, Names, SettingsByPath};
 use task_placer::{Action, Micros, Placer};
 
-/// A placer instance with the names that its settings state.
+/// A simulated placer, with the names of classes, tenants, host kinds and zones that its settings state.
 struct Instance {
     placer: Placer,
     names: Names,
@@ -31,7 +31,7 @@
 }
 
 impl Reply {
-    /// Starts the actions of an instance: adds a line that names it, unless the previous actions are of the same
+    /// Adds a line that names the instance of the following actions, unless the previous actions belong to the same
     /// instance.
     fn begin_instance(&mut self, instance: u64) {
         if self.instance != Some(instance) {
--- a/src/facade/mod.rs
+++ b/src/facade/mod.rs
@@ -101,8 +101,8 @@
         self.overload.as_ref()
     }
 
-    /// Sets how many processes serve as this placer from now on and which of them this is, as during a rolling
-    /// upgrade.
+    /// Sets how many processes serve as this placer from now on and which of them this process is. There are several
+    /// during a rolling upgrade.
     pub fn set_share(&mut self, now: Micros, share: BudgetShare) -> Vec<Decision> {
         let limit = Limit::Processes {
             process_count: share.process_count,
@@ -219,14 +219,16 @@
         decisions
     }
 
-    /// Checks that a request is valid under the settings.
+    /// Checks that the settings name the class and tenant of a request, and that its resources and time budget are
+    /// within their limits.
     ///
     /// Requests that every host would have to reject must not reach the decision module, since their rejections would
     /// distort its estimates of load and health.
     ///
     /// # Errors
     ///
-    /// Returns what is wrong with the request, with the value found and the range expected where there is one.
+    /// Returns what is wrong with the request, with the value found and the range expected if the error is a number out
+    /// of range.
     pub fn check(
         &self,
         request: &PlacementRequest,
--- a/src/facade/module_calls.rs
+++ b/src/facade/module_calls.rs
@@ -7,8 +7,8 @@
 use std::collections::VecDeque;
 
 impl Facade {
-    /// Passes one event to the decision module, followed by the limits that result from it, and returns the
-    /// decisions.
+    /// Passes one event to the decision module, notifies it of the limits that overload control derives from the event,
+    /// and returns the resulting decisions.
     ///
     /// If the decision module subscribes to the endpoint list, the subscription is confirmed at once while service
     /// discovery is up, otherwise as soon as it is up again.
@@ -39,7 +39,8 @@
     fn actions(&mut self, now: Micros, event: &Event, limits: &mut Vec<Limit>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.notify_overload_of_event(now, event, limits);
-        // After the end of an attempt the module may send another one, so it must know the new limits first.
+        // When an attempt ends, the decision module may send another one for the request, so it must be notified of the
+        // new limits before the event.
         if !limits.is_empty() && matches!(event, Event::AttemptEnded { .. }) {
             let limits = Event::LimitsChanged(std::mem::take(limits));
             self.placer.handle(now, &limits, &mut actions);
--- a/src/facade/request.rs
+++ b/src/facade/request.rs
@@ -5,11 +5,11 @@
 
 /// Maximum time budget of a request, as a multiple of the deadline of the task's class.
 const MAX_DEADLINE_MULTIPLE: Micros = 4;
-/// Maximum cores and memory of a request, as a multiple of what the largest host kind accepts. The settings state the
-/// usual sizes of the host kinds, and a host may be larger.
+/// Maximum cores and memory of a request, as a multiple of what the largest host kind accepts. It is above 1 because
+/// the settings state the usual sizes of the host kinds, and a host may be larger.
 const MAX_HOST_MULTIPLE: f64 = 2.0;
 
-/// Number that the caller assigns to a request and that identifies it in all calls.
+/// A number that the caller assigns to a request, and that identifies the request in all calls of the facade.
 ///
 /// A number is never reused. Clients may reuse a request id on the wire, so it cannot tell a new request from an
 /// earlier one.
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -43,12 +43,13 @@
 const MILLISECOND: Micros = 1_000;
 const SECOND: Micros = 1_000 * MILLISECOND;
 
-/// The time limits of a drain, and the numbers of polls after which load balancers have seen it.
+/// The time limits of a drain, and the numbers of answered polls after which load balancers count as having seen the
+/// drain.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DrainLimits {
-    /// The maximum time for which the drain waits for load balancers to see it.
+    /// The maximum time for which the process announces the drain and waits for load balancers to poll.
     pub max_announcement: Micros,
-    /// The time that a load balancer is given to act on an answer.
+    /// The time that a load balancer is given to act on the answer that announces the drain.
     pub settle_time: Micros,
     /// The number of answered polls after which an agent check has seen the drain.
     pub agent_polls: u32,
@@ -56,13 +57,14 @@
     pub http_polls: u32,
     /// The time without a pending response after which no further request is expected.
     pub quiet_time: Micros,
-    /// The maximum time for which a phase waits for pending responses.
+    /// The maximum time for which each phase of the drain waits for pending responses.
     pub max_answer_time: Micros,
     /// The maximum time for which the ends of running tasks are awaited.
     pub max_task_time: Micros,
     /// The time that the decision module gets to answer all pending requests once the drain stops waiting for them.
     pub final_answer_time: Micros,
-    /// The time after which the process exits even if requests are unanswered, from the same moment.
+    /// The time after which the process exits even if requests are unanswered. It runs, like `final_answer_time`, from
+    /// the moment at which the drain stops waiting for pending responses.
     pub final_exit_time: Micros,
 }
 
@@ -82,7 +84,8 @@
     }
 }
 
-/// The error of a drain that can't be cancelled, because the decision module was notified to answer everything.
+/// The error that a drain can't be cancelled any more, because the decision module was notified to answer all pending
+/// requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("too late: the process ends")]
 pub struct TooLateToCancel;
@@ -175,7 +178,7 @@
     ///
     /// # Errors
     ///
-    /// Returns [`TooLateToCancel`] once the decision module has been notified to answer everything.
+    /// Returns [`TooLateToCancel`] once the decision module has been notified to answer all pending requests.
     pub fn cancel(&mut self, now: Micros) -> Result<Vec<Effect>, TooLateToCancel> {
         match self.phase {
             Phase::Idle => Ok(Vec::new()),
@@ -191,7 +194,8 @@
         }
     }
 
-    /// Advances the drain according to the time and to what is outstanding, and returns what the program must do.
+    /// Advances the drain to its next phase if the time and the unfinished work call for it, and returns the effects
+    /// that the program must carry out.
     pub fn advance(&mut self, now: Micros, outstanding: Outstanding) -> Vec<Effect> {
         self.update_quiet(now, outstanding);
         match self.phase {
@@ -232,8 +236,8 @@
         ]
     }
 
-    /// Returns why the announcement ends now, or `None` if it goes on. If no load balancer polls, it lasts for
-    /// [`DrainLimits::quiet_time`], so that requests that are on their way arrive.
+    /// Returns why the announcement of the drain ends now, or `None` if it goes on. If no load balancer polls, the
+    /// announcement lasts for [`DrainLimits::quiet_time`], so that requests that are on their way arrive.
     fn announcement_end(&self, now: Micros) -> Option<PhaseReason> {
         let elapsed = now - self.began_at;
         if elapsed >= self.limits.max_announcement {
@@ -252,7 +256,7 @@
         if self.is_quiet(now) && elapsed >= self.limits.quiet_time {
             return vec![self.enter(now, Phase::AwaitingTasks, PhaseReason::NothingPending)];
         }
-        // Responses take far less time unless something blocks them, so the drain stops waiting.
+        // Responses take far less time than this limit unless something blocks them, so the drain stops waiting.
         if elapsed >= self.limits.max_answer_time {
             return self.stop_waiting(now, PhaseReason::AnswerLimit);
         }
@@ -324,8 +328,9 @@
         ]
     }
 
-    /// Stops waiting for pending responses. A process that is to exit has the decision module answer everything. A
-    /// process that is not to exit awaits running tasks next, since a blocked request must not end the process.
+    /// Stops waiting for pending responses. A process that is to exit has the decision module answer all pending
+    /// requests. A process that is not to exit awaits running tasks next, since a blocked request must not end the
+    /// process.
     fn stop_waiting(&mut self, now: Micros, reason: PhaseReason) -> Vec<Effect> {
         if !self.exits() {
             return vec![self.enter(now, Phase::AwaitingTasks, reason)];
--- a/src/health/drain/effect.rs
+++ b/src/health/drain/effect.rs
@@ -31,9 +31,9 @@
 /// What the process does after the drain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterDrain {
-    /// It keeps running and waits for a command.
+    /// The process keeps running and waits for a command of the operator.
     Wait,
-    /// It exits by itself.
+    /// The process exits by itself.
     Exit,
 }
 
@@ -42,13 +42,13 @@
 pub enum Effect {
     /// Report `drain` to load balancers from now on.
     AnnounceDrain,
-    /// Report the regular state to load balancers again.
+    /// Stop reporting `drain` to load balancers, and report the placer's own state instead.
     WithdrawDrain,
     /// Close idle connections from now on.
     StartClosingIdle,
-    /// Keep idle connections open again.
+    /// Stop closing idle connections.
     StopClosingIdle,
-    /// Have the decision module answer all pending requests.
+    /// Notify the decision module that it must answer all pending requests.
     AnswerAll {
         /// The time limit for the answers, in microseconds.
         within: Micros,
@@ -62,7 +62,7 @@
     },
     /// Exit the process.
     Exit {
-        /// The work that is left unfinished.
+        /// The work that is unfinished when the process exits.
         left: Outstanding,
     },
 }
--- a/src/health/drain/phase.rs
+++ b/src/health/drain/phase.rs
@@ -15,7 +15,7 @@
     Drained,
     /// The decision module answers all pending requests.
     AnsweringAll,
-    /// The process may exit.
+    /// The drain is over, and the process exits.
     Finished,
 }
 
@@ -59,7 +59,7 @@
     NoTaskRuns,
     /// [`DrainLimits::max_task_time`](super::DrainLimits::max_task_time) has passed.
     TaskLimit,
-    /// The drain is complete, and the process exits after it.
+    /// The drain is complete, and the process was told to exit after it.
     Drained,
     /// The decision module has answered all pending requests.
     AllAnswered,
--- a/src/health/drain/pollers.rs
+++ b/src/health/drain/pollers.rs
@@ -4,11 +4,12 @@
 use std::collections::BTreeMap;
 
 const SECOND: Micros = 1_000_000;
-/// The maximum number of checks that are tracked. Beyond it, the one that polled least recently is removed.
+/// The maximum number of checks that are tracked. When another check polls, the one that polled least recently is
+/// removed.
 pub(super) const MAX_POLLERS: usize = 64;
-/// The number of its poll intervals after which a check that has not polled counts as gone.
+/// A check that has not polled for this many of its poll intervals counts as gone.
 const MISSED_POLLS: Micros = 4;
-/// The minimum poll interval that is taken into account; a shorter one counts as this.
+/// The minimum poll interval that is taken into account. A shorter interval counts as this one.
 const MIN_INTERVAL: Micros = SECOND;
 /// The assumed poll interval of a check that has polled only once.
 const UNKNOWN_INTERVAL: Micros = 5 * SECOND;
@@ -22,7 +23,7 @@
     Http,
 }
 
-/// Identifies a load balancer's check.
+/// Identifies one health check of a load balancer.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Poller {
     /// The kind of the check.
@@ -49,7 +50,7 @@
     interval: Micros,
     /// The number of answers since the drain began.
     drain_answers: u32,
-    /// When the check had received enough answers to see the drain, or `None` if it has not.
+    /// When the check had received enough answers to count as having seen the drain, or `None` if it has not.
     notified_at: Option<Micros>,
 }
 
@@ -67,8 +68,8 @@
         now - self.latest <= MISSED_POLLS * self.interval.max(MIN_INTERVAL)
     }
 
-    /// Records a poll. The estimated interval is the time since the previous poll, but at least half the earlier
-    /// estimate, since checks poll in pairs and with jitter.
+    /// Records a poll. The estimated interval becomes the time since the previous poll, but at least half the earlier
+    /// estimate, since two polls may come shortly after each other and intervals vary.
     fn record(&mut self, now: Micros) {
         if now <= self.latest {
             return;
@@ -83,7 +84,7 @@
     }
 }
 
-/// All checks that poll.
+/// The load balancer checks that poll this process, with what is known of each.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Pollers {
     states: BTreeMap<Poller, PollerState>,
@@ -112,7 +113,7 @@
         }
     }
 
-    /// Resets all checks to not having seen the drain, when a drain begins.
+    /// Marks all checks as not having seen the drain. Called when a drain begins.
     pub fn reset_drain_answers(&mut self) {
         for state in self.states.values_mut() {
             state.drain_answers = 0;
@@ -129,7 +130,7 @@
         })
     }
 
-    /// Returns whether every check that polls saw the drain at least `settle_time` ago.
+    /// Returns whether every check that still polls has seen the drain, at least `settle_time` ago.
     pub fn all_settled(&self, now: Micros, settle_time: Micros) -> bool {
         let mut live = self.states.values().filter(|state| state.is_live(now));
         live.all(|state| state.notified_at.is_some_and(|at| now - at >= settle_time))
--- a/src/health/drain/tests.rs
+++ b/src/health/drain/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the drain.
+//! Tests of the phases of a drain, with time passed as an argument.
 
 use super::pollers::MAX_POLLERS;
 use super::*;
@@ -57,7 +57,7 @@
     entered
 }
 
-/// Returns a drain that began at `START`, with checks that polled each second before it.
+/// Returns a drain that began at `START`, with checks that had polled two seconds and one second before.
 fn begun(after: AfterDrain, pollers: &[Poller]) -> Drain {
     let mut drain = Drain::new(DrainLimits::default());
     for poller in pollers {
--- a/src/health/event.rs
+++ b/src/health/event.rs
@@ -28,18 +28,18 @@
 pub enum Event {
     /// The event loop has run one iteration.
     LoopIteration,
-    /// The gauges were sampled; the new values replace the earlier ones.
+    /// The values in [`Gauges`] were sampled. They replace the earlier ones.
     GaugesSampled(Gauges),
     /// A request got its final response.
     RequestAnswered {
-        /// Whether its task was started within the latency objective of its class.
+        /// Whether the task of the request was started within the latency objective of its class.
         within_objective: bool,
     },
     /// An attempt at a host has ended; [`Outcome::Completed`] means that it started its task.
     AttemptEnded {
         /// How the attempt ended.
         outcome: Outcome,
-        /// Why it ended so.
+        /// Why the attempt ended this way.
         detail: OutcomeDetail,
         /// The attempt's time at the host as a fraction of the latency objective of its class.
         relative_duration: f64,
@@ -56,16 +56,16 @@
         /// A number that identifies the load balancer's check.
         poller: u64,
     },
-    /// A command of an operator, or of the system, arrived.
+    /// A command arrived from an operator or from the operating system.
     CommandReceived(Command),
 }
 
 /// A change of the published weight.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WeightChange {
-    /// The weight before.
+    /// The published weight before the change.
     pub before: u8,
-    /// The weight after.
+    /// The published weight after the change.
     pub after: u8,
     /// The signal that limits the weight most, or `None` if none limits it.
     pub cause: Option<Signal>,
--- a/src/health/fleet_evidence.rs
+++ b/src/health/fleet_evidence.rs
@@ -16,14 +16,14 @@
 use super::sliding_window::SlidingWindow;
 use crate::{Micros, Outcome, OutcomeDetail};
 
-/// The length of the sliding windows over attempts.
+/// The length of the sliding windows over attempts, in microseconds.
 const WINDOW: Micros = 10_000_000;
-/// With fewer attempts than this in the window, no fraction of them is computed.
+/// The minimum number of attempts in the window for which the fraction of rejected, slow or timed-out ones is computed.
 const MIN_ATTEMPTS: f64 = 5.0;
 /// An attempt counts as slow if it took at least this fraction of its class's latency objective at the host.
 const SLOW_FRACTION: f64 = 0.5;
 
-/// The numbers of hosts in one zone that the endpoint list shows as up, in all and unreachable ones.
+/// The number of hosts in one zone that the endpoint list shows as up, and how many of these are unreachable.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct ZoneReachability {
     /// The number of hosts that the endpoint list shows as up.
@@ -37,9 +37,9 @@
 /// The fractions of the listed hosts that are unreachable, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Unreachable {
-    /// The fraction that is attributed to this placer.
+    /// The fraction of the listed hosts whose unreachability is attributed to this placer.
     pub own: f64,
-    /// The fraction that is attributed to the hosts.
+    /// The fraction of the listed hosts whose unreachability is attributed to the hosts themselves.
     pub fleet: f64,
 }
 
@@ -80,11 +80,11 @@
 /// The evidence that faults are caused by the fleet.
 #[derive(Debug, Clone)]
 pub struct FleetEvidence {
-    /// Attempts that hosts rejected for lack of capacity, and all attempts.
+    /// Counts attempts that hosts rejected for lack of capacity (the part) and all attempts (the whole).
     rejections: SlidingWindow,
-    /// Attempts that started their task slowly, and all attempts that started their task.
+    /// Counts attempts that started their task slowly (the part) and all attempts that started their task (the whole).
     slow_starts: SlidingWindow,
-    /// Attempts that timed out, and all attempts.
+    /// Counts attempts that timed out (the part) and all attempts (the whole).
     timeouts: SlidingWindow,
     /// The fraction of the listed hosts that have capacity for a task of mean size, if the list reports capacity.
     with_capacity: Option<f64>,
@@ -107,7 +107,7 @@
     }
 }
 
-/// Maps a value linearly from 0 at `from` to 1 at `to`, and clamps it to that range.
+/// Maps a value linearly, so that `from` becomes 0 and `to` becomes 1. Values outside give 0 or 1.
 fn ramp(value: f64, from: f64, to: f64) -> f64 {
     ((value - from) / (to - from)).clamp(0.0, 1.0)
 }
@@ -151,8 +151,9 @@
         self.timeouts.fraction(now, MIN_ATTEMPTS)
     }
 
-    /// Returns the degree to which the fleet explains late and rejected requests, 0 to 1. `loop_lateness` and
-    /// `list_staleness` are the severities of this placer's own late event loop and stale endpoint list.
+    /// Returns the degree to which late and rejected requests are explained by full, slow or unreachable hosts instead
+    /// of this placer, 0 to 1. `loop_lateness` and `list_staleness` are the severities of this placer's own late event
+    /// loop and stale endpoint list.
     pub fn explains(&self, now: Micros, loop_lateness: f64, list_staleness: f64) -> f64 {
         let rejections = self
             .rejections
--- a/src/health/fleet_evidence/tests.rs
+++ b/src/health/fleet_evidence/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the fleet evidence.
+//! Tests of the attribution of faults to this placer or to the fleet.
 
 use super::*;
 
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -50,18 +50,20 @@
 const MAX_HISTORY: usize = 32;
 /// The minimum time between two updates of the signals, the weight and the state.
 const UPDATE_INTERVAL: Micros = 200_000;
-/// With fewer responses than this in the window, no fraction of missed objectives is computed: the signal reads 0.
+/// The minimum number of responses in the window for which the fraction of missed latency objectives is computed. With
+/// fewer responses, the signal reads 0.
 const MIN_RESPONSES: f64 = 8.0;
-/// With fewer connections than this in the window, no fraction of rejected ones is computed: the signal reads 0.
+/// The minimum number of client connections in the window for which the fraction of rejected ones is computed. With
+/// fewer connections, the signal reads 0.
 const MIN_CONNECTIONS: f64 = 4.0;
-/// A placer that is up becomes degraded below this weight.
+/// The weight below which a placer in the state `up` changes to `degraded`.
 const DEGRADED_BELOW: u8 = 85;
-/// A placer that is starting or degraded becomes up at this weight or above. The gap to `DEGRADED_BELOW` keeps the
-/// state from alternating.
+/// The weight from which on a placer in the state `starting` or `degraded` changes to `up`. The gap to `DEGRADED_BELOW`
+/// keeps the state from alternating.
 const UP_FROM: u8 = 95;
-/// From this value of `explained_by_fleet` on, the weight controller discards a ceiling that it learned from a signal
-/// which the fleet can cause. The evidence of a fleet fault arrives a little after the fault, so such a ceiling may
-/// already have been learned.
+/// From this value of `explained_by_fleet` on, the weight controller discards a ceiling (a remembered weight at which
+/// overload began) that it learned from a signal which the fleet can cause. The evidence of a fleet fault arrives a
+/// little after the fault, so such a ceiling may already have been learned.
 const FLEET_CAUSE_THRESHOLD: f64 = 0.5;
 /// The weight at which a slow start begins.
 const INITIAL_WEIGHT: f64 = 10.0;
@@ -99,9 +101,9 @@
     last_update: Option<Micros>,
     /// Intervals between iterations of the event loop that exceeded the permitted maximum, in microseconds.
     loop_lateness: SlidingWindow,
-    /// Responses that missed their latency objective, and all responses.
+    /// Counts responses that missed their latency objective (the part) and all responses (the whole).
     missed_objectives: SlidingWindow,
-    /// Client connections that were rejected, and all client connections.
+    /// Counts client connections that were rejected (the part) and all client connections (the whole).
     rejected_connections: SlidingWindow,
     fleet: FleetEvidence,
     discovery_updated: Micros,
@@ -173,8 +175,8 @@
         self.update(now)
     }
 
-    /// Returns the report as of `now`, and the changes that its computation caused. A stall of the event loop up to
-    /// this call is included.
+    /// Returns the report as of `now`, and the changes that its computation caused. The call counts as an iteration of
+    /// the event loop, so a stall that lasts until this call is included.
     pub fn report(&mut self, now: Micros) -> (Report, Vec<Change>) {
         let changes = self.handle(now, Event::LoopIteration);
         let report = Report {
@@ -302,7 +304,8 @@
             State::Starting if elapsed >= slow_start && weight >= UP_FROM => {
                 (State::Up, TransitionReason::SlowStartOver)
             }
-            // The slow start no longer limits the weight, so another signal does.
+            // The slow start is over and no longer limits the weight, so a weight that is still too low is due to
+            // another signal.
             State::Starting if elapsed >= 2 * slow_start => (State::Degraded, by_signal),
             State::Up if weight < DEGRADED_BELOW => (State::Degraded, by_signal),
             State::Degraded if weight >= UP_FROM => (State::Up, TransitionReason::SignalsClear),
--- a/src/health/poll_intervals.rs
+++ b/src/health/poll_intervals.rs
@@ -4,19 +4,19 @@
 use std::collections::BTreeMap;
 
 const SECOND: Micros = 1_000_000;
-/// The maximum number of load balancer checks that are tracked; polls of others are ignored.
+/// The maximum number of load balancer checks that are tracked. Polls of further checks are ignored.
 const MAX_POLLERS: usize = 16;
-/// The maximum poll interval that is taken into account; a longer one counts as this.
+/// The maximum poll interval that is taken into account. A longer interval counts as this one.
 const MAX_INTERVAL: Micros = 10 * SECOND;
 /// The assumed time that a load balancer takes to act on an answer.
 const ACTION_TIME: Micros = SECOND / 2;
 
-/// The recent polls of one check.
+/// The times of the latest polls of one load balancer check.
 #[derive(Debug, Clone, Copy)]
 struct PollTimes {
     /// When the check polled last.
     latest: Micros,
-    /// The time between its latest two polls, or 0 after the first.
+    /// The time between the latest two polls of the check, or 0 after its first poll.
     interval: Micros,
 }
 
@@ -43,7 +43,7 @@
     }
 
     /// Returns how long the slowest load balancer takes to act on a published weight, including the time until it
-    /// polls.
+    /// polls; 0 if none has polled.
     pub fn reaction_time(&self) -> Micros {
         self.by_poller
             .values()
--- a/src/health/readings.rs
+++ b/src/health/readings.rs
@@ -7,7 +7,8 @@
 use crate::Micros;
 
 impl HealthMonitor {
-    /// Updates the reading of every signal, and the degree to which the fleet explains those that it can cause.
+    /// Updates the reading of every signal, and the degree to which faults are attributed to the fleet instead of this
+    /// placer.
     pub(super) fn read_signals(&mut self, now: Micros) {
         let measured = self.measure(now);
         let severity_of = |signal: Signal| {
@@ -68,8 +69,8 @@
         ]
     }
 
-    /// Returns the reading of the slow start, which raises the weight limit linearly from `INITIAL_WEIGHT` to
-    /// `FULL_WEIGHT`.
+    /// Returns the reading of the slow-start signal. During the slow start the weight limit rises linearly from
+    /// `INITIAL_WEIGHT` to `FULL_WEIGHT`.
     fn read_slow_start(&self, now: Micros) -> SignalReading {
         let elapsed = (now - self.slow_start_began) as f64;
         let progress = elapsed / self.settings.slow_start.max(1) as f64;
--- a/src/health/signal.rs
+++ b/src/health/signal.rs
@@ -2,8 +2,8 @@
 
 use std::fmt;
 
-/// A signal that may lower the weight. Its code, given first for each variant, is the same in logs, in answers to load
-/// balancers and in the operator's file.
+/// A signal that may lower the weight. The code given first for each variant names the signal in logs, in answers to
+/// load balancers and in the operator's file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Signal {
     /// `loop-late`: the fraction of time in which the event loop was late.
@@ -34,7 +34,8 @@
 pub const MEASURED_SIGNALS: usize = 9;
 
 impl Signal {
-    /// All signals in the order of reports. [`Signal::SlowStart`], the only one that is not measured, comes last.
+    /// All signals in the order in which reports list them. [`Signal::SlowStart`], the only one that is not measured,
+    /// comes last.
     pub const ALL: [Signal; MEASURED_SIGNALS + 1] = [
         Signal::LoopLate,
         Signal::RequestAge,
--- a/src/health/signal/tests.rs
+++ b/src/health/signal/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the severity ramps.
+//! Tests of the mapping of measured values to severities and maximum weights.
 
 use super::*;
 
--- a/src/health/sliding_window.rs
+++ b/src/health/sliding_window.rs
@@ -8,18 +8,18 @@
 /// Two sums over the same window, such as failures and attempts.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Sums {
-    /// The sum that counts the part, such as the failures.
+    /// The sum of the part, such as the number of failures.
     pub part: f64,
-    /// The sum that counts the whole, such as all attempts.
+    /// The sum of the whole, such as the number of all attempts.
     pub whole: f64,
 }
 
 /// Sums of two values over the most recent spans.
 #[derive(Debug, Clone)]
 pub struct SlidingWindow {
-    /// The number of the span of the latest addition, counted from the epoch.
+    /// The number of the span that contains the latest addition, counted from time 0.
     current_span: i64,
-    /// The sums of each span, at the span's number modulo the ring's length.
+    /// The sums of each span. A span is stored at the index that is its number modulo the ring's length.
     ring: Vec<Sums>,
 }
 
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Adds to the sums of the span of `now`. If `now` is earlier than the latest addition, the latest span is used.
+    /// Adds `part` and `whole` to the sums of the span that contains `now`. If `now` is earlier than the latest
+    /// addition, the latest span is used.
     pub fn add(&mut self, now: Micros, part: f64, whole: f64) {
         self.advance(now);
         let slot = self.slot(self.current_span);
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Adds 1 to the whole, and 1 to the part if `is_part` is true.
+    /// Adds 1 to the sum of the whole, and 1 to the sum of the part if `is_part` is true.
     pub fn add_one(&mut self, now: Micros, is_part: bool) {
         self.add(now, f64::from(u8::from(is_part)), 1.0);
     }
@@ -75,7 +76,7 @@
         span.rem_euclid(self.ring.len().max(1) as i64) as usize
     }
 
-    /// Resets the spans that began after the latest addition and up to `now`.
+    /// Moves the window to `now`, and resets the sums of the spans that began since the latest addition.
     fn advance(&mut self, now: Micros) {
         let span = now / SPAN;
         let first = (self.current_span + 1).max(span - self.ring.len() as i64 + 1);
--- a/src/health/state.rs
+++ b/src/health/state.rs
@@ -46,16 +46,16 @@
     }
 }
 
-/// A command of an operator, or of the system.
+/// A command of an operator, or of the operating system by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
     /// Finish pending requests and ask for no new connections.
     Drain,
-    /// Leave service for maintenance.
+    /// Take the placer out of service for maintenance.
     Maint,
     /// Return to service, with a slow start.
     Ready,
-    /// Exit.
+    /// Exit the process.
     Stop,
 }
 
@@ -66,7 +66,7 @@
     SlowStartOver,
     /// No signal limits the weight any more.
     SignalsClear,
-    /// A signal limits the weight.
+    /// The weight is limited by this signal.
     Signal(Signal),
     /// A command was executed.
     Command(Command),
@@ -98,9 +98,9 @@
 pub struct Transition {
     /// When the state changed.
     pub at: Micros,
-    /// The state before.
+    /// The state before the transition.
     pub from: State,
-    /// The state after.
+    /// The state after the transition.
     pub to: State,
     /// Why the state changed.
     pub reason: TransitionReason,
--- a/src/health/tests.rs
+++ b/src/health/tests.rs
@@ -37,7 +37,8 @@
         self.run_with(duration, |_, _| {})
     }
 
-    /// Runs the event loop for `duration` and returns the changes; `each` is called every 100 ms.
+    /// Runs the event loop for `duration` and returns the changes of state and weight. `each` is called every 100 ms
+    /// with the monitor and the time.
     fn run_with(
         &mut self,
         duration: Micros,
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -21,17 +21,19 @@
 const SLOW_RISE_FROM: f64 = 0.6;
 /// The fraction of the ceiling at which the weight stays until the ceiling expires.
 const PLATEAU_FRACTION: f64 = 0.8;
-/// The factor on the rate of the rise from `SLOW_RISE_FROM` of the ceiling up to the ceiling.
+/// The factor applied to the rate of a rise while the weight is between the fraction `SLOW_RISE_FROM` of the ceiling
+/// and the ceiling.
 const SLOW_RISE_FACTOR: f64 = 0.1;
-/// The weight does not fall while the target is below it by no more than this.
+/// The weight falls only if the target is below it by more than this, in units of weight.
 const DEAD_BAND: f64 = 5.0;
-/// The minimum step in which a rise of the weight is published, except for the step that reaches 100.
+/// The minimum rise of the weight that is published, in units of weight. A rise to 100 may be smaller.
 const MIN_STEP: f64 = 5.0;
-/// The minimum time from a change of the published weight to a published rise, except for the step that reaches 100.
+/// The minimum time from a change of the published weight to the next published rise. A rise to 100 may follow sooner.
 const MIN_STEP_INTERVAL: Micros = SECOND;
-/// The minimum fraction of the weight that a fall leaves.
+/// The minimum fraction of the weight that remains after a fall.
 const MIN_REMAINING_FRACTION: f64 = 0.5;
-/// The minimum fraction of the weight that the first fall in a row leaves if only this placer can be the cause.
+/// The minimum fraction of the weight that remains after the first of several falls without a rise between them, if the
+/// cause is a late event loop, for which only this placer can be responsible.
 const MIN_REMAINING_AFTER_FIRST_FALL: f64 = 0.3;
 /// The maximum weight.
 const FULL_WEIGHT: f64 = 100.0;
@@ -47,14 +49,14 @@
     pub hold: Micros,
     /// The limit to which `hold` is doubled.
     pub max_hold: Micros,
-    /// The time that a rise from 0 to 100 takes at the full rate.
+    /// The time that a rise of the weight from 0 to 100 takes when no ceiling slows it down.
     pub rise_time: Micros,
     /// How long the weight at which overload began limits a rise as a ceiling; doubled each time that overload begins
     /// again while a ceiling is remembered.
     pub ceiling_memory: Micros,
     /// The limit to which `ceiling_memory` is doubled.
     pub max_ceiling_memory: Micros,
-    /// The number of changes of the published weight within a minute after which it does not rise.
+    /// The number of changes of the published weight within a minute from which on it does not rise further.
     pub max_changes_per_minute: usize,
 }
 
@@ -77,11 +79,12 @@
 #[derive(Debug, Clone, Copy)]
 struct Ceiling {
     weight: f64,
-    /// When overload began.
+    /// When the overload began from which the ceiling was learned.
     since: Micros,
     /// How long the ceiling limits a rise.
     remembered_for: Micros,
-    /// Whether the ceiling was learned from a signal that the fleet can cause; later evidence may then discard it.
+    /// Whether the ceiling was learned from a signal that the fleet can cause. It is discarded if the fleet later turns
+    /// out to be the cause.
     may_be_caused_by_fleet: bool,
 }
 
@@ -89,15 +92,16 @@
 #[derive(Debug, Clone)]
 pub struct WeightController {
     policy: WeightPolicy,
-    /// The weight from which the published one is taken in steps.
+    /// The unrounded weight. The published weight follows it at once when it falls, and in steps when it rises.
     exact: f64,
     /// The weight that is reported to load balancers.
     published: f64,
     last_update: Micros,
     last_fall: Option<Micros>,
-    /// The latest published rise since the latest fall.
+    /// When a rise of the weight was last published, or `None` if none was published since the latest fall.
     last_rise: Option<Micros>,
-    /// The current time from a fall to the next rise: the policy's `hold`, doubled or not.
+    /// The minimum time from a fall to the next rise: the policy's `hold`, doubled for each fall that soon followed a
+    /// rise.
     hold: Micros,
     ceiling: Option<Ceiling>,
     /// The times at which the published weight changed; those older than a minute are removed before a rise.
@@ -126,8 +130,8 @@
         self.published.round().clamp(1.0, FULL_WEIGHT) as u8
     }
 
-    /// Discards a ceiling that was learned from a signal which the fleet can cause, and the doubled hold with it.
-    /// Called when the fleet turned out to explain the signal.
+    /// Discards a ceiling that was learned from a signal which the fleet can cause, and resets the time from a fall to
+    /// the next rise. Called when the signal turned out to be caused by the fleet.
     pub fn forget_fleet_ceiling(&mut self) {
         let forgotten = self
             .ceiling
@@ -139,9 +143,9 @@
 
     /// Moves the weight towards the target, and returns whether the published weight has changed.
     ///
-    /// `cause` is the signal that limits the target most. Only overload is remembered as a ceiling: a placer in
-    /// slow start or without service discovery was not overloaded by its weight. `reaction_time` is how long
-    /// load balancers take to act on a published weight.
+    /// `cause` is the signal that limits the target most. A ceiling is learned only from signals of overload, not from
+    /// the slow start or a lack of service discovery, since neither of these shows that the weight was too high.
+    /// `reaction_time` is how long load balancers take to act on a published weight.
     pub fn update(
         &mut self,
         now: Micros,
@@ -166,7 +170,7 @@
         has_changed
     }
 
-    /// Discards the ceiling, and resets the doubled hold, once the latest overload is long past.
+    /// Discards the ceiling, and resets the time from a fall to the next rise, once the latest overload is long past.
     fn forget_old_overload(&mut self, now: Micros) {
         let is_old = |ceiling: &Ceiling| {
             now - ceiling.since > ceiling.remembered_for + self.policy.max_ceiling_memory
@@ -247,7 +251,8 @@
         self.changes.len() >= self.policy.max_changes_per_minute
     }
 
-    /// Publishes the weight if it has risen by a step and a step is due, or if it has reached 100.
+    /// Publishes the weight if it has risen by at least `MIN_STEP` and `MIN_STEP_INTERVAL` has passed since the latest
+    /// change, or if it has reached 100.
     fn publish_rise(&mut self, now: Micros, target: f64) {
         let step_is_due = self
             .changes
--- a/src/health/weight/tests.rs
+++ b/src/health/weight/tests.rs
@@ -79,7 +79,7 @@
             weight.update(now, 100.0, None, 0);
         }
         waits.push((now - fell_at) / SECOND);
-        // The weight keeps rising until it can fall again.
+        // Lets the weight rise further until it may fall again.
         for _ in 0..40 {
             now += UPDATE_INTERVAL;
             weight.update(now, 100.0, None, 0);
--- a/src/net/health/agent.rs
+++ b/src/net/health/agent.rs
@@ -57,8 +57,8 @@
                 .unwrap_or_default();
             format!("up ready {}%{maxconn}{cause}\n", report.weight)
         }
-        // Reported as still up, so that connections which the load balancer holds stay open and a retried one is
-        // accepted.
+        // The answer still contains `up`, so that the load balancer keeps its connections to this placer open and may
+        // retry one here.
         State::Drain => "up drain # finishing what was taken\n".to_string(),
         State::Maint => "maint # by order\n".to_string(),
         State::Stopped => "stopped # ending\n".to_string(),
--- a/src/net/health/answers.rs
+++ b/src/net/health/answers.rs
@@ -1,4 +1,5 @@
-//! Builds the answers to load balancers from the health reporter's report and the state of the dispatch.
+//! Builds the answers to load balancer checks from the report of the health reporter and the state of the placer
+//! process.
 
 use super::{LINGER, agent, http, micros};
 use crate::net::dispatch::Dispatch;
@@ -8,7 +9,7 @@
 use task_placer::health::drain::{CheckKind, Poller};
 
 impl Dispatch {
-    /// Returns the maximum time that a poll may take.
+    /// Returns the maximum time that one poll of a check may take on its connection, in microseconds.
     pub(super) fn poll_timeout(&self, check: CheckKind) -> Micros {
         let Some(reporter) = &self.health_reporter else {
             return LINGER;
--- a/src/net/health/connection_limiter.rs
+++ b/src/net/health/connection_limiter.rs
@@ -13,7 +13,7 @@
 /// Why a connection must close.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Eviction {
-    /// The limit was reached, and its descriptor is needed for another connection.
+    /// The maximum number of connections was reached, and the descriptor is needed for another connection.
     LimitReached,
     /// The connection has passed its deadline.
     DeadlinePassed,
@@ -21,7 +21,8 @@
 
 /// The state of an admitted connection.
 struct Connection {
-    /// The value of the activity counter at the latest activity, which orders connections by it.
+    /// The value of the activity counter at the latest activity on the connection. The connection with the lowest value
+    /// has been inactive longest.
     last_activity: u64,
     deadline: Micros,
     evict: Sender<Eviction>,
@@ -34,7 +35,7 @@
     activity_counter: Cell<u64>,
 }
 
-/// Permits one connection to stay open until it is evicted.
+/// The permission for one connection to stay open until it is evicted.
 pub struct ConnectionPermit {
     id: u64,
     evicted: Receiver<Eviction>,
@@ -63,7 +64,8 @@
         next
     }
 
-    /// Admits a connection until `deadline`. If the limit is reached, the connection inactive longest is evicted.
+    /// Admits a connection that may stay open until `deadline`. If the limit is reached, the connection that has been
+    /// inactive longest is evicted.
     pub fn admit(&self, deadline: Micros) -> ConnectionPermit {
         let id = self.next_activity();
         let mut connections = self.connections.borrow_mut();
--- a/src/net/health/http/request.rs
+++ b/src/net/health/http/request.rs
@@ -60,7 +60,7 @@
 /// The result of parsing the bytes received so far.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Parsed {
-    /// The bytes are a part of a request.
+    /// The bytes are the beginning of a request whose end has not been received yet.
     Incomplete,
     /// The bytes begin with a complete request; the number is its length in bytes.
     Request(Request, usize),
@@ -164,7 +164,7 @@
 }
 
 fn target(path: &str, method: Method) -> Target {
-    // A proxy may send the target in absolute form.
+    // A proxy may send the target in absolute form, as `http://host/path`.
     let path = path.strip_prefix("http://").map_or(path, |rest| {
         rest.find('/').map_or("/", |start| &rest[start..])
     });
--- a/src/net/health/http/response.rs
+++ b/src/net/health/http/response.rs
@@ -11,16 +11,16 @@
 const HEALTH_JSON: &str = "application/health+json";
 const MICROS_PER_MILLISECOND: Micros = 1_000;
 
-/// The inputs of a response besides the request and the report.
+/// The values that determine a response besides the request and the health report.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResponseContext {
-    /// The time, in Unix microseconds.
+    /// The current wall-clock time, in microseconds since the Unix epoch.
     pub now: Micros,
     /// Whether the endpoint list has ever been received.
     pub has_started: bool,
     /// The HTTP status that announces a drain.
     pub drain_status: u16,
-    /// The weight below which Envoy is sent `x-envoy-degraded`.
+    /// The weight below which a response carries `x-envoy-degraded`, which tells Envoy that the placer is degraded.
     pub degraded_below: u8,
 }
 
@@ -142,12 +142,12 @@
     }
 }
 
-/// Returns the value, or the largest finite number for NaN and infinities, which JSON can't represent.
+/// Returns the value, or the largest finite number if the value is NaN or infinite, which JSON can't represent.
 fn finite(value: f64) -> f64 {
     if value.is_finite() { value } else { f64::MAX }
 }
 
-/// Returns the unit of a signal's value.
+/// Returns the unit of a signal's value for the body of `/health`.
 fn unit(signal: Signal) -> &'static str {
     match signal {
         Signal::DiscoveryAge => "s",
--- a/src/net/health/http/tests.rs
+++ b/src/net/health/http/tests.rs
@@ -113,7 +113,8 @@
 #[test]
 fn requests_that_two_parsers_could_read_differently_are_rejected() {
     let cases = [
-        // Two lengths, a length with a transfer coding, a malformed transfer coding, a body, malformed lengths.
+        // Rejected because of the length: two lengths, a length with a transfer coding, a malformed transfer coding, a
+        // body, malformed lengths.
         (
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: 0\r\nContent-Length: 5\r\n\r\n",
             400,
@@ -142,7 +143,8 @@
             "GET /livez HTTP/1.1\r\nHost: a\r\nContent-Length: \r\n\r\n",
             400,
         ),
-        // A space before a colon, a folded line, bare line feeds, no or two `Host` headers, an `Expect` header.
+        // Rejected because of other headers: a space before a colon, a folded line, bare line feeds, no or two `Host`
+        // headers, an `Expect` header.
         ("GET /livez HTTP/1.1\r\nHost : a\r\n\r\n", 400),
         ("GET /livez HTTP/1.1\r\nHost: a\r\nX: b\r\n c\r\n\r\n", 400),
         ("GET /livez HTTP/1.1\nHost: a\n\n", 400),
--- a/src/net/health/mod.rs
+++ b/src/net/health/mod.rs
@@ -26,7 +26,7 @@
 use task_placer::health::drain::{CheckKind, Poller};
 use tracing::{debug, info};
 
-/// The maximum time for a peer to read its answer and close the connection.
+/// The maximum time that a peer is given to read the last answer and close the connection, in microseconds.
 const LINGER: Micros = 1_000_000;
 const READ_BUFFER_BYTES: usize = 1_024;
 /// The maximum number of bytes that are read and discarded from a peer that does not close the connection.
@@ -147,7 +147,7 @@
         self.limiter.release(&self.permit);
         let (check, peer) = (self.check, self.peer);
         match reason {
-            // The regular ends of a poll are logged for debugging only, since there are thousands an hour.
+            // A poll that ended as usual is logged at debug level only, since there are thousands of polls an hour.
             CloseReason::Answered | CloseReason::ClosedByPeer => {
                 debug!(?check, %peer, %reason, "health check connection closed");
             }
@@ -168,7 +168,7 @@
         reason
     }
 
-    /// Moves the connection's deadline to `duration` from now.
+    /// Sets the connection's deadline to `duration` microseconds from now.
     fn extend(&self, duration: Micros) {
         let deadline = self.shared.borrow().clock.now() + duration;
         self.limiter.extend(&self.permit, deadline);
@@ -273,7 +273,8 @@
     }
 }
 
-/// Converts a duration to microseconds. A duration that does not fit becomes a quarter of the maximum.
+/// Converts a duration to microseconds. A duration that does not fit becomes a quarter of the largest value of
+/// [`Micros`].
 pub fn micros(duration: Duration) -> Micros {
     Micros::try_from(duration.as_micros()).unwrap_or(Micros::MAX / 4)
 }
--- a/src/net/health/reporter.rs
+++ b/src/net/health/reporter.rs
@@ -18,16 +18,16 @@
 pub enum DrainAction {
     /// Close idle connections from now on.
     StartClosingIdle,
-    /// Keep idle connections open again.
+    /// Stop closing idle connections.
     StopClosingIdle,
-    /// Have the decision module answer all pending requests.
+    /// Notify the decision module that it must answer all pending requests.
     AnswerAll {
         /// The time limit for the answers, in microseconds.
         within: Micros,
     },
     /// Exit the process.
     Exit {
-        /// The work that is left unfinished.
+        /// The work that is unfinished when the process exits.
         left: Outstanding,
     },
 }
@@ -46,7 +46,7 @@
     NeedsSignal,
 }
 
-/// The health reporting of this process.
+/// The health monitor and the drain of this process, with the settings of their reports.
 pub struct HealthReporter {
     monitor: HealthMonitor,
     drain: Drain,
@@ -109,15 +109,15 @@
         report
     }
 
-    /// Returns the report without recording a poll.
+    /// Returns the current health report for a purpose other than a poll of a load balancer.
     pub fn report(&mut self, now: Micros) -> Report {
         let (report, changes) = self.monitor.report(now);
         log_changes(&changes);
         report
     }
 
-    /// Handles SIGTERM. Returns `None` if the operator's file enables no drain; the process then ends as it does
-    /// without such a file.
+    /// Handles SIGTERM. Returns `None` if the operator's file does not enable a drain on SIGTERM; the process then ends
+    /// as it does without such a file.
     pub fn terminate(&mut self, now: Micros) -> Option<Vec<DrainAction>> {
         if !self.drains_on_signal {
             self.notify(now, Event::CommandReceived(Command::Stop));
@@ -166,7 +166,8 @@
         Ok(actions)
     }
 
-    /// Advances the drain according to the time and to what is outstanding, and returns the program's actions.
+    /// Advances the drain according to the time and the unfinished work, and returns the actions that the program must
+    /// carry out.
     pub fn advance_drain(&mut self, now: Micros, outstanding: Outstanding) -> Vec<DrainAction> {
         let effects = self.drain.advance(now, outstanding);
         self.apply(now, effects)
--- a/src/overload/admission.rs
+++ b/src/overload/admission.rs
@@ -29,25 +29,27 @@
 /// The most levels by which one adjustment raises the level. After such a rise a third of the requests admitted
 /// before is still admitted, until the effect of the new level is known.
 const MAX_RISE: f64 = 10.0;
-/// The number of outcomes below which late starts and given-up tasks do not raise the level, because so few outcomes
-/// do not show whether the level is right.
+/// The minimum number of outcomes (starts and given-up tasks) from which the level may be raised. Fewer outcomes do not
+/// show whether the level is right.
 const MIN_OUTCOMES: f64 = 6.0;
-/// The length of the window over which requests are counted by bucket, in multiples of the shortest latency
-/// objective.
+/// The length of the window over which requests are counted by bucket (a combination of priority, quota state and
+/// client attempt), in multiples of the shortest latency objective.
 const MIX_WINDOW_OBJECTIVES: Micros = 1;
 /// A backlog cannot be started in time if its oldest task has waited longer than this fraction of the latency
 /// objective, and it also holds more tasks than [`BACKLOG_STARTS`] permits.
 const BACKLOG_WAIT: f64 = 0.25;
-/// The fraction of the latency objective within which all tasks of a backlog must be able to start, at the current
-/// rate of starts.
+/// The fraction of the latency objective within which all waiting tasks must be able to start, at the current rate of
+/// starts. A larger backlog cannot be started in time if its oldest task has also waited longer than [`BACKLOG_WAIT`].
 const BACKLOG_STARTS: f64 = 0.4;
 /// The fraction of the rate of starts observed under overload that is taken as the capacity.
 const CAPACITY_MARGIN: f64 = 0.95;
-/// The counts of outcomes are reset once a level has lasted for this many latency objectives.
+/// The counts of starts and given-up tasks are reset once a shed level has lasted for this many latency objectives.
 const OUTCOME_RESET_OBJECTIVES: Micros = 4;
-/// How many levels the level may fall if the mean delay of starts is at most [`Settings::low_delay`].
+/// The number of levels by which the shed level may fall at once if the mean delay of starts is at most
+/// [`Settings::low_delay`].
 const LOW_DELAY_FALL: f64 = 1.0;
-/// How many levels the level may fall if the mean delay of starts is at most half of [`Settings::low_delay`].
+/// The number of levels by which the shed level may fall at once if the mean delay of starts is at most half of
+/// [`Settings::low_delay`].
 const VERY_LOW_DELAY_FALL: f64 = 2.0;
 /// Salt of the hash that decides which tasks of a tenant are taken to be within its quota.
 pub const QUOTA_SALT: u64 = 0x7368_6172;
@@ -60,9 +62,10 @@
     pub late: f64,
     /// The mean delay of starts up to which the level may fall further than the observed capacity alone allows.
     pub low_delay: f64,
-    /// While load is shed, a task that has waited longer than this is given up, because it cannot start in time.
+    /// While load is shed, a task that has waited longer than this fraction is given up, because it cannot start in
+    /// time.
     pub give_up_after: f64,
-    /// How long the same tasks are shed first, in microseconds.
+    /// The length of an epoch in microseconds: how long the same tasks are shed first.
     pub epoch: Micros,
 }
 
@@ -93,11 +96,11 @@
 /// The attributes of a request that determine its rank.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// The priority of its class, from 0 (lowest) to 3.
+    /// The priority of the request's class, from 0 (lowest) to 3.
     pub priority: u8,
-    /// The fraction of its tenant's requests that is within the tenant's quota.
+    /// The fraction of the requests of the same tenant that is within the tenant's quota.
     pub within_quota: f64,
-    /// Whether its client has sent the request before.
+    /// Whether the client sends the request for the first time or retries it.
     pub client_attempt: ClientAttempt,
     /// A hash of the task, which is the same at every placer.
     pub task_hash: u64,
@@ -130,7 +133,7 @@
 pub struct Backlog {
     /// The number of waiting tasks.
     pub tasks: usize,
-    /// How long the oldest of them has waited, in microseconds.
+    /// How long the oldest waiting task has waited, in microseconds.
     pub oldest_wait: Micros,
 }
 
@@ -164,7 +167,7 @@
     /// The shortest latency objective of any class.
     latency_objective: Micros,
     level: u8,
-    /// When the level last changed or its counts were last reset.
+    /// When the shed level last changed or the counts of outcomes were last reset.
     level_since: Micros,
     /// Recent requests by bucket.
     mix: Vec<SlidingWindow>,
@@ -199,7 +202,8 @@
         self.level
     }
 
-    /// Returns the time from which on the outcomes of the current level are counted.
+    /// Returns the time of the last change of the level or reset of the counts. Only tasks requested from then on are
+    /// counted.
     pub fn level_since(&self) -> Micros {
         self.level_since
     }
@@ -340,7 +344,7 @@
         (level < f64::from(self.level)).then_some(level)
     }
 
-    /// Returns by how many levels the level may fall, given the mean delay of the starts.
+    /// Returns by how many levels the shed level may fall at once, given the mean delay of the starts.
     fn max_fall(&self) -> f64 {
         let mean_delay = self.outcomes.mean_relative_delay();
         if self.outcomes.starts == 0.0 || mean_delay > self.settings.low_delay {
--- a/src/overload/concurrency_limit.rs
+++ b/src/overload/concurrency_limit.rs
@@ -24,20 +24,21 @@
 
 use crate::Micros;
 
-/// How long a start counts for a host's minimum delay, in microseconds.
+/// How long the delay of a start is taken into account in the minimum delay of its host, in microseconds.
 const MIN_DELAY_EXPIRY: Micros = 30_000_000;
 /// The target delay of a host that is slow even when idle, as a multiple of its minimum delay.
 const TARGET_PER_MIN_DELAY: f64 = 1.3;
-/// The largest fraction by which the window is narrowed at once (Swift's max_mdf).
+/// The largest fraction by which the congestion window is decreased at once (`max_mdf` in Swift).
 const MAX_DECREASE: f64 = 0.5;
-/// The window is narrowed by this factor times the excess delay as a fraction of the delay (Swift's beta).
+/// The congestion window is decreased by the fraction that the excess delay is of the whole delay, times this factor
+/// (`beta` in Swift).
 const DECREASE_GAIN: f64 = 0.8;
 /// The weight of one start in the moving average of the delay.
 const DELAY_WEIGHT: f64 = 0.25;
-/// A window above its initial value returns to it after a pause of this many mean delays, and of at least
-/// [`MIN_IDLE`], since the load that the window was adapted to has passed.
+/// A window above its initial value returns to that value after a time without attempts of this many mean delays, and
+/// of at least [`MIN_IDLE`], since the load that the window was adapted to has passed.
 const IDLE_DELAYS: f64 = 20.0;
-/// The shortest pause after which a window returns to its initial value, in microseconds.
+/// The shortest time without attempts after which a window returns to its initial value, in microseconds.
 const MIN_IDLE: Micros = 5_000_000;
 /// The minimum window as a fraction of the initial one. The minimum windows of all placers together keep a host busy
 /// and its queue short.
@@ -45,11 +46,13 @@
 /// The largest fraction of a window, or of 1 if the window is larger, by which it grows per start while the host's
 /// queue is very short.
 const FAST_GROWTH: f64 = 0.5;
-/// The upper bound of the shortest delay in the computation of the pacing delay, as a fraction of the target delay.
+/// When the pacing delay is computed, the shortest observed delay is taken to be at most this fraction of the target
+/// delay.
 const MAX_SHORTEST_DELAY_FRACTION: f64 = 0.25;
 /// The number of consecutive losses after which a host is suspect.
 const SUSPECT_LOSSES: u32 = 2;
-/// A window may grow only if it was full within this many mean delays.
+/// A window may grow only if it was full recently, that is, if as many attempts as it allows were in flight. This is
+/// the time that counts as recent, as a multiple of the mean delay of starts.
 const RECENTLY_FULL_DELAYS: f64 = 4.0;
 
 /// Settings of the concurrency limits of all hosts.
@@ -148,14 +151,14 @@
     shortest_delay: f64,
     /// The target delay of the class with the shortest latency objective, in microseconds.
     target_delay: f64,
-    /// The minimum of recent delays, each as a fraction of its latency objective.
+    /// The minimum of recent delays of starts, each as a fraction of the latency objective of its class.
     min_relative_delay: WindowedMinimum,
     /// When the window was last decreased. Attempts sent earlier do not decrease it again.
     last_decrease: Micros,
-    /// When the next attempt may be sent beyond the whole attempts of the window.
+    /// When pacing next allows an attempt for the fraction of the window beyond its whole attempts.
     next_paced_attempt: Micros,
     last_attempt: Micros,
-    /// When the window was last full.
+    /// When as many attempts as the window allows were last in flight.
     last_full: Micros,
     consecutive_losses: u32,
 }
@@ -210,7 +213,7 @@
         self.consecutive_losses >= SUSPECT_LOSSES
     }
 
-    /// Marks the host as suspect because other hosts of its zone are.
+    /// Marks the host as suspect because other hosts of its zone are suspect.
     pub fn mark_suspect(&mut self) {
         self.consecutive_losses = self.consecutive_losses.max(SUSPECT_LOSSES);
     }
@@ -226,7 +229,8 @@
         whole + paced
     }
 
-    /// Returns when [`ConcurrencyLimit::max_in_flight`] next changes without an event, or `None` if it does not.
+    /// Returns when [`ConcurrencyLimit::max_in_flight`] next changes by the passage of time alone, or `None` if it does
+    /// not.
     pub fn next_change(&self, now: Micros) -> Option<Micros> {
         let waits_for_pace =
             !self.is_suspect() && self.window_parts().1 > 0.0 && self.next_paced_attempt > now;
@@ -309,15 +313,15 @@
         }
     }
 
-    /// Returns the number of whole attempts in the window, and the remaining fraction of an attempt.
+    /// Returns the window as a number of whole attempts and the remaining fraction of an attempt.
     fn window_parts(&self) -> (u32, f64) {
         let whole = self.window.floor();
         (whole as u32, self.window - whole)
     }
 
-    /// Returns the delay of an attempt that pacing assumes, in microseconds: the mean delay, which decays with the time
-    /// since the latest start down to the shortest delay observed. It is at most the target, since a delay beyond the
-    /// target narrows the window instead.
+    /// Returns the delay that is assumed for an attempt when attempts are paced, in microseconds. It is the mean delay
+    /// of starts, reduced with the time since the latest start down to the shortest delay observed. It is at most the
+    /// target, since a delay beyond the target narrows the window instead.
     fn pacing_delay(&self, now: Micros) -> f64 {
         if self.last_start == Micros::MIN {
             return self.mean_delay;
--- a/src/overload/controller.rs
+++ b/src/overload/controller.rs
@@ -15,10 +15,11 @@
 use super::{Features, ShedState};
 use crate::{ClassId, HostId, Limit, Micros, RequestId, Settings, Task};
 
-/// How many times the shed level is adjusted within the shortest latency objective. The decision module ticks at
-/// the same rate.
+/// How many times the shed level is adjusted within the shortest latency objective. The decision module does its
+/// periodic work at the same rate.
 const ADJUSTMENTS_PER_OBJECTIVE: Micros = 4;
-/// How long the spread of Retry-After times stays the same while admission control is disabled, in microseconds.
+/// The epoch while admission control is disabled, in microseconds: how long the hash gives the same task the same
+/// Retry-After.
 const DEFAULT_EPOCH: Micros = 8_000_000;
 /// The latency objective if the settings define no task class, in microseconds.
 const DEFAULT_LATENCY_OBJECTIVE: Micros = 1_000_000;
@@ -36,12 +37,13 @@
     tenants: TenantUsages,
     /// The shortest latency objective of any class.
     latency_objective: Micros,
-    /// The longest Retry-After that may be sent; 0 if none may be sent.
+    /// The longest Retry-After that may be sent to a client; 0 if none may be sent.
     max_retry_after: Micros,
     spreads_retry_after: bool,
-    /// How long the spread of Retry-After times stays the same; with admission control, its epoch.
+    /// How long the hash gives the same task the same Retry-After: the epoch of admission control, or a default without
+    /// it.
     epoch: Micros,
-    /// The wall clock at time 0 of the events.
+    /// The wall-clock time, in microseconds, at time 0 of the events.
     wall_clock_offset: Micros,
     admission: Option<AdmissionController>,
     /// The fraction of its latency objective after which a waiting task is given up while load is shed.
@@ -262,8 +264,8 @@
         });
     }
 
-    /// Returns the time until this placer's next slot at a host that does not answer. A connection attempt must
-    /// wait for the slot in addition to its own backoff; `None` means that it need not wait.
+    /// Returns the time until this placer's next health-check slot at a host that does not answer. A connection attempt
+    /// to the host must wait for the slot in addition to its own backoff; `None` means that it need not wait.
     pub fn time_until_slot(&self, now: Micros, host: &HostId) -> Option<Micros> {
         self.hosts.time_until_slot(now, host)
     }
--- a/src/overload/controller/attempts.rs
+++ b/src/overload/controller/attempts.rs
@@ -29,8 +29,8 @@
         self.hosts.refresh(now, host, limits);
     }
 
-    /// Records an attempt with its request, and counts it as a first attempt or a retry. A first attempt is credited
-    /// to the retry budget unless its request is itself a client's retry.
+    /// Records which attempt of a request is in flight, and counts it as a first attempt or a retry. A first attempt
+    /// adds to the retry budget unless its request is itself a client's retry.
     fn record_attempt(&mut self, now: Micros, id: &RequestId, host: &HostId) {
         let Some(request) = self.requests.get_mut(id) else {
             return;
@@ -127,8 +127,9 @@
     }
 }
 
-/// Returns whether a retry after this outcome is charged to the retry budget. It is not if the attempt was cancelled
-/// or its task completed, nor if the attempt was not sent: then it does not count as an attempt.
+/// Returns whether a retry after this outcome is charged to the retry budget. It is not charged if the attempt was
+/// cancelled or its task completed, nor if the attempt was never sent, since an attempt that was not sent does not
+/// count.
 fn costs_a_retry(outcome: Outcome) -> bool {
     !matches!(
         outcome,
--- a/src/overload/event.rs
+++ b/src/overload/event.rs
@@ -2,7 +2,7 @@
 
 use crate::{Endpoint, HostId, Micros, Outcome, OutcomeDetail, RequestId, UpdateKind};
 
-/// Something that has happened at the placer and may change limits.
+/// An event at the placer that may change the limits imposed by overload control.
 #[derive(Debug, Clone, Copy)]
 pub enum Event<'a> {
     /// The endpoint list has changed.
@@ -30,14 +30,14 @@
         id: &'a RequestId,
         /// How the attempt ended.
         outcome: Outcome,
-        /// Why it ended, if the host gave a reason.
+        /// Why the attempt ended, if the host gave a reason.
         detail: OutcomeDetail,
     },
     /// No further attempt will be made for the request.
     RequestEnded {
         /// The request that ended.
         id: &'a RequestId,
-        /// How it ended.
+        /// How the request ended.
         end: RequestEnd,
     },
     /// The placer's periodic tick.
--- a/src/overload/health_check_schedule.rs
+++ b/src/overload/health_check_schedule.rs
@@ -15,8 +15,8 @@
 use crate::Micros;
 use crate::state::hash::combine_hashes;
 
-/// How many times failed health checks double the interval between the slots that a placer uses. The placer still uses
-/// at least one in 2^`MAX_BACKOFF_DOUBLINGS` of its slots.
+/// The maximum number of times that failed health checks double the interval between the slots that a placer uses. The
+/// placer still uses at least one in 2^`MAX_BACKOFF_DOUBLINGS` of its slots.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 /// Salt of the hash that makes the rounds of different hosts start at different times.
 const ROUND_OFFSET_SALT: u64 = 0x7475_726e;
@@ -26,7 +26,7 @@
 pub struct Settings {
     /// The number of placers that may check one host at a time.
     pub concurrent_placers: usize,
-    /// How long the slot of one group of placers lasts, in microseconds.
+    /// The length of the time slot in which one group of placers may check a host, in microseconds.
     pub slot_length: Micros,
 }
 
@@ -88,12 +88,13 @@
         groups * self.settings.slot_length
     }
 
-    /// Returns this placer's slot at a host at the time `wall_clock`, without backoff.
+    /// Returns the state of this placer's slot at a host at the time `wall_clock`, as if no health check had failed.
     pub fn slot(&self, host_hash: u64, wall_clock: Micros) -> TimeSlot {
         self.slot_with_backoff(host_hash, wall_clock, 0)
     }
 
-    /// Returns this placer's slot at a host at the time `wall_clock`, after `failed_checks` consecutive failures.
+    /// Returns the state of this placer's slot at a host at the time `wall_clock`, after `failed_checks` consecutive
+    /// failed health checks.
     ///
     /// After failures, only every second, fourth or eighth slot is used, so that few tasks lose time at a host that
     /// stays down. The placer therefore gets a slot at least once in two, four or eight rounds.
--- a/src/overload/host.rs
+++ b/src/overload/host.rs
@@ -17,11 +17,12 @@
     pub slot_is_used: bool,
     /// The number of consecutive health checks that failed.
     pub failed_checks: u32,
-    /// The limit that the decision module was last notified of; the outer `None` means that it was not notified yet.
+    /// The limit on attempts in flight that the decision module was last notified of. The outer `None` means that it
+    /// was not notified yet, the inner `None` that overload control imposes no limit on the host.
     pub notified: Option<Option<u32>>,
-    /// When the limit is due to be refreshed, if it changes with time.
+    /// When the limit is due to be computed again, if it changes with time.
     pub refresh_at: Option<Micros>,
-    /// What the host contributes to the totals of the host table.
+    /// The window and the attempts in flight of this host as they are contained in the totals of the host table.
     pub contribution: Totals,
 }
 
@@ -32,7 +33,7 @@
     pub in_flight: u32,
 }
 
-/// The limit of one host, and when to refresh it.
+/// The limit of one host, and when it must be computed again.
 pub(super) struct HostLimit {
     pub max_in_flight: Option<u32>,
     pub health_check: bool,
--- a/src/overload/hosts.rs
+++ b/src/overload/hosts.rs
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone)]
 pub(super) struct HostTable {
     hosts: BTreeMap<HostId, Host>,
-    /// The scheduled refreshes of hosts, by time.
+    /// The times at which the limits of hosts must be computed again, earliest first.
     refreshes: BTreeSet<(Micros, HostId)>,
     limit_settings: concurrency_limit::Settings,
     limits_are_enabled: bool,
@@ -142,7 +142,7 @@
                 contribution: Totals::default(),
             });
         if host.started_at != endpoint.started_at {
-            // The host was restarted, so nothing learned about its previous incarnation holds.
+            // The host was restarted, so what was learned about the host before does not apply any more.
             host.limit = fresh_limit();
         }
         host.cell = endpoint.cell;
@@ -167,7 +167,7 @@
 
     // ---- Limits ----
 
-    /// Emits the limit of a host if it has changed, and schedules the host's next refresh.
+    /// Computes the limit of a host, emits it if it has changed, and schedules when it is computed next.
     pub fn refresh(&mut self, now: Micros, id: &HostId, limits: &mut Vec<Limit>) {
         self.update_totals(id);
         let Some(HostLimit {
@@ -193,7 +193,7 @@
         }
     }
 
-    /// Updates a host's contribution to the totals.
+    /// Replaces a host's contribution to the sums of windows and of attempts in flight over all hosts.
     fn update_totals(&mut self, id: &HostId) {
         let Some(host) = self.hosts.get_mut(id) else {
             return;
@@ -257,7 +257,7 @@
         host.refresh_at = refresh_at;
     }
 
-    /// Refreshes the hosts whose scheduled refresh is due.
+    /// Computes the limits of the hosts whose scheduled refresh is due, and emits those that have changed.
     pub fn refresh_due(&mut self, now: Micros, limits: &mut Vec<Limit>) {
         while let Some((due_at, id)) = self.refreshes.first().cloned() {
             if due_at > now {
@@ -268,7 +268,8 @@
                 host.refresh_at = None;
             }
             self.refresh(now, &id, limits);
-            // A host that is due again at the same time waits for the next tick, or this loop might not end.
+            // A host whose next refresh is due at the same time again waits for the next tick, because otherwise this
+            // loop might not end.
             if self.refreshes.contains(&(due_at, id)) {
                 return;
             }
--- a/src/overload/hosts/suspect.rs
+++ b/src/overload/hosts/suspect.rs
@@ -11,7 +11,7 @@
 /// The fraction of a cell's hosts that must be suspect for the cell to be suspect.
 const SUSPECT_FRACTION_OF_CELL: f64 = 0.5;
 
-/// Counts of the hosts of one cell that are up.
+/// The number of hosts of one cell that are up, and how many of these are suspect.
 #[derive(Debug, Default)]
 struct CellCount {
     hosts: usize,
@@ -47,8 +47,8 @@
     }
 
     /// Marks all hosts that are up in the zone of the host `id` as suspect if several cells of the zone are suspect,
-    /// and returns whether it did. The fault is then assumed to be the zone's, and its other hosts get only health
-    /// checks from now on, before each of them has lost attempts of every placer.
+    /// and returns whether it did. The fault is then assumed to affect the whole zone, so its other hosts get only
+    /// health checks from now on instead of each losing attempts of every placer first.
     pub fn check_zone(&mut self, now: Micros, id: &HostId, limits: &mut Vec<Limit>) -> bool {
         if self.schedule.is_none() {
             return false;
@@ -74,8 +74,8 @@
         true
     }
 
-    /// Returns whether several cells of a zone are suspect, but not all. If all are, the fault may be on the side of
-    /// this placer.
+    /// Returns whether several cells of a zone are suspect, but not all cells known to this placer. If all are suspect,
+    /// the fault may be on the side of this placer.
     fn zone_is_suspect(&self, zone: ZoneId) -> bool {
         let mut cells: BTreeMap<CellId, CellCount> = BTreeMap::new();
         for host in self.hosts.values() {
--- a/src/overload/report.rs
+++ b/src/overload/report.rs
@@ -19,9 +19,9 @@
     pub first_attempts: u64,
     /// Attempts of requests beyond their first.
     pub retries: u64,
-    /// Retries denied by this placer's budget.
+    /// Retries that were not allowed because the retry budget of this placer was used up.
     pub retries_denied_by_placer: u64,
-    /// Retries denied by the budget of a host, a cell or a zone.
+    /// Retries that were not allowed because the retry budget of a host, a cell or a zone was used up.
     pub retries_denied_by_domain: u64,
     /// Attempts sent to suspect hosts as health checks, in the time slots of this placer.
     pub health_checks: u64,
@@ -60,7 +60,7 @@
     }
 }
 
-/// The state of one host.
+/// The state of one host as the overload controller knows it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct HostReport {
     /// The host's id.
@@ -77,7 +77,7 @@
     pub next_slot_in: Option<Micros>,
 }
 
-/// The state of the controller.
+/// The state of the overload controller and of its hosts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Report {
     /// The shed level; at level 0 every request is admitted.
--- a/src/overload/requests.rs
+++ b/src/overload/requests.rs
@@ -4,7 +4,7 @@
 use crate::{HostId, Micros, RequestId};
 use std::collections::BTreeMap;
 
-/// A request's attempt that is in flight.
+/// An attempt in flight of a request.
 #[derive(Debug, Clone)]
 pub(super) struct InFlightAttempt {
     pub host: HostId,
--- a/src/overload/retry_after.rs
+++ b/src/overload/retry_after.rs
@@ -9,16 +9,19 @@
 use crate::Micros;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The length of the span at shed level 0, in multiples of the shortest latency objective.
+/// The length of the span over which Retry-After times are spread at shed level 0, in multiples of the shortest latency
+/// objective.
 const BASE_SPAN_OBJECTIVES: f64 = 1.0;
-/// By how much each shed level lengthens the span, in multiples of the shortest latency objective.
+/// The time by which each shed level lengthens the span over which Retry-After times are spread, in multiples of the
+/// shortest latency objective.
 const SPAN_OBJECTIVES_PER_LEVEL: f64 = 0.5;
-/// The span starts after one latency objective, or after this fraction of the longest Retry-After that clients honour
-/// if that is sooner.
+/// The earliest Retry-After, at which the span of times starts, is one latency objective, or this fraction of the
+/// longest Retry-After that clients honour if that is shorter.
 const MIN_START_FRACTION: f64 = 0.5;
 /// Salt of the hash by which the Retry-After times are spread.
 const SPREAD_SALT: u64 = 0x7265_7475;
-/// A client may retry early by its Retry-After divided by this, since neither its clock nor the network is exact.
+/// A retry counts as early only if it arrives before the Retry-After by more than the Retry-After divided by this,
+/// since neither the client's clock nor the network is exact.
 const TOLERANCE_DIVISOR: Micros = 16;
 /// The largest number of clients whose Retry-After is tracked. Beyond it those that may retry earliest are forgotten.
 pub const MAX_BACKED_OFF_CLIENTS: usize = 8_192;
--- a/src/overload/retry_budget.rs
+++ b/src/overload/retry_budget.rs
@@ -21,9 +21,10 @@
     pub ratio: f64,
     /// Retries earned by each first attempt while load is shed.
     pub ratio_while_shedding: f64,
-    /// Retries earned by each first attempt in the budgets of its host, cell and zone.
+    /// Retries that each first attempt earns in the budgets of its host, cell and zone.
     pub domain_ratio: f64,
-    /// Retries that the whole fleet has available at its start, and the most that it can save.
+    /// Number of retries that the budgets of the whole fleet hold at the start, which is also the most that they can
+    /// hold.
     pub fleet_burst: f64,
 }
 
@@ -71,7 +72,7 @@
     DomainBudget,
 }
 
-/// The budget of one failure domain.
+/// The retry budget of one failure domain, and when it was last used.
 #[derive(Debug, Clone, Copy)]
 struct Bucket {
     tokens: f64,
--- a/src/overload/tenants.rs
+++ b/src/overload/tenants.rs
@@ -3,7 +3,7 @@
 use crate::health::sliding_window::SlidingWindow;
 use crate::{Micros, Settings, TenantId};
 
-/// How long a tenant's requests are observed, in multiples of the shortest latency objective.
+/// The length of the window over which a tenant's requests are counted, in multiples of the shortest latency objective.
 const WINDOW_OBJECTIVES: Micros = 4;
 const MICROS_PER_SECOND: f64 = 1e6;
 
--- a/src/placement/admission.rs
+++ b/src/placement/admission.rs
@@ -84,7 +84,7 @@
     ///
     /// The value is the Retry-After that the task carries, or else one shortest latency objective, limited to what
     /// clients honour. By then the attempts that are in flight now have had time to start; a client that retries sooner
-    /// would be rejected again.
+    /// would probably be rejected again.
     pub(super) fn retry_after(&self, task: &Task) -> Micros {
         if !self.settings.allows_retry_after {
             return 0;
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -14,9 +14,9 @@
     BadValue {
         /// Path of the setting.
         path: String,
-        /// Value that the setting has.
+        /// The text of the setting's value.
         found: String,
-        /// Form or words that were expected.
+        /// Description of the expected form, or the list of accepted words.
         expected: String,
     },
     /// A list that must have one item for each class, tenant or host kind is too short.
--- a/src/settings/flatten.rs
+++ b/src/settings/flatten.rs
@@ -6,8 +6,9 @@
 
 /// Flattens nested JSON into settings by path.
 ///
-/// The names of nested objects are joined with dots, and the items of lists of plain values with commas. A list of
-/// objects adds its length under `.count` and each object under its index.
+/// The names of nested objects are joined with dots, and the items of lists of plain values with commas. For a list of
+/// objects, its length is stored under the list's path followed by `.count`, and each object under the list's path
+/// followed by its index.
 pub fn flatten(value: &BorrowedValue<'_>) -> SettingsByPath {
     let mut settings = SettingsByPath::new();
     add_paths(&mut settings, "", value);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -213,7 +213,7 @@
     reader.one_of(&path, &scopes)
 }
 
-/// Reads the tenants and their names; none if the deployment has no tenants.
+/// Reads the tenants and their names. Returns empty lists if the deployment has no tenants.
 fn read_tenants(reader: &Reader<'_>) -> Result<(Vec<Tenant>, Vec<String>), SettingsError> {
     let cores_path = "family_info.share_cores";
     let mut tenants = Vec::new();
@@ -241,7 +241,8 @@
     })
 }
 
-/// Reads what the values of a load report mean, in order; empty if hosts send no load reports.
+/// Reads the meaning of each value in a load report, in the order of the report. Returns an empty list if hosts send no
+/// load reports.
 fn read_load_report(reader: &Reader<'_>) -> Result<Vec<LoadReportField>, SettingsError> {
     match reader.settings.get("report.via").map(String::as_str) {
         None | Some("off") => Ok(Vec::new()),
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -66,7 +66,8 @@
         Ok(items(self.text(path)?).map(str::to_string).collect())
     }
 
-    /// Reads a setting whose value is one of the words in `table`, and returns what the table assigns to the word.
+    /// Reads a setting whose value is one of the words in `table`, and returns the value that the table lists for the
+    /// word.
     pub(super) fn one_of<T: Copy>(
         &self,
         path: &str,
@@ -89,7 +90,7 @@
     }
 }
 
-/// Returns what `table` assigns to a word.
+/// Returns the value that `table` lists for a word.
 ///
 /// # Errors
 ///
