--- a/src/bin/simulator-adapter/error.rs
+++ b/src/bin/simulator-adapter/error.rs
@@ -10,7 +10,7 @@
 }
 
 impl InputError {
-    /// Creates an error in a field of a line. Lines are numbered from 1.
+    /// Creates an error that names a line, a field of it and the problem. Lines are numbered from 1.
     pub fn new(line: u64, field: &str, problem: impl std::fmt::Display) -> InputError {
         InputError {
             line,
--- a/src/bin/simulator-adapter/fields.rs
+++ b/src/bin/simulator-adapter/fields.rs
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Creates an error in a field of this line.
+    /// Creates an error that names a field of this line and the problem with it.
     pub fn error(&self, field: &str, problem: Problem<'_>) -> InputError {
         InputError::new(self.line, field, format_args!("{problem} ({})", self.name))
     }
--- a/src/facade/messages.rs
+++ b/src/facade/messages.rs
@@ -10,39 +10,39 @@
 pub enum PlacementEvent {
     /// The attempt placed the task.
     AttemptStarted {
-        /// The request.
+        /// The request that the attempt was made for.
         ticket: Ticket,
-        /// The attempt, counted from 0.
+        /// The number of the attempt, counted from 0 for each request.
         attempt: u32,
-        /// The attempt's host.
+        /// The host that the attempt was sent to.
         host: HostId,
-        /// Time since the decision to send the attempt.
+        /// Time since the decision to send the attempt, in microseconds.
         elapsed: Micros,
     },
     /// An attempt, or the task that it placed, has ended.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt was made for.
         ticket: Ticket,
-        /// The attempt, counted from 0.
+        /// The number of the attempt, counted from 0 for each request.
         attempt: u32,
-        /// The attempt's host.
+        /// The host that the attempt was sent to.
         host: HostId,
         /// How the attempt ended.
         outcome: Outcome,
         /// Why the attempt ended that way.
         detail: OutcomeDetail,
-        /// Time since the decision to send the attempt.
+        /// Time since the decision to send the attempt, in microseconds.
         elapsed: Micros,
     },
     /// A host reports a value about a running task.
     TaskReported {
-        /// The request.
+        /// The request that placed the task.
         ticket: Ticket,
         /// The host that runs the task.
         host: HostId,
         /// What the value measures.
         report: TaskReport,
-        /// The reported value.
+        /// The reported value, in the unit of what it measures.
         value: f64,
     },
     /// The client has cancelled the request, so no response is pending.
@@ -53,7 +53,7 @@
     EndpointsChanged {
         /// Whether `endpoints` is the complete list; otherwise it holds only the changed endpoints.
         is_complete: bool,
-        /// The endpoints of the update.
+        /// All endpoints if the update is complete, otherwise the changed ones.
         endpoints: Vec<Endpoint>,
     },
     /// Service discovery has become available and delivers updates.
@@ -69,35 +69,35 @@
 pub enum Decision {
     /// Send an attempt to a host.
     SendAttempt {
-        /// The request.
+        /// The request that the attempt is made for.
         ticket: Ticket,
         /// The host that receives the attempt.
         host: HostId,
-        /// Maximum time that the host may take to answer.
+        /// Maximum time that the host may take to answer, in microseconds.
         timeout: Micros,
     },
     /// Send the client the final response that its request is rejected. A retry by the client does no harm.
     Reject {
-        /// The request.
+        /// The request that is rejected.
         ticket: Ticket,
-        /// Time after which the client may retry; 0 leaves the time to the client.
+        /// Time after which the client may retry, in microseconds; 0 leaves the time to the client.
         retry_after: Micros,
     },
     /// Send the client the final response that its request failed. The task may have run.
     Fail {
-        /// The request.
+        /// The request that failed.
         ticket: Ticket,
     },
     /// Stop a running task so that its client requests it again.
     Migrate {
-        /// The request.
+        /// The request that placed the task.
         ticket: Ticket,
     },
     /// Stop waiting for the answer to an attempt.
     CancelAttempt {
-        /// The request.
+        /// The request that the attempt was made for.
         ticket: Ticket,
-        /// The attempt, counted from 0.
+        /// The number of the attempt, counted from 0 for each request.
         attempt: u32,
     },
     /// Write a line to the log.
--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -53,7 +53,8 @@
     pub settle_time: Micros,
     /// The number of answered polls after which an agent check has seen the drain.
     pub agent_polls: u32,
-    /// The number of answered polls after which an HTTP check has seen the drain: the check's fall count.
+    /// The number of answered polls after which an HTTP check has seen the drain. It equals the fall count of the
+    /// check, the failures in a row after which the load balancer acts.
     pub http_polls: u32,
     /// The time without a pending response after which no further request is expected.
     pub quiet_time: Micros,
--- a/src/health/drain/pollers.rs
+++ b/src/health/drain/pollers.rs
@@ -48,7 +48,7 @@
     latest: Micros,
     /// The estimated time between two polls.
     interval: Micros,
-    /// The number of answers since the drain began.
+    /// The number of answers to this check since the drain began, all of which announced the drain.
     drain_answers: u32,
     /// When the check had received enough answers to count as having seen the drain, or `None` if it has not.
     notified_at: Option<Micros>,
--- a/src/health/fleet_evidence.rs
+++ b/src/health/fleet_evidence.rs
@@ -34,7 +34,7 @@
     pub silent: u32,
 }
 
-/// The fractions of the listed hosts that are unreachable, by cause.
+/// The fractions of the listed hosts that are unreachable because of this placer and because of the hosts.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Unreachable {
     /// The fraction of the listed hosts whose unreachability is attributed to this placer.
--- a/src/health/fleet_evidence/tests.rs
+++ b/src/health/fleet_evidence/tests.rs
@@ -38,7 +38,8 @@
         ),
         // All hosts of all zones are silent.
         (&[zone(4, 0, 4), zone(4, 0, 4)], 1.0, 0.0),
-        // Half of one zone and all of the other are silent; only the half that both have in common is this placer's.
+        // Half of one zone and all of the other are silent. Only the half that both have in common is attributed to
+        // this placer.
         (&[zone(4, 0, 2), zone(4, 0, 4)], 0.5, 0.25),
         // Refused connections, as by hosts whose process has exited, are attributed to the hosts.
         (&[zone(4, 4, 0), zone(4, 4, 0)], 0.0, 1.0),
--- a/src/health/mod.rs
+++ b/src/health/mod.rs
@@ -99,7 +99,8 @@
     weight: WeightController,
     last_iteration: Micros,
     last_update: Option<Micros>,
-    /// Intervals between iterations of the event loop that exceeded the permitted maximum, in microseconds.
+    /// Sums the intervals between iterations of the event loop that exceeded the permitted maximum, in microseconds
+    /// (the part).
     loop_lateness: SlidingWindow,
     /// Counts responses that missed their latency objective (the part) and all responses (the whole).
     missed_objectives: SlidingWindow,
--- a/src/health/state.rs
+++ b/src/health/state.rs
@@ -62,13 +62,13 @@
 /// Why the state has changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransitionReason {
-    /// The slow start is over.
+    /// The time of the slow start has passed, and the weight is high enough.
     SlowStartOver,
     /// No signal limits the weight any more.
     SignalsClear,
     /// The weight is limited by this signal.
     Signal(Signal),
-    /// A command was executed.
+    /// The state was changed by this command.
     Command(Command),
 }
 
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -17,9 +17,10 @@
 
 const SECOND: Micros = 1_000_000;
 const MINUTE: Micros = 60 * SECOND;
-/// The fraction of the ceiling from which on the weight rises slowly.
+/// The fraction of the ceiling (the remembered weight at which overload began) from which on the weight rises slowly.
 const SLOW_RISE_FROM: f64 = 0.6;
-/// The fraction of the ceiling at which the weight stays until the ceiling expires.
+/// The fraction of the ceiling (the remembered weight at which overload began) at which the weight stays until the
+/// ceiling expires.
 const PLATEAU_FRACTION: f64 = 0.8;
 /// The factor applied to the rate of a rise while the weight is between the fraction `SLOW_RISE_FROM` of the ceiling
 /// and the ceiling.
@@ -43,7 +44,8 @@
 pub struct WeightPolicy {
     /// The minimum weight: signals do not lower it further, so that a placer that still places tasks keeps some load.
     pub min_weight: f64,
-    /// The minimum time between two falls, unless one and a half times the load balancers' reaction time is longer.
+    /// The minimum time between two falls of the weight. One and a half times the load balancers' reaction time applies
+    /// instead if that is longer.
     pub fall_interval: Micros,
     /// The minimum time from a fall to the next rise; doubled each time that a fall soon follows a rise.
     pub hold: Micros,
@@ -81,7 +83,7 @@
     weight: f64,
     /// When the overload began from which the ceiling was learned.
     since: Micros,
-    /// How long the ceiling limits a rise.
+    /// How long the ceiling limits a rise of the weight, in microseconds.
     remembered_for: Micros,
     /// Whether the ceiling was learned from a signal that the fleet can cause. It is discarded if the fleet later turns
     /// out to be the cause.
--- a/src/overload/admission.rs
+++ b/src/overload/admission.rs
@@ -111,8 +111,9 @@
 const CLIENT_ATTEMPTS: usize = 3;
 /// The number of buckets: one for each combination of priority, quota state and client attempt.
 const BUCKETS: usize = (MAX_PRIORITY as usize + 1) * QUOTA_STATES * CLIENT_ATTEMPTS;
-/// A retry is admitted only if the requests that rank before it are at most this fraction of those admitted.
-/// Otherwise one placer could admit retries while another, whose level is higher by one, sheds first requests.
+/// A retry is admitted only if the requests that rank before it make up at most this fraction of the requests that the
+/// level admits. Otherwise one placer could admit retries while another, whose level is higher by one, sheds first
+/// requests.
 const RETRY_HEADROOM: f64 = 0.65;
 /// The factor by which the epochs of retries are shorter than those of first requests. A retry was shed because of
 /// its rank in one epoch, and would be shed again in the same epoch.
@@ -164,7 +165,7 @@
 #[derive(Debug, Clone)]
 pub struct AdmissionController {
     settings: Settings,
-    /// The shortest latency objective of any class.
+    /// The shortest latency objective of any class, in microseconds.
     latency_objective: Micros,
     level: u8,
     /// When the shed level last changed or the counts of outcomes were last reset.
--- a/src/overload/concurrency_limit.rs
+++ b/src/overload/concurrency_limit.rs
@@ -30,8 +30,8 @@
 const TARGET_PER_MIN_DELAY: f64 = 1.3;
 /// The largest fraction by which the congestion window is decreased at once (`max_mdf` in Swift).
 const MAX_DECREASE: f64 = 0.5;
-/// The congestion window is decreased by the fraction that the excess delay is of the whole delay, times this factor
-/// (`beta` in Swift).
+/// Factor of a decrease of the congestion window (`beta` in Swift): the window loses this factor times the fraction of
+/// the measured delay that exceeds the target.
 const DECREASE_GAIN: f64 = 0.8;
 /// The weight of one start in the moving average of the delay.
 const DELAY_WEIGHT: f64 = 0.25;
@@ -97,8 +97,8 @@
     None,
 }
 
-/// The minimum of a value over the last [`MIN_DELAY_EXPIRY`], kept for each half of that time so that old values
-/// expire.
+/// The minimum of a value over the last [`MIN_DELAY_EXPIRY`]. A separate minimum is kept for each half of that time, so
+/// that old values expire.
 #[derive(Debug, Clone, Copy)]
 struct WindowedMinimum {
     half_started_at: Micros,
--- a/src/overload/controller.rs
+++ b/src/overload/controller.rs
@@ -35,7 +35,7 @@
 pub struct OverloadController {
     classes: Vec<Class>,
     tenants: TenantUsages,
-    /// The shortest latency objective of any class.
+    /// The shortest latency objective of any class, in microseconds.
     latency_objective: Micros,
     /// The longest Retry-After that may be sent to a client; 0 if none may be sent.
     max_retry_after: Micros,
@@ -55,7 +55,7 @@
     /// When the shed level may be adjusted next.
     next_adjustment: Micros,
     counters: Counters,
-    /// The seed plus the number of attempts sent; hashed to get the jitter of each attempt.
+    /// The seed plus the number of attempts sent. Its hash gives the jitter of the next attempt.
     jitter_counter: u64,
 }
 
--- a/src/overload/event.rs
+++ b/src/overload/event.rs
@@ -16,7 +16,7 @@
     AttemptSent {
         /// The request that the attempt belongs to.
         id: &'a RequestId,
-        /// The host that it was sent to.
+        /// The host that the attempt was sent to.
         host: &'a HostId,
     },
     /// An attempt has started its task.
@@ -40,7 +40,7 @@
         /// How the request ended.
         end: RequestEnd,
     },
-    /// The placer's periodic tick.
+    /// The periodic work of the placer is due.
     Tick,
 }
 
--- a/src/overload/hosts.rs
+++ b/src/overload/hosts.rs
@@ -26,9 +26,9 @@
     schedule: Option<HealthCheckSchedule>,
     slot_length: Micros,
     placer_count: usize,
-    /// The shortest latency objective of any class.
+    /// The shortest latency objective of any class, in microseconds.
     latency_objective: Micros,
-    /// The wall clock at time 0 of the events.
+    /// The wall-clock time, in microseconds, at time 0 of the events.
     wall_clock_offset: Micros,
     /// The sums over all hosts. The window of a host that is down or suspect counts as 0.
     totals: Totals,
--- a/src/overload/hosts/suspect.rs
+++ b/src/overload/hosts/suspect.rs
@@ -25,8 +25,8 @@
 }
 
 impl HostTable {
-    /// Permits no further attempts to a suspect host once its health check is sent. Returns whether the attempt that
-    /// was sent is a health check.
+    /// Called when an attempt was sent to a host. If the host is suspect, the attempt is its health check, and no
+    /// further attempts to the host are permitted. Returns whether the attempt is a health check.
     pub fn begin_health_check(&mut self, id: &HostId, limits: &mut Vec<Limit>) -> bool {
         if self.schedule.is_none() {
             return false;
--- a/src/overload/report.rs
+++ b/src/overload/report.rs
@@ -25,13 +25,13 @@
     pub retries_denied_by_domain: u64,
     /// Attempts sent to suspect hosts as health checks, in the time slots of this placer.
     pub health_checks: u64,
-    /// Hosts that became suspect.
+    /// Number of times that a host became suspect after lost attempts.
     pub suspect_hosts: u64,
-    /// Zones that became suspect.
+    /// Number of times that a whole zone became suspect because several of its cells were suspect.
     pub suspect_zones: u64,
-    /// How often the shed level rose.
+    /// Number of times that the shed level rose.
     pub level_rises: u64,
-    /// How often the shed level fell.
+    /// Number of times that the shed level fell.
     pub level_falls: u64,
     /// The highest shed level reached.
     pub highest_level: u64,
--- a/src/overload/retry_after.rs
+++ b/src/overload/retry_after.rs
@@ -48,7 +48,7 @@
 /// The clients that were sent a Retry-After, identified by the hash of their task.
 #[derive(Debug, Clone, Default)]
 pub struct BackedOffClients {
-    /// When each client may retry, by the hash of its task.
+    /// The time from which on each client may retry, by the hash of its task.
     retry_at: BTreeMap<u64, Micros>,
     by_time: BTreeSet<(Micros, u64)>,
 }
--- a/src/placement/concurrency_window.rs
+++ b/src/placement/concurrency_window.rs
@@ -8,7 +8,7 @@
 use crate::state::hosts::{Host, HostIndex};
 use crate::types::{Micros, Outcome};
 
-/// Initial window: attempts that may be in flight at a host whose window has not changed yet.
+/// Number of attempts that may be in flight at a host whose window has not changed yet.
 const INITIAL_WINDOW: f64 = 8.0;
 /// Largest window, in attempts in flight at a host.
 const MAX_WINDOW: f64 = 16.0;
--- a/src/placement/eligibility.rs
+++ b/src/placement/eligibility.rs
@@ -1,4 +1,5 @@
-//! Eligible hosts of a task: those that the hard rules permit, narrowed down by preferences.
+//! Eligible hosts of a task: those that the hard rules permit, narrowed down by preferences. The hard rules, which are
+//! never relaxed, concern the host's state and kind, idempotency, spread and slow start.
 
 use super::concurrency_window::window_allows_attempt;
 use super::placer::Placer;
--- a/src/placement/endpoints.rs
+++ b/src/placement/endpoints.rs
@@ -4,13 +4,16 @@
 use crate::state::hosts::ProcessChange;
 use crate::types::{Action, Endpoint, HostId, LoadReportField, Micros, Resources, UpdateKind};
 
-/// Assumed lag of the endpoint list, as a fraction of the longest time that may pass without a subscription.
+/// Assumed lag of the endpoint list (the age of its information on arrival), as a fraction of the longest time that may
+/// pass without a subscription.
 const LIST_LAG_FRACTION: f64 = 0.25;
-/// Assumed lag of load reports, as a fraction of the shortest latency objective.
+/// Assumed lag of load reports (the age of their information on arrival), as a fraction of the shortest latency
+/// objective.
 const REPORT_LAG_FRACTION: f64 = 0.5;
-/// Number of attempts to subscribe within the longest time that may pass without a subscription.
+/// Number of times that the placer tries to subscribe to the endpoint list within the longest time that may pass
+/// without a subscription.
 const SUBSCRIPTION_ATTEMPTS: i64 = 16;
-/// The pause between attempts to subscribe doubles at most this many times.
+/// Maximum number of times that the pause between two requests to subscribe to the endpoint list is doubled.
 const MAX_SUBSCRIPTION_DOUBLINGS: u32 = 2;
 
 impl Placer {
--- a/src/placement/outlier_ejection.rs
+++ b/src/placement/outlier_ejection.rs
@@ -82,7 +82,8 @@
             .count()
     }
 
-    /// Returns whether a host has started a task of this placer within the last shortest latency objective.
+    /// Returns whether a host has started a task of this placer recently, that is, within a time as long as the
+    /// shortest latency objective.
     pub(super) fn started_task_recently(&self, host: HostIndex) -> bool {
         let last_task_start = self.hosts.hosts[host].last_task_start;
         last_task_start.is_some_and(|started_at| self.now - started_at < self.shortest_objective)
--- a/src/settings/reader.rs
+++ b/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the values of single settings by path.
+//! Reads single settings by path and parses their values.
 
 use super::{SettingsByPath, SettingsError, millis_to_micros, parse_number};
 use crate::types::Micros;
--- a/src/state/timers.rs
+++ b/src/state/timers.rs
@@ -28,7 +28,8 @@
 }
 
 impl Timers {
-    /// Appends an action that requests a timer to fire `after` from now.
+    /// Appends an action that requests a timer which fires `after` microseconds from now, and stores what the timer is
+    /// for.
     pub fn set(
         &mut self,
         now: Micros,
--- a/src/state/working_set.rs
+++ b/src/state/working_set.rs
@@ -151,7 +151,7 @@
             .map(|(_, _, index)| *index)
     }
 
-    /// Returns whether a host is a member.
+    /// Returns whether a host is a member of the working set.
     pub fn contains(&self, index: HostIndex, host: &HostId) -> bool {
         let rank = self.counted.get(index).and_then(|counted| counted.rank);
         rank.is_some_and(|rank| self.is_member(&(rank, host.clone(), index)))
--- a/src/types/attempt.rs
+++ b/src/types/attempt.rs
@@ -34,7 +34,7 @@
 /// The reason for the outcome of an attempt, as far as the host states one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutcomeDetail {
-    /// The reason is unknown.
+    /// The host gave no reason, or one that this program does not know.
     Unknown,
     /// The host has too few free cores.
     NoCores,
@@ -80,7 +80,7 @@
 /// The kind of a value that a host reports about a running task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskReport {
-    /// The task is running.
+    /// The host reports that the task is running. The value is ignored.
     Running,
     /// Cores that the task uses now.
     Cores,
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -17,15 +17,15 @@
 /// One entry of the endpoint list.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// The host.
+    /// Id of the host that the entry describes.
     pub host: HostId,
-    /// The zone of the host.
+    /// Zone that the host is in.
     pub zone: ZoneId,
-    /// The cell of the host.
+    /// Cell that the host is in.
     pub cell: CellId,
-    /// The kind of the host.
+    /// Kind of the host, which determines its cores and memory.
     pub kind: KindId,
-    /// The state of the host.
+    /// Whether the host is in service, draining or removed.
     pub state: EndpointState,
     /// When the host's process last started, in microseconds; 0 if that was too long ago to matter.
     pub started_at: Micros,
--- a/src/types/event.rs
+++ b/src/types/event.rs
@@ -10,7 +10,7 @@
 pub enum Event {
     /// The endpoint list has changed, or could not be read.
     EndpointsChanged {
-        /// The kind of the update.
+        /// Whether the update is complete, partial, cached or failed.
         kind: UpdateKind,
         /// The endpoints in the update; none for [`UpdateKind::Failed`].
         endpoints: Vec<Endpoint>,
@@ -21,33 +21,33 @@
     TaskAdopted(Task, HostId),
     /// An attempt has started its task, so that the request is placed.
     AttemptStarted {
-        /// The request.
+        /// The request that the attempt was made for.
         id: RequestId,
         /// The number of the attempt, counted from 0 for each request.
         attempt: u32,
-        /// The host of the attempt.
+        /// The host that the attempt was sent to.
         host: HostId,
         /// Time since the attempt was sent, in microseconds.
         elapsed: Micros,
     },
     /// A host reports about a running task.
     TaskReported {
-        /// The request of the task.
+        /// The request that placed the task.
         id: RequestId,
-        /// The host that reports.
+        /// The host that runs the task and reports about it.
         host: HostId,
-        /// The kind of the reported value.
+        /// What the reported value measures.
         report: TaskReport,
         /// The reported value, in the unit of its kind.
         value: f64,
     },
     /// An attempt has ended, or the task that it started.
     AttemptEnded {
-        /// The request.
+        /// The request that the attempt was made for.
         id: RequestId,
         /// The number of the attempt, counted from 0 for each request.
         attempt: u32,
-        /// The host of the attempt.
+        /// The host that the attempt was sent to.
         host: HostId,
         /// How the attempt ended.
         outcome: Outcome,
@@ -68,7 +68,7 @@
     ShutdownRequested(Micros),
     /// The timer with this token has fired.
     TimerFired(TimerToken),
-    /// A health check has ended.
+    /// A health check has been answered or has failed.
     HealthCheckEnded {
         /// The host that was checked.
         host: HostId,
--- a/src/types/settings.rs
+++ b/src/types/settings.rs
@@ -128,7 +128,7 @@
     pub placer_index: usize,
     /// Number of placers in the deployment.
     pub placer_count: usize,
-    /// Zone of this placer, if stated.
+    /// Zone that this placer is in, if the deployment states it.
     pub zone: Option<ZoneId>,
     /// Shortest time between two batches of events.
     pub tick: Micros,
@@ -150,7 +150,7 @@
     pub allows_retry_after: bool,
     /// Longest Retry-After that clients honour.
     pub max_retry_after: Micros,
-    /// Time after which establishing a connection fails.
+    /// Time after which an attempt to establish a connection counts as failed.
     pub connect_timeout: Micros,
     /// Whether only subscribers receive the endpoint list.
     pub requires_subscription: bool,
