--- a/src/health/drain.rs
+++ b/src/health/drain.rs
@@ -85,7 +85,7 @@
     }
 }
 
-/// The error that a drain can't be cancelled any more, because the decision module was notified to answer all pending
+/// The error that a drain can't be cancelled any more, since the decision module was notified to answer all pending
 /// requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[error("too late: the process ends")]
--- a/src/health/weight.rs
+++ b/src/health/weight.rs
@@ -49,14 +49,14 @@
     pub fall_interval: Micros,
     /// The minimum time from a fall to the next rise; doubled each time that a fall soon follows a rise.
     pub hold: Micros,
-    /// The limit to which `hold` is doubled.
+    /// The maximum to which `hold` may be doubled.
     pub max_hold: Micros,
     /// The time that a rise of the weight from 0 to 100 takes when no ceiling slows it down.
     pub rise_time: Micros,
     /// How long the weight at which overload began limits a rise as a ceiling; doubled each time that overload begins
     /// again while a ceiling is remembered.
     pub ceiling_memory: Micros,
-    /// The limit to which `ceiling_memory` is doubled.
+    /// The maximum to which `ceiling_memory` may be doubled.
     pub max_ceiling_memory: Micros,
     /// The number of changes of the published weight within a minute from which on it does not rise further.
     pub max_changes_per_minute: usize,
--- a/src/overload/tenants.rs
+++ b/src/overload/tenants.rs
@@ -12,7 +12,7 @@
 struct TenantUsage {
     /// The quota of new tasks per second over all placers; 0 means that there is no quota.
     quota_per_second: f64,
-    /// The tenant's recent requests at this placer.
+    /// Counts the tenant's recent requests at this placer.
     requests: SlidingWindow,
 }
 
--- a/src/placement/scd.rs
+++ b/src/placement/scd.rs
@@ -34,7 +34,8 @@
     multiplier: f64,
 }
 
-/// Returns the probability of each host if `arrivals` tasks are expected at all dispatchers together.
+/// Returns the probability with which a dispatcher draws each host, if `arrivals` tasks are expected at all dispatchers
+/// together.
 pub fn scd_probabilities(hosts: &[HostLoad], arrivals: f64) -> Vec<f64> {
     let order = by_marginal_load(hosts);
     let Some(&least_loaded) = order.first() else {
--- a/src/placement/slow_start.rs
+++ b/src/placement/slow_start.rs
@@ -4,7 +4,7 @@
 use crate::state::hosts::Host;
 use crate::types::Micros;
 
-/// Fraction of the attempts that a warming host can always handle which all placers together may use.
+/// All placers together send a warming host at most this fraction of the attempts that it can always handle.
 const BUDGET_FRACTION: f64 = 0.8;
 /// Factor by which the time over which attempts are counted is extended, because clocks and delivery times differ.
 const WINDOW_STRETCH: f64 = 1.25;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -64,7 +64,7 @@
     let (tenants, tenant_names) = read_tenants(&reader)?;
     let kind_names = reader.names("models")?;
     let host_kinds = collect(kind_names.len(), |index| read_host_kind(&reader, index))?;
-    // A deployment without zones omits this setting.
+    // A deployment without zones omits the setting `zones`.
     let zones = if reader.has("zones") {
         reader.names("zones")?
     } else {
--- a/src/state/hosts.rs
+++ b/src/state/hosts.rs
@@ -139,7 +139,7 @@
     }
 }
 
-/// Whether the process on a host is the one known before an endpoint update.
+/// Whether a host still runs the process that it ran before an update of its endpoint, or a new one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProcessChange {
     Same,
--- a/src/state/tasks.rs
+++ b/src/state/tasks.rs
@@ -29,8 +29,7 @@
     pub attempts_sent: u32,
     pub current_attempt: Option<CurrentAttempt>,
     pub is_placed: bool,
-    /// Whether no response is pending any more, because the final response was sent or the client has cancelled the
-    /// request.
+    /// Whether the request is closed: its final response was sent, or its client has cancelled it.
     pub is_closed: bool,
     /// The first attempt that may have run the task; `None` if every ended attempt is known not to have run it.
     pub first_uncertain_attempt: Option<UncertainAttempt>,
