--- a/src/health/state.rs
+++ b/src/health/state.rs
@@ -46,29 +46,29 @@
     }
 }
 
-/// A command of an operator, or of the system.
+/// A command of an operator, or of the operating system by a signal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command {
     /// Finish pending requests and ask for no new connections.
     Drain,
-    /// Leave service for maintenance.
+    /// Take the placer out of service for maintenance.
     Maint,
     /// Return to service, with a slow start.
     Ready,
-    /// Exit.
+    /// Exit the process.
     Stop,
 }
 
 /// Why the state has changed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransitionReason {
-    /// The slow start is over.
+    /// The time of the slow start has passed, and the weight is high enough.
     SlowStartOver,
     /// No signal limits the weight any more.
     SignalsClear,
-    /// A signal limits the weight.
+    /// The weight is limited by this signal.
     Signal(Signal),
-    /// A command was executed.
+    /// The state was changed by this command.
     Command(Command),
 }
 
@@ -98,9 +98,9 @@
 pub struct Transition {
     /// When the state changed.
     pub at: Micros,
-    /// The state before.
+    /// The state before the transition.
     pub from: State,
-    /// The state after.
+    /// The state after the transition.
     pub to: State,
     /// Why the state changed.
     pub reason: TransitionReason,
--- a/src/overload/tenants.rs
+++ b/src/overload/tenants.rs
@@ -3,7 +3,7 @@
 use crate::health::sliding_window::SlidingWindow;
 use crate::{Micros, Settings, TenantId};
 
-/// How long a tenant's requests are observed, in multiples of the shortest latency objective.
+/// The length of the window over which a tenant's requests are counted, in multiples of the shortest latency objective.
 const WINDOW_OBJECTIVES: Micros = 4;
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -12,7 +12,7 @@
 struct TenantUsage {
     /// The quota of new tasks per second over all placers; 0 means that there is no quota.
     quota_per_second: f64,
-    /// The tenant's recent requests at this placer.
+    /// Counts the tenant's recent requests at this placer.
     requests: SlidingWindow,
 }
 
--- a/src/placement/concurrency_window.rs
+++ b/src/placement/concurrency_window.rs
@@ -8,7 +8,7 @@
 use crate::state::hosts::{Host, HostIndex};
 use crate::types::{Micros, Outcome};
 
-/// Initial window: attempts that may be in flight at a host whose window has not changed yet.
+/// Number of attempts that may be in flight at a host whose window has not changed yet.
 const INITIAL_WINDOW: f64 = 8.0;
 /// Largest window, in attempts in flight at a host.
 const MAX_WINDOW: f64 = 16.0;
@@ -57,7 +57,7 @@
         self.finish_attempt_in_flight(host, change);
     }
 
-    /// Records that an attempt is no longer in flight, and changes the host's window by this much within its bounds.
+    /// Records that an attempt is no longer in flight, and adds `change` to the host's window, clamped to its bounds.
     fn finish_attempt_in_flight(&mut self, index: HostIndex, change: f64) {
         let host = &mut self.hosts.hosts[index];
         host.in_flight = host.in_flight.saturating_sub(1);
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -64,7 +64,7 @@
     let (tenants, tenant_names) = read_tenants(&reader)?;
     let kind_names = reader.names("models")?;
     let host_kinds = collect(kind_names.len(), |index| read_host_kind(&reader, index))?;
-    // A deployment without zones omits this setting.
+    // A deployment without zones omits the setting `zones`.
     let zones = if reader.has("zones") {
         reader.names("zones")?
     } else {
@@ -213,7 +213,7 @@
     reader.one_of(&path, &scopes)
 }
 
-/// Reads the tenants and their names; none if the deployment has no tenants.
+/// Reads the tenants and their names. Returns empty lists if the deployment has no tenants.
 fn read_tenants(reader: &Reader<'_>) -> Result<(Vec<Tenant>, Vec<String>), SettingsError> {
     let cores_path = "family_info.share_cores";
     let mut tenants = Vec::new();
@@ -241,7 +241,8 @@
     })
 }
 
-/// Reads what the values of a load report mean, in order; empty if hosts send no load reports.
+/// Reads the meaning of each value in a load report, in the order of the report. Returns an empty list if hosts send no
+/// load reports.
 fn read_load_report(reader: &Reader<'_>) -> Result<Vec<LoadReportField>, SettingsError> {
     match reader.settings.get("report.via").map(String::as_str) {
         None | Some("off") => Ok(Vec::new()),
--- a/src/state/tasks.rs
+++ b/src/state/tasks.rs
@@ -29,7 +29,7 @@
     pub attempts_sent: u32,
     pub current_attempt: Option<CurrentAttempt>,
     pub is_placed: bool,
-    /// Whether the final response was sent or the client has cancelled the request.
+    /// Whether the request is closed: its final response was sent, or its client has cancelled it.
     pub is_closed: bool,
     /// The first attempt that may have run the task; `None` if every ended attempt is known not to have run it.
     pub first_uncertain_attempt: Option<UncertainAttempt>,
@@ -76,7 +76,7 @@
     pub records: BTreeMap<RequestId, TaskRecord>,
     /// Requests that wait for an attempt, earliest deadline first.
     pub waiting: BTreeSet<(Micros, RequestId)>,
-    /// Number of this placer's tasks of a service that run or are in flight at a host.
+    /// Number of this placer's tasks by service and host, including tasks whose attempt is in flight at the host.
     reservations: BTreeMap<(ServiceId, HostIndex), usize>,
     /// Sum of the requested resources of all tasks with a usage report.
     pub measured_request: Resources,
--- a/src/types/attempt.rs
+++ b/src/types/attempt.rs
@@ -31,10 +31,10 @@
     }
 }
 
-/// The reason for the outcome of an attempt.
+/// The reason for the outcome of an attempt, as far as the host states one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutcomeDetail {
-    /// The reason is unknown.
+    /// The host gave no reason, or one that this program does not know.
     Unknown,
     /// The host has too few free cores.
     NoCores,
@@ -54,8 +54,8 @@
 }
 
 impl OutcomeDetail {
-    /// Returns whether this reason applies only to tasks that have run. A host returns a task that does not run yet as
-    /// rejected.
+    /// Returns whether this reason is given only for tasks that have run. For a task that does not run yet, the host
+    /// reports a rejection instead.
     pub fn implies_task_ran(self) -> bool {
         matches!(
             self,
@@ -80,7 +80,7 @@
 /// The kind of a value that a host reports about a running task.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TaskReport {
-    /// The task is running.
+    /// The host reports that the task is running. The value is ignored.
     Running,
     /// Cores that the task uses now.
     Cores,
--- a/src/types/endpoint.rs
+++ b/src/types/endpoint.rs
@@ -17,15 +17,15 @@
 /// One entry of the endpoint list.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// The host.
+    /// Id of the host that the entry describes.
     pub host: HostId,
-    /// The zone of the host.
+    /// Zone that the host is in.
     pub zone: ZoneId,
-    /// The cell of the host.
+    /// Cell that the host is in.
     pub cell: CellId,
-    /// The kind of the host.
+    /// Kind of the host, which determines its cores and memory.
     pub kind: KindId,
-    /// The state of the host.
+    /// Whether the host is in service, draining or removed.
     pub state: EndpointState,
     /// When the host's process last started, in microseconds; 0 if that was too long ago to matter.
     pub started_at: Micros,
@@ -48,12 +48,12 @@
 /// The kind of an update of the endpoint list, which says what it contains.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UpdateKind {
-    /// Only the endpoints that have changed.
+    /// The update contains only the endpoints that have changed.
     Delta,
-    /// All endpoints. A host that is missing from the update has been removed.
+    /// The update contains all endpoints. A host that is missing from it has been removed.
     Complete,
-    /// All endpoints as this placer last knew them. They may be stale.
+    /// The update contains all endpoints as this placer last knew them. They may be stale.
     Cached,
-    /// No endpoints, because a poll failed or the subscription ended.
+    /// The update contains no endpoints, because a poll failed or the subscription ended.
     Failed,
 }
