--- a/crates/scale-test/tests/command_line.rs
+++ b/crates/scale-test/tests/command_line.rs
@@ -56,7 +56,7 @@
         ),
         (
             &["check", "--fault", "{ kind = \"flood\" }"],
-            "setting fault: expected a table",
+            "setting fault: expected an inline table with the keys of a [[fault]] table",
         ),
         (
             &["check", "/nowhere/plan.toml"],
